--- a/replica/cache.go
+++ b/replica/cache.go
@@ -39,10 +39,10 @@
 
 func (c *cache) evictOldest() {
 	var oldest string
-	var when time.Time
+	var oldestUse time.Time
 	for id, entry := range c.parts {
-		if oldest == "" || entry.used.Before(when) || (entry.used.Equal(when) && id < oldest) {
-			oldest, when = id, entry.used
+		if oldest == "" || entry.used.Before(oldestUse) || (entry.used.Equal(oldestUse) && id < oldest) {
+			oldest, oldestUse = id, entry.used
 		}
 	}
 	c.tokens -= c.parts[oldest].tokens
@@ -53,17 +53,17 @@
 // counts as kept only if all parts before it are, and one that has grown since it was
 // sent here only up to its former end. Kept tells how likely a part is kept that was
 // not sent here from this node.
-func (c *cache) missing(prompt []Part, kept func(part string) float64) int {
-	tokens, likely := 0.0, 1.0
+func (c *cache) uncachedTokens(prompt []Part, cachedProbability func(part string) float64) int {
+	tokens, probability := 0.0, 1.0
 	for _, part := range prompt {
 		known, sent := c.parts[part.ID]
-		if !sent && likely > 0 {
-			likely *= kept(part.ID)
+		if !sent && probability > 0 {
+			probability *= cachedProbability(part.ID)
 		}
-		tokens += (1 - likely) * float64(part.Tokens)
+		tokens += (1 - probability) * float64(part.Tokens)
 		if sent && known.tokens < part.Tokens {
-			tokens += likely * float64(part.Tokens-known.tokens)
-			likely = 0
+			tokens += probability * float64(part.Tokens-known.tokens)
+			probability = 0
 		}
 	}
 	return int(tokens)
--- a/replica/cold.go
+++ b/replica/cold.go
@@ -25,41 +25,41 @@
 	// coldTokens is what a cold replica costs beyond a warm one, in tokens of prefill:
 	// a warm one gets the request until it has about as many places taken.
 	coldTokens = 1500
-	// coldNews is by how much a belief is extended at least for other nodes to be
+	// coldAnnounceThreshold is by how much a belief is extended at least for other nodes to be
 	// told: a cold time that runs down is told with each entry, a little later or
 	// earlier.
-	coldNews = 400 * time.Millisecond
-	// pressureAtColdRate is how full a cold replica counts that is at its rate: above
+	coldAnnounceThreshold = 400 * time.Millisecond
+	// utilisationAtColdRate is how full a cold replica counts that is at its rate: above
 	// every limit from which on new programs wait.
-	pressureAtColdRate = 2
+	utilisationAtColdRate = 2
 )
 
 // coldness is what a node believes of whether one replica is cold.
-type coldness struct {
+type coldState struct {
 	until  time.Time
 	source string
 	// word is the newest that was heard, and heard says that there was one.
-	word  ColdWord
-	heard bool
+	status   ColdWord
+	received bool
 	// noted is the state that ColdTurns told last.
-	noted bool
+	reportedCold bool
 	// pausedUntil is until when the replica is at its rate, as its counter said.
 	pausedUntil time.Time
 }
 
-func (c *coldness) cold(now time.Time) bool { return now.Before(c.until) }
+func (c *coldState) cold(now time.Time) bool { return now.Before(c.until) }
 
 // hear takes in an entry's word. It reports whether other nodes are to hear of it.
-func (c *coldness) hear(now time.Time, word ColdWord) (news bool) {
-	fresh := c.fresh(word)
-	if fresh {
-		c.word, c.heard = word, true
+func (c *coldState) update(now time.Time, status ColdWord) (announce bool) {
+	isNew := c.isNew(status)
+	if isNew {
+		c.status, c.received = status, true
 	}
 	switch {
-	case word.Passed:
-		return c.extend(now, word.Left, coldFromPeer)
-	case fresh:
-		return c.extend(now, word.Left, coldFromEntry)
+	case status.Passed:
+		return c.extend(now, status.Left, coldFromPeer)
+	case isNew:
+		return c.extend(now, status.Left, coldFromEntry)
 	default:
 		return false
 	}
@@ -67,33 +67,33 @@
 
 // fresh reports whether an entry's word was not taken in before. The same entry is read
 // again and again, also long after it was written, and after a peer told of it.
-func (c *coldness) fresh(word ColdWord) bool {
-	if !c.heard || word.Sequence > c.word.Sequence {
+func (c *coldState) isNew(status ColdWord) bool {
+	if !c.received || status.Sequence > c.status.Sequence {
 		return true
 	}
-	again := word.Passed || c.word.Passed || word.Left == c.word.Left
-	return word.Sequence == c.word.Sequence && !again
+	repeated := status.Passed || c.status.Passed || status.Left == c.status.Left
+	return status.Sequence == c.status.Sequence && !repeated
 }
 
 // extend has the replica count as cold for a while from now on. Nothing shortens that: a
 // word may have been said before the one that made the replica count as cold.
-func (c *coldness) extend(now time.Time, left time.Duration, source string) (news bool) {
+func (c *coldState) extend(now time.Time, left time.Duration, source string) (announce bool) {
 	until := now.Add(left)
 	if left <= 0 || !until.After(c.until) {
 		return false
 	}
-	news = !c.cold(now) || until.Sub(c.until) >= coldNews
-	if news {
+	announce = !c.cold(now) || until.Sub(c.until) >= coldAnnounceThreshold
+	if announce {
 		c.source = source
 	}
 	c.until = until
-	return news
+	return announce
 }
 
 // entryAt returns a replica's entry as it is passed on at a time.
 func (m *member) entryAt(now time.Time) Entry {
 	entry := m.entry
-	entry.Cold = ColdWord{Left: max(0, m.cold.until.Sub(now)), Sequence: m.cold.word.Sequence, Passed: true}
+	entry.Cold = ColdWord{Left: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Passed: true}
 	return entry
 }
 
@@ -112,14 +112,14 @@
 
 // HearCold takes in what an answer of a replica says of how long it stays cold. It reports
 // whether other nodes are to hear of it.
-func (s *Set) HearCold(now time.Time, id ID, left time.Duration) (news bool) {
+func (s *Set) HearCold(now time.Time, id ID, left time.Duration) (announce bool) {
 	known := s.byID[id]
 	if known == nil {
 		return false
 	}
-	news = known.cold.extend(now, left, coldFromAnswer)
-	s.watchCold(now, known)
-	return news
+	announce = known.cold.extend(now, left, coldFromAnswer)
+	s.trackCold(now, known)
+	return announce
 }
 
 // PauseCold has a cold replica passed over that is at its rate.
@@ -130,16 +130,16 @@
 }
 
 // coldRate is how many requests a second a replica bears, or 0 unless it is cold.
-func (s *Set) coldRate(now time.Time, one *member) float64 {
-	if s.config.Without.Cold || !one.cold.cold(now) {
+func (s *Set) coldRate(now time.Time, m *member) float64 {
+	if s.config.Without.Cold || !m.cold.cold(now) {
 		return 0
 	}
-	return s.coldRates[one.entry.Service]
+	return s.coldRates[m.entry.Service]
 }
 
 // atColdRate reports whether a cold replica may not get requests for now.
-func (s *Set) atColdRate(now time.Time, one *member) bool {
-	return now.Before(one.cold.pausedUntil) && s.coldRate(now, one) > 0
+func (s *Set) atColdRate(now time.Time, m *member) bool {
+	return now.Before(m.cold.pausedUntil) && s.coldRate(now, m) > 0
 }
 
 // ColdTurn says that a replica counts as cold from now on, or no longer does.
@@ -152,33 +152,33 @@
 
 // ColdTurns returns the replicas that turned cold or warm since the last call, and how
 // many are cold.
-func (s *Set) ColdTurns(now time.Time) (turns []ColdTurn, count int) {
-	for id, known := range s.coldWatched {
+func (s *Set) ColdTurns(now time.Time) (transitions []ColdTurn, count int) {
+	for id, known := range s.coldTracked {
 		cold := known.cold.cold(now)
 		if cold {
 			count++
 		}
-		if cold != known.cold.noted {
-			known.cold.noted = cold
-			turns = append(turns, ColdTurn{ID: id, Cold: cold, Until: known.cold.until, Source: known.cold.source})
+		if cold != known.cold.reportedCold {
+			known.cold.reportedCold = cold
+			transitions = append(transitions, ColdTurn{ID: id, Cold: cold, Until: known.cold.until, Source: known.cold.source})
 		}
 		if !cold {
-			delete(s.coldWatched, id)
+			delete(s.coldTracked, id)
 		}
 	}
-	return turns, count
+	return transitions, count
 }
 
-// watchCold has ColdTurns tell when a replica that is cold turns warm.
-func (s *Set) watchCold(now time.Time, known *member) {
-	if known.cold.cold(now) || known.cold.noted {
-		s.coldWatched[known.entry.ID] = known
+// trackCold has ColdTurns tell when a replica that is cold turns warm.
+func (s *Set) trackCold(now time.Time, known *member) {
+	if known.cold.cold(now) || known.cold.reportedCold {
+		s.coldTracked[known.entry.ID] = known
 	}
 }
 
 // ColdCount returns how many replicas are cold.
 func (s *Set) ColdCount(now time.Time) (count int) {
-	for _, known := range s.coldWatched {
+	for _, known := range s.coldTracked {
 		if known.cold.cold(now) {
 			count++
 		}
--- a/replica/doubt.go
+++ b/replica/doubt.go
@@ -10,9 +10,9 @@
 	if known == nil || known.entry.Status != StatusReady {
 		return false
 	}
-	if known.doubtedUntil.IsZero() {
-		known.doubtedUntil = until
-		s.doubted[id] = known
+	if known.removeAt.IsZero() {
+		known.removeAt = until
+		s.unlisted[id] = known
 	}
 	return true
 }
@@ -20,8 +20,8 @@
 // Doubted returns the replicas whose doubt has lasted long enough for them to be
 // removed.
 func (s *Set) Doubted(now time.Time) (gone []ID) {
-	for id, known := range s.doubted {
-		if !now.Before(known.doubtedUntil) {
+	for id, known := range s.unlisted {
+		if !now.Before(known.removeAt) {
 			gone = append(gone, id)
 		}
 	}
--- a/replica/report.go
+++ b/replica/report.go
@@ -25,9 +25,9 @@
 func (s *Set) Report(now time.Time) map[ID]Report {
 	reports := make(map[ID]Report, len(s.busy))
 	for id, known := range s.busy {
-		reports[id] = Report{Requests: known.own}
+		reports[id] = Report{Requests: known.ownRequests}
 	}
-	s.reportPaces(now, reports)
+	s.addTokenTimes(now, reports)
 	return reports
 }
 
@@ -38,7 +38,7 @@
 	}
 	for id, total := range totals {
 		if known := s.byID[id]; known != nil {
-			known.pace.Hear(now, total.TokenTime, total.Samples)
+			known.tokenTime.Hear(now, total.TokenTime, total.Samples)
 		}
 	}
 }
--- a/replica/room.go
+++ b/replica/room.go
@@ -12,18 +12,18 @@
 // window of replicas is looked at, which grows while even the emptiest in it is full.
 func (s *Set) Room(now time.Time, request *Request) dispatch.Room {
 	least := s.Pressure(now, request)
-	weighed := s.weighable(now, request)
-	view := s.viewOf(weighed)
+	candidates := s.selectCandidates(now, request)
+	loads := s.estimateFromReports(candidates)
 	load, slots := 0., 0.
-	for _, one := range weighed {
-		if s.mayTake(now, request, one) != nil {
+	for _, m := range candidates {
+		if s.checkPlacement(now, request, m) != nil {
 			continue
 		}
-		if one.entry.Slots <= 0 {
+		if m.entry.Slots <= 0 {
 			return dispatch.Room{}
 		}
-		load += s.occupied(now, &view, one)
-		slots += float64(one.entry.Slots)
+		load += s.effectiveLoad(now, &loads, m)
+		slots += float64(m.entry.Slots)
 	}
 	if slots == 0 {
 		return dispatch.Room{}
--- a/replica/select.go
+++ b/replica/select.go
@@ -88,52 +88,52 @@
 // window of replicas is weighed, which grows while all in it are full.
 func (s *Set) Select(now time.Time, request *Request) (Choice, error) {
 	for {
-		weighed := s.weighable(now, request)
-		choice, err := s.selectFrom(now, request, weighed)
+		candidates := s.selectCandidates(now, request)
+		choice, err := s.selectFrom(now, request, candidates)
 		full := err != nil || choice.Load >= max(1, choice.Entry.Slots)
-		if !full || !s.widen(request.Service, len(weighed)) {
+		if !full || !s.growWindow(request.Service, len(candidates)) {
 			return choice, err
 		}
 	}
 }
 
 // selectFrom picks one of some replicas.
-func (s *Set) selectFrom(now time.Time, request *Request, weighable []*member) (Choice, error) {
-	feasible, lacking := s.feasible(now, request, weighable)
+func (s *Set) selectFrom(now time.Time, request *Request, candidates []*member) (Choice, error) {
+	feasible, reason := s.feasible(now, request, candidates)
 	if len(feasible) == 0 {
-		if lacking != nil {
-			return Choice{}, lacking
+		if reason != nil {
+			return Choice{}, reason
 		}
-		return Choice{}, s.absence(now, request)
+		return Choice{}, s.unavailableReason(now, request)
 	}
-	weighed := s.weigh(now, request, weighable)
-	if weighed.paces != nil {
-		best := weighed.drawn(feasible)
-		return weighed.choice(best, len(feasible)), nil
+	evaluation := s.newEvaluation(now, request, candidates)
+	if evaluation.tokenTimes != nil {
+		best := evaluation.selectByDraw(feasible)
+		return evaluation.choice(best, len(feasible)), nil
 	}
 	start := int(request.Draw * float64(len(feasible)))
 	best := feasible[start]
-	bestCost := weighed.cost(best)
+	bestCost := evaluation.cost(best)
 	for step := 1; step < len(feasible); step++ {
 		candidate := feasible[(start+step)%len(feasible)]
-		if cost := weighed.cost(candidate); cost < bestCost {
+		if cost := evaluation.cost(candidate); cost < bestCost {
 			best, bestCost = candidate, cost
 		}
 	}
-	return weighed.choice(best, len(feasible)), nil
+	return evaluation.choice(best, len(feasible)), nil
 }
 
 // choice describes what was chosen of so many.
-func (w *weighing) choice(best *member, feasible int) Choice {
+func (e *evaluation) choice(best *member, feasible int) Choice {
 	choice := Choice{
 		Entry:    best.entry,
-		Missing:  w.missing(best),
-		Load:     int(math.Round(w.view.load(best))),
+		Missing:  e.uncachedTokens(best),
+		Load:     int(math.Round(e.loads.load(best))),
 		Feasible: feasible,
-		Left:     w.set.left(w.now, w.request),
-		ColdRate: w.set.coldRate(w.now, best),
+		Left:     e.set.leftEvacuatedZone(e.now, e.request),
+		ColdRate: e.set.coldRate(e.now, best),
 	}
-	w.predict(best, &choice)
+	e.addPrediction(best, &choice)
 	return choice
 }
 
@@ -141,9 +141,9 @@
 // that answered well lately, or the suspect ones where there are no others. Where there
 // are none at all that has room, lacking tells what it lacks; nil where no replica may
 // take the request at all.
-func (s *Set) feasible(now time.Time, request *Request, weighable []*member) (list []*member, lacking error) {
+func (s *Set) feasible(now time.Time, request *Request, candidates []*member) (list []*member, reason error) {
 	if known := s.byID[request.Only]; known != nil {
-		if s.mayTake(now, request, known) != nil {
+		if s.checkPlacement(now, request, known) != nil {
 			return nil, nil
 		}
 		if s.atColdRate(now, known) {
@@ -151,129 +151,129 @@
 		}
 		return []*member{known}, nil
 	}
-	list = make([]*member, 0, len(weighable))
+	list = make([]*member, 0, len(candidates))
 	var suspects []*member
-	for _, one := range weighable {
-		if s.mayTake(now, request, one) != nil || slices.Contains(request.Excluded, one.entry.ID) {
+	for _, m := range candidates {
+		if s.checkPlacement(now, request, m) != nil || slices.Contains(request.Excluded, m.entry.ID) {
 			continue
 		}
-		if request.PerNode > 0 && one.own >= request.PerNode {
-			lacking = ErrSaturated
+		if request.PerNode > 0 && m.ownRequests >= request.PerNode {
+			reason = ErrSaturated
 			continue
 		}
-		if s.atColdRate(now, one) || (request.Warm && s.coldRate(now, one) > 0) {
-			lacking = ErrColdRate
+		if s.atColdRate(now, m) || (request.Warm && s.coldRate(now, m) > 0) {
+			reason = ErrColdRate
 			continue
 		}
-		if now.Before(one.suspectUntil) && !s.config.Without.Suspicion {
-			suspects = append(suspects, one)
+		if now.Before(m.suspectUntil) && !s.config.Without.Suspicion {
+			suspects = append(suspects, m)
 			continue
 		}
-		list = append(list, one)
+		list = append(list, m)
 	}
 	if len(list) == 0 {
 		list = suspects
 	}
-	return list, lacking
+	return list, reason
 }
 
-// mayServe reports whether a replica may get new requests: it is listed as ready,
+// isServing reports whether a replica may get new requests: it is listed as ready,
 // or was lately and may live.
-func (m *member) mayServe(now time.Time) bool {
-	over := !m.doubtedUntil.IsZero() && !now.Before(m.doubtedUntil)
-	return m.entry.Status == StatusReady && !over
+func (m *member) isServing(now time.Time) bool {
+	expired := !m.removeAt.IsZero() && !now.Before(m.removeAt)
+	return m.entry.Status == StatusReady && !expired
 }
 
 // The weights of a cost, in tokens of prefill.
 const (
-	// besideTokens is what one request beside costs while there are places
+	// concurrentRequestTokens is what one request beside costs while there are places
 	// free: it slows every step of the batch a little. A larger weight has
 	// lines of turns leave the replica that keeps their prompts; under load
 	// the prefill that this costs adds to the load.
-	besideTokens = 100
+	concurrentRequestTokens = 100
 	// queuedTokens is what waiting for one place costs, per request that is
 	// over the slots, divided by the slots.
 	queuedTokens = 20000
-	// missingWeight is how much prefill costs beyond the request's own wait:
+	// prefillWeight is how much prefill costs beyond the request's own wait:
 	// all requests of the batch wait for it.
-	missingWeight = 2
-	// elsewhereTokens is what another zone costs: the way, and its price.
-	elsewhereTokens = 600
-	// regionTokens is what another region costs beyond that: the ways there and back,
+	prefillWeight = 2
+	// otherZoneTokens is what another zone costs: the way, and its price.
+	otherZoneTokens = 600
+	// otherRegionTokens is what another region costs beyond that: the ways there and back,
 	// some 16 ms in which 300 tokens each are read, and bytes that cost four times
 	// those between zones. A request spills over once that much is waited at home.
-	regionTokens = 16*300 + 3*300
+	otherRegionTokens = 16*300 + 3*300
 	// faultTokens is what one recent fault costs, and maximumFaults the most
 	// that are counted: a replica that errs is avoided, and still serves where
 	// the others are full.
 	faultTokens   = 1500
 	maximumFaults = 10
-	// connectTokens is what a new connection costs: its opening, and its price.
-	connectTokens = 150
+	// connectionTokens is what a new connection costs: its opening, and its price.
+	connectionTokens = 150
 )
 
 // weighing is one request with what its choice rests on.
-type weighing struct {
+type evaluation struct {
 	set     *Set
 	now     time.Time
 	request *Request
 	// view is what peers told of the service's loads.
-	view peerView
+	loads loadEstimate
 	// room is the share of the shared parts that an engine has the memory to keep.
-	room float64
+	sharedCacheShare float64
 	// sharing is how many nodes choose among the replicas that are weighed, and among
 	// how many of them.
-	sharing, among int
+	choosingNodes, candidateCount int
 	// paces are those of the service where they differ, else nil; job is what the
 	// request needs then.
-	paces *paces
-	job   dispatch.Job
+	tokenTimes *tokenTimes
+	job        dispatch.Job
 }
 
-func (s *Set) weigh(now time.Time, request *Request, weighable []*member) *weighing {
-	w := &weighing{set: s, now: now, request: request, view: s.viewAt(now, weighable), sharing: s.nodes, among: len(weighable)}
-	if len(weighable) < len(s.services[request.Service]) {
-		w.sharing = max(1, s.nodes/max(1, len(s.zones)))
+func (s *Set) newEvaluation(now time.Time, request *Request, candidates []*member) *evaluation {
+	e := &evaluation{set: s, now: now, request: request, loads: s.estimateLoads(now, candidates), choosingNodes: s.nodeCount, candidateCount: len(candidates)}
+	if len(candidates) < len(s.services[request.Service]) {
+		e.choosingNodes = max(1, s.nodeCount/max(1, len(s.zoneCounts)))
 	}
 	if tokens := s.shared.tokens(now); tokens > 0 {
-		w.room = min(1, sharedMemory*float64(s.cacheTokens[request.Service])/float64(tokens))
+		e.sharedCacheShare = min(1, sharedCacheLimit*float64(s.cacheTokens[request.Service])/float64(tokens))
 	}
 	if request.Expected > 0 {
-		w.paces = s.pacesOf(now, request.Service, weighable)
-		w.job = dispatch.Job{Tokens: float64(request.Expected)}
+		e.tokenTimes = s.unevenTokenTimes(now, request.Service, candidates)
+		e.job = dispatch.Job{Tokens: float64(request.Expected)}
 	}
-	return w
+	return e
 }
 
 // cost predicts the work before the request's answer is whole.
-func (w *weighing) cost(one *member) int {
-	load := w.view.load(one)
+func (e *evaluation) cost(m *member) int {
+	load := e.loads.load(m)
 	// What waiting costs is not drawn: lines of turns would leave replicas that keep their
 	// prompts.
-	cost := missingWeight*w.missing(one) + int(besideTokens*w.view.drawn(one, w.request.Draw))
-	if slots := float64(max(1, one.entry.Slots)); load >= slots {
+	cost := prefillWeight*e.uncachedTokens(m) + int(concurrentRequestTokens*e.loads.randomisedLoad(m, e.request.Draw))
+	if slots := float64(max(1, m.entry.Slots)); load >= slots {
 		cost += int(queuedTokens * (load - slots + 1) / slots)
 	}
-	return cost + w.aside(one)
+	return cost + e.fixedCost(m)
 }
 
 // aside is what a replica costs beside its work: its faults, and the way to it.
-func (w *weighing) aside(one *member) (cost int) {
-	without := &w.set.config.Without
-	if !without.Faults {
-		cost += int(faultTokens * min(one.faultsNow(w.now), maximumFaults))
+func (e *evaluation) fixedCost(m *member) (cost int) {
+	disabled := &e.set.config.Without
+	if !disabled.Faults {
+		cost += int(faultTokens * min(m.decayedFaults(e.now), maximumFaults))
 	}
-	if w.set.coldRate(w.now, one) > 0 {
+	if e.set.coldRate(e.now, m) > 0 {
 		cost += coldTokens
 	}
-	if one.entry.Zone != w.set.config.Zone && !without.Zones {
-		cost += elsewhereTokens
+	if m.entry.Zone != e.set.config.Zone && !disabled.Zones {
+		cost += otherZoneTokens
 	}
-	if !without.Regions && !w.set.sameRegion(one) {
-		cost += regionTokens
+	if !disabled.Regions && !e.set.sameRegion(m) {
+		cost += otherRegionTokens
 	}
-	if w.request.Connected != nil && !without.Connections && !w.request.Connected(one.entry) {
-		cost += connectTokens
+	if e.request.Connected != nil && !disabled.Connections && !e.request.Connected(m.entry) {
+		cost += connectionTokens
 	}
 	return cost
 }
@@ -284,10 +284,10 @@
 // which grows while all in it are full.
 func (s *Set) Pressure(now time.Time, request *Request) float64 {
 	for {
-		weighed := s.weighable(now, request)
-		least := s.pressureOf(now, request, weighed)
+		candidates := s.selectCandidates(now, request)
+		least := s.leastUtilisation(now, request, candidates)
 		full := least >= 1
-		if full && s.widen(request.Service, len(weighed)) {
+		if full && s.growWindow(request.Service, len(candidates)) {
 			continue
 		}
 		if math.IsInf(least, 1) {
@@ -297,25 +297,25 @@
 	}
 }
 
-// pressureOf is Pressure of some replicas, infinite where none may take the request.
-func (s *Set) pressureOf(now time.Time, request *Request, weighed []*member) float64 {
+// leastUtilisation is Pressure of some replicas, infinite where none may take the request.
+func (s *Set) leastUtilisation(now time.Time, request *Request, candidates []*member) float64 {
 	least := math.Inf(1)
-	view := s.viewAt(now, weighed)
-	for _, one := range weighed {
-		if s.mayTake(now, request, one) != nil {
+	loads := s.estimateLoads(now, candidates)
+	for _, m := range candidates {
+		if s.checkPlacement(now, request, m) != nil {
 			continue
 		}
-		least = min(least, s.occupied(now, &view, one)/float64(max(1, one.entry.Slots)))
+		least = min(least, s.effectiveLoad(now, &loads, m)/float64(max(1, m.entry.Slots)))
 	}
 	return least
 }
 
 // occupied returns the requests at a replica, or those of one that is full where it is cold
 // and at its rate.
-func (s *Set) occupied(now time.Time, view *peerView, one *member) float64 {
-	load := view.load(one)
-	if s.atColdRate(now, one) {
-		load = max(load, pressureAtColdRate*float64(max(1, one.entry.Slots)))
+func (s *Set) effectiveLoad(now time.Time, loads *loadEstimate, m *member) float64 {
+	load := loads.load(m)
+	if s.atColdRate(now, m) {
+		load = max(load, utilisationAtColdRate*float64(max(1, m.entry.Slots)))
 	}
 	return load
 }
@@ -323,30 +323,32 @@
 // missing predicts the prefill of the prompt at a replica. One that served the
 // line's last turn keeps what it read and generated then, also where another node
 // sent it that turn.
-func (w *weighing) missing(one *member) int {
-	prompt, without := w.request.Prompt, &w.set.config.Without
-	missing := Tokens(prompt)
-	if !without.KeptPrompts {
-		missing = one.cache.missing(prompt, w.keptAt(one))
+func (e *evaluation) uncachedTokens(m *member) int {
+	prompt, disabled := e.request.Prompt, &e.set.config.Without
+	uncachedTokens := Tokens(prompt)
+	if !disabled.KeptPrompts {
+		uncachedTokens = m.cache.uncachedTokens(prompt, e.cachedProbabilityAt(m))
 	}
 	last := len(prompt) - 1
-	if last < 0 || one.entry.ID != w.request.Preferred || without.LastReplica {
-		return missing
+	if last < 0 || m.entry.ID != e.request.Preferred || disabled.LastReplica {
+		return uncachedTokens
 	}
-	if w.request.PreferredKept > 0 {
-		return min(missing, max(0, Tokens(prompt)-w.request.PreferredKept))
+	if e.request.PreferredKept > 0 {
+		return min(uncachedTokens, max(0, Tokens(prompt)-e.request.PreferredKept))
 	}
-	return min(missing, prompt[last].Tokens)
+	return min(uncachedTokens, prompt[last].Tokens)
 }
 
-// keptAt returns how likely a replica keeps a part that this node did not send
+// cachedProbabilityAt returns how likely a replica keeps a part that this node did not send
 // there.
-func (w *weighing) keptAt(one *member) func(part string) float64 {
-	if w.room == 0 || w.set.config.Without.SharedParts {
+func (e *evaluation) cachedProbabilityAt(m *member) func(part string) float64 {
+	if e.sharedCacheShare == 0 || e.set.config.Without.SharedParts {
 		return func(string) float64 { return 0 }
 	}
-	spread := spread(w.sharing, w.among, w.now.Sub(one.listedAt))
-	return func(part string) float64 { return w.room * w.set.shared.kept(w.now, part, spread) }
+	programScale := programScale(e.choosingNodes, e.candidateCount, e.now.Sub(m.listedAt))
+	return func(part string) float64 {
+		return e.sharedCacheShare * e.set.shared.cachedProbability(e.now, part, programScale)
+	}
 }
 
 // Tokens returns how many tokens a prompt has.
--- a/replica/set.go
+++ b/replica/set.go
@@ -108,31 +108,31 @@
 	// windows bound which replicas of a large service are weighed.
 	windows map[string]*window
 	// zones counts the replicas of each zone.
-	zones map[string]int
-	// busy are the replicas that have requests of this node, and coldWatched those
+	zoneCounts map[string]int
+	// busy are the replicas that have requests of this node, and coldTracked those
 	// whose turn to warm is still to be told. doubted are those that the list lacks.
 	busy        map[ID]*member
-	coldWatched map[ID]*member
-	doubted     map[ID]*member
+	coldTracked map[ID]*member
+	unlisted    map[ID]*member
 	// paced are the replicas whose pace this node measured lately.
-	paced        map[ID]*member
-	servicePaces map[string]*paces
+	measured          map[ID]*member
+	serviceTokenTimes map[string]*tokenTimes
 	// shares is the room in which a choice draws.
-	shares []float64
+	weights []float64
 	// cacheTokens is the memory of a service's engines.
 	cacheTokens map[string]int
 	// coldRates is how many requests a second a cold replica of a service bears.
-	coldRates map[string]float64
-	peers     map[string]peerLoad
-	shared    *sharedParts
+	coldRates    map[string]float64
+	peerRequests map[string]peerReport
+	shared       *sharedParts
 	// word is the last word of a collector.
-	word heardWord
+	summary receivedSummary
 	// flows tell how long the requests of each service take.
-	flows map[string]*flow
+	durations map[string]*durationEstimator
 	// evacuated are the zones that are to get no requests, and since when.
 	evacuated map[zone.Name]time.Time
 	// nodes is how many nodes send to the replicas, this one included.
-	nodes int
+	nodeCount int
 }
 
 // member is one replica with what is known of it.
@@ -141,95 +141,95 @@
 	// rank orders the replicas of a zone alike for all its nodes, and place is the
 	// replica's index in the list of its service.
 	rank  uint64
-	place int
+	index int
 	// listedAt is when this node first knew of the replica.
 	listedAt time.Time
 	// own counts this node's requests there; peers those of other nodes.
-	own   int
-	peers int
+	ownRequests  int
+	peerRequests int
 	// others are the requests of all other nodes by a word of a collector, and word is
 	// the number of that word.
-	others float64
-	word   uint64
-	cache  *cache
+	summaryRequests float64
+	summary         uint64
+	cache           *cache
 	// faults counts errors, time-outs and failures; it halves with time.
 	faults   float64
 	faultsAt time.Time
 	// failures in a row, and until when the replica is passed over.
 	failures     int
 	suspectUntil time.Time
-	// doubtedUntil is when a replica that is not listed is to go; zero while
+	// removeAt is when a replica that is not listed is to go; zero while
 	// it is listed.
-	doubtedUntil time.Time
-	cold         coldness
+	removeAt time.Time
+	cold     coldState
 	// pace is how long a generated token takes there.
-	pace dispatch.Pace
+	tokenTime dispatch.Pace
 	// token is the estimate of it as of the last look at the service's paces, in
 	// nanoseconds; 0 where nothing is known.
-	token float64
+	tokenNanoseconds float64
 	// share is the replica's part of the turns that are placed by a draw, by any measure.
-	share float64
+	weight float64
 }
 
 // NewSet returns a set without replicas.
 func NewSet(config Config) *Set {
 	return &Set{
-		config:       config,
-		byID:         make(map[ID]*member),
-		services:     make(map[string][]*member),
-		ranked:       make(map[string][]*member),
-		windows:      make(map[string]*window),
-		zones:        make(map[string]int),
-		busy:         make(map[ID]*member),
-		coldWatched:  make(map[ID]*member),
-		doubted:      make(map[ID]*member),
-		paced:        make(map[ID]*member),
-		servicePaces: make(map[string]*paces),
-		cacheTokens:  make(map[string]int),
-		coldRates:    make(map[string]float64),
-		peers:        make(map[string]peerLoad),
-		shared:       newSharedParts(),
-		flows:        make(map[string]*flow),
-		nodes:        1,
+		config:            config,
+		byID:              make(map[ID]*member),
+		services:          make(map[string][]*member),
+		ranked:            make(map[string][]*member),
+		windows:           make(map[string]*window),
+		zoneCounts:        make(map[string]int),
+		busy:              make(map[ID]*member),
+		coldTracked:       make(map[ID]*member),
+		unlisted:          make(map[ID]*member),
+		measured:          make(map[ID]*member),
+		serviceTokenTimes: make(map[string]*tokenTimes),
+		cacheTokens:       make(map[string]int),
+		coldRates:         make(map[string]float64),
+		peerRequests:      make(map[string]peerReport),
+		shared:            newSharedParts(),
+		durations:         make(map[string]*durationEstimator),
+		nodeCount:         1,
 	}
 }
 
 // SetCacheTokens tells the memory of the engines of a service.
 func (s *Set) SetCacheTokens(service string, tokens int) {
 	s.cacheTokens[service] = tokens
-	for _, one := range s.services[service] {
-		one.cache.capacity = tokens
+	for _, m := range s.services[service] {
+		m.cache.capacity = tokens
 	}
 }
 
 // SetNodes tells how many nodes send to the replicas, this one included.
-func (s *Set) SetNodes(nodes int) { s.nodes = max(1, nodes) }
+func (s *Set) SetNodes(nodeCount int) { s.nodeCount = max(1, nodeCount) }
 
 // Put adds a replica or takes over its new entry. It reports whether anything
 // but the entry of a known, equal replica changed. A cold time that runs down is no
 // change, and word of an earlier incarnation is not taken in. A replica that started
 // again, or serves another service now, begins without anything that was known of it.
 func (s *Set) Put(now time.Time, entry Entry) (changed bool) {
-	word := entry.Cold
+	status := entry.Cold
 	entry.Cold = ColdWord{}
 	known := s.byID[entry.ID]
 	if known != nil && entry.Incarnation != 0 && entry.Incarnation < known.entry.Incarnation {
 		return false
 	}
 	if known != nil && !known.replacedBy(entry) {
-		changed = s.renew(known, entry)
-		return s.hearEntry(now, known, word) || changed
+		changed = s.updateEntry(known, entry)
+		return s.updateCold(now, known, status) || changed
 	}
 	if known != nil {
 		s.Remove(entry.ID)
 	}
-	added := &member{
-		entry: entry, rank: rankIn(s.config.Zone, 0, entry.ID), listedAt: now,
-		cache: newCache(s.cacheTokens[entry.Service]), peers: s.peersAt(entry.ID),
+	m := &member{
+		entry: entry, rank: rankHash(s.config.Zone, 0, entry.ID), listedAt: now,
+		cache: newCache(s.cacheTokens[entry.Service]), peerRequests: s.peerRequestsAt(entry.ID),
 	}
-	s.hearEntry(now, added, word)
-	s.byID[entry.ID] = added
-	s.link(added)
+	s.updateCold(now, m, status)
+	s.byID[entry.ID] = m
+	s.addToService(m)
 	return true
 }
 
@@ -240,28 +240,28 @@
 
 // renew takes over a new entry of the process that is known. It reports whether
 // anything differs.
-func (s *Set) renew(known *member, entry Entry) (changed bool) {
+func (s *Set) updateEntry(known *member, entry Entry) (changed bool) {
 	entry.Incarnation = max(entry.Incarnation, known.entry.Incarnation)
 	changed = known.entry != entry
-	moved := known.entry.Zone != entry.Zone
-	if moved {
-		s.unrank(known)
+	zoneChanged := known.entry.Zone != entry.Zone
+	if zoneChanged {
+		s.removeRanked(known)
 	}
 	known.entry = entry
-	if moved {
-		s.enrank(known)
+	if zoneChanged {
+		s.insertRanked(known)
 	}
-	known.doubtedUntil = time.Time{}
-	delete(s.doubted, entry.ID)
+	known.removeAt = time.Time{}
+	delete(s.unlisted, entry.ID)
 	return changed
 }
 
-// hearEntry takes in what an entry says of the replica being cold. It reports whether
+// updateCold takes in what an entry says of the replica being cold. It reports whether
 // other nodes are to hear of it.
-func (s *Set) hearEntry(now time.Time, known *member, word ColdWord) (news bool) {
-	news = known.cold.hear(now, word)
-	s.watchCold(now, known)
-	return news
+func (s *Set) updateCold(now time.Time, known *member, status ColdWord) (announce bool) {
+	announce = known.cold.update(now, status)
+	s.trackCold(now, known)
+	return announce
 }
 
 // Remove forgets a replica. It returns its entry, and false if it was unknown.
@@ -270,12 +270,12 @@
 	if known == nil {
 		return Entry{}, false
 	}
-	s.unlink(known)
+	s.removeFromService(known)
 	delete(s.byID, id)
 	delete(s.busy, id)
-	delete(s.coldWatched, id)
-	delete(s.doubted, id)
-	delete(s.paced, id)
+	delete(s.coldTracked, id)
+	delete(s.unlisted, id)
+	delete(s.measured, id)
 	return known.entry, true
 }
 
@@ -311,8 +311,8 @@
 	if known == nil {
 		return
 	}
-	s.begin(known)
-	s.noteFlow(now, known.entry.Service, 1)
+	s.addOwnRequest(known)
+	s.recordInFlight(now, known.entry.Service, 1)
 	known.cache.add(now, request.Prompt)
 	s.shared.add(now, request.Program, request.Prompt)
 }
@@ -320,20 +320,20 @@
 // Reserve counts a request that may be sent to the replica. Withdraw or Began follows.
 func (s *Set) Reserve(id ID) {
 	if known := s.byID[id]; known != nil {
-		s.begin(known)
+		s.addOwnRequest(known)
 	}
 }
 
 // begin counts one request of this node at a replica.
-func (s *Set) begin(known *member) {
-	known.own++
+func (s *Set) addOwnRequest(known *member) {
+	known.ownRequests++
 	s.busy[known.entry.ID] = known
 }
 
 // end counts one request of this node less.
-func (s *Set) end(known *member) {
-	known.own = max(0, known.own-1)
-	if known.own == 0 {
+func (s *Set) removeOwnRequest(known *member) {
+	known.ownRequests = max(0, known.ownRequests-1)
+	if known.ownRequests == 0 {
 		delete(s.busy, known.entry.ID)
 	}
 }
@@ -341,7 +341,7 @@
 // Withdraw takes back what Reserve counted.
 func (s *Set) Withdraw(id ID) {
 	if known := s.byID[id]; known != nil {
-		s.end(known)
+		s.removeOwnRequest(known)
 	}
 }
 
@@ -370,8 +370,8 @@
 	if known == nil {
 		return
 	}
-	s.end(known)
-	s.noteFlow(now, known.entry.Service, -1)
+	s.removeOwnRequest(known)
+	s.recordInFlight(now, known.entry.Service, -1)
 	switch result {
 	case ResultAnswered:
 		known.failures = 0
@@ -379,12 +379,12 @@
 	case ResultRejected:
 		known.suspectUntil = now.Add(rejectionPause)
 	case ResultFailed:
-		wait := s.config.SuspectFor << min(known.failures, maximumDoublings)
+		wait := s.config.SuspectFor << min(known.failures, maximumSuspicionDoublings)
 		known.suspectUntil = now.Add(min(wait, s.config.MaximumSuspect))
 		known.failures++
-		known.fault(now)
+		known.recordFault(now)
 	case ResultErred, ResultTimedOut:
-		known.fault(now)
+		known.recordFault(now)
 	case ResultCancelled:
 	}
 }
@@ -393,13 +393,13 @@
 const faultHalfLife = 3 * time.Second
 
 // fault counts one fault.
-func (m *member) fault(now time.Time) {
-	m.faults = m.faultsNow(now) + 1
+func (m *member) recordFault(now time.Time) {
+	m.faults = m.decayedFaults(now) + 1
 	m.faultsAt = now
 }
 
-// faultsNow returns the faults that still count.
-func (m *member) faultsNow(now time.Time) float64 {
+// decayedFaults returns the faults that still count.
+func (m *member) decayedFaults(now time.Time) float64 {
 	if m.faults == 0 {
 		return 0
 	}
@@ -407,8 +407,8 @@
 }
 
 const (
-	// maximumDoublings bounds the shift of the time of suspicion.
-	maximumDoublings = 6
+	// maximumSuspicionDoublings bounds the shift of the time of suspicion.
+	maximumSuspicionDoublings = 6
 	// rejectionPause is how long a replica that was full is passed over.
 	rejectionPause = 50 * time.Millisecond
 )
@@ -417,7 +417,7 @@
 func (s *Set) Own() map[ID]int {
 	counts := make(map[ID]int, len(s.busy))
 	for id, known := range s.busy {
-		counts[id] = known.own
+		counts[id] = known.ownRequests
 	}
 	return counts
 }
--- a/replica/shared.go
+++ b/replica/shared.go
@@ -12,8 +12,8 @@
 type sharedParts struct {
 	parts map[string]*sharedPart
 	// counted are the tokens of the parts that many programs share, as of countedAt.
-	counted   int
-	countedAt time.Time
+	sharedTokens int
+	countedAt    time.Time
 }
 
 // sharedPart is one part that a prompt of this node had.
@@ -34,16 +34,16 @@
 	// sharedWindow is the time that the decayed count stands for: the half-life by
 	// the natural logarithm of 2.
 	sharedWindow = sharedHalfLife * 1000 / 693
-	// maximumShared bounds the parts that are followed, and sharedForgotten is the
+	// maximumSharedParts bounds the parts that are followed, and sharedMinimumPrograms is the
 	// count under which a part is forgotten when there are too many.
-	maximumShared   = 2048
-	sharedForgotten = 0.1
-	// countPeriod is for how long a count of the shared parts' tokens is used: a visit
+	maximumSharedParts    = 2048
+	sharedMinimumPrograms = 0.1
+	// sharedCountPeriod is for how long a count of the shared parts' tokens is used: a visit
 	// of all parts would be most of the cost of a choice, and they halve in seconds.
-	countPeriod = 100 * time.Millisecond
-	// sharedMemory is the share of an engine's memory that shared parts are taken
+	sharedCountPeriod = 100 * time.Millisecond
+	// sharedCacheLimit is the share of an engine's memory that shared parts are taken
 	// to have; the rest is the requests' own.
-	sharedMemory = 0.5
+	sharedCacheLimit = 0.5
 )
 
 func newSharedParts() *sharedParts { return &sharedParts{parts: make(map[string]*sharedPart)} }
@@ -54,36 +54,36 @@
 		return
 	}
 	for _, part := range prompt {
-		known := s.parts[part.ID]
-		if known == nil {
+		p := s.parts[part.ID]
+		if p == nil {
 			s.parts[part.ID] = &sharedPart{tokens: part.Tokens, program: program, at: now}
 			continue
 		}
-		if known.program == program {
+		if p.program == program {
 			continue
 		}
-		known.programs = known.programsNow(now) + 1
-		known.program, known.at = program, now
+		p.programs = p.decayedPrograms(now) + 1
+		p.program, p.at = program, now
 	}
-	if len(s.parts) > maximumShared {
-		s.forget(now)
+	if len(s.parts) > maximumSharedParts {
+		s.evictUnshared(now)
 	}
 }
 
 // forget drops the parts that hardly any other program has had lately, which are
 // nearly all: the histories of single programs.
-func (s *sharedParts) forget(now time.Time) {
-	for id, known := range s.parts {
-		if known.programsNow(now) < sharedForgotten && now.Sub(known.at) > sharedHalfLife {
+func (s *sharedParts) evictUnshared(now time.Time) {
+	for id, p := range s.parts {
+		if p.decayedPrograms(now) < sharedMinimumPrograms && now.Sub(p.at) > sharedHalfLife {
 			delete(s.parts, id)
 		}
 	}
-	if len(s.parts) > maximumShared {
+	if len(s.parts) > maximumSharedParts {
 		clear(s.parts)
 	}
 }
 
-func (p *sharedPart) programsNow(now time.Time) float64 {
+func (p *sharedPart) decayedPrograms(now time.Time) float64 {
 	if p.programs == 0 {
 		return 0
 	}
@@ -93,29 +93,29 @@
 // spread is how the programs of this node stand for those at one replica: the
 // fleet's nodes by the replicas among which they choose, and the part of the window
 // for which the replica has been there.
-func spread(nodes, replicas int, age time.Duration) float64 {
+func programScale(nodes, replicas int, age time.Duration) float64 {
 	return float64(nodes) / float64(max(1, replicas)) * min(1, float64(age)/float64(sharedWindow))
 }
 
 // kept returns how likely a replica keeps a part that this node did not send there:
 // that some node of the fleet sent it a program with the part within the window.
-func (s *sharedParts) kept(now time.Time, id string, spread float64) float64 {
-	known := s.parts[id]
-	if known == nil || known.programs == 0 {
+func (s *sharedParts) cachedProbability(now time.Time, id string, scale float64) float64 {
+	p := s.parts[id]
+	if p == nil || p.programs == 0 {
 		return 0
 	}
-	return 1 - math.Exp(-known.programsNow(now)*spread)
+	return 1 - math.Exp(-p.decayedPrograms(now)*scale)
 }
 
 // tokens returns the tokens of the parts that many programs have had lately.
 func (s *sharedParts) tokens(now time.Time) (tokens int) {
-	if !s.countedAt.IsZero() && now.Sub(s.countedAt) < countPeriod {
-		return s.counted
+	if !s.countedAt.IsZero() && now.Sub(s.countedAt) < sharedCountPeriod {
+		return s.sharedTokens
 	}
-	defer func() { s.counted, s.countedAt = tokens, now }()
-	for _, known := range s.parts {
-		if known.programs > 0 && known.programsNow(now) >= sharedForgotten {
-			tokens += known.tokens
+	defer func() { s.sharedTokens, s.countedAt = tokens, now }()
+	for _, p := range s.parts {
+		if p.programs > 0 && p.decayedPrograms(now) >= sharedMinimumPrograms {
+			tokens += p.tokens
 		}
 	}
 	return tokens
--- a/replica/shared_test.go
+++ b/replica/shared_test.go
@@ -20,27 +20,27 @@
 			shared.add(now, fmt.Sprint("program-", program), []Part{{ID: "system", Tokens: 1000}, history})
 		}
 	}
-	g.Expect(shared.kept(now, "system", 1)).To(BeNumerically(">", 0.99))
-	g.Expect(shared.kept(now, "system", 0.1)).To(BeNumerically("~", 0.5, 0.05))
-	g.Expect(shared.kept(now, "history-3", 1)).To(BeZero())
-	g.Expect(shared.kept(now, "another", 1)).To(BeZero())
+	g.Expect(shared.cachedProbability(now, "system", 1)).To(BeNumerically(">", 0.99))
+	g.Expect(shared.cachedProbability(now, "system", 0.1)).To(BeNumerically("~", 0.5, 0.05))
+	g.Expect(shared.cachedProbability(now, "history-3", 1)).To(BeZero())
+	g.Expect(shared.cachedProbability(now, "another", 1)).To(BeZero())
 	g.Expect(shared.tokens(now)).To(Equal(1000))
 	later := now.Add(time.Minute)
-	g.Expect(shared.kept(later, "system", 1)).To(BeNumerically("<", 0.01))
+	g.Expect(shared.cachedProbability(later, "system", 1)).To(BeNumerically("<", 0.01))
 	g.Expect(shared.tokens(later)).To(BeZero())
-	for program := range 2 * maximumShared {
+	for program := range 2 * maximumSharedParts {
 		shared.add(later, "p", []Part{{ID: fmt.Sprint("more-", program), Tokens: 1}})
-		g.Expect(len(shared.parts)).To(BeNumerically("<=", maximumShared+1))
+		g.Expect(len(shared.parts)).To(BeNumerically("<=", maximumSharedParts+1))
 	}
 }
 
 // TestSpread counts a replica that has just come as one that keeps nothing yet.
 func TestSpread(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(spread(300, 100, time.Hour)).To(Equal(3.0))
-	g.Expect(spread(300, 100, 0)).To(BeZero())
-	g.Expect(spread(300, 100, sharedWindow/2)).To(BeNumerically("~", 1.5, 0.01))
-	g.Expect(spread(1, 0, time.Hour)).To(Equal(1.0))
+	g.Expect(programScale(300, 100, time.Hour)).To(Equal(3.0))
+	g.Expect(programScale(300, 100, 0)).To(BeZero())
+	g.Expect(programScale(300, 100, sharedWindow/2)).To(BeNumerically("~", 1.5, 0.01))
+	g.Expect(programScale(1, 0, time.Hour)).To(Equal(1.0))
 }
 
 // TestPeerView estimates what silent peers add, and nothing where all were heard.
@@ -56,7 +56,7 @@
 		set.SetPeer(now, "peer-1", map[ID]int{"a": 3})
 		set.SetPeer(now, "peer-2", nil)
 		set.Began(now, "b", &Request{})
-		view := set.viewOf(set.services["s"])
+		view := set.estimateFromReports(set.services["s"])
 		return []float64{view.load(set.byID["a"]), view.load(set.byID["b"])}
 	}
 	g.Expect(loads(3)).To(Equal([]float64{3, 1}))
--- a/replica/spread_test.go
+++ b/replica/spread_test.go
@@ -52,8 +52,8 @@
 	w := &spreadWorld{spreadService: service, now: wordStart, random: rand.New(rand.NewPCG(5, 6)), total: make([]int, service.replicas)}
 	for range spreadNodes {
 		set := wordSet(service.replicas, spreadNodes)
-		for _, one := range set.byID {
-			one.entry.Slots = service.slots
+		for _, m := range set.byID {
+			m.entry.Slots = service.slots
 		}
 		w.sets = append(w.sets, set)
 		w.own = append(w.own, make([]int, service.replicas))
@@ -84,13 +84,13 @@
 
 // end ends the requests that are due.
 func (w *spreadWorld) end() {
-	w.under = slices.DeleteFunc(w.under, func(one spreadRequest) bool {
-		if one.end.After(w.now) {
+	w.under = slices.DeleteFunc(w.under, func(request spreadRequest) bool {
+		if request.end.After(w.now) {
 			return false
 		}
-		w.total[one.replica]--
-		w.own[one.node][one.replica]--
-		w.sets[one.node].Ended(w.now, spreadID(one.replica), ResultAnswered)
+		w.total[request.replica]--
+		w.own[request.node][request.replica]--
+		w.sets[request.node].Ended(w.now, spreadID(request.replica), ResultAnswered)
 		return true
 	})
 }
--- a/replica/subset.go
+++ b/replica/subset.go
@@ -9,15 +9,15 @@
 // keep connections to would else grow with the fleet. Nodes of a group hold the same
 // part, so that they meet at the same replicas.
 const (
-	// subsetAll is how many replicas of a service every node may hold: some 100 KB on
+	// subsetThreshold is how many replicas of a service every node may hold: some 100 KB on
 	// the wire, and less than a megabyte of memory.
-	subsetAll = 512
-	// subsetNear is how many replicas of its own zone a node holds of a larger service.
+	subsetThreshold = 512
+	// subsetOwnZone is how many replicas of its own zone a node holds of a larger service.
 	// With six slots each they serve the requests of four times as many nodes at once.
-	subsetNear = 256
-	// subsetFar is how many of each other zone it holds, for when its own is lost,
+	subsetOwnZone = 256
+	// subsetOtherZone is how many of each other zone it holds, for when its own is lost,
 	// evacuated, or not where a request may be served.
-	subsetFar = 32
+	subsetOtherZone = 32
 )
 
 // Group is the nodes of a zone that hold the same part of the replicas.
@@ -39,19 +39,19 @@
 // addSubset adds the replicas of one service.
 func (s *Set) addSubset(held map[ID]bool, service string, group Group) {
 	list := s.services[service]
-	if len(list) <= subsetAll {
-		for _, one := range list {
-			held[one.entry.ID] = true
+	if len(list) <= subsetThreshold {
+		for _, m := range list {
+			held[m.entry.ID] = true
 		}
 		return
 	}
 	for name, ranked := range rankByZone(list, group) {
-		count := subsetFar
+		count := subsetOtherZone
 		if name == group.Zone {
-			count = subsetNear
+			count = subsetOwnZone
 		}
-		for _, one := range ranked[:min(count, len(ranked))] {
-			held[one.id] = true
+		for _, m := range ranked[:min(count, len(ranked))] {
+			held[m.id] = true
 		}
 	}
 }
@@ -65,12 +65,12 @@
 // rankByZone returns the ready replicas of each zone in the order of a group.
 func rankByZone(list []*member, group Group) map[string][]rankedID {
 	zones := make(map[string][]rankedID)
-	for _, one := range list {
-		if one.entry.Status != StatusReady {
+	for _, m := range list {
+		if m.entry.Status != StatusReady {
 			continue
 		}
-		ranked := rankedID{id: one.entry.ID, rank: rankIn(group.Zone, group.Number, one.entry.ID)}
-		zones[one.entry.Zone] = append(zones[one.entry.Zone], ranked)
+		ranked := rankedID{id: m.entry.ID, rank: rankHash(group.Zone, group.Number, m.entry.ID)}
+		zones[m.entry.Zone] = append(zones[m.entry.Zone], ranked)
 	}
 	for _, ranked := range zones {
 		slices.SortFunc(ranked, func(left, right rankedID) int {
--- a/replica/word.go
+++ b/replica/word.go
@@ -17,118 +17,118 @@
 }
 
 const (
-	// wordLifetime is how long a word counts. Without a newer one the reports of peers
+	// summaryLifetime is how long a word counts. Without a newer one the reports of peers
 	// tell the loads again.
-	wordLifetime = time.Second
-	// fullTimes times its slots bounds what is believed to be under way at a replica: it
+	summaryLifetime = time.Second
+	// maximumLoadFactor times its slots bounds what is believed to be under way at a replica: it
 	// is passed over at that already, and one false word does not mark it for longer.
-	fullTimes = 4
-	// durationAssumed stands for how long a service's requests take while that is not
+	maximumLoadFactor = 4
+	// defaultDuration stands for how long a service's requests take while that is not
 	// known, durationWeight is the share of a look in the mean, and durationPeriod the
 	// time between two looks.
-	durationAssumed = 200 * time.Millisecond
+	defaultDuration = 200 * time.Millisecond
 	durationWeight  = 0.3
 	durationPeriod  = time.Second
-	// levelSteps bounds the steps in which the level of the emptier replicas is found;
+	// maximumLevelSteps bounds the steps in which the level of the emptier replicas is found;
 	// each leaves out those that are fuller.
-	levelSteps = 8
+	maximumLevelSteps = 8
 )
 
 // TakeWord takes in what all other nodes have. A replica that a whole word does not name
 // has no request of theirs.
-func (s *Set) TakeWord(now time.Time, word Word) {
+func (s *Set) TakeWord(now time.Time, summary Word) {
 	if s.config.Without.PeerLoads {
 		return
 	}
-	s.word = heardWord{at: word.At, taken: now, nodes: word.Nodes, partial: word.Partial, number: s.word.number + 1}
-	for id, total := range word.Totals {
+	s.summary = receivedSummary{asOf: summary.At, receivedAt: now, nodeCount: summary.Nodes, partial: summary.Partial, number: s.summary.number + 1}
+	for id, total := range summary.Totals {
 		if known := s.byID[id]; known != nil {
-			most := float64(fullTimes * max(1, known.entry.Slots))
-			known.others, known.word = min(max(0, total.Requests), most), s.word.number
+			limit := float64(maximumLoadFactor * max(1, known.entry.Slots))
+			known.summaryRequests, known.summary = min(max(0, total.Requests), limit), s.summary.number
 		}
 	}
-	s.TakePaces(now, word.Totals)
+	s.TakePaces(now, summary.Totals)
 }
 
-// heardWord is the last word that was taken in.
-type heardWord struct {
+// receivedSummary is the last word that was taken in.
+type receivedSummary struct {
 	// at is when its counts were true, and taken when it was taken in.
-	at      time.Time
-	taken   time.Time
-	nodes   int
-	partial bool
-	number  uint64
+	asOf       time.Time
+	receivedAt time.Time
+	nodeCount  int
+	partial    bool
+	number     uint64
 }
 
-// othersAt returns the requests of others at a replica by the last word, or false where
+// requestsAt returns the requests of others at a replica by the last word, or false where
 // it says nothing of the replica.
-func (w *heardWord) othersAt(one *member) (requests float64, said bool) {
-	if one.word == w.number {
-		return one.others, true
+func (s *receivedSummary) requestsAt(m *member) (requests float64, known bool) {
+	if m.summary == s.number {
+		return m.summaryRequests, true
 	}
-	return 0, !w.partial
+	return 0, !s.partial
 }
 
 // worded reports whether a recent word counts: one of half of the other nodes at least, or
 // of more than the reports of peers, which are older.
-func (s *Set) worded(now time.Time) bool {
-	if s.word.taken.IsZero() || now.Sub(s.word.taken) > wordLifetime {
+func (s *Set) summaryIsRecent(now time.Time) bool {
+	if s.summary.receivedAt.IsZero() || now.Sub(s.summary.receivedAt) > summaryLifetime {
 		return false
 	}
-	return 2*s.word.nodes >= s.nodes-1 || s.word.nodes > len(s.peers)
+	return 2*s.summary.nodeCount >= s.nodeCount-1 || s.summary.nodeCount > len(s.peerRequests)
 }
 
-// viewOfWord sums up a word for the replicas of a service that are weighed. Of the
+// estimateFromSummary sums up a word for the replicas of a service that are weighed. Of the
 // requests that it names a part has ended since, as many as its age by their duration.
-func (s *Set) viewOfWord(now time.Time, weighed []*member) peerView {
-	view := peerView{heard: 1, word: &s.word, still: 1}
-	if others := s.nodes - 1; others > 0 {
-		view.heard = min(1, float64(s.word.nodes)/float64(others))
-	}
-	if len(weighed) == 0 || view.heard == 0 {
-		return view
-	}
-	if age := now.Sub(s.word.at); age > 0 {
-		view.still = math.Exp(-float64(age) / float64(s.durationOf(weighed[0].entry.Service)))
-	}
-	seen, named := 0.0, 0
-	for _, one := range weighed {
-		if requests, said := s.word.othersAt(one); said {
-			seen += requests
-			named++
+func (s *Set) estimateFromSummary(now time.Time, candidates []*member) loadEstimate {
+	estimate := loadEstimate{coverage: 1, summary: &s.summary, remainingShare: 1}
+	if others := s.nodeCount - 1; others > 0 {
+		estimate.coverage = min(1, float64(s.summary.nodeCount)/float64(others))
+	}
+	if len(candidates) == 0 || estimate.coverage == 0 {
+		return estimate
+	}
+	if age := now.Sub(s.summary.asOf); age > 0 {
+		estimate.remainingShare = math.Exp(-float64(age) / float64(s.meanDuration(candidates[0].entry.Service)))
+	}
+	sum, covered := 0.0, 0
+	for _, m := range candidates {
+		if requests, known := s.summary.requestsAt(m); known {
+			sum += requests
+			covered++
 		}
 	}
-	view.mean = seen / view.heard / float64(max(1, named))
-	view.level = view.levelOf(weighed)
-	return view
+	estimate.meanRequests = sum / estimate.coverage / float64(max(1, covered))
+	estimate.fillLevel = estimate.computeFillLevel(candidates)
+	return estimate
 }
 
 // kept returns the requests of others at a replica that a word told of and that have not
 // ended since. One that the word says nothing of is taken for one like the others.
-func (v *peerView) kept(one *member) float64 {
-	others, said := v.word.othersAt(one)
-	if !said {
-		others = v.mean * v.heard
+func (e *loadEstimate) remaining(m *member) float64 {
+	others, known := e.summary.requestsAt(m)
+	if !known {
+		others = e.meanRequests * e.coverage
 	}
-	return others * v.still
+	return others * e.remainingShare
 }
 
-// levelOf returns the load up to which the emptier replicas have been filled since the
+// computeFillLevel returns the load up to which the emptier replicas have been filled since the
 // word: as many requests are new as ended or were not told of, and the nodes, which all
 // heard the same, send them to the replicas that were the emptiest. If each node took the
 // word for what is so now, all would send to one replica until the next.
-func (v *peerView) levelOf(weighed []*member) float64 {
-	fresh := v.mean * float64(len(weighed))
-	for _, one := range weighed {
-		fresh -= v.kept(one)
-	}
-	level := v.mean
-	for range levelSteps {
-		below, sum := 0, fresh
-		for _, one := range weighed {
-			if kept := v.kept(one); kept <= level {
+func (e *loadEstimate) computeFillLevel(candidates []*member) float64 {
+	added := e.meanRequests * float64(len(candidates))
+	for _, m := range candidates {
+		added -= e.remaining(m)
+	}
+	level := e.meanRequests
+	for range maximumLevelSteps {
+		below, sum := 0, added
+		for _, m := range candidates {
+			if remaining := e.remaining(m); remaining <= level {
 				below++
-				sum += kept
+				sum += remaining
 			}
 		}
 		if below == 0 || sum/float64(below) >= level {
@@ -142,14 +142,14 @@
 // drawn returns a load that a replica may have by what is known: the new requests are not
 // spread evenly. Replicas that were filled to one level differ by it, those the most that
 // were the emptiest, so that nodes that heard the same do not all prefer the same of them.
-func (v *peerView) drawn(one *member, draw float64) float64 {
-	if v.word == nil {
-		return v.load(one)
-	}
-	kept := v.kept(one)
-	mean := max(kept, v.level)
-	variance := mean - kept*v.still
-	return float64(one.own) + max(0, mean+math.Sqrt(variance)*deviation(draw, one.rank))
+func (e *loadEstimate) randomisedLoad(m *member, draw float64) float64 {
+	if e.summary == nil {
+		return e.load(m)
+	}
+	remaining := e.remaining(m)
+	mean := max(remaining, e.fillLevel)
+	variance := mean - remaining*e.remainingShare
+	return float64(m.ownRequests) + max(0, mean+math.Sqrt(variance)*deviation(draw, m.rank))
 }
 
 // deviation returns a number of mean 0 and variance 1 that belongs to a draw and a
@@ -170,52 +170,52 @@
 
 // flow is how this node's requests of a service come and go, from which follows how long
 // they take: what is under way in the mean, by how many end in a time.
-type flow struct {
-	under int
-	at    time.Time
-	// held is the time that requests were under way since lookedAt, and ended how many
+type durationEstimator struct {
+	inFlight  int
+	updatedAt time.Time
+	// held is the time that requests were under way since windowStart, and ended how many
 	// ended.
-	held     time.Duration
-	ended    int
-	lookedAt time.Time
-	duration time.Duration
+	inFlightTime time.Duration
+	ended        int
+	windowStart  time.Time
+	mean         time.Duration
 }
 
 // step takes in that requests began or ended.
-func (f *flow) step(now time.Time, change int) {
-	if !f.at.IsZero() && now.After(f.at) {
-		f.held += time.Duration(f.under) * now.Sub(f.at)
+func (f *durationEstimator) record(now time.Time, change int) {
+	if !f.updatedAt.IsZero() && now.After(f.updatedAt) {
+		f.inFlightTime += time.Duration(f.inFlight) * now.Sub(f.updatedAt)
 	}
-	f.at = now
-	f.under = max(0, f.under+change)
+	f.updatedAt = now
+	f.inFlight = max(0, f.inFlight+change)
 	if change < 0 {
 		f.ended -= change
 	}
-	if f.ended == 0 || now.Sub(f.lookedAt) < durationPeriod {
+	if f.ended == 0 || now.Sub(f.windowStart) < durationPeriod {
 		return
 	}
-	mean := f.held / time.Duration(f.ended)
-	if f.duration == 0 {
-		f.duration = mean
+	measured := f.inFlightTime / time.Duration(f.ended)
+	if f.mean == 0 {
+		f.mean = measured
 	}
-	f.duration += time.Duration(durationWeight * float64(mean-f.duration))
-	f.held, f.ended, f.lookedAt = 0, 0, now
+	f.mean += time.Duration(durationWeight * float64(measured-f.mean))
+	f.inFlightTime, f.ended, f.windowStart = 0, 0, now
 }
 
-// noteFlow takes in that a request of a service began or ended.
-func (s *Set) noteFlow(now time.Time, service string, change int) {
-	found := s.flows[service]
+// recordInFlight takes in that a request of a service began or ended.
+func (s *Set) recordInFlight(now time.Time, service string, change int) {
+	found := s.durations[service]
 	if found == nil {
-		found = &flow{lookedAt: now}
-		s.flows[service] = found
+		found = &durationEstimator{windowStart: now}
+		s.durations[service] = found
 	}
-	found.step(now, change)
+	found.record(now, change)
 }
 
-// durationOf returns how long a service's requests take.
-func (s *Set) durationOf(service string) time.Duration {
-	if found := s.flows[service]; found != nil && found.duration > 0 {
-		return found.duration
+// meanDuration returns how long a service's requests take.
+func (s *Set) meanDuration(service string) time.Duration {
+	if found := s.durations[service]; found != nil && found.mean > 0 {
+		return found.mean
 	}
-	return durationAssumed
+	return defaultDuration
 }
--- a/replica/word_test.go
+++ b/replica/word_test.go
@@ -23,7 +23,7 @@
 
 // knownLoad returns what a set takes a replica's load for.
 func knownLoad(set *Set, now time.Time, id ID) float64 {
-	return set.viewAt(now, set.services["s"]).load(set.byID[id])
+	return set.estimateLoads(now, set.services["s"]).load(set.byID[id])
 }
 
 // TestWordGoesBeforeReports while it is recent and tells of more nodes.
@@ -37,7 +37,7 @@
 	g.Expect(knownLoad(set, wordStart, "r0")).To(Equal(7.0))
 	g.Expect(knownLoad(set, wordStart, "r1")).To(BeZero())
 	// Without a newer word the reports of peers tell the loads again.
-	later := wordStart.Add(wordLifetime + time.Millisecond)
+	later := wordStart.Add(summaryLifetime + time.Millisecond)
 	g.Expect(knownLoad(set, later, "r0")).To(BeNumerically("~", reported+1, 0.001))
 	// A word of fewer nodes than peers told of themselves is none.
 	set.TakeWord(later, Word{Nodes: 1, At: later, Totals: map[ID]Total{"r0": {Requests: 6}}})
@@ -65,7 +65,7 @@
 		now = now.Add(2 * time.Second)
 		set.Ended(now, "r0", ResultAnswered)
 	}
-	g.Expect(set.durationOf("s")).To(Equal(2 * time.Second))
+	g.Expect(set.meanDuration("s")).To(Equal(2 * time.Second))
 	set.TakeWord(now, Word{Nodes: 20, At: now.Add(-300 * time.Millisecond), Totals: map[ID]Total{"r0": {Requests: 8}}})
 	g.Expect(knownLoad(set, now, "r0") - knownLoad(set, now, "r1")).To(And(BeNumerically(">", 4), BeNumerically("<", 8)))
 }
@@ -111,7 +111,7 @@
 	g := NewWithT(t)
 	set := wordSet(2, 21)
 	set.TakeWord(wordStart, Word{Nodes: 20, At: wordStart, Totals: map[ID]Total{"r0": {Requests: 1e12}, "r1": {Requests: -1e12}, "gone": {Requests: 3}}})
-	g.Expect(knownLoad(set, wordStart, "r0")).To(BeNumerically("<=", fullTimes*8))
+	g.Expect(knownLoad(set, wordStart, "r0")).To(BeNumerically("<=", maximumLoadFactor*8))
 	g.Expect(knownLoad(set, wordStart, "r1")).To(BeZero())
 }
 
