--- a/replica/paces.go
+++ b/replica/paces.go
@@ -25,9 +25,9 @@
 	// line that leaves has its prompt read anew, which delays all that are beside, and the
 	// lines that come are placed where there is room anyway.
 	stayFactor = 0.3
-	// urgentStayFactor is that for a program that is behind its time: it moves where the
+	// speedStayFactor is that for a program that is behind its time: it moves where the
 	// whole is clearly sooner.
-	urgentStayFactor = 0.6
+	speedStayFactor = 0.6
 	// maximumPrefillLoad is the share of the slots up to which a replica's load tells how long a
 	// prompt takes to be read: beyond it turns wait for those of others.
 	maximumPrefillLoad = 0.5
@@ -195,8 +195,8 @@
 	switch {
 	case m.entry.ID != e.request.Preferred:
 		return cost
-	case e.urgency() > 0:
-		return urgentStayFactor * cost
+	case e.speedBias() > 0:
+		return speedStayFactor * cost
 	default:
 		return stayFactor * cost
 	}
@@ -244,7 +244,7 @@
 }
 
 // haste is how the request takes the fast replicas.
-func (e *evaluation) urgency() int {
+func (e *evaluation) speedBias() int {
 	if e.set.config.Without.Slack {
 		return 0
 	}
@@ -264,10 +264,10 @@
 	if e.set.coldRate(e.now, m) > 0 {
 		weight *= coldWeight
 	}
-	switch urgency := e.urgency(); {
-	case urgency > 0:
+	switch speedBias := e.speedBias(); {
+	case speedBias > 0:
 		return weight * e.tokenTimes.median / e.tokenTimes.of(m)
-	case urgency < 0:
+	case speedBias < 0:
 		return weight * e.tokenTimes.of(m) / e.tokenTimes.median
 	default:
 		return weight
