--- a/replica/paces.go
+++ b/replica/paces.go
@@ -144,39 +144,39 @@
 }
 
 // look estimates the paces anew.
-func (p *tokenTimes) update(now time.Time, members []*member, loads loadEstimate) {
-	p.updatedAt = now
-	p.firstEventBase, p.prefillShare = p.firstEvent.Fit()
+func (t *tokenTimes) update(now time.Time, members []*member, loads loadEstimate) {
+	t.updatedAt = now
+	t.firstEventBase, t.prefillShare = t.firstEvent.Fit()
 	tokens := make([]float64, 0, len(members))
 	for _, m := range members {
 		m.tokenNanoseconds = 0
 		if m.tokenTime.Known() {
-			m.tokenNanoseconds = float64(m.tokenTime.Token(now, time.Duration(p.median)))
+			m.tokenNanoseconds = float64(m.tokenTime.Token(now, time.Duration(t.median)))
 			tokens = append(tokens, m.tokenNanoseconds)
 		}
 	}
 	if len(tokens) == 0 {
-		p.uneven = false
+		t.uneven = false
 		return
 	}
 	slices.Sort(tokens)
-	p.median = tokens[len(tokens)/2]
-	p.fastest, p.slowest = tokens[len(tokens)/10], tokens[len(tokens)-1-len(tokens)/10]
+	t.median = tokens[len(tokens)/2]
+	t.fastest, t.slowest = tokens[len(tokens)/10], tokens[len(tokens)-1-len(tokens)/10]
 	enoughKnown := float64(len(tokens)) >= minimumKnownShare*float64(len(members))
-	defer p.assignDrawWeights(members, loads)
+	defer t.assignDrawWeights(members, loads)
 	factor := unevenFactor
-	if p.uneven {
+	if t.uneven {
 		factor = evenFactor
 	}
-	p.uneven = enoughKnown && p.slowest >= factor*p.fastest
+	t.uneven = enoughKnown && t.slowest >= factor*t.fastest
 }
 
 // of is the time of a token at a replica, the middle where none is known.
-func (p *tokenTimes) of(m *member) float64 {
+func (t *tokenTimes) of(m *member) float64 {
 	if m.tokenNanoseconds > 0 {
 		return m.tokenNanoseconds
 	}
-	return p.median
+	return t.median
 }
 
 // placement describes a replica to a placement.
@@ -298,43 +298,43 @@
 
 // dealt estimates the requests at a replica where turns are placed by shares and lines
 // stay: for each that has ended since a word another one has come, wherever it was.
-func (v *loadEstimate) steadyLoad(m *member) float64 {
-	if v.summary == nil || v.coverage == 0 {
-		return v.load(m)
+func (e *loadEstimate) steadyLoad(m *member) float64 {
+	if e.summary == nil || e.coverage == 0 {
+		return e.load(m)
 	}
-	others, known := v.summary.requestsAt(m)
+	others, known := e.summary.requestsAt(m)
 	if !known {
-		return float64(m.ownRequests) + v.meanRequests
+		return float64(m.ownRequests) + e.meanRequests
 	}
-	return float64(m.ownRequests) + others/v.coverage
+	return float64(m.ownRequests) + others/e.coverage
 }
 
 // deal gives each replica its share: of the load that all have together, as much as
 // makes one more request cost the same everywhere, up to its room.
-func (p *tokenTimes) assignDrawWeights(members []*member, loads loadEstimate) {
+func (t *tokenTimes) assignDrawWeights(members []*member, loads loadEstimate) {
 	load := 0.0
 	for _, m := range members {
 		load += loads.steadyLoad(m)
 	}
-	if p.load == 0 {
-		p.load = load
+	if t.load == 0 {
+		t.load = load
 	}
-	p.load += loadSmoothing * (load - p.load)
-	low, high := p.fastest/4, 100*p.slowest
+	t.load += loadSmoothing * (load - t.load)
+	low, high := t.fastest/4, 100*t.slowest
 	for range 24 {
 		level := math.Sqrt(low * high)
 		total := 0.0
 		for _, m := range members {
-			total += dispatch.Fill(level, p.of(m), float64(m.entry.Slots))
+			total += dispatch.Fill(level, t.of(m), float64(m.entry.Slots))
 		}
-		if total < p.load+float64(len(members))*spareRequests {
+		if total < t.load+float64(len(members))*spareRequests {
 			low = level
 		} else {
 			high = level
 		}
 	}
 	for _, m := range members {
-		token := p.of(m)
+		token := t.of(m)
 		fill := max(minimumFill, dispatch.Fill(high, token, float64(m.entry.Slots)))
 		m.weight = fill / (token * (1 + dispatch.BesideShare*fill))
 	}
--- a/replica/word.go
+++ b/replica/word.go
@@ -182,24 +182,24 @@
 }
 
 // step takes in that requests began or ended.
-func (f *durationEstimator) record(now time.Time, change int) {
-	if !f.updatedAt.IsZero() && now.After(f.updatedAt) {
-		f.inFlightTime += time.Duration(f.inFlight) * now.Sub(f.updatedAt)
+func (d *durationEstimator) record(now time.Time, change int) {
+	if !d.updatedAt.IsZero() && now.After(d.updatedAt) {
+		d.inFlightTime += time.Duration(d.inFlight) * now.Sub(d.updatedAt)
 	}
-	f.updatedAt = now
-	f.inFlight = max(0, f.inFlight+change)
+	d.updatedAt = now
+	d.inFlight = max(0, d.inFlight+change)
 	if change < 0 {
-		f.ended -= change
+		d.ended -= change
 	}
-	if f.ended == 0 || now.Sub(f.windowStart) < durationPeriod {
+	if d.ended == 0 || now.Sub(d.windowStart) < durationPeriod {
 		return
 	}
-	measured := f.inFlightTime / time.Duration(f.ended)
-	if f.mean == 0 {
-		f.mean = measured
+	measured := d.inFlightTime / time.Duration(d.ended)
+	if d.mean == 0 {
+		d.mean = measured
 	}
-	f.mean += time.Duration(durationWeight * float64(measured-f.mean))
-	f.inFlightTime, f.ended, f.windowStart = 0, 0, now
+	d.mean += time.Duration(durationWeight * float64(measured-d.mean))
+	d.inFlightTime, d.ended, d.windowStart = 0, 0, now
 }
 
 // recordInFlight takes in that a request of a service began or ended.
