--- a/replica/cache.go
+++ b/replica/cache.go
@@ -8,9 +8,9 @@
 	Tokens int
 }
 
-// cache estimates which parts of prompts an engine keeps.
+// cache estimates which prompt parts are in an engine's KV cache.
 type cache struct {
-	// capacity is the engine's memory in tokens; 0 where it has none.
+	// capacity is the size of the KV cache in tokens, or 0 if there is none.
 	capacity int
 	parts    map[string]cached
 	tokens   int
@@ -23,7 +23,8 @@
 
 func newCache(capacity int) *cache { return &cache{capacity: capacity, parts: make(map[string]cached)} }
 
-// add marks the parts as kept and used at now.
+// add marks the parts as cached and used at now, and evicts the least recently used parts
+// beyond the capacity.
 func (c *cache) add(now time.Time, prompt []Part) {
 	if c.capacity == 0 {
 		return
@@ -49,10 +50,10 @@
 	delete(c.parts, oldest)
 }
 
-// missing returns how many tokens of the prompt are expected to be read: a part
-// counts as kept only if all parts before it are, and one that has grown since it was
-// sent here only up to its former end. Kept tells how likely a part is kept that was
-// not sent here from this node.
+// uncachedTokens returns the expected number of prompt tokens to prefill. A part counts as
+// cached only if all parts before it are. A part that has grown since it was sent counts as
+// cached up to its former length. cachedProbability estimates the probability that a part not
+// sent by this node is cached.
 func (c *cache) uncachedTokens(prompt []Part, cachedProbability func(part string) float64) int {
 	tokens, probability := 0.0, 1.0
 	for _, part := range prompt {
--- a/replica/doc.go
+++ b/replica/doc.go
@@ -1,23 +1,21 @@
-// Package replica knows the replicas of all services and picks one for a
-// request.
+// Package replica tracks the replicas of all services and selects one for each request.
 //
-// A Set is a pure state machine over what the platform lists, what this node
-// sends, what peers tell of theirs, and how requests end. Select works in three
-// steps: feasible (listed as ready, not tried before, room for a connection),
-// rank (the predicted work before the request's answer is whole, in tokens for
-// engines and in requests for other services), and select (the least; failing
-// replicas last).
+// A Set is a pure state machine. Its inputs are the platform's replica list, the requests that
+// this node sends, the loads that peers report, and the results of requests. Select works in
+// three steps: it filters the feasible replicas (listed as ready, not yet tried, below the
+// per-node limit, not at their cold rate, and preferably not suspect), estimates the cost of
+// each, and takes the one with the least cost. The cost is the predicted work until the answer
+// is complete, in tokens for engines and in requests for other services.
 //
-// For an engine the work is the prefill of what the replica does not keep of
-// the prompt, plus the load of the requests beside it. What a replica keeps is
-// estimated from what was sent there, the longest unused forgotten first, as
-// the engine itself does.
+// For an engine, the work is the prefill of the prompt tokens that are not in the replica's KV
+// cache, plus the load of concurrent requests. The cache content is estimated from the prompts
+// that were sent there, with least-recently-used eviction as in the engine itself.
 //
-// What a node does and holds does not grow with a service: Select weighs a window of
-// a large service, the same for the nodes of a zone, that grows with its load
-// (window.go), and a Subset is the part that the nodes of a group hold, followed
-// through a View of it (subset.go, view.go).
+// The work and memory of a node do not grow with the size of a service. For a large service,
+// Select evaluates only a window of replicas, which is the same for all nodes of a zone and
+// grows with the load (window.go). Nodes of a group hold only a Subset of the replicas and
+// follow its changes through a View (subset.go, view.go).
 //
-// Lateness learns how long the calls of each route take, and tells from when on
-// one that was not answered had better be sent again.
+// A LatencyTracker learns the latencies of calls per route and derives the time after which an
+// unanswered call should be sent again.
 package replica
--- a/replica/doubt.go
+++ b/replica/doubt.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Doubt keeps a replica whose entry is gone, for a while: the list may lack it
-// although it lives. An entry that comes again ends the doubt. It reports whether
-// the replica is doubted; one that drains, or is not known, is not.
+// DeferRemoval keeps an unlisted replica in the set until the given time, since the list may
+// lack it although it is alive. If the replica is listed again it stays. The first deadline
+// stands if DeferRemoval is called again. It reports whether the removal is deferred; it is not
+// for a draining or unknown replica.
 func (s *Set) Doubt(id ID, until time.Time) bool {
 	known := s.byID[id]
 	if known == nil || known.entry.Status != StatusReady {
@@ -17,8 +18,7 @@
 	return true
 }
 
-// Doubted returns the replicas whose doubt has lasted long enough for them to be
-// removed.
+// DueRemovals returns the unlisted replicas whose deadline has passed.
 func (s *Set) Doubted(now time.Time) (gone []ID) {
 	for id, known := range s.unlisted {
 		if !now.Before(known.removeAt) {
--- a/replica/feed.go
+++ b/replica/feed.go
@@ -1,25 +1,25 @@
 package replica
 
-// Change is one change of a list of replicas: an entry that is new or differs,
-// or the id of one that is gone.
+// Change is one change of a replica list: a new or updated entry, or the ID of a removed
+// replica.
 type Change struct {
 	Entry *Entry `json:"entry,omitempty"`
 	Gone  ID     `json:"gone,omitempty"`
 }
 
-// Feed numbers the changes of a list of replicas and keeps the newest of them,
-// so that another node can follow the list. The zero value is a feed without
-// changes. It is not safe for concurrent use.
+// Feed numbers the changes of a replica list and retains the newest, so that another node can
+// follow the list. The zero value is an empty feed. It is not safe for concurrent use.
 type Feed struct {
-	// next is the number of the next change; changes are those before it.
+	// next is the number of the next change. changes holds the ones directly before it.
 	next    uint64
 	changes []Change
 }
 
-// maximumChanges bounds the changes that a feed keeps.
+// maximumChanges is the number of changes that a feed retains at least once it has had that
+// many.
 const maximumChanges = 4096
 
-// Add takes in a change.
+// Add appends a change.
 func (f *Feed) Add(change Change) {
 	f.next++
 	f.changes = append(f.changes, change)
@@ -31,8 +31,8 @@
 // Next returns the number of the next change.
 func (f *Feed) Next() uint64 { return f.next }
 
-// Since returns the changes from a number on, or false where they are no longer
-// kept and the whole list has to be taken.
+// Since returns the changes from the given number on, or false if they are no longer retained
+// and the follower needs the whole list.
 func (f *Feed) Since(number uint64) ([]Change, bool) {
 	first := f.next - uint64(len(f.changes))
 	if number < first || number > f.next {
--- a/replica/report.go
+++ b/replica/report.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// Report is what a node tells its peers of one replica.
+// Report is what a node reports to its peers about one replica.
 type Report struct {
-	// Requests is how many requests of this node are under way there.
+	// Requests is the number of this node's requests in flight at the replica.
 	Requests int
-	// TokenTime is the time of a generated token that this node measured lately, as it
-	// would be with no request beside, and Samples how many turns it rests on; 0 where
-	// there are none.
+	// TokenTime is the time per generated token that this node measured recently, corrected to
+	// a replica without concurrent requests, and Samples the number of turns it is based on.
+	// Both are 0 without recent turns.
 	TokenTime time.Duration
 	Samples   int
 }
 
-// Total is what all other nodes together have and measured at one replica.
+// Total aggregates the reports of all other nodes about one replica.
 type Total struct {
 	Requests  float64
 	TokenTime time.Duration
 	Samples   int
 }
 
-// Report returns this node's requests under way and the paces it measured lately, by
-// replica.
+// Report returns this node's requests in flight and recently measured token times, by replica.
 func (s *Set) Report(now time.Time) map[ID]Report {
 	reports := make(map[ID]Report, len(s.busy))
 	for id, known := range s.busy {
@@ -31,7 +30,7 @@
 	return reports
 }
 
-// TakePaces takes in what all other nodes together measured.
+// ApplyTokenTimes applies the token times that all other nodes measured.
 func (s *Set) TakePaces(now time.Time, totals map[ID]Total) {
 	if s.config.Without.Pace {
 		return
--- a/replica/room.go
+++ b/replica/room.go
@@ -6,10 +6,11 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// Room returns how full the replicas are that may take a request: the emptiest of them,
-// and all together. A cold one that is at its rate counts as full. Both are 0 where none
-// may take it, or how many requests one works on at once is not known. Of a large service a
-// window of replicas is looked at, which grows while even the emptiest in it is full.
+// Utilisation returns the utilisation (requests in flight per slot) of the replicas that may
+// take the request: that of the least loaded one, and the mean. A cold replica that has reached
+// its cold rate counts as full. Both are 0 if no replica may take the request or if any such
+// replica's number of slots is unknown. For a large service a window of replicas is evaluated,
+// and grown while every replica in it is full.
 func (s *Set) Room(now time.Time, request *Request) dispatch.Room {
 	least := s.Pressure(now, request)
 	candidates := s.selectCandidates(now, request)
--- a/replica/select.go
+++ b/replica/select.go
@@ -10,82 +10,84 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Request is what a choice weighs.
+// Request describes a request for which a replica is selected.
 type Request struct {
 	Service string
-	// Program names the program that a prompt belongs to; "" for other services.
+	// Program is the program that the prompt belongs to, or "" for services other than engines.
 	Program string
-	// Prompt is the parts of a prompt, in order; empty for other services.
+	// Prompt lists the parts of the prompt in order. It is empty for services other than
+	// engines.
 	Prompt []Part
-	// Preferred is the replica that served the line of turns before, or "".
+	// Preferred is the replica that served the previous turn of the session, or "".
 	Preferred ID
-	// PreferredKept is how many tokens of the prompt that replica keeps; 0 where only
-	// the last part is taken for new.
+	// PreferredCached is the number of prompt tokens that this replica has cached. With 0, all
+	// parts but the last are assumed to be cached.
 	PreferredKept int
-	// Only is the one replica that may run the request again, or "". It counts
-	// for as long as the replica is known.
+	// Only is the one replica that may run the request again, or "". It has no effect if the
+	// replica is no longer known.
 	Only ID
-	// Homes bounds the zones in which a replica may get the request.
+	// ZoneConstraint limits the zones whose replicas may receive the request.
 	Homes zone.Homes
-	// Expected is how many tokens the answer is expected to have; 0 where that is not
-	// known.
+	// ExpectedTokens is the expected number of tokens in the answer, or 0 if unknown.
 	Expected int
-	// Haste is how the request takes the fast replicas: 1 before others, 0 as its share,
-	// -1 after others.
+	// SpeedBias shifts the request's chance of a fast replica: 1 raises it, 0 leaves it at the
+	// normal weights, -1 lowers it.
 	Haste int
-	// Excluded are the replicas that were tried.
+	// Excluded lists the replicas that were already tried.
 	Excluded []ID
-	// Warm passes over cold replicas.
+	// WarmOnly excludes cold replicas.
 	Warm bool
-	// PerNode bounds this node's requests at one replica; 0 sets no bound.
+	// MaxPerNode limits the requests in flight of this node at one replica; 0 means no limit.
 	PerNode int
-	// Connected reports whether a kept connection to the replica is free; nil
-	// where that does not matter.
+	// Connected reports whether an idle connection to the replica exists. It is nil if
+	// connections do not matter.
 	Connected func(Entry) bool
-	// Draw is a uniform number from 0 to 1 that breaks ties, so that nodes that
-	// know the same do not all choose the same.
+	// Draw is a uniform random number in [0, 1) that breaks ties, so that nodes with the same
+	// information do not all select the same replica.
 	Draw float64
 }
 
-// The reasons for which no replica is chosen. All mean that nothing was sent.
+// The reasons why no replica was selected. With each of them nothing was sent.
 var (
-	// ErrNoReplica says that no replica of the service is ready.
+	// ErrNoReplica means that no replica of the service is ready.
 	ErrNoReplica = errors.New("no replica of the service is ready")
-	// ErrOutside says that no replica of the service is ready where the request may go.
+	// ErrOutsideRegions means that ready replicas exist only in zones that the request may not
+	// use.
 	ErrOutside = errors.New("no replica of the service is ready in a region that the request may reach")
-	// ErrEvacuated says that all that could serve is in evacuated zones.
+	// ErrEvacuated means that all replicas that could serve the request are in evacuated zones.
 	ErrEvacuated = errors.New("the zones of all replicas that could serve are evacuated")
-	// ErrSaturated says that every ready replica has all the requests it may.
+	// ErrSaturated means that this node has reached MaxPerNode at every available replica.
 	ErrSaturated = errors.New("every replica of the service is full")
-	// ErrColdRate says that every ready replica that is not full is cold, and at its
-	// rate.
+	// ErrColdRate means that all replicas with capacity left are cold and have reached their
+	// cold rate, or are excluded by WarmOnly.
 	ErrColdRate = errors.New("every replica of the service is cold and at its rate")
 )
 
-// Choice is the replica chosen for a request.
+// Choice is the replica selected for a request.
 type Choice struct {
 	Entry Entry
-	// Missing is the prefill that is expected there, in tokens.
+	// UncachedTokens is the expected prefill at the replica, in tokens.
 	Missing int
-	// Load is how many requests of all nodes were known there.
+	// Load is the estimated number of requests of all nodes in flight at the replica.
 	Load int
-	// Predicted is how long the answer was expected to take, and Pace the time of a token
-	// there with nothing beside, which was measured PaceAge ago; 0 where paces had no part.
+	// Predicted is the predicted duration until the answer is complete. TokenTime is the
+	// replica's time per generated token without concurrent requests, as measured TokenTimeAge
+	// ago. All are 0 if token times were not used in the selection.
 	Predicted time.Duration
 	Pace      time.Duration
 	PaceAge   time.Duration
-	// Feasible is how many replicas could have been chosen.
+	// Feasible is the number of replicas that could have been selected.
 	Feasible int
-	// Left says that the replica which served the line before is in an evacuated zone,
-	// and that the request goes elsewhere because of it.
+	// LeftEvacuatedZone reports that the request was moved because the replica that served the
+	// session's previous turn is in an evacuated zone.
 	Left bool
-	// ColdRate is how many requests a second the replica bears; 0 unless it is cold
-	// and its service has such a rate.
+	// ColdRate is the maximum request rate of the replica, in requests per second. It is 0
+	// unless the replica is cold and its service has such a rate.
 	ColdRate float64
 }
 
-// Select picks a replica for the request: feasible, rank, select. Of a large service a
-// window of replicas is weighed, which grows while all in it are full.
+// Select selects a replica for the request. For a large service it evaluates a window of
+// replicas, and grows the window while every replica in it is full.
 func (s *Set) Select(now time.Time, request *Request) (Choice, error) {
 	for {
 		candidates := s.selectCandidates(now, request)
@@ -97,7 +99,7 @@
 	}
 }
 
-// selectFrom picks one of some replicas.
+// selectFrom selects one of the candidates.
 func (s *Set) selectFrom(now time.Time, request *Request, candidates []*member) (Choice, error) {
 	feasible, reason := s.feasible(now, request, candidates)
 	if len(feasible) == 0 {
@@ -123,7 +125,7 @@
 	return evaluation.choice(best, len(feasible)), nil
 }
 
-// choice describes what was chosen of so many.
+// choice describes the selected replica. feasible is the number of feasible replicas.
 func (e *evaluation) choice(best *member, feasible int) Choice {
 	choice := Choice{
 		Entry:    best.entry,
@@ -137,10 +139,9 @@
 	return choice
 }
 
-// feasible returns the replicas that may take the request, of those to be weighed: those
-// that answered well lately, or the suspect ones where there are no others. Where there
-// are none at all that has room, lacking tells what it lacks; nil where no replica may
-// take the request at all.
+// feasible returns the candidates that may receive the request. Suspect replicas are returned
+// only if there are no others. If the list is empty, reason is the limit that excluded the last
+// replica, or nil if no replica may receive the request regardless of such limits.
 func (s *Set) feasible(now time.Time, request *Request, candidates []*member) (list []*member, reason error) {
 	if known := s.byID[request.Only]; known != nil {
 		if s.checkPlacement(now, request, known) != nil {
@@ -177,55 +178,57 @@
 	return list, reason
 }
 
-// isServing reports whether a replica may get new requests: it is listed as ready,
-// or was lately and may live.
+// isServing reports whether a replica may receive new requests: it is ready, and either listed
+// or not yet due for removal.
 func (m *member) isServing(now time.Time) bool {
 	expired := !m.removeAt.IsZero() && !now.Before(m.removeAt)
 	return m.entry.Status == StatusReady && !expired
 }
 
-// The weights of a cost, in tokens of prefill.
+// The weights of the cost function, in tokens of prefill.
 const (
-	// concurrentRequestTokens is what one request beside costs while there are places
-	// free: it slows every step of the batch a little. A larger weight has
-	// lines of turns leave the replica that keeps their prompts; under load
-	// the prefill that this costs adds to the load.
+	// concurrentRequestTokens is the cost of one concurrent request while slots are free: it
+	// slows every step of the batch a little. With a larger weight, sessions leave the replica
+	// that has their prompts cached, and under load the resulting prefill adds to the load.
 	concurrentRequestTokens = 100
-	// queuedTokens is what waiting for one place costs, per request that is
-	// over the slots, divided by the slots.
+	// queuedTokens is the cost of waiting for a slot. It is multiplied by the number of
+	// requests beyond the slots and divided by the number of slots.
 	queuedTokens = 20000
-	// prefillWeight is how much prefill costs beyond the request's own wait:
-	// all requests of the batch wait for it.
+	// prefillWeight is the cost per token of prefill. It exceeds 1 because all requests of the
+	// batch wait for the prefill, not only the new one.
 	prefillWeight = 2
-	// otherZoneTokens is what another zone costs: the way, and its price.
+	// otherZoneTokens is the cost of another zone: its network latency and the price of the
+	// traffic.
 	otherZoneTokens = 600
-	// otherRegionTokens is what another region costs beyond that: the ways there and back,
-	// some 16 ms in which 300 tokens each are read, and bytes that cost four times
-	// those between zones. A request spills over once that much is waited at home.
+	// otherRegionTokens is the additional cost of another region: a round trip of about 16 ms,
+	// at 300 tokens of prefill per millisecond, and traffic that costs four times as much as
+	// between zones. A request spills over to another region once the wait in its own region
+	// costs more.
 	otherRegionTokens = 16*300 + 3*300
-	// faultTokens is what one recent fault costs, and maximumFaults the most
-	// that are counted: a replica that errs is avoided, and still serves where
-	// the others are full.
+	// faultTokens is the cost of one recent fault, and maximumFaults the number of faults
+	// counted at most. A faulty replica is avoided but still serves when the others are full.
 	faultTokens   = 1500
 	maximumFaults = 10
-	// connectionTokens is what a new connection costs: its opening, and its price.
+	// connectionTokens is the cost of opening a new connection: its latency and its price.
 	connectionTokens = 150
 )
 
-// weighing is one request with what its choice rests on.
+// evaluation holds the inputs for the cost of one request at the candidates.
 type evaluation struct {
 	set     *Set
 	now     time.Time
 	request *Request
-	// view is what peers told of the service's loads.
+	// loads is the load estimate for the candidates.
 	loads loadEstimate
-	// room is the share of the shared parts that an engine has the memory to keep.
+	// sharedCacheShare is the fraction of the shared prompt parts that fits into an engine's KV
+	// cache.
 	sharedCacheShare float64
-	// sharing is how many nodes choose among the replicas that are weighed, and among
-	// how many of them.
+	// choosingNodes is the number of nodes that choose among these candidates, and
+	// candidateCount the number of candidates.
 	choosingNodes, candidateCount int
-	// paces are those of the service where they differ, else nil; job is what the
-	// request needs then.
+	// tokenTimes holds the token times of the service if they differ materially, else nil. job
+	// describes the request for the prediction; it is set whenever the answer's length is
+	// known.
 	tokenTimes *tokenTimes
 	job        dispatch.Job
 }
@@ -245,11 +248,11 @@
 	return e
 }
 
-// cost predicts the work before the request's answer is whole.
+// cost predicts the work until the request's answer is complete, in tokens of prefill.
 func (e *evaluation) cost(m *member) int {
 	load := e.loads.load(m)
-	// What waiting costs is not drawn: lines of turns would leave replicas that keep their
-	// prompts.
+	// Only this term uses the randomised load. If the queueing cost did too, sessions would
+	// leave replicas that have their prompts cached.
 	cost := prefillWeight*e.uncachedTokens(m) + int(concurrentRequestTokens*e.loads.randomisedLoad(m, e.request.Draw))
 	if slots := float64(max(1, m.entry.Slots)); load >= slots {
 		cost += int(queuedTokens * (load - slots + 1) / slots)
@@ -257,7 +260,8 @@
 	return cost + e.fixedCost(m)
 }
 
-// aside is what a replica costs beside its work: its faults, and the way to it.
+// fixedCost is the part of the cost that depends on neither the load nor the prompt: faults,
+// cold start, zone, region and connection.
 func (e *evaluation) fixedCost(m *member) (cost int) {
 	disabled := &e.set.config.Without
 	if !disabled.Faults {
@@ -278,10 +282,10 @@
 	return cost
 }
 
-// Pressure returns how full the emptiest replica is that may take a request: its
-// requests under way by its slots. A cold one that is at its rate counts as full at
-// least. It is 0 where none may. Of a large service a window of replicas is looked at,
-// which grows while all in it are full.
+// MinUtilisation returns the utilisation (requests in flight per slot) of the least loaded
+// replica that may take the request, or 0 if none may. A cold replica that has reached its cold
+// rate counts as full. For a large service a window of replicas is evaluated, and grown while
+// every replica in it is full.
 func (s *Set) Pressure(now time.Time, request *Request) float64 {
 	for {
 		candidates := s.selectCandidates(now, request)
@@ -297,7 +301,8 @@
 	}
 }
 
-// leastUtilisation is Pressure of some replicas, infinite where none may take the request.
+// leastUtilisation is MinUtilisation for the given candidates; it is infinite if none may take
+// the request.
 func (s *Set) leastUtilisation(now time.Time, request *Request, candidates []*member) float64 {
 	least := math.Inf(1)
 	loads := s.estimateLoads(now, candidates)
@@ -310,8 +315,8 @@
 	return least
 }
 
-// occupied returns the requests at a replica, or those of one that is full where it is cold
-// and at its rate.
+// effectiveLoad returns the estimated requests in flight at a replica, raised to the load of a
+// full one if the replica has reached its cold rate.
 func (s *Set) effectiveLoad(now time.Time, loads *loadEstimate, m *member) float64 {
 	load := loads.load(m)
 	if s.atColdRate(now, m) {
@@ -320,9 +325,9 @@
 	return load
 }
 
-// missing predicts the prefill of the prompt at a replica. One that served the
-// line's last turn keeps what it read and generated then, also where another node
-// sent it that turn.
+// uncachedTokens predicts the prefill of the prompt at a replica. The replica that served the
+// session's previous turn has that turn's prompt and output cached, even if another node sent
+// the turn.
 func (e *evaluation) uncachedTokens(m *member) int {
 	prompt, disabled := e.request.Prompt, &e.set.config.Without
 	uncachedTokens := Tokens(prompt)
@@ -339,8 +344,8 @@
 	return min(uncachedTokens, prompt[last].Tokens)
 }
 
-// cachedProbabilityAt returns how likely a replica keeps a part that this node did not send
-// there.
+// cachedProbabilityAt returns a function that estimates the probability that a replica has a
+// part cached that this node did not send there.
 func (e *evaluation) cachedProbabilityAt(m *member) func(part string) float64 {
 	if e.sharedCacheShare == 0 || e.set.config.Without.SharedParts {
 		return func(string) float64 { return 0 }
@@ -351,7 +356,7 @@
 	}
 }
 
-// Tokens returns how many tokens a prompt has.
+// Tokens returns the number of tokens of a prompt.
 func Tokens(prompt []Part) (tokens int) {
 	for _, part := range prompt {
 		tokens += part.Tokens
--- a/replica/set.go
+++ b/replica/set.go
@@ -12,78 +12,80 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// ID names one incarnation of a replica.
+// ID identifies a replica. A replica may restart under the same ID, with a newer incarnation.
 type ID string
 
-// Status is a replica's place in its life.
+// Status is the lifecycle state of a replica.
 type Status string
 
-// The states of a replica. A replica that is gone is not in the set.
+// The lifecycle states. A replica that no longer exists is not in the set.
 const (
 	StatusReady    Status = "ready"
 	StatusDraining Status = "draining"
 )
 
-// Entry is a replica as the platform lists it.
+// Entry describes a replica as the platform lists it.
 type Entry struct {
 	ID      ID
 	Service string
 	Address netip.AddrPort
 	Zone    string
 	Status  Status
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the replica processes concurrently.
 	Slots int
-	// Incarnation is when the replica's process started, in Unix milliseconds; 0 where
-	// it does not tell. A replica that starts again under its id holds nothing of before.
+	// Incarnation is the start time of the replica's process in Unix milliseconds, or 0 if the
+	// replica does not report it. A replica that restarts under the same ID has lost its state.
 	Incarnation uint64 `json:",omitempty"`
-	// Cold is what the entry says of how long the replica stays cold.
+	// Cold is how long the replica stays cold according to this entry.
 	Cold ColdWord
 }
 
-// Config sets up a Set.
+// Config configures a Set.
 type Config struct {
-	// Zone is this node's own, and Regions tells the regions of zones.
+	// Zone is this node's own zone. Regions maps zones to regions.
 	Zone    string
 	Regions zone.Topology
-	// LeaveWithin is the time that the operator gives to leave an evacuated zone; with
-	// 0 all requests leave at once.
+	// LeaveWithin is the time that the operator allows for leaving an evacuated zone. With 0,
+	// all requests leave at once.
 	LeaveWithin time.Duration
-	// SuspectFor is how long a replica that failed to answer is passed over
-	// while others are feasible. It doubles with each failure in a row.
+	// SuspectFor is how long a replica that failed to answer is avoided while others are
+	// feasible. It doubles with each consecutive failure.
 	SuspectFor time.Duration
-	// MaximumSuspect bounds it.
+	// MaximumSuspect is the upper bound of the doubled SuspectFor.
 	MaximumSuspect time.Duration
-	// PeerLoadLifetime is how long a peer's report counts.
+	// PeerLoadLifetime is how long a peer's report remains valid.
 	PeerLoadLifetime time.Duration
-	// Without switches parts of the choice off, to measure what they are worth.
+	// Disabled switches off parts of the selection, to measure their effect.
 	Without Parts
 }
 
-// Parts are parts of the choice of a replica.
+// SelectionFactors names the parts of the selection that can be switched off.
 type Parts struct {
-	// KeptPrompts is the estimate of what each engine keeps, and LastReplica that
-	// the one which served a line of turns last keeps its prompt.
+	// CachedPrompts is the estimate of what each engine has cached. LastReplica is the
+	// assumption that the replica that served the previous turn of a session still has the
+	// session's prompt cached.
 	KeptPrompts bool
 	LastReplica bool
-	// SharedParts is the estimate of what other nodes had engines read.
+	// SharedParts is the estimate of the prompt parts that engines cached for other nodes.
 	SharedParts bool
-	// PeerLoads are the requests that other nodes have under way, and Estimates
-	// those of the nodes that were not heard lately.
+	// PeerLoads counts the requests in flight of other nodes. Estimates extrapolates those of
+	// nodes without a recent report.
 	PeerLoads bool
 	Estimates bool
-	// Zones prefers replicas of the node's own zone, Regions those of its region, and
-	// Connections those to which a connection is free.
+	// Zones prefers replicas in the node's own zone, Regions those in its region, and
+	// Connections those with an idle connection.
 	Zones       bool
 	Regions     bool
 	Connections bool
-	// Faults avoids replicas that erred, and Suspicion passes over those that
-	// failed to answer.
+	// Faults avoids replicas that returned errors. Suspicion avoids those that failed to
+	// answer.
 	Faults    bool
 	Suspicion bool
-	// Pace weighs how fast replicas are, and Slack how programs stand against their time.
+	// TokenTime takes the replicas' token times into account, and Slack whether a program is
+	// ahead of or behind its schedule.
 	Pace  bool
 	Slack bool
-	// Cold weighs that a replica is cold, and passes over one that is at its rate.
+	// Cold adds the cost of a cold replica, and excludes one that has reached its cold rate.
 	Cold bool
 }
 
@@ -97,81 +99,84 @@
 	}
 }
 
-// Set is the replicas that this node knows. It is not safe for concurrent use.
+// Set holds the replicas that this node knows. It is not safe for concurrent use.
 type Set struct {
 	config Config
 	byID   map[ID]*member
-	// services lists the replicas of each service, and ranked lists them in the order in
-	// which a window takes them in.
+	// services lists the replicas of each service. ranked lists the same replicas in the order
+	// in which a window includes them.
 	services map[string][]*member
 	ranked   map[string][]*member
-	// windows bound which replicas of a large service are weighed.
+	// windows holds the window of each large service.
 	windows map[string]*window
-	// zones counts the replicas of each zone.
+	// zoneCounts is the number of replicas in each zone.
 	zoneCounts map[string]int
-	// busy are the replicas that have requests of this node, and coldTracked those
-	// whose turn to warm is still to be told. doubted are those that the list lacks.
+	// busy holds the replicas with requests of this node in flight, coldTracked those whose
+	// transition to warm has not been reported yet, and unlisted those that the platform's list
+	// no longer contains.
 	busy        map[ID]*member
 	coldTracked map[ID]*member
 	unlisted    map[ID]*member
-	// paced are the replicas whose pace this node measured lately.
+	// measured holds the replicas with recent token times measured by this node.
+	// serviceTokenTimes are the token times of each service.
 	measured          map[ID]*member
 	serviceTokenTimes map[string]*tokenTimes
-	// shares is the room in which a choice draws.
+	// weights is a buffer reused by selectByDraw.
 	weights []float64
-	// cacheTokens is the memory of a service's engines.
+	// cacheTokens is the KV cache capacity of each service's engines, in tokens.
 	cacheTokens map[string]int
-	// coldRates is how many requests a second a cold replica of a service bears.
+	// coldRates is the maximum request rate of a cold replica, per service, in requests per
+	// second. peerRequests holds the latest report of each peer.
 	coldRates    map[string]float64
 	peerRequests map[string]peerReport
 	shared       *sharedParts
-	// word is the last word of a collector.
+	// summary is the latest load summary of a collector.
 	summary receivedSummary
-	// flows tell how long the requests of each service take.
+	// durations estimates the request duration of each service.
 	durations map[string]*durationEstimator
-	// evacuated are the zones that are to get no requests, and since when.
+	// evacuated maps each evacuated zone to the start of its evacuation.
 	evacuated map[zone.Name]time.Time
-	// nodes is how many nodes send to the replicas, this one included.
+	// nodeCount is the number of nodes that send requests to the replicas, including this one.
 	nodeCount int
 }
 
-// member is one replica with what is known of it.
+// member is a replica together with the state that this node keeps for it.
 type member struct {
 	entry Entry
-	// rank orders the replicas of a zone alike for all its nodes, and place is the
-	// replica's index in the list of its service.
+	// rank orders the replicas of a zone in the same way on all nodes of this node's zone.
+	// index is the replica's position in the list of its service.
 	rank  uint64
 	index int
-	// listedAt is when this node first knew of the replica.
+	// listedAt is when this node first saw the replica.
 	listedAt time.Time
-	// own counts this node's requests there; peers those of other nodes.
+	// ownRequests counts the requests in flight of this node, and peerRequests those in the
+	// valid reports of peers.
 	ownRequests  int
 	peerRequests int
-	// others are the requests of all other nodes by a word of a collector, and word is
-	// the number of that word.
+	// summaryRequests is the number of requests of all other nodes according to a load summary,
+	// and summary is the number of that load summary.
 	summaryRequests float64
 	summary         uint64
 	cache           *cache
-	// faults counts errors, time-outs and failures; it halves with time.
+	// faults counts errors, time-outs and failures as of faultsAt. It decays exponentially.
 	faults   float64
 	faultsAt time.Time
-	// failures in a row, and until when the replica is passed over.
+	// failures counts consecutive failures. The replica is avoided until suspectUntil.
 	failures     int
 	suspectUntil time.Time
-	// removeAt is when a replica that is not listed is to go; zero while
-	// it is listed.
+	// removeAt is when an unlisted replica is removed. It is zero while the replica is listed.
 	removeAt time.Time
 	cold     coldState
-	// pace is how long a generated token takes there.
+	// tokenTime estimates the time per generated token.
 	tokenTime dispatch.Pace
-	// token is the estimate of it as of the last look at the service's paces, in
-	// nanoseconds; 0 where nothing is known.
+	// tokenNanoseconds is that estimate as of the last update of the service's token times, in
+	// nanoseconds; 0 if nothing is known.
 	tokenNanoseconds float64
-	// share is the replica's part of the turns that are placed by a draw, by any measure.
+	// weight is the replica's unnormalised weight in the draws of selectByDraw.
 	weight float64
 }
 
-// NewSet returns a set without replicas.
+// NewSet returns an empty set.
 func NewSet(config Config) *Set {
 	return &Set{
 		config:            config,
@@ -194,7 +199,7 @@
 	}
 }
 
-// SetCacheTokens tells the memory of the engines of a service.
+// SetCacheTokens sets the KV cache capacity of a service's engines.
 func (s *Set) SetCacheTokens(service string, tokens int) {
 	s.cacheTokens[service] = tokens
 	for _, m := range s.services[service] {
@@ -202,13 +207,13 @@
 	}
 }
 
-// SetNodes tells how many nodes send to the replicas, this one included.
+// SetNodes sets the number of nodes that send requests to the replicas, including this one.
 func (s *Set) SetNodes(nodeCount int) { s.nodeCount = max(1, nodeCount) }
 
-// Put adds a replica or takes over its new entry. It reports whether anything
-// but the entry of a known, equal replica changed. A cold time that runs down is no
-// change, and word of an earlier incarnation is not taken in. A replica that started
-// again, or serves another service now, begins without anything that was known of it.
+// Put adds a replica or updates its entry. It reports whether anything changed that other nodes
+// should be told. A cold time that merely runs down is no change. Entries of an earlier
+// incarnation are ignored. A replica that restarted, or that now serves another service, starts
+// without the state of its predecessor.
 func (s *Set) Put(now time.Time, entry Entry) (changed bool) {
 	status := entry.Cold
 	entry.Cold = ColdWord{}
@@ -233,13 +238,13 @@
 	return true
 }
 
-// replacedBy reports whether an entry is of another process than the one known.
+// replacedBy reports whether an entry belongs to a later process, or to another service, than
+// the known one.
 func (m *member) replacedBy(entry Entry) bool {
 	return entry.Incarnation > m.entry.Incarnation || entry.Service != m.entry.Service
 }
 
-// renew takes over a new entry of the process that is known. It reports whether
-// anything differs.
+// updateEntry replaces the entry of the known process. It reports whether anything differs.
 func (s *Set) updateEntry(known *member, entry Entry) (changed bool) {
 	entry.Incarnation = max(entry.Incarnation, known.entry.Incarnation)
 	changed = known.entry != entry
@@ -256,15 +261,15 @@
 	return changed
 }
 
-// updateCold takes in what an entry says of the replica being cold. It reports whether
-// other nodes are to hear of it.
+// updateCold applies the cold status of an entry. It reports whether to announce it to other
+// nodes.
 func (s *Set) updateCold(now time.Time, known *member, status ColdWord) (announce bool) {
 	announce = known.cold.update(now, status)
 	s.trackCold(now, known)
 	return announce
 }
 
-// Remove forgets a replica. It returns its entry, and false if it was unknown.
+// Remove removes a replica. It returns the replica's entry, or false if the replica is unknown.
 func (s *Set) Remove(id ID) (Entry, bool) {
 	known := s.byID[id]
 	if known == nil {
@@ -279,13 +284,13 @@
 	return known.entry, true
 }
 
-// Count returns how many replicas are known.
+// Count returns the number of known replicas.
 func (s *Set) Count() int { return len(s.byID) }
 
-// IDs returns the ids of all replicas, in no order.
+// IDs returns the IDs of all replicas in no particular order.
 func (s *Set) IDs() []ID { return slices.Collect(maps.Keys(s.byID)) }
 
-// Lookup returns the entry of a replica.
+// Lookup returns the entry of a replica, or false if the replica is unknown.
 func (s *Set) Lookup(id ID) (Entry, bool) {
 	known := s.byID[id]
 	if known == nil {
@@ -294,7 +299,8 @@
 	return known.entry, true
 }
 
-// Entries returns all replicas, sorted by id, with how long they stay cold from now.
+// Entries returns the entries of all replicas sorted by ID, each with its remaining cold time
+// as of now.
 func (s *Set) Entries(now time.Time) []Entry {
 	all := make([]Entry, 0, len(s.byID))
 	for _, known := range s.byID {
@@ -304,8 +310,8 @@
 	return all
 }
 
-// Began counts a request that is sent to the replica, with the parts of its
-// prompt that the replica will keep.
+// Began records that a request is sent to the replica, and that the replica will cache the
+// parts of its prompt.
 func (s *Set) Began(now time.Time, id ID, request *Request) {
 	known := s.byID[id]
 	if known == nil {
@@ -317,20 +323,21 @@
 	s.shared.add(now, request.Program, request.Prompt)
 }
 
-// Reserve counts a request that may be sent to the replica. Withdraw or Began follows.
+// Reserve counts a request that may be sent to the replica. The caller then calls Release,
+// followed by Began if the request is sent.
 func (s *Set) Reserve(id ID) {
 	if known := s.byID[id]; known != nil {
 		s.addOwnRequest(known)
 	}
 }
 
-// begin counts one request of this node at a replica.
+// addOwnRequest counts one more request of this node in flight at a replica.
 func (s *Set) addOwnRequest(known *member) {
 	known.ownRequests++
 	s.busy[known.entry.ID] = known
 }
 
-// end counts one request of this node less.
+// removeOwnRequest counts one request of this node less.
 func (s *Set) removeOwnRequest(known *member) {
 	known.ownRequests = max(0, known.ownRequests-1)
 	if known.ownRequests == 0 {
@@ -338,33 +345,33 @@
 	}
 }
 
-// Withdraw takes back what Reserve counted.
+// Release undoes Reserve.
 func (s *Set) Withdraw(id ID) {
 	if known := s.byID[id]; known != nil {
 		s.removeOwnRequest(known)
 	}
 }
 
-// Result tells how a request at a replica ended.
+// Result is how a request at a replica ended.
 type Result int
 
 // The results of a request.
 const (
-	// ResultAnswered is any answer of the replica itself.
+	// ResultAnswered means that the replica itself answered.
 	ResultAnswered Result = iota
-	// ResultRejected is an answer that the replica did not run the request.
+	// ResultRejected means that the replica answered that it did not run the request.
 	ResultRejected
-	// ResultFailed is a connection that failed, or an answer that broke off.
+	// ResultFailed means that the connection failed or the answer was truncated.
 	ResultFailed
-	// ResultErred is an answer of the replica that tells of its own fault.
+	// ResultErred means that the replica answered with an error of its own.
 	ResultErred
-	// ResultTimedOut had no answer for long until its time was up.
+	// ResultTimedOut means that no answer arrived before the request's deadline.
 	ResultTimedOut
-	// ResultCancelled was ended from this side.
+	// ResultCancelled means that this node cancelled the request.
 	ResultCancelled
 )
 
-// Ended counts a request that is over.
+// Ended records that a request ended with the given result.
 func (s *Set) Ended(now time.Time, id ID, result Result) {
 	known := s.byID[id]
 	if known == nil {
@@ -389,16 +396,16 @@
 	}
 }
 
-// faultHalfLife is the time in which a fault counts half as much.
+// faultHalfLife is the half-life of the fault count.
 const faultHalfLife = 3 * time.Second
 
-// fault counts one fault.
+// recordFault counts one fault.
 func (m *member) recordFault(now time.Time) {
 	m.faults = m.decayedFaults(now) + 1
 	m.faultsAt = now
 }
 
-// decayedFaults returns the faults that still count.
+// decayedFaults returns the fault count decayed to the given time.
 func (m *member) decayedFaults(now time.Time) float64 {
 	if m.faults == 0 {
 		return 0
@@ -407,13 +414,13 @@
 }
 
 const (
-	// maximumSuspicionDoublings bounds the shift of the time of suspicion.
+	// maximumSuspicionDoublings bounds the shift that doubles SuspectFor.
 	maximumSuspicionDoublings = 6
-	// rejectionPause is how long a replica that was full is passed over.
+	// rejectionPause is how long a replica that rejected a request is avoided.
 	rejectionPause = 50 * time.Millisecond
 )
 
-// Own returns this node's requests under way, by replica.
+// OwnRequests returns the number of this node's requests in flight, by replica.
 func (s *Set) Own() map[ID]int {
 	counts := make(map[ID]int, len(s.busy))
 	for id, known := range s.busy {
