--- a/replica/cold.go
+++ b/replica/cold.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// ColdWord is what is said of how long a replica stays cold: for some seconds after its
-// start, or again at any moment, it bears only so many requests a second.
+// ColdStatus is how much longer a replica stays cold. For some seconds after its start, and
+// possibly again later, a cold replica accepts only a limited rate of requests.
 type ColdWord struct {
-	// Left is how much longer it stays cold from when that was said; 0 where it is
-	// warm.
+	// Remaining is how much longer the replica stays cold, as of when the status was sent; 0 if
+	// it is warm.
 	Left time.Duration `json:"left,omitempty"`
-	// Sequence numbers the entries of a replica; 0 where they are not numbered.
+	// Sequence is the sequence number of the replica's entry, or 0 if its entries are not
+	// numbered.
 	Sequence uint64 `json:"sequence,omitempty"`
-	// Passed says that another node passes on what it believes now.
+	// Forwarded reports that another node sent the status, from its own state at that time.
 	Passed bool `json:"passed,omitempty"`
 }
 
-// The sources of a belief that a replica is cold.
+// The sources of the information that a replica is cold.
 const (
 	coldFromEntry  = "entry"
 	coldFromPeer   = "peer"
@@ -22,34 +23,36 @@
 )
 
 const (
-	// coldTokens is what a cold replica costs beyond a warm one, in tokens of prefill:
-	// a warm one gets the request until it has about as many places taken.
+	// coldTokens is the additional cost of a cold replica, in tokens of prefill. A warm replica
+	// is preferred until about all of its slots are in use.
 	coldTokens = 1500
-	// coldAnnounceThreshold is by how much a belief is extended at least for other nodes to be
-	// told: a cold time that runs down is told with each entry, a little later or
-	// earlier.
+	// coldAnnounceThreshold is the minimum extension of the cold time that is announced to
+	// other nodes. The end of a cold time that merely runs down varies a little with each
+	// entry.
 	coldAnnounceThreshold = 400 * time.Millisecond
-	// utilisationAtColdRate is how full a cold replica counts that is at its rate: above
-	// every limit from which on new programs wait.
+	// utilisationAtColdRate is the utilisation assumed for a cold replica that has reached its
+	// cold rate. It exceeds every limit above which new programs wait.
 	utilisationAtColdRate = 2
 )
 
-// coldness is what a node believes of whether one replica is cold.
+// coldState is what this node knows about one replica being cold. The replica counts as cold
+// until the time until; source tells where that came from.
 type coldState struct {
 	until  time.Time
 	source string
-	// word is the newest that was heard, and heard says that there was one.
+	// status is the newest status received from an entry, and received reports that there was
+	// one.
 	status   ColdWord
 	received bool
-	// noted is the state that ColdTurns told last.
+	// reportedCold is the state that ColdTransitions last reported.
 	reportedCold bool
-	// pausedUntil is until when the replica is at its rate, as its counter said.
+	// The replica has reached its cold rate and gets no requests until pausedUntil.
 	pausedUntil time.Time
 }
 
 func (c *coldState) cold(now time.Time) bool { return now.Before(c.until) }
 
-// hear takes in an entry's word. It reports whether other nodes are to hear of it.
+// update applies the cold status of an entry. It reports whether to announce it to other nodes.
 func (c *coldState) update(now time.Time, status ColdWord) (announce bool) {
 	isNew := c.isNew(status)
 	if isNew {
@@ -65,8 +68,8 @@
 	}
 }
 
-// fresh reports whether an entry's word was not taken in before. The same entry is read
-// again and again, also long after it was written, and after a peer told of it.
+// isNew reports whether the cold status of an entry has not been applied before. The same entry
+// is read repeatedly, possibly long after it was written or after a peer forwarded it.
 func (c *coldState) isNew(status ColdWord) bool {
 	if !c.received || status.Sequence > c.status.Sequence {
 		return true
@@ -75,8 +78,9 @@
 	return status.Sequence == c.status.Sequence && !repeated
 }
 
-// extend has the replica count as cold for a while from now on. Nothing shortens that: a
-// word may have been said before the one that made the replica count as cold.
+// extend marks the replica as cold for the given time from now. It never shortens the cold
+// time, since a status may have been sent before the one that set the present cold time. It
+// reports whether to announce the change to other nodes.
 func (c *coldState) extend(now time.Time, left time.Duration, source string) (announce bool) {
 	until := now.Add(left)
 	if left <= 0 || !until.After(c.until) {
@@ -90,14 +94,16 @@
 	return announce
 }
 
-// entryAt returns a replica's entry as it is passed on at a time.
+// entryAt returns a replica's entry to forward to other nodes, with the remaining cold time as
+// of now.
 func (m *member) entryAt(now time.Time) Entry {
 	entry := m.entry
 	entry.Cold = ColdWord{Left: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Passed: true}
 	return entry
 }
 
-// EntryAt returns a replica's entry as it is passed on at a time.
+// EntryAt returns a replica's entry to forward to other nodes, with the remaining cold time as
+// of now, or false if the replica is unknown.
 func (s *Set) EntryAt(now time.Time, id ID) (Entry, bool) {
 	known := s.byID[id]
 	if known == nil {
@@ -106,12 +112,12 @@
 	return known.entryAt(now), true
 }
 
-// SetColdRate tells how many requests a second a cold replica of a service bears; 0 where
-// that is not bounded.
+// SetColdRate sets the maximum request rate of a cold replica of a service, in requests per
+// second; 0 means no limit.
 func (s *Set) SetColdRate(service string, rate float64) { s.coldRates[service] = rate }
 
-// HearCold takes in what an answer of a replica says of how long it stays cold. It reports
-// whether other nodes are to hear of it.
+// ExtendCold marks a replica as cold for the time that one of its answers gave. It reports
+// whether to announce the change to other nodes.
 func (s *Set) HearCold(now time.Time, id ID, left time.Duration) (announce bool) {
 	known := s.byID[id]
 	if known == nil {
@@ -122,14 +128,15 @@
 	return announce
 }
 
-// PauseCold has a cold replica passed over that is at its rate.
+// PauseCold excludes a cold replica that has reached its cold rate for the given time.
 func (s *Set) PauseCold(now time.Time, id ID, pause time.Duration) {
 	if known := s.byID[id]; known != nil {
 		known.cold.pausedUntil = now.Add(pause)
 	}
 }
 
-// coldRate is how many requests a second a replica bears, or 0 unless it is cold.
+// coldRate returns the maximum request rate of a replica in requests per second, or 0 unless it
+// is cold and its service has such a rate.
 func (s *Set) coldRate(now time.Time, m *member) float64 {
 	if s.config.Without.Cold || !m.cold.cold(now) {
 		return 0
@@ -137,12 +144,12 @@
 	return s.coldRates[m.entry.Service]
 }
 
-// atColdRate reports whether a cold replica may not get requests for now.
+// atColdRate reports whether a cold replica is paused because it has reached its cold rate.
 func (s *Set) atColdRate(now time.Time, m *member) bool {
 	return now.Before(m.cold.pausedUntil) && s.coldRate(now, m) > 0
 }
 
-// ColdTurn says that a replica counts as cold from now on, or no longer does.
+// ColdTransition is a replica's transition from warm to cold or back.
 type ColdTurn struct {
 	ID     ID
 	Cold   bool
@@ -150,8 +157,7 @@
 	Source string
 }
 
-// ColdTurns returns the replicas that turned cold or warm since the last call, and how
-// many are cold.
+// ColdTransitions returns the transitions since the last call, and the number of cold replicas.
 func (s *Set) ColdTurns(now time.Time) (transitions []ColdTurn, count int) {
 	for id, known := range s.coldTracked {
 		cold := known.cold.cold(now)
@@ -169,14 +175,15 @@
 	return transitions, count
 }
 
-// trackCold has ColdTurns tell when a replica that is cold turns warm.
+// trackCold registers a replica for ColdTransitions while it is cold or its transition to warm
+// has not been reported.
 func (s *Set) trackCold(now time.Time, known *member) {
 	if known.cold.cold(now) || known.cold.reportedCold {
 		s.coldTracked[known.entry.ID] = known
 	}
 }
 
-// ColdCount returns how many replicas are cold.
+// ColdCount returns the number of cold replicas.
 func (s *Set) ColdCount(now time.Time) (count int) {
 	for _, known := range s.coldTracked {
 		if known.cold.cold(now) {
--- a/replica/lateness.go
+++ b/replica/lateness.go
@@ -8,27 +8,28 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// Lateness learns how long the calls of each route take, and tells from when on
-// one that was not answered is late: its answer is likely lost. It is not safe
-// for concurrent use.
+// LatencyTracker tracks the latencies of answered calls per route, and derives the time after
+// which an unanswered call is late, that is, its answer is probably lost. It is not safe for
+// concurrent use.
 type Lateness struct {
 	routes map[string]*routeLatency
 }
 
-// routeLatency are the times of one route's answered calls.
+// routeLatency holds the latencies of one route's answered calls.
 type routeLatency struct {
 	window *hdrhistogram.WindowedHistogram
-	// late is the bound as of the last rotation, or 0 while too few are known.
+	// lateAfter is the time after which a call is late, as of the last refresh; 0 while there
+	// are too few samples.
 	lateAfter time.Duration
-	// usual is what half of the calls took less than, as of then.
+	// median is the median latency, as of the last refresh.
 	median    time.Duration
 	rotatedAt time.Time
-	// fresh counts the calls since the last rotation.
+	// samples is the number of calls since the last rotation.
 	samples int
 }
 
-// The sketch of call times: a window of some seconds in slices, with a relative
-// error of a tenth.
+// The histogram of latencies: a sliding window of 20 s in slices, with one significant digit (a
+// relative error of a tenth).
 const (
 	latencyUnit          = 100 * time.Microsecond
 	latencyMaximum       = 2 * time.Minute
@@ -38,22 +39,22 @@
 	maximumRoutes        = 200
 )
 
-// A call is late once it has taken this much more than all but a hundredth of
-// its route's calls, of which enough are known.
+// A call is late after lateFactor times the 99th percentile of its route's latencies, of which
+// at least lateMinimumSamples must be known.
 const (
 	latePercentile     = 99
 	lateFactor         = 1.25
 	lateMinimumSamples = 30
-	// medianPercentile is the part of a route's calls that take less than its usual time.
+	// medianPercentile is the percentile returned by Median.
 	medianPercentile = 50
-	// lateMinimum leaves room for pauses of this process.
+	// lateMinimum allows for pauses of this process.
 	lateMinimum = 20 * time.Millisecond
 )
 
-// NewLateness returns a Lateness that knows no route.
+// NewLatencyTracker returns a tracker without routes.
 func NewLateness() *Lateness { return &Lateness{routes: make(map[string]*routeLatency)} }
 
-// Observe takes in how long an answered call of the route took.
+// Observe records the latency of an answered call of the route.
 func (l *Lateness) Observe(now time.Time, route string, took time.Duration) {
 	known := l.routes[route]
 	if known == nil {
@@ -71,8 +72,8 @@
 	known.refresh(now)
 }
 
-// After returns how long after its start a call of the route is late, or the
-// given time while too little is known of the route.
+// LateAfter returns the time after which a call of the route is late, or the fallback while too
+// few latencies are known.
 func (l *Lateness) After(route string, fallback time.Duration) time.Duration {
 	known := l.routes[route]
 	if known == nil || known.lateAfter == 0 {
@@ -81,7 +82,7 @@
 	return known.lateAfter
 }
 
-// Usual returns what a call of the route takes as a rule, or 0 while too little is known.
+// Median returns the median latency of the route, or 0 while too few latencies are known.
 func (l *Lateness) Usual(route string) time.Duration {
 	if known := l.routes[route]; known != nil {
 		return known.median
@@ -89,8 +90,7 @@
 	return 0
 }
 
-// refresh computes the bound anew at the end of each slice, and sooner while
-// there is none.
+// refresh recomputes the bounds at the end of each slice, and earlier if there are none yet.
 func (t *routeLatency) refresh(now time.Time) {
 	age := now.Sub(t.rotatedAt)
 	firstBound := t.lateAfter == 0 && t.samples >= lateMinimumSamples
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -9,75 +9,79 @@
 )
 
 const (
-	// tokenTimeMaximumAge is for how long a turn's pace is told to other nodes: what is older
-	// says nothing of now.
+	// tokenTimeMaximumAge is the maximum age of a measurement that is reported to other nodes.
+	// Older ones say nothing about the present.
 	tokenTimeMaximumAge = 2 * time.Second
-	// tokenTimePeriod is the least time between two looks at the paces of a service.
+	// tokenTimePeriod is the minimum time between two updates of a service's token times.
 	tokenTimePeriod = 100 * time.Millisecond
-	// unevenFactor is the factor between the paces of the tenth and the ninth tenth of the
-	// replicas from which on they differ materially, and evenFactor the one from which on
-	// they do not any more: less is within what single turns vary by.
+	// Token times are used for the selection once the 90th percentile of the replicas exceeds
+	// the 10th by unevenFactor, and until it falls below evenFactor. Smaller differences are
+	// within the variation of single turns.
 	unevenFactor = 1.5
 	evenFactor   = 1.25
-	// minimumKnownShare is the share of a service's replicas whose pace has to be known.
+	// minimumKnownShare is the share of a service's replicas whose token time must be known.
 	minimumKnownShare = 0.5
-	// stayFactor is what the cost at the replica that served the line before counts as: a
-	// line that leaves has its prompt read anew, which delays all that are beside, and the
-	// lines that come are placed where there is room anyway.
+	// stayFactor scales the cost at the replica that served the session's previous turn. A
+	// session that moves needs its prompt prefilled again, which delays all concurrent
+	// requests, and new sessions are placed where there is capacity anyway.
 	stayFactor = 0.3
-	// speedStayFactor is that for a program that is behind its time: it moves where the
-	// whole is clearly sooner.
+	// speedStayFactor replaces stayFactor for requests with a positive speed bias, for example
+	// because their program is behind schedule. They move if another replica is clearly faster
+	// overall.
 	speedStayFactor = 0.6
-	// maximumPrefillLoad is the share of the slots up to which a replica's load tells how long a
-	// prompt takes to be read: beyond it turns wait for those of others.
+	// maximumPrefillLoad is the load, as a share of the slots, up to which the time to the
+	// first event measures the prefill. Beyond it, turns wait for the prefill of others.
 	maximumPrefillLoad = 0.5
-	// drawCount is how many replicas are drawn for a turn: the better of two levels the
-	// loads as far as they are known, and more than that would send all nodes to the same.
-	// Those that lack most of the prompt do not count, up to maximumDraws draws.
+	// drawCount is the number of replicas drawn for a turn. The better of two evens out the
+	// loads as far as they are known; more would send all nodes to the same replica. Draws that
+	// lack most of the prompt do not count, up to maximumDraws draws.
 	drawCount    = 2
 	maximumDraws = 6
-	// ownZoneWeight is the weight of a replica of the node's own zone in a draw.
+	// ownZoneWeight scales the draw weight of replicas in the node's own zone.
 	ownZoneWeight = 2
-	// coldWeight is that of one that is cold: it bears few requests, and is slow.
+	// coldWeight scales the draw weight of cold replicas, which accept few requests and are
+	// slow.
 	coldWeight = 0.2
-	// minimumFill is the least load that a share is dealt for: a few turns keep the pace of
-	// each replica known, and where the others may not take a turn these do.
+	// minimumFill is the minimum load for which a draw weight is computed. A few turns keep
+	// every replica's token time known, and these replicas serve turns that may not use the
+	// others.
 	minimumFill = 0.05
-	// loadSmoothing is the part of a look in the mean of the last loads, which makes it one
-	// of about a second, and spareRequests the requests more for each replica that shares
-	// are dealt for, so that none is left out on the word of one moment.
+	// loadSmoothing is the weight of the latest load in the moving average, which then covers
+	// about one second. spareRequests is the number of additional requests per replica for
+	// which weights are computed, so that one momentary load does not exclude a replica.
 	loadSmoothing = 0.1
 	spareRequests = 0.3
 )
 
-// Sample is what a turn measured of its replica.
+// Sample is what one turn measured at its replica.
 type Sample struct {
-	// Load is the requests beside it when it was chosen.
+	// Load is the number of concurrent requests at the time of the selection.
 	Load int
-	// Token is the time of a token, from the first event to the last.
+	// TokenTime is the time per generated token, from the first event to the last.
 	Token time.Duration
-	// Missing is how many tokens of the prompt were missing there, as was expected, and
-	// First how long after it was sent the first event came; 0 where that is not known.
+	// UncachedTokens is the number of prompt tokens that were expected to need prefill.
+	// TimeToFirstEvent is the time from sending the request to the first event, or 0 if
+	// unknown.
 	Missing int
 	First   time.Duration
 }
 
-// paces is how fast the replicas of one service are.
+// tokenTimes holds the token times of the replicas of one service, in nanoseconds.
 type tokenTimes struct {
 	updatedAt time.Time
-	// middle is the median of their tokens' times, and uneven whether they differ
-	// materially. fastest and slowest bound all but the outer tenths.
+	// median is the median of the replicas' token times; fastest and slowest are their 10th and
+	// 90th percentiles. uneven reports whether they differ materially.
 	median, fastest, slowest float64
 	uneven                   bool
-	// load is the requests under way of late, all together.
+	// load is the moving average of the requests in flight at all replicas together.
 	load float64
-	// reading learns how long turns wait for their first event; base and share are what
-	// it said at the last look.
+	// firstEvent estimates the time to the first event. firstEventBase and prefillShare are its
+	// fit as of the last update, in units of the replica's token time.
 	firstEvent                   dispatch.Reading
 	firstEventBase, prefillShare float64
 }
 
-// Observe takes in what a turn of this node measured.
+// Observe applies the measurements of one of this node's turns.
 func (s *Set) Observe(now time.Time, id ID, sample Sample) {
 	known := s.byID[id]
 	if known == nil || sample.Token <= 0 || s.config.Without.Pace {
@@ -93,7 +97,7 @@
 	service.firstEvent.Observe(now, sample.Missing, sample.First, known.tokenTime.Token(now, time.Duration(service.median)))
 }
 
-// addTokenTimes adds what this node measured lately.
+// addTokenTimes adds this node's recent token times to the reports.
 func (s *Set) addTokenTimes(now time.Time, reports map[ID]Report) {
 	for id, known := range s.measured {
 		token, samples := known.tokenTime.Lately(now, tokenTimeMaximumAge)
@@ -107,8 +111,8 @@
 	}
 }
 
-// unevenTokenTimes returns the paces of a service where they differ materially among the replicas
-// that are weighed, else nil.
+// unevenTokenTimes returns the token times of a service if they differ materially among the
+// candidates, else nil.
 func (s *Set) unevenTokenTimes(now time.Time, service string, candidates []*member) *tokenTimes {
 	if s.config.Without.Pace {
 		return nil
@@ -127,14 +131,13 @@
 	return found
 }
 
-// PaceRange is how fast the replicas of a service are, but for the outer tenths: the time of
-// a token with nothing beside.
+// TokenTimeRange is the range of the replicas' token times without concurrent requests, from
+// the 10th to the 90th percentile.
 type PaceRange struct {
 	Fastest, Slowest time.Duration
 }
 
-// PaceRange returns how fast the replicas of a service are, or false where that is not
-// known.
+// TokenTimeRange returns the range of a service's token times, or false if it is unknown.
 func (s *Set) PaceRange(service string) (PaceRange, bool) {
 	found := s.serviceTokenTimes[service]
 	if found == nil || found.median == 0 {
@@ -143,7 +146,7 @@
 	return PaceRange{Fastest: time.Duration(found.fastest), Slowest: time.Duration(found.slowest)}, true
 }
 
-// look estimates the paces anew.
+// update recomputes the token times.
 func (t *tokenTimes) update(now time.Time, members []*member, loads loadEstimate) {
 	t.updatedAt = now
 	t.firstEventBase, t.prefillShare = t.firstEvent.Fit()
@@ -171,7 +174,7 @@
 	t.uneven = enoughKnown && t.slowest >= factor*t.fastest
 }
 
-// of is the time of a token at a replica, the middle where none is known.
+// of returns the token time of a replica, or the median if it is unknown.
 func (t *tokenTimes) of(m *member) float64 {
 	if m.tokenNanoseconds > 0 {
 		return m.tokenNanoseconds
@@ -179,7 +182,7 @@
 	return t.median
 }
 
-// placement describes a replica to a placement.
+// placement describes a replica for the prediction of a request there.
 func (e *evaluation) placement(m *member) dispatch.Place {
 	token := e.tokenTimes.of(m)
 	return dispatch.Place{
@@ -202,9 +205,9 @@
 	}
 }
 
-// drawn returns the best of a few replicas that are drawn by their shares, and of the one
-// that served the line before. Nodes that know the same draw differently, and together by
-// the shares.
+// selectByDraw returns the best of the replica that served the session's previous turn and a
+// few replicas drawn at random by weight. Nodes with the same information draw different
+// replicas, and together distribute their requests by the weights.
 func (e *evaluation) selectByDraw(feasible []*member) *member {
 	total := 0.0
 	weights := slices.Grow(e.set.weights[:0], len(feasible))[:len(feasible)]
@@ -243,7 +246,7 @@
 	return best
 }
 
-// haste is how the request takes the fast replicas.
+// speedBias is the request's speed bias, or 0 if the factor is disabled.
 func (e *evaluation) speedBias() int {
 	if e.set.config.Without.Slack {
 		return 0
@@ -251,8 +254,8 @@
 	return e.request.Haste
 }
 
-// weight is a replica's part of the draws: that of a fast one is larger for those that
-// go before others, and smaller for those that go after.
+// drawWeight returns a replica's weight in the draws of this request. A positive speed bias
+// raises the weight of fast replicas, a negative one lowers it.
 func (e *evaluation) drawWeight(m *member) float64 {
 	weight := m.weight
 	if m.entry.Zone == e.set.config.Zone {
@@ -274,7 +277,7 @@
 	}
 }
 
-// scatter returns a number from 0 to 1 that follows from a draw and an index.
+// hashDraw derives a pseudo-random number in [0, 1) from a draw and an index.
 func hashDraw(draw float64, index int) float64 {
 	bits := uint64(draw*(1<<53)) + uint64(index+1)*0x9e3779b97f4a7c15
 	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
@@ -282,7 +285,7 @@
 	return float64((bits^bits>>31)>>11) / (1 << 53)
 }
 
-// predict notes when the answer is expected to be whole.
+// addPrediction adds the predicted duration and its inputs to the choice.
 func (e *evaluation) addPrediction(m *member, choice *Choice) {
 	if e.tokenTimes == nil {
 		return
@@ -296,8 +299,9 @@
 	}
 }
 
-// dealt estimates the requests at a replica where turns are placed by shares and lines
-// stay: for each that has ended since a word another one has come, wherever it was.
+// steadyLoad estimates the requests at a replica, assuming that turns are placed by weight and
+// sessions stay: each request that ended since the load summary has been replaced by another
+// one at the same replica.
 func (e *loadEstimate) steadyLoad(m *member) float64 {
 	if e.summary == nil || e.coverage == 0 {
 		return e.load(m)
@@ -309,8 +313,8 @@
 	return float64(m.ownRequests) + others/e.coverage
 }
 
-// deal gives each replica its share: of the load that all have together, as much as
-// makes one more request cost the same everywhere, up to its room.
+// assignDrawWeights computes the weight of each replica. It distributes the total load so that
+// one more request costs the same at every replica, up to each replica's limit.
 func (t *tokenTimes) assignDrawWeights(members []*member, loads loadEstimate) {
 	load := 0.0
 	for _, m := range members {
--- a/replica/peerloads.go
+++ b/replica/peerloads.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// peerReport is what another node has under way.
+// peerReport holds the requests in flight that a peer reported, by replica.
 type peerReport struct {
 	receivedAt time.Time
 	counts     map[ID]int
 }
 
-// SetPeer takes in the requests that a peer has under way.
+// SetPeer replaces the reported requests in flight of a peer.
 func (s *Set) SetPeer(now time.Time, peer string, counts map[ID]int) {
 	if s.config.Without.PeerLoads {
 		return
@@ -19,7 +19,7 @@
 	s.addPeerCounts(counts, 1)
 }
 
-// expirePeerReports drops reports that are too old to count.
+// expirePeerReports drops reports that are older than PeerLoadLifetime.
 func (s *Set) expirePeerReports(now time.Time) {
 	for peer, load := range s.peerRequests {
 		if now.Sub(load.receivedAt) > s.config.PeerLoadLifetime {
@@ -28,13 +28,13 @@
 	}
 }
 
-// dropPeerReport takes a peer's report back.
+// dropPeerReport removes a peer's report and subtracts it from the replicas' counts.
 func (s *Set) dropPeerReport(peer string) {
 	s.addPeerCounts(s.peerRequests[peer].counts, -1)
 	delete(s.peerRequests, peer)
 }
 
-// addPeerCounts adds a report to the replicas' counts, or takes it off.
+// addPeerCounts adds the counts of a report to the replicas, or subtracts them with sign -1.
 func (s *Set) addPeerCounts(counts map[ID]int, sign int) {
 	for id, count := range counts {
 		if known := s.byID[id]; known != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// peerRequestsAt returns what the reports that count say of one replica.
+// peerRequestsAt returns the requests at one replica according to the reports of peers.
 func (s *Set) peerRequestsAt(id ID) (count int) {
 	for _, load := range s.peerRequests {
 		count += load.counts[id]
@@ -51,28 +51,29 @@
 	return count
 }
 
-// loadEstimate is what the reports of peers say of the loads of one service: in a large
-// fleet, those of some peers for all.
+// loadEstimate estimates the loads of one service's replicas. In a large fleet it extrapolates
+// from the reports of some peers.
 type loadEstimate struct {
-	// heard is the share of the peers whose reports count, and mean the requests
-	// of all peers at a replica, by those reports.
+	// coverage is the share of the other nodes that the reports or the load summary cover.
+	// meanRequests is the estimated mean number of requests of all other nodes per replica.
 	coverage     float64
 	meanRequests float64
-	// word is what a collector told of the loads, or nil, and still the share of the
-	// requests it told of that have not ended since.
+	// summary is the load summary, or nil if the estimate is based on the reports of peers.
+	// remainingShare is the share of the summary's requests that have not ended since.
 	summary        *receivedSummary
 	remainingShare float64
-	// level is the load up to which emptier replicas have been filled since the word.
+	// fillLevel is the load up to which the less loaded replicas have been filled since the
+	// load summary.
 	fillLevel float64
 }
 
-// loadShape is the shape of the gamma distribution that the loads of a service's
-// replicas are taken to follow: with 2 the deviation is 0.7 of the mean, which is
-// what lines of turns that stay at their replica make it.
+// loadShape is the shape parameter of the gamma distribution that the loads of a service's
+// replicas are assumed to follow. With 2, the standard deviation is 0.7 of the mean, which
+// results from sessions that stay at their replica.
 const loadShape = 2
 
-// estimateLoads sums up what is known of the loads of the replicas of a service that are
-// weighed: a collector's word, or else the reports of peers.
+// estimateLoads estimates the loads of the candidates, from a recent load summary if there is
+// one, else from the reports of peers.
 func (s *Set) estimateLoads(now time.Time, candidates []*member) loadEstimate {
 	if s.summaryIsRecent(now) {
 		return s.estimateFromSummary(now, candidates)
@@ -80,7 +81,7 @@
 	return s.estimateFromReports(candidates)
 }
 
-// estimateFromReports sums up the reports for the replicas of a service that are weighed.
+// estimateFromReports estimates the loads of the candidates from the reports of peers.
 func (s *Set) estimateFromReports(candidates []*member) loadEstimate {
 	estimate := loadEstimate{coverage: 1}
 	if others := s.nodeCount - 1; others > 0 && !s.config.Without.Estimates {
@@ -97,9 +98,10 @@
 	return estimate
 }
 
-// load estimates the requests at a replica: this node's own, those that peers told
-// of, and what the silent peers add by a Poisson draw whose rate follows from both
-// the service's mean and what was seen here.
+// load estimates the requests at a replica. Without a load summary, these are the requests of
+// this node, those that peers reported, and the expected requests of the remaining peers: the
+// mean of a Poisson distribution whose rate combines the service's mean (as a gamma prior) with
+// the requests reported for this replica.
 func (e loadEstimate) load(m *member) float64 {
 	if e.summary != nil {
 		return float64(m.ownRequests) + max(e.remaining(m), e.fillLevel)
--- a/replica/places.go
+++ b/replica/places.go
@@ -9,11 +9,11 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// SetEvacuated tells which zones are to get no requests, and since when.
+// SetEvacuated sets the evacuated zones, each with the start of its evacuation.
 func (s *Set) SetEvacuated(zones map[zone.Name]time.Time) { s.evacuated = maps.Clone(zones) }
 
-// checkPlacement returns nil where a replica may get a request, or why it may not: whatever
-// its load, and whatever was tried before.
+// checkPlacement returns nil if a replica may receive the request, else the reason why not. It
+// ignores the replica's load and previous attempts.
 func (s *Set) checkPlacement(now time.Time, request *Request, m *member) error {
 	if !m.isServing(now) {
 		return ErrNoReplica
@@ -29,9 +29,9 @@
 	return ErrEvacuated
 }
 
-// mayRemain reports whether a request may still go to a replica of an evacuated zone: a
-// line of turns whose prompt it keeps, or a run that only it may go on with, until the
-// line's time to leave.
+// mayRemain reports whether a request may still go to a replica in an evacuated zone. Until its
+// departure time, that holds for a request that continues a session cached there, and for one
+// that only this replica may run.
 func (s *Set) mayRemain(now time.Time, request *Request, m *member, since time.Time) bool {
 	if m.entry.ID != request.Preferred && m.entry.ID != request.Only {
 		return false
@@ -39,7 +39,8 @@
 	return now.Before(evacuation.Departure(since, s.config.LeaveWithin, request.Program))
 }
 
-// absence returns why no replica may take a request that none was saturated for.
+// unavailableReason returns why no replica may receive a request, if none was excluded by a
+// limit.
 func (s *Set) unavailableReason(now time.Time, request *Request) error {
 	reason := ErrNoReplica
 	for _, m := range s.services[request.Service] {
@@ -54,13 +55,14 @@
 	return reason
 }
 
-// sameRegion reports whether a replica is in this node's region, as far as is known.
+// sameRegion reports whether a replica is in this node's region, as far as the topology is
+// known.
 func (s *Set) sameRegion(m *member) bool {
 	return s.config.Regions.Together(zone.Name(s.config.Zone), zone.Name(m.entry.Zone))
 }
 
-// left reports whether a request may no longer go where its line went before, as that
-// zone is evacuated.
+// leftEvacuatedZone reports whether a request may no longer go to its session's previous
+// replica because that replica's zone is evacuated.
 func (s *Set) leftEvacuatedZone(now time.Time, request *Request) bool {
 	known := s.byID[request.Preferred]
 	return known != nil && errors.Is(s.checkPlacement(now, request, known), ErrEvacuated)
--- a/replica/shared.go
+++ b/replica/shared.go
@@ -5,50 +5,49 @@
 	"time"
 )
 
-// sharedParts learns which parts of prompts many programs share, and how often
-// this node's programs begin with them. Each node of a large fleet sends few of its
-// programs to any one replica, and cannot tell from that alone what the others have
-// had read there.
+// sharedParts tracks which prompt parts many programs share, and how often this node's programs
+// begin with them. In a large fleet each node sends few of its programs to any one replica, so
+// its own requests alone do not show which parts the replica has cached for other nodes.
 type sharedParts struct {
 	parts map[string]*sharedPart
-	// counted are the tokens of the parts that many programs share, as of countedAt.
+	// sharedTokens is the total length of the parts that many programs share, as of countedAt.
 	sharedTokens int
 	countedAt    time.Time
 }
 
-// sharedPart is one part that a prompt of this node had.
+// sharedPart is one part that occurred in a prompt of this node.
 type sharedPart struct {
 	tokens  int
 	program string
-	// programs counts the programs that had the part after another one, and halves
-	// with time.
+	// programs counts the times that the part was used by another program than the one before,
+	// as of at. It decays exponentially.
 	programs float64
 	at       time.Time
 }
 
 const (
-	// sharedHalfLife is the time in which a program's use of a part counts half as
-	// much: a few seconds smooth a node's few programs, and engines keep a part
-	// that is read again within such a time.
+	// sharedHalfLife is the half-life of the use counts. A few seconds average over the few
+	// programs of a node, and an engine keeps a part that is used again within such a time.
 	sharedHalfLife = 5 * time.Second
-	// sharedWindow is the time that the decayed count stands for: the half-life by
+	// sharedWindow is the time span that the decayed count represents: the half-life divided by
 	// the natural logarithm of 2.
 	sharedWindow = sharedHalfLife * 1000 / 693
-	// maximumSharedParts bounds the parts that are followed, and sharedMinimumPrograms is the
-	// count under which a part is forgotten when there are too many.
+	// maximumSharedParts bounds the number of tracked parts. When it is exceeded, parts with a
+	// count below sharedMinimumPrograms are dropped.
 	maximumSharedParts    = 2048
 	sharedMinimumPrograms = 0.1
-	// sharedCountPeriod is for how long a count of the shared parts' tokens is used: a visit
-	// of all parts would be most of the cost of a choice, and they halve in seconds.
+	// sharedCountPeriod is how long the total length of the shared parts is reused. Iterating
+	// over all parts would be most of the cost of a selection, and the counts change over
+	// seconds.
 	sharedCountPeriod = 100 * time.Millisecond
-	// sharedCacheLimit is the share of an engine's memory that shared parts are taken
-	// to have; the rest is the requests' own.
+	// sharedCacheLimit is the share of an engine's KV cache assumed to be available to shared
+	// parts. The rest holds the requests' own tokens.
 	sharedCacheLimit = 0.5
 )
 
 func newSharedParts() *sharedParts { return &sharedParts{parts: make(map[string]*sharedPart)} }
 
-// add takes in the prompt of a program's turn.
+// add records the prompt of a program's turn.
 func (s *sharedParts) add(now time.Time, program string, prompt []Part) {
 	if program == "" {
 		return
@@ -70,8 +69,8 @@
 	}
 }
 
-// forget drops the parts that hardly any other program has had lately, which are
-// nearly all: the histories of single programs.
+// evictUnshared drops the parts that hardly any other program used recently. These are nearly
+// all parts, since most belong to the history of a single program.
 func (s *sharedParts) evictUnshared(now time.Time) {
 	for id, p := range s.parts {
 		if p.decayedPrograms(now) < sharedMinimumPrograms && now.Sub(p.at) > sharedHalfLife {
@@ -90,15 +89,15 @@
 	return p.programs * math.Exp2(-float64(now.Sub(p.at))/float64(sharedHalfLife))
 }
 
-// spread is how the programs of this node stand for those at one replica: the
-// fleet's nodes by the replicas among which they choose, and the part of the window
-// for which the replica has been there.
+// programScale converts the program count of this node to that expected at one replica. It is
+// the number of nodes per replica among which they choose, times the part of the window for
+// which the replica has existed.
 func programScale(nodes, replicas int, age time.Duration) float64 {
 	return float64(nodes) / float64(max(1, replicas)) * min(1, float64(age)/float64(sharedWindow))
 }
 
-// kept returns how likely a replica keeps a part that this node did not send there:
-// that some node of the fleet sent it a program with the part within the window.
+// cachedProbability returns the probability that a replica has a part cached that this node did
+// not send there, that is, that some node sent it a program with this part within the window.
 func (s *sharedParts) cachedProbability(now time.Time, id string, scale float64) float64 {
 	p := s.parts[id]
 	if p == nil || p.programs == 0 {
@@ -107,7 +106,7 @@
 	return 1 - math.Exp(-p.decayedPrograms(now)*scale)
 }
 
-// tokens returns the tokens of the parts that many programs have had lately.
+// tokens returns the total length of the parts that many programs used recently.
 func (s *sharedParts) tokens(now time.Time) (tokens int) {
 	if !s.countedAt.IsZero() && now.Sub(s.countedAt) < sharedCountPeriod {
 		return s.sharedTokens
--- a/replica/subset.go
+++ b/replica/subset.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// Most nodes of a large fleet hold a part of its replicas: what they hold, hear and
-// keep connections to would else grow with the fleet. Nodes of a group hold the same
-// part, so that they meet at the same replicas.
+// Most nodes of a large fleet hold only a subset of its replicas. Otherwise the list, the
+// updates and the connections of each node would grow with the fleet. All nodes of a group hold
+// the same subset, so that they use the same replicas.
 const (
-	// subsetThreshold is how many replicas of a service every node may hold: some 100 KB on
-	// the wire, and less than a megabyte of memory.
+	// subsetThreshold is the largest size of a service whose replicas every node holds in full:
+	// about 100 KB on the wire and less than 1 MB of memory.
 	subsetThreshold = 512
-	// subsetOwnZone is how many replicas of its own zone a node holds of a larger service.
-	// With six slots each they serve the requests of four times as many nodes at once.
+	// subsetOwnZone is the number of replicas in its own zone that a node holds of a larger
+	// service. With six slots each, they serve the concurrent requests of four times as many
+	// nodes.
 	subsetOwnZone = 256
-	// subsetOtherZone is how many of each other zone it holds, for when its own is lost,
-	// evacuated, or not where a request may be served.
+	// subsetOtherZone is the number of replicas that it holds in each other zone, for when its
+	// own zone is lost, evacuated, or not permitted for a request.
 	subsetOtherZone = 32
 )
 
-// Group is the nodes of a zone that hold the same part of the replicas.
+// Group identifies the nodes of a zone that hold the same subset of the replicas.
 type Group struct {
 	Zone   string
 	Number int
 }
 
-// Subset returns the replicas that the nodes of a group hold: of each service all, or
-// as many of each zone as they need.
+// Subset returns the replicas that the nodes of a group hold: all replicas of a small service,
+// and a fixed number per zone of a large one.
 func (s *Set) Subset(group Group) map[ID]bool {
 	held := make(map[ID]bool)
 	for service := range s.services {
@@ -62,7 +63,7 @@
 	rank uint64
 }
 
-// rankByZone returns the ready replicas of each zone in the order of a group.
+// rankByZone returns the ready replicas of each zone in the order of their rank for the group.
 func rankByZone(list []*member, group Group) map[string][]rankedID {
 	zones := make(map[string][]rankedID)
 	for _, m := range list {
--- a/replica/view.go
+++ b/replica/view.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// View is a part of a list of replicas as a group of nodes follows it: a feed of the
-// changes of that part alone. It is not safe for concurrent use.
+// View is the subset of a replica list that a group of nodes follows: a feed of the changes of
+// that subset. It is not safe for concurrent use.
 type View struct {
 	group Group
 	held  map[ID]bool
 	feed  Feed
-	// stale says that replicas came or went since the part was chosen.
+	// stale reports that replicas were added or removed since the subset was computed.
 	stale bool
 }
 
-// NewView returns the view of a group of a set. Its changes are numbered from first on: a
-// follower may come back with a number of a former view, which must not be one of this.
+// NewView returns the view of a set for a group. Its changes are numbered from first on. The
+// numbers must not overlap with those of an earlier view, since a follower may return with one
+// of them.
 func NewView(set *Set, group Group, first uint64) *View {
 	return &View{group: group, held: set.Subset(group), feed: Feed{next: first}}
 }
 
-// Note takes in a change of the list.
+// Apply applies a change of the list.
 func (v *View) Note(change Change) {
 	switch {
 	case change.Entry == nil:
@@ -29,16 +30,16 @@
 		}
 	case v.held[change.Entry.ID]:
 		v.feed.Add(change)
-		// One that drains is replaced.
+		// A draining replica is replaced by another one.
 		v.stale = v.stale || change.Entry.Status != StatusReady
 	default:
 		v.stale = true
 	}
 }
 
-// Refresh chooses the part anew where replicas came or went. Replicas that were in it
-// and are no longer leave it, but for those that drain: nodes finish what they have
-// under way there.
+// Refresh recomputes the subset if replicas were added or removed. Replicas that are no longer
+// in the subset are removed from the view, except draining ones, where nodes still finish their
+// requests.
 func (v *View) Refresh(now time.Time, set *Set) {
 	if !v.stale {
 		return
@@ -63,11 +64,12 @@
 	v.held = chosen
 }
 
-// Next returns the number of the view's next change.
+// Next returns the number of the next change.
 func (v *View) Next() uint64 { return v.feed.Next() }
 
-// Since returns the changes of the part from a number on, or all of it (whole) where
-// they are not known, and the number to ask for next.
+// Since returns the changes from the given number on, and the number to continue from. If known
+// is false or the changes are no longer retained, it returns the whole subset and whole is
+// true.
 func (v *View) Since(now time.Time, set *Set, number uint64, known bool) (changes []Change, next uint64, whole bool) {
 	if known {
 		if kept, found := v.feed.Since(number); found {
--- a/replica/window.go
+++ b/replica/window.go
@@ -9,40 +9,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A node of a large fleet sends a small share of the requests of its zone. If each
-// node chose among all replicas, nearly every request would open a connection and
-// have an engine read a prompt that another one keeps, and a choice would cost what
-// the service has replicas. The nodes of a zone weigh a window of the same replicas
-// instead, as many as their load needs.
+// A node of a large fleet sends a small share of the requests of its zone. If each node
+// selected from all replicas, nearly every request would open a connection and prefill a prompt
+// that another replica has cached, and the cost of a selection would grow with the service.
+// Instead, the nodes of a zone select from a window of the same replicas, sized to their load.
 const (
-	// windowThreshold is how many replicas of a service are weighed without a window: a
-	// choice among them takes some ten microseconds.
+	// windowThreshold is the largest service that is evaluated without a window. A selection
+	// among this many replicas takes about ten microseconds.
 	windowThreshold = 128
-	// minimumWindow is the size of a window without load: enough that two nodes that
-	// choose at the same moment seldom meet, and that the loss of some leaves others.
+	// minimumWindow is the size of a window without load. It is large enough that two nodes
+	// that select at the same time rarely choose the same replica, and that some replicas may
+	// fail.
 	minimumWindow = 32
-	// windowGrowLoad is the load, in requests by slots, from which on a window grows, and
-	// windowShrinkLoad the one below which it shrinks. Between them lies more than the
-	// factor of two by which a step changes the load.
+	// A window grows when its load, in requests per slot, exceeds windowGrowLoad, and shrinks
+	// when it is below windowShrinkLoad. They differ by more than the factor of two by which a
+	// resize changes the load.
 	windowGrowLoad   = 0.4
 	windowShrinkLoad = 0.1
-	// windowPeriod is the least time between two looks at a window's load, and
-	// windowWeight the share of a look in the mean of the last ones: reports of a few
-	// peers stand for all, and one look is noisy.
+	// windowPeriod is the minimum time between two updates of a window's load. windowWeight is
+	// the weight of the latest load in the moving average; a single load is noisy because the
+	// reports of a few peers are extrapolated to all.
 	windowPeriod = 250 * time.Millisecond
 	windowWeight = 0.2
 )
 
-// window is how many replicas of a large service are weighed: the first of those ranked.
+// window determines how many replicas of a large service are candidates: the first size
+// replicas by rank.
 type window struct {
 	size int
-	// load is the mean load of late, in requests by slots.
+	// load is the moving average of the load, in requests per slot.
 	load      float64
 	updatedAt time.Time
 }
 
-// weighable returns the replicas that a choice weighs: all of a service that is not
-// large, else those of the window and the one that served the line before.
+// selectCandidates returns the candidates for a request: all replicas of a small service, or
+// those in the window and the replica that served the session's previous turn.
 func (s *Set) selectCandidates(now time.Time, request *Request) []*member {
 	list := s.ranked[request.Service]
 	if len(list) <= windowThreshold {
@@ -64,7 +65,8 @@
 	return selected
 }
 
-// look takes in a window's load, and fits its size to it.
+// update applies the current load of the window and adjusts its size. maximum is the number of
+// replicas of the service.
 func (w *window) update(now time.Time, load float64, maximum int) {
 	w.updatedAt = now
 	w.load += windowWeight * (load - w.load)
@@ -76,14 +78,14 @@
 	}
 }
 
-// resize changes a window's size; the load spreads over as many more or fewer.
+// resize changes the size of the window and scales its load accordingly.
 func (w *window) resize(size int) {
 	w.load *= float64(w.size) / float64(size)
 	w.size = size
 }
 
-// widen doubles the window of a service of which so many replicas were weighed in vain.
-// It reports whether there are more to weigh.
+// growWindow doubles the window of a service after evaluated replicas turned out to be
+// insufficient. It reports whether there are more to evaluate.
 func (s *Set) growWindow(service string, evaluated int) bool {
 	list := s.ranked[service]
 	if evaluated >= len(list) {
@@ -97,7 +99,7 @@
 	return true
 }
 
-// fullness returns the mean load of some replicas, in requests by slots.
+// meanLoad returns the mean load of the given replicas, in requests per slot.
 func (s *Set) meanLoad(now time.Time, members []*member) float64 {
 	loads := s.estimateLoads(now, members)
 	load, slots := 0.0, 0
@@ -108,7 +110,7 @@
 	return load / float64(max(1, slots))
 }
 
-// link enters a replica into the lists of its service.
+// addToService adds a replica to the lists of its service.
 func (s *Set) addToService(added *member) {
 	service := added.entry.Service
 	added.index = len(s.services[service])
@@ -116,7 +118,8 @@
 	s.insertRanked(added)
 }
 
-// unlink takes a replica off the lists of its service. The last one takes its place.
+// removeFromService removes a replica from the lists of its service. The last replica of the
+// unordered list takes its position.
 func (s *Set) removeFromService(known *member) {
 	service := known.entry.Service
 	list := s.services[service]
@@ -127,7 +130,7 @@
 	s.removeRanked(known)
 }
 
-// enrank enters a replica into the ranking of its service.
+// insertRanked inserts a replica into the ranked list of its service.
 func (s *Set) insertRanked(added *member) {
 	s.zoneCounts[added.entry.Zone]++
 	list := s.ranked[added.entry.Service]
@@ -135,7 +138,7 @@
 	s.ranked[added.entry.Service] = slices.Insert(list, place, added)
 }
 
-// unrank takes a replica off the ranking of its service.
+// removeRanked removes a replica from the ranked list of its service.
 func (s *Set) removeRanked(known *member) {
 	if s.zoneCounts[known.entry.Zone]--; s.zoneCounts[known.entry.Zone] <= 0 {
 		delete(s.zoneCounts, known.entry.Zone)
@@ -146,7 +149,7 @@
 	}
 }
 
-// compare ranks the replicas of a service: those of this node's zone first.
+// compareRank orders the replicas of a service, those of this node's zone first.
 func (s *Set) compareRank(left, right *member) int {
 	leftLocal, rightLocal := left.entry.Zone == s.config.Zone, right.entry.Zone == s.config.Zone
 	if leftLocal != rightLocal {
@@ -158,12 +161,12 @@
 	return cmp.Or(cmp.Compare(left.rank, right.rank), cmp.Compare(left.entry.ID, right.entry.ID))
 }
 
-// rankHash orders a replica among others, alike for all nodes of a group in a zone.
+// rankHash returns a replica's rank, which is the same for all nodes of a group in a zone.
 func rankHash(zone string, group int, id ID) uint64 {
 	digest := xxhash.New()
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], uint64(group))
-	// Writes to a digest return no error.
+	// Writes to a digest never return an error.
 	_, _ = digest.WriteString(zone)
 	_, _ = digest.Write(number[:])
 	_, _ = digest.WriteString(string(id))
--- a/replica/word.go
+++ b/replica/word.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Word is what all other nodes have, as a collector told it.
+// LoadSummary is the load of all other nodes as summed up by a collector.
 type Word struct {
-	// Nodes is how many others it is of, and At when their counts were true.
+	// Nodes is the number of other nodes included, and AsOf the time at which their counts were
+	// valid.
 	Nodes int
 	At    time.Time
-	// Totals are what they have. Partial says that there are replicas with requests that
-	// are not among them.
+	// Totals holds the load of each replica. Partial reports that replicas with requests are
+	// missing from Totals.
 	Totals  map[ID]Total
 	Partial bool
 }
 
 const (
-	// summaryLifetime is how long a word counts. Without a newer one the reports of peers
-	// tell the loads again.
+	// summaryLifetime is how long a load summary is used. After that, the reports of peers are
+	// used instead.
 	summaryLifetime = time.Second
-	// maximumLoadFactor times its slots bounds what is believed to be under way at a replica: it
-	// is passed over at that already, and one false word does not mark it for longer.
+	// maximumLoadFactor bounds the accepted load of a replica, as a multiple of its slots. A
+	// replica with this load is already avoided, and the bound limits how long one wrong
+	// summary has an effect.
 	maximumLoadFactor = 4
-	// defaultDuration stands for how long a service's requests take while that is not
-	// known, durationWeight is the share of a look in the mean, and durationPeriod the
-	// time between two looks.
+	// defaultDuration is used while the request duration of a service is unknown.
+	// durationWeight is the weight of the latest measurement in the moving average, and
+	// durationPeriod the minimum time between two measurements.
 	defaultDuration = 200 * time.Millisecond
 	durationWeight  = 0.3
 	durationPeriod  = time.Second
-	// maximumLevelSteps bounds the steps in which the level of the emptier replicas is found;
-	// each leaves out those that are fuller.
+	// maximumLevelSteps bounds the iterations of computeFillLevel, each of which excludes
+	// replicas above the level.
 	maximumLevelSteps = 8
 )
 
-// TakeWord takes in what all other nodes have. A replica that a whole word does not name
-// has no request of theirs.
+// ApplyLoadSummary applies the load of all other nodes. A replica that is not in a complete
+// summary has no requests of other nodes.
 func (s *Set) TakeWord(now time.Time, summary Word) {
 	if s.config.Without.PeerLoads {
 		return
@@ -50,9 +52,9 @@
 	s.TakePaces(now, summary.Totals)
 }
 
-// receivedSummary is the last word that was taken in.
+// receivedSummary describes the last load summary received.
 type receivedSummary struct {
-	// at is when its counts were true, and taken when it was taken in.
+	// asOf is when its counts were valid, and receivedAt when it was received.
 	asOf       time.Time
 	receivedAt time.Time
 	nodeCount  int
@@ -60,8 +62,8 @@
 	number     uint64
 }
 
-// requestsAt returns the requests of others at a replica by the last word, or false where
-// it says nothing of the replica.
+// requestsAt returns the requests of other nodes at a replica according to the summary, or
+// false if the summary does not cover the replica.
 func (s *receivedSummary) requestsAt(m *member) (requests float64, known bool) {
 	if m.summary == s.number {
 		return m.summaryRequests, true
@@ -69,8 +71,8 @@
 	return 0, !s.partial
 }
 
-// worded reports whether a recent word counts: one of half of the other nodes at least, or
-// of more than the reports of peers, which are older.
+// summaryIsRecent reports whether a load summary is recent and covers enough nodes: at least
+// half of the other nodes, or more than the reports of peers, which are older.
 func (s *Set) summaryIsRecent(now time.Time) bool {
 	if s.summary.receivedAt.IsZero() || now.Sub(s.summary.receivedAt) > summaryLifetime {
 		return false
@@ -78,8 +80,9 @@
 	return 2*s.summary.nodeCount >= s.nodeCount-1 || s.summary.nodeCount > len(s.peerRequests)
 }
 
-// estimateFromSummary sums up a word for the replicas of a service that are weighed. Of the
-// requests that it names a part has ended since, as many as its age by their duration.
+// estimateFromSummary estimates the loads of the candidates from the load summary. The share of
+// its requests that have ended since grows with the summary's age relative to the request
+// duration.
 func (s *Set) estimateFromSummary(now time.Time, candidates []*member) loadEstimate {
 	estimate := loadEstimate{coverage: 1, summary: &s.summary, remainingShare: 1}
 	if others := s.nodeCount - 1; others > 0 {
@@ -103,8 +106,8 @@
 	return estimate
 }
 
-// kept returns the requests of others at a replica that a word told of and that have not
-// ended since. One that the word says nothing of is taken for one like the others.
+// remaining returns the requests of other nodes in the load summary that have not ended yet. A
+// replica that the summary does not cover is assumed to have the mean load.
 func (e *loadEstimate) remaining(m *member) float64 {
 	others, known := e.summary.requestsAt(m)
 	if !known {
@@ -113,10 +116,11 @@
 	return others * e.remainingShare
 }
 
-// computeFillLevel returns the load up to which the emptier replicas have been filled since the
-// word: as many requests are new as ended or were not told of, and the nodes, which all
-// heard the same, send them to the replicas that were the emptiest. If each node took the
-// word for what is so now, all would send to one replica until the next.
+// computeFillLevel returns the load up to which the less loaded replicas have been filled since
+// the load summary. As many new requests are assumed as have ended or were not covered, and the
+// other nodes, which received the same summary, send them to the least loaded replicas. If each
+// node took the summary for the current load, all would send to one replica until the next
+// summary.
 func (e *loadEstimate) computeFillLevel(candidates []*member) float64 {
 	added := e.meanRequests * float64(len(candidates))
 	for _, m := range candidates {
@@ -139,9 +143,10 @@
 	return level
 }
 
-// drawn returns a load that a replica may have by what is known: the new requests are not
-// spread evenly. Replicas that were filled to one level differ by it, those the most that
-// were the emptiest, so that nodes that heard the same do not all prefer the same of them.
+// randomisedLoad returns a pseudo-random load that is consistent with the estimate, since new
+// requests are not distributed evenly. Replicas filled to the same level vary, those that were
+// least loaded the most, so that nodes with the same information do not all prefer the same
+// replica.
 func (e *loadEstimate) randomisedLoad(m *member, draw float64) float64 {
 	if e.summary == nil {
 		return e.load(m)
@@ -152,8 +157,8 @@
 	return float64(m.ownRequests) + max(0, mean+math.Sqrt(variance)*deviation(draw, m.rank))
 }
 
-// deviation returns a number of mean 0 and variance 1 that belongs to a draw and a
-// replica.
+// deviation derives a pseudo-random number with mean 0 and variance 1 from a draw and a
+// replica's rank.
 func deviation(draw float64, rank uint64) float64 {
 	const (
 		golden   = 0x9e3779b97f4a7c15
@@ -168,20 +173,21 @@
 	return (2*uniform - 1) * math.Sqrt(3)
 }
 
-// flow is how this node's requests of a service come and go, from which follows how long
-// they take: what is under way in the mean, by how many end in a time.
+// durationEstimator estimates the duration of this node's requests of one service: by Little's
+// law, the time integral of the requests in flight divided by the number of requests that
+// ended.
 type durationEstimator struct {
 	inFlight  int
 	updatedAt time.Time
-	// held is the time that requests were under way since windowStart, and ended how many
-	// ended.
+	// inFlightTime is the sum of the times in flight since windowStart, and ended the number of
+	// requests that ended since then.
 	inFlightTime time.Duration
 	ended        int
 	windowStart  time.Time
 	mean         time.Duration
 }
 
-// step takes in that requests began or ended.
+// record records that requests began (change > 0) or ended (change < 0).
 func (d *durationEstimator) record(now time.Time, change int) {
 	if !d.updatedAt.IsZero() && now.After(d.updatedAt) {
 		d.inFlightTime += time.Duration(d.inFlight) * now.Sub(d.updatedAt)
@@ -202,7 +208,7 @@
 	d.inFlightTime, d.ended, d.windowStart = 0, 0, now
 }
 
-// recordInFlight takes in that a request of a service began or ended.
+// recordInFlight records that requests of a service began (change > 0) or ended (change < 0).
 func (s *Set) recordInFlight(now time.Time, service string, change int) {
 	found := s.durations[service]
 	if found == nil {
@@ -212,7 +218,7 @@
 	found.record(now, change)
 }
 
-// meanDuration returns how long a service's requests take.
+// meanDuration returns the estimated duration of a service's requests.
 func (s *Set) meanDuration(service string) time.Duration {
 	if found := s.durations[service]; found != nil && found.mean > 0 {
 		return found.mean
