--- a/replica/kept_test.go
+++ b/replica/kept_test.go
@@ -8,8 +8,8 @@
 )
 
 var _ = Describe("A line of turns whose part of the prompt grows", func() {
-	prompt := func(line int) []replica.Part {
-		return []replica.Part{{ID: "shared", Tokens: 1000}, {ID: "line", Tokens: line}}
+	prompt := func(session int) []replica.Part {
+		return []replica.Part{{ID: "shared", Tokens: 1000}, {ID: "line", Tokens: session}}
 	}
 
 	It("stays where its last turn was served, also when it comes through another node", func() {
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -15,43 +15,43 @@
 // The replay of uneven engines: a quarter of them is twice as fast. Each reads prompts one
 // after the other, during which the others' tokens wait, and generates for all at once.
 const (
-	replayEngines = 12
-	replayNodes   = 8
-	replaySlots   = 16
-	replayTokens  = 200
-	replayTurns   = 4
-	replayTick    = 5 * time.Millisecond
-	replayPause   = 300 * time.Millisecond
-	replayBeside  = 0.03
-	replayRead    = 1.0 / 200
+	replayEngines  = 12
+	replayNodes    = 8
+	replaySlots    = 16
+	replayTokens   = 200
+	replayTurns    = 4
+	replayTick     = 5 * time.Millisecond
+	replayPause    = 300 * time.Millisecond
+	replaySlowdown = 0.03
+	replayPrefill  = 1.0 / 200
 )
 
 // replayTurn is one turn of a line.
 type replayTurn struct {
-	line, node, number   int
-	missing, tokens      float64
-	arrived, sent, first time.Time
-	load, expected       int
+	session, node, number int
+	missing, tokens       float64
+	arrived, sent, first  time.Time
+	load, expected        int
 }
 
 // replayEngine is one engine: whose prompts it keeps, and what it has to do.
 type replayEngine struct {
-	id    replica.ID
-	token float64 // milliseconds
-	kept  map[string]int
-	work  []*replayTurn
+	id     replica.ID
+	token  float64 // milliseconds
+	cached map[string]int
+	turns  []*replayTurn
 }
 
 // step works for one tick and returns the turns that are whole.
-func (e *replayEngine) step(now time.Time, pace float64) (done []*replayTurn) {
-	left := float64(replayTick) / 1e6 / (e.token * pace)
-	running := e.work[:min(len(e.work), replaySlots)]
+func (e *replayEngine) step(now time.Time, slowdown float64) (done []*replayTurn) {
+	left := float64(replayTick) / 1e6 / (e.token * slowdown)
+	running := e.turns[:min(len(e.turns), replaySlots)]
 	for _, turn := range running {
-		read := min(turn.missing, left/replayRead)
+		read := min(turn.missing, left/replayPrefill)
 		turn.missing -= read
-		left -= read * replayRead
+		left -= read * replayPrefill
 	}
-	each := left / (1 + replayBeside*float64(len(running)))
+	each := left / (1 + replaySlowdown*float64(len(running)))
 	for _, turn := range slices.Clone(running) {
 		if turn.missing > 0 {
 			continue
@@ -61,7 +61,7 @@
 		}
 		if turn.tokens -= each; turn.tokens <= 0 {
 			done = append(done, turn)
-			e.work = slices.DeleteFunc(e.work, func(other *replayTurn) bool { return other == turn })
+			e.turns = slices.DeleteFunc(e.turns, func(other *replayTurn) bool { return other == turn })
 		}
 	}
 	return done
@@ -69,13 +69,13 @@
 
 // replay is one play of lines of turns on engines, by nodes that hear each other.
 type replay struct {
-	random  *rand.Rand
-	engines []*replayEngine
-	sets    []*replica.Set
-	last    map[int]replica.ID
-	took    []time.Duration
-	loads   map[replica.ID]int
-	counted int
+	random    *rand.Rand
+	engines   []*replayEngine
+	sets      []*replica.Set
+	last      map[int]replica.ID
+	latencies []time.Duration
+	loads     map[replica.ID]int
+	ticks     int
 }
 
 func newReplay(without replica.Parts) *replay {
@@ -88,26 +88,26 @@
 		r.sets[node].SetCacheTokens("model", 353_217)
 	}
 	for index := range replayEngines {
-		engine := &replayEngine{id: replica.ID(fmt.Sprintf("e%d", index)), token: 1.5, kept: map[string]int{}}
+		engine := &replayEngine{id: replica.ID(fmt.Sprintf("e%d", index)), token: 1.5, cached: map[string]int{}}
 		if index%4 == 0 {
 			engine.token = 0.75
 		}
 		r.engines = append(r.engines, engine)
 		for _, set := range r.sets {
-			set.Put(begun, replica.Entry{ID: engine.id, Service: "model", Zone: "a", Status: replica.StatusReady, Slots: replaySlots})
+			set.Put(replayStart, replica.Entry{ID: engine.id, Service: "model", Zone: "a", Status: replica.StatusReady, Slots: replaySlots})
 		}
 	}
 	return r
 }
 
-var begun = time.Unix(1000, 0)
+var replayStart = time.Unix(1000, 0)
 
 // send places a turn.
 func (r *replay) send(now time.Time, turn *replayTurn) {
 	set := r.sets[turn.node]
-	parts := []replica.Part{{ID: fmt.Sprintf("shared-%d", turn.line%3), Tokens: 12_600}, {ID: fmt.Sprintf("own-%d", turn.line), Tokens: 1_000 * turn.number}}
+	parts := []replica.Part{{ID: fmt.Sprintf("shared-%d", turn.session%3), Tokens: 12_600}, {ID: fmt.Sprintf("own-%d", turn.session), Tokens: 1_000 * turn.number}}
 	request := &replica.Request{
-		Service: "model", Program: fmt.Sprint(turn.line), Prompt: parts, Preferred: r.last[turn.line],
+		Service: "model", Program: fmt.Sprint(turn.session), Prompt: parts, Preferred: r.last[turn.session],
 		Draw: r.random.Float64(), Expected: replayTokens,
 	}
 	choice, err := set.Select(now, request)
@@ -115,14 +115,14 @@
 		panic(err)
 	}
 	set.Began(now, choice.Entry.ID, request)
-	r.last[turn.line] = choice.Entry.ID
+	r.last[turn.session] = choice.Entry.ID
 	engine := r.engine(choice.Entry.ID)
 	turn.sent, turn.load, turn.expected, turn.tokens = now, choice.Load, choice.Missing, replayTokens
 	for _, part := range parts {
-		turn.missing += float64(max(0, part.Tokens-engine.kept[part.ID]))
-		engine.kept[part.ID] = part.Tokens
+		turn.missing += float64(max(0, part.Tokens-engine.cached[part.ID]))
+		engine.cached[part.ID] = part.Tokens
 	}
-	engine.work = append(engine.work, turn)
+	engine.turns = append(engine.turns, turn)
 }
 
 func (r *replay) engine(id replica.ID) *replayEngine {
@@ -130,7 +130,7 @@
 }
 
 // hear has each node hear what the others have and measured.
-func (r *replay) hear(now time.Time) {
+func (r *replay) exchangeReports(now time.Time) {
 	for node, set := range r.sets {
 		totals := map[replica.ID]replica.Total{}
 		for other, peer := range r.sets {
@@ -153,22 +153,22 @@
 
 // play offers a share of what the engines bear, and returns the turns' times, sorted. Pace
 // scales an engine's times at a moment.
-func (r *replay) play(load float64, lasting time.Duration, pace func(engine int, at time.Duration) float64) []time.Duration {
-	bears := 0.0
+func (r *replay) run(load float64, duration time.Duration, slowdown func(engine int, at time.Duration) float64) []time.Duration {
+	capacity := 0.0
 	for _, engine := range r.engines {
-		bears += replaySlots / (replayTokens*engine.token*(1+replayBeside*replaySlots) + replaySlots*1_500*replayRead*engine.token)
+		capacity += replaySlots / (replayTokens*engine.token*(1+replaySlowdown*replaySlots) + replaySlots*1_500*replayPrefill*engine.token)
 	}
-	perTick := load * bears * float64(replayTick) / 1e6 / replayTurns
+	perTick := load * capacity * float64(replayTick) / 1e6 / replayTurns
 	waiting := map[time.Duration][]*replayTurn{}
-	lines := 0
-	for at := time.Duration(0); at < lasting; at += replayTick {
-		now := begun.Add(at)
+	sessions := 0
+	for at := time.Duration(0); at < duration; at += replayTick {
+		now := replayStart.Add(at)
 		if at%(400*time.Millisecond) == 0 {
-			r.hear(now)
+			r.exchangeReports(now)
 		}
 		for arrivals := perTick + r.random.Float64(); arrivals >= 1; arrivals-- {
-			lines++
-			waiting[at] = append(waiting[at], &replayTurn{line: lines, node: lines % replayNodes, number: 1})
+			sessions++
+			waiting[at] = append(waiting[at], &replayTurn{session: sessions, node: sessions % replayNodes, number: 1})
 		}
 		for _, turn := range waiting[at] {
 			turn.arrived = now
@@ -176,19 +176,19 @@
 		}
 		delete(waiting, at)
 		for index, engine := range r.engines {
-			for _, turn := range engine.step(now, pace(index, at)) {
+			for _, turn := range engine.step(now, slowdown(index, at)) {
 				r.end(now, engine, turn)
 				if turn.number < replayTurns {
-					next := &replayTurn{line: turn.line, node: turn.node, number: turn.number + 1}
+					next := &replayTurn{session: turn.session, node: turn.node, number: turn.number + 1}
 					waiting[at+replayPause] = append(waiting[at+replayPause], next)
 				}
 			}
-			r.loads[engine.id] += len(engine.work)
+			r.loads[engine.id] += len(engine.turns)
 		}
-		r.counted++
+		r.ticks++
 	}
-	slices.Sort(r.took)
-	return r.took
+	slices.Sort(r.latencies)
+	return r.latencies
 }
 
 // end takes in that a turn is whole.
@@ -198,12 +198,12 @@
 	set.Observe(now, engine.id, replica.Sample{
 		Load: turn.load, Token: now.Sub(turn.first) / replayTokens, Missing: turn.expected, First: turn.first.Sub(turn.sent),
 	})
-	r.took = append(r.took, now.Sub(turn.arrived))
+	r.latencies = append(r.latencies, now.Sub(turn.arrived))
 }
 
 // mean is the mean load of an engine over the play.
 func (r *replay) mean(engine int) float64 {
-	return float64(r.loads[r.engines[engine].id]) / float64(r.counted)
+	return float64(r.loads[r.engines[engine].id]) / float64(r.ticks)
 }
 
 func even(int, time.Duration) float64 { return 1 }
@@ -216,12 +216,12 @@
 	for _, load := range []float64{0.4, 0.7, 1.2} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			g := NewWithT(t)
-			former := newReplay(replica.Parts{Pace: true})
-			before := former.play(load, 12*time.Second, even)
+			baseline := newReplay(replica.Parts{Pace: true})
+			before := baseline.run(load, 12*time.Second, even)
 			paced := newReplay(replica.Parts{})
-			after := paced.play(load, 12*time.Second, even)
+			after := paced.run(load, 12*time.Second, even)
 			t.Logf("former: %d turns, %v, %v, fast %.1f slow %.1f; paced: %d turns, %v, %v, fast %.1f slow %.1f",
-				len(before), quantile(before, .5), quantile(before, .9), former.mean(0), former.mean(1),
+				len(before), quantile(before, .5), quantile(before, .9), baseline.mean(0), baseline.mean(1),
 				len(after), quantile(after, .5), quantile(after, .9), paced.mean(0), paced.mean(1))
 			g.Expect(quantile(after, .5)).To(BeNumerically("<=", quantile(before, .5)*95/100))
 			g.Expect(quantile(after, .9)).To(BeNumerically("<=", quantile(before, .9)*85/100))
@@ -233,67 +233,67 @@
 	}
 }
 
-// TestPlacementFollowsAReplicaThatTurnsSlow has a quarter of the engines four times slower from
+// TestPlacementAvoidsReplicaThatSlowsDown has a quarter of the engines four times slower from
 // the fourth second on.
-func TestPlacementFollowsAReplicaThatTurnsSlow(t *testing.T) {
+func TestPlacementAvoidsReplicaThatSlowsDown(t *testing.T) {
 	turns := func(engine int, at time.Duration) float64 {
 		if engine%4 == 1 && at >= 4*time.Second {
 			return 4
 		}
 		return 1
 	}
-	expectSooner(t, 0.4, turns)
+	expectFaster(t, 0.4, turns)
 }
 
-// expectSooner expects turns to end sooner by paces than by the former cost, at the median and
+// expectFaster expects turns to end sooner by paces than by the former cost, at the median and
 // at the ninth tenth.
-func expectSooner(t *testing.T, load float64, speed func(engine int, at time.Duration) float64) {
+func expectFaster(t *testing.T, load float64, speed func(engine int, at time.Duration) float64) {
 	t.Helper()
 	g := NewWithT(t)
-	former := newReplay(replica.Parts{Pace: true}).play(load, 12*time.Second, speed)
-	paced := newReplay(replica.Parts{}).play(load, 12*time.Second, speed)
-	t.Logf("former %v %v, paced %v %v", quantile(former, .5), quantile(former, .9), quantile(paced, .5), quantile(paced, .9))
-	g.Expect(quantile(paced, .9)).To(BeNumerically("<", quantile(former, .9)))
-	g.Expect(quantile(paced, .5)).To(BeNumerically("<", quantile(former, .5)))
+	baseline := newReplay(replica.Parts{Pace: true}).run(load, 12*time.Second, speed)
+	paced := newReplay(replica.Parts{}).run(load, 12*time.Second, speed)
+	t.Logf("former %v %v, paced %v %v", quantile(baseline, .5), quantile(baseline, .9), quantile(paced, .5), quantile(paced, .9))
+	g.Expect(quantile(paced, .9)).To(BeNumerically("<", quantile(baseline, .9)))
+	g.Expect(quantile(paced, .5)).To(BeNumerically("<", quantile(baseline, .5)))
 }
 
-// TestPlacementInSlowSpells has each engine slow for 0.6 s at a time, 15 % of the time.
-func TestPlacementInSlowSpells(t *testing.T) {
+// TestPlacementWithTemporarySlowdowns has each engine slow for 0.6 s at a time, 15 % of the time.
+func TestPlacementWithTemporarySlowdowns(t *testing.T) {
 	spells := func(engine int, at time.Duration) float64 {
 		if spell := uint64(at/(600*time.Millisecond)) * 2654435761 >> 7; (spell+uint64(engine)*37)%100 < 15 {
 			return 2.5
 		}
 		return 1
 	}
-	expectSooner(t, 0.5, spells)
+	expectFaster(t, 0.5, spells)
 }
 
-// pacedSet returns a set of as many replicas, the first few of them twice as fast.
-func pacedSet(count, fast int) *replica.Set {
+// unevenSet returns a set of as many replicas, the first few of them twice as fast.
+func unevenSet(count, fast int) *replica.Set {
 	set := replica.NewSet(replica.DefaultConfig("a"))
 	for index := range count {
 		id := replica.ID(fmt.Sprintf("r%02d", index))
-		set.Put(begun, replica.Entry{ID: id, Service: "model", Zone: "a", Status: replica.StatusReady, Slots: replaySlots})
+		set.Put(replayStart, replica.Entry{ID: id, Service: "model", Zone: "a", Status: replica.StatusReady, Slots: replaySlots})
 		token := 1500 * time.Microsecond
 		if index < fast {
 			token /= 2
 		}
 		for range 8 {
-			set.Observe(begun, id, replica.Sample{Token: token})
+			set.Observe(replayStart, id, replica.Sample{Token: token})
 		}
 	}
 	return set
 }
 
-// TestNodesThatKnowTheSameDoNotChooseTheSame has many nodes with equal knowledge place one
+// TestNodesWithSameInformationSpreadTurns has many nodes with equal knowledge place one
 // turn each.
-func TestNodesThatKnowTheSameDoNotChooseTheSame(t *testing.T) {
+func TestNodesWithSameInformationSpreadTurns(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	chosen := map[replica.ID]int{}
-	set := pacedSet(16, 4)
+	set := unevenSet(16, 4)
 	for range 200 {
-		choice, err := set.Select(begun, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64()})
+		choice, err := set.Select(replayStart, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64()})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(choice.Predicted).To(BeNumerically(">", 0))
 		chosen[choice.Entry.ID]++
@@ -304,15 +304,15 @@
 	g.Expect(chosen["r00"]+chosen["r01"]+chosen["r02"]+chosen["r03"]).To(BeNumerically(">", 150), "the fast ones are filled first")
 }
 
-// TestSlowReplicasShareWhatTheFastOnesMayNotTake excludes the fast ones at a load that they
+// TestSlowReplicasShareLoadWhenFastOnesAreExcluded excludes the fast ones at a load that they
 // alone would serve.
-func TestSlowReplicasShareWhatTheFastOnesMayNotTake(t *testing.T) {
+func TestSlowReplicasShareLoadWhenFastOnesAreExcluded(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	chosen := map[replica.ID]int{}
-	set := pacedSet(16, 4)
+	set := unevenSet(16, 4)
 	for range 240 {
-		choice, err := set.Select(begun, &replica.Request{
+		choice, err := set.Select(replayStart, &replica.Request{
 			Service: "model", Expected: 200, Draw: random.Float64(), Excluded: []replica.ID{"r00", "r01", "r02", "r03"},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
@@ -324,12 +324,12 @@
 	}
 }
 
-// TestHasteTakesTheFastOnes has the fast ones half full.
-func TestHasteTakesTheFastOnes(t *testing.T) {
+// TestSpeedBiasShiftsTurnsToFastReplicas has the fast ones half full.
+func TestSpeedBiasShiftsTurnsToFastReplicas(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	fast := map[int]int{}
-	set := pacedSet(16, 4)
+	set := unevenSet(16, 4)
 	loads := map[replica.ID]int{}
 	for index := range 16 {
 		loads[replica.ID(fmt.Sprintf("r%02d", index))] = 2
@@ -338,10 +338,10 @@
 		}
 	}
 	set.SetNodes(2)
-	set.SetPeer(begun, "other", loads)
+	set.SetPeer(replayStart, "other", loads)
 	for _, haste := range []int{-1, 0, 1} {
 		for range 400 {
-			choice, err := set.Select(begun, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64(), Haste: haste})
+			choice, err := set.Select(replayStart, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64(), Haste: haste})
 			g.Expect(err).NotTo(HaveOccurred())
 			if choice.Entry.ID < "r04" {
 				fast[haste]++
@@ -353,46 +353,46 @@
 	g.Expect(fast[0]).To(BeNumerically("<", fast[1]))
 }
 
-// TestEvenReplicasAreWeighedAsWithoutPaces gives paces that hardly differ no part.
-func TestEvenReplicasAreWeighedAsWithoutPaces(t *testing.T) {
+// TestTokenTimesUnusedForEvenReplicas gives paces that hardly differ no part.
+func TestTokenTimesUnusedForEvenReplicas(t *testing.T) {
 	g := NewWithT(t)
-	choice, err := pacedSet(16, 0).Select(begun, &replica.Request{Service: "model", Expected: 200})
+	choice, err := unevenSet(16, 0).Select(replayStart, &replica.Request{Service: "model", Expected: 200})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Predicted).To(BeZero())
 }
 
-// TestANewIncarnationBeginsWithoutAPace and a pace that was told reaches a node that sent
+// TestNewIncarnationHasNoTokenTime and a pace that was told reaches a node that sent
 // nothing.
-func TestANewIncarnationBeginsWithoutAPace(t *testing.T) {
+func TestNewIncarnationHasNoTokenTime(t *testing.T) {
 	g := NewWithT(t)
-	told := pacedSet(16, 4).Report(begun)
+	reports := unevenSet(16, 4).Report(replayStart)
 	totals := map[replica.ID]replica.Total{}
-	for id, report := range told {
+	for id, report := range reports {
 		totals[id] = replica.Total{TokenTime: report.TokenTime, Samples: report.Samples}
 	}
-	set := pacedSet(0, 0)
+	set := unevenSet(0, 0)
 	entries := make([]replica.Entry, 16)
 	for index := range entries {
 		entries[index] = replica.Entry{ID: replica.ID(fmt.Sprintf("r%02d", index)), Service: "model", Zone: "a", Status: replica.StatusReady, Slots: replaySlots, Incarnation: 1}
-		set.Put(begun, entries[index])
+		set.Put(replayStart, entries[index])
 	}
-	set.TakePaces(begun, totals)
+	set.TakePaces(replayStart, totals)
 	request := &replica.Request{Service: "model", Expected: 200, Only: "r00"}
-	choice, err := set.Select(begun, request)
+	choice, err := set.Select(replayStart, request)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Pace).To(BeNumerically("~", 750*time.Microsecond, 100*time.Microsecond))
 	entries[0].Incarnation = 2
-	set.Put(begun, entries[0])
-	choice, err = set.Select(begun.Add(time.Second), request)
+	set.Put(replayStart, entries[0])
+	choice, err = set.Select(replayStart.Add(time.Second), request)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Pace).To(BeNumerically(">", 1200*time.Microsecond), "the middle of the service")
 }
 
-// TestLoadsOfAWordStayWhereTurnsAreDealt has a word of some age tell that the fast ones are
+// TestOlderLoadSummaryKeepsUnevenLoads has a word of some age tell that the fast ones are
 // the fuller ones, which they are by their shares.
-func TestLoadsOfAWordStayWhereTurnsAreDealt(t *testing.T) {
+func TestOlderLoadSummaryKeepsUnevenLoads(t *testing.T) {
 	g := NewWithT(t)
-	set := pacedSet(16, 4)
+	set := unevenSet(16, 4)
 	set.SetNodes(8)
 	totals := map[replica.ID]replica.Total{}
 	for index := range 16 {
@@ -401,9 +401,9 @@
 			totals[replica.ID(fmt.Sprintf("r%02d", index))] = replica.Total{Requests: 14}
 		}
 	}
-	set.TakeWord(begun, replica.Word{Nodes: 7, At: begun, Totals: totals})
+	set.TakeWord(replayStart, replica.Word{Nodes: 7, At: replayStart, Totals: totals})
 	at := func(id replica.ID) time.Duration {
-		choice, err := set.Select(begun.Add(400*time.Millisecond), &replica.Request{Service: "model", Expected: 200, Only: id})
+		choice, err := set.Select(replayStart.Add(400*time.Millisecond), &replica.Request{Service: "model", Expected: 200, Only: id})
 		g.Expect(err).NotTo(HaveOccurred())
 		return choice.Predicted
 	}
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -15,9 +15,9 @@
 // leaveWithin is the time that the tests' operator gives to leave a zone.
 const leaveWithin = 5 * time.Second
 
-// newPlaces returns a set of a node in zone "here" with one replica in each of three
+// newZones returns a set of a node in zone "here" with one replica in each of three
 // zones, the last of which is in another region.
-func newPlaces(without replica.Parts) *replica.Set {
+func newZones(without replica.Parts) *replica.Set {
 	config := replica.DefaultConfig("here")
 	config.Regions = zone.Topology{"here": "home", "near": "home", "far": "away"}
 	config.LeaveWithin = leaveWithin
@@ -42,8 +42,8 @@
 	return found
 }
 
-// lineThatStays returns a program whose time to leave is in the later half.
-func lineThatStays(since time.Time) string {
+// programLeavingLate returns a program whose time to leave is in the later half.
+func programLeavingLate(since time.Time) string {
 	for number := 0; ; number++ {
 		name := fmt.Sprint("program-", number)
 		if evacuation.Departure(since, leaveWithin, name).Sub(since) > 1500*time.Millisecond {
@@ -54,7 +54,7 @@
 
 var _ = Describe("An evacuated zone", func() {
 	It("gets no new requests, whatever the load elsewhere", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		set.SetEvacuated(map[zone.Name]time.Time{"here": start})
 		for range 100 {
 			set.Began(start, "near", &replica.Request{})
@@ -64,20 +64,20 @@
 	})
 
 	It("keeps lines of turns until their time, and each only where its prompt is kept", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		set.Put(start, replica.Entry{ID: "beside", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
 		since := start
-		line := replica.Request{
-			Service: "s", Program: lineThatStays(since), Preferred: "here", Prompt: []replica.Part{{ID: "a", Tokens: 9000}, {ID: "b", Tokens: 10}},
+		request := replica.Request{
+			Service: "s", Program: programLeavingLate(since), Preferred: "here", Prompt: []replica.Part{{ID: "a", Tokens: 9000}, {ID: "b", Tokens: 10}},
 		}
 		set.SetEvacuated(map[zone.Name]time.Time{"here": since})
-		Expect(chosen(set, since, line)).To(Equal(map[replica.ID]bool{"here": true}))
-		line.Excluded = []replica.ID{"here"}
-		Expect(chosen(set, since, line)).NotTo(HaveKey(replica.ID("beside")))
-		line.Excluded = nil
-		until := evacuation.Departure(since, leaveWithin, line.Program)
-		Expect(chosen(set, until, line)).NotTo(HaveKey(replica.ID("here")))
-		choice, err := set.Select(until, &line)
+		Expect(chosen(set, since, request)).To(Equal(map[replica.ID]bool{"here": true}))
+		request.Excluded = []replica.ID{"here"}
+		Expect(chosen(set, since, request)).NotTo(HaveKey(replica.ID("beside")))
+		request.Excluded = nil
+		until := evacuation.Departure(since, leaveWithin, request.Program)
+		Expect(chosen(set, until, request)).NotTo(HaveKey(replica.ID("here")))
+		choice, err := set.Select(until, &request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(choice.Left).To(BeTrue())
 	})
@@ -88,12 +88,12 @@
 			set.Put(start, replica.Entry{ID: replica.ID(place), Service: "s", Zone: place, Status: replica.StatusReady, Slots: 4})
 		}
 		set.SetEvacuated(map[zone.Name]time.Time{"here": start})
-		line := replica.Request{Service: "s", Program: lineThatStays(start), Preferred: "here"}
-		Expect(chosen(set, start, line)).To(Equal(map[replica.ID]bool{"near": true}))
+		request := replica.Request{Service: "s", Program: programLeavingLate(start), Preferred: "here"}
+		Expect(chosen(set, start, request)).To(Equal(map[replica.ID]bool{"near": true}))
 	})
 
 	It("gets no run that only one of its replicas may go on with", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		since := start.Add(-leaveWithin)
 		set.SetEvacuated(map[zone.Name]time.Time{"near": since})
 		_, err := set.Select(start, &replica.Request{Service: "s", Program: "p", Only: "near"})
@@ -101,7 +101,7 @@
 	})
 
 	It("is told from a service without replicas where it holds all of them", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		zones := map[zone.Name]time.Time{"here": start, "near": start, "far": start}
 		set.SetEvacuated(zones)
 		_, err := set.Select(start, &replica.Request{Service: "s"})
@@ -116,7 +116,7 @@
 	})
 
 	It("does not count for admission", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		for range 6 {
 			set.Began(start, "near", &replica.Request{})
 			set.Began(start, "far", &replica.Request{})
@@ -133,7 +133,7 @@
 	}
 
 	It("bound the choice, whatever the load there", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		for range 100 {
 			set.Began(start, "far", &replica.Request{})
 		}
@@ -146,7 +146,7 @@
 	})
 
 	It("without a ready replica are told apart", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		set.Remove("far")
 		_, err := set.Select(start, &replica.Request{Service: "s", Homes: homes("away")})
 		Expect(err).To(MatchError(replica.ErrOutside))
@@ -162,7 +162,7 @@
 	}
 
 	It("serves only once the wait at home costs more than the way there", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).NotTo(HaveKey(replica.ID("far")), "the places at home are just taken")
 		load(set, 4)
@@ -170,13 +170,13 @@
 	})
 
 	It("counts as another zone where the way is not weighed", func() {
-		set := newPlaces(replica.Parts{Regions: true})
+		set := newZones(replica.Parts{Regions: true})
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).To(Equal(map[replica.ID]bool{"far": true}))
 	})
 
 	It("keeps a line whose prompt costs more to be read again", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.Parts{})
 		prompt := []replica.Part{{ID: "history", Tokens: 9000}, {ID: "new", Tokens: 10}}
 		Expect(chosen(set, start, replica.Request{Service: "s", Preferred: "far", Prompt: prompt})).To(Equal(map[replica.ID]bool{"far": true}))
 		short := []replica.Part{{ID: "history", Tokens: 900}, {ID: "new", Tokens: 10}}
--- a/replica/shared_test.go
+++ b/replica/shared_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestSpread counts a replica that has just come as one that keeps nothing yet.
-func TestSpread(t *testing.T) {
+// TestProgramScale counts a replica that has just come as one that keeps nothing yet.
+func TestProgramScale(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(programScale(300, 100, time.Hour)).To(Equal(3.0))
 	g.Expect(programScale(300, 100, 0)).To(BeZero())
@@ -43,8 +43,8 @@
 	g.Expect(programScale(1, 0, time.Hour)).To(Equal(1.0))
 }
 
-// TestPeerView estimates what silent peers add, and nothing where all were heard.
-func TestPeerView(t *testing.T) {
+// TestLoadEstimate estimates what silent peers add, and nothing where all were heard.
+func TestLoadEstimate(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	loads := func(nodes int) []float64 {
--- a/replica/spread_test.go
+++ b/replica/spread_test.go
@@ -19,13 +19,13 @@
 
 // The fleet of these tests, and how old a word is when it comes.
 const (
-	spreadNodes  = 73
-	spreadTick   = time.Millisecond
-	spreadFor    = 3 * time.Second
-	spreadCalm   = time.Second
-	wordPeriod   = 100 * time.Millisecond
-	wordLag      = 70 * time.Millisecond
-	reportPeriod = 50 * time.Millisecond
+	spreadNodes   = 73
+	spreadTick    = time.Millisecond
+	spreadFor     = 3 * time.Second
+	spreadWarmUp  = time.Second
+	summaryPeriod = 100 * time.Millisecond
+	summaryDelay  = 70 * time.Millisecond
+	reportPeriod  = 50 * time.Millisecond
 )
 
 // spreadRequest is one that is under way.
@@ -34,81 +34,81 @@
 	node, replica int
 }
 
-// spreadWorld is the service and its nodes in virtual time.
-type spreadWorld struct {
+// spreadSimulation is the service and its nodes in virtual time.
+type spreadSimulation struct {
 	spreadService
-	now    time.Time
-	random *rand.Rand
-	sets   []*Set
-	own    [][]int
-	total  []int
-	past   [][][]int
-	under  []spreadRequest
+	now      time.Time
+	random   *rand.Rand
+	sets     []*Set
+	own      [][]int
+	total    []int
+	history  [][][]int
+	inFlight []spreadRequest
 	// met counts the requests that found their replica full, of all.
-	met, all int
+	foundFull, all int
 }
 
-func newSpreadWorld(service spreadService) *spreadWorld {
-	w := &spreadWorld{spreadService: service, now: wordStart, random: rand.New(rand.NewPCG(5, 6)), total: make([]int, service.replicas)}
+func newSpreadSimulation(service spreadService) *spreadSimulation {
+	s := &spreadSimulation{spreadService: service, now: virtualStart, random: rand.New(rand.NewPCG(5, 6)), total: make([]int, service.replicas)}
 	for range spreadNodes {
-		set := wordSet(service.replicas, spreadNodes)
+		set := summarySet(service.replicas, spreadNodes)
 		for _, m := range set.byID {
 			m.entry.Slots = service.slots
 		}
-		w.sets = append(w.sets, set)
-		w.own = append(w.own, make([]int, service.replicas))
+		s.sets = append(s.sets, set)
+		s.own = append(s.own, make([]int, service.replicas))
 	}
-	return w
+	return s
 }
 
 // run returns the share of the requests that found their replica full.
-func (w *spreadWorld) run(words bool) float64 {
+func (s *spreadSimulation) run(summaries bool) float64 {
 	for step := range int(spreadFor / spreadTick) {
-		w.now = w.now.Add(spreadTick)
-		w.end()
-		w.keepPast()
-		for node := range w.sets {
-			if words && (step+node*7)%int(wordPeriod/spreadTick) == 0 {
-				w.word(node)
+		s.now = s.now.Add(spreadTick)
+		s.end()
+		s.recordHistory()
+		for node := range s.sets {
+			if summaries && (step+node*7)%int(summaryPeriod/spreadTick) == 0 {
+				s.sendSummary(node)
 			}
-			if !words && step%int(reportPeriod/spreadTick) == 0 {
-				w.report(node, w.random.IntN(spreadNodes))
+			if !summaries && step%int(reportPeriod/spreadTick) == 0 {
+				s.sendReport(node, s.random.IntN(spreadNodes))
 			}
 		}
-		for arrival := w.random.ExpFloat64(); arrival < w.perSecond*spreadTick.Seconds(); arrival += w.random.ExpFloat64() {
-			w.send(w.random.IntN(spreadNodes))
+		for arrival := s.random.ExpFloat64(); arrival < s.perSecond*spreadTick.Seconds(); arrival += s.random.ExpFloat64() {
+			s.send(s.random.IntN(spreadNodes))
 		}
 	}
-	return float64(w.met) / float64(w.all)
+	return float64(s.foundFull) / float64(s.all)
 }
 
 // end ends the requests that are due.
-func (w *spreadWorld) end() {
-	w.under = slices.DeleteFunc(w.under, func(request spreadRequest) bool {
-		if request.end.After(w.now) {
+func (s *spreadSimulation) end() {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(request spreadRequest) bool {
+		if request.end.After(s.now) {
 			return false
 		}
-		w.total[request.replica]--
-		w.own[request.node][request.replica]--
-		w.sets[request.node].Ended(w.now, spreadID(request.replica), ResultAnswered)
+		s.total[request.replica]--
+		s.own[request.node][request.replica]--
+		s.sets[request.node].Ended(s.now, spreadID(request.replica), ResultAnswered)
 		return true
 	})
 }
 
-// keepPast keeps what nodes had, for as long as words are late.
-func (w *spreadWorld) keepPast() {
+// recordHistory keeps what nodes had, for as long as words are late.
+func (s *spreadSimulation) recordHistory() {
 	var now [][]int
-	for _, own := range w.own {
+	for _, own := range s.own {
 		now = append(now, slices.Clone(own))
 	}
-	w.past = append(w.past, now)
-	w.past = w.past[max(0, len(w.past)-int(wordLag/spreadTick)-1):]
+	s.history = append(s.history, now)
+	s.history = s.history[max(0, len(s.history)-int(summaryDelay/spreadTick)-1):]
 }
 
 // word tells a node what all others had.
-func (w *spreadWorld) word(node int) {
+func (s *spreadSimulation) sendSummary(node int) {
 	totals := make(map[ID]Total)
-	for other, own := range w.past[0] {
+	for other, own := range s.history[0] {
 		for index, count := range own {
 			if other != node && count > 0 {
 				total := totals[spreadID(index)]
@@ -117,62 +117,62 @@
 			}
 		}
 	}
-	w.sets[node].TakeWord(w.now, Word{Nodes: spreadNodes - 1, At: w.now.Add(-wordLag), Totals: totals})
+	s.sets[node].TakeWord(s.now, Word{Nodes: spreadNodes - 1, At: s.now.Add(-summaryDelay), Totals: totals})
 }
 
 // report tells a node what a peer has.
-func (w *spreadWorld) report(node, peer int) {
+func (s *spreadSimulation) sendReport(node, peer int) {
 	counts := make(map[ID]int)
-	for index, count := range w.own[peer] {
+	for index, count := range s.own[peer] {
 		if count > 0 {
 			counts[spreadID(index)] = count
 		}
 	}
 	if peer != node {
-		w.sets[node].SetPeer(w.now, fmt.Sprint(peer), counts)
+		s.sets[node].SetPeer(s.now, fmt.Sprint(peer), counts)
 	}
 }
 
 // send sends a request of a node; it takes longer where the replica is full.
-func (w *spreadWorld) send(node int) {
-	choice, err := w.sets[node].Select(w.now, &Request{Service: "s", Draw: w.random.Float64()})
+func (s *spreadSimulation) send(node int) {
+	choice, err := s.sets[node].Select(s.now, &Request{Service: "s", Draw: s.random.Float64()})
 	if err != nil {
 		return
 	}
 	var index int
 	_, _ = fmt.Sscanf(string(choice.Entry.ID), "r%d", &index)
-	if w.now.Sub(wordStart) > spreadCalm {
-		w.all++
-		if w.total[index] >= w.slots {
-			w.met++
+	if s.now.Sub(virtualStart) > spreadWarmUp {
+		s.all++
+		if s.total[index] >= s.slots {
+			s.foundFull++
 		}
 	}
-	w.sets[node].Began(w.now, choice.Entry.ID, &Request{})
-	w.total[index]++
-	w.own[node][index]++
-	crowd := max(1, float64(w.total[index])/float64(w.slots))
-	takes := time.Duration(w.random.ExpFloat64() * crowd * float64(w.takes))
-	w.under = append(w.under, spreadRequest{end: w.now.Add(takes), node: node, replica: index})
+	s.sets[node].Began(s.now, choice.Entry.ID, &Request{})
+	s.total[index]++
+	s.own[node][index]++
+	slowdown := max(1, float64(s.total[index])/float64(s.slots))
+	takes := time.Duration(s.random.ExpFloat64() * slowdown * float64(s.takes))
+	s.inFlight = append(s.inFlight, spreadRequest{end: s.now.Add(takes), node: node, replica: index})
 }
 
 func spreadID(index int) ID { return ID(fmt.Sprint("r", index)) }
 
-// TestWordsSpreadTurns has far fewer turns meet at full replicas than where nodes know
+// TestLoadSummariesSpreadTurns has far fewer turns meet at full replicas than where nodes know
 // what some peers had.
-func TestWordsSpreadTurns(t *testing.T) {
+func TestLoadSummariesSpreadTurns(t *testing.T) {
 	g := NewWithT(t)
 	turns := spreadService{replicas: 48, slots: 16, perSecond: 900, takes: 500 * time.Millisecond}
-	reported, told := newSpreadWorld(turns).run(false), newSpreadWorld(turns).run(true)
-	t.Logf("found their replica full: %.4f by reports, %.4f by words", reported, told)
-	g.Expect(told).To(BeNumerically("<", reported/2))
+	reported, summarised := newSpreadSimulation(turns).run(false), newSpreadSimulation(turns).run(true)
+	t.Logf("found their replica full: %.4f by reports, %.4f by words", reported, summarised)
+	g.Expect(summarised).To(BeNumerically("<", reported/2))
 }
 
-// TestWordsSpreadCalls has calls that are shorter than a word is old meet little more often
+// TestLoadSummariesSpreadCalls has calls that are shorter than a word is old meet little more often
 // than by reports, though all nodes hear the same.
-func TestWordsSpreadCalls(t *testing.T) {
+func TestLoadSummariesSpreadCalls(t *testing.T) {
 	g := NewWithT(t)
 	calls := spreadService{replicas: 36, slots: 6, perSecond: 4500, takes: 30 * time.Millisecond}
-	reported, told := newSpreadWorld(calls).run(false), newSpreadWorld(calls).run(true)
-	t.Logf("found their replica full: %.4f by reports, %.4f by words", reported, told)
-	g.Expect(told).To(BeNumerically("<", 1.4*reported))
+	reported, summarised := newSpreadSimulation(calls).run(false), newSpreadSimulation(calls).run(true)
+	t.Logf("found their replica full: %.4f by reports, %.4f by words", reported, summarised)
+	g.Expect(summarised).To(BeNumerically("<", 1.4*reported))
 }
--- a/replica/view_test.go
+++ b/replica/view_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestFormerViewsNumbers has a follower that comes back with a number of a former view get
+// TestNumberOfPreviousView has a follower that comes back with a number of a former view get
 // the whole part.
-func TestFormerViewsNumbers(t *testing.T) {
+func TestNumberOfPreviousView(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	set := scaleSet(100)
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -61,9 +61,9 @@
 	g.Expect(set.Pressure(now, scaleRequest(0))).To(BeNumerically(">=", 1))
 }
 
-// TestStartedAgain has a replica that starts again under its id begin without what was
+// TestRestartedReplica has a replica that starts again under its id begin without what was
 // known of the former process, and word of that one change nothing.
-func TestStartedAgain(t *testing.T) {
+func TestRestartedReplica(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	set := replica.NewSet(replica.DefaultConfig("a"))
