--- a/replica/kept_test.go
+++ b/replica/kept_test.go
@@ -17,8 +17,8 @@
 		for index := range 3 {
 			set.Began(start, replica.ID([]string{"r0", "r1", "r2"}[index]), &replica.Request{Prompt: prompt(0)[:1]})
 		}
-		// r1 served the last turn, of 1000 and 900 tokens and 100 generated, through
-		// another node.
+		// r1 served the previous turn through another node: 1000 and 900 prompt tokens, and 100
+		// generated ones.
 		for draw := range 10 {
 			choice, err := set.Select(start, &replica.Request{
 				Service: "s", Prompt: prompt(1200), Preferred: "r1", PreferredKept: 2000, Draw: float64(draw) / 10,
--- a/replica/lateness_test.go
+++ b/replica/lateness_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("The lateness of calls", func() {
 	const otherwise = 400 * time.Millisecond
 
-	// observe takes in calls of 1 to 100 ms, one each 10 ms from begin on.
+	// observe records calls of 1 to 100 ms times the factor, one every 10 ms from begin on.
 	observe := func(lateness *replica.Lateness, begin time.Time, route string, count int, factor int) {
 		for index := range count {
 			now := begin.Add(time.Duration(index) * 10 * time.Millisecond)
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -12,8 +12,9 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// The replay of uneven engines: a quarter of them is twice as fast. Each reads prompts one
-// after the other, during which the others' tokens wait, and generates for all at once.
+// The replay simulates engines of which a quarter are twice as fast. An engine prefills one
+// prompt at a time, which delays the tokens of all its turns, and generates for all turns
+// concurrently.
 const (
 	replayEngines  = 12
 	replayNodes    = 8
@@ -26,7 +27,7 @@
 	replayPrefill  = 1.0 / 200
 )
 
-// replayTurn is one turn of a line.
+// replayTurn is one turn of a session.
 type replayTurn struct {
 	session, node, number int
 	missing, tokens       float64
@@ -34,7 +35,7 @@
 	load, expected        int
 }
 
-// replayEngine is one engine: whose prompts it keeps, and what it has to do.
+// replayEngine is one engine with its cached prompt parts and its turns.
 type replayEngine struct {
 	id     replica.ID
 	token  float64 // milliseconds
@@ -42,7 +43,7 @@
 	turns  []*replayTurn
 }
 
-// step works for one tick and returns the turns that are whole.
+// step simulates one tick and returns the completed turns.
 func (e *replayEngine) step(now time.Time, slowdown float64) (done []*replayTurn) {
 	left := float64(replayTick) / 1e6 / (e.token * slowdown)
 	running := e.turns[:min(len(e.turns), replaySlots)]
@@ -67,7 +68,7 @@
 	return done
 }
 
-// replay is one play of lines of turns on engines, by nodes that hear each other.
+// replay simulates sessions on engines, sent by nodes that exchange reports.
 type replay struct {
 	random    *rand.Rand
 	engines   []*replayEngine
@@ -102,7 +103,7 @@
 
 var replayStart = time.Unix(1000, 0)
 
-// send places a turn.
+// send selects an engine for a turn and sends it there.
 func (r *replay) send(now time.Time, turn *replayTurn) {
 	set := r.sets[turn.node]
 	parts := []replica.Part{{ID: fmt.Sprintf("shared-%d", turn.session%3), Tokens: 12_600}, {ID: fmt.Sprintf("own-%d", turn.session), Tokens: 1_000 * turn.number}}
@@ -129,7 +130,7 @@
 	return r.engines[slices.IndexFunc(r.engines, func(engine *replayEngine) bool { return engine.id == id })]
 }
 
-// hear has each node hear what the others have and measured.
+// exchangeReports gives each node the loads and token times of the others.
 func (r *replay) exchangeReports(now time.Time) {
 	for node, set := range r.sets {
 		totals := map[replica.ID]replica.Total{}
@@ -151,8 +152,8 @@
 	}
 }
 
-// play offers a share of what the engines bear, and returns the turns' times, sorted. Pace
-// scales an engine's times at a moment.
+// run offers a share of the engines' capacity and returns the sorted latencies of the turns.
+// slowdown scales an engine's token time at a given time.
 func (r *replay) run(load float64, duration time.Duration, slowdown func(engine int, at time.Duration) float64) []time.Duration {
 	capacity := 0.0
 	for _, engine := range r.engines {
@@ -191,7 +192,7 @@
 	return r.latencies
 }
 
-// end takes in that a turn is whole.
+// end records that a turn is complete.
 func (r *replay) end(now time.Time, engine *replayEngine, turn *replayTurn) {
 	set := r.sets[turn.node]
 	set.Ended(now, engine.id, replica.ResultAnswered)
@@ -201,7 +202,7 @@
 	r.latencies = append(r.latencies, now.Sub(turn.arrived))
 }
 
-// mean is the mean load of an engine over the play.
+// mean returns the mean load of an engine over the run.
 func (r *replay) mean(engine int) float64 {
 	return float64(r.loads[r.engines[engine].id]) / float64(r.ticks)
 }
@@ -233,8 +234,8 @@
 	}
 }
 
-// TestPlacementAvoidsReplicaThatSlowsDown has a quarter of the engines four times slower from
-// the fourth second on.
+// TestPlacementAvoidsReplicaThatSlowsDown makes a quarter of the engines four times slower
+// after four seconds.
 func TestPlacementAvoidsReplicaThatSlowsDown(t *testing.T) {
 	turns := func(engine int, at time.Duration) float64 {
 		if engine%4 == 1 && at >= 4*time.Second {
@@ -245,8 +246,8 @@
 	expectFaster(t, 0.4, turns)
 }
 
-// expectFaster expects turns to end sooner by paces than by the former cost, at the median and
-// at the ninth tenth.
+// expectFaster expects lower latencies with token times than without, at the median and the
+// 90th percentile.
 func expectFaster(t *testing.T, load float64, speed func(engine int, at time.Duration) float64) {
 	t.Helper()
 	g := NewWithT(t)
@@ -257,7 +258,7 @@
 	g.Expect(quantile(paced, .5)).To(BeNumerically("<", quantile(baseline, .5)))
 }
 
-// TestPlacementWithTemporarySlowdowns has each engine slow for 0.6 s at a time, 15 % of the time.
+// TestPlacementWithTemporarySlowdowns slows each engine for 0.6 s at a time, 15 % of the time.
 func TestPlacementWithTemporarySlowdowns(t *testing.T) {
 	spells := func(engine int, at time.Duration) float64 {
 		if spell := uint64(at/(600*time.Millisecond)) * 2654435761 >> 7; (spell+uint64(engine)*37)%100 < 15 {
@@ -268,7 +269,7 @@
 	expectFaster(t, 0.5, spells)
 }
 
-// unevenSet returns a set of as many replicas, the first few of them twice as fast.
+// unevenSet returns a set of count replicas, the first fast of which are twice as fast.
 func unevenSet(count, fast int) *replica.Set {
 	set := replica.NewSet(replica.DefaultConfig("a"))
 	for index := range count {
@@ -285,8 +286,8 @@
 	return set
 }
 
-// TestNodesWithSameInformationSpreadTurns has many nodes with equal knowledge place one
-// turn each.
+// TestNodesWithSameInformationSpreadTurns guards against many nodes selecting the same replica
+// because they have the same information. Each select call stands for one node.
 func TestNodesWithSameInformationSpreadTurns(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -304,8 +305,8 @@
 	g.Expect(chosen["r00"]+chosen["r01"]+chosen["r02"]+chosen["r03"]).To(BeNumerically(">", 150), "the fast ones are filled first")
 }
 
-// TestSlowReplicasShareLoadWhenFastOnesAreExcluded excludes the fast ones at a load that they
-// alone would serve.
+// TestSlowReplicasShareLoadWhenFastOnesAreExcluded excludes the fast replicas at a load that
+// they could serve alone.
 func TestSlowReplicasShareLoadWhenFastOnesAreExcluded(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -324,7 +325,8 @@
 	}
 }
 
-// TestSpeedBiasShiftsTurnsToFastReplicas has the fast ones half full.
+// TestSpeedBiasShiftsTurnsToFastReplicas selects with each speed bias while the fast replicas
+// are half full.
 func TestSpeedBiasShiftsTurnsToFastReplicas(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -353,7 +355,8 @@
 	g.Expect(fast[0]).To(BeNumerically("<", fast[1]))
 }
 
-// TestTokenTimesUnusedForEvenReplicas gives paces that hardly differ no part.
+// TestTokenTimesUnusedForEvenReplicas checks that token times that hardly differ are not used
+// in the selection.
 func TestTokenTimesUnusedForEvenReplicas(t *testing.T) {
 	g := NewWithT(t)
 	choice, err := unevenSet(16, 0).Select(replayStart, &replica.Request{Service: "model", Expected: 200})
@@ -361,8 +364,8 @@
 	g.Expect(choice.Predicted).To(BeZero())
 }
 
-// TestNewIncarnationHasNoTokenTime and a pace that was told reaches a node that sent
-// nothing.
+// TestNewIncarnationHasNoTokenTime also checks that a node that sent nothing uses the reported
+// token times.
 func TestNewIncarnationHasNoTokenTime(t *testing.T) {
 	g := NewWithT(t)
 	reports := unevenSet(16, 4).Report(replayStart)
@@ -388,8 +391,8 @@
 	g.Expect(choice.Pace).To(BeNumerically(">", 1200*time.Microsecond), "the middle of the service")
 }
 
-// TestOlderLoadSummaryKeepsUnevenLoads has a word of some age tell that the fast ones are
-// the fuller ones, which they are by their shares.
+// TestOlderLoadSummaryKeepsUnevenLoads has a load summary of some age report more load at the
+// fast replicas, as their weights imply. The estimate must not level these loads out.
 func TestOlderLoadSummaryKeepsUnevenLoads(t *testing.T) {
 	g := NewWithT(t)
 	set := unevenSet(16, 4)
--- a/replica/parts_test.go
+++ b/replica/parts_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("A part of the choice that is switched off", func() {
 	prompt := []replica.Part{{ID: "shared", Tokens: 500}, {ID: "history", Tokens: 3000}, {ID: "new", Tokens: 100}}
 
-	// newSetWithout returns a set of two replicas, r0 in this zone.
+	// newSetWithout returns a set of two equal replicas in this node's zone.
 	newSetWithout := func(without replica.Parts) *replica.Set {
 		config := replica.DefaultConfig("here")
 		config.Without = without
@@ -23,8 +23,8 @@
 		return set
 	}
 
-	// Each case makes r1 the better one by one part of the choice alone, so that
-	// without it the first replica is chosen as it would be of equal ones.
+	// Each case makes r1 preferable by a single factor, so that r0 is selected once that factor
+	// is disabled, as the first of two equal replicas.
 	DescribeTable("changes the choice",
 		func(without replica.Parts, prepare func(set *replica.Set, request *replica.Request)) {
 			for _, parts := range []replica.Parts{{}, without} {
@@ -50,8 +50,8 @@
 			request.Preferred = "r1"
 		}),
 		Entry("shared parts", replica.Parts{SharedParts: true}, func(set *replica.Set, request *replica.Request) {
-			// This node sent the part to r0 alone, which has requests under way; with
-			// nine other nodes r1 keeps it just as well.
+			// This node sent the part only to r0, which has requests in flight. With nine other
+			// nodes, r1 is as likely to have it cached.
 			set.SetNodes(10)
 			for _, program := range []string{"a", "b", "c"} {
 				set.Began(start, "r0", &replica.Request{Program: program, Prompt: prompt[:1]})
@@ -59,8 +59,8 @@
 			request.Prompt = prompt[:1]
 		}),
 		Entry("estimates of loads", replica.Parts{Estimates: true}, func(set *replica.Set, request *replica.Request) {
-			// Three requests of this node at r1 are fewer than those at r0, where two
-			// of one peer's stand for those of eight that were not heard.
+			// r1 has three requests of this node. r0 has more: two requests of one peer, which
+			// stand for those of the eight peers without a report as well.
 			set.SetNodes(10)
 			set.SetPeer(start, "peer", map[replica.ID]int{"r0": 2})
 			for range 3 {
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -12,11 +12,11 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// leaveWithin is the time that the tests' operator gives to leave a zone.
+// leaveWithin is the time allowed for leaving a zone.
 const leaveWithin = 5 * time.Second
 
-// newZones returns a set of a node in zone "here" with one replica in each of three
-// zones, the last of which is in another region.
+// newZones returns the set of a node in zone "here", with one replica in each of three zones.
+// The last zone is in another region.
 func newZones(without replica.Parts) *replica.Set {
 	config := replica.DefaultConfig("here")
 	config.Regions = zone.Topology{"here": "home", "near": "home", "far": "away"}
@@ -30,7 +30,7 @@
 	return set
 }
 
-// chosen returns the replicas that a request is sent to by any draw.
+// chosen returns the replicas selected for a request over all draws.
 func chosen(set *replica.Set, now time.Time, request replica.Request) map[replica.ID]bool {
 	found := map[replica.ID]bool{}
 	for draw := range 20 {
@@ -42,7 +42,7 @@
 	return found
 }
 
-// programLeavingLate returns a program whose time to leave is in the later half.
+// programLeavingLate returns a program whose departure time is more than 1.5 s after since.
 func programLeavingLate(since time.Time) string {
 	for number := 0; ; number++ {
 		name := fmt.Sprint("program-", number)
--- a/replica/scale_test.go
+++ b/replica/scale_test.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// scaleZones are the zones to which the replicas of the benchmarks are dealt.
+// scaleZones are the zones of the benchmarks' replicas.
 var scaleZones = []string{"a", "b", "c", "d", "e"}
 
 // scaleEntry returns the entry of a replica of a large service.
@@ -21,8 +21,8 @@
 	}
 }
 
-// scaleSet returns a set of so many replicas, as one node of 984 sees it: one in twenty of
-// its peers told of requests at some of them.
+// scaleSet returns a set of count replicas as one of 984 nodes sees it, with reports of one in
+// twenty of its peers about some of them.
 func scaleSet(count int) *replica.Set {
 	now := time.Unix(1000, 0)
 	set := replica.NewSet(replica.DefaultConfig("a"))
@@ -33,7 +33,7 @@
 	set.SetNodes(984)
 	for peer := range 49 {
 		counts := make(map[replica.ID]int)
-		// As many to each replica, whatever their number.
+		// The number of reports per replica does not depend on count.
 		for offset := range max(1, count/1_000) {
 			counts[scaleEntry((peer*97+offset*13)%count).ID]++
 		}
@@ -42,7 +42,7 @@
 	return set
 }
 
-// scaleRequest is a turn whose prompt begins with one of six shared parts.
+// scaleRequest returns a turn whose prompt begins with one of six shared parts.
 func scaleRequest(index int) *replica.Request {
 	return &replica.Request{
 		Service: "model", Program: fmt.Sprintf("p-%d", index), Draw: float64(index%100) / 100,
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkSelect reports what one choice costs by the number of replicas:
+// BenchmarkSelect measures a selection by the number of replicas:
 //
 //	go test -run '^$' -bench 'Select|Fill' ./replica
 func BenchmarkSelect(b *testing.B) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkSelectPaced reports what one choice costs where the replicas' paces differ. With 128
-// replicas all are weighed, with more a window.
+// BenchmarkSelectPaced measures a selection among replicas with different token times. 128
+// replicas are evaluated in full, more in a window.
 func BenchmarkSelectPaced(b *testing.B) {
 	for _, count := range []int{128, 768, 10_000} {
 		b.Run(fmt.Sprintf("replicas=%d", count), func(b *testing.B) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// BenchmarkFill reports what it costs to take in a list of replicas.
+// BenchmarkFill measures building a set from a list of replicas.
 func BenchmarkFill(b *testing.B) {
 	for _, count := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("replicas=%d", count), func(b *testing.B) {
--- a/replica/shared_test.go
+++ b/replica/shared_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestSharedParts tells parts that many programs share from the histories of single
-// programs, and forgets both.
+// TestSharedParts checks that parts shared by many programs are distinguished from the
+// histories of single programs, and that both are forgotten.
 func TestSharedParts(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestProgramScale counts a replica that has just come as one that keeps nothing yet.
+// TestProgramScale checks that a new replica is assumed to have nothing cached.
 func TestProgramScale(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(programScale(300, 100, time.Hour)).To(Equal(3.0))
@@ -43,7 +43,8 @@
 	g.Expect(programScale(1, 0, time.Hour)).To(Equal(1.0))
 }
 
-// TestLoadEstimate estimates what silent peers add, and nothing where all were heard.
+// TestLoadEstimate checks that the loads of peers without a report are estimated, and that
+// nothing is added if all peers reported.
 func TestLoadEstimate(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -61,8 +62,8 @@
 	}
 	g.Expect(loads(3)).To(Equal([]float64{3, 1}))
 	estimated := loads(21)
-	// Two of twenty peers were heard: the mean is 15 at each, and more is likely
-	// at the replica where more was seen.
+	// Two of twenty peers reported. The estimated mean is 15 per replica, and more is likely at
+	// the replica for which more was reported.
 	g.Expect(estimated[0]).To(BeNumerically(">", 15))
 	g.Expect(estimated[1]).To(And(BeNumerically(">", 1), BeNumerically("<", 15)))
 }
--- a/replica/spread_test.go
+++ b/replica/spread_test.go
@@ -10,14 +10,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// spreadService is a service whose requests come at random nodes and may go anywhere.
+// spreadService is a service whose requests arrive at random nodes and may go to any replica.
 type spreadService struct {
 	replicas, slots int
 	perSecond       float64
 	takes           time.Duration
 }
 
-// The fleet of these tests, and how old a word is when it comes.
+// The simulated fleet. summaryDelay is the age of a load summary when it arrives.
 const (
 	spreadNodes   = 73
 	spreadTick    = time.Millisecond
@@ -28,13 +28,13 @@
 	reportPeriod  = 50 * time.Millisecond
 )
 
-// spreadRequest is one that is under way.
+// spreadRequest is a request in flight.
 type spreadRequest struct {
 	end           time.Time
 	node, replica int
 }
 
-// spreadSimulation is the service and its nodes in virtual time.
+// spreadSimulation simulates the service and its nodes in virtual time.
 type spreadSimulation struct {
 	spreadService
 	now      time.Time
@@ -44,7 +44,7 @@
 	total    []int
 	history  [][][]int
 	inFlight []spreadRequest
-	// met counts the requests that found their replica full, of all.
+	// foundFull counts the requests that found their replica full, and all counts all requests.
 	foundFull, all int
 }
 
@@ -61,7 +61,8 @@
 	return s
 }
 
-// run returns the share of the requests that found their replica full.
+// run returns the share of the requests that found their replica full. It uses load summaries
+// or the reports of peers.
 func (s *spreadSimulation) run(summaries bool) float64 {
 	for step := range int(spreadFor / spreadTick) {
 		s.now = s.now.Add(spreadTick)
@@ -82,7 +83,7 @@
 	return float64(s.foundFull) / float64(s.all)
 }
 
-// end ends the requests that are due.
+// end ends the requests that are complete.
 func (s *spreadSimulation) end() {
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(request spreadRequest) bool {
 		if request.end.After(s.now) {
@@ -95,7 +96,7 @@
 	})
 }
 
-// recordHistory keeps what nodes had, for as long as words are late.
+// recordHistory keeps the loads of all nodes for as long as load summaries are delayed.
 func (s *spreadSimulation) recordHistory() {
 	var now [][]int
 	for _, own := range s.own {
@@ -105,7 +106,7 @@
 	s.history = s.history[max(0, len(s.history)-int(summaryDelay/spreadTick)-1):]
 }
 
-// word tells a node what all others had.
+// sendSummary sends a node the load summary of all others.
 func (s *spreadSimulation) sendSummary(node int) {
 	totals := make(map[ID]Total)
 	for other, own := range s.history[0] {
@@ -120,7 +121,7 @@
 	s.sets[node].TakeWord(s.now, Word{Nodes: spreadNodes - 1, At: s.now.Add(-summaryDelay), Totals: totals})
 }
 
-// report tells a node what a peer has.
+// sendReport sends a node the report of a peer.
 func (s *spreadSimulation) sendReport(node, peer int) {
 	counts := make(map[ID]int)
 	for index, count := range s.own[peer] {
@@ -133,7 +134,7 @@
 	}
 }
 
-// send sends a request of a node; it takes longer where the replica is full.
+// send sends a request from a node. It takes longer if the replica is full.
 func (s *spreadSimulation) send(node int) {
 	choice, err := s.sets[node].Select(s.now, &Request{Service: "s", Draw: s.random.Float64()})
 	if err != nil {
@@ -157,8 +158,8 @@
 
 func spreadID(index int) ID { return ID(fmt.Sprint("r", index)) }
 
-// TestLoadSummariesSpreadTurns has far fewer turns meet at full replicas than where nodes know
-// what some peers had.
+// TestLoadSummariesSpreadTurns expects less than half as many turns to find their replica full
+// with load summaries as with the reports of some peers.
 func TestLoadSummariesSpreadTurns(t *testing.T) {
 	g := NewWithT(t)
 	turns := spreadService{replicas: 48, slots: 16, perSecond: 900, takes: 500 * time.Millisecond}
@@ -167,8 +168,9 @@
 	g.Expect(summarised).To(BeNumerically("<", reported/2))
 }
 
-// TestLoadSummariesSpreadCalls has calls that are shorter than a word is old meet little more often
-// than by reports, though all nodes hear the same.
+// TestLoadSummariesSpreadCalls guards against all nodes sending calls to the same replicas
+// because they received the same load summary. The calls are shorter than the summary's delay,
+// and may find their replica full at most 1.4 times as often as with the reports of peers.
 func TestLoadSummariesSpreadCalls(t *testing.T) {
 	g := NewWithT(t)
 	calls := spreadService{replicas: 36, slots: 6, perSecond: 4500, takes: 30 * time.Millisecond}
--- a/replica/view_test.go
+++ b/replica/view_test.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// follow applies what a view tells to what a follower holds.
+// follow applies the changes of a view to a follower's copy.
 func follow(held map[replica.ID]replica.Entry, changes []replica.Change, whole bool) {
 	if whole {
 		clear(held)
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestViewSizeDoesNotGrow has a node hold as many replicas of 20,000 as of 10,000, enough of each
-// zone, and all of a small service.
+// TestViewSizeDoesNotGrow checks that a node holds as many of 20,000 replicas as of 10,000,
+// enough of each zone, and all replicas of a small service.
 func TestViewSizeDoesNotGrow(t *testing.T) {
 	g := NewWithT(t)
 	sizes := make(map[int]int)
@@ -49,8 +49,8 @@
 	g.Expect(sizes[20_000]).To(Equal(sizes[10_000]))
 }
 
-// TestViewFollowsList has a follower hold what the part of the list is, through replicas
-// that come, drain, go and start again.
+// TestViewFollowsList checks that a follower's copy matches the subset while replicas are
+// added, drain, restart and are removed.
 func TestViewFollowsList(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestNumberOfPreviousView has a follower that comes back with a number of a former view get
-// the whole part.
+// TestNumberOfPreviousView checks that a follower that returns with a number of an earlier view
+// gets the whole subset.
 func TestNumberOfPreviousView(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -10,9 +10,9 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// TestNodesOfAZoneShareReplicas has the nodes of a zone send what they have to the same
-// few replicas of a large service while there is little of it: each would else have its
-// own prompts read and its own connections opened.
+// TestNodesOfAZoneShareReplicas checks that at low load the nodes of a zone use the same few
+// replicas of a large service. Otherwise each node would have its own prompts prefilled and
+// open its own connections.
 func TestNodesOfAZoneShareReplicas(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -20,7 +20,7 @@
 	for node := range 20 {
 		set := replica.NewSet(replica.DefaultConfig("a"))
 		for index := range 2_000 {
-			// Each node hears of the replicas in another order.
+			// Each node learns of the replicas in a different order.
 			set.Put(now, scaleEntry((index+node*97)%2_000))
 		}
 		set.SetNodes(100)
@@ -36,8 +36,8 @@
 	g.Expect(len(used)).To(BeNumerically("<=", 32))
 }
 
-// TestWindowGrowsWithLoad has a node under a load that fills every replica of a window
-// use more of them, and all before it takes the service for full.
+// TestWindowGrowsWithLoad checks that a node uses more replicas once those in the window are
+// full, and all of them before it considers the service full.
 func TestWindowGrowsWithLoad(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -61,8 +61,8 @@
 	g.Expect(set.Pressure(now, scaleRequest(0))).To(BeNumerically(">=", 1))
 }
 
-// TestRestartedReplica has a replica that starts again under its id begin without what was
-// known of the former process, and word of that one change nothing.
+// TestRestartedReplica checks that a replica that restarts under the same ID starts without the
+// state of the previous process, and that entries of that process are ignored.
 func TestRestartedReplica(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -88,8 +88,8 @@
 	g.Expect(held.Status).To(Equal(replica.StatusReady))
 }
 
-// TestChangedService has a replica that serves another service than before leave the
-// former one.
+// TestChangedService checks that a replica that changes its service is removed from the
+// previous one.
 func TestChangedService(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
--- a/replica/word_scale_test.go
+++ b/replica/word_scale_test.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// BenchmarkSelectByWord reports what a choice costs, and what taking a word in does, with
-// as many replicas as a node of a large fleet holds:
+// BenchmarkSelectByWord measures a selection, and applying a load summary, with as many
+// replicas as a node of a large fleet holds:
 //
 //	go test -run '^$' -bench ByWord ./replica
 func BenchmarkSelectByWord(b *testing.B) {
--- a/replica/word_test.go
+++ b/replica/word_test.go
@@ -8,10 +8,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// virtualStart is the beginning of the virtual time.
+// virtualStart is the beginning of virtual time.
 var virtualStart = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// summarySet returns a set of replicas of one service, before as many nodes.
+// summarySet returns a set of replicas of one service that is used by the given number of
+// nodes.
 func summarySet(replicas, nodes int) *Set {
 	set := NewSet(DefaultConfig("z"))
 	for index := range replicas {
@@ -21,12 +22,13 @@
 	return set
 }
 
-// estimatedLoad returns what a set takes a replica's load for.
+// estimatedLoad returns the estimated load of a replica.
 func estimatedLoad(set *Set, now time.Time, id ID) float64 {
 	return set.estimateLoads(now, set.services["s"]).load(set.byID[id])
 }
 
-// TestLoadSummaryOverridesReports while it is recent and tells of more nodes.
+// TestLoadSummaryOverridesReports checks that a load summary is used instead of reports while
+// it is recent and covers more nodes.
 func TestLoadSummaryOverridesReports(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(2, 21)
@@ -36,16 +38,16 @@
 	set.Began(virtualStart, "r0", &Request{})
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(Equal(7.0))
 	g.Expect(estimatedLoad(set, virtualStart, "r1")).To(BeZero())
-	// Without a newer word the reports of peers tell the loads again.
+	// Without a newer load summary, the reports of peers are used.
 	later := virtualStart.Add(summaryLifetime + time.Millisecond)
 	g.Expect(estimatedLoad(set, later, "r0")).To(BeNumerically("~", reported+1, 0.001))
-	// A word of fewer nodes than peers told of themselves is none.
+	// A load summary that covers fewer nodes than the reports is not used.
 	set.TakeWord(later, Word{Nodes: 1, At: later, Totals: map[ID]Total{"r0": {Requests: 6}}})
 	g.Expect(estimatedLoad(set, later, "r0")).To(BeNumerically("~", reported+1, 0.001))
 }
 
-// TestLoadSummaryAges has the replicas that were emptier at an old word filled since, by how long
-// the service's requests take.
+// TestLoadSummaryAges checks that the replicas with less load in an older summary are assumed
+// to have been filled since, depending on the duration of the service's requests.
 func TestLoadSummaryAges(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(2, 21)
@@ -58,7 +60,7 @@
 	old := difference(300 * time.Millisecond)
 	g.Expect(old).To(And(BeNumerically(">=", 0), BeNumerically("<", 0.5)))
 	g.Expect(estimatedLoad(set, virtualStart.Add(300*time.Millisecond), "r1")).To(BeNumerically("~", 4, 0.5))
-	// Requests of two seconds are mostly still there.
+	// Requests of two seconds are mostly still in flight.
 	now := virtualStart
 	for range 3 {
 		set.Began(now, "r0", &Request{})
@@ -70,7 +72,8 @@
 	g.Expect(estimatedLoad(set, now, "r0") - estimatedLoad(set, now, "r1")).To(And(BeNumerically(">", 4), BeNumerically("<", 8)))
 }
 
-// TestLoadSummaryOfSomeNodes has the nodes that a word does not tell of estimated.
+// TestLoadSummaryOfSomeNodes checks that the loads of nodes that the summary does not cover are
+// estimated.
 func TestLoadSummaryOfSomeNodes(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(2, 21)
@@ -78,8 +81,9 @@
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(BeNumerically("~", 8, 1))
 }
 
-// TestLoadSummaryOfHalfTheNodes goes before older reports of more nodes: those of a zone that was cut off
-// just now are among them.
+// TestLoadSummaryOfHalfTheNodes checks that a summary of at least half the nodes is preferred
+// to reports of more nodes. The reports are older, and may include nodes of a zone that has
+// just been cut off.
 func TestLoadSummaryOfHalfTheNodes(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(1, 11)
@@ -92,7 +96,8 @@
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(BeNumerically(">", 35))
 }
 
-// TestPartialLoadSummary has a replica that it does not name taken for one like the others.
+// TestPartialLoadSummary checks that a replica missing from a partial summary is assumed to
+// have the mean load.
 func TestPartialLoadSummary(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(3, 21)
@@ -101,12 +106,12 @@
 	g.Expect(estimatedLoad(set, virtualStart, "r2")).To(Equal(6.0))
 	set.TakeWord(virtualStart, Word{Nodes: 20, At: virtualStart, Totals: totals})
 	g.Expect(estimatedLoad(set, virtualStart, "r2")).To(BeZero())
-	// What a former word named counts no longer.
+	// The loads of the previous summary no longer apply.
 	set.TakeWord(virtualStart, Word{Nodes: 20, At: virtualStart})
 	g.Expect(estimatedLoad(set, virtualStart, "r1")).To(BeZero())
 }
 
-// TestWrongLoadSummaryIsBounded changes a load by a bounded amount.
+// TestWrongLoadSummaryIsBounded checks that a wrong summary changes a load by a bounded amount.
 func TestWrongLoadSummaryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(2, 21)
@@ -115,7 +120,7 @@
 	g.Expect(estimatedLoad(set, virtualStart, "r1")).To(BeZero())
 }
 
-// TestDeviation has a mean of 0 and a variance of 1.
+// TestDeviation checks that deviation has mean 0 and variance 1.
 func TestDeviation(t *testing.T) {
 	g := NewWithT(t)
 	sum, squares := 0.0, 0.0
@@ -128,14 +133,15 @@
 	g.Expect(squares / draws).To(BeNumerically("~", 1, 0.05))
 }
 
-// TestEqualLoadsAreSpread has replicas that were filled to one level chosen alike often, also
-// where each stands behind others that are full.
+// TestEqualLoadsAreSpread checks that replicas filled to the same level are selected equally
+// often, even if each follows full replicas in the list.
 func TestEqualLoadsAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(24, 73)
 	totals := make(map[ID]Total)
 	for index := range 24 {
-		// The second of two empty ones follows the first; the others stand between.
+		// The second of two empty replicas directly follows the first. All others are between
+		// the pairs.
 		if index%12 > 1 {
 			totals[ID(fmt.Sprint("r", index))] = Total{Requests: 30}
 		}
@@ -152,8 +158,8 @@
 	}
 }
 
-// TestSessionsStayWhenAllAreFull has a line of turns stay at the replica that keeps its prompt
-// while all are as full, whatever is drawn.
+// TestSessionsStayWhenAllAreFull checks that a session stays at the replica that has its prompt
+// cached while all replicas are equally full, whatever the draw.
 func TestSessionsStayWhenAllAreFull(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(12, 73)
