--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -36,7 +36,7 @@
 		set.SetColdRate("s", 28)
 	})
 
-	It("is warm without a word, and cold as long as its entry says from when it is heard", func() {
+	It("is warm without a status, and cold for as long as its entry says, counted from receipt", func() {
 		set.Put(start, entry(0, 1))
 		Expect(rateAt(start)).To(BeZero())
 		Expect(set.Put(at(time.Second), entry(3*time.Second, 2))).To(BeTrue())
@@ -44,7 +44,7 @@
 		Expect(rateAt(at(4 * time.Second))).To(BeZero())
 	})
 
-	It("is no news with each heartbeat, and news when it turns cold again", func() {
+	It("is announced when it turns cold again, but not with each heartbeat", func() {
 		set.Put(start, entry(3*time.Second, 1))
 		Expect(set.Put(at(500*time.Millisecond), entry(2500*time.Millisecond, 2))).To(BeFalse())
 		Expect(set.Put(at(1100*time.Millisecond), entry(2*time.Second, 3))).To(BeFalse())
@@ -60,7 +60,7 @@
 		Expect(rateAt(at(15 * time.Second))).To(BeZero())
 	})
 
-	It("turns cold by each other word where entries have no numbers", func() {
+	It("turns cold by each different status if entries have no sequence numbers", func() {
 		set.Put(start, entry(3*time.Second, 0))
 		set.Put(at(15*time.Second), entry(3*time.Second, 0))
 		Expect(rateAt(at(15 * time.Second))).To(BeZero())
@@ -68,14 +68,14 @@
 		Expect(rateAt(at(16 * time.Second))).To(Equal(28.0))
 	})
 
-	It("stays cold when a word comes late that was said before", func() {
+	It("stays cold when an older status arrives late", func() {
 		set.Put(start, entry(0, 1))
 		Expect(set.HearCold(at(time.Second), id, 3*time.Second)).To(BeTrue())
 		set.Put(at(1100*time.Millisecond), entry(0, 2))
 		Expect(rateAt(at(3900 * time.Millisecond))).To(Equal(28.0))
 	})
 
-	It("is passed on with what is left by then, and no longer for it", func() {
+	It("is forwarded with its remaining cold time, which does not extend it", func() {
 		set.Put(start, entry(3*time.Second, 5))
 		told, known := set.EntryAt(at(2*time.Second), id)
 		Expect(known).To(BeTrue())
@@ -85,7 +85,7 @@
 		Expect(rateAt(at(3 * time.Second))).To(BeZero())
 	})
 
-	It("is not taken for cold again by an entry that a peer told before", func() {
+	It("does not turn cold again by an entry that a peer forwarded before", func() {
 		set.Put(start, passed(500*time.Millisecond, 5))
 		set.Put(at(10*time.Second), entry(3*time.Second, 5))
 		Expect(rateAt(at(10 * time.Second))).To(BeZero())
@@ -105,7 +105,7 @@
 		Expect(err).To(MatchError(replica.ErrColdRate))
 	})
 
-	It("goes after warm ones until they have their places taken", func() {
+	It("is selected after warm ones until their slots are taken", func() {
 		set.Put(start, entry(3*time.Second, 1))
 		warm := replica.Entry{ID: "r1", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4}
 		set.Put(start, warm)
@@ -128,7 +128,7 @@
 		Expect(rateAt(start)).To(BeZero())
 	})
 
-	It("is told of once when it turns cold, and once when it turns warm", func() {
+	It("is reported once when it turns cold, and once when it turns warm", func() {
 		set.Put(start, entry(3*time.Second, 1))
 		turns, count := set.ColdTurns(start)
 		Expect(turns).To(Equal([]replica.ColdTurn{{ID: id, Cold: true, Until: at(3 * time.Second), Source: "entry"}}))
--- a/replica/doubt_test.go
+++ b/replica/doubt_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("A replica that is not listed after an outage", func() {
 	until := start.Add(2 * time.Second)
 
-	It("is chosen on, and goes when the doubt is over", func() {
+	It("is still selected, and is due for removal at its deadline", func() {
 		set := newSet(1)
 		Expect(set.Doubt("r0", until)).To(BeTrue())
 		Expect(set.Doubt("r0", until.Add(time.Hour))).To(BeTrue())
@@ -23,7 +23,7 @@
 		Expect(set.Doubted(until)).To(Equal([]replica.ID{"r0"}))
 	})
 
-	It("gets nothing once the doubt is over, though the list was not read since", func() {
+	It("gets nothing after its deadline, even if the list was not read since", func() {
 		set := newSet(2)
 		set.Doubt("r0", until)
 		for draw := range 10 {
@@ -44,7 +44,7 @@
 		Expect(set.Doubted(until)).To(BeEmpty())
 	})
 
-	It("is not doubted where it drained, or is not known", func() {
+	It("is not kept if it drains or is unknown", func() {
 		set := newSet(1)
 		set.Put(start, replica.Entry{ID: "r0", Service: "s", Zone: "here", Status: replica.StatusDraining, Slots: 4})
 		Expect(set.Doubt("r0", until)).To(BeFalse())
--- a/replica/feed_test.go
+++ b/replica/feed_test.go
@@ -26,7 +26,7 @@
 		Expect(changes).To(BeEmpty())
 	})
 
-	It("knows neither numbers to come nor those that it has forgotten", func() {
+	It("rejects numbers to come and those that it no longer retains", func() {
 		feed := replica.Feed{}
 		_, known := feed.Since(1)
 		Expect(known).To(BeFalse())
--- a/replica/kept_test.go
+++ b/replica/kept_test.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/replica"
 )
 
-var _ = Describe("A line of turns whose part of the prompt grows", func() {
+var _ = Describe("A session whose part of the prompt grows", func() {
 	prompt := func(session int) []replica.Part {
 		return []replica.Part{{ID: "shared", Tokens: 1000}, {ID: "line", Tokens: session}}
 	}
@@ -29,7 +29,7 @@
 		}
 	})
 
-	It("is kept up to where it ended when it was sent there, and what follows it not", func() {
+	It("is cached up to its former length, and what follows it is not", func() {
 		set := newSet(1)
 		set.Began(start, "r0", &replica.Request{Prompt: prompt(500)})
 		choice, err := set.Select(start, &replica.Request{Service: "s", Prompt: append(prompt(800), replica.Part{ID: "helper", Tokens: 50})})
--- a/replica/lateness_test.go
+++ b/replica/lateness_test.go
@@ -21,14 +21,14 @@
 		}
 	}
 
-	It("says what it is told while too little is known", func() {
+	It("returns the fallback while too little is known", func() {
 		lateness := replica.NewLateness()
 		Expect(lateness.After("a", otherwise)).To(Equal(otherwise))
 		observe(lateness, start, "a", 10, 1)
 		Expect(lateness.After("a", otherwise)).To(Equal(otherwise))
 	})
 
-	It("learns what calls of each route take as a rule", func() {
+	It("learns the median of each route", func() {
 		lateness := replica.NewLateness()
 		Expect(lateness.Usual("a")).To(BeZero())
 		observe(lateness, start, "a", 1000, 1)
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -63,7 +63,7 @@
 		Expect(chosen(set, start, replica.Request{Service: "s"})).NotTo(HaveKey(replica.ID("here")))
 	})
 
-	It("keeps lines of turns until their time, and each only where its prompt is kept", func() {
+	It("keeps sessions until their departure time, and each only where its prompt is cached", func() {
 		set := newZones(replica.Parts{})
 		set.Put(start, replica.Entry{ID: "beside", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
 		since := start
@@ -100,7 +100,7 @@
 		Expect(err).To(MatchError(replica.ErrEvacuated))
 	})
 
-	It("is told from a service without replicas where it holds all of them", func() {
+	It("is distinguished from a service without replicas if it holds all of them", func() {
 		set := newZones(replica.Parts{})
 		zones := map[zone.Name]time.Time{"here": start, "near": start, "far": start}
 		set.SetEvacuated(zones)
@@ -145,7 +145,7 @@
 		Expect(set.Pressure(start, &replica.Request{Service: "s", Homes: homes("away")})).To(Equal(25.0))
 	})
 
-	It("without a ready replica are told apart", func() {
+	It("without a ready replica have an error of their own", func() {
 		set := newZones(replica.Parts{})
 		set.Remove("far")
 		_, err := set.Select(start, &replica.Request{Service: "s", Homes: homes("away")})
@@ -175,7 +175,7 @@
 		Expect(chosen(set, start, replica.Request{Service: "s"})).To(Equal(map[replica.ID]bool{"far": true}))
 	})
 
-	It("keeps a line whose prompt costs more to be read again", func() {
+	It("keeps a session whose prompt costs more to prefill again", func() {
 		set := newZones(replica.Parts{})
 		prompt := []replica.Part{{ID: "history", Tokens: 9000}, {ID: "new", Tokens: 10}}
 		Expect(chosen(set, start, replica.Request{Service: "s", Preferred: "far", Prompt: prompt})).To(Equal(map[replica.ID]bool{"far": true}))
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -102,7 +102,7 @@
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r0")))
 	})
 
-	It("goes where the line of turns was served last by another node", func() {
+	It("goes where another node sent the session's previous turn", func() {
 		set := newSet(3)
 		prompt := []replica.Part{{ID: "shared", Tokens: 500}, {ID: "history", Tokens: 900}, {ID: "new", Tokens: 100}}
 		set.SetPeer(start, "peer", map[replica.ID]int{"r1": 3})
@@ -182,7 +182,7 @@
 		}
 	})
 
-	It("tells how full the emptiest ready replica is", func() {
+	It("returns the utilisation of the least loaded ready replica", func() {
 		set := newSet(2)
 		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(BeZero())
 		Expect(set.Pressure(start, &replica.Request{Service: "none"})).To(BeZero())
@@ -195,7 +195,7 @@
 		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(Equal(1.5))
 	})
 
-	It("tells how full the emptiest replica is, and all together", func() {
+	It("returns the minimum and the mean utilisation", func() {
 		set := newSet(2)
 		Expect(set.Room(start, &replica.Request{Service: "none"})).To(Equal(dispatch.Room{}))
 		for range 6 {
