--- a/replica/select.go
+++ b/replica/select.go
@@ -108,21 +108,21 @@
 		}
 		return Choice{}, s.unavailableReason(now, request)
 	}
-	evaluation := s.newEvaluation(now, request, candidates)
-	if evaluation.tokenTimes != nil {
-		best := evaluation.selectByDraw(feasible)
-		return evaluation.choice(best, len(feasible)), nil
+	e := s.newEvaluation(now, request, candidates)
+	if e.tokenTimes != nil {
+		best := e.selectByDraw(feasible)
+		return e.choice(best, len(feasible)), nil
 	}
 	start := int(request.Draw * float64(len(feasible)))
 	best := feasible[start]
-	bestCost := evaluation.cost(best)
+	bestCost := e.cost(best)
 	for step := 1; step < len(feasible); step++ {
 		candidate := feasible[(start+step)%len(feasible)]
-		if cost := evaluation.cost(candidate); cost < bestCost {
+		if cost := e.cost(candidate); cost < bestCost {
 			best, bestCost = candidate, cost
 		}
 	}
-	return evaluation.choice(best, len(feasible)), nil
+	return e.choice(best, len(feasible)), nil
 }
 
 // choice describes the selected replica. feasible is the number of feasible replicas.
