--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -20,9 +20,9 @@
 		}
 	}
 	passed := func(left time.Duration, sequence uint64) replica.Entry {
-		told := entry(left, sequence)
-		told.Cold.Passed = true
-		return told
+		forwarded := entry(left, sequence)
+		forwarded.Cold.Passed = true
+		return forwarded
 	}
 	at := func(after time.Duration) time.Time { return start.Add(after) }
 	rateAt := func(now time.Time) float64 {
@@ -77,11 +77,11 @@
 
 	It("is forwarded with its remaining cold time, which does not extend it", func() {
 		set.Put(start, entry(3*time.Second, 5))
-		told, known := set.EntryAt(at(2*time.Second), id)
+		forwarded, known := set.EntryAt(at(2*time.Second), id)
 		Expect(known).To(BeTrue())
-		Expect(told.Cold).To(Equal(replica.ColdWord{Left: time.Second, Sequence: 5, Passed: true}))
+		Expect(forwarded.Cold).To(Equal(replica.ColdWord{Left: time.Second, Sequence: 5, Passed: true}))
 		Expect(set.Entries(at(5 * time.Second))[0].Cold.Left).To(BeZero())
-		set.Put(at(2*time.Second), told)
+		set.Put(at(2*time.Second), forwarded)
 		Expect(rateAt(at(3 * time.Second))).To(BeZero())
 	})
 
--- a/replica/peerloads.go
+++ b/replica/peerloads.go
@@ -21,8 +21,8 @@
 
 // expirePeerReports drops reports that are older than PeerLoadLifetime.
 func (s *Set) expirePeerReports(now time.Time) {
-	for peer, load := range s.peerRequests {
-		if now.Sub(load.receivedAt) > s.config.PeerLoadLifetime {
+	for peer, report := range s.peerRequests {
+		if now.Sub(report.receivedAt) > s.config.PeerLoadLifetime {
 			s.dropPeerReport(peer)
 		}
 	}
@@ -45,8 +45,8 @@
 
 // peerRequestsAt returns the requests at one replica according to the reports of peers.
 func (s *Set) peerRequestsAt(id ID) (count int) {
-	for _, load := range s.peerRequests {
-		count += load.counts[id]
+	for _, report := range s.peerRequests {
+		count += report.counts[id]
 	}
 	return count
 }
--- a/replica/view.go
+++ b/replica/view.go
@@ -72,8 +72,8 @@
 // true.
 func (v *View) Since(now time.Time, set *Set, number uint64, known bool) (changes []Change, next uint64, whole bool) {
 	if known {
-		if kept, found := v.feed.Since(number); found {
-			return kept, v.feed.Next(), false
+		if retained, found := v.feed.Since(number); found {
+			return retained, v.feed.Next(), false
 		}
 	}
 	for id := range v.held {
--- a/replica/word_scale_test.go
+++ b/replica/word_scale_test.go
@@ -19,14 +19,14 @@
 	for index := range replicas {
 		totals[scaleEntry(index).ID] = replica.Total{Requests: float64(index % 5)}
 	}
-	word := replica.Word{Nodes: 983, At: now.Add(-300 * time.Millisecond), Totals: totals}
+	summary := replica.Word{Nodes: 983, At: now.Add(-300 * time.Millisecond), Totals: totals}
 	b.Run("take", func(b *testing.B) {
 		for b.Loop() {
-			set.TakeWord(now, word)
+			set.TakeWord(now, summary)
 		}
 	})
 	b.Run("select", func(b *testing.B) {
-		set.TakeWord(now, word)
+		set.TakeWord(now, summary)
 		for index := 0; b.Loop(); index++ {
 			if _, err := set.Select(now, scaleRequest(index)); err != nil {
 				b.Fatal(err)
