--- a/replica/paces.go
+++ b/replica/paces.go
@@ -57,7 +57,7 @@
 type Sample struct {
 	// Load is the number of concurrent requests at the time of the selection.
 	Load int
-	// TokenTime is the time per generated token, from the first event to the last.
+	// Token is the time per generated token, from the first event to the last.
 	Token time.Duration
 	// UncachedTokens is the number of prompt tokens that were expected to need prefill.
 	// TimeToFirstEvent is the time from sending the request to the first event, or 0 if
--- a/replica/select.go
+++ b/replica/select.go
@@ -26,7 +26,7 @@
 	// Only is the one replica that may run the request again, or "". It has no effect if the
 	// replica is no longer known.
 	Only ID
-	// ZoneConstraint limits the zones whose replicas may receive the request.
+	// Constraint limits the zones whose replicas may receive the request.
 	Homes zone.Homes
 	// ExpectedTokens is the expected number of tokens in the answer, or 0 if unknown.
 	Expected int
--- a/replica/set.go
+++ b/replica/set.go
@@ -81,7 +81,7 @@
 	// answer.
 	Faults    bool
 	Suspicion bool
-	// TokenTime takes the replicas' token times into account, and Slack whether a program is
+	// TokenTimes takes the replicas' token times into account, and Slack whether a program is
 	// ahead of or behind its schedule.
 	Pace  bool
 	Slack bool
--- a/replica/word.go
+++ b/replica/word.go
@@ -7,7 +7,7 @@
 
 // LoadSummary is the load of all other nodes as summed up by a collector.
 type Word struct {
-	// Nodes is the number of other nodes included, and AsOf the time at which their counts were
+	// Nodes is the number of other nodes included, and At the time at which their counts were
 	// valid.
 	Nodes int
 	At    time.Time
