--- a/replica/select.go
+++ b/replica/select.go
@@ -70,9 +70,9 @@
 	Missing int
 	// Load is the estimated number of requests of all nodes in flight at the replica.
 	Load int
-	// Predicted is the predicted duration until the answer is complete. TokenTime is the
-	// replica's time per generated token without concurrent requests, as measured TokenTimeAge
-	// ago. All are 0 if token times were not used in the selection.
+	// Predicted is the predicted duration until the answer is complete. UnloadedTokenTime is
+	// the replica's time per generated token without concurrent requests, as measured
+	// TokenTimeAge ago. All are 0 if token times were not used in the selection.
 	Predicted time.Duration
 	Pace      time.Duration
 	PaceAge   time.Duration
