--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -169,7 +169,7 @@
 		Expect(chosen(set, start, replica.Request{Service: "s"})).To(Equal(map[replica.ID]bool{"far": true}))
 	})
 
-	It("counts as another zone where the way is not weighed", func() {
+	It("counts as another zone if regions are not taken into account", func() {
 		set := newZones(replica.Parts{Regions: true})
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).To(Equal(map[replica.ID]bool{"far": true}))
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -37,7 +37,7 @@
 		}
 	})
 
-	It("tells a service without replicas from one whose replicas are full", func() {
+	It("distinguishes a service without replicas from one whose replicas are full", func() {
 		set := newSet(1)
 		_, err := set.Select(start, &replica.Request{Service: "none"})
 		Expect(err).To(MatchError(replica.ErrNoReplica))
@@ -61,7 +61,7 @@
 		}
 	})
 
-	It("counts what other nodes have under way, and forgets an old report", func() {
+	It("counts the requests in flight of other nodes, and forgets an old report", func() {
 		set := newSet(2)
 		set.SetPeer(start, "peer", map[replica.ID]int{"r0": 3})
 		choice, _ := set.Select(start, &replica.Request{Service: "s"})
@@ -72,7 +72,7 @@
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r0")))
 	})
 
-	It("goes where the prompt is kept, unless that replica is full", func() {
+	It("goes where the prompt is cached, unless that replica is full", func() {
 		set := newSet(3)
 		prompt := []replica.Part{{ID: "shared", Tokens: 3000}, {ID: "own", Tokens: 1000}}
 		set.Began(start, "r1", &replica.Request{Prompt: prompt})
@@ -113,14 +113,14 @@
 		}
 	})
 
-	It("counts a part as kept only behind parts that are", func() {
+	It("counts a part as cached only after parts that are cached", func() {
 		set := newSet(1)
 		set.Began(start, "r0", &replica.Request{Prompt: []replica.Part{{ID: "b", Tokens: 10}}})
 		choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: []replica.Part{{ID: "a", Tokens: 5}, {ID: "b", Tokens: 10}}})
 		Expect(choice.Missing).To(Equal(15))
 	})
 
-	It("forgets what was unused the longest when the memory is full", func() {
+	It("evicts the least recently used part when the cache is full", func() {
 		set := newSet(1)
 		set.Began(start, "r0", &replica.Request{Prompt: []replica.Part{{ID: "old", Tokens: 6000}}})
 		set.Began(start.Add(time.Second), "r0", &replica.Request{Prompt: []replica.Part{{ID: "new", Tokens: 6000}}})
