--- a/replica/cold.go
+++ b/replica/cold.go
@@ -46,7 +46,8 @@
 	received bool
 	// reportedCold is the state that ColdTransitions last reported.
 	reportedCold bool
-	// The replica has reached its cold rate and gets no requests until pausedUntil.
+	// pausedUntil is until when the replica gets no requests, because the node that counts its
+	// requests reported that it has reached its cold rate.
 	pausedUntil time.Time
 }
 
@@ -128,7 +129,7 @@
 	return announce
 }
 
-// PauseCold excludes a cold replica that has reached its cold rate for the given time.
+// PauseCold excludes, for the given time, a cold replica that has reached its cold rate.
 func (s *Set) PauseCold(now time.Time, id ID, pause time.Duration) {
 	if known := s.byID[id]; known != nil {
 		known.cold.pausedUntil = now.Add(pause)
--- a/replica/shared.go
+++ b/replica/shared.go
@@ -32,8 +32,8 @@
 	// sharedWindow is the time span that the decayed count represents: the half-life divided by
 	// the natural logarithm of 2.
 	sharedWindow = sharedHalfLife * 1000 / 693
-	// maximumSharedParts bounds the number of tracked parts. When it is exceeded, parts with a
-	// count below sharedMinimumPrograms are dropped.
+	// maximumSharedParts bounds the number of tracked parts. When it is exceeded, older parts
+	// with a count below sharedMinimumPrograms are dropped.
 	maximumSharedParts    = 2048
 	sharedMinimumPrograms = 0.1
 	// sharedCountPeriod is how long the total length of the shared parts is reused. Iterating
@@ -70,7 +70,8 @@
 }
 
 // evictUnshared drops the parts that hardly any other program used recently. These are nearly
-// all parts, since most belong to the history of a single program.
+// all parts, since most belong to the history of a single program. If too many remain, it drops
+// all parts.
 func (s *sharedParts) evictUnshared(now time.Time) {
 	for id, p := range s.parts {
 		if p.decayedPrograms(now) < sharedMinimumPrograms && now.Sub(p.at) > sharedHalfLife {
