--- a/ledger/account.go
+++ b/ledger/account.go
@@ -63,73 +63,73 @@
 
 // account is what is known of one program.
 type account struct {
-	// settled counts the tokens of turns that are over, at their most where
+	// settledTokens counts the tokens of turns that are over, at their most where
 	// that is all that is known. presumed is the part of it that is not known.
-	settled  int
-	presumed int
+	settledTokens  int
+	presumedTokens int
 	// open are the turns under way, by id, and doubts those that a former owner may
 	// have granted without a record, by the number of their grant.
-	open   map[string]reservation
-	doubts map[uint64]reservation
-	// granted is the number of the last grant, and recorded that of the last grant
+	open      map[string]reservation
+	uncertain map[uint64]reservation
+	// lastGrant is the number of the last grant, and recorded that of the last grant
 	// before the newest record. Numbers are unique over all owners of the program.
-	granted  uint64
-	recorded uint64
-	// assumed is the part of settled that was assumed of a former owner, and
+	lastGrant         uint64
+	lastRecordedGrant uint64
+	// assumedTokens is the part of settled that was assumed of a former owner, and
 	// begunBefore says that the program may have begun there although the log did not
 	// know it. restored says that the account is a former owner's.
-	assumed     int
-	begunBefore bool
-	restored    bool
+	assumedTokens      int
+	mayHaveBegunBefore bool
+	restored           bool
 	// newest is what the newest record allows, which was proposed at position; lowest
 	// what every record of this owner does, and durable what the log is certain to
 	// allow.
-	newest   cover
-	lowest   cover
-	durable  cover
-	position uint64
+	newest         allowance
+	common         allowance
+	durable        allowance
+	recordPosition uint64
 	// budget and most are those of the last turn, and within is the longest time of
 	// any.
-	budget int
-	most   int
-	within time.Duration
+	budget      int
+	maxTokens   int
+	maxDuration time.Duration
 	// replicas served the program's lines of turns last, by session.
-	replicas map[string]servedBy
-	touched  time.Time
-	retain   time.Duration
+	replicas   map[string]servedBy
+	lastActive time.Time
+	retention  time.Duration
 }
 
 func newAccount() *account {
-	return &account{open: make(map[string]reservation), doubts: make(map[uint64]reservation)}
+	return &account{open: make(map[string]reservation), uncertain: make(map[uint64]reservation)}
 }
 
 // servedBy is the replica that served a line of turns last, and how many of the line's
 // tokens it had in its memory then.
 type servedBy struct {
-	replica string
-	kept    int
+	replica      string
+	cachedTokens int
 }
 
 // reservation is what a turn may use whose end was not told.
 type reservation struct {
-	grant   uint64
-	most    int
-	expires time.Time
-	// lapsed says that the time to tell it is over: the turn counts as settled, at
+	grant     uint64
+	maxTokens int
+	expires   time.Time
+	// presumed says that the time to tell it is over: the turn counts as settled, at
 	// its most.
-	lapsed bool
+	presumed bool
 }
 
-// underWay counts the turns whose end may be told in time.
-func (a *account) underWay() int {
+// openCount counts the turns whose end may be told in time.
+func (a *account) openCount() int {
 	count := 0
 	for _, reserved := range a.open {
-		if !reserved.lapsed {
+		if !reserved.presumed {
 			count++
 		}
 	}
-	for _, reserved := range a.doubts {
-		if !reserved.lapsed {
+	for _, reserved := range a.uncertain {
+		if !reserved.presumed {
 			count++
 		}
 	}
@@ -139,54 +139,54 @@
 func (a *account) openTokens() int {
 	total := 0
 	for _, reserved := range a.open {
-		if !reserved.lapsed {
-			total += reserved.most
+		if !reserved.presumed {
+			total += reserved.maxTokens
 		}
 	}
-	for _, reserved := range a.doubts {
-		if !reserved.lapsed {
-			total += reserved.most
+	for _, reserved := range a.uncertain {
+		if !reserved.presumed {
+			total += reserved.maxTokens
 		}
 	}
 	return total
 }
 
-// used is the most that the program may have used.
-func (a *account) used() int { return a.settled + a.openTokens() }
+// maxUsed is the most that the program may have used.
+func (a *account) maxUsed() int { return a.settledTokens + a.openTokens() }
 
 // expire counts the turns whose end was never told at their most.
 func (a *account) expire(now time.Time) {
-	expireAll(now, a, a.open)
-	expireAll(now, a, a.doubts)
+	expireReservations(now, a, a.open)
+	expireReservations(now, a, a.uncertain)
 }
 
-func expireAll[K comparable](now time.Time, a *account, turns map[K]reservation) {
+func expireReservations[K comparable](now time.Time, a *account, turns map[K]reservation) {
 	for key, reserved := range turns {
 		switch {
-		case now.After(reserved.expires.Add(lateSettlement)):
-			if !reserved.lapsed {
-				a.presume(reserved.most)
+		case now.After(reserved.expires.Add(lateSettlementWindow)):
+			if !reserved.presumed {
+				a.addPresumed(reserved.maxTokens)
 			}
 			delete(turns, key)
-		case !reserved.lapsed && now.After(reserved.expires):
-			a.presume(reserved.most)
-			reserved.lapsed = true
+		case !reserved.presumed && now.After(reserved.expires):
+			a.addPresumed(reserved.maxTokens)
+			reserved.presumed = true
 			turns[key] = reserved
 		}
 	}
 }
 
-func (a *account) presume(tokens int) {
-	a.settled += tokens
-	a.presumed += tokens
+func (a *account) addPresumed(tokens int) {
+	a.settledTokens += tokens
+	a.presumedTokens += tokens
 }
 
-// limit is what all turns of the program may use: its budget, and less than one
+// tokenLimit is what all turns of the program may use: its budget, and less than one
 // turn more where a former owner's mark counts as used, of which a part was not,
 // and leaves anything of the budget. The turn by which a loss may exceed a budget
 // is spent already where use is assumed.
-func (l *Ledger) limit(turn Turn, held *account) int {
-	if l.config.TurnAfterLoss && held.restored && !held.begunBefore {
+func (l *Ledger) tokenLimit(turn Turn, acct *account) int {
+	if l.config.TurnAfterLoss && acct.restored && !acct.mayHaveBegunBefore {
 		return turn.Budget + turn.Most - 1
 	}
 	return turn.Budget
@@ -198,32 +198,32 @@
 // Admit decides whether the turn may run, and reserves its most if so. The same
 // turn may be asked for again.
 func (l *Ledger) Admit(now time.Time, turn Turn) Admission {
-	held := l.accounts[turn.Program]
-	if held == nil {
-		held = l.openAccount(now, turn)
+	acct := l.accounts[turn.Program]
+	if acct == nil {
+		acct = l.openAccount(now, turn)
 	}
-	held.note(now, turn)
-	held.expire(now)
-	open := held.openTokens()
-	served := held.replicas[turn.Session]
-	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, Kept: served.kept, Settled: held.settled, Open: open}
-	admission.Fresh = len(held.replicas) == 0 && open == 0 && held.settled == held.assumed && !held.restored
-	if again, known := held.open[turn.ID]; known && !again.lapsed {
-		admission.Again, admission.Grant = true, again.grant
-		admission.Position = l.waitsFor(now, turn, held, again.grant, held.settled+open)
+	acct.updateFrom(now, turn)
+	acct.expire(now)
+	open := acct.openTokens()
+	served := acct.replicas[turn.Session]
+	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, Kept: served.cachedTokens, Settled: acct.settledTokens, Open: open}
+	admission.Fresh = len(acct.replicas) == 0 && open == 0 && acct.settledTokens == acct.assumedTokens && !acct.restored
+	if repeated, found := acct.open[turn.ID]; found && !repeated.presumed {
+		admission.Again, admission.Grant = true, repeated.grant
+		admission.Position = l.requiredPosition(now, turn, acct, repeated.grant, acct.settledTokens+open)
 		return admission
 	}
-	if verdict := l.judge(now, turn, held, open); verdict != VerdictGranted {
+	if verdict := l.decide(now, turn, acct, open); verdict != VerdictGranted {
 		admission.Verdict = verdict
 		return admission
 	}
-	held.granted++
-	held.open[turn.ID] = reservation{grant: held.granted, most: turn.Most, expires: now.Add(turn.Within + settlementSlack)}
-	need := held.settled + open + turn.Most
-	l.markOpen()
-	l.raise(turn, held, need)
-	admission.Grant = held.granted
-	admission.Position = l.waitsFor(now, turn, held, held.granted, need)
+	acct.lastGrant++
+	acct.open[turn.ID] = reservation{grant: acct.lastGrant, maxTokens: turn.Most, expires: now.Add(turn.Within + settlementSlack)}
+	need := acct.settledTokens + open + turn.Most
+	l.proposeOpenRecord()
+	l.ensureRecorded(turn, acct, need)
+	admission.Grant = acct.lastGrant
+	admission.Position = l.requiredPosition(now, turn, acct, acct.lastGrant, need)
 	return admission
 }
 
@@ -231,82 +231,82 @@
 // numbered from the present on, so that those of an owner that the log lost have other
 // numbers.
 func (l *Ledger) openAccount(now time.Time, turn Turn) *account {
-	held := newAccount()
-	held.assumed, held.begunBefore = l.assumed(now, turn), l.mayHaveBegun(now, turn)
-	held.presume(held.assumed)
-	held.granted = uint64(max(0, now.UnixMicro()))
-	l.accounts[turn.Program] = held
-	return held
+	acct := newAccount()
+	acct.assumedTokens, acct.mayHaveBegunBefore = l.assumedTokens(now, turn), l.mayHaveBegun(now, turn)
+	acct.addPresumed(acct.assumedTokens)
+	acct.lastGrant = uint64(max(0, now.UnixMicro()))
+	l.accounts[turn.Program] = acct
+	return acct
 }
 
-// note takes in what a turn tells of its program.
-func (a *account) note(now time.Time, turn Turn) {
-	a.touched = now
-	a.retain = max(a.retain, turn.Retain)
-	a.within = max(a.within, turn.Within)
-	a.budget, a.most = turn.Budget, turn.Most
+// updateFrom takes in what a turn tells of its program.
+func (a *account) updateFrom(now time.Time, turn Turn) {
+	a.lastActive = now
+	a.retention = max(a.retention, turn.Retain)
+	a.maxDuration = max(a.maxDuration, turn.Within)
+	a.budget, a.maxTokens = turn.Budget, turn.Most
 }
 
-// judge decides whether the budget holds one more turn. It is spent only where that is
+// decide decides whether the budget holds one more turn. It is spent only where that is
 // certain: while the end of a turn may still be told, one that does not fit is to come
 // back.
-func (l *Ledger) judge(now time.Time, turn Turn, held *account, open int) Verdict {
-	limit := l.limit(turn, held)
-	known := held.settled - held.presumed
+func (l *Ledger) decide(now time.Time, turn Turn, acct *account, open int) Verdict {
+	tokenLimit := l.tokenLimit(turn, acct)
+	certain := acct.settledTokens - acct.presumedTokens
 	switch {
 	case turn.Budget <= 0:
 		return VerdictGranted
-	case known+turn.Most > turn.Budget || held.settled+turn.Most > limit:
+	case certain+turn.Most > turn.Budget || acct.settledTokens+turn.Most > tokenLimit:
 		return VerdictExhausted
-	case held.settled+open+l.unscoped(now, turn)+turn.Most > limit:
+	case acct.settledTokens+open+l.unscopedTokens(now, turn)+turn.Most > tokenLimit:
 		return VerdictBusy
 	default:
 		return VerdictGranted
 	}
 }
 
-// unscoped is what the account of a former format holds that may be the program's, or
+// unscopedTokens is what the account of a former format holds that may be the program's, or
 // that of another tenant's program of the same name: no turn is granted from it, and
 // none is told for good that its budget is spent because of it.
-func (l *Ledger) unscoped(now time.Time, turn Turn) int {
-	former := l.accounts[turn.Unscoped]
-	if turn.Unscoped == "" || former == nil {
+func (l *Ledger) unscopedTokens(now time.Time, turn Turn) int {
+	legacy := l.accounts[turn.Unscoped]
+	if turn.Unscoped == "" || legacy == nil {
 		return 0
 	}
-	former.expire(now)
-	return former.settled + former.openTokens()
+	legacy.expire(now)
+	return legacy.settledTokens + legacy.openTokens()
 }
 
-// waitsFor returns what must be durable before a token of the turn may reach
+// requiredPosition returns what must be durable before a token of the turn may reach
 // the client, or 0.
-func (l *Ledger) waitsFor(now time.Time, turn Turn, held *account, grant uint64, need int) uint64 {
-	if held.position <= l.durable || held.durable.holds(grant, turn.Most, need) || l.runsUnrecorded(now, turn, held, grant, need) {
+func (l *Ledger) requiredPosition(now time.Time, turn Turn, acct *account, grant uint64, need int) uint64 {
+	if acct.recordPosition <= l.durable || acct.durable.permits(grant, turn.Most, need) || l.mayRunUnrecorded(now, turn, acct, grant, need) {
 		return 0
 	}
-	return held.position
+	return acct.recordPosition
 }
 
-// raise proposes a record that covers the turn, where the newest does not.
-func (l *Ledger) raise(turn Turn, held *account, need int) {
-	if held.newest.holds(held.granted, turn.Most, need) {
+// ensureRecorded proposes a record that covers the turn, where the newest does not.
+func (l *Ledger) ensureRecorded(turn Turn, acct *account, need int) {
+	if acct.newest.permits(acct.lastGrant, turn.Most, need) {
 		return
 	}
-	if l.exact(turn, held, need) {
-		l.proposeExact(turn.Program, held, l.slots(held, need))
+	if l.needsExactRecord(turn, acct, need) {
+		l.proposeExact(turn.Program, acct, l.slotCount(acct, need))
 		return
 	}
-	mark := need + l.ahead(turn, need)
-	if held.newest.mark == 0 {
+	mark := need + l.markHeadroom(turn, need)
+	if acct.newest.mark == 0 {
 		// What a program may use before its first mark is covered by it.
-		mark = max(mark, l.firstMark(turn))
+		mark = max(mark, l.minFirstMark(turn))
 	}
-	l.proposeMark(turn.Program, held, mark)
+	l.proposeMark(turn.Program, acct, mark)
 }
 
-// ahead is how far a mark is raised beyond what is needed: by a share of what
+// markHeadroom is how far a mark is raised beyond what is needed: by a share of what
 // the budget still holds and by some turns at most, and so that one more turn
 // fits into the budget if the mark counts as used.
-func (l *Ledger) ahead(turn Turn, need int) int {
+func (l *Ledger) markHeadroom(turn Turn, need int) int {
 	if turn.Budget == 0 {
 		return turn.Most
 	}
@@ -333,62 +333,62 @@
 // Settle counts what a turn used. A turn that this ledger did not admit was
 // counted at its most by the former owner's mark.
 func (l *Ledger) Settle(now time.Time, settlement Settlement) {
-	held := l.accounts[settlement.Program]
-	if held == nil {
+	acct := l.accounts[settlement.Program]
+	if acct == nil {
 		return
 	}
-	held.touched = now
+	acct.lastActive = now
 	if settlement.Replica != "" {
-		if held.replicas == nil {
-			held.replicas = make(map[string]servedBy)
+		if acct.replicas == nil {
+			acct.replicas = make(map[string]servedBy)
 		}
-		held.replicas[settlement.Session] = servedBy{replica: settlement.Replica, kept: settlement.Kept}
+		acct.replicas[settlement.Session] = servedBy{replica: settlement.Replica, cachedTokens: settlement.Kept}
 	}
-	l.end(now, held, settlement)
+	l.settleTurn(now, acct, settlement)
 }
 
-// end counts the turn of a settlement. One that is not under way here was counted, or
+// settleTurn counts the turn of a settlement. One that is not under way here was counted, or
 // is covered by what a former owner recorded.
-func (l *Ledger) end(now time.Time, held *account, settlement Settlement) {
-	reserved, open := held.open[settlement.Turn]
+func (l *Ledger) settleTurn(now time.Time, acct *account, settlement Settlement) {
+	reserved, open := acct.open[settlement.Turn]
 	if !open {
-		l.endDoubt(held, settlement)
+		l.settleUncertain(acct, settlement)
 		return
 	}
-	delete(held.open, settlement.Turn)
-	held.count(reserved, settlement.Tokens)
-	if settlement.Tokens == 0 && reserved.grant == held.granted && reserved.grant > held.recorded {
+	delete(acct.open, settlement.Turn)
+	acct.applyUsage(reserved, settlement.Tokens)
+	if settlement.Tokens == 0 && reserved.grant == acct.lastGrant && reserved.grant > acct.lastRecordedGrant {
 		// The turn ran nowhere, and no record names it: the next has its number.
-		held.granted--
+		acct.lastGrant--
 	}
-	l.recordEnd(now, settlement.Program, held)
+	l.recordSettlement(now, settlement.Program, acct)
 }
 
-// endDoubt counts a turn that a former owner granted without a record. One that used
+// settleUncertain counts a turn that a former owner granted without a record. One that used
 // nothing leaves the doubt: the former owner may have given its number to the next.
-func (l *Ledger) endDoubt(held *account, settlement Settlement) {
-	reserved, doubted := held.doubts[settlement.Grant]
-	if !doubted || settlement.Tokens == 0 {
+func (l *Ledger) settleUncertain(acct *account, settlement Settlement) {
+	reserved, found := acct.uncertain[settlement.Grant]
+	if !found || settlement.Tokens == 0 {
 		return
 	}
-	delete(held.doubts, settlement.Grant)
-	held.count(reserved, settlement.Tokens)
+	delete(acct.uncertain, settlement.Grant)
+	acct.applyUsage(reserved, settlement.Tokens)
 }
 
-// count replaces what was reserved by what was used.
-func (a *account) count(reserved reservation, tokens int) {
-	if reserved.lapsed {
-		a.settled -= reserved.most
-		a.presumed -= reserved.most
+// applyUsage replaces what was reserved by what was used.
+func (a *account) applyUsage(reserved reservation, tokens int) {
+	if reserved.presumed {
+		a.settledTokens -= reserved.maxTokens
+		a.presumedTokens -= reserved.maxTokens
 	}
-	a.settled += min(tokens, reserved.most)
+	a.settledTokens += min(tokens, reserved.maxTokens)
 }
 
-// recordEnd proposes an account's record where its newest one is still queued, which
+// recordSettlement proposes an account's record where its newest one is still queued, which
 // costs no append, and where that would leave a new owner no budget for another turn.
-func (l *Ledger) recordEnd(now time.Time, program string, held *account) {
-	spent := held.restored && held.newest.mark >= held.budget && held.used() < held.budget
-	if spent || l.queues(accountPrefix+program) {
-		l.renew(now, program)
+func (l *Ledger) recordSettlement(now time.Time, program string, acct *account) {
+	markSpent := acct.restored && acct.newest.mark >= acct.budget && acct.maxUsed() < acct.budget
+	if markSpent || l.isPending(accountPrefix+program) {
+		l.refreshRecord(now, program)
 	}
 }
--- a/ledger/encoding.go
+++ b/ledger/encoding.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// binaryTurn begins a kept turn's record whose bodies stand as they are, behind a head
+// binaryTurnFormat begins a kept turn's record whose bodies stand as they are, behind a head
 // in JSON. Records of former versions are JSON as a whole, with bodies in base64, which
 // are a third longer.
-const binaryTurn = 1
+const binaryTurnFormat = 1
 
 // turnHead is what stands before the bodies of a kept turn, and how long those are.
 type turnHead struct {
@@ -20,8 +20,8 @@
 	OutputBytes int `json:"output_bytes,omitempty"`
 }
 
-// errTurnCut says that a kept turn's record is shorter than it says.
-var errTurnCut = errors.New("ledger: the turn is cut off")
+// errTurnTruncated says that a kept turn's record is shorter than it says.
+var errTurnTruncated = errors.New("ledger: the turn is cut off")
 
 // encodeTurn returns a kept turn's record: the kind, the length of the head, the head,
 // the base, the input and the output.
@@ -30,14 +30,14 @@
 	head.Base, head.Input, head.Output = nil, nil, nil
 	encoded := encode(head)
 	record := make([]byte, 0, 1+binary.MaxVarintLen64+len(encoded)+len(value.Base)+len(value.Input)+len(value.Output))
-	record = append(record, binaryTurn)
+	record = append(record, binaryTurnFormat)
 	record = binary.AppendUvarint(record, uint64(len(encoded)))
 	return slices.Concat(append(record, encoded...), value.Base, value.Input, value.Output)
 }
 
 // decodeTurn reads a kept turn's record, of this version or a former one.
 func decodeTurn(record []byte) (turnValue, error) {
-	if len(record) == 0 || record[0] != binaryTurn {
+	if len(record) == 0 || record[0] != binaryTurnFormat {
 		var value turnValue
 		err := json.Unmarshal(record, &value)
 		return value, err
@@ -45,7 +45,7 @@
 	length, read := binary.Uvarint(record[1:])
 	rest := record[1+max(0, read):]
 	if read <= 0 || length > uint64(len(rest)) {
-		return turnValue{}, errTurnCut
+		return turnValue{}, errTurnTruncated
 	}
 	var head turnHead
 	if err := json.Unmarshal(rest[:length], &head); err != nil {
@@ -53,7 +53,7 @@
 	}
 	rest = rest[length:]
 	if min(head.BaseBytes, head.InputBytes, head.OutputBytes) < 0 || len(rest) != head.BaseBytes+head.InputBytes+head.OutputBytes {
-		return turnValue{}, errTurnCut
+		return turnValue{}, errTurnTruncated
 	}
 	value := head.turnValue
 	value.Base, value.Input, value.Output = rest[:head.BaseBytes], rest[head.BaseBytes:head.BaseBytes+head.InputBytes], rest[head.BaseBytes+head.InputBytes:]
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -278,7 +278,7 @@
 
 	It("of the former format counts as used", func() {
 		stored := log{"account/p": []byte(`{"mark":300,"retain_ms":60000}`)}
-		admission := stored.open(start).Admit(start, turn("a", 600))
+		admission := stored.open(start).Admit(start, turnRequest("a", 600))
 		Expect(admission.Settled).To(Equal(300))
 		Expect(admission.Open).To(BeZero())
 	})
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -53,12 +53,12 @@
 type Ledger struct {
 	config   Config
 	accounts map[string]*account
-	turns    map[string]*turn
+	turns    map[string]*turnEntry
 	// parts are those of turns whose own record was not restored yet.
 	parts map[string][]byte
 
 	// pending are the proposed records that are in no batch yet, in order.
-	pending []queued
+	pending []pendingRecord
 	// proposed counts proposals. All up to batched are in the batch under way
 	// or in the log, all up to durable in the log.
 	proposed  uint64
@@ -66,18 +66,18 @@
 	durable   uint64
 	inFlight  bool
 	nextSweep time.Time
-	tenure    tenure
+	ownership ownership
 }
 
-// queued is a record that waits, with the first proposal that it carries out.
-type queued struct {
+// pendingRecord is a record that waits, with the first proposal that it carries out.
+type pendingRecord struct {
 	Record
-	first uint64
+	firstPosition uint64
 }
 
 // New returns an empty ledger.
 func New(config Config) *Ledger {
-	return &Ledger{config: config, accounts: make(map[string]*account), turns: make(map[string]*turn), parts: make(map[string][]byte)}
+	return &Ledger{config: config, accounts: make(map[string]*account), turns: make(map[string]*turnEntry), parts: make(map[string][]byte)}
 }
 
 // propose queues a record. A record of the same key that waits is replaced:
@@ -85,22 +85,22 @@
 func (l *Ledger) propose(key string, value []byte) uint64 {
 	l.proposed++
 	record := Record{Key: key, Value: value}
-	index := l.queuedAt(key)
+	index := l.pendingIndex(key)
 	if index >= 0 {
 		l.pending[index].Record = record
 		return l.proposed
 	}
-	l.pending = append(l.pending, queued{Record: record, first: l.proposed})
+	l.pending = append(l.pending, pendingRecord{Record: record, firstPosition: l.proposed})
 	return l.proposed
 }
 
-// queuedAt returns the place of a key's record that is in no batch yet, or -1.
-func (l *Ledger) queuedAt(key string) int {
-	return slices.IndexFunc(l.pending, func(waiting queued) bool { return waiting.Key == key })
+// pendingIndex returns the place of a key's record that is in no batch yet, or -1.
+func (l *Ledger) pendingIndex(key string) int {
+	return slices.IndexFunc(l.pending, func(record pendingRecord) bool { return record.Key == key })
 }
 
-// queues reports whether a key's record is in no batch yet.
-func (l *Ledger) queues(key string) bool { return l.queuedAt(key) >= 0 }
+// isPending reports whether a key's record is in no batch yet.
+func (l *Ledger) isPending(key string) bool { return l.pendingIndex(key) >= 0 }
 
 // Proposed returns the position of the last proposal.
 func (l *Ledger) Proposed() uint64 { return l.proposed }
@@ -121,7 +121,7 @@
 	l.inFlight = true
 	l.batched = l.proposed
 	if len(l.pending) > 0 {
-		l.batched = l.pending[0].first - 1
+		l.batched = l.pending[0].firstPosition - 1
 	}
 	return batch
 }
@@ -130,12 +130,12 @@
 func (l *Ledger) takeBatch() []Record {
 	var batch []Record
 	bytes := 0
-	for _, waiting := range l.pending {
-		bytes += len(waiting.Key) + len(waiting.Value)
+	for _, record := range l.pending {
+		bytes += len(record.Key) + len(record.Value)
 		if len(batch) > 0 && (len(batch) >= l.config.BatchRecords || bytes > l.config.BatchBytes) {
 			break
 		}
-		batch = append(batch, waiting.Record)
+		batch = append(batch, record.Record)
 	}
 	l.pending = slices.Delete(l.pending, 0, len(batch))
 	return batch
@@ -153,11 +153,11 @@
 		return
 	}
 	l.nextSweep = now.Add(l.config.SweepPeriod)
-	for id, held := range l.accounts {
-		held.expire(now)
-		if held.underWay() == 0 && now.Sub(held.touched) > held.retain+l.config.Slack {
+	for id, acct := range l.accounts {
+		acct.expire(now)
+		if acct.openCount() == 0 && now.Sub(acct.lastActive) > acct.retention+l.config.Slack {
 			delete(l.accounts, id)
-			if held.newest.mark > 0 {
+			if acct.newest.mark > 0 {
 				l.propose(accountPrefix+id, nil)
 			}
 		}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -50,8 +50,8 @@
 	return restored
 }
 
-// turn is a turn of at most 100 tokens.
-func turn(id string, budget int) ledger.Turn {
+// turnRequest is a turn of at most 100 tokens.
+func turnRequest(id string, budget int) ledger.Turn {
 	return ledger.Turn{ID: id, Program: "p", Session: "s", Most: 100, Budget: budget, Within: time.Second, Retain: time.Minute}
 }
 
@@ -61,39 +61,39 @@
 		used := 0
 		for index := range 3 {
 			id := strconv.Itoa(index)
-			Expect(books.Admit(start, turn(id, 300)).Verdict).To(Equal(ledger.VerdictGranted))
+			Expect(books.Admit(start, turnRequest(id, 300)).Verdict).To(Equal(ledger.VerdictGranted))
 			books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 90})
 			used += 90
 		}
-		Expect(books.Admit(start, turn("last", 300)).Verdict).To(Equal(ledger.VerdictExhausted))
+		Expect(books.Admit(start, turnRequest("last", 300)).Verdict).To(Equal(ledger.VerdictExhausted))
 		Expect(used).To(BeNumerically("<=", 300))
 	})
 
 	It("lets a turn wait for others that hold the rest, and does not call it spent", func() {
 		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turn("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
-		Expect(books.Admit(start, turn("b", 150)).Verdict).To(Equal(ledger.VerdictBusy))
+		Expect(books.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
+		Expect(books.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictBusy))
 		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 20})
-		Expect(books.Admit(start, turn("b", 150)).Verdict).To(Equal(ledger.VerdictGranted))
+		Expect(books.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictGranted))
 	})
 
 	It("tells a program none of whose turns was served from one under way", func() {
 		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turn("a", 300)).Fresh).To(BeTrue())
+		Expect(books.Admit(start, turnRequest("a", 300)).Fresh).To(BeTrue())
 		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p"})
-		Expect(books.Admit(start, turn("b", 300)).Fresh).To(BeTrue())
-		Expect(books.Admit(start, turn("c", 300)).Fresh).To(BeFalse())
+		Expect(books.Admit(start, turnRequest("b", 300)).Fresh).To(BeTrue())
+		Expect(books.Admit(start, turnRequest("c", 300)).Fresh).To(BeFalse())
 		books.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Session: "s", Tokens: 10, Replica: "r"})
-		Expect(books.Admit(start, turn("d", 300)).Fresh).To(BeFalse())
+		Expect(books.Admit(start, turnRequest("d", 300)).Fresh).To(BeFalse())
 	})
 
 	It("grants the same turn once, however often it is asked", func() {
 		books := ledger.New(ledger.DefaultConfig())
 		for range 3 {
-			Expect(books.Admit(start, turn("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
+			Expect(books.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
 		}
 		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 30})
-		Expect(books.Admit(start, turn("b", 150)).Settled).To(Equal(30))
+		Expect(books.Admit(start, turnRequest("b", 150)).Settled).To(Equal(30))
 	})
 
 	It("never lets a program use more than the budget and one turn, whenever its owner is lost", func() {
@@ -107,7 +107,7 @@
 					books = stored.restore(start)
 				}
 				id := strconv.Itoa(index)
-				admission := books.Admit(start, turn(id, budget))
+				admission := books.Admit(start, turnRequest(id, budget))
 				if admission.Verdict != ledger.VerdictGranted {
 					continue
 				}
@@ -137,7 +137,7 @@
 					books = stored.restore(start)
 				}
 				id := strconv.Itoa(index)
-				Expect(books.Admit(start, turn(id, turns*most)).Verdict).To(Equal(ledger.VerdictGranted))
+				Expect(books.Admit(start, turnRequest(id, turns*most)).Verdict).To(Equal(ledger.VerdictGranted))
 				stored.store(books)
 				books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: most / 4})
 			}
@@ -146,13 +146,13 @@
 
 	It("counts every turn in the log before its tokens may be handed out", func() {
 		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turn("a", 300)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(books.Admit(start, turnRequest("a", 300)).Position).To(BeNumerically(">", books.Durable()))
 	})
 
 	It("is remembered by a new owner for as long as its route keeps programs", func() {
 		stored := log{}
 		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turn("a", 100)).Verdict).To(Equal(ledger.VerdictGranted))
+		Expect(books.Admit(start, turnRequest("a", 100)).Verdict).To(Equal(ledger.VerdictGranted))
 		stored.store(books)
 		books = stored.restore(start.Add(time.Second))
 		for second := range 55 {
@@ -160,14 +160,14 @@
 			stored.store(books)
 		}
 		books = stored.restore(start.Add(55 * time.Second))
-		Expect(books.Admit(start.Add(55*time.Second), turn("b", 100)).Verdict).To(Equal(ledger.VerdictBusy))
-		Expect(books.Admit(start.Add(63*time.Second), turn("b", 100)).Verdict).To(Equal(ledger.VerdictExhausted))
+		Expect(books.Admit(start.Add(55*time.Second), turnRequest("b", 100)).Verdict).To(Equal(ledger.VerdictBusy))
+		Expect(books.Admit(start.Add(63*time.Second), turnRequest("b", 100)).Verdict).To(Equal(ledger.VerdictExhausted))
 	})
 
 	It("is forgotten when nobody may come back, and leaves no record", func() {
 		stored := log{}
 		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turn("a", 100))
+		books.Admit(start, turnRequest("a", 100))
 		stored.store(books)
 		Expect(stored).NotTo(BeEmpty())
 		for second := range 200 {
@@ -179,9 +179,9 @@
 
 	It("counts a turn whose end was never told at its most", func() {
 		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turn("a", 150))
+		books.Admit(start, turnRequest("a", 150))
 		late := start.Add(10 * time.Second)
-		admission := books.Admit(late, turn("b", 150))
+		admission := books.Admit(late, turnRequest("b", 150))
 		Expect(admission.Verdict).To(Equal(ledger.VerdictExhausted))
 		Expect(admission.Settled).To(Equal(100))
 	})
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -33,38 +33,38 @@
 	// former owner, and nothing but the turn beyond its budget is taken as used there.
 	// Owners of a former format know such programs by an Assumed above 0.
 	NoneAssumed bool `json:"none_assumed,omitempty"`
-	// RetainMS is how long the account is kept after its program's last turn,
+	// RetentionMS is how long the account is kept after its program's last turn,
 	// in milliseconds.
-	RetainMS int64 `json:"retain_ms"`
+	RetentionMS int64 `json:"retain_ms"`
 	// Exact is what the mark is made of, where the owner recorded that; nil in
 	// records of a former format.
-	Exact *exactValue `json:"exact,omitempty"`
+	Exact *exactRecord `json:"exact,omitempty"`
 }
 
-// exactValue is an account as it was, and what its owner might grant from then on
+// exactRecord is an account as it was, and what its owner might grant from then on
 // without another record.
-type exactValue struct {
+type exactRecord struct {
 	// Settled counts the tokens of turns that are over, and Presumed the part of them
 	// that turns count whose use is not known.
 	Settled  int `json:"settled"`
 	Presumed int `json:"presumed,omitempty"`
 	// Open are the turns under way.
 	Open []listedValue `json:"open,omitempty"`
-	// Granted is the number of the last grant, and Slots how many more may follow, of
+	// LastGrant is the number of the last grant, and Slots how many more may follow, of
 	// SlotMost tokens each at most.
-	Granted  uint64 `json:"granted"`
-	Slots    int    `json:"slots,omitempty"`
-	SlotMost int    `json:"slot_most,omitempty"`
-	// WithinMS is how long any turn of the program takes at most, in milliseconds.
-	WithinMS int64 `json:"within_ms,omitempty"`
+	LastGrant  uint64 `json:"granted"`
+	Slots      int    `json:"slots,omitempty"`
+	SlotTokens int    `json:"slot_most,omitempty"`
+	// MaxDurationMS is how long any turn of the program takes at most, in milliseconds.
+	MaxDurationMS int64 `json:"within_ms,omitempty"`
 }
 
 // listedValue is a turn under way. Its ID is empty where a former owner may have granted
 // it without a record.
 type listedValue struct {
-	ID    string `json:"id,omitempty"`
-	Grant uint64 `json:"grant"`
-	Most  int    `json:"most"`
+	ID        string `json:"id,omitempty"`
+	Grant     uint64 `json:"grant"`
+	MaxTokens int    `json:"most"`
 }
 
 // turnValue is a kept turn.
@@ -77,11 +77,11 @@
 	Output []byte `json:"output"`
 	// Replica served the turn, or "": its memory may still hold the chain.
 	Replica string `json:"replica,omitempty"`
-	// RetainMS is how long the turn is kept, in milliseconds.
-	RetainMS int64 `json:"retain_ms"`
-	// KeptMS is when the turn was kept, in milliseconds since 1970 by its owner's clock;
+	// RetentionMS is how long the turn is kept, in milliseconds.
+	RetentionMS int64 `json:"retain_ms"`
+	// StoredAtMS is when the turn was kept, in milliseconds since 1970 by its owner's clock;
 	// 0 in records of former versions.
-	KeptMS int64 `json:"kept_ms,omitempty"`
+	StoredAtMS int64 `json:"kept_ms,omitempty"`
 	// Parts is how many records hold the turn, where one is too small. The
 	// turn's own record holds nothing but this number then.
 	Parts int `json:"parts,omitempty"`
@@ -111,8 +111,8 @@
 		return nil
 	}
 	if record.Key == openKey {
-		l.tenure.inherited = true
-		l.tenure.again = string(record.Value) == openAgainValue
+		l.ownership.inheritedOpen = true
+		l.ownership.inheritedTwice = string(record.Value) == openAfterFailureValue
 		return nil
 	}
 	if program, found := strings.CutPrefix(record.Key, accountPrefix); found {
@@ -145,16 +145,16 @@
 		return fmt.Errorf("ledger: record %q: %w", record.Key, err)
 	}
 	if parts := value.Parts; parts > 0 {
-		whole, err := l.joinParts(id, parts)
+		joined, err := l.joinParts(id, parts)
 		if err != nil {
 			return err
 		}
-		if value, err = decodeTurn(whole); err != nil {
+		if value, err = decodeTurn(joined); err != nil {
 			return fmt.Errorf("ledger: parts of record %q: %w", record.Key, err)
 		}
 		value.Parts = parts
 	}
-	l.turns[id] = &turn{turnValue: value, expires: now.Add(value.retain())}
+	l.turns[id] = &turnEntry{turnValue: value, expires: now.Add(value.retention())}
 	return nil
 }
 
@@ -167,36 +167,36 @@
 		}
 	}
 	clear(l.parts)
-	l.ageRestored()
+	l.expireRestored()
 }
 
-// ageRestored lets the turns that were restored go when they are due: their records
+// expireRestored lets the turns that were restored go when they are due: their records
 // tell when they were kept, and those of a chain live as long as its last one. The
 // slack covers clocks that differ.
-func (l *Ledger) ageRestored() {
+func (l *Ledger) expireRestored() {
 	for _, kept := range l.turns {
-		if due := time.UnixMilli(kept.KeptMS).Add(kept.retain()); kept.KeptMS > 0 && due.Before(kept.expires) {
+		if due := time.UnixMilli(kept.StoredAtMS).Add(kept.retention()); kept.StoredAtMS > 0 && due.Before(kept.expires) {
 			kept.expires = due
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.turns)) {
-		l.touchChain(id, l.turns[id].expires)
+		l.extendChain(id, l.turns[id].expires)
 	}
 }
 
 // Size estimates the bytes of the newest records of the ledger in the log.
 func (l *Ledger) Size() int {
-	size := len(l.accounts) * accountBytes
+	size := len(l.accounts) * accountRecordBytes
 	for id, kept := range l.turns {
-		size += len(turnPrefix) + len(id) + turnBytes + len(kept.Base) + len(kept.Input) + len(kept.Output)
+		size += len(turnPrefix) + len(id) + turnOverheadBytes + len(kept.Base) + len(kept.Input) + len(kept.Output)
 	}
 	return size
 }
 
 // What a record takes besides a turn's bodies, about.
 const (
-	accountBytes = 80
-	turnBytes    = 160
+	accountRecordBytes = 80
+	turnOverheadBytes  = 160
 )
 
 // partInUse reports whether a part belongs to a turn that was kept anew since the
@@ -214,16 +214,16 @@
 
 // joinParts returns what the parts of a turn hold together.
 func (l *Ledger) joinParts(id string, parts int) ([]byte, error) {
-	var whole []byte
+	var joined []byte
 	for number := range parts {
 		part, found := l.parts[partKey(id, number)]
 		if !found {
 			return nil, fmt.Errorf("ledger: turn %q: part %d of %d is missing", id, number, parts)
 		}
 		delete(l.parts, partKey(id, number))
-		whole = append(whole, part...)
+		joined = append(joined, part...)
 	}
-	return whole, nil
+	return joined, nil
 }
 
 func partKey(id string, number int) string { return partPrefix + id + "/" + strconv.Itoa(number) }
@@ -231,21 +231,21 @@
 // proposeTurn queues a turn's record, or its parts and then the record that
 // names their number.
 func (l *Ledger) proposeTurn(id string, value *turnValue) uint64 {
-	whole := encodeTurn(value)
-	if len(whole) <= l.config.RecordBytes {
-		return l.propose(turnPrefix+id, whole)
+	encoded := encodeTurn(value)
+	if len(encoded) <= l.config.RecordBytes {
+		return l.propose(turnPrefix+id, encoded)
 	}
 	number := 0
-	for piece := range slices.Chunk(whole, l.config.RecordBytes) {
-		l.propose(partKey(id, number), piece)
+	for chunk := range slices.Chunk(encoded, l.config.RecordBytes) {
+		l.propose(partKey(id, number), chunk)
 		number++
 	}
 	value.Parts = number
-	return l.propose(turnPrefix+id, encode(turnValue{Program: value.Program, RetainMS: value.RetainMS, Parts: number}))
+	return l.propose(turnPrefix+id, encode(turnValue{Program: value.Program, RetentionMS: value.RetentionMS, Parts: number}))
 }
 
 // removeTurn queues the removal of a turn's records.
-func (l *Ledger) removeTurn(id string, kept *turn) {
+func (l *Ledger) removeTurn(id string, kept *turnEntry) {
 	delete(l.turns, id)
 	l.propose(turnPrefix+id, nil)
 	for number := range kept.Parts {
@@ -253,7 +253,7 @@
 	}
 }
 
-func (v *turnValue) retain() time.Duration { return time.Duration(v.RetainMS) * time.Millisecond }
+func (v *turnValue) retention() time.Duration { return time.Duration(v.RetentionMS) * time.Millisecond }
 
 // encode returns a value's JSON. The types of this file always have one.
 func encode(value any) []byte {
--- a/ledger/turn.go
+++ b/ledger/turn.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// turn is a kept turn in memory.
-type turn struct {
+// turnEntry is a kept turn in memory.
+type turnEntry struct {
 	turnValue
 	expires time.Time
 }
@@ -31,27 +31,27 @@
 // Keep takes a whole turn in. It is kept once the position is durable.
 func (l *Ledger) Keep(now time.Time, kept KeptTurn) (position uint64) {
 	value := turnValue{
-		Program:  kept.Program,
-		Previous: kept.Previous,
-		Input:    kept.Input,
-		Output:   kept.Output,
-		Replica:  kept.Replica,
-		RetainMS: kept.Retain.Milliseconds(),
-		KeptMS:   now.UnixMilli(),
+		Program:     kept.Program,
+		Previous:    kept.Previous,
+		Input:       kept.Input,
+		Output:      kept.Output,
+		Replica:     kept.Replica,
+		RetentionMS: kept.Retain.Milliseconds(),
+		StoredAtMS:  now.UnixMilli(),
 	}
 	if kept.Previous != "" && l.turns[kept.Previous] == nil {
 		value.Base = kept.Base
 		value.Previous = ""
 	}
-	l.renew(now, kept.Program)
+	l.refreshRecord(now, kept.Program)
 	position = l.proposeTurn(kept.ID, &value)
-	l.turns[kept.ID] = &turn{turnValue: value, expires: now.Add(kept.Retain)}
-	l.touchChain(kept.ID, now.Add(kept.Retain))
+	l.turns[kept.ID] = &turnEntry{turnValue: value, expires: now.Add(kept.Retain)}
+	l.extendChain(kept.ID, now.Add(kept.Retain))
 	return position
 }
 
-// touchChain has the turns before live as long as the turn itself.
-func (l *Ledger) touchChain(id string, until time.Time) {
+// extendChain has the turns before live as long as the turn itself.
+func (l *Ledger) extendChain(id string, until time.Time) {
 	for kept := l.turns[id]; kept != nil; kept = l.turns[kept.Previous] {
 		if kept.expires.Before(until) {
 			kept.expires = until
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -33,7 +33,7 @@
 // serving returns that of an owner that has served a program, as the log has.
 func (l log) serving(now time.Time) *ledger.Ledger {
 	books := l.open(now)
-	first := turn("first", 600)
+	first := turnRequest("first", 600)
 	first.Program = "first"
 	books.Admit(now, first)
 	l.store(books)
@@ -44,51 +44,51 @@
 	It("begins at once while it may use no more than the share and one turn", func() {
 		stored := log{}
 		books := stored.serving(start)
-		Expect(books.Admit(start, turn("a", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turn("b", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turn("c", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turn("d", 600)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(books.Admit(start, turnRequest("a", 600)).Position).To(BeZero())
+		Expect(books.Admit(start, turnRequest("b", 600)).Position).To(BeZero())
+		Expect(books.Admit(start, turnRequest("c", 600)).Position).To(BeZero())
+		Expect(books.Admit(start, turnRequest("d", 600)).Position).To(BeNumerically(">", books.Durable()))
 	})
 
 	It("begins at once where its budget holds but one turn", func() {
 		stored := log{}
 		books := stored.serving(start)
-		Expect(books.Admit(start, turn("a", 100)).Position).To(BeZero())
+		Expect(books.Admit(start, turnRequest("a", 100)).Position).To(BeZero())
 	})
 
 	It("has used nothing where the former owner served no program", func() {
 		stored := log{}
 		stored.store(stored.open(start))
-		Expect(stored.open(start).Admit(start, turn("a", 600)).Settled).To(BeZero())
+		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(BeZero())
 	})
 
 	It("waits until the log says that programs may begin unrecorded", func() {
 		books := log{}.open(start)
-		Expect(books.Admit(start, turn("a", 600)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(books.Admit(start, turnRequest("a", 600)).Position).To(BeNumerically(">", books.Durable()))
 	})
 
 	It("waits where the log has not proven the ownership lately", func() {
 		stored := log{}
 		books := stored.serving(start)
 		late := start.Add(9 * time.Second)
-		Expect(books.Admit(late, turn("a", 600)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(books.Admit(late, turnRequest("a", 600)).Position).To(BeNumerically(">", books.Durable()))
 	})
 
 	It("waits beyond the mark that the log has", func() {
 		stored := log{}
 		books := stored.serving(start)
 		for _, id := range []string{"a", "b"} {
-			books.Admit(start, turn(id, 300))
+			books.Admit(start, turnRequest(id, 300))
 			stored.store(books)
 			books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 100})
 		}
-		Expect(books.Admit(start, turn("c", 300)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(books.Admit(start, turnRequest("c", 300)).Position).To(BeNumerically(">", books.Durable()))
 	})
 
 	It("is taken to have used the share by a new owner, and is still one that begins", func() {
 		stored := log{}
 		stored.serving(start)
-		admission := stored.open(start).Admit(start, turn("a", 600))
+		admission := stored.open(start).Admit(start, turnRequest("a", 600))
 		Expect(admission.Settled).To(Equal(200))
 		Expect(admission.Fresh).To(BeTrue())
 		Expect(admission.Position).NotTo(BeZero())
@@ -99,12 +99,12 @@
 		stored.serving(start)
 		second := stored.open(start)
 		second.Admit(start, ledger.Turn{ID: "x", Program: "x", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
-		Expect(second.Admit(start, turn("a", 800)).Position).NotTo(BeZero(), "before the log says so")
+		Expect(second.Admit(start, turnRequest("a", 800)).Position).NotTo(BeZero(), "before the log says so")
 		stored.store(second)
-		small := turn("b", 600)
+		small := turnRequest("b", 600)
 		small.Program = "small"
 		Expect(second.Admit(start, small).Position).NotTo(BeZero())
-		other := turn("c", 800)
+		other := turnRequest("c", 800)
 		other.Program = "q"
 		admission := second.Admit(start, other)
 		Expect(admission.Settled).To(Equal(266))
@@ -126,7 +126,7 @@
 		books := stored.open(start)
 		late := start.Add(76 * time.Second)
 		books.Prove(late)
-		admission := books.Admit(late, turn("a", 600))
+		admission := books.Admit(late, turnRequest("a", 600))
 		Expect(admission.Settled).To(BeZero())
 		Expect(admission.Position).To(BeZero())
 	})
@@ -134,11 +134,11 @@
 	It("has used nothing where the former owner gave up in order", func() {
 		stored := log{}
 		former := stored.serving(start)
-		former.Admit(start, turn("a", 600))
+		former.Admit(start, turnRequest("a", 600))
 		former.Close(start)
 		stored.store(former)
 		books := stored.serving(start)
-		other := turn("b", 600)
+		other := turnRequest("b", 600)
 		other.Program = "another"
 		admission := books.Admit(start, other)
 		Expect(admission.Settled).To(BeZero())
@@ -156,7 +156,7 @@
 						books = stored.open(start)
 					}
 					id := strconv.Itoa(index)
-					Expect(books.Admit(start, turn(id, budget)).Verdict).To(Equal(ledger.VerdictGranted), "turn %d of %d, lost before %d", index, turns, lostBefore)
+					Expect(books.Admit(start, turnRequest(id, budget)).Verdict).To(Equal(ledger.VerdictGranted), "turn %d of %d, lost before %d", index, turns, lostBefore)
 					stored.store(books)
 					books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 27})
 				}
@@ -167,7 +167,7 @@
 	It("gets one turn more than its budget where a lost owner's mark counts as used, and no second", func() {
 		stored := log{}
 		former := stored.serving(start)
-		former.Admit(start, turn("a", 110))
+		former.Admit(start, turnRequest("a", 110))
 		stored.store(former)
 		former.Admit(start, ledger.Turn{ID: "a", Program: "spent", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
 		stored.store(former)
@@ -175,9 +175,9 @@
 		for at, verdict := range map[time.Duration]ledger.Verdict{0: ledger.VerdictBusy, 8 * time.Second: ledger.VerdictExhausted} {
 			// The end of the turn that the lost owner had under way may be told until then.
 			books := stored.open(start)
-			Expect(books.Admit(start, turn("b", 110)).Verdict).To(Equal(ledger.VerdictGranted))
+			Expect(books.Admit(start, turnRequest("b", 110)).Verdict).To(Equal(ledger.VerdictGranted))
 			books.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Tokens: 10})
-			Expect(books.Admit(start.Add(at), turn("c", 110)).Verdict).To(Equal(verdict))
+			Expect(books.Admit(start.Add(at), turnRequest("c", 110)).Verdict).To(Equal(verdict))
 			Expect(books.Admit(start.Add(at), again).Verdict).To(Equal(verdict))
 		}
 	})
@@ -187,35 +187,35 @@
 		stored.serving(start)
 		second := stored.open(start)
 		// A third of this budget holds no turn, so that nothing but the turn is assumed.
-		Expect(second.Admit(start, turn("a", 160)).Settled).To(BeZero())
+		Expect(second.Admit(start, turnRequest("a", 160)).Settled).To(BeZero())
 		stored.store(second)
 		third := stored.open(start)
-		Expect(third.Admit(start, turn("b", 160)).Verdict).To(Equal(ledger.VerdictBusy))
-		Expect(third.Admit(start.Add(8*time.Second), turn("b", 160)).Verdict).To(Equal(ledger.VerdictExhausted))
+		Expect(third.Admit(start, turnRequest("b", 160)).Verdict).To(Equal(ledger.VerdictBusy))
+		Expect(third.Admit(start.Add(8*time.Second), turnRequest("b", 160)).Verdict).To(Equal(ledger.VerdictExhausted))
 	})
 
 	It("waits at an owner that has given up, and at one after an owner that had not", func() {
 		stored := log{}
 		former := stored.serving(start)
 		former.Close(start)
-		Expect(former.Admit(start, turn("a", 600)).Position).NotTo(BeZero())
+		Expect(former.Admit(start, turnRequest("a", 600)).Position).NotTo(BeZero())
 		stored = log{}
 		stored.serving(start)
 		heir := stored.open(start)
 		heir.Close(start)
 		stored.store(heir)
-		Expect(stored.open(start).Admit(start, turn("a", 600)).Settled).To(Equal(200))
+		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(Equal(200))
 	})
 
 	It("is charged what it used, and no more, after an owner that gave up in order", func() {
 		stored := log{}
 		former := stored.serving(start)
-		former.Admit(start, turn("a", 600))
+		former.Admit(start, turnRequest("a", 600))
 		stored.store(former)
 		former.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 30})
-		former.Admit(start, turn("b", 600))
+		former.Admit(start, turnRequest("b", 600))
 		former.Close(start)
 		stored.store(former)
-		Expect(stored.open(start).Admit(start, turn("c", 600)).Settled).To(Equal(130))
+		Expect(stored.open(start).Admit(start, turnRequest("c", 600)).Settled).To(Equal(130))
 	})
 })
--- a/ledger/unscoped_test.go
+++ b/ledger/unscoped_test.go
@@ -11,16 +11,16 @@
 
 var _ = Describe("An account that was opened before ids had a scope", func() {
 	scoped := func(id string) ledger.Turn {
-		asked := turn(id, 300)
+		asked := turnRequest(id, 300)
 		asked.Program, asked.Unscoped = "acme\x1fp", "p"
 		return asked
 	}
 
 	It("counts to the program that it may be of, and calls no budget spent", func() {
 		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turn("a", 300))
+		books.Admit(start, turnRequest("a", 300))
 		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 90})
-		books.Admit(start, turn("under way", 300))
+		books.Admit(start, turnRequest("under way", 300))
 		Expect(books.Admit(start, scoped("b")).Verdict).To(Equal(ledger.VerdictGranted))
 		Expect(books.Admit(start, scoped("c")).Verdict).To(Equal(ledger.VerdictBusy))
 		other := scoped("d")
@@ -31,7 +31,7 @@
 	It("counts so at a new owner too, and no program uses more than its budget", func() {
 		stored := log{}
 		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turn("a", 300))
+		books.Admit(start, turnRequest("a", 300))
 		stored.store(books)
 		books = stored.restore(start)
 		used := 100
