--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -16,35 +16,37 @@
 // start is the beginning of the virtual time.
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// log is the newest record of each key, as the store keeps it.
-type log map[string][]byte
+// storedLog is the newest record of each key, as the store keeps it.
+type storedLog map[string][]byte
 
 // store takes over what the ledger has ready.
-func (l log) store(from *ledger.Ledger) {
+func (s storedLog) store(from *ledger.Ledger) {
 	for batch := from.Ready(); batch != nil; batch = from.Ready() {
-		l.put(batch)
+		s.put(batch)
 		from.Stored()
 	}
 }
 
 // put takes over one batch.
-func (l log) put(batch []ledger.Record) {
+func (s storedLog) put(batch []ledger.Record) {
 	for _, record := range batch {
 		if len(record.Value) == 0 {
-			delete(l, record.Key)
+			delete(s, record.Key)
 			continue
 		}
-		l[record.Key] = record.Value
+		s[record.Key] = record.Value
 	}
 }
 
 // restore returns the ledger of a new owner.
-func (l log) restore(now time.Time) *ledger.Ledger { return l.restoreWith(now, ledger.DefaultConfig()) }
+func (s storedLog) restore(now time.Time) *ledger.Ledger {
+	return s.restoreWith(now, ledger.DefaultConfig())
+}
 
-func (l log) restoreWith(now time.Time, config ledger.Config) *ledger.Ledger {
+func (s storedLog) restoreWith(now time.Time, config ledger.Config) *ledger.Ledger {
 	restored := ledger.New(config)
-	for _, key := range slices.Sorted(maps.Keys(l)) {
-		Expect(restored.Restore(now, ledger.Record{Key: key, Value: l[key]})).To(Succeed())
+	for _, key := range slices.Sorted(maps.Keys(s)) {
+		Expect(restored.Restore(now, ledger.Record{Key: key, Value: s[key]})).To(Succeed())
 	}
 	restored.Restored()
 	return restored
@@ -57,71 +59,71 @@
 
 var _ = Describe("A budget", func() {
 	It("grants turns while it holds one more at its most, and no longer", func() {
-		books := ledger.New(ledger.DefaultConfig())
+		l := ledger.New(ledger.DefaultConfig())
 		used := 0
 		for index := range 3 {
 			id := strconv.Itoa(index)
-			Expect(books.Admit(start, turnRequest(id, 300)).Verdict).To(Equal(ledger.VerdictGranted))
-			books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 90})
+			Expect(l.Admit(start, turnRequest(id, 300)).Verdict).To(Equal(ledger.VerdictGranted))
+			l.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 90})
 			used += 90
 		}
-		Expect(books.Admit(start, turnRequest("last", 300)).Verdict).To(Equal(ledger.VerdictExhausted))
+		Expect(l.Admit(start, turnRequest("last", 300)).Verdict).To(Equal(ledger.VerdictExhausted))
 		Expect(used).To(BeNumerically("<=", 300))
 	})
 
 	It("lets a turn wait for others that hold the rest, and does not call it spent", func() {
-		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
-		Expect(books.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictBusy))
-		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 20})
-		Expect(books.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictGranted))
+		l := ledger.New(ledger.DefaultConfig())
+		Expect(l.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
+		Expect(l.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictBusy))
+		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 20})
+		Expect(l.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictGranted))
 	})
 
 	It("tells a program none of whose turns was served from one under way", func() {
-		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turnRequest("a", 300)).Fresh).To(BeTrue())
-		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p"})
-		Expect(books.Admit(start, turnRequest("b", 300)).Fresh).To(BeTrue())
-		Expect(books.Admit(start, turnRequest("c", 300)).Fresh).To(BeFalse())
-		books.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Session: "s", Tokens: 10, Replica: "r"})
-		Expect(books.Admit(start, turnRequest("d", 300)).Fresh).To(BeFalse())
+		l := ledger.New(ledger.DefaultConfig())
+		Expect(l.Admit(start, turnRequest("a", 300)).Fresh).To(BeTrue())
+		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p"})
+		Expect(l.Admit(start, turnRequest("b", 300)).Fresh).To(BeTrue())
+		Expect(l.Admit(start, turnRequest("c", 300)).Fresh).To(BeFalse())
+		l.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Session: "s", Tokens: 10, Replica: "r"})
+		Expect(l.Admit(start, turnRequest("d", 300)).Fresh).To(BeFalse())
 	})
 
 	It("grants the same turn once, however often it is asked", func() {
-		books := ledger.New(ledger.DefaultConfig())
+		l := ledger.New(ledger.DefaultConfig())
 		for range 3 {
-			Expect(books.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
+			Expect(l.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
 		}
-		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 30})
-		Expect(books.Admit(start, turnRequest("b", 150)).Settled).To(Equal(30))
+		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 30})
+		Expect(l.Admit(start, turnRequest("b", 150)).Settled).To(Equal(30))
 	})
 
 	It("never lets a program use more than the budget and one turn, whenever its owner is lost", func() {
 		const budget = 1000
-		for losesEvery := 1; losesEvery < 6; losesEvery++ {
-			stored := log{}
-			books := ledger.New(ledger.DefaultConfig())
+		for lossInterval := 1; lossInterval < 6; lossInterval++ {
+			stored := storedLog{}
+			l := ledger.New(ledger.DefaultConfig())
 			used := 0
 			for index := range 40 {
-				if index%losesEvery == 0 {
-					books = stored.restore(start)
+				if index%lossInterval == 0 {
+					l = stored.restore(start)
 				}
 				id := strconv.Itoa(index)
-				admission := books.Admit(start, turnRequest(id, budget))
+				admission := l.Admit(start, turnRequest(id, budget))
 				if admission.Verdict != ledger.VerdictGranted {
 					continue
 				}
 				// A turn that waits for the log may run, but none of its
 				// tokens may reach the client before the log has the mark.
-				if admission.Position > books.Durable() {
-					if index%losesEvery == losesEvery-1 {
-						books = stored.restore(start)
+				if admission.Position > l.Durable() {
+					if index%lossInterval == lossInterval-1 {
+						l = stored.restore(start)
 						continue
 					}
-					stored.store(books)
+					stored.store(l)
 				}
 				used += 100
-				books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 100})
+				l.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 100})
 			}
 			Expect(used).To(BeNumerically("<=", budget+100))
 		}
@@ -130,77 +132,77 @@
 	It("lets a program end that uses a quarter of it, although its owner was lost once", func() {
 		const turns, most = 8, 100
 		for lostBefore := range turns {
-			stored := log{}
-			books := ledger.New(ledger.DefaultConfig())
+			stored := storedLog{}
+			l := ledger.New(ledger.DefaultConfig())
 			for index := range turns {
 				if index == lostBefore {
-					books = stored.restore(start)
+					l = stored.restore(start)
 				}
 				id := strconv.Itoa(index)
-				Expect(books.Admit(start, turnRequest(id, turns*most)).Verdict).To(Equal(ledger.VerdictGranted))
-				stored.store(books)
-				books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: most / 4})
+				Expect(l.Admit(start, turnRequest(id, turns*most)).Verdict).To(Equal(ledger.VerdictGranted))
+				stored.store(l)
+				l.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: most / 4})
 			}
 		}
 	})
 
 	It("counts every turn in the log before its tokens may be handed out", func() {
-		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turnRequest("a", 300)).Position).To(BeNumerically(">", books.Durable()))
+		l := ledger.New(ledger.DefaultConfig())
+		Expect(l.Admit(start, turnRequest("a", 300)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
 	It("is remembered by a new owner for as long as its route keeps programs", func() {
-		stored := log{}
-		books := ledger.New(ledger.DefaultConfig())
-		Expect(books.Admit(start, turnRequest("a", 100)).Verdict).To(Equal(ledger.VerdictGranted))
-		stored.store(books)
-		books = stored.restore(start.Add(time.Second))
+		stored := storedLog{}
+		l := ledger.New(ledger.DefaultConfig())
+		Expect(l.Admit(start, turnRequest("a", 100)).Verdict).To(Equal(ledger.VerdictGranted))
+		stored.store(l)
+		l = stored.restore(start.Add(time.Second))
 		for second := range 55 {
-			books.Tick(start.Add(time.Duration(second) * time.Second))
-			stored.store(books)
+			l.Tick(start.Add(time.Duration(second) * time.Second))
+			stored.store(l)
 		}
-		books = stored.restore(start.Add(55 * time.Second))
-		Expect(books.Admit(start.Add(55*time.Second), turnRequest("b", 100)).Verdict).To(Equal(ledger.VerdictBusy))
-		Expect(books.Admit(start.Add(63*time.Second), turnRequest("b", 100)).Verdict).To(Equal(ledger.VerdictExhausted))
+		l = stored.restore(start.Add(55 * time.Second))
+		Expect(l.Admit(start.Add(55*time.Second), turnRequest("b", 100)).Verdict).To(Equal(ledger.VerdictBusy))
+		Expect(l.Admit(start.Add(63*time.Second), turnRequest("b", 100)).Verdict).To(Equal(ledger.VerdictExhausted))
 	})
 
 	It("is forgotten when nobody may come back, and leaves no record", func() {
-		stored := log{}
-		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turnRequest("a", 100))
-		stored.store(books)
+		stored := storedLog{}
+		l := ledger.New(ledger.DefaultConfig())
+		l.Admit(start, turnRequest("a", 100))
+		stored.store(l)
 		Expect(stored).NotTo(BeEmpty())
 		for second := range 200 {
-			books.Tick(start.Add(time.Duration(second) * time.Second))
-			stored.store(books)
+			l.Tick(start.Add(time.Duration(second) * time.Second))
+			stored.store(l)
 		}
 		Expect(stored).To(BeEmpty())
 	})
 
 	It("counts a turn whose end was never told at its most", func() {
-		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turnRequest("a", 150))
+		l := ledger.New(ledger.DefaultConfig())
+		l.Admit(start, turnRequest("a", 150))
 		late := start.Add(10 * time.Second)
-		admission := books.Admit(late, turnRequest("b", 150))
+		admission := l.Admit(late, turnRequest("b", 150))
 		Expect(admission.Verdict).To(Equal(ledger.VerdictExhausted))
 		Expect(admission.Settled).To(Equal(100))
 	})
 })
 
 var _ = Describe("A kept turn", func() {
-	keep := func(books *ledger.Ledger, now time.Time, id, previous string) {
-		books.Keep(now, ledger.KeptTurn{
+	keep := func(l *ledger.Ledger, now time.Time, id, previous string) {
+		l.Keep(now, ledger.KeptTurn{
 			ID: id, Program: "p", Previous: previous, Input: []byte("in-" + id + ";"), Output: []byte("out-" + id + ";"), Retain: time.Minute,
 		})
 	}
 
 	It("yields its chain, oldest first, also to a new owner", func() {
-		stored := log{}
-		books := ledger.New(ledger.DefaultConfig())
-		keep(books, start, "a", "")
-		keep(books, start, "b", "a")
-		stored.store(books)
-		for _, owner := range []*ledger.Ledger{books, stored.restore(start)} {
+		stored := storedLog{}
+		l := ledger.New(ledger.DefaultConfig())
+		keep(l, start, "a", "")
+		keep(l, start, "b", "a")
+		stored.store(l)
+		for _, owner := range []*ledger.Ledger{l, stored.restore(start)} {
 			chain, found := owner.Chain("b")
 			Expect(found).To(BeTrue())
 			Expect(string(chain)).To(Equal("in-a;out-a;in-b;out-b;"))
@@ -210,57 +212,57 @@
 	})
 
 	It("that is larger than a record is kept in parts, restored whole, and removed with all of them", func() {
-		stored := log{}
-		books := ledger.New(ledger.DefaultConfig())
+		stored := storedLog{}
+		l := ledger.New(ledger.DefaultConfig())
 		large := bytes.Repeat([]byte("0123456789"), 60_000)
-		books.Keep(start, ledger.KeptTurn{ID: "large", Program: "p", Input: large, Output: []byte("out"), Retain: time.Minute})
-		stored.store(books)
+		l.Keep(start, ledger.KeptTurn{ID: "large", Program: "p", Input: large, Output: []byte("out"), Retain: time.Minute})
+		stored.store(l)
 		for _, value := range stored {
 			Expect(len(value)).To(BeNumerically("<=", ledger.DefaultConfig().RecordBytes))
 		}
-		books = stored.restore(start)
-		chain, found := books.Chain("large")
+		l = stored.restore(start)
+		chain, found := l.Chain("large")
 		Expect(found).To(BeTrue())
 		Expect(bytes.Equal(chain, append(slices.Clone(large), "out"...))).To(BeTrue())
 		for second := range 100 {
-			books.Tick(start.Add(time.Duration(second) * time.Second))
-			stored.store(books)
+			l.Tick(start.Add(time.Duration(second) * time.Second))
+			stored.store(l)
 		}
 		Expect(stored).To(BeEmpty())
 	})
 
 	It("whose parts a former owner did not finish leaves nothing behind", func() {
-		stored := log{"part/lost/0": []byte("x"), "part/lost/1": []byte("y")}
-		books := stored.restore(start)
-		_, found := books.Chain("lost")
+		stored := storedLog{"part/lost/0": []byte("x"), "part/lost/1": []byte("y")}
+		l := stored.restore(start)
+		_, found := l.Chain("lost")
 		Expect(found).To(BeFalse())
-		stored.store(books)
+		stored.store(l)
 		Expect(stored).To(BeEmpty())
 	})
 
 	It("brings the chain along that another partition keeps", func() {
-		books := ledger.New(ledger.DefaultConfig())
-		books.Keep(start, ledger.KeptTurn{ID: "b", Previous: "elsewhere", Base: []byte("base;"), Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute})
-		chain, found := books.Chain("b")
+		l := ledger.New(ledger.DefaultConfig())
+		l.Keep(start, ledger.KeptTurn{ID: "b", Previous: "elsewhere", Base: []byte("base;"), Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute})
+		chain, found := l.Chain("b")
 		Expect(found).To(BeTrue())
 		Expect(string(chain)).To(Equal("base;in;out;"))
 	})
 
 	It("keeps the turns that it goes on from, and all go in the end", func() {
-		stored := log{}
-		books := ledger.New(ledger.DefaultConfig())
-		keep(books, start, "a", "")
+		stored := storedLog{}
+		l := ledger.New(ledger.DefaultConfig())
+		keep(l, start, "a", "")
 		later := start.Add(50 * time.Second)
-		keep(books, later, "b", "a")
+		keep(l, later, "b", "a")
 		for second := range 108 {
-			books.Tick(start.Add(time.Duration(second) * time.Second))
-			stored.store(books)
+			l.Tick(start.Add(time.Duration(second) * time.Second))
+			stored.store(l)
 		}
-		_, found := books.Chain("b")
+		_, found := l.Chain("b")
 		Expect(found).To(BeTrue())
 		for second := range 60 {
-			books.Tick(start.Add(time.Duration(108+second) * time.Second))
-			stored.store(books)
+			l.Tick(start.Add(time.Duration(108+second) * time.Second))
+			stored.store(l)
 		}
 		Expect(stored).To(BeEmpty())
 	})
@@ -270,16 +272,16 @@
 	It("is durable only when every record up to it is in the log", func() {
 		config := ledger.DefaultConfig()
 		config.BatchRecords = 2
-		books := ledger.New(config)
+		l := ledger.New(config)
 		positions := make([]uint64, 5)
 		for index := range positions {
-			positions[index] = books.Keep(start, ledger.KeptTurn{ID: strconv.Itoa(index), Input: []byte("x"), Retain: time.Minute})
+			positions[index] = l.Keep(start, ledger.KeptTurn{ID: strconv.Itoa(index), Input: []byte("x"), Retain: time.Minute})
 		}
 		for round := range 3 {
-			Expect(books.Ready()).NotTo(BeEmpty())
-			Expect(books.Durable()).To(BeNumerically("<", positions[min(4, round*2+1)]))
-			books.Stored()
+			Expect(l.Ready()).NotTo(BeEmpty())
+			Expect(l.Durable()).To(BeNumerically("<", positions[min(4, round*2+1)]))
+			l.Stored()
 		}
-		Expect(books.Durable()).To(Equal(positions[4]))
+		Expect(l.Durable()).To(Equal(positions[4]))
 	})
 })
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -18,242 +18,242 @@
 var _ = Describe("A program that the log does not know", func() {
 	It("never uses more than its budget and one turn, whatever happens to owners and log", func() {
 		for seed := range uint64(modelRuns) {
-			world := newOwners(seed)
+			model := newOwnerModel(seed)
 			for range 120 {
-				world.step()
+				model.step()
 			}
-			Expect(world.used).To(BeNumerically("<=", world.budget+world.most), "seed %d", seed)
+			Expect(model.used).To(BeNumerically("<=", model.budget+model.maxTokens), "seed %d", seed)
 		}
 	})
 })
 
-// owners plays one program at successive owners of its partition. Owners are
+// ownerModel plays one program at successive owners of its partition. Owners are
 // lost, give up in order, or stay without knowing that they were followed. The ends of
 // turns are told to any owner, late, twice, or never.
-type owners struct {
+type ownerModel struct {
 	random *rand.Rand
 	now    time.Time
-	stored log
+	stored storedLog
 	// current is the owner by the log; formers were followed and live on.
-	current *ledger.Ledger
-	formers []*ledger.Ledger
-	down    bool
-	// unanswered says that the log has a batch of the present owner, which was not told.
-	unanswered bool
-	// keeps is the share of turns that are kept, varied says that turns differ in size,
+	current  *ledger.Ledger
+	previous []*ledger.Ledger
+	logDown  bool
+	// batchUnanswered says that the log has a batch of the present owner, which was not told.
+	batchUnanswered bool
+	// storeShare is the share of turns that are kept, varied says that turns differ in size,
 	// and single that each batch holds one record.
-	keeps float64
-	// known says that the present owner found the program in the log, and assumed
+	storeShare float64
+	// restoredAccount says that the present owner found the program in the log, and assumed
 	// nothing of it.
-	known  bool
-	varied bool
-	single bool
-	budget int
-	most   int
-	used   int
-	turns  int
-	// untold are ends of turns that may still be told, and asked are turns whose answer
+	restoredAccount     bool
+	variedTurns         bool
+	singleRecordBatches bool
+	budget              int
+	maxTokens           int
+	used                int
+	turns               int
+	// unsettled are ends of turns that may still be told, and asked are turns whose answer
 	// from an owner was lost, so that none of their tokens was handed out.
-	untold []ledger.Settlement
-	asked  []ledger.Turn
+	unsettled []ledger.Settlement
+	requested []ledger.Turn
 }
 
-func newOwners(seed uint64) *owners {
+func newOwnerModel(seed uint64) *ownerModel {
 	budgets := []int{600, 750, 900, 1050, 1200, 100, 163, 250, 340}
-	world := &owners{
-		random: rand.New(rand.NewPCG(seed, 7)), now: start, stored: log{}, most: 100, budget: budgets[seed%uint64(len(budgets))],
-		keeps: float64(seed/16%4) / 3, varied: seed/64%2 == 0, single: seed/128%2 == 0,
+	model := &ownerModel{
+		random: rand.New(rand.NewPCG(seed, 7)), now: start, stored: storedLog{}, maxTokens: 100, budget: budgets[seed%uint64(len(budgets))],
+		storeShare: float64(seed/16%4) / 3, variedTurns: seed/64%2 == 0, singleRecordBatches: seed/128%2 == 0,
 	}
-	world.current = world.open()
-	return world
+	model.current = model.open()
+	return model
 }
 
 // open returns the ledger of a new owner.
-func (o *owners) open() *ledger.Ledger {
-	o.unanswered = false
-	record, found := o.stored["account/p"]
-	o.known = found && !strings.Contains(string(record), "assumed")
+func (m *ownerModel) open() *ledger.Ledger {
+	m.batchUnanswered = false
+	record, found := m.stored["account/p"]
+	m.restoredAccount = found && !strings.Contains(string(record), "assumed")
 	config := unrecordedConfig()
-	if o.single {
+	if m.singleRecordBatches {
 		config.BatchRecords = 1
 	}
-	books := o.stored.restoreWith(o.now, config)
-	books.Prove(o.now)
-	books.Open(o.now)
-	return books
+	l := m.stored.restoreWith(m.now, config)
+	l.Prove(m.now)
+	l.Open(m.now)
+	return l
 }
 
 // step lets one thing happen.
-func (o *owners) step() {
-	o.now = o.now.Add(time.Duration(o.random.IntN(400)) * time.Millisecond)
-	switch draw := o.random.IntN(100); {
+func (m *ownerModel) step() {
+	m.now = m.now.Add(time.Duration(m.random.IntN(400)) * time.Millisecond)
+	switch draw := m.random.IntN(100); {
 	case draw < 4:
-		o.down = !o.down
-	case draw < 8 && !o.down:
-		o.takeOver()
+		m.logDown = !m.logDown
+	case draw < 8 && !m.logDown:
+		m.takeOver()
 	case draw == 8:
-		o.current.Close(o.now)
-	case draw == 9 && !o.down:
-		o.current.Close(o.now)
-		o.append()
-		o.takeOver()
-	case draw < 25 && !o.down:
-		o.append()
-	case draw < 40 && !o.down:
-		o.appendOne()
+		m.current.Close(m.now)
+	case draw == 9 && !m.logDown:
+		m.current.Close(m.now)
+		m.append()
+		m.takeOver()
+	case draw < 25 && !m.logDown:
+		m.append()
+	case draw < 40 && !m.logDown:
+		m.appendOne()
 	case draw < 45:
 		// Nothing happens for long.
-		o.now = o.now.Add(time.Duration(o.random.IntN(6)) * time.Second)
+		m.now = m.now.Add(time.Duration(m.random.IntN(6)) * time.Second)
 	case draw < 55:
-		o.tell()
+		m.repeatSettlement()
 	default:
-		o.serve()
+		m.serve()
 	}
 }
 
 // takeOver has another node own the partition. The former owner lives on half
 // of the time.
-func (o *owners) takeOver() {
-	if o.random.IntN(2) == 0 {
-		o.formers = append(o.formers, o.current)
+func (m *ownerModel) takeOver() {
+	if m.random.IntN(2) == 0 {
+		m.previous = append(m.previous, m.current)
 	}
-	o.current = o.open()
+	m.current = m.open()
 }
 
 // append has the log take what the owner has ready, as it was at some moment
 // before the answer came.
-func (o *owners) append() {
-	o.answer()
-	o.current.Prove(o.now)
-	o.stored.store(o.current)
+func (m *ownerModel) append() {
+	m.deliverAnswer()
+	m.current.Prove(m.now)
+	m.stored.store(m.current)
 }
 
 // appendOne has the log take one batch, whose answer is on its way.
-func (o *owners) appendOne() {
-	o.answer()
-	batch := o.current.Ready()
-	o.unanswered = batch != nil
-	o.stored.put(batch)
+func (m *ownerModel) appendOne() {
+	m.deliverAnswer()
+	batch := m.current.Ready()
+	m.batchUnanswered = batch != nil
+	m.stored.put(batch)
 }
 
-// answer has the answer to a batch arrive.
-func (o *owners) answer() {
-	if o.unanswered {
-		o.unanswered = false
-		o.current.Stored()
+// deliverAnswer has the answer to a batch arrive.
+func (m *ownerModel) deliverAnswer() {
+	if m.batchUnanswered {
+		m.batchUnanswered = false
+		m.current.Stored()
 	}
 }
 
 // any returns the owner by the log, or one that does not know its successor.
-func (o *owners) any() *ledger.Ledger {
-	if len(o.formers) > 0 && o.random.IntN(3) == 0 {
-		return o.formers[o.random.IntN(len(o.formers))]
+func (m *ownerModel) any() *ledger.Ledger {
+	if len(m.previous) > 0 && m.random.IntN(3) == 0 {
+		return m.previous[m.random.IntN(len(m.previous))]
 	}
-	return o.current
+	return m.current
 }
 
 // serve runs a turn at an owner.
-func (o *owners) serve() {
-	at := o.any()
-	asked := o.nextTurn()
-	admission := at.Admit(o.now, asked)
-	if at == o.current && o.known {
+func (m *ownerModel) serve() {
+	owner := m.any()
+	requested := m.nextTurn()
+	admission := owner.Admit(m.now, requested)
+	if owner == m.current && m.restoredAccount {
 		// The first mark leaves a token of the budget.
-		Expect(o.used).To(BeNumerically("<=", admission.Settled+admission.Open+1), "what the owner counts")
+		Expect(m.used).To(BeNumerically("<=", admission.Settled+admission.Open+1), "what the owner counts")
 	}
 	if admission.Verdict != ledger.VerdictGranted {
 		return
 	}
-	if o.random.IntN(12) == 0 {
+	if m.random.IntN(12) == 0 {
 		// The answer is lost: the turn is asked for again later.
-		o.asked = append(o.asked, asked)
+		m.requested = append(m.requested, requested)
 		return
 	}
-	end := ledger.Settlement{Turn: asked.ID, Program: "p", Grant: admission.Grant}
-	if admission.Position > at.Durable() {
-		if at != o.current || o.down {
+	end := ledger.Settlement{Turn: requested.ID, Program: "p", Grant: admission.Grant}
+	if admission.Position > owner.Durable() {
+		if owner != m.current || m.logDown {
 			// Its tokens wait for the log until the client has left.
-			o.end(at, end)
+			m.end(owner, end)
 			return
 		}
-		o.append()
+		m.append()
 	}
-	if o.random.IntN(6) > 0 {
-		end.Tokens = asked.Most - o.random.IntN(2)*o.random.IntN(asked.Most)
+	if m.random.IntN(6) > 0 {
+		end.Tokens = requested.Most - m.random.IntN(2)*m.random.IntN(requested.Most)
 	}
-	o.used += end.Tokens
-	if asked.Keeps && o.random.IntN(3) > 0 {
-		o.keep(end)
+	m.used += end.Tokens
+	if requested.Keeps && m.random.IntN(3) > 0 {
+		m.storeTurn(end)
 		return
 	}
-	o.end(at, end)
+	m.end(owner, end)
 }
 
 // nextTurn is a new turn, or one that was asked for before.
-func (o *owners) nextTurn() ledger.Turn {
-	if len(o.asked) > 0 && o.random.IntN(2) == 0 {
-		last := o.asked[len(o.asked)-1]
-		o.asked = o.asked[:len(o.asked)-1]
-		return last
+func (m *ownerModel) nextTurn() ledger.Turn {
+	if len(m.requested) > 0 && m.random.IntN(2) == 0 {
+		turn := m.requested[len(m.requested)-1]
+		m.requested = m.requested[:len(m.requested)-1]
+		return turn
 	}
-	o.turns++
-	most := o.most
-	if o.varied {
-		most = 20 + o.random.IntN(o.most-19)
+	m.turns++
+	maxTokens := m.maxTokens
+	if m.variedTurns {
+		maxTokens = 20 + m.random.IntN(m.maxTokens-19)
 	}
 	return ledger.Turn{
-		ID: strconv.Itoa(o.turns), Program: "p", Most: most, Budget: o.budget, Within: time.Second, Retain: time.Minute,
-		Keeps: o.random.Float64() < o.keeps,
+		ID: strconv.Itoa(m.turns), Program: "p", Most: maxTokens, Budget: m.budget, Within: time.Second, Retain: time.Minute,
+		Keeps: m.random.Float64() < m.storeShare,
 	}
 }
 
 // end tells the end of a turn to the owner that granted it, to the one by the log, to
 // both, or to nobody yet.
-func (o *owners) end(granter *ledger.Ledger, end ledger.Settlement) {
-	switch o.random.IntN(6) {
+func (m *ownerModel) end(granter *ledger.Ledger, end ledger.Settlement) {
+	switch m.random.IntN(6) {
 	case 0:
 	case 1:
-		o.current.Settle(o.now, end)
+		m.current.Settle(m.now, end)
 	case 2:
-		granter.Settle(o.now, end)
-		o.untold = append(o.untold, end)
+		granter.Settle(m.now, end)
+		m.unsettled = append(m.unsettled, end)
 		return
 	default:
-		granter.Settle(o.now, end)
+		granter.Settle(m.now, end)
 		return
 	}
-	if o.random.IntN(2) == 0 {
-		o.untold = append(o.untold, end)
+	if m.random.IntN(2) == 0 {
+		m.unsettled = append(m.unsettled, end)
 	}
 }
 
-// tell tells the end of an earlier turn, maybe not for the last time.
-func (o *owners) tell() {
-	if len(o.untold) == 0 {
+// repeatSettlement tells the end of an earlier turn, maybe not for the last time.
+func (m *ownerModel) repeatSettlement() {
+	if len(m.unsettled) == 0 {
 		return
 	}
-	index := o.random.IntN(len(o.untold))
-	o.any().Settle(o.now, o.untold[index])
-	if o.random.IntN(2) == 0 {
-		o.untold = append(o.untold[:index], o.untold[index+1:]...)
+	index := m.random.IntN(len(m.unsettled))
+	m.any().Settle(m.now, m.unsettled[index])
+	if m.random.IntN(2) == 0 {
+		m.unsettled = append(m.unsettled[:index], m.unsettled[index+1:]...)
 	}
 }
 
-// keep has the owner by the log keep a turn. The answer may be lost, and the owner.
-func (o *owners) keep(end ledger.Settlement) {
+// storeTurn has the owner by the log keep a turn. The answer may be lost, and the owner.
+func (m *ownerModel) storeTurn(end ledger.Settlement) {
 	for range 2 {
-		o.current.Settle(o.now, end)
-		o.current.Keep(o.now, ledger.KeptTurn{ID: end.Turn, Program: "p", Input: []byte("x"), Retain: time.Minute})
-		if !o.down && o.random.IntN(2) == 0 {
-			o.append()
-		} else if !o.down {
-			o.appendOne()
+		m.current.Settle(m.now, end)
+		m.current.Keep(m.now, ledger.KeptTurn{ID: end.Turn, Program: "p", Input: []byte("x"), Retain: time.Minute})
+		if !m.logDown && m.random.IntN(2) == 0 {
+			m.append()
+		} else if !m.logDown {
+			m.appendOne()
 		}
-		if o.random.IntN(4) > 0 {
+		if m.random.IntN(4) > 0 {
 			return
 		}
-		if !o.down && o.random.IntN(2) == 0 {
-			o.takeOver()
+		if !m.logDown && m.random.IntN(2) == 0 {
+			m.takeOver()
 		}
 	}
 }
--- a/ledger/restore_test.go
+++ b/ledger/restore_test.go
@@ -16,9 +16,9 @@
 	}
 	// logOf returns the records of a ledger that keeps a turn.
 	logOf := func(config ledger.Config, turn ledger.KeptTurn) []ledger.Record {
-		before := ledger.New(config)
-		before.Keep(now, turn)
-		return before.Ready()
+		previous := ledger.New(config)
+		previous.Keep(now, turn)
+		return previous.Ready()
 	}
 
 	It("tells where the accounts end", func() {
@@ -29,12 +29,12 @@
 	})
 
 	It("leaves a turn that was kept anew as it is", func() {
-		one := ledger.New(ledger.DefaultConfig())
-		one.Keep(now, kept("t", "new"))
+		l := ledger.New(ledger.DefaultConfig())
+		l.Keep(now, kept("t", "new"))
 		for _, record := range logOf(ledger.DefaultConfig(), kept("t", "old")) {
-			Expect(one.Restore(now, record)).To(Succeed())
+			Expect(l.Restore(now, record)).To(Succeed())
 		}
-		chain, found := one.Chain("t")
+		chain, found := l.Chain("t")
 		Expect(found).To(BeTrue())
 		Expect(string(chain)).To(Equal("new!"))
 	})
@@ -43,28 +43,28 @@
 		config := ledger.DefaultConfig()
 		config.RecordBytes = 40
 		long := "a body that takes more than one record, since a record holds little here"
-		one := ledger.New(config)
-		one.Keep(now, kept("t", long))
+		l := ledger.New(config)
+		l.Keep(now, kept("t", long))
 		for _, record := range logOf(config, kept("t", long)) {
-			Expect(one.Restore(now, record)).To(Succeed())
+			Expect(l.Restore(now, record)).To(Succeed())
 		}
-		one.Restored()
-		for _, record := range one.Ready() {
+		l.Restored()
+		for _, record := range l.Ready() {
 			Expect(record.Value).NotTo(BeEmpty(), record.Key)
 		}
 	})
 
 	It("holds a chain only with all turns before it", func() {
-		before := ledger.New(ledger.DefaultConfig())
-		before.Keep(now, kept("a", "1"))
+		previous := ledger.New(ledger.DefaultConfig())
+		previous.Keep(now, kept("a", "1"))
 		next := kept("b", "2")
 		next.Previous = "a"
-		before.Keep(now, next)
-		records := before.Ready()
-		one := ledger.New(ledger.DefaultConfig())
-		Expect(one.Restore(now, records[1])).To(Succeed())
-		Expect(one.HoldsChain("b")).To(BeFalse())
-		Expect(one.Restore(now, records[0])).To(Succeed())
-		Expect(one.HoldsChain("b")).To(BeTrue())
+		previous.Keep(now, next)
+		records := previous.Ready()
+		l := ledger.New(ledger.DefaultConfig())
+		Expect(l.Restore(now, records[1])).To(Succeed())
+		Expect(l.HoldsChain("b")).To(BeFalse())
+		Expect(l.Restore(now, records[0])).To(Succeed())
+		Expect(l.HoldsChain("b")).To(BeTrue())
 	})
 })
--- a/ledger/served_test.go
+++ b/ledger/served_test.go
@@ -9,14 +9,14 @@
 
 var _ = Describe("The replica that served a line of turns", func() {
 	It("is told with what it keeps of the line, by the last turn that it served", func() {
-		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turnRequest("a", 1000))
-		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Session: "s", Tokens: 10, Replica: "r", Kept: 2000})
-		admission := books.Admit(start, turnRequest("b", 1000))
+		l := ledger.New(ledger.DefaultConfig())
+		l.Admit(start, turnRequest("a", 1000))
+		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Session: "s", Tokens: 10, Replica: "r", Kept: 2000})
+		admission := l.Admit(start, turnRequest("b", 1000))
 		Expect(admission.Replica).To(Equal("r"))
 		Expect(admission.Kept).To(Equal(2000))
-		books.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Session: "s", Tokens: 10, Replica: "q", Kept: 2500})
-		admission = books.Admit(start, turnRequest("c", 1000))
+		l.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Session: "s", Tokens: 10, Replica: "q", Kept: 2500})
+		admission = l.Admit(start, turnRequest("c", 1000))
 		Expect(admission.Replica).To(Equal("q"))
 		Expect(admission.Kept).To(Equal(2500))
 	})
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -23,70 +23,70 @@
 }
 
 // open returns the ledger of a new owner that may let programs begin unrecorded.
-func (l log) open(now time.Time) *ledger.Ledger {
-	books := l.restoreWith(now, unrecordedConfig())
-	books.Prove(now)
-	books.Open(now)
-	return books
+func (s storedLog) open(now time.Time) *ledger.Ledger {
+	l := s.restoreWith(now, unrecordedConfig())
+	l.Prove(now)
+	l.Open(now)
+	return l
 }
 
 // serving returns that of an owner that has served a program, as the log has.
-func (l log) serving(now time.Time) *ledger.Ledger {
-	books := l.open(now)
+func (s storedLog) serving(now time.Time) *ledger.Ledger {
+	l := s.open(now)
 	first := turnRequest("first", 600)
 	first.Program = "first"
-	books.Admit(now, first)
-	l.store(books)
-	return books
+	l.Admit(now, first)
+	s.store(l)
+	return l
 }
 
 var _ = Describe("A program that the log does not know", func() {
 	It("begins at once while it may use no more than the share and one turn", func() {
-		stored := log{}
-		books := stored.serving(start)
-		Expect(books.Admit(start, turnRequest("a", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turnRequest("b", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turnRequest("c", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turnRequest("d", 600)).Position).To(BeNumerically(">", books.Durable()))
+		stored := storedLog{}
+		l := stored.serving(start)
+		Expect(l.Admit(start, turnRequest("a", 600)).Position).To(BeZero())
+		Expect(l.Admit(start, turnRequest("b", 600)).Position).To(BeZero())
+		Expect(l.Admit(start, turnRequest("c", 600)).Position).To(BeZero())
+		Expect(l.Admit(start, turnRequest("d", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
 	It("begins at once where its budget holds but one turn", func() {
-		stored := log{}
-		books := stored.serving(start)
-		Expect(books.Admit(start, turnRequest("a", 100)).Position).To(BeZero())
+		stored := storedLog{}
+		l := stored.serving(start)
+		Expect(l.Admit(start, turnRequest("a", 100)).Position).To(BeZero())
 	})
 
 	It("has used nothing where the former owner served no program", func() {
-		stored := log{}
+		stored := storedLog{}
 		stored.store(stored.open(start))
 		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(BeZero())
 	})
 
 	It("waits until the log says that programs may begin unrecorded", func() {
-		books := log{}.open(start)
-		Expect(books.Admit(start, turnRequest("a", 600)).Position).To(BeNumerically(">", books.Durable()))
+		l := storedLog{}.open(start)
+		Expect(l.Admit(start, turnRequest("a", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
 	It("waits where the log has not proven the ownership lately", func() {
-		stored := log{}
-		books := stored.serving(start)
+		stored := storedLog{}
+		l := stored.serving(start)
 		late := start.Add(9 * time.Second)
-		Expect(books.Admit(late, turnRequest("a", 600)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(l.Admit(late, turnRequest("a", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
 	It("waits beyond the mark that the log has", func() {
-		stored := log{}
-		books := stored.serving(start)
+		stored := storedLog{}
+		l := stored.serving(start)
 		for _, id := range []string{"a", "b"} {
-			books.Admit(start, turnRequest(id, 300))
-			stored.store(books)
-			books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 100})
+			l.Admit(start, turnRequest(id, 300))
+			stored.store(l)
+			l.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 100})
 		}
-		Expect(books.Admit(start, turnRequest("c", 300)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(l.Admit(start, turnRequest("c", 300)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
 	It("is taken to have used the share by a new owner, and is still one that begins", func() {
-		stored := log{}
+		stored := storedLog{}
 		stored.serving(start)
 		admission := stored.open(start).Admit(start, turnRequest("a", 600))
 		Expect(admission.Settled).To(Equal(200))
@@ -95,7 +95,7 @@
 	})
 
 	It("begins at once at the owner after a lost one, where its budget is large, and not after two", func() {
-		stored := log{}
+		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
 		second.Admit(start, ledger.Turn{ID: "x", Program: "x", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
@@ -121,26 +121,26 @@
 	})
 
 	It("is no longer taken to have used anything once nobody may come back", func() {
-		stored := log{}
+		stored := storedLog{}
 		stored.serving(start)
-		books := stored.open(start)
+		l := stored.open(start)
 		late := start.Add(76 * time.Second)
-		books.Prove(late)
-		admission := books.Admit(late, turnRequest("a", 600))
+		l.Prove(late)
+		admission := l.Admit(late, turnRequest("a", 600))
 		Expect(admission.Settled).To(BeZero())
 		Expect(admission.Position).To(BeZero())
 	})
 
 	It("has used nothing where the former owner gave up in order", func() {
-		stored := log{}
+		stored := storedLog{}
 		former := stored.serving(start)
 		former.Admit(start, turnRequest("a", 600))
 		former.Close(start)
 		stored.store(former)
-		books := stored.serving(start)
+		l := stored.serving(start)
 		other := turnRequest("b", 600)
 		other.Program = "another"
-		admission := books.Admit(start, other)
+		admission := l.Admit(start, other)
 		Expect(admission.Settled).To(BeZero())
 		Expect(admission.Position).To(BeZero())
 	})
@@ -149,41 +149,41 @@
 		for turns := 2; turns <= 12; turns++ {
 			budget := turns * 150
 			for lostBefore := range turns {
-				stored := log{}
-				books := stored.serving(start)
+				stored := storedLog{}
+				l := stored.serving(start)
 				for index := range turns {
 					if index == lostBefore {
-						books = stored.open(start)
+						l = stored.open(start)
 					}
 					id := strconv.Itoa(index)
-					Expect(books.Admit(start, turnRequest(id, budget)).Verdict).To(Equal(ledger.VerdictGranted), "turn %d of %d, lost before %d", index, turns, lostBefore)
-					stored.store(books)
-					books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 27})
+					Expect(l.Admit(start, turnRequest(id, budget)).Verdict).To(Equal(ledger.VerdictGranted), "turn %d of %d, lost before %d", index, turns, lostBefore)
+					stored.store(l)
+					l.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 27})
 				}
 			}
 		}
 	})
 
 	It("gets one turn more than its budget where a lost owner's mark counts as used, and no second", func() {
-		stored := log{}
+		stored := storedLog{}
 		former := stored.serving(start)
 		former.Admit(start, turnRequest("a", 110))
 		stored.store(former)
 		former.Admit(start, ledger.Turn{ID: "a", Program: "spent", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
 		stored.store(former)
-		again := ledger.Turn{ID: "b", Program: "spent", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute}
+		repeated := ledger.Turn{ID: "b", Program: "spent", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute}
 		for at, verdict := range map[time.Duration]ledger.Verdict{0: ledger.VerdictBusy, 8 * time.Second: ledger.VerdictExhausted} {
 			// The end of the turn that the lost owner had under way may be told until then.
-			books := stored.open(start)
-			Expect(books.Admit(start, turnRequest("b", 110)).Verdict).To(Equal(ledger.VerdictGranted))
-			books.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Tokens: 10})
-			Expect(books.Admit(start.Add(at), turnRequest("c", 110)).Verdict).To(Equal(verdict))
-			Expect(books.Admit(start.Add(at), again).Verdict).To(Equal(verdict))
+			l := stored.open(start)
+			Expect(l.Admit(start, turnRequest("b", 110)).Verdict).To(Equal(ledger.VerdictGranted))
+			l.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Tokens: 10})
+			Expect(l.Admit(start.Add(at), turnRequest("c", 110)).Verdict).To(Equal(verdict))
+			Expect(l.Admit(start.Add(at), repeated).Verdict).To(Equal(verdict))
 		}
 	})
 
 	It("gets none more where a part of its use was assumed, also at the owner after that", func() {
-		stored := log{}
+		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
 		// A third of this budget holds no turn, so that nothing but the turn is assumed.
@@ -195,20 +195,20 @@
 	})
 
 	It("waits at an owner that has given up, and at one after an owner that had not", func() {
-		stored := log{}
+		stored := storedLog{}
 		former := stored.serving(start)
 		former.Close(start)
 		Expect(former.Admit(start, turnRequest("a", 600)).Position).NotTo(BeZero())
-		stored = log{}
+		stored = storedLog{}
 		stored.serving(start)
-		heir := stored.open(start)
-		heir.Close(start)
-		stored.store(heir)
+		successor := stored.open(start)
+		successor.Close(start)
+		stored.store(successor)
 		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(Equal(200))
 	})
 
 	It("is charged what it used, and no more, after an owner that gave up in order", func() {
-		stored := log{}
+		stored := storedLog{}
 		former := stored.serving(start)
 		former.Admit(start, turnRequest("a", 600))
 		stored.store(former)
--- a/ledger/unscoped_test.go
+++ b/ledger/unscoped_test.go
@@ -11,34 +11,34 @@
 
 var _ = Describe("An account that was opened before ids had a scope", func() {
 	scoped := func(id string) ledger.Turn {
-		asked := turnRequest(id, 300)
-		asked.Program, asked.Unscoped = "acme\x1fp", "p"
-		return asked
+		request := turnRequest(id, 300)
+		request.Program, request.Unscoped = "acme\x1fp", "p"
+		return request
 	}
 
 	It("counts to the program that it may be of, and calls no budget spent", func() {
-		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turnRequest("a", 300))
-		books.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 90})
-		books.Admit(start, turnRequest("under way", 300))
-		Expect(books.Admit(start, scoped("b")).Verdict).To(Equal(ledger.VerdictGranted))
-		Expect(books.Admit(start, scoped("c")).Verdict).To(Equal(ledger.VerdictBusy))
+		l := ledger.New(ledger.DefaultConfig())
+		l.Admit(start, turnRequest("a", 300))
+		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 90})
+		l.Admit(start, turnRequest("under way", 300))
+		Expect(l.Admit(start, scoped("b")).Verdict).To(Equal(ledger.VerdictGranted))
+		Expect(l.Admit(start, scoped("c")).Verdict).To(Equal(ledger.VerdictBusy))
 		other := scoped("d")
 		other.Program, other.Unscoped = "acme\x1fq", "q"
-		Expect(books.Admit(start, other).Verdict).To(Equal(ledger.VerdictGranted))
+		Expect(l.Admit(start, other).Verdict).To(Equal(ledger.VerdictGranted))
 	})
 
 	It("counts so at a new owner too, and no program uses more than its budget", func() {
-		stored := log{}
-		books := ledger.New(ledger.DefaultConfig())
-		books.Admit(start, turnRequest("a", 300))
-		stored.store(books)
-		books = stored.restore(start)
+		stored := storedLog{}
+		l := ledger.New(ledger.DefaultConfig())
+		l.Admit(start, turnRequest("a", 300))
+		stored.store(l)
+		l = stored.restore(start)
 		used := 100
 		for index := range 5 {
 			id := strconv.Itoa(index)
-			if books.Admit(start, scoped(id)).Verdict == ledger.VerdictGranted {
-				books.Settle(start, ledger.Settlement{Turn: id, Program: "acme\x1fp", Tokens: 100})
+			if l.Admit(start, scoped(id)).Verdict == ledger.VerdictGranted {
+				l.Settle(start, ledger.Settlement{Turn: id, Program: "acme\x1fp", Tokens: 100})
 				used += 100
 			}
 		}
