--- a/ledger/account.go
+++ b/ledger/account.go
@@ -2,98 +2,100 @@
 
 import "time"
 
-// Verdict is the answer to Admit.
+// Verdict is the result of Admit.
 type Verdict string
 
 // The verdicts.
 const (
-	// VerdictGranted lets the turn run.
+	// VerdictGranted means that the turn may run.
 	VerdictGranted Verdict = "granted"
-	// VerdictExhausted says that the budget does not hold one more turn.
+	// VerdictExhausted means that the budget does not hold one more turn.
 	VerdictExhausted Verdict = "exhausted"
-	// VerdictBusy says that the budget might hold the turn once the program's
-	// other turns have ended.
+	// VerdictBusy means that the budget may hold the turn once other turns of the program
+	// are settled.
 	VerdictBusy Verdict = "busy"
 )
 
-// Turn asks for a turn of a program.
+// TurnRequest asks for the admission of a turn.
 type Turn struct {
 	ID      string `json:"id"`
 	Program string `json:"program"`
-	// Unscoped is what the program's account stands under if it was opened before
-	// ids had a scope, or "".
+	// Unscoped is the id of an account that may be the program's, opened before program
+	// ids were scoped by tenant, or "".
 	Unscoped string `json:"unscoped,omitempty"`
-	// Session is the line of turns that the turn belongs to.
+	// Session identifies the sequence of turns that the turn belongs to.
 	Session string `json:"session,omitempty"`
-	// Most is the most tokens that the turn generates; Budget what all turns
-	// of the program may. A Budget of 0 sets none.
+	// MaxTokens limits the tokens that the turn generates, and Budget those of all turns
+	// of the program. A Budget of 0 means no limit.
 	Most   int `json:"most"`
 	Budget int `json:"budget"`
-	// Within is when the turn is over at the latest, from now.
+	// Timeout is the time from now at which the turn has ended at the latest.
 	Within time.Duration `json:"within"`
-	// Retain is how long the program's account is kept after its last turn.
+	// Retain is how long the program's account is retained after its last turn.
 	Retain time.Duration `json:"retain"`
-	// Keeps says that the turn is kept if it ends well: then the log has an append
-	// to bring the account along.
+	// StoreOnSuccess says that the turn is stored if it succeeds. The account's record is
+	// then appended together with it.
 	Keeps bool `json:"keeps,omitempty"`
 }
 
-// Admission is a verdict with its reasons.
+// Admission is the verdict on a turn and the figures behind it.
 type Admission struct {
 	Verdict Verdict `json:"verdict"`
-	// Position must be durable before any token reaches the client; 0 where
-	// nothing has to be.
+	// Position must be durable before any token reaches the client; 0 if nothing has to
+	// be.
 	Position uint64 `json:"position,omitempty"`
-	// Grant numbers the grant among those of the program.
+	// Grant is the number of the grant among those of the program.
 	Grant uint64 `json:"grant,omitempty"`
-	// Replica served the line of turns last, or "", and Kept is how many tokens of
-	// the line it had in its memory then; 0 where that is not known.
+	// Replica served the session's last turn, or "". CachedTokens is how many tokens of
+	// the session it then had in its KV cache; 0 if unknown.
 	Replica string `json:"replica,omitempty"`
 	Kept    int    `json:"kept,omitempty"`
-	// Settled and Open are the tokens that were used and those that turns
-	// under way may still use, before this turn.
+	// SettledTokens are those of settled turns, and OpenTokens the maximum of the open
+	// turns, both without this turn.
 	Settled int `json:"settled"`
 	Open    int `json:"open"`
-	// Fresh says that no turn of the program has been served yet, as far as
-	// this owner knows.
+	// NewProgram says that, as far as this owner knows, no turn of the program has been
+	// served yet.
 	Fresh bool `json:"fresh,omitempty"`
-	// Again says that the turn was under way already.
+	// Repeated says that the same turn was already open.
 	Again bool `json:"-"`
 }
 
-// account is what is known of one program.
+// account is the state of one program.
 type account struct {
-	// settledTokens counts the tokens of turns that are over, at their most where
-	// that is all that is known. presumed is the part of it that is not known.
+	// settledTokens counts the tokens of turns that have ended. presumedTokens is the
+	// part of it that counts turns at their maximum because their use is unknown.
 	settledTokens  int
 	presumedTokens int
-	// open are the turns under way, by id, and doubts those that a former owner may
-	// have granted without a record, by the number of their grant.
+	// open holds the turns that are admitted and not settled, by id. uncertain holds the
+	// turns that a previous owner may have granted without a record, by grant number.
 	open      map[string]reservation
 	uncertain map[uint64]reservation
-	// lastGrant is the number of the last grant, and recorded that of the last grant
-	// before the newest record. Numbers are unique over all owners of the program.
+	// lastGrant is the number of the last grant, and lastRecordedGrant that of the last
+	// grant before the newest record. Numbers are unique across all owners of the
+	// program.
 	lastGrant         uint64
 	lastRecordedGrant uint64
-	// assumedTokens is the part of settled that was assumed of a former owner, and
-	// begunBefore says that the program may have begun there although the log did not
-	// know it. restored says that the account is a former owner's.
+	// assumedTokens is the part of settledTokens that was assumed to be used under a
+	// previous owner. mayHaveBegunBefore says that the program may have begun there
+	// without a record in the log. restored says that the account was restored from the
+	// log.
 	assumedTokens      int
 	mayHaveBegunBefore bool
 	restored           bool
-	// newest is what the newest record allows, which was proposed at position; lowest
-	// what every record of this owner does, and durable what the log is certain to
-	// allow.
+	// newest is what the newest record allows, which was proposed at recordPosition.
+	// common is what every record of this owner allows, and durable what the log is
+	// certain to allow.
 	newest         allowance
 	common         allowance
 	durable        allowance
 	recordPosition uint64
-	// budget and most are those of the last turn, and within is the longest time of
-	// any.
+	// budget and maxTokens are those of the last turn; maxDuration is the longest timeout
+	// of any turn.
 	budget      int
 	maxTokens   int
 	maxDuration time.Duration
-	// replicas served the program's lines of turns last, by session.
+	// replicas holds the replica that served the last turn of each session.
 	replicas   map[string]servedBy
 	lastActive time.Time
 	retention  time.Duration
@@ -103,24 +105,24 @@
 	return &account{open: make(map[string]reservation), uncertain: make(map[uint64]reservation)}
 }
 
-// servedBy is the replica that served a line of turns last, and how many of the line's
-// tokens it had in its memory then.
+// servedBy is the replica that served the last turn of a session, and how many of the
+// session's tokens it then had in its KV cache.
 type servedBy struct {
 	replica      string
 	cachedTokens int
 }
 
-// reservation is what a turn may use whose end was not told.
+// reservation is the maximum that a turn may use until it is settled.
 type reservation struct {
 	grant     uint64
 	maxTokens int
 	expires   time.Time
-	// presumed says that the time to tell it is over: the turn counts as settled, at
-	// its most.
+	// presumed says that the time to settle the turn is over: it counts as settled at its
+	// maximum.
 	presumed bool
 }
 
-// openCount counts the turns whose end may be told in time.
+// openCount returns the number of turns that may still be settled in time.
 func (a *account) openCount() int {
 	count := 0
 	for _, reserved := range a.open {
@@ -151,10 +153,10 @@
 	return total
 }
 
-// maxUsed is the most that the program may have used.
+// maxUsed returns the most tokens that the program can have used.
 func (a *account) maxUsed() int { return a.settledTokens + a.openTokens() }
 
-// expire counts the turns whose end was never told at their most.
+// expire counts turns that were not settled in time at their maximum.
 func (a *account) expire(now time.Time) {
 	expireReservations(now, a, a.open)
 	expireReservations(now, a, a.uncertain)
@@ -181,10 +183,11 @@
 	a.presumedTokens += tokens
 }
 
-// tokenLimit is what all turns of the program may use: its budget, and less than one
-// turn more where a former owner's mark counts as used, of which a part was not,
-// and leaves anything of the budget. The turn by which a loss may exceed a budget
-// is spent already where use is assumed.
+// tokenLimit returns how many tokens all turns of the program may use. That is its
+// budget, plus one turn minus one token for an account that was restored after a failure:
+// the previous owner's whole mark counts as used there although a part of it was not, so
+// the program may run one more turn if the mark leaves any of the budget. If use under a
+// previous owner is assumed, that extra turn is already counted there.
 func (l *Ledger) tokenLimit(turn Turn, acct *account) int {
 	if l.config.TurnAfterLoss && acct.restored && !acct.mayHaveBegunBefore {
 		return turn.Budget + turn.Most - 1
@@ -192,11 +195,11 @@
 	return turn.Budget
 }
 
-// settlementSlack is how long after its end a turn may still be settled.
+// settlementSlack is how long after its timeout a turn may still be settled.
 const settlementSlack = 2 * time.Second
 
-// Admit decides whether the turn may run, and reserves its most if so. The same
-// turn may be asked for again.
+// Admit decides whether the turn may run, and reserves its maximum if so. It may be
+// called again for the same turn.
 func (l *Ledger) Admit(now time.Time, turn Turn) Admission {
 	acct := l.accounts[turn.Program]
 	if acct == nil {
@@ -227,9 +230,9 @@
 	return admission
 }
 
-// openAccount begins the account of a program that is not known here. Its grants are
-// numbered from the present on, so that those of an owner that the log lost have other
-// numbers.
+// openAccount creates the account of a program that has none here. Its grants are
+// numbered from the current time in microseconds, so that they differ from those of an
+// owner whose records were lost.
 func (l *Ledger) openAccount(now time.Time, turn Turn) *account {
 	acct := newAccount()
 	acct.assumedTokens, acct.mayHaveBegunBefore = l.assumedTokens(now, turn), l.mayHaveBegun(now, turn)
@@ -239,7 +242,7 @@
 	return acct
 }
 
-// updateFrom takes in what a turn tells of its program.
+// updateFrom updates the account's settings from a turn.
 func (a *account) updateFrom(now time.Time, turn Turn) {
 	a.lastActive = now
 	a.retention = max(a.retention, turn.Retain)
@@ -247,9 +250,9 @@
 	a.budget, a.maxTokens = turn.Budget, turn.Most
 }
 
-// decide decides whether the budget holds one more turn. It is spent only where that is
-// certain: while the end of a turn may still be told, one that does not fit is to come
-// back.
+// decide returns the verdict on one more turn. The budget is exhausted only if that is
+// certain: while other turns may still be settled, a turn that does not fit is to be
+// retried.
 func (l *Ledger) decide(now time.Time, turn Turn, acct *account, open int) Verdict {
 	tokenLimit := l.tokenLimit(turn, acct)
 	certain := acct.settledTokens - acct.presumedTokens
@@ -265,9 +268,9 @@
 	}
 }
 
-// unscopedTokens is what the account of a former format holds that may be the program's, or
-// that of another tenant's program of the same name: no turn is granted from it, and
-// none is told for good that its budget is spent because of it.
+// unscopedTokens returns what the account under the unscoped id may have used. That
+// account may belong to the program or to another tenant's program of the same name. So
+// its tokens are not granted again, but they never make the verdict VerdictExhausted.
 func (l *Ledger) unscopedTokens(now time.Time, turn Turn) int {
 	legacy := l.accounts[turn.Unscoped]
 	if turn.Unscoped == "" || legacy == nil {
@@ -277,8 +280,8 @@
 	return legacy.settledTokens + legacy.openTokens()
 }
 
-// requiredPosition returns what must be durable before a token of the turn may reach
-// the client, or 0.
+// requiredPosition returns the position that must be durable before a token of the turn
+// may reach the client, or 0.
 func (l *Ledger) requiredPosition(now time.Time, turn Turn, acct *account, grant uint64, need int) uint64 {
 	if acct.recordPosition <= l.durable || acct.durable.permits(grant, turn.Most, need) || l.mayRunUnrecorded(now, turn, acct, grant, need) {
 		return 0
@@ -286,7 +289,7 @@
 	return acct.recordPosition
 }
 
-// ensureRecorded proposes a record that covers the turn, where the newest does not.
+// ensureRecorded proposes a record that covers the turn if the newest one does not.
 func (l *Ledger) ensureRecorded(turn Turn, acct *account, need int) {
 	if acct.newest.permits(acct.lastGrant, turn.Most, need) {
 		return
@@ -297,15 +300,15 @@
 	}
 	mark := need + l.markHeadroom(turn, need)
 	if acct.newest.mark == 0 {
-		// What a program may use before its first mark is covered by it.
+		// The first mark covers what the program may use before it is durable.
 		mark = max(mark, l.minFirstMark(turn))
 	}
 	l.proposeMark(turn.Program, acct, mark)
 }
 
-// markHeadroom is how far a mark is raised beyond what is needed: by a share of what
-// the budget still holds and by some turns at most, and so that one more turn
-// fits into the budget if the mark counts as used.
+// markHeadroom returns how far a mark is raised ahead of need: by at most a share of the
+// remaining budget and a number of turns, and such that one more turn fits into the
+// budget if the whole mark counts as used.
 func (l *Ledger) markHeadroom(turn Turn, need int) int {
 	if turn.Budget == 0 {
 		return turn.Most
@@ -315,23 +318,23 @@
 	return max(0, min(share, l.config.AheadTurns*turn.Most, rest-turn.Most))
 }
 
-// Settlement tells how a turn ended.
+// Settlement reports how a turn ended.
 type Settlement struct {
 	Turn    string `json:"turn"`
 	Program string `json:"program"`
 	Session string `json:"session,omitempty"`
-	// Grant is the number of the turn's grant; 0 where that is not known.
+	// Grant is the number of the turn's grant; 0 if unknown.
 	Grant uint64 `json:"grant,omitempty"`
-	// Tokens are those that were handed to the client.
+	// Tokens is the number of tokens that were delivered to the client.
 	Tokens int `json:"tokens"`
-	// Replica served the turn, or "" where none keeps its memory, and Kept is how many
-	// tokens it has in its memory of the prompt and of what it generated.
+	// Replica served the turn, or "" if none has it in its KV cache. CachedTokens is how
+	// many tokens of the prompt and of the answer the replica has cached.
 	Replica string `json:"replica,omitempty"`
 	Kept    int    `json:"kept,omitempty"`
 }
 
-// Settle counts what a turn used. A turn that this ledger did not admit was
-// counted at its most by the former owner's mark.
+// Settle records what a turn used. A turn that this ledger did not admit is already
+// counted at its maximum by the previous owner's record.
 func (l *Ledger) Settle(now time.Time, settlement Settlement) {
 	acct := l.accounts[settlement.Program]
 	if acct == nil {
@@ -347,8 +350,8 @@
 	l.settleTurn(now, acct, settlement)
 }
 
-// settleTurn counts the turn of a settlement. One that is not under way here was counted, or
-// is covered by what a former owner recorded.
+// settleTurn replaces a turn's reservation by its use. A turn that is not open here was
+// settled before, or is covered by what a previous owner recorded.
 func (l *Ledger) settleTurn(now time.Time, acct *account, settlement Settlement) {
 	reserved, open := acct.open[settlement.Turn]
 	if !open {
@@ -358,14 +361,16 @@
 	delete(acct.open, settlement.Turn)
 	acct.applyUsage(reserved, settlement.Tokens)
 	if settlement.Tokens == 0 && reserved.grant == acct.lastGrant && reserved.grant > acct.lastRecordedGrant {
-		// The turn ran nowhere, and no record names it: the next has its number.
+		// The turn did not run, and no record names its grant: the next turn gets the
+		// same number.
 		acct.lastGrant--
 	}
 	l.recordSettlement(now, settlement.Program, acct)
 }
 
-// settleUncertain counts a turn that a former owner granted without a record. One that used
-// nothing leaves the doubt: the former owner may have given its number to the next.
+// settleUncertain settles a turn that a previous owner granted without a record. One that
+// used nothing stays uncertain, since the previous owner may have reused its grant
+// number.
 func (l *Ledger) settleUncertain(acct *account, settlement Settlement) {
 	reserved, found := acct.uncertain[settlement.Grant]
 	if !found || settlement.Tokens == 0 {
@@ -375,7 +380,7 @@
 	acct.applyUsage(reserved, settlement.Tokens)
 }
 
-// applyUsage replaces what was reserved by what was used.
+// applyUsage replaces a reservation by the tokens used.
 func (a *account) applyUsage(reserved reservation, tokens int) {
 	if reserved.presumed {
 		a.settledTokens -= reserved.maxTokens
@@ -384,8 +389,9 @@
 	a.settledTokens += min(tokens, reserved.maxTokens)
 }
 
-// recordSettlement proposes an account's record where its newest one is still queued, which
-// costs no append, and where that would leave a new owner no budget for another turn.
+// recordSettlement proposes a new record of the account in two cases: if its newest
+// record is still pending, since that costs no append, and if that record would leave a
+// new owner no budget for another turn.
 func (l *Ledger) recordSettlement(now time.Time, program string, acct *account) {
 	markSpent := acct.restored && acct.newest.mark >= acct.budget && acct.maxUsed() < acct.budget
 	if markSpent || l.isPending(accountPrefix+program) {
--- a/ledger/cover.go
+++ b/ledger/cover.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// unboundedGrant is the cover of a record that bounds tokens alone.
+	// unboundedGrant is the grant number of an allowance that only limits tokens.
 	unboundedGrant = math.MaxUint64
-	// maxListedTurns bounds the turns that one record lists, and with it the record's
-	// size; with more under way the record bounds tokens alone.
+	// maxListedTurns limits the turns that one record lists, and thereby the record's
+	// size. With more open turns the record only limits tokens.
 	maxListedTurns = 64
-	// takeoverSettlementSlack is how long after its end a turn may still be settled at an owner
-	// that did not grant it: nodes repeat a settlement for that long, and look for
+	// takeoverSettlementSlack is how long after its timeout a turn may be settled at an
+	// owner that did not grant it: nodes retry a settlement for that long, and look for
 	// the new owner meanwhile.
 	takeoverSettlementSlack = 6 * time.Second
-	// lateSettlementWindow is how long a turn that counts at its most is remembered, so that
-	// a settlement which comes later still corrects the count.
+	// lateSettlementWindow is how long a turn that was counted at its maximum is
+	// remembered, so that a later settlement still corrects the count.
 	lateSettlementWindow = 30 * time.Second
 )
 
-// allowance is what an account's record allows without a newer one: grants up to a number,
-// of so many tokens each, and needs up to a mark.
+// allowance is what an account's record allows without a newer one: grants up to a
+// number, each of at most maxTokens, as long as the total stays within the mark.
 type allowance struct {
 	grant     uint64
 	maxTokens int
 	mark      int
 }
 
-// markAllowance is what a record allows that lists no turns.
+// markAllowance returns what a record allows that holds only a mark.
 func markAllowance(mark int) allowance {
 	return allowance{grant: unboundedGrant, maxTokens: math.MaxInt, mark: mark}
 }
@@ -40,21 +40,21 @@
 	return grant <= a.grant && maxTokens <= a.maxTokens && need <= a.mark
 }
 
-// intersect is what both records allow.
+// intersect returns what both records allow.
 func (a allowance) intersect(other allowance) allowance {
 	return allowance{grant: min(a.grant, other.grant), maxTokens: min(a.maxTokens, other.maxTokens), mark: min(a.mark, other.mark)}
 }
 
-// needsExactRecord reports whether an account's record is to list its turns: where each turn that
-// ends well brings an append anyway, and where a budget is too small for a mark ahead
-// of the need.
+// needsExactRecord reports whether an account's record is to list its open turns: if each
+// successful turn causes an append anyway, or if the budget is too small to raise a mark
+// ahead of need.
 func (l *Ledger) needsExactRecord(turn Turn, acct *account, need int) bool {
 	listed := len(acct.open) + len(acct.uncertain)
 	return turn.Budget > 0 && listed <= maxListedTurns && (turn.Keeps || l.markHeadroom(turn, need) == 0)
 }
 
-// slotCount is how many turns beyond those under way may be granted without a newer record:
-// one where the budget holds it, and more where they are a small share of the rest.
+// slotCount returns how many turns besides the open ones may be granted without a newer
+// record: one if the budget holds it, and more if they are a small share of the rest.
 func (l *Ledger) slotCount(acct *account, need int) int {
 	rest := acct.budget - need
 	if acct.maxTokens <= 0 || rest < acct.maxTokens {
@@ -64,15 +64,15 @@
 	return min(max(1, share), l.config.AheadTurns)
 }
 
-// proposeExact puts an account into the log as it is, with slots for turns that may
-// follow without a record of theirs.
+// proposeExact proposes an exact record of the account, with slots for turns that may be
+// granted without a record of their own.
 func (l *Ledger) proposeExact(program string, acct *account, slots int) {
 	l.replaceAllowance(acct, allowance{grant: acct.lastGrant + uint64(slots), maxTokens: acct.maxTokens, mark: acct.maxUsed() + slots*acct.maxTokens})
 	acct.lastRecordedGrant = acct.lastGrant
 	acct.recordPosition = l.propose(accountPrefix+program, encode(acct.exactRecord(slots)))
 }
 
-// proposeMark puts an account's mark into the log.
+// proposeMark proposes a record that holds the account's mark.
 func (l *Ledger) proposeMark(program string, acct *account, mark int) {
 	l.replaceAllowance(acct, markAllowance(mark))
 	acct.lastRecordedGrant = acct.lastGrant
@@ -80,8 +80,8 @@
 	acct.recordPosition = l.propose(accountPrefix+program, encode(record))
 }
 
-// replaceAllowance notes what the newest record allows, and what the log allows until it
-// has that one: no more than either.
+// replaceAllowance records what the newest record allows. Until the log has that record,
+// only what both it and the durable one allow is certain.
 func (l *Ledger) replaceAllowance(acct *account, newest allowance) {
 	if acct.recordPosition == 0 {
 		acct.common = newest
@@ -94,8 +94,8 @@
 	acct.newest = newest
 }
 
-// refreshRecord proposes an account's record in the batch of a turn that is kept. It stands
-// before the turn, so that a turn which the log has is never in doubt.
+// refreshRecord proposes an account's exact record in the batch of a stored turn. It
+// comes before the turn, so that a turn that is in the log is never an uncertain one.
 func (l *Ledger) refreshRecord(now time.Time, program string) {
 	acct := l.accounts[program]
 	if acct == nil || acct.newest.grant == unboundedGrant || acct.recordPosition == 0 {
@@ -109,7 +109,7 @@
 
 func sortedKeys[K cmp.Ordered](turns map[K]reservation) []K { return slices.Sorted(maps.Keys(turns)) }
 
-// exactRecord is the record of an account as it is.
+// exactRecord returns the exact record of the account.
 func (a *account) exactRecord(slots int) accountValue {
 	record := a.record(a.newest.mark)
 	record.Exact = &exactRecord{
@@ -128,7 +128,7 @@
 	return record
 }
 
-// record is the part of a record that owners of all formats read.
+// record returns the part of a record that owners of all formats read.
 func (a *account) record(mark int) accountValue {
 	record := accountValue{Mark: mark, Assumed: a.assumedTokens, RetentionMS: a.retention.Milliseconds()}
 	if a.mayHaveBegunBefore && a.assumedTokens == 0 {
@@ -137,9 +137,9 @@
 	return record
 }
 
-// restoreAccount returns what a new owner knows of a program by its record. A turn that
-// the former owner may have granted without a record is in doubt, as are those that the
-// record lists: each until its end is told, or until nobody can tell it any more.
+// restoreAccount returns the account that a new owner derives from a record. The turns
+// that the record lists, and those that the previous owner may have granted from its
+// slots, stay reserved until they are settled or the time to settle them is over.
 func restoreAccount(now time.Time, value *accountValue) *account {
 	acct := newAccount()
 	acct.restored, acct.lastActive = true, now
--- a/ledger/encoding.go
+++ b/ledger/encoding.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// binaryTurnFormat begins a kept turn's record whose bodies stand as they are, behind a head
-// in JSON. Records of former versions are JSON as a whole, with bodies in base64, which
-// are a third longer.
+// binaryTurnFormat is the first byte of a stored turn's record whose header is JSON and
+// whose bodies follow it as raw bytes. Records of former versions are JSON as a whole,
+// with bodies in base64, which are a third longer.
 const binaryTurnFormat = 1
 
-// turnHead is what stands before the bodies of a kept turn, and how long those are.
+// turnHead is the header of a stored turn's record, with the lengths of its bodies.
 type turnHead struct {
 	turnValue
 	BaseBytes   int `json:"base_bytes,omitempty"`
@@ -20,11 +20,12 @@
 	OutputBytes int `json:"output_bytes,omitempty"`
 }
 
-// errTurnTruncated says that a kept turn's record is shorter than it says.
-var errTurnTruncated = errors.New("ledger: the turn is cut off")
+// errTurnTruncated says that a stored turn's record is shorter than its header
+// states.
+var errTurnTruncated = errors.New("ledger: turn record is truncated")
 
-// encodeTurn returns a kept turn's record: the kind, the length of the head, the head,
-// the base, the input and the output.
+// encodeTurn returns a stored turn's record: the format, the length of the header, the
+// header, the base, the input and the output.
 func encodeTurn(value *turnValue) []byte {
 	head := turnHead{turnValue: *value, BaseBytes: len(value.Base), InputBytes: len(value.Input), OutputBytes: len(value.Output)}
 	head.Base, head.Input, head.Output = nil, nil, nil
@@ -35,7 +36,7 @@
 	return slices.Concat(append(record, encoded...), value.Base, value.Input, value.Output)
 }
 
-// decodeTurn reads a kept turn's record, of this version or a former one.
+// decodeTurn decodes a stored turn's record, of this version or a former one.
 func decodeTurn(record []byte) (turnValue, error) {
 	if len(record) == 0 || record[0] != binaryTurnFormat {
 		var value turnValue
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// Config sets up a Ledger.
+// Config configures a Ledger.
 type Config struct {
-	// AheadShare is the share of what a budget still holds by which a mark is
-	// raised beyond what is needed, and AheadTurns the most turns. Larger ones
-	// cost fewer writes and let programs go on for longer while the log is
-	// down; smaller ones take less from the budget when an owner is lost.
+	// MarkAheadShare and MarkAheadTurns limit how far a mark is raised ahead of need: by
+	// this share of the remaining budget, and by this many turns. Larger values cost
+	// fewer writes and let programs run longer while the log is down; smaller values lose
+	// less of a budget when an owner fails.
 	AheadShare float64
 	AheadTurns int
-	// UnrecordedShare is the share of its budget that a program may use, and one
-	// turn more, before the log has its first mark: programs can begin while
-	// the log takes no records. A new owner takes as much as used by programs that the log does
-	// not know, unless the former one gave up in order. 0 has every program
-	// wait for the log. What exceeds AheadShare does not count.
+	// UnrecordedShare is the share of its budget that a program may use, in addition to
+	// one turn, before its first record is durable, so that programs can begin while the
+	// log accepts no appends. A new owner assumes that programs without a record have
+	// used as much, unless the previous owner released the partition. 0 makes every
+	// program wait for the log.
 	UnrecordedShare float64
-	// AgainShare is the share that a program of a budget of AgainBudget or more may
-	// use unrecorded at an owner that followed a lost one, besides what is assumed of
-	// it there; without a turn beyond it. The owner after that takes both shares as
-	// used. Smaller budgets would not hold a program then. 0 has all wait.
+	// AfterFailureShare is the share of its budget that a program may use before its
+	// first record is durable at an owner that replaced a failed one, in addition to the
+	// use assumed there but without the extra turn. The next owner after another failure
+	// assumes both shares as used. It applies to budgets of AfterFailureMinBudget tokens
+	// or more, since smaller ones would not hold a whole program then. 0 makes all
+	// programs wait.
 	AgainShare  float64
 	AgainBudget int
-	// UnrecordedFor is how long after the log last proved the ownership that
-	// is allowed. It is less than Slack by more than a turn takes, so that a
-	// new owner outlasts it.
+	// OwnershipProofTTL is how long after the log last confirmed the ownership programs
+	// may run without a record. It is shorter than RetentionSlack by more than the
+	// duration of a turn, so that a new owner assumes their use for longer than that.
 	UnrecordedFor time.Duration
-	// TurnAfterLoss lets a program whose mark counts as used, because its owner
-	// was lost, use one turn more than its budget.
+	// ExtraTurnAfterFailure lets a program use one turn more than its budget if its whole
+	// mark counts as used because its owner failed.
 	TurnAfterLoss bool
-	// RecordBytes bounds the value of one record.
+	// MaxRecordBytes limits the value of one record.
 	RecordBytes int
-	// BatchRecords and BatchBytes bound one batch.
+	// MaxBatchRecords and MaxBatchBytes limit one batch.
 	BatchRecords int
 	BatchBytes   int
-	// Slack is how much longer than promised an entry is kept.
+	// RetentionSlack is added to the retention time of every entry.
 	Slack time.Duration
-	// SweepPeriod is how often entries are looked at for their age.
+	// SweepPeriod is the time between two removals of expired entries.
 	SweepPeriod time.Duration
 }
 
@@ -48,19 +50,19 @@
 	return Config{AheadShare: 1.0 / 3, AheadTurns: 2, RecordBytes: 128 << 10, BatchRecords: 256, BatchBytes: 1 << 20, Slack: 15 * time.Second, SweepPeriod: 2 * time.Second}
 }
 
-// Ledger is the accounts and kept turns of one partition. It is not safe for
+// Ledger holds the accounts and stored turns of one partition. It is not safe for
 // concurrent use.
 type Ledger struct {
 	config   Config
 	accounts map[string]*account
 	turns    map[string]*turnEntry
-	// parts are those of turns whose own record was not restored yet.
+	// parts holds the parts of turns whose own record has not been restored yet, by key.
 	parts map[string][]byte
 
-	// pending are the proposed records that are in no batch yet, in order.
+	// pending holds the proposed records that are not in a batch yet, in order.
 	pending []pendingRecord
-	// proposed counts proposals. All up to batched are in the batch under way
-	// or in the log, all up to durable in the log.
+	// proposed counts the proposals. Those up to batched are in the current batch or in
+	// the log, those up to durable are in the log.
 	proposed  uint64
 	batched   uint64
 	durable   uint64
@@ -69,7 +71,8 @@
 	ownership ownership
 }
 
-// pendingRecord is a record that waits, with the first proposal that it carries out.
+// pendingRecord is a proposed record that is not in a batch yet. firstPosition is the
+// position of the earliest proposal of its key that it stands for.
 type pendingRecord struct {
 	Record
 	firstPosition uint64
@@ -80,8 +83,8 @@
 	return &Ledger{config: config, accounts: make(map[string]*account), turns: make(map[string]*turnEntry), parts: make(map[string][]byte)}
 }
 
-// propose queues a record. A record of the same key that waits is replaced:
-// only the newest counts.
+// propose queues a record and returns its position. It replaces a pending record of the
+// same key, since only the newest one matters.
 func (l *Ledger) propose(key string, value []byte) uint64 {
 	l.proposed++
 	record := Record{Key: key, Value: value}
@@ -94,12 +97,12 @@
 	return l.proposed
 }
 
-// pendingIndex returns the place of a key's record that is in no batch yet, or -1.
+// pendingIndex returns the index of a key's pending record, or -1.
 func (l *Ledger) pendingIndex(key string) int {
 	return slices.IndexFunc(l.pending, func(record pendingRecord) bool { return record.Key == key })
 }
 
-// isPending reports whether a key's record is in no batch yet.
+// isPending reports whether a key has a pending record.
 func (l *Ledger) isPending(key string) bool { return l.pendingIndex(key) >= 0 }
 
 // Proposed returns the position of the last proposal.
@@ -108,11 +111,11 @@
 // Durable returns the position up to which all proposals are in the log.
 func (l *Ledger) Durable() uint64 { return l.durable }
 
-// Pending reports whether records wait for the log that are in no batch yet.
+// Pending reports whether there are proposed records that are not in a batch yet.
 func (l *Ledger) Pending() bool { return len(l.pending) > 0 }
 
-// Ready returns the next batch of records for the log, or nil while one is
-// under way or none is due.
+// Ready returns the next batch of records to append, or nil while a batch is in flight or
+// no record is pending.
 func (l *Ledger) Ready() []Record {
 	if l.inFlight || len(l.pending) == 0 {
 		return nil
@@ -126,7 +129,7 @@
 	return batch
 }
 
-// takeBatch removes what fits into one batch from the front of the queue.
+// takeBatch removes one batch of records from the front of the queue.
 func (l *Ledger) takeBatch() []Record {
 	var batch []Record
 	bytes := 0
@@ -141,13 +144,13 @@
 	return batch
 }
 
-// Stored says that the batch of the last Ready is in the log.
+// BatchCommitted reports that the batch returned by the last Ready is in the log.
 func (l *Ledger) Stored() {
 	l.inFlight = false
 	l.durable = max(l.durable, l.batched)
 }
 
-// Tick removes what is older than promised. It is called every now and then.
+// Tick removes entries whose retention time is over. It is to be called periodically.
 func (l *Ledger) Tick(now time.Time) {
 	if now.Before(l.nextSweep) {
 		return
@@ -169,5 +172,5 @@
 	}
 }
 
-// Counts returns how many accounts and kept turns the ledger holds.
+// Counts returns the number of accounts and of stored turns.
 func (l *Ledger) Counts() (accounts, turns int) { return len(l.accounts), len(l.turns) }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -10,88 +10,90 @@
 	"time"
 )
 
-// Record is one entry of the partition's log; the newest of each key counts.
+// Record is one entry of the partition's log. Only the newest of each key matters.
 type Record struct {
 	Key string
-	// Value is empty for a key that is no more.
+	// Value is empty if the key is removed.
 	Value []byte
 }
 
-// The kinds of key: a prefix and the id. A part's key ends with its number.
+// The prefixes of keys, each followed by an id. A part's key ends with its number.
 const (
 	accountPrefix = "account/"
 	partPrefix    = "part/"
 	turnPrefix    = "turn/"
 )
 
-// accountValue is the durable part of an account.
+// accountValue is the durable state of an account.
 type accountValue struct {
 	Mark int `json:"mark"`
-	// Assumed is the part of the mark that was assumed of a former owner.
+	// Assumed is the part of the mark that was assumed to be used under a previous owner.
 	Assumed int `json:"assumed,omitempty"`
 	// NoneAssumed says that Assumed stands for 0: the program may have begun under a
-	// former owner, and nothing but the turn beyond its budget is taken as used there.
-	// Owners of a former format know such programs by an Assumed above 0.
+	// previous owner, and only its extra turn counts as used there. Owners that read a
+	// former format recognise such programs by an Assumed above 0.
 	NoneAssumed bool `json:"none_assumed,omitempty"`
-	// RetentionMS is how long the account is kept after its program's last turn,
-	// in milliseconds.
+	// RetentionMS is how long the account is retained after its program's last turn, in
+	// milliseconds.
 	RetentionMS int64 `json:"retain_ms"`
-	// Exact is what the mark is made of, where the owner recorded that; nil in
+	// Exact is what the mark consists of; nil if the owner recorded only a mark, and in
 	// records of a former format.
 	Exact *exactRecord `json:"exact,omitempty"`
 }
 
-// exactRecord is an account as it was, and what its owner might grant from then on
-// without another record.
+// exactRecord is the state of an account, and what its owner may grant afterwards without
+// another record.
 type exactRecord struct {
-	// Settled counts the tokens of turns that are over, and Presumed the part of them
-	// that turns count whose use is not known.
+	// Settled counts the tokens of turns that have ended, and Presumed the part of it
+	// that counts turns at their maximum because their use is unknown.
 	Settled  int `json:"settled"`
 	Presumed int `json:"presumed,omitempty"`
-	// Open are the turns under way.
+	// Open lists the turns that were admitted and not settled.
 	Open []listedValue `json:"open,omitempty"`
-	// LastGrant is the number of the last grant, and Slots how many more may follow, of
-	// SlotMost tokens each at most.
+	// LastGrant is the number of the last grant. Slots is how many more may follow, each
+	// of at most SlotTokens.
 	LastGrant  uint64 `json:"granted"`
 	Slots      int    `json:"slots,omitempty"`
 	SlotTokens int    `json:"slot_most,omitempty"`
-	// MaxDurationMS is how long any turn of the program takes at most, in milliseconds.
+	// MaxDurationMS is the longest timeout of any of the program's turns, in
+	// milliseconds.
 	MaxDurationMS int64 `json:"within_ms,omitempty"`
 }
 
-// listedValue is a turn under way. Its ID is empty where a former owner may have granted
-// it without a record.
+// listedValue is an open turn. Its ID is empty if a previous owner may have granted it
+// without a record.
 type listedValue struct {
 	ID        string `json:"id,omitempty"`
 	Grant     uint64 `json:"grant"`
 	MaxTokens int    `json:"most"`
 }
 
-// turnValue is a kept turn.
+// turnValue is the durable state of a stored turn.
 type turnValue struct {
 	Program  string `json:"program"`
 	Previous string `json:"previous,omitempty"`
-	// Base is the chain of a previous turn that another partition keeps.
+	// Base is the chain of the previous turn if another partition stores that turn.
 	Base   []byte `json:"base,omitempty"`
 	Input  []byte `json:"input"`
 	Output []byte `json:"output"`
-	// Replica served the turn, or "": its memory may still hold the chain.
+	// Replica served the turn, or "". Its KV cache may still hold the chain.
 	Replica string `json:"replica,omitempty"`
-	// RetentionMS is how long the turn is kept, in milliseconds.
+	// RetentionMS is how long the turn is retained, in milliseconds.
 	RetentionMS int64 `json:"retain_ms"`
-	// StoredAtMS is when the turn was kept, in milliseconds since 1970 by its owner's clock;
-	// 0 in records of former versions.
+	// StoredAtMS is when the turn was stored, in milliseconds since 1970 by its owner's
+	// clock; 0 in records of former versions.
 	StoredAtMS int64 `json:"kept_ms,omitempty"`
-	// Parts is how many records hold the turn, where one is too small. The
-	// turn's own record holds nothing but this number then.
+	// Parts is how many records hold the turn if it exceeds one record. The turn's own
+	// record then holds only this number, the program and the retention time.
 	Parts int `json:"parts,omitempty"`
 }
 
-// PastAccounts reports whether a key sorts behind those of all accounts and of the
-// open record: once it was read, the ledger knows all of them, and may admit.
+// SortsAfterAccounts reports whether a key sorts after those of all accounts and of the
+// open record. Once such a key was read, all accounts are restored and Admit may be
+// called.
 func PastAccounts(key string) bool { return key >= partPrefix }
 
-// HoldsChain reports whether the ledger holds a kept turn and all before it.
+// HasChain reports whether the ledger holds a stored turn and all turns before it.
 func (l *Ledger) HoldsChain(id string) bool {
 	for id != "" {
 		kept := l.turns[id]
@@ -103,9 +105,9 @@
 	return true
 }
 
-// Restore takes in one record of the log, in the order of the keys: all accounts
-// before the first Admit, kept turns also after that. Its age is unknown, so that it
-// is kept as if it were new.
+// Restore restores one record of the log. Records must come in the order of their keys,
+// all accounts before the first Admit; stored turns may follow later. The age of a record
+// is unknown, so its retention time starts anew.
 func (l *Ledger) Restore(now time.Time, record Record) error {
 	if len(record.Value) == 0 {
 		return nil
@@ -133,11 +135,11 @@
 	return nil
 }
 
-// restoreTurn takes in a turn's record. Its parts, whose keys sort before it,
-// were taken in already.
+// restoreTurn restores a stored turn. Its parts, whose keys sort before it, have been
+// restored already.
 func (l *Ledger) restoreTurn(now time.Time, id string, record Record) error {
 	if l.turns[id] != nil {
-		// It was kept anew since the restoring began.
+		// It was stored again after the restore began.
 		return nil
 	}
 	value, err := decodeTurn(record.Value)
@@ -158,8 +160,8 @@
 	return nil
 }
 
-// Restored ends the restoring. Parts without a turn, which a former owner did
-// not finish writing or removing, are removed.
+// FinishRestore ends the restore. It removes parts without a turn, which a previous owner
+// did not finish writing or removing.
 func (l *Ledger) Restored() {
 	for _, key := range slices.Sorted(maps.Keys(l.parts)) {
 		if !l.partInUse(key) {
@@ -170,9 +172,9 @@
 	l.expireRestored()
 }
 
-// expireRestored lets the turns that were restored go when they are due: their records
-// tell when they were kept, and those of a chain live as long as its last one. The
-// slack covers clocks that differ.
+// expireRestored sets when the restored turns expire, by the time at which they were
+// stored; the turns of a chain expire with its last one. RetentionSlack covers
+// differences between clocks.
 func (l *Ledger) expireRestored() {
 	for _, kept := range l.turns {
 		if due := time.UnixMilli(kept.StoredAtMS).Add(kept.retention()); kept.StoredAtMS > 0 && due.Before(kept.expires) {
@@ -184,7 +186,7 @@
 	}
 }
 
-// Size estimates the bytes of the newest records of the ledger in the log.
+// Size estimates how many bytes the newest records of the ledger take in the log.
 func (l *Ledger) Size() int {
 	size := len(l.accounts) * accountRecordBytes
 	for id, kept := range l.turns {
@@ -193,14 +195,14 @@
 	return size
 }
 
-// What a record takes besides a turn's bodies, about.
+// The approximate size of a record, without the bodies of a turn.
 const (
 	accountRecordBytes = 80
 	turnOverheadBytes  = 160
 )
 
-// partInUse reports whether a part belongs to a turn that was kept anew since the
-// restoring began.
+// partInUse reports whether a part belongs to a turn that was stored again after the
+// restore began.
 func (l *Ledger) partInUse(key string) bool {
 	name := strings.TrimPrefix(key, partPrefix)
 	split := strings.LastIndexByte(name, '/')
@@ -212,7 +214,7 @@
 	return err == nil && kept != nil && number < kept.Parts
 }
 
-// joinParts returns what the parts of a turn hold together.
+// joinParts returns the concatenated parts of a turn.
 func (l *Ledger) joinParts(id string, parts int) ([]byte, error) {
 	var joined []byte
 	for number := range parts {
@@ -228,8 +230,8 @@
 
 func partKey(id string, number int) string { return partPrefix + id + "/" + strconv.Itoa(number) }
 
-// proposeTurn queues a turn's record, or its parts and then the record that
-// names their number.
+// proposeTurn proposes a turn's record, or its parts followed by a record with their
+// number.
 func (l *Ledger) proposeTurn(id string, value *turnValue) uint64 {
 	encoded := encodeTurn(value)
 	if len(encoded) <= l.config.RecordBytes {
@@ -244,7 +246,7 @@
 	return l.propose(turnPrefix+id, encode(turnValue{Program: value.Program, RetentionMS: value.RetentionMS, Parts: number}))
 }
 
-// removeTurn queues the removal of a turn's records.
+// removeTurn removes a turn and proposes the removal of its records.
 func (l *Ledger) removeTurn(id string, kept *turnEntry) {
 	delete(l.turns, id)
 	l.propose(turnPrefix+id, nil)
@@ -255,7 +257,7 @@
 
 func (v *turnValue) retention() time.Duration { return time.Duration(v.RetentionMS) * time.Millisecond }
 
-// encode returns a value's JSON. The types of this file always have one.
+// encode returns a value's JSON. Encoding never fails for the types of this package.
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/ledger/turn.go
+++ b/ledger/turn.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// turnEntry is a kept turn in memory.
+// turnEntry is a stored turn in memory.
 type turnEntry struct {
 	turnValue
 	expires time.Time
 }
 
-// KeptTurn is a whole turn that is to be kept.
+// StoredTurn is a completed turn to be stored.
 type KeptTurn struct {
 	ID      string `json:"id"`
 	Program string `json:"program"`
-	// Previous is the turn that this one goes on from, or "". Base is the
-	// previous turn's chain where this ledger does not hold it.
+	// Previous is the turn that this one continues, or "". Base is the previous turn's
+	// chain if this ledger does not hold it.
 	Previous string `json:"previous,omitempty"`
 	Base     []byte `json:"base,omitempty"`
-	// Input is the body that the client sent, and Output what the next turn's
-	// engine has to read of the answer.
+	// Input is the body that the client sent. Output is the part of the answer that the
+	// next turn's engine has to read.
 	Input  []byte `json:"input"`
 	Output []byte `json:"output"`
 	// Replica served the turn, or "".
@@ -28,7 +28,7 @@
 	Retain  time.Duration `json:"retain"`
 }
 
-// Keep takes a whole turn in. It is kept once the position is durable.
+// StoreTurn stores a completed turn. It is durable once the returned position is.
 func (l *Ledger) Keep(now time.Time, kept KeptTurn) (position uint64) {
 	value := turnValue{
 		Program:     kept.Program,
@@ -50,7 +50,7 @@
 	return position
 }
 
-// extendChain has the turns before live as long as the turn itself.
+// extendChain keeps a turn and all turns before it until the given time at least.
 func (l *Ledger) extendChain(id string, until time.Time) {
 	for kept := l.turns[id]; kept != nil; kept = l.turns[kept.Previous] {
 		if kept.expires.Before(until) {
@@ -59,11 +59,11 @@
 	}
 }
 
-// Holds reports whether the ledger holds a kept turn.
+// HasTurn reports whether the ledger holds a stored turn.
 func (l *Ledger) Holds(id string) bool { return l.turns[id] != nil }
 
-// ServedBy returns the replica that served a kept turn, or "" if that is not
-// known. It is known to a new owner too.
+// ServedBy returns the replica that served a stored turn, or "" if unknown. It is part of
+// the turn's record, so a new owner has it too.
 func (l *Ledger) ServedBy(id string) string {
 	kept := l.turns[id]
 	if kept == nil {
@@ -72,8 +72,8 @@
 	return kept.Replica
 }
 
-// Chain returns what an engine has to read before the input of a turn that
-// goes on from the given one, or false if this ledger does not hold it.
+// Chain returns what an engine has to read before the input of a turn that continues the
+// given one, or false if this ledger does not hold all of it.
 func (l *Ledger) Chain(id string) ([]byte, bool) {
 	var pieces [][]byte
 	for id != "" {
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// openKey is the key of the record that stands while an owner may have let
-// programs begin that the log does not know.
+// openKey is the key of the open record, which exists while an owner may let programs
+// begin that have no record in the log.
 const openKey = "open"
 
-// The values of that record: of an owner that followed one that gave up in order, and
-// of one that followed a lost one and may have let programs begin as well.
+// The values of the open record. An owner writes openValue if its predecessor released
+// the partition, and openAfterFailureValue if its predecessor failed: programs of both
+// may then have begun without a record.
 const (
 	openValue             = "1"
 	openAfterFailureValue = "2"
 )
 
-// ownership is what an owner may do before the log has a program's first mark,
-// and what it has to assume of programs that the log does not know.
+// ownership decides what an owner may do before a program's first record is durable, and
+// what it has to assume about programs without a record.
 type ownership struct {
-	// since is when the ownership began; zero where Open was not called.
+	// since is when the ownership began; zero if Open was not called.
 	since time.Time
-	// confirmedAt is the latest time of which the log has shown that the ownership
-	// was in force then.
+	// confirmedAt is the latest time at which the log has confirmed that this owner was
+	// in force.
 	confirmedAt time.Time
-	// inheritedOpen says that a former owner's open record was found: programs
-	// may have begun that the log does not know.
+	// inheritedOpen says that a previous owner's open record was found: programs without
+	// a record may have begun there.
 	inheritedOpen bool
-	// inheritedTwice says that the former owner had followed a lost one, and that programs of
-	// both may have begun.
+	// inheritedTwice says that the previous owner had itself replaced a failed one, and
+	// that programs of both may have begun without a record.
 	inheritedTwice bool
-	// openPosition is the proposal of this owner's own open record; 0 where the
-	// former owner's stands.
+	// openPosition is the proposal of this owner's own open record; 0 if there is none,
+	// as when the previous owner's is still in the log.
 	openPosition uint64
 	released     bool
-	// retention is the longest time for which any route keeps programs.
+	// retention is the longest time for which any route retains programs.
 	retention time.Duration
 }
 
-// Open begins the ownership, after Restored: from then on programs may begin
-// before the log has their first mark, where the settings allow it.
+// Open begins the ownership. It is called after FinishRestore. From then on programs may
+// begin before their first record is durable, if the configuration allows it.
 func (l *Ledger) Open(now time.Time) {
 	if l.config.UnrecordedShare <= 0 {
 		return
@@ -48,8 +49,8 @@
 	l.ownership.since = now
 }
 
-// proposeOpenRecord puts the owner's open record into the log, once there is a program.
-// An owner that served none leaves its successor nothing to assume.
+// proposeOpenRecord proposes the owner's open record once there is a program. An owner
+// that served no program leaves its successor nothing to assume.
 func (l *Ledger) proposeOpenRecord() {
 	if l.ownership.since.IsZero() || l.ownership.released || l.ownership.openPosition > 0 {
 		return
@@ -62,28 +63,29 @@
 	}
 }
 
-// Prove notes that the log showed the ownership to be in force at a time: that
-// at which an append was sent which the log then took.
+// ConfirmOwnership records that the ownership was in force at the given time, which is
+// when an append was sent that the log then accepted.
 func (l *Ledger) Prove(at time.Time) {
 	if at.After(l.ownership.confirmedAt) {
 		l.ownership.confirmedAt = at
 	}
 }
 
-// RetainFor tells the longest time for which any route keeps programs.
+// ExtendRetention sets the longest time for which any route retains programs. It never
+// decreases.
 func (l *Ledger) RetainFor(retention time.Duration) {
 	l.ownership.retention = max(l.ownership.retention, retention)
 }
 
-// Close ends the ownership in order: marks are lowered to what is used and what
-// turns under way may use, and programs no longer begin before they are in the
-// log. Once everything proposed is durable, the next owner knows all of it.
+// Close releases the partition: it lowers marks to the tokens of settled and open turns,
+// and lets no more programs begin without a record. Once all proposals are durable, the
+// log holds the complete state for the next owner.
 func (l *Ledger) Close(now time.Time) {
 	l.lowerMarks()
 	l.releaseOwnership(now)
 }
 
-// lowerMarks proposes marks that reserve nothing ahead.
+// lowerMarks proposes records that reserve nothing ahead of need.
 func (l *Ledger) lowerMarks() {
 	for _, program := range slices.Sorted(maps.Keys(l.accounts)) {
 		acct := l.accounts[program]
@@ -97,8 +99,8 @@
 	}
 }
 
-// releaseOwnership removes the open record, unless programs of a former owner may
-// still come back that the log does not know.
+// releaseOwnership removes the open record, unless programs of a previous owner that have
+// no record may still return.
 func (l *Ledger) releaseOwnership(now time.Time) {
 	if l.ownership.released || l.ownership.since.IsZero() {
 		return
@@ -109,7 +111,8 @@
 	}
 	if l.ownership.inheritedOpen && now.Sub(l.ownership.since) <= l.returnWindow(l.ownership.retention) {
 		if l.ownership.openPosition > 0 {
-			// What began here is in the log; what began before may not be.
+			// All programs that began here have a record; those of the previous owner may
+			// not.
 			l.propose(openKey, []byte(openValue))
 		}
 		return
@@ -117,18 +120,18 @@
 	l.propose(openKey, nil)
 }
 
-// Inherited reports whether a former owner may have let programs begin that the
-// log does not know.
+// MayHaveUnrecordedPrograms reports whether programs without a record in the log may have
+// begun under a previous owner.
 func (l *Ledger) Inherited() bool { return l.ownership.inheritedOpen }
 
-// returnWindow is how long after a takeover a program may still come back that a
-// former owner let begin.
+// returnWindow returns how long after a takeover a program may still return that began
+// under a previous owner.
 func (l *Ledger) returnWindow(retention time.Duration) time.Duration {
 	return max(retention, l.ownership.retention) + l.config.Slack
 }
 
-// assumedTokens is what a program that the log does not know may have used under a
-// former owner.
+// assumedTokens returns what a program without a record may have used under a previous
+// owner.
 func (l *Ledger) assumedTokens(now time.Time, turn Turn) int {
 	if !l.mayHaveBegun(now, turn) {
 		return 0
@@ -140,14 +143,14 @@
 	return assumedTokens
 }
 
-// mayHaveBegun reports whether a program that the log does not know may have begun under
-// a former owner. The turn by which its budget may be exceeded was spent there then,
-// also where nothing is assumed besides.
+// mayHaveBegun reports whether a program without a record may have begun under a previous
+// owner. Its extra turn then counts as used there, even if nothing else is assumed.
 func (l *Ledger) mayHaveBegun(now time.Time, turn Turn) bool {
 	return l.ownership.inheritedOpen && !l.ownership.since.IsZero() && now.Sub(l.ownership.since) <= l.returnWindow(turn.Retain)
 }
 
-// afterFailureTokens is what a program may use unrecorded at an owner that followed a lost one.
+// afterFailureTokens returns how many tokens a program may use without a record at an
+// owner that replaced a failed one.
 func (l *Ledger) afterFailureTokens(turn Turn) int {
 	if turn.Budget < l.config.AgainBudget {
 		return 0
@@ -155,12 +158,12 @@
 	return budgetShare(turn, l.config.AgainShare)
 }
 
-// unrecordedTokens is what a program may use before the log has its first mark,
-// besides one turn.
+// unrecordedTokens returns how many tokens a program may use before its first record is
+// durable, in addition to one turn.
 func (l *Ledger) unrecordedTokens(turn Turn) int { return budgetShare(turn, l.config.UnrecordedShare) }
 
-// budgetShare is a share of a turn's budget, or nothing where it would not hold the turn:
-// taken as used, it would leave a small budget without one.
+// budgetShare returns a share of a turn's budget, or 0 if it does not hold the turn:
+// counted as used, it would leave a small budget no room for a turn.
 func budgetShare(turn Turn, share float64) int {
 	tokens := int(share * float64(turn.Budget))
 	if tokens < turn.Most {
@@ -169,8 +172,9 @@
 	return tokens
 }
 
-// minFirstMark is the least first mark: all that a program may use before it. It
-// leaves a token of the budget, since a mark that leaves none counts as spent.
+// minFirstMark returns the lowest first mark: all that a program may use before the mark
+// is durable. It leaves one token of the budget, since a mark that leaves none counts as
+// exhausted.
 func (l *Ledger) minFirstMark(turn Turn) int {
 	if l.config.UnrecordedShare <= 0 {
 		return 0
@@ -181,7 +185,8 @@
 	return min(turn.Budget-1, l.unrecordedTokens(turn)+turn.Most)
 }
 
-// unrecordedLimit is the need up to which a program may run unrecorded.
+// unrecordedLimit returns the total of tokens up to which a program may run without a
+// record.
 func (l *Ledger) unrecordedLimit(turn Turn, acct *account) int {
 	switch {
 	case !acct.mayHaveBegunBefore:
@@ -193,14 +198,15 @@
 	}
 }
 
-// mayRunUnrecorded reports whether a turn may hand out tokens although the log has
-// no mark of its program: its need is at most the share and one turn. The turn
-// beyond the share is the one by which a budget may be exceeded at a loss. Where
-// the log has a mark of this owner, the need lies under it; a former owner's mark
-// may lie lower. Where the use of a former owner's programs is assumed, the turn
-// beyond the share was spent there, and a smaller share is left.
-// What any of this owner's records would not cover waits: each may be the last that
-// becomes durable.
+// mayRunUnrecorded reports whether a turn may deliver tokens before a record of its
+// program is durable. The total must be within the unrecorded share and one turn; that
+// turn is the one by which a failure may exceed the budget. If the log has a record of
+// this owner, the total is below its mark; a previous owner's mark may be lower. If use
+// under a previous owner is assumed, the extra turn was spent there, and only a smaller
+// share remains.
+//
+// A turn that is not covered by each of this owner's records waits, since any of them may
+// be the last one that becomes durable.
 func (l *Ledger) mayRunUnrecorded(now time.Time, turn Turn, acct *account, grant uint64, need int) bool {
 	if turn.Budget <= 0 || acct.restored || need > l.unrecordedLimit(turn, acct) || !acct.common.permits(grant, turn.Most, need) {
 		return false
@@ -210,7 +216,7 @@
 		return false
 	}
 	if state.inheritedOpen && !acct.mayHaveBegunBefore {
-		// The former owner's record stands, and covers as much.
+		// The previous owner's open record is still in the log and covers as much.
 		return true
 	}
 	return state.openPosition <= l.durable
