--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -11,26 +11,26 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-// The budget of a small program, and the most of each of its turns: it holds one turn,
-// and then the rest of it.
+// The budget of a small program and the maximum of each of its turns, in tokens: it holds
+// one turn at its maximum and not a second one.
 const (
 	smallBudget    = 900
 	smallMaxTokens = 552
 )
 
-// smallTurn is a turn of a small program whose turns are kept.
+// smallTurn returns a turn of a small program whose turns are stored.
 func smallTurn(id string) ledger.Turn {
 	return ledger.Turn{
 		ID: id, Program: "p", Session: "s", Most: smallMaxTokens, Budget: smallBudget, Within: time.Second, Retain: time.Minute, Keeps: true,
 	}
 }
 
-// settlementOf is the end of a turn that used so many tokens.
+// settlementOf returns the settlement of a turn that used the given number of tokens.
 func settlementOf(id string, admission ledger.Admission, tokens int) ledger.Settlement {
 	return ledger.Settlement{Turn: id, Program: "p", Session: "s", Grant: admission.Grant, Tokens: tokens}
 }
 
-// storeTurn has an owner settle and keep a turn, and the log take it.
+// storeTurn settles and stores a turn at an owner, and appends its records to the log.
 func storeTurn(stored storedLog, l *ledger.Ledger, settlement ledger.Settlement) {
 	l.Settle(start, settlement)
 	l.Keep(start, ledger.KeptTurn{ID: settlement.Turn, Program: "p", Input: []byte("x"), Retain: time.Minute})
@@ -252,7 +252,7 @@
 })
 
 var _ = Describe("The record of an account", func() {
-	// formerValue is what owners of the former format read of it.
+	// formerValue is the part of the record that owners of the former format read.
 	type formerValue struct {
 		Mark     int   `json:"mark"`
 		Assumed  int   `json:"assumed"`
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -13,13 +13,13 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-// start is the beginning of the virtual time.
+// start is the beginning of virtual time.
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// storedLog is the newest record of each key, as the store keeps it.
+// storedLog holds the newest record of each key, as the store does.
 type storedLog map[string][]byte
 
-// store takes over what the ledger has ready.
+// store appends all batches that the ledger has ready.
 func (s storedLog) store(from *ledger.Ledger) {
 	for batch := from.Ready(); batch != nil; batch = from.Ready() {
 		s.put(batch)
@@ -27,7 +27,7 @@
 	}
 }
 
-// put takes over one batch.
+// put appends one batch.
 func (s storedLog) put(batch []ledger.Record) {
 	for _, record := range batch {
 		if len(record.Value) == 0 {
@@ -52,7 +52,7 @@
 	return restored
 }
 
-// turnRequest is a turn of at most 100 tokens.
+// turnRequest returns a request for a turn of at most 100 tokens.
 func turnRequest(id string, budget int) ledger.Turn {
 	return ledger.Turn{ID: id, Program: "p", Session: "s", Most: 100, Budget: budget, Within: time.Second, Retain: time.Minute}
 }
@@ -113,8 +113,8 @@
 				if admission.Verdict != ledger.VerdictGranted {
 					continue
 				}
-				// A turn that waits for the log may run, but none of its
-				// tokens may reach the client before the log has the mark.
+				// A turn that waits for the log may run, but none of its tokens may reach
+				// the client before the log has the mark.
 				if admission.Position > l.Durable() {
 					if index%lossInterval == lossInterval-1 {
 						l = stored.restore(start)
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -12,7 +12,7 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-// modelRuns is how many runs of the model one test plays.
+// modelRuns is the number of model runs in one test.
 const modelRuns = 20_000
 
 var _ = Describe("A program that the log does not know", func() {
@@ -27,24 +27,26 @@
 	})
 })
 
-// ownerModel plays one program at successive owners of its partition. Owners are
-// lost, give up in order, or stay without knowing that they were followed. The ends of
-// turns are told to any owner, late, twice, or never.
+// ownerModel simulates one program at successive owners of its partition. Owners fail,
+// release the partition, or live on without noticing that they were replaced. Turns are
+// settled at any owner, late, twice, or never.
 type ownerModel struct {
 	random *rand.Rand
 	now    time.Time
 	stored storedLog
-	// current is the owner by the log; formers were followed and live on.
+	// current is the owner according to the log; previous are replaced owners that live
+	// on.
 	current  *ledger.Ledger
 	previous []*ledger.Ledger
 	logDown  bool
-	// batchUnanswered says that the log has a batch of the present owner, which was not told.
+	// batchUnanswered says that the log has a batch of the current owner that the owner
+	// does not know to be committed yet.
 	batchUnanswered bool
-	// storeShare is the share of turns that are kept, varied says that turns differ in size,
-	// and single that each batch holds one record.
+	// storeShare is the share of turns that are stored. variedTurns says that turns
+	// differ in size, and singleRecordBatches that each batch holds one record.
 	storeShare float64
-	// restoredAccount says that the present owner found the program in the log, and assumed
-	// nothing of it.
+	// restoredAccount says that the current owner restored the program's account from the
+	// log, with no assumed use.
 	restoredAccount     bool
 	variedTurns         bool
 	singleRecordBatches bool
@@ -52,8 +54,8 @@
 	maxTokens           int
 	used                int
 	turns               int
-	// unsettled are ends of turns that may still be told, and asked are turns whose answer
-	// from an owner was lost, so that none of their tokens was handed out.
+	// unsettled are settlements that may still be delivered. requested are turns whose
+	// admission was lost on the way, so that none of their tokens was delivered.
 	unsettled []ledger.Settlement
 	requested []ledger.Turn
 }
@@ -83,7 +85,7 @@
 	return l
 }
 
-// step lets one thing happen.
+// step performs one random action.
 func (m *ownerModel) step() {
 	m.now = m.now.Add(time.Duration(m.random.IntN(400)) * time.Millisecond)
 	switch draw := m.random.IntN(100); {
@@ -102,7 +104,7 @@
 	case draw < 40 && !m.logDown:
 		m.appendOne()
 	case draw < 45:
-		// Nothing happens for long.
+		// Nothing happens for a while.
 		m.now = m.now.Add(time.Duration(m.random.IntN(6)) * time.Second)
 	case draw < 55:
 		m.repeatSettlement()
@@ -111,8 +113,7 @@
 	}
 }
 
-// takeOver has another node own the partition. The former owner lives on half
-// of the time.
+// takeOver replaces the owner. The previous one lives on half of the time.
 func (m *ownerModel) takeOver() {
 	if m.random.IntN(2) == 0 {
 		m.previous = append(m.previous, m.current)
@@ -120,15 +121,15 @@
 	m.current = m.open()
 }
 
-// append has the log take what the owner has ready, as it was at some moment
-// before the answer came.
+// append appends all that the owner has ready, and confirms its ownership at the time of
+// the append.
 func (m *ownerModel) append() {
 	m.deliverAnswer()
 	m.current.Prove(m.now)
 	m.stored.store(m.current)
 }
 
-// appendOne has the log take one batch, whose answer is on its way.
+// appendOne appends one batch, without delivering the answer to the owner yet.
 func (m *ownerModel) appendOne() {
 	m.deliverAnswer()
 	batch := m.current.Ready()
@@ -136,7 +137,7 @@
 	m.stored.put(batch)
 }
 
-// deliverAnswer has the answer to a batch arrive.
+// deliverAnswer delivers the answer to an appended batch.
 func (m *ownerModel) deliverAnswer() {
 	if m.batchUnanswered {
 		m.batchUnanswered = false
@@ -144,7 +145,7 @@
 	}
 }
 
-// any returns the owner by the log, or one that does not know its successor.
+// any returns the owner according to the log, or one that does not know its successor.
 func (m *ownerModel) any() *ledger.Ledger {
 	if len(m.previous) > 0 && m.random.IntN(3) == 0 {
 		return m.previous[m.random.IntN(len(m.previous))]
@@ -158,21 +159,21 @@
 	requested := m.nextTurn()
 	admission := owner.Admit(m.now, requested)
 	if owner == m.current && m.restoredAccount {
-		// The first mark leaves a token of the budget.
+		// The first mark leaves one token of the budget.
 		Expect(m.used).To(BeNumerically("<=", admission.Settled+admission.Open+1), "what the owner counts")
 	}
 	if admission.Verdict != ledger.VerdictGranted {
 		return
 	}
 	if m.random.IntN(12) == 0 {
-		// The answer is lost: the turn is asked for again later.
+		// The answer is lost: the turn is requested again later.
 		m.requested = append(m.requested, requested)
 		return
 	}
 	end := ledger.Settlement{Turn: requested.ID, Program: "p", Grant: admission.Grant}
 	if admission.Position > owner.Durable() {
 		if owner != m.current || m.logDown {
-			// Its tokens wait for the log until the client has left.
+			// Its tokens wait for the log until the client disconnects.
 			m.end(owner, end)
 			return
 		}
@@ -189,7 +190,7 @@
 	m.end(owner, end)
 }
 
-// nextTurn is a new turn, or one that was asked for before.
+// nextTurn returns a new turn, or one that was requested before.
 func (m *ownerModel) nextTurn() ledger.Turn {
 	if len(m.requested) > 0 && m.random.IntN(2) == 0 {
 		turn := m.requested[len(m.requested)-1]
@@ -207,8 +208,8 @@
 	}
 }
 
-// end tells the end of a turn to the owner that granted it, to the one by the log, to
-// both, or to nobody yet.
+// end settles a turn at the owner that granted it, at the one according to the log, at
+// both, or at none yet.
 func (m *ownerModel) end(granter *ledger.Ledger, end ledger.Settlement) {
 	switch m.random.IntN(6) {
 	case 0:
@@ -227,7 +228,7 @@
 	}
 }
 
-// repeatSettlement tells the end of an earlier turn, maybe not for the last time.
+// repeatSettlement settles an earlier turn, possibly not for the last time.
 func (m *ownerModel) repeatSettlement() {
 	if len(m.unsettled) == 0 {
 		return
@@ -239,7 +240,8 @@
 	}
 }
 
-// storeTurn has the owner by the log keep a turn. The answer may be lost, and the owner.
+// storeTurn stores a turn at the current owner. The answer may be lost, and the owner may
+// fail.
 func (m *ownerModel) storeTurn(end ledger.Settlement) {
 	for range 2 {
 		m.current.Settle(m.now, end)
--- a/ledger/restore_test.go
+++ b/ledger/restore_test.go
@@ -14,7 +14,7 @@
 	kept := func(id, input string) ledger.KeptTurn {
 		return ledger.KeptTurn{ID: id, Program: "p", Input: []byte(input), Output: []byte("!"), Retain: time.Minute}
 	}
-	// logOf returns the records of a ledger that keeps a turn.
+	// logOf returns the records of a ledger that stores a turn.
 	logOf := func(config ledger.Config, turn ledger.KeptTurn) []ledger.Record {
 		previous := ledger.New(config)
 		previous.Keep(now, turn)
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-// The load of these tests: one of some partitions, of programs that begin with a long
-// turn and go on with short ones.
+// The load of these tests: that of one partition out of partitionCount, by programs that
+// begin with a large input and continue with small ones.
 const (
 	partitionCount  = 24
 	turnsPerSecond  = 300.0 / partitionCount
@@ -20,14 +20,14 @@
 	laterInputBytes = 1200
 	outputBytes     = 1400
 	turnsPerProgram = 5
-	// storeLimitBytes is what the store keeps in all, and trimEvery how much is appended to
-	// a partition before it is trimmed.
+	// storeLimitBytes is the capacity of the store, and trimIntervalBytes how much is
+	// appended to a partition between two trims.
 	storeLimitBytes   = 400 << 20
 	trimIntervalBytes = 2 << 20
 )
 
-// storeModel is what a store keeps of a partition's records: the newest of each key, and
-// what they replaced until it is trimmed.
+// storeModel counts the bytes that a store holds of a partition: the newest record of
+// each key, and replaced records until the next trim.
 type storeModel struct {
 	newest                     map[string]int
 	bytes, replaced, sinceTrim int
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -10,8 +10,8 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-// unrecordedConfig lets programs use a third of their budget before the log
-// knows of them.
+// unrecordedConfig lets programs use a third of their budget before their first record is
+// durable.
 func unrecordedConfig() ledger.Config {
 	config := ledger.DefaultConfig()
 	config.UnrecordedShare = 1.0 / 3
@@ -22,7 +22,7 @@
 	return config
 }
 
-// open returns the ledger of a new owner that may let programs begin unrecorded.
+// open returns the ledger of a new owner that may let programs begin without a record.
 func (s storedLog) open(now time.Time) *ledger.Ledger {
 	l := s.restoreWith(now, unrecordedConfig())
 	l.Prove(now)
@@ -30,7 +30,8 @@
 	return l
 }
 
-// serving returns that of an owner that has served a program, as the log has.
+// serving returns the ledger of an owner that has served a program, so that its open
+// record is in the log.
 func (s storedLog) serving(now time.Time) *ledger.Ledger {
 	l := s.open(now)
 	first := turnRequest("first", 600)
@@ -173,7 +174,7 @@
 		stored.store(former)
 		repeated := ledger.Turn{ID: "b", Program: "spent", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute}
 		for at, verdict := range map[time.Duration]ledger.Verdict{0: ledger.VerdictBusy, 8 * time.Second: ledger.VerdictExhausted} {
-			// The end of the turn that the lost owner had under way may be told until then.
+			// The turn that was open at the failed owner may be settled until then.
 			l := stored.open(start)
 			Expect(l.Admit(start, turnRequest("b", 110)).Verdict).To(Equal(ledger.VerdictGranted))
 			l.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Tokens: 10})
@@ -186,7 +187,8 @@
 		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
-		// A third of this budget holds no turn, so that nothing but the turn is assumed.
+		// A third of this budget is smaller than a turn, so only the extra turn is
+		// assumed.
 		Expect(second.Admit(start, turnRequest("a", 160)).Settled).To(BeZero())
 		stored.store(second)
 		third := stored.open(start)
