--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -37,8 +37,8 @@
 	stored.store(l)
 }
 
-var _ = Describe("A small budget whose turns are kept", func() {
-	It("lets its program end whose owner is lost before each of its turns", func() {
+var _ = Describe("A small budget with stored turns", func() {
+	It("lets its program finish although its owner fails before each of its turns", func() {
 		stored := storedLog{}
 		for index := range 10 {
 			l := stored.open(start)
@@ -50,7 +50,7 @@
 		}
 	})
 
-	It("lets it end whose owner is lost once, twice and thrice with a turn under way, which ends at the next", func() {
+	It("lets its program finish although up to three owners fail with an open turn that is settled at the next owner", func() {
 		for losses := 1; losses <= 3; losses++ {
 			stored := storedLog{}
 			l := stored.serving(start)
@@ -69,7 +69,7 @@
 		}
 	})
 
-	It("lets it end whose turns end unkept, or ran nowhere, at owners that are lost right after", func() {
+	It("lets its program finish although up to three owners fail right after a turn that was not stored or did not run", func() {
 		for losses := 1; losses <= 3; losses++ {
 			for _, tokens := range []int{0, 40} {
 				stored := storedLog{}
@@ -91,7 +91,7 @@
 		}
 	})
 
-	It("needs one append a turn, that of the kept turn, and one for the first", func() {
+	It("needs one append for each stored turn and one more for the first turn", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		appends := 0
@@ -113,7 +113,7 @@
 		Expect(appends).To(Equal(1 + 8))
 	})
 
-	It("counts a turn that the lost owner granted without a record once, however often its end is told", func() {
+	It("counts a turn that the failed owner granted without a record once, however often it is settled", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		first := l.Admit(start, smallTurn("a"))
@@ -134,7 +134,7 @@
 		}
 	})
 
-	It("has a turn come back while one may still end, and says that it is spent only then", func() {
+	It("answers busy while another turn may still be settled, and exhausted only afterwards", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		first := l.Admit(start, smallTurn("a"))
@@ -153,7 +153,7 @@
 		Expect(l.Admit(late, smallTurn("c")).Verdict).To(Equal(ledger.VerdictExhausted), "the number may be another turn's by now")
 	})
 
-	It("corrects the count by the end of a turn that is told late", func() {
+	It("corrects the count by a late settlement", func() {
 		l := ledger.New(unrecordedConfig())
 		admission := l.Admit(start, smallTurn("a"))
 		late := start.Add(4 * time.Second)
@@ -164,7 +164,7 @@
 		Expect(granted.Settled).To(Equal(20))
 	})
 
-	It("knows the end of each turn that the log keeps, though the owner is lost between two records", func() {
+	It("knows the use of each turn in the log although the owner fails between two records", func() {
 		stored := storedLog{}
 		config := unrecordedConfig()
 		config.BatchRecords = 1
@@ -183,7 +183,7 @@
 		}
 	})
 
-	It("needs no write for a turn that follows one which was refused before the log had its record", func() {
+	It("needs no write for a turn after one that did not run and whose record was not yet in the log", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		l.Keep(start, ledger.KeptTurn{ID: "other", Program: "other", Input: []byte("x"), Retain: time.Minute})
@@ -196,14 +196,14 @@
 		Expect(l.Ready()).To(BeEmpty())
 	})
 
-	It("numbers the grants of an owner that the log lost apart from those of the next", func() {
+	It("numbers grants differently from those of an owner whose records were lost", func() {
 		stored := storedLog{}
 		lost := stored.serving(start).Admit(start, smallTurn("a"))
 		next := stored.open(start.Add(time.Millisecond)).Admit(start.Add(time.Millisecond), smallTurn("b"))
 		Expect(next.Grant).To(BeNumerically(">", lost.Grant))
 	})
 
-	It("is not eaten by what is assumed of programs that the log does not know", func() {
+	It("is not used up by what is assumed for programs without a record", func() {
 		stored := storedLog{}
 		stored.serving(start)
 		for range 3 {
@@ -217,14 +217,14 @@
 	})
 })
 
-var _ = Describe("A small budget whose turns are not kept", func() {
+var _ = Describe("A small budget whose turns are not stored", func() {
 	unkept := func(id string) ledger.Turn {
 		request := smallTurn(id)
 		request.Keeps = false
 		return request
 	}
 
-	It("lets its program end whose owner is lost before each of its turns", func() {
+	It("lets its program finish although its owner fails before each of its turns", func() {
 		stored := storedLog{}
 		for index := range 10 {
 			l := stored.open(start)
@@ -237,7 +237,7 @@
 		}
 	})
 
-	It("lets it end whose turn under way ends at the next owner", func() {
+	It("lets its program finish although each turn is settled at the next owner", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		for index := range 6 {
@@ -259,7 +259,7 @@
 		RetainMS int64 `json:"retain_ms"`
 	}
 
-	It("tells owners of the former format no less than what may be used", func() {
+	It("gives owners that read the former format no less than what may be used", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		used := 0
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -58,7 +58,7 @@
 }
 
 var _ = Describe("A budget", func() {
-	It("grants turns while it holds one more at its most, and no longer", func() {
+	It("grants turns while it holds one more at its maximum, and no longer", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		used := 0
 		for index := range 3 {
@@ -71,7 +71,7 @@
 		Expect(used).To(BeNumerically("<=", 300))
 	})
 
-	It("lets a turn wait for others that hold the rest, and does not call it spent", func() {
+	It("answers busy and not exhausted while open turns hold the rest", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		Expect(l.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
 		Expect(l.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictBusy))
@@ -79,7 +79,7 @@
 		Expect(l.Admit(start, turnRequest("b", 150)).Verdict).To(Equal(ledger.VerdictGranted))
 	})
 
-	It("tells a program none of whose turns was served from one under way", func() {
+	It("distinguishes a program without a served turn from one that has been served", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		Expect(l.Admit(start, turnRequest("a", 300)).Fresh).To(BeTrue())
 		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p"})
@@ -89,7 +89,7 @@
 		Expect(l.Admit(start, turnRequest("d", 300)).Fresh).To(BeFalse())
 	})
 
-	It("grants the same turn once, however often it is asked", func() {
+	It("grants the same turn once, however often it is requested", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		for range 3 {
 			Expect(l.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
@@ -98,7 +98,7 @@
 		Expect(l.Admit(start, turnRequest("b", 150)).Settled).To(Equal(30))
 	})
 
-	It("never lets a program use more than the budget and one turn, whenever its owner is lost", func() {
+	It("never lets a program use more than the budget and one turn, whenever its owner fails", func() {
 		const budget = 1000
 		for lossInterval := 1; lossInterval < 6; lossInterval++ {
 			stored := storedLog{}
@@ -129,7 +129,7 @@
 		}
 	})
 
-	It("lets a program end that uses a quarter of it, although its owner was lost once", func() {
+	It("lets a program that uses a quarter of it finish although its owner fails once", func() {
 		const turns, most = 8, 100
 		for lostBefore := range turns {
 			stored := storedLog{}
@@ -151,7 +151,7 @@
 		Expect(l.Admit(start, turnRequest("a", 300)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("is remembered by a new owner for as long as its route keeps programs", func() {
+	It("is remembered by a new owner for the retention time of its route", func() {
 		stored := storedLog{}
 		l := ledger.New(ledger.DefaultConfig())
 		Expect(l.Admit(start, turnRequest("a", 100)).Verdict).To(Equal(ledger.VerdictGranted))
@@ -166,7 +166,7 @@
 		Expect(l.Admit(start.Add(63*time.Second), turnRequest("b", 100)).Verdict).To(Equal(ledger.VerdictExhausted))
 	})
 
-	It("is forgotten when nobody may come back, and leaves no record", func() {
+	It("is removed with its record once the retention time is over", func() {
 		stored := storedLog{}
 		l := ledger.New(ledger.DefaultConfig())
 		l.Admit(start, turnRequest("a", 100))
@@ -179,7 +179,7 @@
 		Expect(stored).To(BeEmpty())
 	})
 
-	It("counts a turn whose end was never told at its most", func() {
+	It("counts a turn that was never settled at its maximum", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		l.Admit(start, turnRequest("a", 150))
 		late := start.Add(10 * time.Second)
@@ -189,7 +189,7 @@
 	})
 })
 
-var _ = Describe("A kept turn", func() {
+var _ = Describe("A stored turn", func() {
 	keep := func(l *ledger.Ledger, now time.Time, id, previous string) {
 		l.Keep(now, ledger.KeptTurn{
 			ID: id, Program: "p", Previous: previous, Input: []byte("in-" + id + ";"), Output: []byte("out-" + id + ";"), Retain: time.Minute,
@@ -211,7 +211,7 @@
 		}
 	})
 
-	It("that is larger than a record is kept in parts, restored whole, and removed with all of them", func() {
+	It("larger than a record is stored in parts, restored whole, and removed with all of them", func() {
 		stored := storedLog{}
 		l := ledger.New(ledger.DefaultConfig())
 		large := bytes.Repeat([]byte("0123456789"), 60_000)
@@ -231,7 +231,7 @@
 		Expect(stored).To(BeEmpty())
 	})
 
-	It("whose parts a former owner did not finish leaves nothing behind", func() {
+	It("whose parts a previous owner did not finish writing leaves nothing behind", func() {
 		stored := storedLog{"part/lost/0": []byte("x"), "part/lost/1": []byte("y")}
 		l := stored.restore(start)
 		_, found := l.Chain("lost")
@@ -240,7 +240,7 @@
 		Expect(stored).To(BeEmpty())
 	})
 
-	It("brings the chain along that another partition keeps", func() {
+	It("includes the chain that another partition stores", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		l.Keep(start, ledger.KeptTurn{ID: "b", Previous: "elsewhere", Base: []byte("base;"), Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute})
 		chain, found := l.Chain("b")
@@ -248,7 +248,7 @@
 		Expect(string(chain)).To(Equal("base;in;out;"))
 	})
 
-	It("keeps the turns that it goes on from, and all go in the end", func() {
+	It("keeps the turns that it continues, and all expire in the end", func() {
 		stored := storedLog{}
 		l := ledger.New(ledger.DefaultConfig())
 		keep(l, start, "a", "")
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -15,8 +15,8 @@
 // modelRuns is the number of model runs in one test.
 const modelRuns = 20_000
 
-var _ = Describe("A program that the log does not know", func() {
-	It("never uses more than its budget and one turn, whatever happens to owners and log", func() {
+var _ = Describe("A program without a record in the log", func() {
+	It("never uses more than its budget and one turn, whatever happens to owners and the log", func() {
 		for seed := range uint64(modelRuns) {
 			model := newOwnerModel(seed)
 			for range 120 {
--- a/ledger/restore_test.go
+++ b/ledger/restore_test.go
@@ -28,7 +28,7 @@
 		Expect(ledger.PastAccounts("turn/a")).To(BeTrue())
 	})
 
-	It("leaves a turn that was kept anew as it is", func() {
+	It("does not overwrite a turn that was stored again", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		l.Keep(now, kept("t", "new"))
 		for _, record := range logOf(ledger.DefaultConfig(), kept("t", "old")) {
@@ -39,7 +39,7 @@
 		Expect(string(chain)).To(Equal("new!"))
 	})
 
-	It("does not remove the parts of a turn that was kept anew", func() {
+	It("does not remove the parts of a turn that was stored again", func() {
 		config := ledger.DefaultConfig()
 		config.RecordBytes = 40
 		long := "a body that takes more than one record, since a record holds little here"
--- a/ledger/served_test.go
+++ b/ledger/served_test.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-var _ = Describe("The replica that served a line of turns", func() {
-	It("is told with what it keeps of the line, by the last turn that it served", func() {
+var _ = Describe("The replica that served a session", func() {
+	It("is returned with the session tokens it has cached, as of the last turn", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		l.Admit(start, turnRequest("a", 1000))
 		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Session: "s", Tokens: 10, Replica: "r", Kept: 2000})
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -86,7 +86,7 @@
 		Expect(l.Size()).To(BeNumerically("~", store.bytes, store.bytes/10))
 	})
 
-	It("is a quarter less than with bodies in base64", func() {
+	It("is a quarter smaller than with bodies in base64", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		l.Keep(time.Unix(0, 0), ledger.KeptTurn{ID: "t", Program: "p", Input: make([]byte, firstInputBytes), Output: make([]byte, outputBytes), Retain: time.Minute})
 		records := l.Ready()
@@ -94,10 +94,10 @@
 	})
 })
 
-var _ = Describe("A kept turn's record", func() {
+var _ = Describe("A stored turn's record", func() {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-	It("is read as former versions wrote it", func() {
+	It("is decoded as former versions encoded it", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		former := ledger.Record{Key: "turn/t", Value: []byte(`{"program":"p","base":"YmFzZQ==","input":"aW4=","output":"b3V0","retain_ms":60000}`)}
 		Expect(l.Restore(now, former)).To(Succeed())
@@ -106,7 +106,7 @@
 		Expect(string(chain)).To(Equal("baseinout"))
 	})
 
-	It("is read as this version writes it, and refused where it is cut", func() {
+	It("is decoded as this version encodes it, and rejected if truncated", func() {
 		previous := ledger.New(ledger.DefaultConfig())
 		previous.Keep(now, ledger.KeptTurn{
 			ID: "t", Program: "p", Previous: "gone", Base: []byte("base"), Input: []byte("in"), Output: []byte("out"), Retain: time.Minute,
@@ -122,7 +122,7 @@
 		}
 	})
 
-	It("lets a turn go when it is due, also after a takeover, and keeps its chain as long", func() {
+	It("expires when due, also after a takeover, and not before the turns that continue it", func() {
 		previous := ledger.New(ledger.DefaultConfig())
 		previous.Keep(now, ledger.KeptTurn{ID: "a", Program: "p", Input: []byte("1"), Retain: time.Minute})
 		previous.Keep(now.Add(40*time.Second), ledger.KeptTurn{ID: "b", Program: "p", Previous: "a", Input: []byte("2"), Retain: time.Minute})
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -41,8 +41,8 @@
 	return l
 }
 
-var _ = Describe("A program that the log does not know", func() {
-	It("begins at once while it may use no more than the share and one turn", func() {
+var _ = Describe("A program without a record in the log", func() {
+	It("begins at once while its use stays within the share and one turn", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		Expect(l.Admit(start, turnRequest("a", 600)).Position).To(BeZero())
@@ -51,31 +51,31 @@
 		Expect(l.Admit(start, turnRequest("d", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("begins at once where its budget holds but one turn", func() {
+	It("begins at once if its budget holds only one turn", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		Expect(l.Admit(start, turnRequest("a", 100)).Position).To(BeZero())
 	})
 
-	It("has used nothing where the former owner served no program", func() {
+	It("has used nothing if the previous owner served no program", func() {
 		stored := storedLog{}
 		stored.store(stored.open(start))
 		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(BeZero())
 	})
 
-	It("waits until the log says that programs may begin unrecorded", func() {
+	It("waits until the open record is in the log", func() {
 		l := storedLog{}.open(start)
 		Expect(l.Admit(start, turnRequest("a", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("waits where the log has not proven the ownership lately", func() {
+	It("waits if the log has not confirmed the ownership recently", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		late := start.Add(9 * time.Second)
 		Expect(l.Admit(late, turnRequest("a", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("waits beyond the mark that the log has", func() {
+	It("waits if the turn exceeds the mark in the log", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
 		for _, id := range []string{"a", "b"} {
@@ -86,7 +86,7 @@
 		Expect(l.Admit(start, turnRequest("c", 300)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("is taken to have used the share by a new owner, and is still one that begins", func() {
+	It("is assumed to have used the share by a new owner, and still counts as new", func() {
 		stored := storedLog{}
 		stored.serving(start)
 		admission := stored.open(start).Admit(start, turnRequest("a", 600))
@@ -95,7 +95,7 @@
 		Expect(admission.Position).NotTo(BeZero())
 	})
 
-	It("begins at once at the owner after a lost one, where its budget is large, and not after two", func() {
+	It("begins at once with a large budget after one failed owner, and not after two", func() {
 		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
@@ -121,7 +121,7 @@
 		Expect(admission.Position).NotTo(BeZero())
 	})
 
-	It("is no longer taken to have used anything once nobody may come back", func() {
+	It("is no longer assumed to have used anything once the return window is over", func() {
 		stored := storedLog{}
 		stored.serving(start)
 		l := stored.open(start)
@@ -132,7 +132,7 @@
 		Expect(admission.Position).To(BeZero())
 	})
 
-	It("has used nothing where the former owner gave up in order", func() {
+	It("has used nothing if the previous owner released the partition", func() {
 		stored := storedLog{}
 		former := stored.serving(start)
 		former.Admit(start, turnRequest("a", 600))
@@ -146,7 +146,7 @@
 		Expect(admission.Position).To(BeZero())
 	})
 
-	It("ends although its owner was lost once, in a budget of one and a half turns for each of its turns", func() {
+	It("finishes although its owner fails once, with a budget of one and a half turns for each turn", func() {
 		for turns := 2; turns <= 12; turns++ {
 			budget := turns * 150
 			for lostBefore := range turns {
@@ -165,7 +165,7 @@
 		}
 	})
 
-	It("gets one turn more than its budget where a lost owner's mark counts as used, and no second", func() {
+	It("gets one turn more than its budget if a failed owner's mark counts as used, and no second", func() {
 		stored := storedLog{}
 		former := stored.serving(start)
 		former.Admit(start, turnRequest("a", 110))
@@ -183,7 +183,7 @@
 		}
 	})
 
-	It("gets none more where a part of its use was assumed, also at the owner after that", func() {
+	It("gets no extra turn if part of its use was assumed, also at the next owner", func() {
 		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
@@ -196,7 +196,7 @@
 		Expect(third.Admit(start.Add(8*time.Second), turnRequest("b", 160)).Verdict).To(Equal(ledger.VerdictExhausted))
 	})
 
-	It("waits at an owner that has given up, and at one after an owner that had not", func() {
+	It("waits at an owner that released the partition, and its use is still assumed if that owner had inherited an open record", func() {
 		stored := storedLog{}
 		former := stored.serving(start)
 		former.Close(start)
@@ -209,7 +209,7 @@
 		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(Equal(200))
 	})
 
-	It("is charged what it used, and no more, after an owner that gave up in order", func() {
+	It("is charged only what it used after an owner that released the partition", func() {
 		stored := storedLog{}
 		former := stored.serving(start)
 		former.Admit(start, turnRequest("a", 600))
--- a/ledger/unscoped_test.go
+++ b/ledger/unscoped_test.go
@@ -9,14 +9,14 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-var _ = Describe("An account that was opened before ids had a scope", func() {
+var _ = Describe("An account from before program ids were scoped by tenant", func() {
 	scoped := func(id string) ledger.Turn {
 		request := turnRequest(id, 300)
 		request.Program, request.Unscoped = "acme\x1fp", "p"
 		return request
 	}
 
-	It("counts to the program that it may be of, and calls no budget spent", func() {
+	It("counts towards the program that it may belong to, without exhausting its budget", func() {
 		l := ledger.New(ledger.DefaultConfig())
 		l.Admit(start, turnRequest("a", 300))
 		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 90})
@@ -28,7 +28,7 @@
 		Expect(l.Admit(start, other).Verdict).To(Equal(ledger.VerdictGranted))
 	})
 
-	It("counts so at a new owner too, and no program uses more than its budget", func() {
+	It("counts at a new owner too, and no program uses more than its budget", func() {
 		stored := storedLog{}
 		l := ledger.New(ledger.DefaultConfig())
 		l.Admit(start, turnRequest("a", 300))
