--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -8,11 +8,11 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// readUsually is the longest time between two answers of a node's reads of the
+// maxReadInterval is the longest time between two answers of a node's reads of the
 // operator's stream while all goes well: a read waits two seconds for a change and is
 // answered as soon as there is one. What is learned after a longer silence may have been
 // asked for long ago.
-const readUsually = 2800 * time.Millisecond
+const maxReadInterval = 2800 * time.Millisecond
 
 // State is what a node knows of evacuated zones. The zero value knows nothing yet. It
 // is not safe for concurrent use.
@@ -64,13 +64,13 @@
 	var changes []Change
 	for name := range s.zones {
 		if !slices.Contains(zones, name) {
-			changes = append(changes, s.end(name))
+			changes = append(changes, s.endEvacuation(name))
 		}
 	}
 	for _, name := range zones {
-		changes = append(changes, s.begin(name, s.learned(now))...)
+		changes = append(changes, s.beginEvacuation(name, s.startOfEvacuation(now))...)
 	}
-	return sorted(changes)
+	return sortChanges(changes)
 }
 
 // Note takes over one record of the stream, after which the stream's version is the
@@ -81,12 +81,12 @@
 	}
 	s.version = version
 	if evacuated {
-		return s.begin(name, s.learned(now))
+		return s.beginEvacuation(name, s.startOfEvacuation(now))
 	}
 	if _, known := s.zones[name]; !known {
 		return nil
 	}
-	return []Change{s.end(name)}
+	return []Change{s.endEvacuation(name)}
 }
 
 // Advance takes in that the stream went on to a version without a change here.
@@ -101,44 +101,44 @@
 
 // Snapshot returns the state for a peer.
 func (s *State) Snapshot(now time.Time) Snapshot {
-	taken := Snapshot{Version: s.version, CurrentAge: now.Sub(s.currentAt).Milliseconds()}
+	snapshot := Snapshot{Version: s.version, CurrentAge: now.Sub(s.currentAt).Milliseconds()}
 	if len(s.zones) > 0 {
-		taken.Zones = make(map[zone.Name]int64, len(s.zones))
+		snapshot.Zones = make(map[zone.Name]int64, len(s.zones))
 	}
 	for name, since := range s.zones {
-		taken.Zones[name] = now.Sub(since).Milliseconds()
+		snapshot.Zones[name] = now.Sub(since).Milliseconds()
 	}
-	return taken
+	return snapshot
 }
 
 // Adopt takes over a peer's newer state, which was asked for at a time.
-func (s *State) Adopt(asked time.Time, told Snapshot) []Change {
-	if told.Version <= s.version {
+func (s *State) Adopt(requestedAt time.Time, peer Snapshot) []Change {
+	if peer.Version <= s.version {
 		return nil
 	}
-	s.version = told.Version
+	s.version = peer.Version
 	var changes []Change
 	for name := range s.zones {
-		if _, still := told.Zones[name]; !still {
-			changes = append(changes, s.end(name))
+		if _, present := peer.Zones[name]; !present {
+			changes = append(changes, s.endEvacuation(name))
 		}
 	}
-	for name, age := range told.Zones {
-		changes = append(changes, s.begin(name, asked.Add(-time.Duration(age)*time.Millisecond))...)
+	for name, age := range peer.Zones {
+		changes = append(changes, s.beginEvacuation(name, requestedAt.Add(-time.Duration(age)*time.Millisecond))...)
 	}
-	s.Current(asked.Add(-time.Duration(told.CurrentAge) * time.Millisecond))
-	return sorted(changes)
+	s.Current(requestedAt.Add(-time.Duration(peer.CurrentAge) * time.Millisecond))
+	return sortChanges(changes)
 }
 
-// learned returns from when on the time to leave counts for what is learned now.
-func (s *State) learned(now time.Time) time.Time {
-	if now.Sub(s.currentAt) <= readUsually {
+// startOfEvacuation returns from when on the time to leave counts for what is learned now.
+func (s *State) startOfEvacuation(now time.Time) time.Time {
+	if now.Sub(s.currentAt) <= maxReadInterval {
 		return now
 	}
 	return s.currentAt
 }
 
-func (s *State) begin(name zone.Name, since time.Time) []Change {
+func (s *State) beginEvacuation(name zone.Name, since time.Time) []Change {
 	if _, known := s.zones[name]; known {
 		return nil
 	}
@@ -149,13 +149,13 @@
 	return []Change{{Zone: name, Evacuated: true, Since: since}}
 }
 
-func (s *State) end(name zone.Name) Change {
+func (s *State) endEvacuation(name zone.Name) Change {
 	change := Change{Zone: name, Since: s.zones[name]}
 	delete(s.zones, name)
 	return change
 }
 
-func sorted(changes []Change) []Change {
+func sortChanges(changes []Change) []Change {
 	slices.SortFunc(changes, func(left, right Change) int { return cmp.Compare(left.Zone, right.Zone) })
 	return changes
 }
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// following returns a state whose reads have gone on as usual up to start.
-func following() *evacuation.State {
+// newCurrentState returns a state whose reads have gone on as usual up to start.
+func newCurrentState() *evacuation.State {
 	state := &evacuation.State{}
 	state.Reset(start.Add(-time.Second), 4, nil)
 	state.Current(start)
@@ -25,7 +25,7 @@
 // while the other begins.
 func TestZonesInTheOrderOfTheStream(t *testing.T) {
 	g := NewWithT(t)
-	state := following()
+	state := newCurrentState()
 	g.Expect(state.Note(start, 5, "a", true)).To(Equal([]evacuation.Change{{Zone: "a", Evacuated: true, Since: start}}))
 	g.Expect(state.Note(start, 5, "a", true)).To(BeEmpty(), "the same record again")
 	later := start.Add(time.Second)
@@ -42,7 +42,7 @@
 // older version.
 func TestWholeReads(t *testing.T) {
 	g := NewWithT(t)
-	state := following()
+	state := newCurrentState()
 	state.Note(start, 5, "a", true)
 	g.Expect(state.Reset(start, 4, nil)).To(BeEmpty(), "a read that was overtaken")
 	g.Expect(state.Reset(start, 5, []zone.Name{"a"})).To(BeEmpty())
@@ -60,10 +60,10 @@
 	fresh := &evacuation.State{}
 	fresh.Reset(start, 5, []zone.Name{"a"})
 	g.Expect(fresh.Zones()["a"]).To(BeTemporally("<", start.Add(-time.Hour)), "a first read")
-	late := following()
+	late := newCurrentState()
 	late.Note(start.Add(10*time.Second), 5, "a", true)
 	g.Expect(late.Zones()["a"]).To(Equal(start), "after a silence")
-	usual := following()
+	usual := newCurrentState()
 	usual.Note(start.Add(2*time.Second), 5, "a", true)
 	g.Expect(usual.Zones()["a"]).To(Equal(start.Add(2 * time.Second)))
 }
@@ -71,28 +71,28 @@
 // TestPeers take over a newer state whole, with its ages, and no older one.
 func TestPeers(t *testing.T) {
 	g := NewWithT(t)
-	teller := following()
-	teller.Note(start, 6, "b", true)
-	told := teller.Snapshot(start.Add(3 * time.Second))
-	asked := start.Add(2900 * time.Millisecond)
+	peer := newCurrentState()
+	peer.Note(start, 6, "b", true)
+	snapshot := peer.Snapshot(start.Add(3 * time.Second))
+	requestedAt := start.Add(2900 * time.Millisecond)
 
-	state := following()
+	state := newCurrentState()
 	state.Note(start, 5, "a", true)
-	changes := state.Adopt(asked, told)
+	changes := state.Adopt(requestedAt, snapshot)
 	g.Expect(changes).To(HaveLen(2))
 	g.Expect(state.Zones()).To(Equal(map[zone.Name]time.Time{"b": start.Add(-100 * time.Millisecond)}))
-	g.Expect(state.Adopt(asked, told)).To(BeEmpty(), "the same state again")
-	state.Note(asked, 7, "b", false)
-	g.Expect(state.Adopt(asked, told)).To(BeEmpty(), "an older state")
+	g.Expect(state.Adopt(requestedAt, snapshot)).To(BeEmpty(), "the same state again")
+	state.Note(requestedAt, 7, "b", false)
+	g.Expect(state.Adopt(requestedAt, snapshot)).To(BeEmpty(), "an older state")
 	g.Expect(state.Zones()).To(BeEmpty())
 	never := &evacuation.State{}
-	g.Expect(state.Adopt(asked, never.Snapshot(asked))).To(BeEmpty(), "a peer that knows nothing")
+	g.Expect(state.Adopt(requestedAt, never.Snapshot(requestedAt))).To(BeEmpty(), "a peer that knows nothing")
 }
 
 // TestForgetsNothingWithTheVersion goes on where the stream went on without a zone.
 func TestForgetsNothingWithTheVersion(t *testing.T) {
 	g := NewWithT(t)
-	state := following()
+	state := newCurrentState()
 	state.Note(start, 5, "a", true)
 	state.Advance(9)
 	state.Advance(7)
@@ -103,15 +103,15 @@
 // TestDepartures are spread over a part of the time that the operator gives.
 func TestDepartures(t *testing.T) {
 	g := NewWithT(t)
-	const lines, within = 3000, 5 * time.Second
+	const sessions, within = 3000, 5 * time.Second
 	thirds := [3]int{}
-	for line := range lines {
-		until := evacuation.Departure(start, within, fmt.Sprint("program-", line)).Sub(start)
+	for session := range sessions {
+		until := evacuation.Departure(start, within, fmt.Sprint("program-", session)).Sub(start)
 		g.Expect(until).To(And(BeNumerically(">=", 0), BeNumerically("<", 3*time.Second)))
 		thirds[until/time.Second]++
 	}
 	for _, count := range thirds {
-		g.Expect(count).To(BeNumerically("~", lines/3, lines/15))
+		g.Expect(count).To(BeNumerically("~", sessions/3, sessions/15))
 	}
 	g.Expect(evacuation.Departure(start, within, "x")).To(Equal(evacuation.Departure(start, within, "x")))
 	g.Expect(evacuation.Departure(start, 0, "x")).To(Equal(start), "no time is given")
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -46,8 +46,8 @@
 	return ""
 }
 
-// scored is a node with its score for one partition.
-type scored struct {
+// scoredNode is a node with its score for one partition.
+type scoredNode struct {
 	id    string
 	zone  string
 	score float64
@@ -56,31 +56,31 @@
 // First returns the nodes that rank first for the partition, count at most: the one
 // that is to own it, and those that are to own it without that one.
 func First(partition int, nodes []Node, count int) []string {
-	return idsOf(first(partition, nodes, count))
+	return nodeIDs(topScored(partition, nodes, count))
 }
 
-// first returns what First does, with scores and zones.
-func first(partition int, nodes []Node, count int) []scored {
+// topScored returns what First does, with scores and zones.
+func topScored(partition int, nodes []Node, count int) []scoredNode {
 	if count <= 0 {
 		return nil
 	}
-	best := make([]scored, 0, count+1)
+	best := make([]scoredNode, 0, count+1)
 	for _, node := range nodes {
-		candidate := scored{id: node.ID, zone: node.Zone, score: scoreOf(partition, node)}
+		candidate := scoredNode{id: node.ID, zone: node.Zone, score: rendezvousScore(partition, node)}
 		if len(best) == count && compareScored(candidate, best[count-1]) > 0 {
 			continue
 		}
-		place, _ := slices.BinarySearchFunc(best, candidate, compareScored)
-		best = slices.Insert(best, place, candidate)
+		index, _ := slices.BinarySearchFunc(best, candidate, compareScored)
+		best = slices.Insert(best, index, candidate)
 		best = best[:min(len(best), count)]
 	}
 	return best
 }
 
-func idsOf(ranked []scored) []string {
+func nodeIDs(ranked []scoredNode) []string {
 	ids := make([]string, 0, len(ranked))
-	for _, one := range ranked {
-		ids = append(ids, one.id)
+	for _, candidate := range ranked {
+		ids = append(ids, candidate.id)
 	}
 	return ids
 }
@@ -88,29 +88,29 @@
 // Heirs returns those that First returns. Where all of them are in one zone, the last
 // gives way to the one of another zone that ranks first there: a zone may go as a whole.
 func Heirs(partition int, nodes []Node, count int) []string {
-	ranked := first(partition, nodes, count)
-	heirs := idsOf(ranked)
+	ranked := topScored(partition, nodes, count)
+	preferred := nodeIDs(ranked)
 	if len(ranked) < 2 {
-		return heirs
+		return preferred
 	}
 	zone := ranked[0].zone
-	if slices.ContainsFunc(ranked, func(one scored) bool { return one.zone != zone }) {
-		return heirs
+	if slices.ContainsFunc(ranked, func(candidate scoredNode) bool { return candidate.zone != zone }) {
+		return preferred
 	}
 	others := slices.DeleteFunc(slices.Clone(nodes), func(node Node) bool { return node.Zone == zone })
 	if other := Rank(partition, others); other != "" {
-		heirs[len(heirs)-1] = other
+		preferred[len(preferred)-1] = other
 	}
-	return heirs
+	return preferred
 }
 
 const (
-	// weakShare is the share of the heaviest node's weight below which a node owns
+	// minWeightShare is the share of the heaviest node's weight below which a node owns
 	// nothing: it could not read in time what a takeover needs.
-	weakShare = 0.1
-	// ableAtLeast is how many nodes above that there must be for it, so that the loss
+	minWeightShare = 0.1
+	// minEligibleNodes is how many nodes above that there must be for it, so that the loss
 	// of one leaves another and its heir.
-	ableAtLeast = 3
+	minEligibleNodes = 3
 )
 
 // Able returns the nodes that are strong enough to own partitions beside the others,
@@ -120,32 +120,32 @@
 	for _, node := range nodes {
 		heaviest = max(heaviest, node.weight())
 	}
-	able := slices.DeleteFunc(slices.Clone(nodes), func(node Node) bool { return node.weight() < weakShare*heaviest })
-	if len(able) < ableAtLeast {
+	eligible := slices.DeleteFunc(slices.Clone(nodes), func(node Node) bool { return node.weight() < minWeightShare*heaviest })
+	if len(eligible) < minEligibleNodes {
 		return nodes
 	}
-	return able
+	return eligible
 }
 
 // compareScored orders the better node first, and equal ones by their names.
-func compareScored(left, right scored) int {
+func compareScored(left, right scoredNode) int {
 	return cmp.Or(cmp.Compare(right.score, left.score), cmp.Compare(left.id, right.id))
 }
 
-// scoreOf is the weighted score of rendezvous hashing: the weight by the negative
+// rendezvousScore is the weighted score of rendezvous hashing: the weight by the negative
 // logarithm of a uniform number that belongs to the node and the partition.
-func scoreOf(partition int, node Node) float64 {
-	var room [nameRoom]byte
-	name := append(room[:0], node.ID...)
-	name = append(name, '/')
-	name = strconv.AppendInt(name, int64(partition), 10)
-	hash := xxhash.Sum64(name)
+func rendezvousScore(partition int, node Node) float64 {
+	var buffer [keyBufferBytes]byte
+	key := append(buffer[:0], node.ID...)
+	key = append(key, '/')
+	key = strconv.AppendInt(key, int64(partition), 10)
+	hash := xxhash.Sum64(key)
 	uniform := (float64(hash>>mantissaShift) + 0.5) / (1 << mantissaBits)
 	return node.weight() / -math.Log(uniform)
 }
 
-// nameRoom holds the name of a node and a partition, as a rule, without an allocation.
-const nameRoom = 64
+// keyBufferBytes holds the name of a node and a partition, as a rule, without an allocation.
+const keyBufferBytes = 64
 
 // A hash keeps as many bits as a float64 holds exactly.
 const (
--- a/retry/patience.go
+++ b/retry/patience.go
@@ -12,27 +12,27 @@
 	// Factor is how many times the usual time the first try gets.
 	Factor float64
 
-	usual time.Duration
+	average time.Duration
 }
 
-// patienceWeight is the weight of the newest answer in the usual time.
-const patienceWeight = 0.2
+// newestWeight is the weight of the newest answer in the usual time.
+const newestWeight = 0.2
 
 // Observe takes in how long an answered call took.
-func (p *Patience) Observe(took time.Duration) {
-	if p.usual == 0 {
-		p.usual = took
+func (t *Patience) Observe(took time.Duration) {
+	if t.average == 0 {
+		t.average = took
 		return
 	}
-	p.usual += time.Duration(patienceWeight * float64(took-p.usual))
+	t.average += time.Duration(newestWeight * float64(took-t.average))
 }
 
 // Timeout returns the time of the given try, counted from 1. It doubles with
 // each try.
-func (p *Patience) Timeout(try int) time.Duration {
-	timeout := min(max(time.Duration(p.Factor*float64(p.usual)), p.Minimum), p.Maximum)
-	for step := 1; step < try && timeout < p.Maximum; step++ {
+func (t *Patience) Timeout(try int) time.Duration {
+	timeout := min(max(time.Duration(t.Factor*float64(t.average)), t.Minimum), t.Maximum)
+	for step := 1; step < try && timeout < t.Maximum; step++ {
 		timeout *= 2
 	}
-	return min(timeout, p.Maximum)
+	return min(timeout, t.Maximum)
 }
--- a/retry/patience_test.go
+++ b/retry/patience_test.go
@@ -8,26 +8,26 @@
 )
 
 var _ = Describe("Patience", func() {
-	newPatience := func() *Patience {
+	newTimeout := func() *Patience {
 		return &Patience{Minimum: 50 * time.Millisecond, Maximum: time.Second, Factor: 6}
 	}
 
 	It("repeats a call soon while answers come fast", func() {
-		patience := newPatience()
+		timeout := newTimeout()
 		for range 20 {
-			patience.Observe(7 * time.Millisecond)
+			timeout.Observe(7 * time.Millisecond)
 		}
-		Expect(patience.Timeout(1)).To(Equal(50 * time.Millisecond))
-		Expect(patience.Timeout(2)).To(Equal(100 * time.Millisecond))
+		Expect(timeout.Timeout(1)).To(Equal(50 * time.Millisecond))
+		Expect(timeout.Timeout(2)).To(Equal(100 * time.Millisecond))
 	})
 
 	It("gives a server that has become slow more time, within its bound", func() {
-		patience := newPatience()
+		timeout := newTimeout()
 		for range 40 {
-			patience.Observe(100 * time.Millisecond)
+			timeout.Observe(100 * time.Millisecond)
 		}
-		Expect(patience.Timeout(1)).To(BeNumerically("~", 600*time.Millisecond, 10*time.Millisecond))
-		Expect(patience.Timeout(2)).To(Equal(time.Second))
-		Expect(patience.Timeout(9)).To(Equal(time.Second))
+		Expect(timeout.Timeout(1)).To(BeNumerically("~", 600*time.Millisecond, 10*time.Millisecond))
+		Expect(timeout.Timeout(2)).To(Equal(time.Second))
+		Expect(timeout.Timeout(9)).To(Equal(time.Second))
 	})
 })
--- a/routing/follower.go
+++ b/routing/follower.go
@@ -15,11 +15,11 @@
 // whether it did.
 func (f *Follower) Offer(table *Table) bool {
 	for {
-		known := f.current.Load()
-		if known != nil && table.Version <= known.Version {
+		previous := f.current.Load()
+		if previous != nil && table.Version <= previous.Version {
 			return false
 		}
-		if f.current.CompareAndSwap(known, table) {
+		if f.current.CompareAndSwap(previous, table) {
 			return true
 		}
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -109,8 +109,8 @@
 	Tenants *tenant.Directory
 	// byHost holds the routes of a host, the longest prefix first.
 	byHost map[string][]*Route
-	// longestRetain is the longest RetainFor of any route.
-	longestRetain time.Duration
+	// maxRetention is the longest RetainFor of any route.
+	maxRetention time.Duration
 }
 
 // NewTable indexes the routes of a configuration.
@@ -128,10 +128,10 @@
 		route := routes[index]
 		host := strings.ToLower(route.Host)
 		table.byHost[host] = append(table.byHost[host], &route)
-		table.longestRetain = max(table.longestRetain, route.RetainFor)
+		table.maxRetention = max(table.maxRetention, route.RetainFor)
 	}
-	for _, list := range table.byHost {
-		slices.SortStableFunc(list, func(left, right *Route) int {
+	for _, hostRoutes := range table.byHost {
+		slices.SortStableFunc(hostRoutes, func(left, right *Route) int {
 			return cmp.Compare(len(right.PathPrefix), len(left.PathPrefix))
 		})
 	}
@@ -139,14 +139,14 @@
 }
 
 // LongestRetain returns the longest time for which any route keeps programs.
-func (t *Table) LongestRetain() time.Duration { return t.longestRetain }
+func (t *Table) LongestRetain() time.Duration { return t.maxRetention }
 
 // Match returns the route of a host whose prefix begins the path and is the
 // longest, or nil. The host may carry a port; the path carries no query.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
-	routes, known := t.byHost[host]
-	if !known {
+	routes, found := t.byHost[host]
+	if !found {
 		name, _, _ := strings.Cut(host, ":")
 		routes = t.byHost[name]
 	}
@@ -177,12 +177,12 @@
 		}
 		rest -= weight
 	}
-	return lastWeighted(r.Shares), true
+	return lastWeightedService(r.Shares), true
 }
 
-// lastWeighted returns the last service with a weight, which a draw that was
+// lastWeightedService returns the last service with a weight, which a draw that was
 // rounded up to the total falls to.
-func lastWeighted(shares []Share) string {
+func lastWeightedService(shares []Share) string {
 	for index := len(shares) - 1; index >= 0; index-- {
 		if shares[index].Weight > 0 {
 			return shares[index].Service
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -13,13 +13,13 @@
 // TestHomes binds a request by all regions that are set, and by none that is left out.
 func TestHomes(t *testing.T) {
 	g := NewWithT(t)
-	var free zone.Homes
-	g.Expect(free.Permit("anywhere")).To(BeTrue())
-	g.Expect(free.Empty()).To(BeFalse())
-	g.Expect(free.Bind(topology, nil)).To(Equal(free))
-	g.Expect(free.Bind(topology, []zone.Region{})).To(Equal(free))
+	var unrestricted zone.Homes
+	g.Expect(unrestricted.Permit("anywhere")).To(BeTrue())
+	g.Expect(unrestricted.Empty()).To(BeFalse())
+	g.Expect(unrestricted.Bind(topology, nil)).To(Equal(unrestricted))
+	g.Expect(unrestricted.Bind(topology, []zone.Region{})).To(Equal(unrestricted))
 
-	east := free.Bind(topology, []zone.Region{"east", "west"})
+	east := unrestricted.Bind(topology, []zone.Region{"east", "west"})
 	g.Expect(east.Placement()).To(Equal(zone.NewPlacement("east-a", "east-b", "west-a")))
 	g.Expect(east.Permit("north-a")).To(BeFalse())
 	g.Expect(east.Permit("")).To(BeFalse(), "a place that is not known")
@@ -28,8 +28,8 @@
 	g.Expect(both.Placement()).To(Equal(zone.NewPlacement("west-a")))
 	g.Expect(both.Empty()).To(BeFalse())
 	g.Expect(both.Bind(topology, []zone.Region{"east"}).Empty()).To(BeTrue(), "nothing in common")
-	g.Expect(free.Bind(topology, []zone.Region{"south"}).Empty()).To(BeTrue(), "no such region")
-	g.Expect(free.Bind(nil, []zone.Region{"east"}).Empty()).To(BeTrue(), "no regions known")
+	g.Expect(unrestricted.Bind(topology, []zone.Region{"south"}).Empty()).To(BeTrue(), "no such region")
+	g.Expect(unrestricted.Bind(nil, []zone.Region{"east"}).Empty()).To(BeTrue(), "no regions known")
 }
 
 // TestTogether takes zones whose region is not known for near.
