--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -8,17 +8,17 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// maxReadInterval is the longest time between two answers of a node's reads of the
-// operator's stream while all goes well: a read waits two seconds for a change and is
-// answered as soon as there is one. What is learned after a longer silence may have been
-// asked for long ago.
+// maxReadInterval is the longest time between two answers to a node's reads of the
+// operator's stream in normal operation: a read waits up to two seconds for a change and
+// is answered as soon as there is one. A change that is received after a longer interval
+// may have been made by the operator long before.
 const maxReadInterval = 2800 * time.Millisecond
 
-// State is what a node knows of evacuated zones. The zero value knows nothing yet. It
-// is not safe for concurrent use.
+// State is a node's view of the evacuated zones. Its zero value has seen no version yet.
+// It is not safe for concurrent use.
 type State struct {
 	version uint64
-	// currentAt is when the state was last known to be the operator's; zero before.
+	// currentAt is when the state was last known to match the operator's; zero if never.
 	currentAt time.Time
 	zones     map[zone.Name]time.Time
 }
@@ -26,26 +26,26 @@
 // Change is one zone whose evacuation began or ended.
 type Change struct {
 	Zone zone.Name
-	// Evacuated says that it began.
+	// Evacuated is true if the evacuation began, and false if it ended.
 	Evacuated bool
-	// Since is from when on the time to leave counts.
+	// Since is the time from which the operator's time limit counts.
 	Since time.Time
 }
 
-// Snapshot is a State as nodes pass it on.
+// Snapshot is a State as it is sent to other nodes.
 type Snapshot struct {
 	Version uint64 `json:"version"`
-	// CurrentAge is how long ago the state was last known to be the operator's, and
-	// Zones for how long each evacuated zone had been known to be; both in
-	// milliseconds.
+	// CurrentAgeMS is how long ago the state was last known to match the operator's, and
+	// EvacuatedForMS how long ago the operator's time limit began to count for each
+	// evacuated zone; both in milliseconds.
 	CurrentAge int64               `json:"current_age_ms"`
 	Zones      map[zone.Name]int64 `json:"zones,omitempty"`
 }
 
-// Version returns the version of the operator's stream that the state stands for.
+// Version returns the version of the operator's stream that the state reflects.
 func (s *State) Version() uint64 { return s.version }
 
-// Zones returns the evacuated zones, each with the time from which on the time to leave
+// Zones returns the evacuated zones, each with the time from which the operator's limit
 // counts.
 func (s *State) Zones() map[zone.Name]time.Time {
 	zones := make(map[zone.Name]time.Time, len(s.zones))
@@ -55,7 +55,8 @@
 	return zones
 }
 
-// Reset takes over a whole read: the zones that were evacuated at a version.
+// Reset replaces the state by the zones that were evacuated at a version, as a complete
+// read returns them. An older version than that of the state is ignored.
 func (s *State) Reset(now time.Time, version uint64, zones []zone.Name) []Change {
 	if version < s.version {
 		return nil
@@ -73,8 +74,8 @@
 	return sortChanges(changes)
 }
 
-// Note takes over one record of the stream, after which the stream's version is the
-// given one.
+// Apply applies one record of the stream. The version is that of the stream after the
+// record.
 func (s *State) Note(now time.Time, version uint64, name zone.Name, evacuated bool) []Change {
 	if version <= s.version {
 		return nil
@@ -89,10 +90,11 @@
 	return []Change{s.endEvacuation(name)}
 }
 
-// Advance takes in that the stream went on to a version without a change here.
+// Advance sets the version after the stream advanced without a change of zones.
 func (s *State) Advance(version uint64) { s.version = max(s.version, version) }
 
-// Current takes in that all was taken over that the operator's stream held at a time.
+// MarkCurrent records that everything in the operator's stream at the given time was
+// applied.
 func (s *State) Current(at time.Time) {
 	if at.After(s.currentAt) {
 		s.currentAt = at
@@ -111,7 +113,8 @@
 	return snapshot
 }
 
-// Adopt takes over a peer's newer state, which was asked for at a time.
+// Adopt replaces the state by that of a peer, if the peer's is newer. requestedAt is when
+// it was requested.
 func (s *State) Adopt(requestedAt time.Time, peer Snapshot) []Change {
 	if peer.Version <= s.version {
 		return nil
@@ -130,7 +133,8 @@
 	return sortChanges(changes)
 }
 
-// startOfEvacuation returns from when on the time to leave counts for what is learned now.
+// startOfEvacuation returns the time from which the operator's limit counts for an
+// evacuation that is received now.
 func (s *State) startOfEvacuation(now time.Time) time.Time {
 	if now.Sub(s.currentAt) <= maxReadInterval {
 		return now
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// newCurrentState returns a state whose reads have gone on as usual up to start.
+// newCurrentState returns a state that was current at start.
 func newCurrentState() *evacuation.State {
 	state := &evacuation.State{}
 	state.Reset(start.Add(-time.Second), 4, nil)
@@ -21,8 +21,8 @@
 	return state
 }
 
-// TestZonesInTheOrderOfTheStream follows two zones at once, one of which is taken back
-// while the other begins.
+// TestZonesInTheOrderOfTheStream applies the records of two zones; the evacuation of one
+// ends after that of the other began.
 func TestZonesInTheOrderOfTheStream(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
@@ -38,8 +38,8 @@
 	g.Expect(state.Version()).To(Equal(uint64(9)))
 }
 
-// TestWholeReads take back what the stream no longer holds, and never go back to an
-// older version.
+// TestWholeReads checks that a complete read ends evacuations that are no longer in the
+// stream, and that an older read changes nothing.
 func TestWholeReads(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
@@ -53,8 +53,8 @@
 	g.Expect(state.Zones()).To(HaveLen(2))
 }
 
-// TestLearnedLate counts the time to leave from when the zone was last known not to be
-// evacuated.
+// TestLearnedLate checks that the time limit counts from when the zone was last known not
+// to be evacuated, if the change is received after a long interval.
 func TestLearnedLate(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &evacuation.State{}
@@ -68,7 +68,8 @@
 	g.Expect(usual.Zones()["a"]).To(Equal(start.Add(2 * time.Second)))
 }
 
-// TestPeers take over a newer state whole, with its ages, and no older one.
+// TestPeers checks that a peer's newer state is adopted as a whole with its ages, and an
+// older one is ignored.
 func TestPeers(t *testing.T) {
 	g := NewWithT(t)
 	peer := newCurrentState()
@@ -89,7 +90,8 @@
 	g.Expect(state.Adopt(requestedAt, never.Snapshot(requestedAt))).To(BeEmpty(), "a peer that knows nothing")
 }
 
-// TestForgetsNothingWithTheVersion goes on where the stream went on without a zone.
+// TestForgetsNothingWithTheVersion checks that zones stay evacuated when the stream
+// advances without a change.
 func TestForgetsNothingWithTheVersion(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
@@ -100,7 +102,8 @@
 	g.Expect(state.Zones()).To(HaveKey(zone.Name("a")))
 }
 
-// TestDepartures are spread over a part of the time that the operator gives.
+// TestDepartures checks that departures are spread over a part of the operator's time
+// limit.
 func TestDepartures(t *testing.T) {
 	g := NewWithT(t)
 	const sessions, within = 3000, 5 * time.Second
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PartitionOf returns the partition of a program, of count partitions.
+// PartitionOf returns the partition of a program, with count partitions in total.
 func PartitionOf(program string, count int) int {
 	if count <= 0 {
 		return 0
@@ -18,13 +18,13 @@
 	return int(xxhash.Sum64String(program) % uint64(count))
 }
 
-// Node is a candidate for the ownership of partitions.
+// Node is a candidate for owning partitions.
 type Node struct {
 	ID string
-	// Weight is the node's share of the partitions, relative to the others';
-	// what is not positive counts as 1.
+	// Weight is the node's share of the partitions relative to other nodes. Values that
+	// are not positive count as 1.
 	Weight float64
-	// Zone is where the node is; "" where that is not known.
+	// Zone is the node's zone, or "" if unknown.
 	Zone string
 }
 
@@ -35,10 +35,9 @@
 	return n.Weight
 }
 
-// Rank returns the node that is to own the partition, or "" where there is no
-// node. The order of the nodes does not matter. A node gets partitions in
-// proportion to its weight, and one that goes leaves those of the others where
-// they are.
+// TopNode returns the node that is to own the partition, or "" if there are no nodes. It
+// does not depend on the order of the nodes. Nodes get partitions in proportion to their
+// weights, and removing a node moves only its own partitions.
 func Rank(partition int, nodes []Node) string {
 	if best := First(partition, nodes, 1); len(best) > 0 {
 		return best[0]
@@ -53,13 +52,13 @@
 	score float64
 }
 
-// First returns the nodes that rank first for the partition, count at most: the one
-// that is to own it, and those that are to own it without that one.
+// TopNodes returns at most count nodes, the highest ranked first: the one that is to own
+// the partition, followed by those that are to own it if the nodes before them are gone.
 func First(partition int, nodes []Node, count int) []string {
 	return nodeIDs(topScored(partition, nodes, count))
 }
 
-// topScored returns what First does, with scores and zones.
+// topScored returns the nodes of TopNodes with their scores and zones.
 func topScored(partition int, nodes []Node, count int) []scoredNode {
 	if count <= 0 {
 		return nil
@@ -85,8 +84,9 @@
 	return ids
 }
 
-// Heirs returns those that First returns. Where all of them are in one zone, the last
-// gives way to the one of another zone that ranks first there: a zone may go as a whole.
+// PreferenceList returns the nodes of TopNodes. If all of them are in one zone, the last
+// is replaced by the highest ranked node of another zone, since a zone may fail as a
+// whole.
 func Heirs(partition int, nodes []Node, count int) []string {
 	ranked := topScored(partition, nodes, count)
 	preferred := nodeIDs(ranked)
@@ -105,16 +105,16 @@
 }
 
 const (
-	// minWeightShare is the share of the heaviest node's weight below which a node owns
-	// nothing: it could not read in time what a takeover needs.
+	// minWeightShare is the share of the largest weight below which a node owns no
+	// partitions: it could not read the log in time for a takeover.
 	minWeightShare = 0.1
-	// minEligibleNodes is how many nodes above that there must be for it, so that the loss
-	// of one leaves another and its heir.
+	// minEligibleNodes is how many nodes must be above that share for it to apply, so
+	// that after the loss of one there are still an owner and a standby.
 	minEligibleNodes = 3
 )
 
-// Able returns the nodes that are strong enough to own partitions beside the others,
-// or all where those are too few.
+// Eligible returns the nodes whose weight is large enough, relative to the others, to own
+// partitions, or all nodes if those are too few.
 func Able(nodes []Node) []Node {
 	heaviest := 0.0
 	for _, node := range nodes {
@@ -127,13 +127,13 @@
 	return eligible
 }
 
-// compareScored orders the better node first, and equal ones by their names.
+// compareScored orders nodes by descending score, and equal scores by id.
 func compareScored(left, right scoredNode) int {
 	return cmp.Or(cmp.Compare(right.score, left.score), cmp.Compare(left.id, right.id))
 }
 
-// rendezvousScore is the weighted score of rendezvous hashing: the weight by the negative
-// logarithm of a uniform number that belongs to the node and the partition.
+// rendezvousScore returns the score of weighted rendezvous hashing: the weight divided by
+// the negative logarithm of a uniform number derived from the node and the partition.
 func rendezvousScore(partition int, node Node) float64 {
 	var buffer [keyBufferBytes]byte
 	key := append(buffer[:0], node.ID...)
@@ -144,39 +144,40 @@
 	return node.weight() / -math.Log(uniform)
 }
 
-// keyBufferBytes holds the name of a node and a partition, as a rule, without an allocation.
+// keyBufferBytes is large enough for most keys of a node and a partition, which then need
+// no allocation.
 const keyBufferBytes = 64
 
-// A hash keeps as many bits as a float64 holds exactly.
+// Only as many bits of a hash are used as a float64 represents exactly.
 const (
 	mantissaBits  = 53
 	mantissaShift = 64 - mantissaBits
 )
 
-// Epoch numbers the owners of a partition. The high bits count claims; the low
-// ones belong to the claiming process, so that two processes that claim after
-// the same epoch never claim the same one.
+// Epoch numbers the successive owners of a partition. The high bits count claims. The low
+// bits identify the claiming process, so that two processes that claim after the same
+// epoch never get the same one.
 type Epoch uint64
 
-// saltBits is the width of a process's part of an epoch. Epochs stay below
-// 2^53, so that every reader of JSON keeps them.
+// saltBits is the width of the process's part of an epoch. Epochs stay below 2^53, so
+// that every JSON parser represents them exactly.
 const saltBits = 20
 
-// Salt is a process's part of its epochs.
+// Salt is the process's part of its epochs.
 type Salt uint32
 
-// SaltOf draws a process's part from a random number.
+// NewSalt derives a process's salt from a random number.
 func SaltOf(random uint64) Salt { return Salt(random & (1<<saltBits - 1)) }
 
-// After returns the process's epoch that follows the given one.
+// NextEpoch returns the process's epoch that follows the given one.
 func (s Salt) After(epoch Epoch) Epoch {
 	return (epoch>>saltBits+1)<<saltBits | Epoch(s)
 }
 
-// Claim returns the epoch of a claim at a time of day, after the given one. It is
-// higher than those of claims of earlier seconds, also where the claimant knows
-// none of them, as after the loss of all nodes. Clocks that differ cost a claim
-// that the log refuses, and no more.
+// ClaimEpoch returns the epoch of a claim made at the given time, after the highest known
+// epoch. It is higher than those of claims made in earlier seconds even if the process
+// knows none of them, as after the loss of all nodes. Differences between clocks only
+// cause a claim that the log refuses.
 func (s Salt) Claim(highest Epoch, at time.Time) Epoch {
 	seconds := Epoch(max(0, at.Unix()))
 	return s.After(max(highest, (seconds-1)<<saltBits))
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,15 +1,15 @@
-// Package retry holds the two rules that keep retries from harming what has
-// failed:
+// Package retry keeps retries from overloading a service that has failed:
 //
-//   - Backoff spaces the retries of one request out, with jitter, so that
-//     clients that failed together do not retry together.
-//   - Budget bounds how many retries all requests of a client make together,
-//     so that an outage is not met by a multiple of the usual load.
+//   - Backoff spaces the retries of one request, with jitter, so that clients that failed
+//     together do not retry together.
+//   - Budget limits the retries of all requests of a client, so that an outage does not
+//     cause a multiple of the usual load.
+//   - AdaptiveTimeout limits the time of one try by recent response times.
 //
 // Only one layer of a request's path may retry; the others report the failure.
 //
-// Both are small state machines: randomness is passed in, and the caller does
-// the waiting. A library's backoff would bring its own clock and
-// random source, which decision parts must not use; code outside them uses
-// such a library. Neither type is safe for concurrent use.
+// All are small state machines: randomness is passed in, and the caller does the waiting.
+// A library's backoff would bring its own clock and random source, which the
+// deterministic packages must not use; code outside of them uses such a library. The
+// types are not safe for concurrent use.
 package retry
--- a/retry/patience.go
+++ b/retry/patience.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Patience bounds how long one try of a repeatable call may take, from how long
-// calls took that were answered: a try whose answer is lost is repeated soon,
-// and a server that has become slow is given more time with each try.
+// AdaptiveTimeout sets the time-out of each try of a repeatable call from how long
+// answered calls took. A try whose answer is lost is repeated soon, and a server that has
+// become slow gets more time with each try.
 type Patience struct {
-	// Minimum and Maximum bound the time of one try.
+	// Minimum and Maximum limit the time-out of one try.
 	Minimum time.Duration
 	Maximum time.Duration
-	// Factor is how many times the usual time the first try gets.
+	// Factor multiplies the average duration of a call to give the time-out of the first
+	// try.
 	Factor float64
 
 	average time.Duration
 }
 
-// newestWeight is the weight of the newest answer in the usual time.
+// newestWeight is the weight of the newest observation in the moving average.
 const newestWeight = 0.2
 
-// Observe takes in how long an answered call took.
+// Observe records how long an answered call took.
 func (t *Patience) Observe(took time.Duration) {
 	if t.average == 0 {
 		t.average = took
@@ -27,8 +28,8 @@
 	t.average += time.Duration(newestWeight * float64(took-t.average))
 }
 
-// Timeout returns the time of the given try, counted from 1. It doubles with
-// each try.
+// Timeout returns the time-out of the given try, counted from 1. It doubles with each
+// try, up to Maximum.
 func (t *Patience) Timeout(try int) time.Duration {
 	timeout := min(max(time.Duration(t.Factor*float64(t.average)), t.Minimum), t.Maximum)
 	for step := 1; step < try && timeout < t.Maximum; step++ {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -44,9 +44,9 @@
 	})
 })
 
-// outageAmplification returns the requests that reach a service which fails
-// all of them, for each request of a caller, over a minute of 100 requests a
-// second with up to three retries each.
+// outageAmplification returns the number of requests sent to a service that fails all of
+// them, for each request of a caller: 100 requests per second for a minute, with up to
+// three retries each.
 func outageAmplification(budgeted bool) float64 {
 	const (
 		rate         = 100
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,10 +1,9 @@
-// Package routing decides by which rules a client's request is handled: which
-// route of the operator's configuration takes it, and which service serves it.
+// Package routing decides how a client's request is handled: which route of the
+// operator's configuration matches it, and which service serves it.
 //
-// A Table is one version of that configuration, whole and immutable. A
-// Follower holds the newest table seen and never goes back to an older one, so
-// that a process that has shown a version's effect never handles a request by
-// an earlier version, whatever order the versions are heard in.
+// A Table is one immutable version of that configuration. A LatestTable holds the newest
+// version seen and never returns to an older one. So once a process has applied a
+// version, it handles no request by an earlier one, in whatever order versions arrive.
 //
 // The package is pure: no I/O, no clock, and randomness is passed in.
 package routing
--- a/routing/follower.go
+++ b/routing/follower.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// Follower holds the newest table that a process has seen. The zero value
-// holds none. It is safe for concurrent use.
+// LatestTable holds the newest table that a process has seen. Its zero value holds none.
+// It is safe for concurrent use.
 type Follower struct {
 	current atomic.Pointer[Table]
 }
 
-// Current returns the newest table, or nil where none was seen yet.
+// Current returns the newest table, or nil if there is none yet.
 func (f *Follower) Current() *Table { return f.current.Load() }
 
-// Offer takes a table over if it is newer than the current one, and reports
-// whether it did.
+// Update replaces the current table if the given one is newer, and reports whether it
+// did.
 func (f *Follower) Offer(table *Table) bool {
 	for {
 		previous := f.current.Load()
--- a/routing/table.go
+++ b/routing/table.go
@@ -10,21 +10,21 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Kind tells how often a request may run.
+// Kind says how often a request may run, and how it is answered.
 type Kind string
 
 // The kinds of route.
 const (
 	// KindSafe requests may run any number of times.
 	KindSafe Kind = "safe"
-	// KindUnsafe requests run at most once per client attempt.
+	// KindUnsafe requests run at most once for each attempt of the client.
 	KindUnsafe Kind = "unsafe"
-	// KindStream requests are answered with a stream of events. They count as
-	// unsafe unless the route is resumable.
+	// KindStream requests are answered with a stream of events. They count as unsafe
+	// unless the route is resumable.
 	KindStream Kind = "stream"
 )
 
-// Share is one service of a split route with its weight.
+// Share is one of the services among which a route splits its requests.
 type Share struct {
 	Service string
 	// Weight is relative to the weights of the route's other shares.
@@ -38,30 +38,30 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is how long the operator lets a request be held at most.
+	// Timeout limits how long a request may be held.
 	Timeout time.Duration
-	// Objective is the latency within which an answer counts in full.
+	// LatencyObjective is the latency up to which an answer counts in full.
 	Objective time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Shares are the services that serve the route.
 	Shares []Share
-	// MaxAttempts is the most replicas that one request may run on.
+	// MaxAttempts limits the number of replicas that one request may run on.
 	MaxAttempts int
 	// Resumable streams may be continued by another run.
 	Resumable bool
-	// Sticky routes profit from a replica that has seen the object before.
+	// Sticky routes benefit from a replica that has served the same object before.
 	Sticky bool
-	// Retain says that the system keeps the turns of this route for RetainFor,
-	// and that a turn brings only its new input.
+	// Retain says that turns of this route are stored for RetainFor, and that a request
+	// contains only the new input of its turn.
 	Retain    bool
 	RetainFor time.Duration
-	// EventGap is the longest pause between events that is still in time.
+	// MaxEventGap is the longest pause between two events that still counts as in time.
 	EventGap time.Duration
-	// Public routes take requests without a tenant's key.
+	// Public routes accept requests without a tenant's key.
 	Public bool
-	// Regions are the only ones in which requests of the route may be served and
-	// their data be; none set no bound.
+	// Regions are the only regions in which requests of the route may be served and their
+	// data stored; empty means no restriction.
 	Regions []zone.Region
 }
 
@@ -70,27 +70,28 @@
 	return r.Kind == KindSafe || (r.Kind == KindStream && r.Resumable)
 }
 
-// Attempts returns MaxAttempts, which is at least one.
+// Attempts returns MaxAttempts, but at least 1.
 func (r *Route) Attempts() int { return max(1, r.MaxAttempts) }
 
-// Service describes the replicas that serve a share of a route.
+// Service describes a service that serves routes, and its replicas.
 type Service struct {
 	Name string
-	// MaxConnections is what one replica accepts from all callers together.
+	// MaxConnections is how many connections one replica accepts from all callers in
+	// total.
 	MaxConnections int
-	// Slots is how many requests a replica of an engine works on at once; 0
-	// where the service is no engine.
+	// Slots is how many requests an engine's replica runs concurrently; 0 if the service
+	// is not an engine.
 	Slots int
-	// CacheTokens is the size of an engine's memory.
+	// CacheTokens is the capacity of an engine's KV cache, in tokens.
 	CacheTokens int
-	// TokensPerEvent is how many tokens one event of an engine's stream holds.
+	// TokensPerEvent is how many tokens one event of an engine's stream contains.
 	TokensPerEvent int
-	// ColdRate is how many requests a second a replica bears while it is cold; 0 where
-	// that is not bounded.
+	// ColdRate is how many requests per second a replica may get while it is cold; 0
+	// means no limit.
 	ColdRate float64
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits restrict the size and duration of a client's request.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -98,22 +99,20 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of the configuration. It must not be changed once it
-// was built.
+// Table is one version of the configuration. It must not be modified once it is built.
 type Table struct {
 	Version  uint64
 	Services map[string]Service
 	Limits   Limits
-	// Tenants are those whose clients may send requests, or nil where every
-	// client may.
+	// Tenants are those whose clients may send requests; nil allows every client.
 	Tenants *tenant.Directory
-	// byHost holds the routes of a host, the longest prefix first.
+	// byHost holds the routes of each host, the longest prefix first.
 	byHost map[string][]*Route
 	// maxRetention is the longest RetainFor of any route.
 	maxRetention time.Duration
 }
 
-// NewTable indexes the routes of a configuration.
+// NewTable returns a table of the given routes, indexed by host.
 func NewTable(version uint64, routes []Route, services []Service, limits Limits) *Table {
 	table := &Table{
 		Version:  version,
@@ -138,11 +137,11 @@
 	return table
 }
 
-// LongestRetain returns the longest time for which any route keeps programs.
+// MaxRetention returns the longest RetainFor of any route.
 func (t *Table) LongestRetain() time.Duration { return t.maxRetention }
 
-// Match returns the route of a host whose prefix begins the path and is the
-// longest, or nil. The host may carry a port; the path carries no query.
+// Match returns the route of the host with the longest prefix of the path, or nil. The
+// host may include a port; the path must not include a query.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes, found := t.byHost[host]
@@ -158,9 +157,8 @@
 	return nil
 }
 
-// Choose returns the service that serves a request of the route, by weight.
-// The draw is a uniform number from 0 (included) to 1. It returns false where
-// no share has any weight.
+// Choose returns the service that serves a request of the route, by weight. The draw is a
+// uniform random number in [0, 1). It returns false if no share has a positive weight.
 func (r *Route) Choose(draw float64) (service string, ok bool) {
 	total := 0
 	for _, share := range r.Shares {
@@ -180,8 +178,8 @@
 	return lastWeightedService(r.Shares), true
 }
 
-// lastWeightedService returns the last service with a weight, which a draw that was
-// rounded up to the total falls to.
+// lastWeightedService returns the last service with a positive weight. It is chosen for a
+// draw that rounding has raised to the total weight.
 func lastWeightedService(shares []Share) string {
 	for index := len(shares) - 1; index >= 0; index-- {
 		if shares[index].Weight > 0 {
@@ -191,8 +189,8 @@
 	return ""
 }
 
-// Priorities returns the priorities of the routes that a service serves, each as often as
-// there are such routes.
+// Priorities returns the priorities of the routes that a service serves, one entry for
+// each route.
 func (t *Table) Priorities(service string) []int {
 	var priorities []int
 	for _, routes := range t.byHost {
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -1,14 +1,14 @@
 package zone
 
-// Homes bounds where a request may be served and its data may be. The zero value sets
-// no bound.
+// Constraint restricts the zones in which a request may be served and its data stored.
+// Its zero value permits all zones.
 type Homes struct {
 	restricted bool
 	permitted  Placement
 }
 
-// Bind returns the homes where these regions bind as well. No regions set no bound;
-// regions that there are not permit nothing.
+// Restrict returns the constraint that also permits only zones of the given regions. An
+// empty list adds no restriction; regions that do not exist permit no zone.
 func (c Homes) Bind(topology Topology, regions []Region) Homes {
 	if len(regions) == 0 {
 		return c
@@ -20,14 +20,14 @@
 	return Homes{restricted: true, permitted: zones}
 }
 
-// Permit reports whether the zone is permitted. It does not allocate.
+// Permits reports whether the zone is permitted. It does not allocate.
 func (c Homes) Permit(name Name) bool { return !c.restricted || c.permitted.Contains(name) }
 
 // Empty reports whether no zone is permitted.
 func (c Homes) Empty() bool { return c.restricted && c.permitted == "" }
 
-// Bound reports whether there is a bound, and Placement the zones that it permits.
+// Restricted reports whether there is any restriction.
 func (c Homes) Bound() bool { return c.restricted }
 
-// Placement returns the zones that are permitted where there is a bound.
+// Placement returns the permitted zones. It is meaningful only if Restricted is true.
 func (c Homes) Placement() Placement { return c.permitted }
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -10,7 +10,8 @@
 
 var topology = zone.Topology{"east-a": "east", "east-b": "east", "west-a": "west", "north-a": "north"}
 
-// TestHomes binds a request by all regions that are set, and by none that is left out.
+// TestHomes checks that a request is restricted by every list of regions that is set, and
+// not by empty ones.
 func TestHomes(t *testing.T) {
 	g := NewWithT(t)
 	var unrestricted zone.Homes
@@ -32,7 +33,7 @@
 	g.Expect(unrestricted.Bind(nil, []zone.Region{"east"}).Empty()).To(BeTrue(), "no regions known")
 }
 
-// TestTogether takes zones whose region is not known for near.
+// TestTogether checks that a zone of unknown region counts as being in the same region.
 func TestTogether(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(topology.Together("east-a", "east-b")).To(BeTrue())
--- a/zone/topology.go
+++ b/zone/topology.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Topology tells which region each zone is in. Its zero value knows no zones. It must
-// not be changed once it is in use.
+// Topology maps each zone to its region. Its zero value has no zones. It must not be
+// modified once it is in use.
 type Topology map[Name]Region
 
-// Within returns the zones of the regions. Regions that there are not hold none.
+// ZonesIn returns the zones of the given regions. A region that does not exist has none.
 func (t Topology) Within(regions []Region) Placement {
 	var names []Name
 	for name, region := range t {
@@ -17,8 +17,8 @@
 	return NewPlacement(names...)
 }
 
-// Together reports whether two zones are in one region, as far as is known: a zone
-// whose region is not known counts as near.
+// SameRegion reports whether two zones are in the same region. A zone of unknown region
+// counts as being in the same region as any other.
 func (t Topology) Together(left, right Name) bool {
 	first, second := t[left], t[right]
 	return first == second || first == "" || second == ""
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Placement is a set of zones as its sorted, de-duplicated names joined by
-// "_". Equal sets are equal strings. The empty Placement permits no zone.
+// Placement is a set of zones, encoded as their sorted, de-duplicated names joined by
+// "_", so that equal sets are equal strings. The empty Placement permits no zone.
 type Placement string
 
 // NewPlacement returns the canonical placement of the given zones.
@@ -82,8 +82,8 @@
 	return names
 }
 
-// Contains reports whether the placement permits the zone. It does not
-// allocate: it runs for each candidate of each decision.
+// Contains reports whether the placement permits the zone. It does not allocate, since
+// it runs for every candidate of every placement decision.
 func (p Placement) Contains(name Name) bool {
 	rest := string(p)
 	for rest != "" {
