--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -21,9 +21,9 @@
 	return state
 }
 
-// TestZonesInTheOrderOfTheStream applies the records of two zones; the evacuation of one
+// TestApplyInStreamOrder applies the records of two zones; the evacuation of one
 // ends after that of the other began.
-func TestZonesInTheOrderOfTheStream(t *testing.T) {
+func TestApplyInStreamOrder(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
 	g.Expect(state.Note(start, 5, "a", true)).To(Equal([]evacuation.Change{{Zone: "a", Evacuated: true, Since: start}}))
@@ -38,9 +38,9 @@
 	g.Expect(state.Version()).To(Equal(uint64(9)))
 }
 
-// TestWholeReads checks that a complete read ends evacuations that are no longer in the
+// TestReset checks that a complete read ends evacuations that are no longer in the
 // stream, and that an older read changes nothing.
-func TestWholeReads(t *testing.T) {
+func TestReset(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
 	state.Note(start, 5, "a", true)
@@ -53,9 +53,9 @@
 	g.Expect(state.Zones()).To(HaveLen(2))
 }
 
-// TestLearnedLate checks that the time limit counts from when the zone was last known not
+// TestLateChange checks that the time limit counts from when the zone was last known not
 // to be evacuated, if the change is received after a long interval.
-func TestLearnedLate(t *testing.T) {
+func TestLateChange(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &evacuation.State{}
 	fresh.Reset(start, 5, []zone.Name{"a"})
@@ -68,9 +68,9 @@
 	g.Expect(usual.Zones()["a"]).To(Equal(start.Add(2 * time.Second)))
 }
 
-// TestPeers checks that a peer's newer state is adopted as a whole with its ages, and an
+// TestAdopt checks that a peer's newer state is adopted as a whole with its ages, and an
 // older one is ignored.
-func TestPeers(t *testing.T) {
+func TestAdopt(t *testing.T) {
 	g := NewWithT(t)
 	peer := newCurrentState()
 	peer.Note(start, 6, "b", true)
@@ -90,9 +90,9 @@
 	g.Expect(state.Adopt(requestedAt, never.Snapshot(requestedAt))).To(BeEmpty(), "a peer that knows nothing")
 }
 
-// TestForgetsNothingWithTheVersion checks that zones stay evacuated when the stream
+// TestAdvanceKeepsZones checks that zones stay evacuated when the stream
 // advances without a change.
-func TestForgetsNothingWithTheVersion(t *testing.T) {
+func TestAdvanceKeepsZones(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
 	state.Note(start, 5, "a", true)
@@ -102,9 +102,9 @@
 	g.Expect(state.Zones()).To(HaveKey(zone.Name("a")))
 }
 
-// TestDepartures checks that departures are spread over a part of the operator's time
+// TestDepartureTimes checks that departures are spread over a part of the operator's time
 // limit.
-func TestDepartures(t *testing.T) {
+func TestDepartureTimes(t *testing.T) {
 	g := NewWithT(t)
 	const sessions, within = 3000, 5 * time.Second
 	thirds := [3]int{}
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -10,9 +10,9 @@
 
 var topology = zone.Topology{"east-a": "east", "east-b": "east", "west-a": "west", "north-a": "north"}
 
-// TestHomes checks that a request is restricted by every list of regions that is set, and
+// TestConstraint checks that a request is restricted by every list of regions that is set, and
 // not by empty ones.
-func TestHomes(t *testing.T) {
+func TestConstraint(t *testing.T) {
 	g := NewWithT(t)
 	var unrestricted zone.Homes
 	g.Expect(unrestricted.Permit("anywhere")).To(BeTrue())
@@ -33,8 +33,8 @@
 	g.Expect(unrestricted.Bind(nil, []zone.Region{"east"}).Empty()).To(BeTrue(), "no regions known")
 }
 
-// TestTogether checks that a zone of unknown region counts as being in the same region.
-func TestTogether(t *testing.T) {
+// TestSameRegion checks that a zone of unknown region counts as being in the same region.
+func TestSameRegion(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(topology.Together("east-a", "east-b")).To(BeTrue())
 	g.Expect(topology.Together("east-a", "west-a")).To(BeFalse())
