--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -27,7 +27,7 @@
 		}
 	})
 
-	It("moves only the partitions of a node that goes", func() {
+	It("moves only the partitions of a node that is removed", func() {
 		before, after := nodes(12), nodes(11)
 		for partition := range 200 {
 			owner := ownership.Rank(partition, before)
@@ -37,7 +37,7 @@
 		}
 	})
 
-	It("deals partitions in proportion to weights", func() {
+	It("assigns partitions in proportion to weights", func() {
 		all := []ownership.Node{{ID: "strong", Weight: 8}, {ID: "weak"}, {ID: "other", Weight: 1}}
 		counts := map[string]int{}
 		for partition := range 10_000 {
@@ -47,13 +47,13 @@
 		Expect(counts["weak"]).To(BeNumerically("~", 1000, 150))
 	})
 
-	It("names nobody where there is no node", func() {
+	It("returns no node if there is none", func() {
 		Expect(ownership.Rank(1, nil)).To(BeEmpty())
 	})
 })
 
 var _ = Describe("Epochs", func() {
-	It("of two processes that claim after the same epoch are both higher, and differ", func() {
+	It("of two processes that claim after the same epoch are both higher and differ", func() {
 		one, other := ownership.SaltOf(7), ownership.SaltOf(1<<40|9)
 		known := one.After(other.After(0))
 		Expect(one.After(known)).To(BeNumerically(">", known))
@@ -71,8 +71,8 @@
 	})
 })
 
-var _ = Describe("Heirs", func() {
-	It("are in two zones at least where there are two", func() {
+var _ = Describe("A preference list", func() {
+	It("spans at least two zones if there are two", func() {
 		var all []ownership.Node
 		for index := range 12 {
 			all = append(all, ownership.Node{ID: fmt.Sprintf("node-%d", index), Zone: []string{"a", "b"}[index/10]})
@@ -89,7 +89,7 @@
 		}
 	})
 
-	It("are strong nodes where there are enough", func() {
+	It("consists of nodes with enough weight if there are enough of them", func() {
 		weak := []ownership.Node{{ID: "w1", Weight: 6}, {ID: "w2", Weight: 6}}
 		strong := []ownership.Node{{ID: "s1", Weight: 480}, {ID: "s2", Weight: 480}, {ID: "s3", Weight: 300}}
 		Expect(ownership.Able(append(strong, weak...))).To(Equal(strong))
--- a/retry/patience_test.go
+++ b/retry/patience_test.go
@@ -7,12 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Patience", func() {
+var _ = Describe("An adaptive time-out", func() {
 	newTimeout := func() *Patience {
 		return &Patience{Minimum: 50 * time.Millisecond, Maximum: time.Second, Factor: 6}
 	}
 
-	It("repeats a call soon while answers come fast", func() {
+	It("is short while answers are fast", func() {
 		timeout := newTimeout()
 		for range 20 {
 			timeout.Observe(7 * time.Millisecond)
@@ -21,7 +21,7 @@
 		Expect(timeout.Timeout(2)).To(Equal(100 * time.Millisecond))
 	})
 
-	It("gives a server that has become slow more time, within its bound", func() {
+	It("grows up to its maximum when the server becomes slow", func() {
 		timeout := newTimeout()
 		for range 40 {
 			timeout.Observe(100 * time.Millisecond)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -45,13 +45,13 @@
 		Expect(counts).To(Equal(map[string]int{"a": 900, "b": 100}))
 	})
 
-	It("says so where no share has any weight", func() {
+	It("returns false if no share has any weight", func() {
 		_, ok := (&routing.Route{}).Choose(0.5)
 		Expect(ok).To(BeFalse())
 	})
 })
 
-var _ = Describe("A follower", func() {
+var _ = Describe("The latest table", func() {
 	It("never goes back to an older table", func() {
 		follower := &routing.Follower{}
 		Expect(follower.Current()).To(BeNil())
