--- a/ledger/account.go
+++ b/ledger/account.go
@@ -16,7 +16,7 @@
 	VerdictBusy Verdict = "busy"
 )
 
-// TurnRequest asks for the admission of a turn.
+// Turn is a request to run a turn of a program.
 type Turn struct {
 	ID      string `json:"id"`
 	Program string `json:"program"`
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -34,9 +34,9 @@
 	// ExtraTurnAfterFailure lets a program use one turn more than its budget if its whole
 	// mark counts as used because its owner failed.
 	TurnAfterLoss bool
-	// MaxRecordBytes limits the value of one record.
+	// RecordBytes limits the value of one record.
 	RecordBytes int
-	// MaxBatchRecords and MaxBatchBytes limit one batch.
+	// BatchRecords and BatchBytes limit one batch.
 	BatchRecords int
 	BatchBytes   int
 	// RetentionSlack is added to the retention time of every entry.
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -93,7 +93,7 @@
 // called.
 func PastAccounts(key string) bool { return key >= partPrefix }
 
-// HasChain reports whether the ledger holds a stored turn and all turns before it.
+// HoldsChain reports whether the ledger holds a stored turn and all turns before it.
 func (l *Ledger) HoldsChain(id string) bool {
 	for id != "" {
 		kept := l.turns[id]
--- a/ledger/turn.go
+++ b/ledger/turn.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// HasTurn reports whether the ledger holds a stored turn.
+// HoldsTurn reports whether the ledger holds a stored turn.
 func (l *Ledger) Holds(id string) bool { return l.turns[id] != nil }
 
 // ServedBy returns the replica that served a stored turn, or "" if unknown. It is part of
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// ExtendRetention sets the longest time for which any route retains programs. It never
-// decreases.
+// RetainFor raises the longest time for which any route retains programs to the given
+// one. It is never lowered.
 func (l *Ledger) RetainFor(retention time.Duration) {
 	l.ownership.retention = max(l.ownership.retention, retention)
 }
