--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -120,7 +120,7 @@
 	l.propose(openKey, nil)
 }
 
-// MayHaveUnrecordedPrograms reports whether programs without a record in the log may have
+// Inherited reports whether programs without a record in the log may have
 // begun under a previous owner.
 func (l *Ledger) Inherited() bool { return l.ownership.inheritedOpen }
 
