--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -134,7 +134,8 @@
 }
 
 // startOfEvacuation returns the time from which the operator's limit counts for an
-// evacuation that is received now.
+// evacuation that is received now. After a longer interval than maxReadInterval that is
+// the last time at which the state was current.
 func (s *State) startOfEvacuation(now time.Time) time.Time {
 	if now.Sub(s.currentAt) <= maxReadInterval {
 		return now
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -29,7 +29,7 @@
 	// of the program. A Budget of 0 means no limit.
 	Most   int `json:"most"`
 	Budget int `json:"budget"`
-	// Timeout is the time from now at which the turn has ended at the latest.
+	// Timeout is how long from now the turn takes at most.
 	Within time.Duration `json:"within"`
 	// Retain is how long the program's account is retained after its last turn.
 	Retain time.Duration `json:"retain"`
@@ -184,10 +184,10 @@
 }
 
 // tokenLimit returns how many tokens all turns of the program may use. That is its
-// budget, plus one turn minus one token for an account that was restored after a failure:
-// the previous owner's whole mark counts as used there although a part of it was not, so
-// the program may run one more turn if the mark leaves any of the budget. If use under a
-// previous owner is assumed, that extra turn is already counted there.
+// budget, plus one turn minus one token for a restored account: the previous owner's
+// whole mark counts as used there although a part of it may not have been, so the program
+// may run one more turn if the mark leaves any of the budget. If use under a previous
+// owner is assumed, that extra turn is already counted there.
 func (l *Ledger) tokenLimit(turn Turn, acct *account) int {
 	if l.config.TurnAfterLoss && acct.restored && !acct.mayHaveBegunBefore {
 		return turn.Budget + turn.Most - 1
@@ -281,7 +281,8 @@
 }
 
 // requiredPosition returns the position that must be durable before a token of the turn
-// may reach the client, or 0.
+// may reach the client, or 0. need is the most tokens that the program can have used once
+// the turn has ended.
 func (l *Ledger) requiredPosition(now time.Time, turn Turn, acct *account, grant uint64, need int) uint64 {
 	if acct.recordPosition <= l.durable || acct.durable.permits(grant, turn.Most, need) || l.mayRunUnrecorded(now, turn, acct, grant, need) {
 		return 0
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -7,8 +7,8 @@
 	permitted  Placement
 }
 
-// Restrict returns the constraint that also permits only zones of the given regions. An
-// empty list adds no restriction; regions that do not exist permit no zone.
+// Restrict returns the constraint narrowed to the zones of the given regions. An empty
+// list adds no restriction; regions that do not exist permit no zone.
 func (c Homes) Bind(topology Topology, regions []Region) Homes {
 	if len(regions) == 0 {
 		return c
