--- a/zone/homes.go
+++ b/zone/homes.go
@@ -1,33 +1,33 @@
 package zone
 
-// Homes bounds where a request may be served and its data may be. The zero value sets
-// no bound.
+// Constraint restricts the zones in which a request may be served and its data stored.
+// Its zero value permits all zones.
 type Homes struct {
-	bound     bool
-	placement Placement
+	restricted bool
+	permitted  Placement
 }
 
-// Bind returns the homes where these regions bind as well. No regions set no bound;
-// regions that there are not permit nothing.
-func (h Homes) Bind(topology Topology, regions []Region) Homes {
+// Restrict returns the constraint narrowed to the zones of the given regions. An empty
+// list adds no restriction; regions that do not exist permit no zone.
+func (c Homes) Bind(topology Topology, regions []Region) Homes {
 	if len(regions) == 0 {
-		return h
+		return c
 	}
-	within := topology.Within(regions)
-	if h.bound {
-		within = within.Intersect(h.placement)
+	zones := topology.Within(regions)
+	if c.restricted {
+		zones = zones.Intersect(c.permitted)
 	}
-	return Homes{bound: true, placement: within}
+	return Homes{restricted: true, permitted: zones}
 }
 
-// Permit reports whether the zone is permitted. It does not allocate.
-func (h Homes) Permit(name Name) bool { return !h.bound || h.placement.Contains(name) }
+// Permits reports whether the zone is permitted. It does not allocate.
+func (c Homes) Permit(name Name) bool { return !c.restricted || c.permitted.Contains(name) }
 
 // Empty reports whether no zone is permitted.
-func (h Homes) Empty() bool { return h.bound && h.placement == "" }
+func (c Homes) Empty() bool { return c.restricted && c.permitted == "" }
 
-// Bound reports whether there is a bound, and Placement the zones that it permits.
-func (h Homes) Bound() bool { return h.bound }
+// Restricted reports whether there is any restriction.
+func (c Homes) Bound() bool { return c.restricted }
 
-// Placement returns the zones that are permitted where there is a bound.
-func (h Homes) Placement() Placement { return h.placement }
+// Placement returns the permitted zones. It is meaningful only if Restricted is true.
+func (c Homes) Placement() Placement { return c.permitted }
