--- a/schedule/affinity.go
+++ b/schedule/affinity.go
@@ -12,26 +12,26 @@
 // tracker knows the programs that have prefixes in engines: where, how many
 // tokens, and since when each program is paused.
 type tracker struct {
-	programs map[api.ProgramID]*tracked
+	programs map[api.ProgramID]*trackedProgram
 	// paused lists the programs without a call under way, the longest paused
 	// first.
 	paused *list.List
-	// changed hears how the tokens of a program's prefixes change.
-	changed func(request *Request, tokens int)
+	// tokensChanged hears how the tokens of a program's prefixes change.
+	tokensChanged func(request *Request, tokens int)
 }
 
-// tracked is one program.
-type tracked struct {
+// trackedProgram is one program.
+type trackedProgram struct {
 	id     api.ProgramID
 	tenant string
-	// last is the model call that ended last; where it could run, the prefix
+	// lastModelCall is the model call that ended last; where it could run, the prefix
 	// may be moved.
-	last Request
-	// residents are the engines that hold a prefix; the last one is the
+	lastModelCall Request
+	// prefixes are the engines that hold a prefix; the last one is the
 	// newest.
-	residents []resident
-	// tool is the last tool that the program called since its model call.
-	tool string
+	prefixes []residentPrefix
+	// lastTool is the last tool that the program called since its model call.
+	lastTool string
 	// paused says that no model call is under way since pausedAt; pause is
 	// its place in the list, nil when nothing is resident.
 	paused   bool
@@ -39,147 +39,147 @@
 	pause    *list.Element
 }
 
-// resident is one program's prefix in one engine.
-type resident struct {
+// residentPrefix is one program's prefix in one engine.
+type residentPrefix struct {
 	backend machine.ID
 	tokens  int
 }
 
-func newTracker(changed func(request *Request, tokens int)) *tracker {
-	return &tracker{programs: map[api.ProgramID]*tracked{}, paused: list.New(), changed: changed}
+func newTracker(tokensChanged func(request *Request, tokens int)) *tracker {
+	return &tracker{programs: map[api.ProgramID]*trackedProgram{}, paused: list.New(), tokensChanged: tokensChanged}
 }
 
-// setResidents replaces where a program's prefixes are.
-func (t *tracker) setResidents(entry *tracked, residents []resident) {
-	change := total(residents) - total(entry.residents)
-	entry.residents = residents
-	if len(residents) == 0 {
-		t.unlist(entry)
+// setPrefixes replaces where a program's prefixes are.
+func (t *tracker) setPrefixes(entry *trackedProgram, prefixes []residentPrefix) {
+	change := totalTokens(prefixes) - totalTokens(entry.prefixes)
+	entry.prefixes = prefixes
+	if len(prefixes) == 0 {
+		t.removePaused(entry)
 	}
 	if change != 0 {
-		t.changed(&entry.last, change)
+		t.tokensChanged(&entry.lastModelCall, change)
 	}
 }
 
-// total sums up the tokens of prefixes.
-func total(residents []resident) int {
+// totalTokens sums up the tokens of prefixes.
+func totalTokens(prefixes []residentPrefix) int {
 	sum := 0
-	for _, held := range residents {
-		sum += held.tokens
+	for _, prefix := range prefixes {
+		sum += prefix.tokens
 	}
 	return sum
 }
 
-// without returns a copy that lacks some back ends.
-func without(residents []resident, backends ...machine.ID) []resident {
-	kept := make([]resident, 0, len(residents))
-	for _, held := range residents {
-		if !slices.Contains(backends, held.backend) {
-			kept = append(kept, held)
+// withoutBackends returns a copy that lacks some back ends.
+func withoutBackends(prefixes []residentPrefix, backends ...machine.ID) []residentPrefix {
+	kept := make([]residentPrefix, 0, len(prefixes))
+	for _, prefix := range prefixes {
+		if !slices.Contains(backends, prefix.backend) {
+			kept = append(kept, prefix)
 		}
 	}
 	return kept
 }
 
 // resume notes that a program has a model call under way again.
-func (t *tracker) resume(entry *tracked) {
+func (t *tracker) resume(entry *trackedProgram) {
 	entry.paused = false
-	t.unlist(entry)
+	t.removePaused(entry)
 }
 
 // pause notes that a program has no model call under way.
-func (t *tracker) pause(now time.Time, owner api.ProgramID) {
-	entry := t.programs[owner]
+func (t *tracker) pause(now time.Time, programID api.ProgramID) {
+	entry := t.programs[programID]
 	if entry == nil {
 		return
 	}
-	t.unlist(entry)
+	t.removePaused(entry)
 	entry.paused = true
 	entry.pausedAt = now
-	if len(entry.residents) > 0 {
+	if len(entry.prefixes) > 0 {
 		entry.pause = t.paused.PushBack(entry)
 	}
 }
 
-// unlist takes a program off the list of paused ones.
-func (t *tracker) unlist(entry *tracked) {
+// removePaused takes a program off the list of paused ones.
+func (t *tracker) removePaused(entry *trackedProgram) {
 	if entry.pause != nil {
 		t.paused.Remove(entry.pause)
 		entry.pause = nil
 	}
 }
 
-// finished notes that a model call ended at a back end that keeps so many
+// recordFinished notes that a model call ended at a back end that keeps so many
 // tokens of the program's prefix.
-func (t *tracker) finished(now time.Time, request *Request, backend machine.ID, tokens int) {
-	owner := request.Call.Program
-	entry := t.programs[owner]
+func (t *tracker) recordFinished(now time.Time, request *Request, backend machine.ID, tokens int) {
+	programID := request.Call.Program
+	entry := t.programs[programID]
 	if entry == nil {
 		if tokens <= 0 {
 			return
 		}
-		entry = &tracked{id: owner, tenant: request.Tenant}
-		t.programs[owner] = entry
+		entry = &trackedProgram{id: programID, tenant: request.Tenant}
+		t.programs[programID] = entry
 	}
-	entry.last = *request
-	entry.tool = ""
-	residents := without(entry.residents, backend)
+	entry.lastModelCall = *request
+	entry.lastTool = ""
+	prefixes := withoutBackends(entry.prefixes, backend)
 	if tokens > 0 {
-		residents = append(residents, resident{backend: backend, tokens: tokens})
+		prefixes = append(prefixes, residentPrefix{backend: backend, tokens: tokens})
 	}
-	t.setResidents(entry, residents)
-	t.pause(now, owner)
+	t.setPrefixes(entry, prefixes)
+	t.pause(now, programID)
 }
 
-// evicted notes that a back end no longer holds the program's prefix.
-func (t *tracker) evicted(owner api.ProgramID, backend machine.ID) {
-	if entry := t.programs[owner]; entry != nil {
-		t.setResidents(entry, without(entry.residents, backend))
+// recordEvicted notes that a back end no longer holds the program's prefix.
+func (t *tracker) recordEvicted(programID api.ProgramID, backend machine.ID) {
+	if entry := t.programs[programID]; entry != nil {
+		t.setPrefixes(entry, withoutBackends(entry.prefixes, backend))
 	}
 }
 
-// lost forgets every prefix of the back ends.
-func (t *tracker) lost(backends []machine.ID) {
+// recordLost forgets every prefix of the back ends.
+func (t *tracker) recordLost(backends []machine.ID) {
 	if len(backends) == 0 {
 		return
 	}
 	for _, entry := range t.programs {
-		t.setResidents(entry, without(entry.residents, backends...))
+		t.setPrefixes(entry, withoutBackends(entry.prefixes, backends...))
 	}
 }
 
-// forget drops a program.
-func (t *tracker) forget(entry *tracked) {
-	t.setResidents(entry, nil)
-	t.unlist(entry)
+// remove drops a program.
+func (t *tracker) remove(entry *trackedProgram) {
+	t.setPrefixes(entry, nil)
+	t.removePaused(entry)
 	delete(t.programs, entry.id)
 }
 
-// residents returns the engines that hold a prefix of the program, the
+// prefixes returns the engines that hold a prefix of the program, the
 // newest last.
-func (t *tracker) residents(owner api.ProgramID) []resident {
-	if entry := t.programs[owner]; entry != nil {
-		return entry.residents
+func (t *tracker) prefixes(programID api.ProgramID) []residentPrefix {
+	if entry := t.programs[programID]; entry != nil {
+		return entry.prefixes
 	}
 	return nil
 }
 
 // tokensAt returns how many tokens of a prefix a back end holds.
-func tokensAt(residents []resident, backend machine.ID) int {
-	for _, entry := range residents {
-		if entry.backend == backend {
-			return entry.tokens
+func tokensAt(prefixes []residentPrefix, backend machine.ID) int {
+	for _, prefix := range prefixes {
+		if prefix.backend == backend {
+			return prefix.tokens
 		}
 	}
 	return 0
 }
 
-// largest returns the resident with the most tokens, the newest of equals.
-func largest(residents []resident) (resident, bool) {
-	var best resident
-	for _, entry := range residents {
-		if entry.tokens >= best.tokens {
-			best = entry
+// largestPrefix returns the resident with the most tokens, the newest of equals.
+func largestPrefix(prefixes []residentPrefix) (residentPrefix, bool) {
+	var best residentPrefix
+	for _, prefix := range prefixes {
+		if prefix.tokens >= best.tokens {
+			best = prefix
 		}
 	}
 	return best, best.tokens > 0
--- a/schedule/baseline.go
+++ b/schedule/baseline.go
@@ -22,12 +22,12 @@
 // to one feasible back end, as a common load balancer does. It keeps the hard
 // rules of the real scheduler and leaves queueing to the back ends.
 type baseline struct {
-	config  Config
-	view    *view
-	pending []Request
-	choose  func(now time.Time, request *Request, candidates []*backend) *backend
-	scratch []*backend
-	turn    int
+	config   Config
+	view     *view
+	pending  []Request
+	choose   func(now time.Time, request *Request, candidates []*backend) *backend
+	scratch  []*backend
+	rotation int
 }
 
 // NewBaseline returns one of the policies that the scheduler is measured
@@ -53,8 +53,8 @@
 }
 
 func (b *baseline) roundRobin(_ time.Time, _ *Request, candidates []*backend) *backend {
-	b.turn++
-	return candidates[b.turn%len(candidates)]
+	b.rotation++
+	return candidates[b.rotation%len(candidates)]
 }
 
 func (b *baseline) leastLoaded(now time.Time, _ *Request, candidates []*backend) *backend {
@@ -88,7 +88,7 @@
 }
 
 // ObserveLoad implements Policy.
-func (b *baseline) ObserveLoad(_ time.Time, load Load) { b.view.observe(load) }
+func (b *baseline) ObserveLoad(_ time.Time, load Load) { b.view.observeLoad(load) }
 
 // Enqueue implements Policy.
 func (b *baseline) Enqueue(_ time.Time, request Request) {
@@ -108,7 +108,7 @@
 
 // Finished implements Policy.
 func (b *baseline) Finished(now time.Time, call program.CallRef, _ machine.ID, _ api.Usage, _ int) {
-	b.view.finish(now, call)
+	b.view.recordEnded(now, call)
 }
 
 // Evicted implements Policy. A baseline does not track prefixes.
@@ -126,14 +126,14 @@
 		switch {
 		case len(b.scratch) > 0:
 			chosen := b.choose(now, &request, b.scratch)
-			b.view.place(now, chosen, flight{request: request})
+			b.view.recordPlaced(now, chosen, placedCall{request: request})
 			decisions = append(decisions, Decision{
 				Action: ActionPlace, Call: request.Call, Program: request.Call.Program,
 				Backend: chosen.machine.ID,
 				Terms:   Terms{Feasible: len(b.scratch), Reason: "baseline"},
 			})
-		case !now.Before(holdUntil(request, b.config.MaximumHold)):
-			decisions = append(decisions, refuse(request, noPlaceError(request)))
+		case !now.Before(holdDeadline(request, b.config.MaximumHold)):
+			decisions = append(decisions, refuse(request, noBackendError(request)))
 		default:
 			held = append(held, request)
 		}
@@ -146,7 +146,7 @@
 func (b *baseline) NextWake() time.Time {
 	var wake time.Time
 	for _, request := range b.pending {
-		until := holdUntil(request, b.config.MaximumHold)
+		until := holdDeadline(request, b.config.MaximumHold)
 		if wake.IsZero() || until.Before(wake) {
 			wake = until
 		}
--- a/schedule/feasible.go
+++ b/schedule/feasible.go
@@ -31,9 +31,9 @@
 	return slices.Contains(entry.Models, request.Model)
 }
 
-// poolsOf appends the pools that may hold feasible back ends of the request,
+// servingPools appends the pools that may hold feasible back ends of the request,
 // one for each permitted zone, and returns how many back ends they have.
-func (v *view) poolsOf(request *Request, pools [][]*backend) (found [][]*backend, count int) {
+func (v *view) servingPools(request *Request, pools [][]*backend) (found [][]*backend, count int) {
 	key := poolKey{kind: request.Kind, name: request.Model}
 	if request.Kind == api.CallTool {
 		key.name = request.Tool
@@ -51,8 +51,8 @@
 	return pools, count
 }
 
-// at returns the back end at a position of the concatenated pools.
-func at(pools [][]*backend, position int) *backend {
+// backendAt returns the back end at a position of the concatenated pools.
+func backendAt(pools [][]*backend, position int) *backend {
 	for _, pool := range pools {
 		if position < len(pool) {
 			return pool[position]
@@ -64,7 +64,7 @@
 
 // feasible appends every feasible back end of the request.
 func (v *view) feasible(request *Request, candidates []*backend) []*backend {
-	v.scratch, _ = v.poolsOf(request, v.scratch[:0])
+	v.scratch, _ = v.servingPools(request, v.scratch[:0])
 	for _, pool := range v.scratch {
 		for _, entry := range pool {
 			if feasible(request, entry) {
--- a/schedule/models.go
+++ b/schedule/models.go
@@ -21,155 +21,155 @@
 // own effect. Every node sees the same reports and, by a hash, names the same
 // engine; only the node that commands it gives the order.
 
-// modelUse is the demand of one model.
-type modelUse struct {
+// modelDemand is the demand of one model.
+type modelDemand struct {
 	model   string
 	engines []*backend
-	// busy is the mean of its engines' busy shares, and the calls that this
+	// meanUtilisation is the mean of its engines' busy shares, and the calls that this
 	// node holds for it over its slots.
-	busy float64
+	meanUtilisation float64
 }
 
 // modelOrder is an order that does not show in the machine list yet.
 type modelOrder struct {
-	engine machine.ID
-	model  string
-	given  time.Time
+	engine   machine.ID
+	model    string
+	issuedAt time.Time
 }
 
 // reviewModels orders at most one move.
 func (s *Scheduler) reviewModels(now time.Time) {
-	if s.config.Commands == nil || now.Before(s.nextModels) {
+	if s.config.Commands == nil || now.Before(s.nextModelReview) {
 		return
 	}
-	s.nextModels = now.Add(s.config.Models.ReviewInterval)
-	if s.awaitsOrder(now) {
+	s.nextModelReview = now.Add(s.config.Models.ReviewInterval)
+	if s.orderPending(now) {
 		return
 	}
-	uses := s.modelUses(now)
-	short := busiest(uses)
-	if short == nil || short.busy < s.config.Models.Busy {
+	demands := s.modelDemands(now)
+	overloaded := mostUtilised(demands)
+	if overloaded == nil || overloaded.meanUtilisation < s.config.Models.Busy {
 		return
 	}
-	engine := s.recipient(now, short)
+	engine := s.loadTarget(now, overloaded)
 	if engine == nil || !s.config.Commands(engine.machine.ID) {
 		return
 	}
-	s.lastOrder = modelOrder{engine: engine.machine.ID, model: short.model, given: now}
+	s.lastModelOrder = modelOrder{engine: engine.machine.ID, model: overloaded.model, issuedAt: now}
 	if len(engine.machine.Models) >= s.config.Models.PerEngine {
-		s.order(ActionUnload, engine, leastBusy(uses, engine), short)
+		s.orderModel(ActionUnload, engine, modelToUnload(demands, engine), overloaded)
 	}
-	s.order(ActionLoad, engine, short.model, short)
+	s.orderModel(ActionLoad, engine, overloaded.model, overloaded)
 }
 
-// awaitsOrder reports whether the last order is still under way.
-func (s *Scheduler) awaitsOrder(now time.Time) bool {
-	last := s.lastOrder
-	if last.model == "" || !now.Before(last.given.Add(s.config.Models.OrderTimeout)) {
+// orderPending reports whether the last order is still under way.
+func (s *Scheduler) orderPending(now time.Time) bool {
+	last := s.lastModelOrder
+	if last.model == "" || !now.Before(last.issuedAt.Add(s.config.Models.OrderTimeout)) {
 		return false
 	}
 	entry := s.view.byID[last.engine]
 	return entry != nil && !slices.Contains(entry.machine.Models, last.model)
 }
 
-func (s *Scheduler) order(action Action, engine *backend, model string, short *modelUse) {
+func (s *Scheduler) orderModel(action Action, engine *backend, model string, overloaded *modelDemand) {
 	s.decisions = append(s.decisions, Decision{
 		Action:  action,
 		Backend: engine.machine.ID,
 		Model:   model,
-		Terms:   Terms{Feasible: len(short.engines), Reason: short.model + " is short of replicas"},
+		Terms:   Terms{Feasible: len(overloaded.engines), Reason: overloaded.model + " is short of replicas"},
 	})
 }
 
-// modelUses sums up the demand of every model that is loaded or waited for,
+// modelDemands sums up the demand of every model that is loaded or waited for,
 // sorted by name.
-func (s *Scheduler) modelUses(now time.Time) []*modelUse {
-	byModel := map[string]*modelUse{}
-	use := func(model string) *modelUse {
+func (s *Scheduler) modelDemands(now time.Time) []*modelDemand {
+	byModel := map[string]*modelDemand{}
+	demandOf := func(model string) *modelDemand {
 		if byModel[model] == nil {
-			byModel[model] = &modelUse{model: model}
+			byModel[model] = &modelDemand{model: model}
 		}
 		return byModel[model]
 	}
-	for _, entry := range s.view.order {
+	for _, entry := range s.view.sorted {
 		if entry.machine.Kind != machine.KindEngine || entry.machine.Status != machine.StatusLive {
 			continue
 		}
 		for _, model := range entry.machine.Models {
-			known := use(model)
+			known := demandOf(model)
 			known.engines = append(known.engines, entry)
-			known.busy += s.busyShare(now, entry)
+			known.meanUtilisation += s.utilisation(now, entry)
 		}
 	}
-	for _, waiting := range s.queue.pools {
-		if waiting.kind == api.CallModel && waiting.held() > 0 {
-			use(waiting.name).busy += float64(waiting.held()) / typicalPeers
+	for _, callPool := range s.queue.pools {
+		if callPool.kind == api.CallModel && callPool.heldCount() > 0 {
+			demandOf(callPool.name).meanUtilisation += float64(callPool.heldCount()) / typicalPeers
 		}
 	}
-	var uses []*modelUse
+	var demands []*modelDemand
 	for _, each := range byModel {
-		each.busy /= float64(max(len(each.engines), 1))
-		uses = append(uses, each)
+		each.meanUtilisation /= float64(max(len(each.engines), 1))
+		demands = append(demands, each)
 	}
-	slices.SortFunc(uses, func(a, b *modelUse) int { return strings.Compare(a.model, b.model) })
-	return uses
+	slices.SortFunc(demands, func(a, b *modelDemand) int { return strings.Compare(a.model, b.model) })
+	return demands
 }
 
-// busyShare is the part of an engine that is in use, by slots or by cache.
-func (s *Scheduler) busyShare(now time.Time, engine *backend) float64 {
+// utilisation is the part of an engine that is in use, by slots or by cache.
+func (s *Scheduler) utilisation(now time.Time, engine *backend) float64 {
 	bySlots := float64(engine.outstanding(now, s.config.StaleLoad)) / float64(max(engine.machine.Slots, 1))
-	byCache := float64(engine.memory(now, s.config.StaleLoad)) / float64(max(engine.machine.CacheTokens, 1))
+	byCache := float64(engine.cachedTokens(now, s.config.StaleLoad)) / float64(max(engine.machine.CacheTokens, 1))
 	return max(bySlots, byCache)
 }
 
-// busiest returns the model whose engines are busiest.
-func busiest(uses []*modelUse) *modelUse {
-	var best *modelUse
-	for _, use := range uses {
-		if best == nil || use.busy > best.busy {
-			best = use
+// mostUtilised returns the model whose engines are busiest.
+func mostUtilised(demands []*modelDemand) *modelDemand {
+	var best *modelDemand
+	for _, demand := range demands {
+		if best == nil || demand.meanUtilisation > best.meanUtilisation {
+			best = demand
 		}
 	}
 	return best
 }
 
-// leastBusy returns the model of the engine that can best go without it: of
+// modelToUnload returns the model of the engine that can best go without it: of
 // those with other engines, the least busy.
-func leastBusy(uses []*modelUse, engine *backend) string {
-	var best *modelUse
-	for _, use := range uses {
-		if !slices.Contains(engine.machine.Models, use.model) {
+func modelToUnload(demands []*modelDemand, engine *backend) string {
+	var best *modelDemand
+	for _, demand := range demands {
+		if !slices.Contains(engine.machine.Models, demand.model) {
 			continue
 		}
-		if best == nil || use.spare() > best.spare() {
-			best = use
+		if best == nil || demand.spareEngines() > best.spareEngines() {
+			best = demand
 		}
 	}
 	return best.model
 }
 
-// spare is how much of the model's engines is unused.
-func (u *modelUse) spare() float64 {
-	return (1 - u.busy) * float64(len(u.engines)-1)
+// spareEngines is how much of the model's engines is unused.
+func (u *modelDemand) spareEngines() float64 {
+	return (1 - u.meanUtilisation) * float64(len(u.engines)-1)
 }
 
-// recipient returns the engine that is to load the model: of those that are
+// loadTarget returns the engine that is to load the model: of those that are
 // clearly less busy than the model's own, the first by a hash that every node
 // computes alike.
-func (s *Scheduler) recipient(now time.Time, short *modelUse) *backend {
+func (s *Scheduler) loadTarget(now time.Time, overloaded *modelDemand) *backend {
 	var best *backend
 	var highest uint64
-	for _, entry := range s.view.order {
+	for _, entry := range s.view.sorted {
 		if entry.machine.Kind != machine.KindEngine || entry.machine.Status != machine.StatusLive {
 			continue
 		}
-		if slices.Contains(entry.machine.Models, short.model) {
+		if slices.Contains(entry.machine.Models, overloaded.model) {
 			continue
 		}
-		if s.busyShare(now, entry)+s.config.Models.Margin > short.busy {
+		if s.utilisation(now, entry)+s.config.Models.Margin > overloaded.meanUtilisation {
 			continue
 		}
-		hash := xxhash.Sum64String(short.model + "/" + string(entry.machine.ID))
+		hash := xxhash.Sum64String(overloaded.model + "/" + string(entry.machine.ID))
 		if best == nil || hash > highest {
 			best, highest = entry, hash
 		}
--- a/schedule/policy.go
+++ b/schedule/policy.go
@@ -27,9 +27,9 @@
 	// of the program is then resident there, in residentTokens.
 	Finished(now time.Time, call program.CallRef, backend machine.ID, usage api.Usage, residentTokens int)
 	// Evicted tells that an engine no longer holds a program's prefix.
-	Evicted(now time.Time, owner api.ProgramID, backend machine.ID)
+	Evicted(now time.Time, programID api.ProgramID, backend machine.ID)
 	// ProgramEnded forgets a program and its prefixes.
-	ProgramEnded(now time.Time, owner api.ProgramID)
+	ProgramEnded(now time.Time, programID api.ProgramID)
 	// Ready returns the decisions that are due, in order.
 	Ready(now time.Time) []Decision
 	// NextWake is when Ready should be asked again without a new input; the
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -21,8 +21,8 @@
 	expiry callHeap
 	pools  []*pool
 	byName map[poolName]*pool
-	// turn rotates which pool is served first.
-	turn int
+	// rotation rotates which pool is served first.
+	rotation int
 	// order numbers the calls, to break ties by arrival.
 	order uint64
 }
@@ -35,17 +35,17 @@
 // pool is the calls that need the same model or tool.
 type pool struct {
 	poolName
-	// virtual is the virtual time of fair queueing: the start tag of the call
+	// virtualTime is the virtual time of fair queueing: the start tag of the call
 	// that was sent last.
-	virtual float64
-	shares  map[string]*share
-	lines   map[lineKey]*line
+	virtualTime float64
+	flows       map[string]*share
+	subqueues   map[subqueueKey]*subqueue
 	// active are the lines that hold calls, in the order in which they began
 	// to; empty ones are taken out by the next search.
-	active []*line
+	active []*subqueue
 }
 
-type lineKey struct {
+type subqueueKey struct {
 	tenant    string
 	placement zone.Placement
 	unstarted bool
@@ -55,24 +55,24 @@
 type share struct {
 	tenant string
 	weight float64
-	// virtual is the tenant's service so far over its weight, in seconds. It
+	// virtualTime is the tenant's service so far over its weight, in seconds. It
 	// never lags behind the pool's while the tenant has nothing held: unused
 	// shares are not saved up.
-	virtual float64
-	held    int
+	virtualTime float64
+	heldCalls   int
 	// starts is the pace of the tenant's programs that wait to start.
-	starts pace
-	// use is what the tenant holds, in all pools.
-	use *tenantUse
-	// nextRetry is the last retry time that a refusal promised.
-	nextRetry time.Time
+	starts startEstimator
+	// usage is what the tenant holds, in all pools.
+	usage *tenantUsage
+	// lastRetryAt is the last retry time that a refusal promised.
+	lastRetryAt time.Time
 }
 
-// line is one tenant's held calls of one placement. Calls of programs that
+// subqueue is one tenant's held calls of one placement. Calls of programs that
 // have not started stand in a line of their own: they all need new room, so
 // that the first one speaks for those behind it.
-type line struct {
-	lineKey
+type subqueue struct {
+	subqueueKey
 	share *share
 	calls callHeap
 	// capacity is the slots of the back ends that the placement permits, as
@@ -85,61 +85,61 @@
 
 // heldCall is one call that waits.
 type heldCall struct {
-	request Request
-	pool    *pool
-	line    *line
-	// place orders the calls of a line, the earliest first.
-	place time.Time
-	order uint64
+	request  Request
+	pool     *pool
+	subqueue *subqueue
+	// effectiveArrival orders the calls of a line, the earliest first.
+	effectiveArrival time.Time
+	order            uint64
 	// expires is when the call is refused at the latest.
 	expires time.Time
-	// cost is the predicted service.
-	cost     time.Duration
-	inLine   int
-	inExpiry int
+	// expectedService is the predicted service.
+	expectedService time.Duration
+	subqueueIndex   int
+	expiryIndex     int
 }
 
 func newQueue() *queue {
 	return &queue{
 		calls:  map[program.CallRef]*heldCall{},
 		byName: map[poolName]*pool{},
-		expiry: callHeap{earlier: expiresEarlier, position: expiryPosition},
+		expiry: callHeap{less: expiresEarlier, index: expiryIndexOf},
 	}
 }
 
-// poolOf returns the pool that serves a request.
-func (q *queue) poolOf(request *Request) *pool {
+// poolFor returns the pool that serves a request.
+func (q *queue) poolFor(request *Request) *pool {
 	name := poolName{request.Kind, request.Model}
 	if request.Kind == api.CallTool {
 		name.name = request.Tool
 	}
 	known := q.byName[name]
 	if known == nil {
-		known = &pool{poolName: name, shares: map[string]*share{}, lines: map[lineKey]*line{}}
+		known = &pool{poolName: name, flows: map[string]*share{}, subqueues: map[subqueueKey]*subqueue{}}
 		q.byName[name] = known
 		q.pools = append(q.pools, known)
 	}
 	return known
 }
 
-// lineOf returns the line of a request's tenant and placement.
-func (p *pool) lineOf(request *Request, use *tenantUse) *line {
-	key := lineKey{request.Tenant, request.Placement, unstarted(request)}
-	if known := p.lines[key]; known != nil {
+// subqueueFor returns the line of a request's tenant and placement.
+func (p *pool) subqueueFor(request *Request, usage *tenantUsage) *subqueue {
+	key := subqueueKey{request.Tenant, request.Placement, isUnstarted(request)}
+	if known := p.subqueues[key]; known != nil {
 		return known
 	}
-	owner := p.shares[request.Tenant]
-	if owner == nil {
-		owner = &share{tenant: request.Tenant, use: use}
-		p.shares[request.Tenant] = owner
+	tenantShare := p.flows[request.Tenant]
+	if tenantShare == nil {
+		tenantShare = &share{tenant: request.Tenant, usage: usage}
+		p.flows[request.Tenant] = tenantShare
 	}
-	owner.weight = float64(1 + max(request.Priority, 0))
-	added := &line{
-		lineKey: key,
-		share:   owner,
-		calls:   callHeap{earlier: placedEarlier, position: linePosition},
+	tenantShare.weight = float64(1 + max(request.Priority, 0))
+	added := &subqueue{
+		subqueueKey: key,
+		share:       tenantShare,
+		calls:       callHeap{less: arrivesEarlier, index: subqueueIndexOf},
 	}
-	p.lines[key] = added
+	p.subqueues[key] = added
 	return added
 }
 
@@ -148,45 +148,45 @@
 	q.order++
 	call.order = q.order
 	q.calls[call.request.Call] = call
-	owner := call.line.share
-	if owner.held == 0 {
-		owner.virtual = max(owner.virtual, call.pool.virtual)
+	tenantShare := call.subqueue.share
+	if tenantShare.heldCalls == 0 {
+		tenantShare.virtualTime = max(tenantShare.virtualTime, call.pool.virtualTime)
 	}
-	owner.held++
-	if unstarted(&call.request) {
-		owner.starts.enter(now)
+	tenantShare.heldCalls++
+	if isUnstarted(&call.request) {
+		tenantShare.starts.addWaiting(now)
 	}
-	heap.Push(&call.line.calls, call)
+	heap.Push(&call.subqueue.calls, call)
 	heap.Push(&q.expiry, call)
-	if !call.line.active {
-		call.line.active = true
-		call.pool.active = append(call.pool.active, call.line)
+	if !call.subqueue.active {
+		call.subqueue.active = true
+		call.pool.active = append(call.pool.active, call.subqueue)
 	}
 }
 
 // remove takes a call out, wherever it stands, because it is sent or not.
 func (q *queue) remove(now time.Time, call *heldCall, sent bool) {
 	delete(q.calls, call.request.Call)
-	owner := call.line.share
-	owner.held--
-	if unstarted(&call.request) {
-		owner.starts.leave(now, sent, now.After(call.request.Enqueued))
+	tenantShare := call.subqueue.share
+	tenantShare.heldCalls--
+	if isUnstarted(&call.request) {
+		tenantShare.starts.removeWaiting(now, sent, now.After(call.request.Enqueued))
 	}
-	if call.inLine >= 0 {
-		heap.Remove(&call.line.calls, call.inLine)
+	if call.subqueueIndex >= 0 {
+		heap.Remove(&call.subqueue.calls, call.subqueueIndex)
 	}
-	heap.Remove(&q.expiry, call.inExpiry)
+	heap.Remove(&q.expiry, call.expiryIndex)
 }
 
-// setAside takes the head off the line, for a moment.
-func (l *line) setAside(call *heldCall) { heap.Remove(&l.calls, call.inLine) }
+// skip takes the head off the line, for a moment.
+func (l *subqueue) skip(call *heldCall) { heap.Remove(&l.calls, call.subqueueIndex) }
 
-// putBack undoes setAside.
-func (l *line) putBack(call *heldCall) { heap.Push(&l.calls, call) }
+// restore undoes setAside.
+func (l *subqueue) restore(call *heldCall) { heap.Push(&l.calls, call) }
 
-// block marks the lines that found every back end saturated: those of the
+// blockSaturated marks the lines that found every back end saturated: those of the
 // placement, or only the tenant's, if others may use more slots than it.
-func (p *pool) block(full *line, onlyTenant bool) {
+func (p *pool) blockSaturated(full *subqueue, onlyTenant bool) {
 	for _, each := range p.active {
 		if each.placement == full.placement && (!onlyTenant || each.share == full.share) {
 			each.blocked = true
@@ -194,8 +194,8 @@
 	}
 }
 
-// held counts the calls that the pool holds.
-func (p *pool) held() int {
+// heldCount counts the calls that the pool holds.
+func (p *pool) heldCount() int {
 	total := 0
 	for _, each := range p.active {
 		total += each.calls.Len()
@@ -203,17 +203,17 @@
 	return total
 }
 
-// served charges a tenant for a call that was sent.
-func (p *pool) served(call *heldCall) {
-	owner := call.line.share
-	p.virtual = max(p.virtual, owner.virtual)
-	owner.virtual += call.cost.Seconds() / owner.weight
+// charge charges a tenant for a call that was sent.
+func (p *pool) charge(call *heldCall) {
+	tenantShare := call.subqueue.share
+	p.virtualTime = max(p.virtualTime, tenantShare.virtualTime)
+	tenantShare.virtualTime += call.expectedService.Seconds() / tenantShare.weight
 }
 
-// trim takes the empty lines off the active ones, and clears the marks of the
+// resetRound takes the empty lines off the active ones, and clears the marks of the
 // last round.
-func (p *pool) trim() {
-	p.active = slices.DeleteFunc(p.active, func(l *line) bool {
+func (p *pool) resetRound() {
+	p.active = slices.DeleteFunc(p.active, func(l *subqueue) bool {
 		l.blocked = false
 		l.active = l.calls.Len() > 0
 		return !l.active
@@ -222,8 +222,8 @@
 
 // next returns the line whose head is to be tried: of the tenants with the
 // least weighted service, the one whose head is placed earliest.
-func (p *pool) next() *line {
-	var best *line
+func (p *pool) next() *subqueue {
+	var best *subqueue
 	for _, candidate := range p.active {
 		if candidate.blocked || candidate.calls.Len() == 0 {
 			continue
@@ -235,31 +235,31 @@
 	return best
 }
 
-func (l *line) before(other *line) bool {
-	if order := cmp.Compare(l.share.virtual, other.share.virtual); order != 0 {
+func (l *subqueue) before(other *subqueue) bool {
+	if order := cmp.Compare(l.share.virtualTime, other.share.virtualTime); order != 0 {
 		return order < 0
 	}
-	return placedEarlier(l.calls.items[0], other.calls.items[0])
+	return arrivesEarlier(l.calls.items[0], other.calls.items[0])
 }
 
-// placeInLine is a call's place among its tenant's: the arrival of its
+// effectiveArrivalOf is a call's place among its tenant's: the arrival of its
 // program, later by the attained service, and later by a part of the time that
 // its caller has. Both are bounded, so that no call is overtaken forever.
-func placeInLine(request *Request, order OrderConfig) time.Time {
+func effectiveArrivalOf(request *Request, order OrderConfig) time.Time {
 	attained := time.Duration(request.Attained) * order.AttainedPerToken
-	place := request.Arrived.Add(min(attained, order.AttainedMaximum))
+	arrival := request.Arrived.Add(min(attained, order.AttainedMaximum))
 	if request.Deadline.IsZero() {
-		return place
+		return arrival
 	}
-	patience := request.Deadline.Sub(request.Arrived)
-	return place.Add(time.Duration(order.DeadlineShare * float64(patience)))
+	timeLimit := request.Deadline.Sub(request.Arrived)
+	return arrival.Add(time.Duration(order.DeadlineShare * float64(timeLimit)))
 }
 
-// ahead counts the calls of the line that are placed before a call.
-func (l *line) ahead(call *heldCall) int {
+// callsAhead counts the calls of the line that are placed before a call.
+func (l *subqueue) callsAhead(call *heldCall) int {
 	count := 0
 	for _, other := range l.calls.items {
-		if placedEarlier(other, call) {
+		if arrivesEarlier(other, call) {
 			count++
 		}
 	}
@@ -268,13 +268,13 @@
 
 // callHeap is a heap of held calls that knows each call's position.
 type callHeap struct {
-	items    []*heldCall
-	earlier  func(a, b *heldCall) bool
-	position func(*heldCall) *int
+	items []*heldCall
+	less  func(a, b *heldCall) bool
+	index func(*heldCall) *int
 }
 
-func placedEarlier(a, b *heldCall) bool {
-	if order := a.place.Compare(b.place); order != 0 {
+func arrivesEarlier(a, b *heldCall) bool {
+	if order := a.effectiveArrival.Compare(b.effectiveArrival); order != 0 {
 		return order < 0
 	}
 	return a.order < b.order
@@ -287,26 +287,26 @@
 	return a.order < b.order
 }
 
-func linePosition(call *heldCall) *int   { return &call.inLine }
-func expiryPosition(call *heldCall) *int { return &call.inExpiry }
+func subqueueIndexOf(call *heldCall) *int { return &call.subqueueIndex }
+func expiryIndexOf(call *heldCall) *int   { return &call.expiryIndex }
 
 // Len implements heap.Interface.
 func (h *callHeap) Len() int { return len(h.items) }
 
 // Less implements heap.Interface.
-func (h *callHeap) Less(i, j int) bool { return h.earlier(h.items[i], h.items[j]) }
+func (h *callHeap) Less(i, j int) bool { return h.less(h.items[i], h.items[j]) }
 
 // Swap implements heap.Interface.
 func (h *callHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	*h.position(h.items[i]) = i
-	*h.position(h.items[j]) = j
+	*h.index(h.items[i]) = i
+	*h.index(h.items[j]) = j
 }
 
 // Push implements heap.Interface.
 func (h *callHeap) Push(item any) {
 	call := item.(*heldCall)
-	*h.position(call) = len(h.items)
+	*h.index(call) = len(h.items)
 	h.items = append(h.items, call)
 }
 
@@ -316,6 +316,6 @@
 	call := h.items[last]
 	h.items[last] = nil
 	h.items = h.items[:last]
-	*h.position(call) = -1
+	*h.index(call) = -1
 	return call
 }
--- a/schedule/rank.go
+++ b/schedule/rank.go
@@ -15,11 +15,11 @@
 	transfer time.Duration
 	prefill  time.Duration
 	decode   time.Duration
-	// prompt is the whole prompt, missing the part to compute, in tokens.
-	prompt  int
-	missing int
-	// memory is what the call adds to the cache, in tokens.
-	memory int
+	// promptTokens is the whole prompt, missing the part to compute, in tokens.
+	promptTokens  int
+	missingTokens int
+	// cachedTokens is what the call adds to the cache, in tokens.
+	cachedTokens int
 	// peers is how many other sequences are expected there.
 	peers int
 	// source holds the prefix to import first; empty for none.
@@ -29,8 +29,8 @@
 	score time.Duration
 }
 
-// finish is when the answer would be complete, from now.
-func (p *prediction) finish() time.Duration {
+// completionTime is when the answer would be complete, from now.
+func (p *prediction) completionTime() time.Duration {
 	return p.link + p.queue + p.transfer + p.prefill + p.decode
 }
 
@@ -43,7 +43,7 @@
 		Transfer:      p.transfer,
 		Decode:        p.decode,
 		Link:          p.link,
-		MissingTokens: p.missing,
+		MissingTokens: p.missingTokens,
 		Reason:        reason,
 	}
 }
@@ -62,38 +62,38 @@
 	outstanding := candidate.outstanding(now, s.config.StaleLoad)
 	predicted := prediction{backend: candidate, peers: outstanding}
 	predicted.link = 2 * s.config.LinkDelay(candidate.machine.Zone)
-	predicted.queue = time.Duration(outstanding) * s.predict.meanService(request.Tool)
-	predicted.score = predicted.finish()
+	predicted.queue = time.Duration(outstanding) * s.predict.meanServiceTime(request.Tool)
+	predicted.score = predicted.completionTime()
 	return predicted
 }
 
 // rankModel weighs the queue, the missing prefill or the transfer of the
 // prefix, and a decode that slows with the batch.
 func (s *Scheduler) rankModel(now time.Time, request *Request, candidate *backend) prediction {
-	learned := s.predict.speed(request.Model)
+	learned := s.predict.speedModel(request.Model)
 	predicted := prediction{
-		backend: candidate,
-		peers:   candidate.outstanding(now, s.config.StaleLoad),
-		prompt:  request.PromptTokens,
-		link:    2 * s.config.LinkDelay(candidate.machine.Zone),
+		backend:      candidate,
+		peers:        candidate.outstanding(now, s.config.StaleLoad),
+		promptTokens: request.PromptTokens,
+		link:         2 * s.config.LinkDelay(candidate.machine.Zone),
 	}
-	residents := s.tracker.residents(request.Call.Program)
-	held := min(tokensAt(residents, candidate.machine.ID), request.PromptTokens)
-	predicted.missing = request.PromptTokens - held
-	predicted.prefill = s.predict.prefill(learned, predicted.missing)
-	s.considerImport(request, &predicted, residents, held)
-	predicted.memory = request.PromptTokens - held + request.OutputCap
+	prefixes := s.tracker.prefixes(request.Call.Program)
+	heldTokens := min(tokensAt(prefixes, candidate.machine.ID), request.PromptTokens)
+	predicted.missingTokens = request.PromptTokens - heldTokens
+	predicted.prefill = s.predict.prefill(learned, predicted.missingTokens)
+	s.considerImport(request, &predicted, prefixes, heldTokens)
+	predicted.cachedTokens = request.PromptTokens - heldTokens + request.OutputCap
 	waiting := candidate.queuedTokens(now, s.config.StaleLoad)
 	predicted.queue = s.predict.prefill(learned, waiting)
-	predicted.decode = s.predict.decode(learned, s.predict.output(request), predicted.peers)
-	predicted.score = predicted.finish() + s.costOfMove(&predicted)
+	predicted.decode = s.predict.decode(learned, s.predict.expectedOutput(request), predicted.peers)
+	predicted.score = predicted.completionTime() + s.transferPenalty(&predicted)
 	return predicted
 }
 
 // considerImport transfers the prefix from another engine when that is
 // faster than computing it again.
-func (s *Scheduler) considerImport(request *Request, predicted *prediction, residents []resident, held int) {
-	best, ok := largest(residents)
+func (s *Scheduler) considerImport(request *Request, predicted *prediction, prefixes []residentPrefix, heldTokens int) {
+	best, ok := largestPrefix(prefixes)
 	if !ok || best.backend == predicted.backend.machine.ID {
 		return
 	}
@@ -102,23 +102,23 @@
 		return
 	}
 	tokens := min(best.tokens, request.PromptTokens)
-	saved := tokens - held
+	saved := tokens - heldTokens
 	if saved <= 0 {
 		return
 	}
-	learned := s.predict.speed(request.Model)
+	learned := s.predict.speedModel(request.Model)
 	transfer := time.Duration(tokens)*s.config.Rates.TransferPerToken + 2*s.config.LinkDelay(source.machine.Zone)
 	if transfer >= s.predict.prefill(learned, saved) {
 		return
 	}
 	predicted.source = best.backend
 	predicted.transfer = transfer
-	predicted.missing = request.PromptTokens - tokens
-	predicted.prefill = s.predict.prefill(learned, predicted.missing)
+	predicted.missingTokens = request.PromptTokens - tokens
+	predicted.prefill = s.predict.prefill(learned, predicted.missingTokens)
 }
 
-// costOfMove is what a transfer costs beyond its time: the prefix is taken
+// transferPenalty is what a transfer costs beyond its time: the prefix is taken
 // out of the engine that holds it, and takes room in another.
-func (s *Scheduler) costOfMove(predicted *prediction) time.Duration {
+func (s *Scheduler) transferPenalty(predicted *prediction) time.Duration {
 	return time.Duration((s.config.Cache.MoveWeight - 1) * float64(predicted.transfer))
 }
--- a/schedule/retention.go
+++ b/schedule/retention.go
@@ -15,61 +15,61 @@
 // likely follows from the pauses that programs of the same tenant made. One
 // in an engine that leaves is exported to another.
 
-// pauseBuckets counts pauses by the power of two of their milliseconds.
-const pauseBuckets = 24
+// pauseBucketCount counts pauses by the power of two of their milliseconds.
+const pauseBucketCount = 24
 
 // pauseKey names the pauses that are alike: those of one tenant's programs,
 // after the same tool was called. The tool tells much: a program that has
 // sent its notice seldom asks the model again.
 type pauseKey struct{ tenant, tool string }
 
-// pauses is what programs did after a model call or tool call: how long until
+// pauseStats is what programs did after a model call or tool call: how long until
 // they came back, or ended without coming back.
-type pauses struct {
-	returned [pauseBuckets]uint32
-	ended    [pauseBuckets]uint32
+type pauseStats struct {
+	returned [pauseBucketCount]uint32
+	ended    [pauseBucketCount]uint32
 }
 
-// priorReturns are counted before the first pause is seen, so that few pauses
+// priorReturnCount are counted before the first pause is seen, so that few pauses
 // say little.
-const priorReturns = 1
+const priorReturnCount = 1
 
-// reviewLimit bounds how many paused programs one review looks at.
-const reviewLimit = 256
+// maxReviewedPrograms bounds how many paused programs one review looks at.
+const maxReviewedPrograms = 256
 
 func pauseBucket(pause time.Duration) int {
-	return min(bits.Len64(uint64(max(pause, 0)/time.Millisecond)), pauseBuckets-1)
+	return min(bits.Len64(uint64(max(pause, 0)/time.Millisecond)), pauseBucketCount-1)
 }
 
 // returnProbability is the chance that a program comes back after it was
 // paused for so long.
-func (p *pauses) returnProbability(pause time.Duration) float64 {
+func (p *pauseStats) returnProbability(pause time.Duration) float64 {
 	returned, ended := 0, 0
-	for bucket := pauseBucket(pause); bucket < pauseBuckets; bucket++ {
+	for bucket := pauseBucket(pause); bucket < pauseBucketCount; bucket++ {
 		returned += int(p.returned[bucket])
 		ended += int(p.ended[bucket])
 	}
-	return float64(returned+priorReturns) / float64(returned+ended+priorReturns)
+	return float64(returned+priorReturnCount) / float64(returned+ended+priorReturnCount)
 }
 
-// pausesOf returns the pauses like the one that a program is in.
-func (s *Scheduler) pausesOf(entry *tracked) *pauses {
-	key := pauseKey{entry.tenant, entry.tool}
-	known := s.pauses[key]
+// pauseStatsOf returns the pauses like the one that a program is in.
+func (s *Scheduler) pauseStatsOf(entry *trackedProgram) *pauseStats {
+	key := pauseKey{entry.tenant, entry.lastTool}
+	known := s.pauseStats[key]
 	if known == nil {
-		known = &pauses{}
-		s.pauses[key] = known
+		known = &pauseStats{}
+		s.pauseStats[key] = known
 	}
 	return known
 }
 
 // resumed learns from a program that calls a model again.
-func (s *Scheduler) resumed(now time.Time, owner api.ProgramID) {
-	entry := s.tracker.programs[owner]
+func (s *Scheduler) resumed(now time.Time, programID api.ProgramID) {
+	entry := s.tracker.programs[programID]
 	if entry == nil || !entry.paused {
 		return
 	}
-	s.pausesOf(entry).returned[pauseBucket(now.Sub(entry.pausedAt))]++
+	s.pauseStatsOf(entry).returned[pauseBucket(now.Sub(entry.pausedAt))]++
 	s.tracker.resume(entry)
 }
 
@@ -79,36 +79,36 @@
 	if entry == nil || !entry.paused {
 		return
 	}
-	entry.tool = request.Tool
+	entry.lastTool = request.Tool
 	s.tracker.pause(now, entry.id)
 	s.reviewProgram(now, entry)
 }
 
 // ended learns from a program that ended, and forgets it.
-func (s *Scheduler) ended(now time.Time, owner api.ProgramID) {
-	entry := s.tracker.programs[owner]
+func (s *Scheduler) ended(now time.Time, programID api.ProgramID) {
+	entry := s.tracker.programs[programID]
 	if entry == nil {
 		return
 	}
 	if entry.paused {
-		s.pausesOf(entry).ended[pauseBucket(now.Sub(entry.pausedAt))]++
+		s.pauseStatsOf(entry).ended[pauseBucket(now.Sub(entry.pausedAt))]++
 	}
-	for _, held := range entry.residents {
-		s.view.release(now, held.backend, held.tokens)
+	for _, prefix := range entry.prefixes {
+		s.view.recordDropped(now, prefix.backend, prefix.tokens)
 	}
-	s.tracker.forget(entry)
+	s.tracker.remove(entry)
 }
 
 // reviewPaused drops the prefixes of programs that are unlikely to return.
 func (s *Scheduler) reviewPaused(now time.Time) {
-	if now.Before(s.nextReview) {
+	if now.Before(s.nextPauseReview) {
 		return
 	}
-	s.nextReview = now.Add(s.config.Cache.ReviewInterval)
-	s.tenants.forget(now)
+	s.nextPauseReview = now.Add(s.config.Cache.ReviewInterval)
+	s.tenants.removeIdle(now)
 	reviewed := 0
-	for element := s.tracker.paused.Front(); element != nil && reviewed < reviewLimit; reviewed++ {
-		entry := element.Value.(*tracked)
+	for element := s.tracker.paused.Front(); element != nil && reviewed < maxReviewedPrograms; reviewed++ {
+		entry := element.Value.(*trackedProgram)
 		element = element.Next()
 		s.reviewProgram(now, entry)
 	}
@@ -116,46 +116,46 @@
 
 // reviewProgram drops a paused program's prefixes if it is unlikely to
 // return.
-func (s *Scheduler) reviewProgram(now time.Time, entry *tracked) {
-	probability := s.pausesOf(entry).returnProbability(now.Sub(entry.pausedAt))
+func (s *Scheduler) reviewProgram(now time.Time, entry *trackedProgram) {
+	probability := s.pauseStatsOf(entry).returnProbability(now.Sub(entry.pausedAt))
 	if probability < s.config.Cache.ReuseFloor {
-		s.dropAll(entry, "unlikely to return")
+		s.dropPrefixes(entry, "unlikely to return")
 	}
 }
 
-// dropAll drops a program's prefixes everywhere.
-func (s *Scheduler) dropAll(entry *tracked, reason string) {
-	for _, held := range entry.residents {
-		s.drop(entry, held, reason)
+// dropPrefixes drops a program's prefixes everywhere.
+func (s *Scheduler) dropPrefixes(entry *trackedProgram, reason string) {
+	for _, prefix := range entry.prefixes {
+		s.dropPrefix(entry, prefix, reason)
 	}
-	s.tracker.setResidents(entry, nil)
+	s.tracker.setPrefixes(entry, nil)
 }
 
-func (s *Scheduler) drop(entry *tracked, held resident, reason string) {
-	s.view.release(s.now, held.backend, held.tokens)
+func (s *Scheduler) dropPrefix(entry *trackedProgram, prefix residentPrefix, reason string) {
+	s.view.recordDropped(s.now, prefix.backend, prefix.tokens)
 	s.decisions = append(s.decisions, Decision{
 		Action:  ActionDrop,
 		Program: entry.id,
-		Backend: held.backend,
-		Terms:   Terms{MissingTokens: held.tokens, Reason: reason},
+		Backend: prefix.backend,
+		Terms:   Terms{MissingTokens: prefix.tokens, Reason: reason},
 	})
 }
 
-// dropStale drops the prefixes that a program left behind when it moved.
-func (s *Scheduler) dropStale(entry *tracked, current machine.ID) {
-	if len(entry.residents) < 2 || tokensAt(entry.residents, current) == 0 {
+// dropStalePrefixes drops the prefixes that a program left behind when it moved.
+func (s *Scheduler) dropStalePrefixes(entry *trackedProgram, current machine.ID) {
+	if len(entry.prefixes) < 2 || tokensAt(entry.prefixes, current) == 0 {
 		return
 	}
-	for _, held := range entry.residents {
-		if held.backend != current {
-			s.drop(entry, held, "left behind")
+	for _, prefix := range entry.prefixes {
+		if prefix.backend != current {
+			s.dropPrefix(entry, prefix, "left behind")
 		}
 	}
-	s.tracker.setResidents(entry, []resident{{backend: current, tokens: tokensAt(entry.residents, current)}})
+	s.tracker.setPrefixes(entry, []residentPrefix{{backend: current, tokens: tokensAt(entry.prefixes, current)}})
 }
 
-// evacuate exports the prefixes of paused programs from leaving engines.
-func (s *Scheduler) evacuate(now time.Time) {
+// exportFromLeaving exports the prefixes of paused programs from leaving engines.
+func (s *Scheduler) exportFromLeaving(now time.Time) {
 	leaving := false
 	for _, entry := range s.view.byID {
 		leaving = leaving || entry.machine.Status == machine.StatusLeaving
@@ -164,48 +164,48 @@
 		return
 	}
 	for element := s.tracker.paused.Front(); element != nil; element = element.Next() {
-		s.export(now, element.Value.(*tracked))
+		s.exportPrefix(now, element.Value.(*trackedProgram))
 	}
 }
 
-// export moves a paused program's prefix out of a leaving engine, into the
+// exportPrefix moves a paused program's prefix out of a leaving engine, into the
 // feasible one with the most free cache.
-func (s *Scheduler) export(now time.Time, entry *tracked) {
-	held, ok := largest(entry.residents)
+func (s *Scheduler) exportPrefix(now time.Time, entry *trackedProgram) {
+	prefix, ok := largestPrefix(entry.prefixes)
 	if !ok || entry.pause == nil {
 		return
 	}
-	source := s.view.byID[held.backend]
+	source := s.view.byID[prefix.backend]
 	if source == nil || source.machine.Status != machine.StatusLeaving {
 		return
 	}
-	if !entry.last.Placement.Contains(source.machine.Zone) {
+	if !entry.lastModelCall.Placement.Contains(source.machine.Zone) {
 		return
 	}
-	target := s.roomiest(now, &entry.last)
+	target := s.mostFreeCache(now, &entry.lastModelCall)
 	if target == nil {
 		return
 	}
-	s.tracker.setResidents(entry, []resident{{backend: target.machine.ID, tokens: held.tokens}})
+	s.tracker.setPrefixes(entry, []residentPrefix{{backend: target.machine.ID, tokens: prefix.tokens}})
 	s.decisions = append(s.decisions, Decision{
 		Action:   ActionExport,
 		Program:  entry.id,
-		Backend:  held.backend,
+		Backend:  prefix.backend,
 		ExportTo: target.machine.ID,
 		Terms: Terms{
-			Transfer: time.Duration(held.tokens) * s.config.Rates.TransferPerToken,
+			Transfer: time.Duration(prefix.tokens) * s.config.Rates.TransferPerToken,
 			Reason:   "engine is leaving",
 		},
 	})
 }
 
-// roomiest returns the feasible engine with the most free cache.
-func (s *Scheduler) roomiest(now time.Time, request *Request) *backend {
+// mostFreeCache returns the feasible engine with the most free cache.
+func (s *Scheduler) mostFreeCache(now time.Time, request *Request) *backend {
 	var best *backend
 	most := 0
 	s.candidates = s.view.feasible(request, s.candidates[:0])
 	for _, candidate := range s.candidates {
-		free := candidate.machine.CacheTokens - candidate.memory(now, s.config.StaleLoad)
+		free := candidate.machine.CacheTokens - candidate.cachedTokens(now, s.config.StaleLoad)
 		if best == nil || free > most {
 			best, most = candidate, free
 		}
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -17,30 +17,30 @@
 	tracker *tracker
 	predict *predictor
 	tenants tenants
-	// pauses holds what programs did when they paused.
-	pauses map[pauseKey]*pauses
+	// pauseStats holds what programs did when they paused.
+	pauseStats map[pauseKey]*pauseStats
 	// decisions are due with the next call of Ready.
 	decisions []Decision
 	// now is the time of the last input.
-	now        time.Time
-	wake       time.Time
-	nextReview time.Time
-	nextModels time.Time
-	lastOrder  modelOrder
+	now             time.Time
+	nextWake        time.Time
+	nextPauseReview time.Time
+	nextModelReview time.Time
+	lastModelOrder  modelOrder
 	// candidates and sampled are reused from decision to decision.
-	pools      [][]*backend
-	candidates []*backend
-	sampled    []*backend
-	options    []option
-	passed     []*heldCall
+	pools       [][]*backend
+	candidates  []*backend
+	sampled     []*backend
+	coldOptions []coldOption
+	skipped     []*heldCall
 }
 
-// holdRecheck is how often held calls are tried again without a new input:
+// heldRecheckInterval is how often held calls are tried again without a new input:
 // a load report may have become too old to keep an engine saturated.
-const holdRecheck = time.Second
+const heldRecheckInterval = time.Second
 
-// passLimit bounds how many calls of a pool one call of Ready passes over.
-const passLimit = 64
+// maxSkippedCalls bounds how many calls of a pool one call of Ready passes over.
+const maxSkippedCalls = 64
 
 // New returns a Scheduler, or every finding about its configuration.
 func New(config Config) (*Scheduler, error) {
@@ -48,15 +48,15 @@
 		return nil, err
 	}
 	s := &Scheduler{
-		config:  config,
-		view:    newView(config.StaleLoad),
-		queue:   newQueue(),
-		predict: newPredictor(config.Rates),
-		pauses:  map[pauseKey]*pauses{},
-		tenants: tenants{byName: map[string]*tenantUse{}},
+		config:     config,
+		view:       newView(config.StaleLoad),
+		queue:      newQueue(),
+		predict:    newPredictor(config.Rates),
+		pauseStats: map[pauseKey]*pauseStats{},
+		tenants:    tenants{byName: map[string]*tenantUsage{}},
 	}
 	s.tracker = newTracker(func(request *Request, tokens int) {
-		s.tenants.hold(s.tenants.use(request), tokens)
+		s.tenants.addCachedTokens(s.tenants.usage(request), tokens)
 	})
 	return s, nil
 }
@@ -64,14 +64,14 @@
 // SetBackends implements Policy.
 func (s *Scheduler) SetBackends(now time.Time, backends []machine.Machine) {
 	s.now = now
-	s.tracker.lost(s.view.setBackends(backends))
-	s.evacuate(now)
+	s.tracker.recordLost(s.view.setBackends(backends))
+	s.exportFromLeaving(now)
 }
 
 // ObserveLoad implements Policy.
 func (s *Scheduler) ObserveLoad(now time.Time, load Load) {
 	s.now = now
-	s.view.observe(load)
+	s.view.observeLoad(load)
 }
 
 // Enqueue implements Policy.
@@ -85,37 +85,37 @@
 	} else {
 		s.calledTool(now, &request)
 	}
-	use := s.tenants.use(&request)
-	use.seen = now
-	waiting := s.queue.poolOf(&request)
-	cost := s.predict.serviceTime(&request)
+	usage := s.tenants.usage(&request)
+	usage.lastCall = now
+	callPool := s.queue.poolFor(&request)
+	expectedService := s.predict.serviceTime(&request)
 	call := &heldCall{
-		request: request,
-		pool:    waiting,
-		line:    waiting.lineOf(&request, use),
-		place:   placeInLine(&request, s.config.Order),
-		expires: holdUntil(request, s.config.MaximumHold),
-		cost:    cost,
+		request:          request,
+		pool:             callPool,
+		subqueue:         callPool.subqueueFor(&request, usage),
+		effectiveArrival: effectiveArrivalOf(&request, s.config.Order),
+		expires:          holdDeadline(request, s.config.MaximumHold),
+		expectedService:  expectedService,
 	}
-	if reason := s.admit(now, call); reason != nil {
+	if reason := s.checkAdmission(now, call); reason != nil {
 		s.refuse(now, request, reason)
 		return
 	}
 	s.queue.push(now, call)
-	s.countWaiting(call, 1)
+	s.countUnstarted(call, 1)
 }
 
-// countWaiting counts a program that waits to start, or no longer does.
-func (s *Scheduler) countWaiting(call *heldCall, change int) {
-	if unstarted(&call.request) {
-		s.tenants.wait(call.line.share.use, change)
+// countUnstarted counts a program that waits to start, or no longer does.
+func (s *Scheduler) countUnstarted(call *heldCall, change int) {
+	if isUnstarted(&call.request) {
+		s.tenants.addUnstarted(call.subqueue.share.usage, change)
 	}
 }
 
-// release takes a call out of the queue, because it is sent or not.
-func (s *Scheduler) release(now time.Time, call *heldCall, sent bool) {
+// dequeue takes a call out of the queue, because it is sent or not.
+func (s *Scheduler) dequeue(now time.Time, call *heldCall, sent bool) {
 	s.queue.remove(now, call, sent)
-	s.countWaiting(call, -1)
+	s.countUnstarted(call, -1)
 }
 
 // Withdraw implements Policy.
@@ -124,71 +124,71 @@
 	if call == nil {
 		return false
 	}
-	s.release(s.now, call, false)
+	s.dequeue(s.now, call, false)
 	s.tracker.pause(s.now, ref.Program)
 	return true
 }
 
 // Finished implements Policy.
-func (s *Scheduler) Finished(now time.Time, call program.CallRef, backend machine.ID, usage api.Usage, residentTokens int) {
+func (s *Scheduler) Finished(now time.Time, call program.CallRef, backend machine.ID, reportedUsage api.Usage, residentTokens int) {
 	s.now = now
-	sent, ok := s.view.finish(now, call)
+	sent, ok := s.view.recordEnded(now, call)
 	if !ok {
 		return
 	}
 	if entry := s.view.byID[backend]; entry != nil {
-		took := now.Sub(sent.placed) - 2*s.config.LinkDelay(entry.machine.Zone)
-		s.predict.learn(sent, usage, took)
+		elapsed := now.Sub(sent.placedAt) - 2*s.config.LinkDelay(entry.machine.Zone)
+		s.predict.learn(sent, reportedUsage, elapsed)
 	}
 	if sent.request.Kind == api.CallTool {
 		return
 	}
-	s.tenants.run(s.tenants.use(&sent.request), -1)
-	s.tracker.finished(now, &sent.request, backend, residentTokens)
+	s.tenants.addRunningCalls(s.tenants.usage(&sent.request), -1)
+	s.tracker.recordFinished(now, &sent.request, backend, residentTokens)
 	if entry := s.tracker.programs[call.Program]; entry != nil {
-		s.dropStale(entry, backend)
-		s.export(now, entry)
+		s.dropStalePrefixes(entry, backend)
+		s.exportPrefix(now, entry)
 	}
 }
 
 // Evicted implements Policy.
-func (s *Scheduler) Evicted(now time.Time, owner api.ProgramID, backend machine.ID) {
+func (s *Scheduler) Evicted(now time.Time, programID api.ProgramID, backend machine.ID) {
 	s.now = now
-	s.tracker.evicted(owner, backend)
+	s.tracker.recordEvicted(programID, backend)
 }
 
 // ProgramEnded implements Policy.
-func (s *Scheduler) ProgramEnded(now time.Time, owner api.ProgramID) {
+func (s *Scheduler) ProgramEnded(now time.Time, programID api.ProgramID) {
 	s.now = now
-	s.ended(now, owner)
+	s.ended(now, programID)
 }
 
 // Ready implements Policy.
 func (s *Scheduler) Ready(now time.Time) []Decision {
 	s.now = now
-	s.expire(now)
-	s.tenants.compare()
+	s.refuseExpired(now)
+	s.tenants.updateLargestShare()
 	for i := range s.queue.pools {
-		s.serve(now, s.queue.pools[(s.queue.turn+i)%len(s.queue.pools)])
+		s.placeHeldCalls(now, s.queue.pools[(s.queue.rotation+i)%len(s.queue.pools)])
 	}
-	s.queue.turn++
+	s.queue.rotation++
 	s.reviewPaused(now)
 	s.reviewModels(now)
-	s.setWake(now)
+	s.updateNextWake(now)
 	decisions := slices.Clone(s.decisions)
 	clear(s.decisions)
 	s.decisions = s.decisions[:0]
 	return decisions
 }
 
-// expire refuses the calls that were held as long as they may.
-func (s *Scheduler) expire(now time.Time) {
+// refuseExpired refuses the calls that were held as long as they may.
+func (s *Scheduler) refuseExpired(now time.Time) {
 	for s.queue.expiry.Len() > 0 {
 		call := s.queue.expiry.items[0]
 		if call.expires.After(now) {
 			return
 		}
-		s.release(now, call, false)
+		s.dequeue(now, call, false)
 		s.refuse(now, call.request, s.expiryError(now, call))
 	}
 }
@@ -198,45 +198,45 @@
 func (s *Scheduler) expiryError(now time.Time, call *heldCall) *api.Error {
 	s.candidates = s.view.feasible(&call.request, s.candidates[:0])
 	if len(s.candidates) == 0 {
-		return noPlaceError(call.request)
+		return noBackendError(call.request)
 	}
-	reason := api.Refuse(api.CodeOverloaded, "held for %v without a free back end", now.Sub(call.request.Enqueued))
-	return reason.After(s.promise(now, call, 0).Milliseconds())
+	refusal := api.Refuse(api.CodeOverloaded, "held for %v without a free back end", now.Sub(call.request.Enqueued))
+	return refusal.After(s.nextRetryAfter(now, call, 0).Milliseconds())
 }
 
-func (s *Scheduler) refuse(now time.Time, request Request, reason *api.Error) {
+func (s *Scheduler) refuse(now time.Time, request Request, refusal *api.Error) {
 	s.tracker.pause(now, request.Call.Program)
-	s.decisions = append(s.decisions, refuse(request, reason))
+	s.decisions = append(s.decisions, refuse(request, refusal))
 }
 
-// serve places held calls of a pool in their order, until nothing is left
+// placeHeldCalls places held calls of a pool in their order, until nothing is left
 // that could be placed.
-func (s *Scheduler) serve(now time.Time, waiting *pool) {
-	waiting.trim()
-	s.passed = s.passed[:0]
-	for len(s.passed) < passLimit {
-		next := waiting.next()
+func (s *Scheduler) placeHeldCalls(now time.Time, callPool *pool) {
+	callPool.resetRound()
+	s.skipped = s.skipped[:0]
+	for len(s.skipped) < maxSkippedCalls {
+		next := callPool.next()
 		if next == nil {
 			break
 		}
 		call := next.calls.items[0]
 		switch s.place(now, call) {
 		case placed:
-			s.release(now, call, true)
-			waiting.served(call)
-		case passed:
+			s.dequeue(now, call, true)
+			callPool.charge(call)
+		case skipped:
 			if next.unstarted {
 				next.blocked = true
 				continue
 			}
-			next.setAside(call)
-			s.passed = append(s.passed, call)
+			next.skip(call)
+			s.skipped = append(s.skipped, call)
 		case blocked:
-			waiting.block(next, s.tenants.floods(next.share.use))
+			callPool.blockSaturated(next, s.tenants.isFlooding(next.share.usage))
 		}
 	}
-	for _, call := range s.passed {
-		call.line.putBack(call)
+	for _, call := range s.skipped {
+		call.subqueue.restore(call)
 	}
 }
 
@@ -248,37 +248,37 @@
 	return a
 }
 
-// setWake finds when Ready should run again without a new input.
-func (s *Scheduler) setWake(now time.Time) {
-	s.wake = time.Time{}
+// updateNextWake finds when Ready should run again without a new input.
+func (s *Scheduler) updateNextWake(now time.Time) {
+	s.nextWake = time.Time{}
 	if s.queue.expiry.Len() > 0 {
 		s.wakeBy(s.queue.expiry.items[0].expires)
-		s.wakeBy(now.Add(holdRecheck))
+		s.wakeBy(now.Add(heldRecheckInterval))
 	}
 	if s.tracker.paused.Len() > 0 {
-		s.wakeBy(s.nextReview)
+		s.wakeBy(s.nextPauseReview)
 	}
 	if s.config.Commands != nil {
-		s.wakeBy(s.nextModels)
+		s.wakeBy(s.nextModelReview)
 	}
 }
 
-func (s *Scheduler) wakeBy(at time.Time) { s.wake = earliest(s.wake, at) }
+func (s *Scheduler) wakeBy(at time.Time) { s.nextWake = earliest(s.nextWake, at) }
 
 // NextWake implements Policy.
-func (s *Scheduler) NextWake() time.Time { return s.wake }
+func (s *Scheduler) NextWake() time.Time { return s.nextWake }
 
 // The engines' own queues order calls by urgency, then by attained service.
 const (
 	highestPriority  = 9
 	attainedLevels   = 10
-	attainedPerLevel = 512
+	firstLevelTokens = 512
 )
 
 // enginePriority orders the call in the engine's queue, lower first.
 func (s *Scheduler) enginePriority(request *Request) int {
 	level := 0
-	for limit := int64(attainedPerLevel); request.Attained > limit && level < attainedLevels-1; limit *= 2 {
+	for limit := int64(firstLevelTokens); request.Attained > limit && level < attainedLevels-1; limit *= 2 {
 		level++
 	}
 	return (highestPriority-min(max(request.Priority, 0), highestPriority))*attainedLevels + level
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -188,10 +188,10 @@
 	})
 
 	It("drops the prefix when programs like it have not returned", func() {
-		runOnce := func(owner string) (drops []schedule.Decision) {
-			b.enqueue(owner, "tenant")
+		runOnce := func(programID string) (drops []schedule.Decision) {
+			b.enqueue(programID, "tenant")
 			b.finish(b.placeOne(), 500)
-			b.enqueue(owner, "tenant", func(request *schedule.Request) {
+			b.enqueue(programID, "tenant", func(request *schedule.Request) {
 				request.Kind, request.Model, request.Tool = api.CallTool, "", "send-notice"
 			})
 			return b.ready()[schedule.ActionDrop]
@@ -199,9 +199,9 @@
 		Expect(runOnce("first")).To(BeEmpty())
 		b.policy.ProgramEnded(b.now, "first")
 		for i := range 30 {
-			owner := fmt.Sprintf("p-%d", i)
-			runOnce(owner)
-			b.policy.ProgramEnded(b.now, api.ProgramID(owner))
+			programID := fmt.Sprintf("p-%d", i)
+			runOnce(programID)
+			b.policy.ProgramEnded(b.now, api.ProgramID(programID))
 		}
 		Expect(runOnce("last")).To(ConsistOf(HaveField("Program", api.ProgramID("last"))))
 	})
--- a/schedule/view.go
+++ b/schedule/view.go
@@ -19,15 +19,15 @@
 type view struct {
 	staleLoad time.Duration
 	byID      map[machine.ID]*backend
-	// order is every back end, by id.
-	order []*backend
+	// sorted is every back end, by id.
+	sorted []*backend
 	// pools index the live back ends by what they serve and where, so that a
 	// decision touches only those that can serve it.
 	pools map[poolKey][]*backend
 	// scratch is reused from search to search.
 	scratch [][]*backend
 	// inFlight are this node's placed calls that have not ended.
-	inFlight map[program.CallRef]flight
+	inFlight map[program.CallRef]placedCall
 	// revision grows when the set of back ends changes.
 	revision uint64
 }
@@ -45,37 +45,37 @@
 	// shard is the group of engines that this one belongs to.
 	shard int
 	load  Load
-	// own counts this node's calls in flight there.
-	own int
+	// ownInFlight counts this node's calls in flight there.
+	ownInFlight int
 	// sent are the own calls in flight that the report cannot count yet.
-	sent []stamp
+	sent []loadChange
 	// ended are the own calls that ended since the report counted them.
-	ended []stamp
+	ended []loadChange
 	// released are the prefixes that were dropped there since the report.
-	released []stamp
+	released []loadChange
 }
 
-// stamp is one placed or ended call, or one released prefix.
-type stamp struct {
+// loadChange is one placed or ended call, or one released prefix.
+type loadChange struct {
 	call program.CallRef
 	at   time.Time
-	// tokens is the prefill that a placed call brings; memory is what it adds
+	// prefillTokens is the prefill that a placed call brings; memory is what it adds
 	// to the cache, or what a release frees.
-	tokens int
-	memory int
+	prefillTokens int
+	cachedTokens  int
 }
 
-// flight is one placed call.
-type flight struct {
-	backend machine.ID
-	placed  time.Time
-	request Request
-	// missing is the prefill that the placement expected; peers the sequences
+// placedCall is one placed call.
+type placedCall struct {
+	backend  machine.ID
+	placedAt time.Time
+	request  Request
+	// missingTokens is the prefill that the placement expected; peers the sequences
 	// beside it.
-	missing int
-	peers   int
-	// memory is what the call adds to the engine's cache, in tokens.
-	memory int
+	missingTokens int
+	peers         int
+	// cachedTokens is what the call adds to the engine's cache, in tokens.
+	cachedTokens int
 }
 
 func newView(staleLoad time.Duration) *view {
@@ -83,7 +83,7 @@
 		staleLoad: staleLoad,
 		byID:      map[machine.ID]*backend{},
 		pools:     map[poolKey][]*backend{},
-		inFlight:  map[program.CallRef]flight{},
+		inFlight:  map[program.CallRef]placedCall{},
 	}
 }
 
@@ -116,31 +116,31 @@
 		}
 	}
 	slices.Sort(lost)
-	v.index()
+	v.rebuildIndex()
 	return lost
 }
 
-// index rebuilds the order by id, and the pools from the live back ends.
-func (v *view) index() {
+// rebuildIndex rebuilds the order by id, and the pools from the live back ends.
+func (v *view) rebuildIndex() {
 	v.revision++
 	clear(v.pools)
-	v.order = v.order[:0]
+	v.sorted = v.sorted[:0]
 	for _, entry := range v.byID {
-		v.order = append(v.order, entry)
+		v.sorted = append(v.sorted, entry)
 	}
-	slices.SortFunc(v.order, func(a, b *backend) int {
+	slices.SortFunc(v.sorted, func(a, b *backend) int {
 		return strings.Compare(string(a.machine.ID), string(b.machine.ID))
 	})
 	v.assignShards()
-	for _, entry := range v.order {
+	for _, entry := range v.sorted {
 		if entry.machine.Status != machine.StatusLive {
 			continue
 		}
 		for _, model := range entry.machine.Models {
-			v.join(poolKey{api.CallModel, model, entry.machine.Zone}, entry)
+			v.addToPool(poolKey{api.CallModel, model, entry.machine.Zone}, entry)
 		}
 		for _, tool := range entry.machine.Tools {
-			v.join(poolKey{api.CallTool, tool, entry.machine.Zone}, entry)
+			v.addToPool(poolKey{api.CallTool, tool, entry.machine.Zone}, entry)
 		}
 	}
 }
@@ -148,11 +148,11 @@
 // assignShards deals the back ends into equal shards, in an order that has
 // nothing to do with zones or models.
 func (v *view) assignShards() {
-	dealt := slices.Clone(v.order)
-	slices.SortFunc(dealt, func(a, b *backend) int {
+	byHash := slices.Clone(v.sorted)
+	slices.SortFunc(byHash, func(a, b *backend) int {
 		return cmp.Compare(xxhash.Sum64String(string(a.machine.ID)), xxhash.Sum64String(string(b.machine.ID)))
 	})
-	for i, entry := range dealt {
+	for i, entry := range byHash {
 		entry.shard = i % shardCount
 	}
 }
@@ -161,105 +161,105 @@
 // the others.
 const shardCount = 4
 
-func (v *view) join(key poolKey, entry *backend) {
+func (v *view) addToPool(key poolKey, entry *backend) {
 	v.pools[key] = append(v.pools[key], entry)
 }
 
-// observe takes a load report unless a later one is known.
-func (v *view) observe(load Load) {
+// observeLoad takes a load report unless a later one is known.
+func (v *view) observeLoad(load Load) {
 	entry := v.byID[load.Backend]
 	if entry == nil || load.At.Before(entry.load.At) {
 		return
 	}
 	entry.load = load
-	counted := func(s stamp) bool { return !s.at.After(load.At) }
-	entry.sent = slices.DeleteFunc(entry.sent, counted)
-	entry.ended = slices.DeleteFunc(entry.ended, counted)
-	entry.released = slices.DeleteFunc(entry.released, counted)
+	inReport := func(s loadChange) bool { return !s.at.After(load.At) }
+	entry.sent = slices.DeleteFunc(entry.sent, inReport)
+	entry.ended = slices.DeleteFunc(entry.ended, inReport)
+	entry.released = slices.DeleteFunc(entry.released, inReport)
 }
 
-// place counts a call that is sent to a back end.
-func (v *view) place(now time.Time, entry *backend, sent flight) {
+// recordPlaced counts a call that is sent to a back end.
+func (v *view) recordPlaced(now time.Time, entry *backend, sent placedCall) {
 	sent.backend = entry.machine.ID
-	sent.placed = now
+	sent.placedAt = now
 	v.inFlight[sent.request.Call] = sent
-	entry.own++
-	entry.sent = append(entry.sent, stamp{call: sent.request.Call, at: now, tokens: sent.missing, memory: sent.memory})
+	entry.ownInFlight++
+	entry.sent = append(entry.sent, loadChange{call: sent.request.Call, at: now, prefillTokens: sent.missingTokens, cachedTokens: sent.cachedTokens})
 }
 
-// finish counts a call that ended, and returns its placement.
-func (v *view) finish(now time.Time, call program.CallRef) (flight, bool) {
+// recordEnded counts a call that ended, and returns its placement.
+func (v *view) recordEnded(now time.Time, call program.CallRef) (placedCall, bool) {
 	sent, ok := v.inFlight[call]
 	if !ok {
-		return flight{}, false
+		return placedCall{}, false
 	}
 	delete(v.inFlight, call)
 	entry := v.byID[sent.backend]
 	if entry == nil {
 		return sent, true
 	}
-	entry.own = max(entry.own-1, 0)
-	position := slices.IndexFunc(entry.sent, func(s stamp) bool { return s.call == call })
+	entry.ownInFlight = max(entry.ownInFlight-1, 0)
+	position := slices.IndexFunc(entry.sent, func(s loadChange) bool { return s.call == call })
 	if position >= 0 {
 		entry.sent = slices.Delete(entry.sent, position, position+1)
 		return sent, true
 	}
-	if entry.fresh(now, v.staleLoad) {
-		entry.ended = append(entry.ended, stamp{call: call, at: now})
+	if entry.hasFreshLoad(now, v.staleLoad) {
+		entry.ended = append(entry.ended, loadChange{call: call, at: now})
 	} else {
 		entry.ended = entry.ended[:0]
 	}
 	return sent, true
 }
 
-// fresh reports whether the last load report still says anything.
-func (b *backend) fresh(now time.Time, staleLoad time.Duration) bool {
+// hasFreshLoad reports whether the last load report still says anything.
+func (b *backend) hasFreshLoad(now time.Time, staleLoad time.Duration) bool {
 	return !b.load.At.IsZero() && now.Sub(b.load.At) < staleLoad
 }
 
 // outstanding estimates the sequences at the back end: what it reported, with
 // this node's calls since then, and never less than this node's own.
 func (b *backend) outstanding(now time.Time, staleLoad time.Duration) int {
-	if !b.fresh(now, staleLoad) {
-		return b.own
+	if !b.hasFreshLoad(now, staleLoad) {
+		return b.ownInFlight
 	}
 	estimate := b.load.Running + b.load.Queued + len(b.sent) - len(b.ended)
-	return max(estimate, b.own)
+	return max(estimate, b.ownInFlight)
 }
 
 // queuedTokens estimates the prefill that waits at the back end.
 func (b *backend) queuedTokens(now time.Time, staleLoad time.Duration) int {
 	total := 0
-	if b.fresh(now, staleLoad) {
+	if b.hasFreshLoad(now, staleLoad) {
 		total = b.load.QueuedTokens
 	}
 	for _, sent := range b.sent {
-		total += sent.tokens
+		total += sent.prefillTokens
 	}
 	return total
 }
 
-// memory estimates the tokens that the back end's cache holds: what it
+// cachedTokens estimates the tokens that the back end's cache holds: what it
 // reported, what this node's calls have added since, less what was released.
-func (b *backend) memory(now time.Time, staleLoad time.Duration) int {
+func (b *backend) cachedTokens(now time.Time, staleLoad time.Duration) int {
 	total := 0
-	if b.fresh(now, staleLoad) {
+	if b.hasFreshLoad(now, staleLoad) {
 		total = b.load.CachedTokens
 	}
 	for _, sent := range b.sent {
-		total += sent.memory
+		total += sent.cachedTokens
 	}
 	for _, dropped := range b.released {
-		total -= dropped.memory
+		total -= dropped.cachedTokens
 	}
 	return max(total, 0)
 }
 
-// release notes that a prefix was dropped at a back end.
-func (v *view) release(now time.Time, id machine.ID, tokens int) {
+// recordDropped notes that a prefix was dropped at a back end.
+func (v *view) recordDropped(now time.Time, id machine.ID, tokens int) {
 	entry := v.byID[id]
-	if entry == nil || !entry.fresh(now, v.staleLoad) {
+	if entry == nil || !entry.hasFreshLoad(now, v.staleLoad) {
 		return
 	}
-	entry.released = append(entry.released, stamp{at: now, memory: tokens})
+	entry.released = append(entry.released, loadChange{at: now, cachedTokens: tokens})
 }
