--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -6,31 +6,32 @@
 	"birchwood.example/birchwood/api"
 )
 
-// Under overload some program must fail. Refusing it at its first call, when
-// nothing has been spent on it, costs least: every program that is let in can
-// then finish, and goodput stays at what the engines can do. So a call of a
-// program that has received no service is refused when its predicted hold is
-// too large a share of the time that its caller has, and calls of programs
-// under way are held until they are served or expire.
+// Under overload some programs must fail. Refusing a program at its first call,
+// before any service has been spent on it, costs least: every admitted program
+// can then finish, and goodput stays at the capacity of the engines. So a call
+// of a program that has received no service is refused if its predicted hold is
+// too large a share of the time until its hold deadline. Calls of programs
+// under way are held until they are placed or expire.
 //
-// The prediction counts the tenant's own programs that wait to start, and the
-// pace at which they have started: a flood gets its own callers refused, not
-// others.
+// The predicted hold depends on the tenant's own unstarted programs and on how
+// often they have started, so that a flooding tenant's programs are refused and
+// not those of other tenants.
 
-// minRetryAfter is the shortest retry time of a refusal.
+// minRetryAfter is the shortest retry time of a refusal for overload.
 const minRetryAfter = 100 * time.Millisecond
 
-// startEstimator is how often a tenant's waiting programs start.
+// startEstimator estimates how often a tenant's waiting programs start.
 type startEstimator struct {
-	// waiting counts the held calls of programs without service.
+	// waiting is the number of held calls of unstarted programs.
 	waiting int
-	// waitStart is when the wait for the next start began.
+	// waitStart is when the wait for the next start began: the time of the last
+	// start, or when the first program began to wait.
 	waitStart time.Time
-	// interval is the learned time between two starts.
+	// interval is the moving average of the time between two starts, in seconds.
 	interval movingAverage
 }
 
-// addWaiting counts one more waiting program.
+// addWaiting records that one more program waits to start.
 func (p *startEstimator) addWaiting(now time.Time) {
 	if p.waiting == 0 {
 		p.waitStart = now
@@ -38,8 +39,9 @@
 	p.waiting++
 }
 
-// removeWaiting counts a waiting program that started, or was taken back. The pace
-// follows those that had to wait: one that starts at once says nothing of it.
+// removeWaiting records that a waiting program started or was withdrawn. Only
+// programs that had to wait change the interval; one that starts at once says
+// nothing about the time between starts under load.
 func (p *startEstimator) removeWaiting(now time.Time, started, waited bool) {
 	p.waiting--
 	if !started {
@@ -51,7 +53,8 @@
 	p.waitStart = now
 }
 
-// meanInterval is the time between two starts, a prior until one is known.
+// meanInterval returns the mean time between two starts, or prior if none has
+// been observed.
 func (p *startEstimator) meanInterval(prior time.Duration) time.Duration {
 	if p.interval.count == 0 {
 		return prior
@@ -59,8 +62,8 @@
 	return seconds(p.interval.value)
 }
 
-// expectedWait is how long a program waits behind others: as long as those take to
-// start, of which the next takes at least as long as it has already.
+// expectedWait predicts how long a program waits if ahead others start before
+// it. The next of them takes at least as long as it has already waited.
 func (p *startEstimator) expectedWait(now time.Time, ahead int, prior time.Duration) time.Duration {
 	if ahead == 0 {
 		return 0
@@ -69,13 +72,13 @@
 	return max(meanInterval, now.Sub(p.waitStart)) + time.Duration(ahead-1)*meanInterval
 }
 
-// isUnstarted reports whether refusing the call spares the program's whole
-// work.
+// isUnstarted reports whether no work has been spent on the program yet, so
+// that refusing the call wastes none.
 func isUnstarted(request *Request) bool {
 	return request.Kind == api.CallModel && request.Attained == 0 && len(request.Avoid) == 0
 }
 
-// checkAdmission decides whether a call may be held. It returns the refusal if not.
+// checkAdmission returns nil if the call may be held, and the refusal if not.
 func (s *Scheduler) checkAdmission(now time.Time, call *heldCall) *api.Error {
 	request := &call.request
 	if !isUnstarted(request) {
@@ -92,12 +95,14 @@
 	return refusal.After(retry.Milliseconds())
 }
 
-// priorStartInterval is the time between two starts that the slots would allow.
+// priorStartInterval returns the time between two starts if all slots of the
+// subqueue's back ends served calls like this one.
 func (s *Scheduler) priorStartInterval(call *heldCall) time.Duration {
 	return call.expectedService / time.Duration(max(s.capacity(call.subqueue, call.pool), 1))
 }
 
-// capacity is the number of calls that the back ends of a line serve at once.
+// capacity returns the number of calls that the back ends of a subqueue serve
+// at once.
 func (s *Scheduler) capacity(subqueue *subqueue, pool *pool) int {
 	if subqueue.revision == s.view.revision {
 		return subqueue.capacity
@@ -112,8 +117,10 @@
 	return subqueue.capacity
 }
 
-// nextRetryAfter returns a retry time that can be kept: after the excess of the
-// wait, and one start behind the retry that was promised before.
+// nextRetryAfter returns a retry time at which the call can be expected to be
+// admitted: after the excess of the wait over its limit, and one start interval
+// after the retry time of the tenant's previous refusal, so that retries are
+// spread over time.
 func (s *Scheduler) nextRetryAfter(now time.Time, call *heldCall, excess time.Duration) time.Duration {
 	tenantShare := call.subqueue.share
 	if earliest := now.Add(excess); tenantShare.lastRetryAt.Before(earliest) {
@@ -123,7 +130,8 @@
 	return max(tenantShare.lastRetryAt.Sub(now), minRetryAfter)
 }
 
-// holdDeadline is when a held call is refused at the latest.
+// holdDeadline returns when a held call expires: after maximumHold, or at its
+// deadline if that is earlier.
 func holdDeadline(request Request, maximumHold time.Duration) time.Time {
 	until := request.Enqueued.Add(maximumHold)
 	if !request.Deadline.IsZero() && request.Deadline.Before(until) {
@@ -132,7 +140,7 @@
 	return until
 }
 
-// refuse ends a call that was not placed.
+// refuse returns the decision that refuses a call that was not placed.
 func refuse(request Request, refusal *api.Error) Decision {
 	return Decision{
 		Action:  ActionRefuse,
@@ -143,7 +151,7 @@
 	}
 }
 
-// noBackendError says that no back end may serve the call.
+// noBackendError returns the refusal of a call that no back end may serve.
 func noBackendError(request Request) *api.Error {
 	refusal := api.Refuse(api.CodeNoPermittedPlace, "no back end in %s serves %s%s",
 		request.Placement, request.Model, request.Tool)
@@ -151,8 +159,9 @@
 	return refusal
 }
 
-// withRanStatus says "not run" only of a call that was never sent: one that has
-// back ends to avoid was tried before, and may have run there.
+// withRanStatus sets the refusal's Ran to unknown if an earlier attempt of the
+// call failed: the call was sent to the back ends in Request.Avoid and may have
+// run there. Only a call that was never sent counts as not run.
 func withRanStatus(request Request, refusal *api.Error) *api.Error {
 	if len(request.Avoid) > 0 {
 		refusal.Ran = api.RanOutcomeUnknown
--- a/schedule/affinity.go
+++ b/schedule/affinity.go
@@ -9,37 +9,39 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// tracker knows the programs that have prefixes in engines: where, how many
-// tokens, and since when each program is paused.
+// tracker records the programs that have prefixes in engines: which engines,
+// how many tokens, and since when each program has been paused.
 type tracker struct {
 	programs map[api.ProgramID]*trackedProgram
-	// paused lists the programs without a call under way, the longest paused
+	// paused lists the paused programs that have prefixes, the longest paused
 	// first.
 	paused *list.List
-	// tokensChanged hears how the tokens of a program's prefixes change.
+	// tokensChanged is called with the change of the number of tokens in a
+	// program's prefixes.
 	tokensChanged func(request *Request, tokens int)
 }
 
-// trackedProgram is one program.
+// trackedProgram is the state of one program.
 type trackedProgram struct {
 	id     api.ProgramID
 	tenant string
-	// lastModelCall is the model call that ended last; where it could run, the prefix
-	// may be moved.
+	// lastModelCall is the model call that ended last. The prefix may be moved
+	// to engines that are feasible for it.
 	lastModelCall Request
-	// prefixes are the engines that hold a prefix; the last one is the
-	// newest.
+	// prefixes lists the program's prefixes in engines, the newest last.
 	prefixes []residentPrefix
-	// lastTool is the last tool that the program called since its model call.
+	// lastTool is the tool that the program called last since that model call;
+	// empty for none.
 	lastTool string
-	// paused says that no model call is under way since pausedAt; pause is
-	// its place in the list, nil when nothing is resident.
+	// paused is set while the program has had no model call under way since
+	// pausedAt. pause is its element in tracker.paused, nil if the program has
+	// no prefixes.
 	paused   bool
 	pausedAt time.Time
 	pause    *list.Element
 }
 
-// residentPrefix is one program's prefix in one engine.
+// residentPrefix is a program's prefix in the cache of one engine.
 type residentPrefix struct {
 	backend machine.ID
 	tokens  int
@@ -49,7 +51,7 @@
 	return &tracker{programs: map[api.ProgramID]*trackedProgram{}, paused: list.New(), tokensChanged: tokensChanged}
 }
 
-// setPrefixes replaces where a program's prefixes are.
+// setPrefixes replaces a program's prefixes.
 func (t *tracker) setPrefixes(entry *trackedProgram, prefixes []residentPrefix) {
 	change := totalTokens(prefixes) - totalTokens(entry.prefixes)
 	entry.prefixes = prefixes
@@ -61,7 +63,7 @@
 	}
 }
 
-// totalTokens sums up the tokens of prefixes.
+// totalTokens returns the sum of the prefixes' tokens.
 func totalTokens(prefixes []residentPrefix) int {
 	sum := 0
 	for _, prefix := range prefixes {
@@ -70,7 +72,7 @@
 	return sum
 }
 
-// withoutBackends returns a copy that lacks some back ends.
+// withoutBackends returns a copy of prefixes without those in some back ends.
 func withoutBackends(prefixes []residentPrefix, backends ...machine.ID) []residentPrefix {
 	kept := make([]residentPrefix, 0, len(prefixes))
 	for _, prefix := range prefixes {
@@ -81,13 +83,13 @@
 	return kept
 }
 
-// resume notes that a program has a model call under way again.
+// resume records that a program has a model call under way again.
 func (t *tracker) resume(entry *trackedProgram) {
 	entry.paused = false
 	t.removePaused(entry)
 }
 
-// pause notes that a program has no model call under way.
+// pause records that a program has no model call under way.
 func (t *tracker) pause(now time.Time, programID api.ProgramID) {
 	entry := t.programs[programID]
 	if entry == nil {
@@ -101,7 +103,7 @@
 	}
 }
 
-// removePaused takes a program off the list of paused ones.
+// removePaused removes a program from the list of paused ones.
 func (t *tracker) removePaused(entry *trackedProgram) {
 	if entry.pause != nil {
 		t.paused.Remove(entry.pause)
@@ -109,8 +111,8 @@
 	}
 }
 
-// recordFinished notes that a model call ended at a back end that keeps so many
-// tokens of the program's prefix.
+// recordFinished records that a model call ended at a back end whose cache
+// holds the given number of tokens of the program's prefix.
 func (t *tracker) recordFinished(now time.Time, request *Request, backend machine.ID, tokens int) {
 	programID := request.Call.Program
 	entry := t.programs[programID]
@@ -131,14 +133,14 @@
 	t.pause(now, programID)
 }
 
-// recordEvicted notes that a back end no longer holds the program's prefix.
+// recordEvicted records that a back end no longer holds the program's prefix.
 func (t *tracker) recordEvicted(programID api.ProgramID, backend machine.ID) {
 	if entry := t.programs[programID]; entry != nil {
 		t.setPrefixes(entry, withoutBackends(entry.prefixes, backend))
 	}
 }
 
-// recordLost forgets every prefix of the back ends.
+// recordLost removes every prefix held by the back ends.
 func (t *tracker) recordLost(backends []machine.ID) {
 	if len(backends) == 0 {
 		return
@@ -148,15 +150,14 @@
 	}
 }
 
-// remove drops a program.
+// remove removes a program and its prefixes.
 func (t *tracker) remove(entry *trackedProgram) {
 	t.setPrefixes(entry, nil)
 	t.removePaused(entry)
 	delete(t.programs, entry.id)
 }
 
-// prefixes returns the engines that hold a prefix of the program, the
-// newest last.
+// prefixes returns the program's prefixes in engines, the newest last.
 func (t *tracker) prefixes(programID api.ProgramID) []residentPrefix {
 	if entry := t.programs[programID]; entry != nil {
 		return entry.prefixes
@@ -174,7 +175,8 @@
 	return 0
 }
 
-// largestPrefix returns the resident with the most tokens, the newest of equals.
+// largestPrefix returns the prefix with the most tokens, the newest of equally
+// large ones, and reports whether there is one.
 func largestPrefix(prefixes []residentPrefix) (residentPrefix, bool) {
 	var best residentPrefix
 	for _, prefix := range prefixes {
--- a/schedule/baseline.go
+++ b/schedule/baseline.go
@@ -11,16 +11,16 @@
 	"birchwood.example/birchwood/program"
 )
 
-// The names of the baselines that NewBaseline knows.
+// The names of the baselines, for NewBaseline.
 const (
 	BaselineRoundRobin  = "round-robin"
 	BaselineLeastLoaded = "least-loaded"
 	BaselineSticky      = "sticky"
 )
 
-// baseline is a first-come-first-served policy that sends each call at once
-// to one feasible back end, as a common load balancer does. It keeps the hard
-// rules of the real scheduler and leaves queueing to the back ends.
+// baseline is a first-come-first-served policy that sends each call at once to
+// one feasible back end, as a common load balancer does. It applies the same
+// feasibility rules as Scheduler and leaves queueing to the back ends.
 type baseline struct {
 	config   Config
 	view     *view
@@ -30,9 +30,9 @@
 	rotation int
 }
 
-// NewBaseline returns one of the policies that the scheduler is measured
-// against: round robin, least loaded (reported load and own calls since), or
-// sticky by a hash of the program.
+// NewBaseline returns one of the policies that Scheduler is compared with:
+// round robin, least loaded (by reported load and the node's own calls since
+// the report), or sticky by a hash of the program.
 func NewBaseline(name string, config Config) (Policy, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	return best
 }
 
-// sticky picks by rendezvous hash, so that a back end that joins or leaves
+// sticky chooses by rendezvous hashing, so that a back end that joins or leaves
 // moves only its own share of the programs.
 func (b *baseline) sticky(_ time.Time, request *Request, candidates []*backend) *backend {
 	var best *backend
--- a/schedule/config.go
+++ b/schedule/config.go
@@ -9,107 +9,116 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Config holds what a policy needs to know of its node and how it weighs its
-// choices. DefaultConfig gives every weight a value; Self, LinkDelay and
-// Random come from the node. docs/design/scheduling.md says what each weight
-// was measured to bring.
+// Config configures a policy: the node that it runs on, and the weights and
+// limits of its decisions. DefaultConfig sets all weights and limits; Self,
+// LinkDelay and Random come from the node. docs/design/scheduling.md gives the
+// measured effect of each weight.
 type Config struct {
-	// Self is the zone of the node that decides.
+	// Self is the zone of the node that the policy runs on.
 	Self zone.Name
 	// LinkDelay is the one-way delay from this node to a zone.
 	LinkDelay func(zone.Name) time.Duration
-	// Random samples candidates. The same seed and the same inputs give the
-	// same decisions.
+	// Random is the source of randomness for sampling candidates. The same
+	// seed and the same inputs give the same decisions.
 	Random *rand.Rand
-	// Commands reports whether this node gives orders to an engine. Exactly
-	// one live node should for each engine. Nil: this node orders none.
+	// ManagesEngine reports whether this node issues the load and unload orders
+	// of an engine. For each engine exactly one live node should. Nil means
+	// that this node manages no engine.
 	Commands func(machine.ID) bool
 
-	// Choices is how many cold candidates are ranked for one call. Few
-	// choices keep nodes that share late reports from agreeing on one engine.
+	// Choices is the number of cold candidates that are sampled and ranked for
+	// one call. A small number keeps nodes that read the same late load reports
+	// from all choosing the same engine.
 	Choices int
-	// EngineFill is the share of an engine's slots that may be taken before
-	// the engine counts as saturated and calls are held here instead.
+	// EngineFill is the share of an engine's slots in use from which the engine
+	// counts as saturated, so that further calls are held in the scheduler.
 	EngineFill float64
 	// MaximumHold bounds how long a call is held before it is refused.
 	MaximumHold time.Duration
-	// StaleLoad is the age from which a load report says nothing any more.
+	// StaleLoad is the age from which a load report is ignored.
 	StaleLoad time.Duration
-	// Rates are the priors of the engines' speed, until calls teach better.
+	// Rates are the prior rates of the engines. The learned factors that
+	// correct them start at one.
 	Rates Rates
-	// Cache weighs the prefix caches against speed.
+	// Cache limits the use of the prefix caches and weighs transfers.
 	Cache CacheConfig
-	// Order sets the order of the calls that are held.
+	// Order sets the order of held calls.
 	Order OrderConfig
-	// AdmissionShare is the share of its time limit that the predicted hold of
-	// a program's first call may take before it is refused at once.
+	// AdmissionShare bounds the predicted hold of a program's first call, as a
+	// share of the time left until its hold deadline. A call whose predicted
+	// hold exceeds it is refused at once.
 	AdmissionShare float64
-	// Models places models on replicas.
+	// Models configures the placement of models on engines.
 	Models ModelsConfig
 }
 
-// Rates describe how fast an engine works.
+// Rates are the processing times of an engine, per token.
 type Rates struct {
 	// PrefillPerToken is the time to compute one prompt token.
 	PrefillPerToken time.Duration
-	// DecodePerToken is the time of one output token in a batch of one.
+	// DecodePerToken is the time to decode one output token in a batch of one.
 	DecodePerToken time.Duration
-	// DecodePerPeer is what each further sequence of the batch adds to it.
+	// DecodePerPeer is the time that each further sequence of the batch adds to
+	// DecodePerToken.
 	DecodePerPeer time.Duration
-	// TransferPerToken is the time to import one token's KV cache.
+	// TransferPerToken is the time to import the KV cache of one token.
 	TransferPerToken time.Duration
 }
 
-// CacheConfig weighs the prefix caches.
+// CacheConfig configures the use of the prefix caches.
 type CacheConfig struct {
-	// MoveWeight multiplies the predicted transfer of a prefix.
+	// MoveWeight multiplies the predicted transfer time of a prefix in the
+	// score of a candidate.
 	MoveWeight float64
 	// MemoryFill is the share of an engine's cache that calls may fill. The
-	// rest is for prefixes that grow, and for calls that add no more than
-	// SmallShare of the cache; a call that does not fit is held.
+	// rest is reserved for prefixes that grow and for calls that add at most
+	// SmallShare of the cache. A call that does not fit is held.
 	MemoryFill float64
 	SmallShare float64
-	// FloodFill is the share of a cache that a tenant may fill while it
-	// floods.
+	// FloodFill is the share of an engine's cache that a flooding tenant may
+	// fill. It also multiplies EngineFill for the calls of such a tenant.
 	FloodFill float64
-	// ReuseFloor is the probability of a return below which the prefix of a
-	// paused program is dropped.
+	// ReuseFloor is the probability that a paused program calls a model again
+	// below which its prefixes are dropped.
 	ReuseFloor float64
 	// ReviewInterval is how often the prefixes of paused programs are
 	// reviewed.
 	ReviewInterval time.Duration
 }
 
-// OrderConfig sets the order of held calls of one tenant. Each term moves a
-// call's place by a time, as if it had been enqueued earlier or later; all
-// are bounded, so a call that waits long enough overtakes any other.
+// OrderConfig sets the order of one tenant's held calls. They are ordered by
+// the arrival of their programs, to which each term adds a time. All terms are
+// bounded, so a call that waits long enough overtakes any other.
 type OrderConfig struct {
-	// AttainedPerToken moves a call later by the service of its program.
+	// AttainedPerToken is the time added for each token of service that the
+	// program has attained.
 	AttainedPerToken time.Duration
-	// AttainedMaximum bounds that move.
+	// AttainedMaximum bounds the time added for attained service.
 	AttainedMaximum time.Duration
-	// DeadlineShare moves a call later by a share of the time between its
-	// program's arrival and its deadline: who has little time goes first.
+	// DeadlineShare is the share of the time between the program's arrival and
+	// the call's deadline that is added, so that calls with little time left go
+	// first.
 	DeadlineShare float64
 }
 
-// ModelsConfig places models on replicas.
+// ModelsConfig configures the placement of models on engines.
 type ModelsConfig struct {
-	// ReviewInterval is how often the demand of the models is compared.
+	// ReviewInterval is how often the demand for the models is compared.
 	ReviewInterval time.Duration
-	// OrderTimeout is how long an order may take to show in the machine list
-	// before the next one is given.
+	// OrderTimeout is how long to wait for an order to take effect in the
+	// machine list before the next one is issued.
 	OrderTimeout time.Duration
-	// Busy is the share in use, by slots or by cache, from which a model's
-	// engines are short; Margin is how much less busy the engine must be that
-	// is to load it too.
+	// Busy is the mean utilisation of a model's engines, by slots or by cache,
+	// from which the model needs another engine. Margin is how much lower the
+	// utilisation of the engine that loads it must be.
 	Busy   float64
 	Margin float64
-	// PerEngine is how many models an engine holds at once.
+	// PerEngine is the number of models that an engine keeps loaded at once.
 	PerEngine int
 }
 
-// DefaultConfig returns a Config that lacks only Self, LinkDelay and Random.
+// DefaultConfig returns a Config that is complete except for Self, LinkDelay
+// and Random.
 func DefaultConfig() Config {
 	return Config{
 		Choices:     2,
@@ -146,7 +155,7 @@
 	}
 }
 
-// validate returns every finding about the configuration, joined.
+// validate returns all findings about the configuration in one error.
 func (c Config) validate() error {
 	found := findings.Of("schedule config")
 	found.NoError("Self", c.Self.Validate())
--- a/schedule/doc.go
+++ b/schedule/doc.go
@@ -1,10 +1,10 @@
 // Package schedule decides which back end serves each call, which calls wait,
-// which are refused, and which prefixes and models stay in the engines.
+// which calls are refused, and which prefixes and models the engines keep.
 //
 // # Use
 //
-// A Policy is a pure state machine. Its driver passes in what happens (a call
-// to place, a load report, the end of an attempt) with the time, and reads
+// A Policy is a pure state machine. Its driver passes in events (a call to
+// place, a load report, the end of an attempt), each with its time, and reads
 // the decisions from Ready:
 //
 //	scheduler, err := schedule.New(config)
@@ -15,35 +15,40 @@
 //	}
 //	wakeAt(scheduler.NextWake())
 //
-// The same inputs and the same seed give the same decisions. Each decision
-// carries Terms that explain it.
+// The same inputs and the same seed give the same decisions. The Terms of a
+// decision explain it.
 //
 // # How a call is placed
 //
-// Three steps, each in its own file. Feasible (feasible.go) keeps the live
-// back ends in permitted zones that serve the model or tool and have not
-// failed this call before; no later step adds one. Rank (rank.go) predicts
-// the finish of the call at a candidate: link, queue, transfer of the prefix
-// or missing prefill, and decode, at the rates that finished calls taught
-// (predict.go). Select (select.go) samples a few candidates that are not
-// saturated and have room in their cache, draws one in a way that allows for
-// late reports (stale.go), and compares it with the engine that holds the
-// program's prefix (affinity.go).
+// Placement has three parts, each in its own file:
 //
-// # When nothing is free
+//   - feasible.go keeps the live back ends in permitted zones that serve the
+//     model or tool, have not failed this call before and are not excluded by
+//     its contract. No later step adds a back end.
+//   - rank.go predicts the completion time of the call at a candidate from
+//     link delay, queueing, transfer of the prefix or prefill of its missing
+//     part, and decode. The rates are learned from finished calls
+//     (predict.go).
+//   - select.go samples a few candidates that are not saturated and have room
+//     in their cache, draws one with probabilities that account for the age of
+//     the load reports (stale.go), and compares it with the engines that hold
+//     the program's prefix (affinity.go).
 //
-// Calls are held here and not in the engines, so that the order can still
-// change. Tenants share each pool of back ends by fair queueing; within a
-// tenant the program with the least attained service goes first, with aging
-// and the deadline (queue.go). What a flood may hold is limited
-// (isolation.go). A program that has not received any
-// service yet is refused early when its hold would be long, with a retry time
-// that accounts for the backlog (admission.go).
+// # When no back end is free
 //
-// # What happens beside calls
+// Calls are held here rather than in the engines' queues, so that their order
+// can still change. Tenants share each pool of back ends by fair queueing;
+// within a tenant the program with the least attained service goes first,
+// adjusted by aging and the deadline (queue.go). The slots and cache that a
+// flooding tenant may use are limited (isolation.go). A program that has not
+// received any service yet is refused early if its predicted hold is too long,
+// with a retry time that accounts for the backlog (admission.go).
+//
+// # Prefixes and models
 //
 // Prefixes of paused programs are dropped or exported (retention.go), and
-// models move between replicas as demand moves (models.go).
+// models are loaded and unloaded as demand shifts between them (models.go).
 //
-// docs/design/scheduling.md tells what was weighed and measured.
+// The alternatives considered and the measurements are in
+// docs/design/scheduling.md.
 package schedule
--- a/schedule/feasible.go
+++ b/schedule/feasible.go
@@ -9,14 +9,14 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// zoneSeparator joins the zone names of a zone.Placement.
+// zoneSeparator separates the zone names of a zone.Placement.
 const zoneSeparator = "_"
 
-// feasible reports whether a back end may serve the request: live, in a
-// permitted zone, with the model loaded or the tool answered, and not one
-// that failed the call before or that its contract takes out of use. Every candidate of every policy passes here,
-// and nothing later in a decision adds one, so these rules hold whatever the
-// ranking prefers.
+// feasible reports whether a back end may serve the request: it is live and in
+// a permitted zone, has the model loaded or serves the tool, has not failed
+// this call before and is not excluded by the contract. Every candidate of
+// every policy is checked here and no later step of a decision adds one, so
+// these rules hold whatever the ranking prefers.
 func feasible(request *Request, candidate *backend) bool {
 	entry := &candidate.machine
 	if entry.Status != machine.StatusLive || !request.Placement.Contains(entry.Zone) {
@@ -31,8 +31,9 @@
 	return slices.Contains(entry.Models, request.Model)
 }
 
-// servingPools appends the pools that may hold feasible back ends of the request,
-// one for each permitted zone, and returns how many back ends they have.
+// servingPools appends the pools that may contain feasible back ends for the
+// request, at most one for each permitted zone, and returns their total number
+// of back ends.
 func (v *view) servingPools(request *Request, pools [][]*backend) (found [][]*backend, count int) {
 	key := poolKey{kind: request.Kind, name: request.Model}
 	if request.Kind == api.CallTool {
@@ -51,7 +52,8 @@
 	return pools, count
 }
 
-// backendAt returns the back end at a position of the concatenated pools.
+// backendAt returns the back end at a position in the concatenated pools, or
+// nil if there is none.
 func backendAt(pools [][]*backend, position int) *backend {
 	for _, pool := range pools {
 		if position < len(pool) {
@@ -62,7 +64,7 @@
 	return nil
 }
 
-// feasible appends every feasible back end of the request.
+// feasible appends every back end that is feasible for the request.
 func (v *view) feasible(request *Request, candidates []*backend) []*backend {
 	v.scratch, _ = v.servingPools(request, v.scratch[:0])
 	for _, pool := range v.scratch {
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -9,46 +9,48 @@
 	"birchwood.example/birchwood/api"
 )
 
-// One tenant's flood must not slow down the others. Fair queueing alone does
-// not see to that: it orders the calls that wait, but what a tenant already
-// holds, in cache and in running batches, stays taken. So a tenant that floods
-// (it holds more than its share, and has a backlog of programs that wait to
-// start) starts no program in one shard of the engines, and leaves a reserve
-// of the cache elsewhere. Meanwhile a tenant that holds less than its share
-// may fill the caches whole; what that evicts is, least recently used first,
-// mostly the flood's.
-
-// tenantUsage is what a tenant's programs hold, as far as this node knows.
+// A tenant that floods the system must not slow down the others. Fair queueing
+// alone does not ensure that: it orders the waiting calls, but does not free
+// the cache and batch slots that a tenant already uses. A tenant is flooding if
+// it uses more than its fair share and has a backlog of unstarted programs. It
+// then starts no program in one shard of the engines and leaves part of the
+// slots and the cache of the other engines free. Meanwhile tenants that are not
+// flooding may fill the caches completely: engines evict the least recently
+// used prefixes, which are mostly those of the flooding tenant.
+
+// tenantUsage is the resource usage of a tenant's programs, as far as this node
+// knows.
 type tenantUsage struct {
 	tenant string
-	// cachedTokens is the cache that its prefixes take.
+	// cachedTokens is the number of tokens in its prefixes.
 	cachedTokens int
-	// runningCalls counts its model calls in engines.
+	// runningCalls is the number of its model calls in engines.
 	runningCalls int
-	// unstartedPrograms counts its programs that wait to start.
+	// unstartedPrograms is the number of its programs that wait to start.
 	unstartedPrograms int
-	// lastCall is when it last made a call.
+	// lastCall is when its last call was enqueued.
 	lastCall time.Time
-	// reservedShard is the shard that it leaves to others while it floods.
+	// reservedShard is the shard in which it starts no programs while it is
+	// flooding.
 	reservedShard int
 }
 
-// tenants keeps the sums over the tenants that were seen lately.
+// tenants holds the usage of the recently active tenants, and its sums.
 type tenants struct {
 	byName       map[string]*tenantUsage
 	cachedTokens int
 	runningCalls int
-	// backlogged are the tenants that have a backlog, in the order in which
-	// they got it; heaviest is the largest part of the shares that one holds.
+	// backlogged lists the tenants that have a backlog, in the order in which
+	// they reached it. largestShare is the largest dominant share among them.
 	backlogged   []*tenantUsage
 	largestShare float64
 }
 
-// backlogThreshold is how many programs of a tenant wait to start on one node when the
+// backlogThreshold is the number of unstarted programs on one node from which a
 // tenant has a backlog.
 const backlogThreshold = 8
 
-// usage returns a request's tenant.
+// usage returns the usage of a request's tenant.
 func (t *tenants) usage(request *Request) *tenantUsage {
 	known := t.byName[request.Tenant]
 	if known == nil {
@@ -61,8 +63,8 @@
 	return known
 }
 
-// removeIdle drops the tenants that hold nothing and were not seen lately: they
-// have no share any more.
+// removeIdle removes the tenants that use nothing and have made no call within
+// tenantIdleTimeout. They no longer count when fair shares are computed.
 func (t *tenants) removeIdle(now time.Time) {
 	for name, usage := range t.byName {
 		if usage.cachedTokens == 0 && usage.runningCalls == 0 && usage.unstartedPrograms == 0 && now.Sub(usage.lastCall) > tenantIdleTimeout {
@@ -71,16 +73,17 @@
 	}
 }
 
-// tenantIdleTimeout is how long a tenant has a share after its last call.
+// tenantIdleTimeout is how long a tenant that uses nothing counts as active
+// after its last call.
 const tenantIdleTimeout = 10 * time.Minute
 
-// addCachedTokens adjusts the cache that a tenant's prefixes take.
+// addCachedTokens adjusts the number of tokens in a tenant's prefixes.
 func (t *tenants) addCachedTokens(usage *tenantUsage, cachedTokens int) {
 	usage.cachedTokens += cachedTokens
 	t.cachedTokens += cachedTokens
 }
 
-// addRunningCalls adjusts the number of a tenant's calls in engines.
+// addRunningCalls adjusts the number of a tenant's model calls in engines.
 func (t *tenants) addRunningCalls(usage *tenantUsage, calls int) {
 	usage.runningCalls += calls
 	t.runningCalls += calls
@@ -98,15 +101,17 @@
 	}
 }
 
-// dominantShare is how many fair shares a tenant holds, of what it uses most of: cache
-// or running calls (dominant resource fairness).
+// dominantShare returns the tenant's share of the cache or of the running calls,
+// whichever is larger, in multiples of the fair share (dominant resource
+// fairness).
 func (t *tenants) dominantShare(usage *tenantUsage) float64 {
 	cache := float64(usage.cachedTokens) / float64(max(t.cachedTokens, 1))
 	calls := float64(usage.runningCalls) / float64(max(t.runningCalls, 1))
 	return max(cache, calls) * float64(len(t.byName))
 }
 
-// updateLargestShare finds the heaviest of the tenants that have a backlog.
+// updateLargestShare recomputes the largest dominant share of the tenants that
+// have a backlog.
 func (t *tenants) updateLargestShare() {
 	t.largestShare = 0
 	for _, usage := range t.backlogged {
@@ -114,9 +119,10 @@
 	}
 }
 
-// isFlooding reports whether a tenant has a backlog though it holds more than its
-// share, and not much less than the heaviest such tenant: those that wait
-// because of a flood do not count as floods.
+// isFlooding reports whether a tenant has a backlog and uses more than its fair
+// share. Its share must also be at least floodingShareRatio of the largest such
+// share, so that tenants that wait because of another one's flood do not count
+// as flooding themselves.
 func (t *tenants) isFlooding(usage *tenantUsage) bool {
 	if usage.unstartedPrograms < backlogThreshold {
 		return false
@@ -125,13 +131,13 @@
 	return dominantShare > 1 && dominantShare >= floodingShareRatio*t.largestShare
 }
 
-// floodingShareRatio is the part of the heaviest tenant's from which another floods
-// as well.
+// floodingShareRatio is the fraction of the largest dominant share from which
+// another backlogged tenant counts as flooding too.
 const floodingShareRatio = 0.5
 
-// fitsCache reports whether an engine has room for what a call adds to its cache.
-// A call that continues a prefix there always fits: it brings little, and
-// waiting would waste the prefix.
+// fitsCache reports whether an engine's cache has room for what a call adds to
+// it. A call always fits if at least half of its prompt is cached there: it
+// adds little, and waiting would waste the prefix.
 func (s *Scheduler) fitsCache(now time.Time, call *heldCall, candidate *backend) bool {
 	request := &call.request
 	capacity := candidate.machine.CacheTokens
@@ -154,9 +160,9 @@
 	return used == 0 || float64(used+added) <= limit
 }
 
-// cacheFillLimit is the share of a cache that a call may fill: as a rule all but the
-// reserve for prefixes that grow. A small call, or one that comes during
-// another tenant's flood, may fill it whole.
+// cacheFillLimit returns the share of a cache that a call may fill. Normally
+// that leaves the reserve for prefixes that grow. A small call, or any call
+// while another tenant is flooding, may fill the cache completely.
 func (s *Scheduler) cacheFillLimit(flooding, small bool) float64 {
 	switch {
 	case flooding:
--- a/schedule/load.go
+++ b/schedule/load.go
@@ -6,16 +6,16 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Load is a back end's state as it reported it.
+// Load is a load report of a back end.
 type Load struct {
 	Backend machine.ID `json:"backend"`
-	// At is when the back end measured it, by the reader's clock.
+	// At is when the back end measured the load, by the reader's clock.
 	At time.Time `json:"at"`
 	// Running and Queued count sequences.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// QueuedTokens is the prefill work that waits, in tokens.
+	// QueuedTokens is the number of prompt tokens that wait for prefill.
 	QueuedTokens int `json:"queued_tokens"`
-	// CachedTokens is how much of the prefix cache is in use.
+	// CachedTokens is the used part of the prefix cache, in tokens.
 	CachedTokens int `json:"cached_tokens"`
 }
--- a/schedule/models.go
+++ b/schedule/models.go
@@ -11,33 +11,37 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Models move between replicas as demand moves. Each review compares how busy
-// the engines of each model are. When the busiest model's are busy, and an
-// engine without that model is clearly less so, that engine is ordered to
-// load it, and to unload its least busy model first when it has no room.
+// Models are loaded and unloaded as demand shifts between them. Each review
+// compares the utilisation of each model's engines. If it is high for the most
+// utilised model, and an engine without that model is utilised clearly less,
+// that engine is ordered to load the model. If the engine has no room, it is
+// first ordered to unload the model with the most spare engines.
 //
-// One order at a time, and none until the last one shows in the machine list,
-// keeps the weight store from being flooded and the decision from chasing its
-// own effect. Every node sees the same reports and, by a hash, names the same
-// engine; only the node that commands it gives the order.
+// Only one order is issued at a time, and no further one until the last has
+// taken effect in the machine list. This avoids overloading the weight store,
+// and oscillation caused by acting on demand that the last order has not
+// changed yet. All nodes read the same reports and choose the same engine by a
+// hash; only the node that manages that engine issues the order.
 
-// modelDemand is the demand of one model.
+// modelDemand is the demand for one model.
 type modelDemand struct {
 	model   string
 	engines []*backend
-	// meanUtilisation is the mean of its engines' busy shares, and the calls that this
-	// node holds for it over its slots.
+	// meanUtilisation is the mean utilisation of the model's engines. Each
+	// typicalPeers calls that this node holds for the model count as one fully
+	// used engine.
 	meanUtilisation float64
 }
 
-// modelOrder is an order that does not show in the machine list yet.
+// modelOrder is the last load order that this node issued.
 type modelOrder struct {
 	engine   machine.ID
 	model    string
 	issuedAt time.Time
 }
 
-// reviewModels orders at most one move.
+// reviewModels issues at most one load order, with an unload order before it if
+// the engine has no room.
 func (s *Scheduler) reviewModels(now time.Time) {
 	if s.config.Commands == nil || now.Before(s.nextModelReview) {
 		return
@@ -62,7 +66,8 @@
 	s.orderModel(ActionLoad, engine, overloaded.model, overloaded)
 }
 
-// orderPending reports whether the last order is still under way.
+// orderPending reports whether the last load order has neither taken effect nor
+// timed out.
 func (s *Scheduler) orderPending(now time.Time) bool {
 	last := s.lastModelOrder
 	if last.model == "" || !now.Before(last.issuedAt.Add(s.config.Models.OrderTimeout)) {
@@ -81,8 +86,8 @@
 	})
 }
 
-// modelDemands sums up the demand of every model that is loaded or waited for,
-// sorted by name.
+// modelDemands returns the demand for every model that an engine has loaded or
+// held calls need, sorted by name.
 func (s *Scheduler) modelDemands(now time.Time) []*modelDemand {
 	byModel := map[string]*modelDemand{}
 	demandOf := func(model string) *modelDemand {
@@ -115,14 +120,15 @@
 	return demands
 }
 
-// utilisation is the part of an engine that is in use, by slots or by cache.
+// utilisation returns the share of an engine's slots or of its cache that is in
+// use, whichever is larger.
 func (s *Scheduler) utilisation(now time.Time, engine *backend) float64 {
 	bySlots := float64(engine.outstanding(now, s.config.StaleLoad)) / float64(max(engine.machine.Slots, 1))
 	byCache := float64(engine.cachedTokens(now, s.config.StaleLoad)) / float64(max(engine.machine.CacheTokens, 1))
 	return max(bySlots, byCache)
 }
 
-// mostUtilised returns the model whose engines are busiest.
+// mostUtilised returns the demand with the highest mean utilisation.
 func mostUtilised(demands []*modelDemand) *modelDemand {
 	var best *modelDemand
 	for _, demand := range demands {
@@ -133,8 +139,7 @@
 	return best
 }
 
-// modelToUnload returns the model of the engine that can best go without it: of
-// those with other engines, the least busy.
+// modelToUnload returns the engine's model with the most spare engines.
 func modelToUnload(demands []*modelDemand, engine *backend) string {
 	var best *modelDemand
 	for _, demand := range demands {
@@ -148,14 +153,16 @@
 	return best.model
 }
 
-// spareEngines is how much of the model's engines is unused.
+// spareEngines returns the unused capacity that the model's engines have if one
+// of them unloads it, in engines.
 func (u *modelDemand) spareEngines() float64 {
 	return (1 - u.meanUtilisation) * float64(len(u.engines)-1)
 }
 
-// loadTarget returns the engine that is to load the model: of those that are
-// clearly less busy than the model's own, the first by a hash that every node
-// computes alike.
+// loadTarget returns the engine that should load the overloaded model, or nil.
+// Among the engines whose utilisation is lower by at least the configured
+// margin, it is the one with the highest hash, so that all nodes choose the
+// same one.
 func (s *Scheduler) loadTarget(now time.Time, overloaded *modelDemand) *backend {
 	var best *backend
 	var highest uint64
--- a/schedule/predict.go
+++ b/schedule/predict.go
@@ -6,21 +6,22 @@
 	"birchwood.example/birchwood/api"
 )
 
-// predictor learns how fast each model's engines work and how long answers
-// are. It starts from the configured rates.
+// predictor learns the speed of each model's engines and the length of answers.
+// It starts from the configured rates.
 type predictor struct {
 	rates Rates
 	// models holds the learned speed of each model.
 	models map[string]*speedModel
-	// outputs holds the mean output of each tenant's calls of a model.
+	// outputs holds the mean answer length, in tokens, by tenant and model.
 	outputs map[outputKey]*movingAverage
-	// serviceTimes holds the mean time in a back end of each model's calls.
+	// serviceTimes holds the mean time of a call in a back end, in seconds, by
+	// model or tool.
 	serviceTimes map[string]*movingAverage
 }
 
 type outputKey struct{ tenant, model string }
 
-// The three parts of a call's time in an engine.
+// The components of a call's time in an engine.
 const (
 	componentPrefill = iota
 	componentDecode
@@ -28,31 +29,37 @@
 	componentCount
 )
 
-// speedModel corrects the rates' three parts by factors, learned by recursive
-// least squares. Factors start at one.
+// speedModel predicts the time of a call as the sum of its components at the
+// configured rates, each multiplied by a factor. The factors start at one and
+// are learned by recursive least squares.
 type speedModel struct {
 	factors    [componentCount]float64
 	covariance [componentCount][componentCount]float64
 }
 
-// What the learning assumes.
+// Parameters of the learning.
 const (
-	// priorVariance says how sure the rates are: off by half or so.
+	// priorVariance is the variance of the factors before the first call. It
+	// corresponds to a standard deviation of 0.5.
 	priorVariance = 0.25
-	// relativeNoise is the spread of a call's time around its prediction.
+	// relativeNoise is the standard deviation of a call's time around its
+	// prediction, as a share of that time.
 	relativeNoise = 0.3
-	// forgettingFactor lets old calls count less and less.
+	// forgettingFactor is the factor by which the weight of all earlier calls
+	// shrinks with each new call.
 	forgettingFactor = 0.999
-	// minFactor and largestFactor bound what calls can teach.
+	// minFactor and maxFactor bound the learned factors.
 	minFactor = 0.1
 	maxFactor = 10
-	// minSampleWeight is the weight of one more value in a moving average.
+	// minSampleWeight is the minimum weight of a new value in a moving average.
 	minSampleWeight = 0.05
-	// priorOutputShare is the prior share of the cap that an answer uses.
+	// priorOutputShare is the expected length of an answer as a share of its
+	// cap, while no answer has been observed.
 	priorOutputShare = 0.4
 )
 
-// movingAverage is an exponentially weighted mean. Its first values count in full.
+// movingAverage is an exponentially weighted mean. While it has few values, it
+// is their arithmetic mean.
 type movingAverage struct {
 	value float64
 	count float64
@@ -73,7 +80,8 @@
 	}
 }
 
-// components returns the call's times at the configured rates.
+// components returns the components of a call's time at the configured rates,
+// in seconds.
 func (p *predictor) components(missing int, output float64, peers int) [componentCount]float64 {
 	return [componentCount]float64{
 		componentPrefill: float64(missing) * p.rates.PrefillPerToken.Seconds(),
@@ -82,7 +90,8 @@
 	}
 }
 
-// speedModel returns a model's learned speed.
+// speedModel returns the speed model of a language model, and creates it if
+// needed.
 func (p *predictor) speedModel(model string) *speedModel {
 	known := p.models[model]
 	if known == nil {
@@ -96,12 +105,13 @@
 	return known
 }
 
-// prefill predicts the time to compute tokens of a prompt.
+// prefill predicts the time to prefill a number of tokens.
 func (p *predictor) prefill(learned *speedModel, tokens int) time.Duration {
 	return time.Duration(float64(tokens) * float64(p.rates.PrefillPerToken) * learned.factors[componentPrefill])
 }
 
-// decode predicts the time of an answer beside peers other sequences.
+// decode predicts the time to decode an answer with peers other sequences in
+// the batch.
 func (p *predictor) decode(learned *speedModel, output float64, peers int) time.Duration {
 	components := p.components(0, output, peers)
 	return seconds(components[componentDecode]*learned.factors[componentDecode] + components[componentPeers]*learned.factors[componentPeers])
@@ -116,7 +126,8 @@
 	return min(known.value, float64(request.OutputCap))
 }
 
-// timePerPeer predicts how much longer a call takes for each other sequence.
+// timePerPeer predicts how much longer a call takes for each other sequence in
+// the batch.
 func (p *predictor) timePerPeer(request *Request) time.Duration {
 	if request.Kind == api.CallTool {
 		return p.meanServiceTime(request.Tool)
@@ -135,10 +146,12 @@
 	return p.prefill(learned, request.PromptTokens/2) + p.decode(learned, p.expectedOutput(request), typicalPeers)
 }
 
-// typicalPeers is the batch that a held call is expected to join.
+// typicalPeers is the expected number of other sequences in the batch that a
+// held call joins.
 const typicalPeers = 8
 
-// defaultServiceTime is the time of a call that nothing is known of.
+// defaultServiceTime is the mean service time of a model or tool while no call
+// of it has been observed.
 const defaultServiceTime = time.Second
 
 func (p *predictor) meanServiceTime(name string) time.Duration {
@@ -148,7 +161,8 @@
 	return defaultServiceTime
 }
 
-// learn takes the time that a finished call was away, without its link.
+// learn updates the predictions with a finished call. elapsed is the time from
+// placement to the end, without link delays.
 func (p *predictor) learn(sent placedCall, usage api.Usage, elapsed time.Duration) {
 	request := &sent.request
 	if request.Kind == api.CallTool {
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -11,19 +11,21 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// queue holds the calls that wait for a back end. Two rules order them:
-// tenants share each pool of back ends by start-time fair queueing, weighted
-// by their urgency, and within a tenant the program with the least attained
-// service goes first, with aging and the deadline.
+// queue contains the held calls. Tenants share each pool of back ends by
+// start-time fair queueing, weighted by priority. Within a tenant the program
+// with the least attained service goes first, adjusted by aging and the
+// deadline.
 type queue struct {
 	calls map[program.CallRef]*heldCall
-	// expiry orders every held call by when it is refused.
+	// expiry orders all held calls by their hold deadline.
 	expiry callHeap
 	pools  []*pool
 	byName map[poolName]*pool
-	// rotation rotates which pool is served first.
+	// rotation is incremented by each run of Ready, to rotate which pool is
+	// served first.
 	rotation int
-	// order numbers the calls, to break ties by arrival.
+	// order is the number of calls enqueued so far. Each call gets its value as
+	// a sequence number, which breaks ties in the heaps.
 	order uint64
 }
 
@@ -32,16 +34,16 @@
 	name string
 }
 
-// pool is the calls that need the same model or tool.
+// pool contains the held calls that need the same model or tool.
 type pool struct {
 	poolName
-	// virtualTime is the virtual time of fair queueing: the start tag of the call
-	// that was sent last.
+	// virtualTime is the virtual time of start-time fair queueing: the largest
+	// start tag of the calls placed so far.
 	virtualTime float64
 	flows       map[string]*share
 	subqueues   map[subqueueKey]*subqueue
-	// active are the lines that hold calls, in the order in which they began
-	// to; empty ones are taken out by the next search.
+	// active lists the subqueues that contain calls, in the order in which they
+	// became non-empty. resetRound removes empty ones.
 	active []*subqueue
 }
 
@@ -51,49 +53,52 @@
 	unstarted bool
 }
 
-// share is one tenant's part of a pool.
+// share is the fair-queueing state of one tenant in a pool.
 type share struct {
 	tenant string
 	weight float64
-	// virtualTime is the tenant's service so far over its weight, in seconds. It
-	// never lags behind the pool's while the tenant has nothing held: unused
-	// shares are not saved up.
+	// virtualTime is the tenant's expected service so far divided by its
+	// weight, in seconds. When a tenant without held calls enqueues one, it is
+	// raised to at least the pool's virtual time, so that idle tenants do not
+	// accumulate credit.
 	virtualTime float64
 	heldCalls   int
-	// starts is the pace of the tenant's programs that wait to start.
+	// starts estimates how often the tenant's waiting programs start.
 	starts startEstimator
-	// usage is what the tenant holds, in all pools.
+	// usage is the tenant's resource usage, over all pools.
 	usage *tenantUsage
-	// lastRetryAt is the last retry time that a refusal promised.
+	// lastRetryAt is the retry time given in the tenant's last refusal.
 	lastRetryAt time.Time
 }
 
-// subqueue is one tenant's held calls of one placement. Calls of programs that
-// have not started stand in a line of their own: they all need new room, so
-// that the first one speaks for those behind it.
+// subqueue contains one tenant's held calls with the same placement. Calls of
+// unstarted programs have a subqueue of their own: all of them need new cache
+// space, so if the first one cannot be placed the others are not tried.
 type subqueue struct {
 	subqueueKey
 	share *share
 	calls callHeap
-	// capacity is the slots of the back ends that the placement permits, as
-	// of a revision of the view.
+	// capacity is the number of slots of the feasible back ends, computed at
+	// this revision of the view.
 	capacity int
 	revision uint64
 	blocked  bool
 	active   bool
 }
 
-// heldCall is one call that waits.
+// heldCall is a call in the queue.
 type heldCall struct {
 	request  Request
 	pool     *pool
 	subqueue *subqueue
-	// effectiveArrival orders the calls of a line, the earliest first.
+	// effectiveArrival orders the calls of a subqueue, the earliest first.
 	effectiveArrival time.Time
 	order            uint64
-	// expires is when the call is refused at the latest.
+	// expires is the hold deadline, after which the call is refused.
 	expires time.Time
-	// expectedService is the predicted service.
+	// expectedService is the predicted time in a back end. subqueueIndex and
+	// expiryIndex are the call's positions in the two heaps; -1 if it is not in
+	// the heap.
 	expectedService time.Duration
 	subqueueIndex   int
 	expiryIndex     int
@@ -107,7 +112,8 @@
 	}
 }
 
-// poolFor returns the pool that serves a request.
+// poolFor returns the pool of the request's model or tool, and creates it if
+// needed.
 func (q *queue) poolFor(request *Request) *pool {
 	name := poolName{request.Kind, request.Model}
 	if request.Kind == api.CallTool {
@@ -122,7 +128,7 @@
 	return known
 }
 
-// subqueueFor returns the line of a request's tenant and placement.
+// subqueueFor returns the subqueue for a request, and creates it if needed.
 func (p *pool) subqueueFor(request *Request, usage *tenantUsage) *subqueue {
 	key := subqueueKey{request.Tenant, request.Placement, isUnstarted(request)}
 	if known := p.subqueues[key]; known != nil {
@@ -143,7 +149,7 @@
 	return added
 }
 
-// push holds a call.
+// push adds a call to the queue.
 func (q *queue) push(now time.Time, call *heldCall) {
 	q.order++
 	call.order = q.order
@@ -164,7 +170,7 @@
 	}
 }
 
-// remove takes a call out, wherever it stands, because it is sent or not.
+// remove removes a call from the queue; sent reports whether it was placed.
 func (q *queue) remove(now time.Time, call *heldCall, sent bool) {
 	delete(q.calls, call.request.Call)
 	tenantShare := call.subqueue.share
@@ -178,14 +184,16 @@
 	heap.Remove(&q.expiry, call.expiryIndex)
 }
 
-// skip takes the head off the line, for a moment.
+// skip removes the head of the subqueue for the rest of the round, until
+// restore adds it again.
 func (l *subqueue) skip(call *heldCall) { heap.Remove(&l.calls, call.subqueueIndex) }
 
-// restore undoes setAside.
+// restore adds a call that skip removed.
 func (l *subqueue) restore(call *heldCall) { heap.Push(&l.calls, call) }
 
-// blockSaturated marks the lines that found every back end saturated: those of the
-// placement, or only the tenant's, if others may use more slots than it.
+// blockSaturated blocks the subqueues with the placement for which every
+// feasible back end is saturated. If onlyTenant is set, the tenant may use fewer
+// slots than the others and only its own subqueues are blocked.
 func (p *pool) blockSaturated(full *subqueue, onlyTenant bool) {
 	for _, each := range p.active {
 		if each.placement == full.placement && (!onlyTenant || each.share == full.share) {
@@ -194,7 +202,7 @@
 	}
 }
 
-// heldCount counts the calls that the pool holds.
+// heldCount returns the number of calls in the pool.
 func (p *pool) heldCount() int {
 	total := 0
 	for _, each := range p.active {
@@ -203,15 +211,15 @@
 	return total
 }
 
-// charge charges a tenant for a call that was sent.
+// charge adds the cost of a placed call to its tenant's virtual time.
 func (p *pool) charge(call *heldCall) {
 	tenantShare := call.subqueue.share
 	p.virtualTime = max(p.virtualTime, tenantShare.virtualTime)
 	tenantShare.virtualTime += call.expectedService.Seconds() / tenantShare.weight
 }
 
-// resetRound takes the empty lines off the active ones, and clears the marks of the
-// last round.
+// resetRound removes the empty subqueues from the active ones, and unblocks the
+// others.
 func (p *pool) resetRound() {
 	p.active = slices.DeleteFunc(p.active, func(l *subqueue) bool {
 		l.blocked = false
@@ -220,8 +228,8 @@
 	})
 }
 
-// next returns the line whose head is to be tried: of the tenants with the
-// least weighted service, the one whose head is placed earliest.
+// next returns the subqueue whose head should be tried next, or nil. Among the
+// unblocked ones it has the lowest virtual time, then the earliest head.
 func (p *pool) next() *subqueue {
 	var best *subqueue
 	for _, candidate := range p.active {
@@ -242,9 +250,10 @@
 	return arrivesEarlier(l.calls.items[0], other.calls.items[0])
 }
 
-// effectiveArrivalOf is a call's place among its tenant's: the arrival of its
-// program, later by the attained service, and later by a part of the time that
-// its caller has. Both are bounded, so that no call is overtaken forever.
+// effectiveArrivalOf returns the time by which a call is ordered among those of
+// its tenant: the arrival of its program, plus a time for the attained service,
+// plus a share of the time until the deadline. Both are bounded, so that no
+// call starves.
 func effectiveArrivalOf(request *Request, order OrderConfig) time.Time {
 	attained := time.Duration(request.Attained) * order.AttainedPerToken
 	arrival := request.Arrived.Add(min(attained, order.AttainedMaximum))
@@ -255,7 +264,8 @@
 	return arrival.Add(time.Duration(order.DeadlineShare * float64(timeLimit)))
 }
 
-// callsAhead counts the calls of the line that are placed before a call.
+// callsAhead returns the number of calls in the subqueue that are ordered before
+// a call.
 func (l *subqueue) callsAhead(call *heldCall) int {
 	count := 0
 	for _, other := range l.calls.items {
@@ -266,7 +276,8 @@
 	return count
 }
 
-// callHeap is a heap of held calls that knows each call's position.
+// callHeap is a heap of held calls that stores in each call its position, so
+// that calls can be removed from the middle.
 type callHeap struct {
 	items []*heldCall
 	less  func(a, b *heldCall) bool
--- a/schedule/rank.go
+++ b/schedule/rank.go
@@ -7,7 +7,8 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// prediction is the predicted finish of a call at one back end.
+// prediction is the predicted completion time of a call at one back end, as
+// the sum of its terms.
 type prediction struct {
 	backend  *backend
 	link     time.Duration
@@ -15,26 +16,28 @@
 	transfer time.Duration
 	prefill  time.Duration
 	decode   time.Duration
-	// promptTokens is the whole prompt, missing the part to compute, in tokens.
+	// promptTokens is the length of the whole prompt; missingTokens is the part
+	// of it that needs prefill.
 	promptTokens  int
 	missingTokens int
-	// cachedTokens is what the call adds to the cache, in tokens.
+	// cachedTokens is the number of tokens that the call adds to the cache.
 	cachedTokens int
-	// peers is how many other sequences are expected there.
+	// peers is the expected number of concurrent sequences at the back end.
 	peers int
-	// source holds the prefix to import first; empty for none.
+	// source is the engine to import the prefix from; empty for no import.
 	source machine.ID
-	// score orders the candidates, lower first: the predicted finish, and
-	// what the choice costs other calls.
+	// score orders the candidates, lower first. It is the predicted completion
+	// time plus the cost of the placement to other calls.
 	score time.Duration
 }
 
-// completionTime is when the answer would be complete, from now.
+// completionTime returns the predicted time from now until the answer is
+// complete.
 func (p *prediction) completionTime() time.Duration {
 	return p.link + p.queue + p.transfer + p.prefill + p.decode
 }
 
-// terms explains the prediction.
+// terms returns the Terms that explain the prediction.
 func (p *prediction) terms(feasible int, reason string) Terms {
 	return Terms{
 		Feasible:      feasible,
@@ -48,7 +51,7 @@
 	}
 }
 
-// rank predicts the finish of a request at a candidate.
+// rank predicts the completion time of a request at a candidate.
 func (s *Scheduler) rank(now time.Time, request *Request, candidate *backend) prediction {
 	if request.Kind == api.CallTool {
 		return s.rankTool(now, request, candidate)
@@ -56,8 +59,8 @@
 	return s.rankModel(now, request, candidate)
 }
 
-// rankTool prefers the least outstanding back end, then the nearest. Each
-// outstanding call counts as one mean service time.
+// rankTool prefers the back end with the fewest outstanding calls, then the
+// nearest one. Each outstanding call counts as one mean service time.
 func (s *Scheduler) rankTool(now time.Time, request *Request, candidate *backend) prediction {
 	outstanding := candidate.outstanding(now, s.config.StaleLoad)
 	predicted := prediction{backend: candidate, peers: outstanding}
@@ -67,8 +70,8 @@
 	return predicted
 }
 
-// rankModel weighs the queue, the missing prefill or the transfer of the
-// prefix, and a decode that slows with the batch.
+// rankModel adds up link delay, queueing, prefill of the missing part or
+// transfer of the prefix, and a decode time that grows with the batch.
 func (s *Scheduler) rankModel(now time.Time, request *Request, candidate *backend) prediction {
 	learned := s.predict.speedModel(request.Model)
 	predicted := prediction{
@@ -90,8 +93,8 @@
 	return predicted
 }
 
-// considerImport transfers the prefix from another engine when that is
-// faster than computing it again.
+// considerImport changes the prediction to an import of the prefix from another
+// engine if that is faster than computing the missing part.
 func (s *Scheduler) considerImport(request *Request, predicted *prediction, prefixes []residentPrefix, heldTokens int) {
 	best, ok := largestPrefix(prefixes)
 	if !ok || best.backend == predicted.backend.machine.ID {
@@ -117,8 +120,8 @@
 	predicted.prefill = s.predict.prefill(learned, predicted.missingTokens)
 }
 
-// transferPenalty is what a transfer costs beyond its time: the prefix is taken
-// out of the engine that holds it, and takes room in another.
+// transferPenalty returns the cost of a transfer beyond its duration: the
+// prefix leaves the engine that holds it and takes cache space in another.
 func (s *Scheduler) transferPenalty(predicted *prediction) time.Duration {
 	return time.Duration((s.config.Cache.MoveWeight - 1) * float64(predicted.transfer))
 }
--- a/schedule/request.go
+++ b/schedule/request.go
@@ -9,35 +9,38 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Request is a call that waits for a back end.
+// Request is a call to be placed on a back end.
 type Request struct {
 	Call  program.CallRef
 	Kind  api.CallKind
 	Model string // for model calls
 	Tool  string // for tool calls
-	// Tenant is the branch that pays; fairness and isolation count by it.
+	// Tenant is the branch that the call is charged to, the unit of fair
+	// sharing and isolation.
 	Tenant    string
 	Placement zone.Placement
-	// Priority is the contract's urgency, higher first.
+	// Priority is the priority that the contract sets, higher first.
 	Priority int
-	// PromptTokens is the whole prompt; OutputCap bounds the answer.
+	// PromptTokens is the length of the whole prompt; OutputCap is the maximum
+	// length of the answer, in tokens.
 	PromptTokens int
 	OutputCap    int
-	// Attained is the service the program has received so far, in tokens.
+	// AttainedTokens is the service that the program has received so far.
 	Attained int64
-	// Arrived is the program's arrival, by which held calls are ordered; zero
-	// means Enqueued. Deadline bounds the call; zero means no bound.
+	// Arrived is when the program arrived; held calls are ordered by it. Zero
+	// means the time in Enqueued. Deadline is when the call must end; zero
+	// means no limit.
 	Arrived  time.Time
 	Enqueued time.Time
 	Deadline time.Time
-	// Avoid are back ends that failed an earlier attempt of this call.
+	// Avoid lists the back ends that failed an earlier attempt of this call.
 	Avoid []machine.ID
-	// Excluded are back ends that the contract takes out of use.
+	// Excluded lists the back ends that the contract takes out of use.
 	Excluded []string
 }
 
-// Terms are the parts of the predicted finish, each a duration, and how many
-// candidates were left after each step.
+// Terms explain a decision: the number of back ends considered, the terms of
+// the predicted completion time, and the reason.
 type Terms struct {
 	Feasible int           `json:"feasible"`
 	Queue    time.Duration `json:"queue"`
@@ -45,7 +48,8 @@
 	Transfer time.Duration `json:"transfer"`
 	Decode   time.Duration `json:"decode"`
 	Link     time.Duration `json:"link"`
-	// MissingTokens is the prefill that the choice computes.
+	// MissingTokens is the part of the prompt that the chosen back end has to
+	// prefill, or the size of a dropped prefix.
 	MissingTokens int    `json:"missing_tokens"`
 	Reason        string `json:"reason"`
 }
--- a/schedule/retention.go
+++ b/schedule/retention.go
@@ -8,41 +8,44 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// While a program is paused, its prefix takes memory that other programs
-// could use. Three rules decide on it. A prefix that the program has left
-// behind in another engine is dropped at once, because the newer one serves
-// the next turn. One whose program is unlikely to return is dropped: how
-// likely follows from the pauses that programs of the same tenant made. One
-// in an engine that leaves is exported to another.
-
-// pauseBucketCount counts pauses by the power of two of their milliseconds.
+// While a program is paused, its prefix uses cache memory that other programs
+// could use. Three rules apply:
+//
+//   - A prefix that remains in an engine after the program has moved to another
+//     one is dropped at once, because the newer prefix serves the next turn.
+//   - A prefix whose program is unlikely to call a model again is dropped. The
+//     probability is estimated from earlier pauses of the tenant's programs.
+//   - A prefix in a leaving engine is exported to another engine.
+
+// pauseBucketCount is the number of histogram buckets for the lengths of
+// pauses. Their bounds are powers of two of a millisecond.
 const pauseBucketCount = 24
 
-// pauseKey names the pauses that are alike: those of one tenant's programs,
-// after the same tool was called. The tool tells much: a program that has
-// sent its notice seldom asks the model again.
+// pauseKey groups pauses by tenant and by the tool called last. The tool is a
+// strong predictor: a program that has sent its notice, for example, seldom
+// calls the model again.
 type pauseKey struct{ tenant, tool string }
 
-// pauseStats is what programs did after a model call or tool call: how long until
-// they came back, or ended without coming back.
+// pauseStats counts how pauses ended, by their length: the program called a
+// model again (returned), or it ended without doing so (ended).
 type pauseStats struct {
 	returned [pauseBucketCount]uint32
 	ended    [pauseBucketCount]uint32
 }
 
-// priorReturnCount are counted before the first pause is seen, so that few pauses
-// say little.
+// priorReturnCount is added to the number of returns, so that a few observed
+// pauses do not dominate the estimate.
 const priorReturnCount = 1
 
-// maxReviewedPrograms bounds how many paused programs one review looks at.
+// maxReviewedPrograms bounds how many paused programs one review examines.
 const maxReviewedPrograms = 256
 
 func pauseBucket(pause time.Duration) int {
 	return min(bits.Len64(uint64(max(pause, 0)/time.Millisecond)), pauseBucketCount-1)
 }
 
-// returnProbability is the chance that a program comes back after it was
-// paused for so long.
+// returnProbability estimates the probability that a program that has been
+// paused for this long calls a model again.
 func (p *pauseStats) returnProbability(pause time.Duration) float64 {
 	returned, ended := 0, 0
 	for bucket := pauseBucket(pause); bucket < pauseBucketCount; bucket++ {
@@ -52,7 +55,7 @@
 	return float64(returned+priorReturnCount) / float64(returned+ended+priorReturnCount)
 }
 
-// pauseStatsOf returns the pauses like the one that a program is in.
+// pauseStatsOf returns the statistics for a program's current pause.
 func (s *Scheduler) pauseStatsOf(entry *trackedProgram) *pauseStats {
 	key := pauseKey{entry.tenant, entry.lastTool}
 	known := s.pauseStats[key]
@@ -63,7 +66,7 @@
 	return known
 }
 
-// resumed learns from a program that calls a model again.
+// resumed records that a paused program calls a model again.
 func (s *Scheduler) resumed(now time.Time, programID api.ProgramID) {
 	entry := s.tracker.programs[programID]
 	if entry == nil || !entry.paused {
@@ -73,7 +76,8 @@
 	s.tracker.resume(entry)
 }
 
-// calledTool restarts a program's pause, of which the tool now tells more.
+// calledTool restarts the pause of a program that calls a tool, because the
+// statistics for that tool predict better whether it returns.
 func (s *Scheduler) calledTool(now time.Time, request *Request) {
 	entry := s.tracker.programs[request.Call.Program]
 	if entry == nil || !entry.paused {
@@ -84,7 +88,7 @@
 	s.reviewProgram(now, entry)
 }
 
-// ended learns from a program that ended, and forgets it.
+// ended records the end of a program and removes its state.
 func (s *Scheduler) ended(now time.Time, programID api.ProgramID) {
 	entry := s.tracker.programs[programID]
 	if entry == nil {
@@ -99,7 +103,8 @@
 	s.tracker.remove(entry)
 }
 
-// reviewPaused drops the prefixes of programs that are unlikely to return.
+// reviewPaused drops the prefixes of paused programs that are unlikely to
+// return, at most once in each review interval.
 func (s *Scheduler) reviewPaused(now time.Time) {
 	if now.Before(s.nextPauseReview) {
 		return
@@ -123,7 +128,7 @@
 	}
 }
 
-// dropPrefixes drops a program's prefixes everywhere.
+// dropPrefixes drops all prefixes of a program.
 func (s *Scheduler) dropPrefixes(entry *trackedProgram, reason string) {
 	for _, prefix := range entry.prefixes {
 		s.dropPrefix(entry, prefix, reason)
@@ -141,7 +146,8 @@
 	})
 }
 
-// dropStalePrefixes drops the prefixes that a program left behind when it moved.
+// dropStalePrefixes drops a program's prefixes in engines other than the
+// current one.
 func (s *Scheduler) dropStalePrefixes(entry *trackedProgram, current machine.ID) {
 	if len(entry.prefixes) < 2 || tokensAt(entry.prefixes, current) == 0 {
 		return
@@ -154,7 +160,8 @@
 	s.tracker.setPrefixes(entry, []residentPrefix{{backend: current, tokens: tokensAt(entry.prefixes, current)}})
 }
 
-// exportFromLeaving exports the prefixes of paused programs from leaving engines.
+// exportFromLeaving exports the prefixes of paused programs from leaving
+// engines.
 func (s *Scheduler) exportFromLeaving(now time.Time) {
 	leaving := false
 	for _, entry := range s.view.byID {
@@ -168,8 +175,8 @@
 	}
 }
 
-// exportPrefix moves a paused program's prefix out of a leaving engine, into the
-// feasible one with the most free cache.
+// exportPrefix exports a paused program's prefix from a leaving engine to the
+// feasible engine with the most free cache.
 func (s *Scheduler) exportPrefix(now time.Time, entry *trackedProgram) {
 	prefix, ok := largestPrefix(entry.prefixes)
 	if !ok || entry.pause == nil {
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -9,7 +9,8 @@
 	"birchwood.example/birchwood/program"
 )
 
-// Scheduler is the Policy of the project. It is not safe for concurrent use.
+// Scheduler is the Policy that runs in production. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	config  Config
 	view    *view
@@ -17,9 +18,9 @@
 	tracker *tracker
 	predict *predictor
 	tenants tenants
-	// pauseStats holds what programs did when they paused.
+	// pauseStats counts, by tenant and tool, how the pauses of programs ended.
 	pauseStats map[pauseKey]*pauseStats
-	// decisions are due with the next call of Ready.
+	// decisions are returned by the next call of Ready.
 	decisions []Decision
 	// now is the time of the last input.
 	now             time.Time
@@ -27,7 +28,7 @@
 	nextPauseReview time.Time
 	nextModelReview time.Time
 	lastModelOrder  modelOrder
-	// candidates and sampled are reused from decision to decision.
+	// The slices below are scratch buffers, reused across decisions.
 	pools       [][]*backend
 	candidates  []*backend
 	sampled     []*backend
@@ -35,14 +36,15 @@
 	skipped     []*heldCall
 }
 
-// heldRecheckInterval is how often held calls are tried again without a new input:
-// a load report may have become too old to keep an engine saturated.
+// heldRecheckInterval is how often placement of held calls is retried without
+// a new input. An engine that its last report showed as saturated counts as
+// free again once that report is stale.
 const heldRecheckInterval = time.Second
 
-// maxSkippedCalls bounds how many calls of a pool one call of Ready passes over.
+// maxSkippedCalls bounds how many calls of a pool one run of Ready skips.
 const maxSkippedCalls = 64
 
-// New returns a Scheduler, or every finding about its configuration.
+// New returns a Scheduler, or an error that lists every finding about config.
 func New(config Config) (*Scheduler, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -105,14 +107,15 @@
 	s.countUnstarted(call, 1)
 }
 
-// countUnstarted counts a program that waits to start, or no longer does.
+// countUnstarted adds change to the tenant's number of unstarted programs if
+// the call belongs to one.
 func (s *Scheduler) countUnstarted(call *heldCall, change int) {
 	if isUnstarted(&call.request) {
 		s.tenants.addUnstarted(call.subqueue.share.usage, change)
 	}
 }
 
-// dequeue takes a call out of the queue, because it is sent or not.
+// dequeue removes a call from the queue; sent reports whether it was placed.
 func (s *Scheduler) dequeue(now time.Time, call *heldCall, sent bool) {
 	s.queue.remove(now, call, sent)
 	s.countUnstarted(call, -1)
@@ -181,7 +184,7 @@
 	return decisions
 }
 
-// refuseExpired refuses the calls that were held as long as they may.
+// refuseExpired refuses the calls whose hold deadline has passed.
 func (s *Scheduler) refuseExpired(now time.Time) {
 	for s.queue.expiry.Len() > 0 {
 		call := s.queue.expiry.items[0]
@@ -193,8 +196,8 @@
 	}
 }
 
-// expiryError tells a call without a permitted back end from one that found
-// none free in time.
+// expiryError returns the refusal of an expired call: either no permitted back
+// end serves it, or none became free in time.
 func (s *Scheduler) expiryError(now time.Time, call *heldCall) *api.Error {
 	s.candidates = s.view.feasible(&call.request, s.candidates[:0])
 	if len(s.candidates) == 0 {
@@ -209,8 +212,8 @@
 	s.decisions = append(s.decisions, refuse(request, refusal))
 }
 
-// placeHeldCalls places held calls of a pool in their order, until nothing is left
-// that could be placed.
+// placeHeldCalls places the held calls of a pool in order until none of the
+// remaining ones can be placed.
 func (s *Scheduler) placeHeldCalls(now time.Time, callPool *pool) {
 	callPool.resetRound()
 	s.skipped = s.skipped[:0]
@@ -240,7 +243,8 @@
 	}
 }
 
-// earliest returns the earlier of two times, where the zero time is never.
+// earliest returns the earlier of two times. A zero a means never; b is not
+// zero.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -248,7 +252,7 @@
 	return a
 }
 
-// updateNextWake finds when Ready should run again without a new input.
+// updateNextWake computes when Ready should run again without a new input.
 func (s *Scheduler) updateNextWake(now time.Time) {
 	s.nextWake = time.Time{}
 	if s.queue.expiry.Len() > 0 {
@@ -268,14 +272,16 @@
 // NextWake implements Policy.
 func (s *Scheduler) NextWake() time.Time { return s.nextWake }
 
-// The engines' own queues order calls by urgency, then by attained service.
+// Parameters of enginePriority. Engines order their own queues by priority,
+// then by attained service. The first level of attained service ends at
+// firstLevelTokens, and each further limit is twice the one before.
 const (
 	highestPriority  = 9
 	attainedLevels   = 10
 	firstLevelTokens = 512
 )
 
-// enginePriority orders the call in the engine's queue, lower first.
+// enginePriority returns the call's rank in the engine's queue, lower first.
 func (s *Scheduler) enginePriority(request *Request) int {
 	level := 0
 	for limit := int64(firstLevelTokens); request.Attained > limit && level < attainedLevels-1; limit *= 2 {
--- a/schedule/select.go
+++ b/schedule/select.go
@@ -7,22 +7,23 @@
 	"birchwood.example/birchwood/api"
 )
 
-// placeResult tells what became of one attempt to place a held call.
+// placeResult is the result of one attempt to place a held call.
 type placeResult int
 
 const (
-	// placed: the call is sent.
+	// placed means that the call was placed.
 	placed placeResult = iota
-	// skipped: this call waits, for room in a cache or for a back end that it
-	// does not avoid; the ones behind it may still be placed.
+	// skipped means that the call has to wait for room in a cache, or for a
+	// back end other than those in Request.Avoid. Calls behind it may still be
+	// placed.
 	skipped
-	// blocked: every feasible back end is saturated.
+	// blocked means that every feasible back end is saturated.
 	blocked
 )
 
-// place tries to send a held call: it samples a few of the feasible back ends
-// that have room, adds the ones that hold the program's prefix, and takes the
-// best predicted finish.
+// place tries to place a held call. It samples a few of the feasible back ends
+// that have room, adds the ones that hold the program's prefix, and chooses
+// among them by score.
 func (s *Scheduler) place(now time.Time, call *heldCall) placeResult {
 	request := &call.request
 	s.sampled = s.sampled[:0]
@@ -39,8 +40,8 @@
 	return placed
 }
 
-// addWarm adds the feasible back ends that hold the program's prefix to
-// s.sampled, unless they are saturated.
+// addWarm adds the feasible back ends that hold the program's prefix and have
+// room to s.sampled.
 func (s *Scheduler) addWarm(now time.Time, call *heldCall) {
 	for _, prefix := range s.tracker.prefixes(call.request.Call.Program) {
 		entry := s.view.byID[prefix.backend]
@@ -50,14 +51,15 @@
 	}
 }
 
-// probesPerChoice is how many random back ends are looked at for each choice,
-// before all are.
+// probesPerChoice is how many random back ends are probed for each of the
+// Choices before sample falls back to checking all back ends.
 const probesPerChoice = 4
 
-// sample adds Choices random feasible back ends with room to s.sampled. It
-// probes a few of a large fleet first, so that a decision does not cost more
-// where there are more replicas. It returns how many back ends serve such
-// calls in the permitted zones, and whether any is not saturated.
+// sample adds up to Choices random feasible back ends with room to s.sampled.
+// In a large fleet it probes a few random ones first, so that the cost of a
+// decision does not grow with the number of back ends. It returns how many back
+// ends in the permitted zones serve such calls, and whether a feasible one is
+// not saturated.
 func (s *Scheduler) sample(now time.Time, call *heldCall) (poolSize int, unsaturated bool) {
 	s.pools, poolSize = s.view.servingPools(&call.request, s.pools[:0])
 	probes := probesPerChoice * s.config.Choices
@@ -80,7 +82,8 @@
 	return poolSize, unsaturated
 }
 
-// probe looks at a few random back ends, and reports whether it found any.
+// probe checks a few random back ends, adds up to Choices of those that are
+// feasible and have room to s.sampled, and reports whether it added any.
 func (s *Scheduler) probe(now time.Time, call *heldCall, poolSize, probes int) bool {
 	found := 0
 	for range probes {
@@ -96,7 +99,7 @@
 	return found > 0
 }
 
-// drawChoices moves Choices random ones of s.candidates to s.sampled.
+// drawChoices adds up to Choices random elements of s.candidates to s.sampled.
 func (s *Scheduler) drawChoices() {
 	left := s.candidates
 	for range min(s.config.Choices, len(left)) {
@@ -107,13 +110,13 @@
 	}
 }
 
-// hasRoom reports whether a back end has a free slot, and room in its cache.
+// hasRoom reports whether a back end has a free slot and room in its cache.
 func (s *Scheduler) hasRoom(now time.Time, call *heldCall, entry *backend) bool {
 	return !s.saturated(now, entry, call) && s.fitsCache(now, call, entry)
 }
 
-// saturated reports whether a back end should get no further call of a
-// tenant. One that floods leaves slots to the others.
+// saturated reports whether a back end should get no further call of the
+// call's tenant. A flooding tenant may use fewer slots than the others.
 func (s *Scheduler) saturated(now time.Time, candidate *backend, call *heldCall) bool {
 	share := s.config.EngineFill
 	if s.tenants.isFlooding(call.subqueue.share.usage) {
@@ -122,8 +125,8 @@
 	return s.slotsTaken(now, candidate, share)
 }
 
-// slotsTaken reports whether a share of a back end's slots is taken. Only engines
-// state how much they take at once.
+// slotsTaken reports whether a share of a back end's slots is in use. Only
+// engines declare a number of slots; other back ends are never saturated.
 func (s *Scheduler) slotsTaken(now time.Time, candidate *backend, share float64) bool {
 	slots := candidate.machine.Slots
 	if slots == 0 {
@@ -133,8 +136,8 @@
 	return candidate.outstanding(now, s.config.StaleLoad) >= limit
 }
 
-// best ranks s.sampled: of the cold candidates one is drawn, and it competes
-// with those that hold the program's prefix.
+// best ranks s.sampled. It draws one of the cold candidates and compares it by
+// score with those that hold the program's prefix.
 func (s *Scheduler) best(now time.Time, request *Request) prediction {
 	prefixes := s.tracker.prefixes(request.Call.Program)
 	s.coldOptions = s.coldOptions[:0]
@@ -163,7 +166,8 @@
 	return best
 }
 
-// drawCold draws one of s.options.
+// drawCold draws one of s.coldOptions at random. age is the age of the oldest
+// load report among them; for tool calls it counts as zero.
 func (s *Scheduler) drawCold(request *Request, age time.Duration) prediction {
 	lowest := s.coldOptions[0].prediction.score
 	for _, each := range s.coldOptions[1:] {
@@ -180,7 +184,7 @@
 	return s.drawByLoad(age, s.predict.meanServiceTime(request.Model))
 }
 
-// sendCall records the placement and its decision.
+// sendCall records the placement of a call and adds its decision.
 func (s *Scheduler) sendCall(now time.Time, call *heldCall, best *prediction, feasible int) {
 	request := call.request
 	if request.Kind == api.CallModel {
@@ -203,7 +207,7 @@
 	})
 }
 
-// placementReason names the kind of placement.
+// placementReason returns the reason in the decision's Terms.
 func (s *Scheduler) placementReason(best *prediction) string {
 	switch {
 	case best.backend.machine.Slots == 0:
--- a/schedule/stale.go
+++ b/schedule/stale.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Load reports are late, and every node reads the same ones: if each took the
-// engine that looks least loaded, they would all take the same. So the choice
-// among cold candidates is by chance, in proportion to the room that the other
-// nodes' calls since the report have probably left ("load interpretation",
-// Dahlin 2000): with a fresh report the least loaded is certain, and with an
-// old one every candidate is about as likely.
+// Load reports arrive late and every node reads the same ones. If each node
+// chose the engine that looks least loaded, all would choose the same engine.
+// So a cold candidate is drawn at random, with a probability proportional to
+// the room that the other nodes' calls since the report have probably left
+// ("load interpretation", Dahlin 2000). With a fresh report the least loaded
+// candidate is certain; with an old one all are about equally likely.
 
 // coldOption is one cold candidate.
 type coldOption struct {
 	prediction prediction
-	// relativeLoad is the candidate's score, in calls more than the best one's.
+	// relativeLoad is the difference between the candidate's score and the
+	// lowest score, in calls.
 	relativeLoad float64
 }
 
-// drawByLoad draws one of s.options. Age is that of the oldest report, and
-// service how long a call stays in an engine.
+// drawByLoad draws one of s.coldOptions at random. age is the age of the oldest
+// load report, and service the mean time of a call in an engine.
 func (s *Scheduler) drawByLoad(age, service time.Duration) prediction {
 	slices.SortStableFunc(s.coldOptions, func(a, b coldOption) int { return cmp.Compare(a.relativeLoad, b.relativeLoad) })
 	waterLevel := s.waterLevel(s.expectedArrivals(age, service))
@@ -39,8 +40,9 @@
 	return s.coldOptions[0].prediction
 }
 
-// expectedArrivals is how many calls have probably reached the options since their
-// reports: as many as have ended, if their load is steady.
+// expectedArrivals estimates how many calls have reached the candidates since
+// their load reports. Under steady load that equals the number of calls that
+// have ended.
 func (s *Scheduler) expectedArrivals(age, service time.Duration) float64 {
 	running := 0
 	for _, each := range s.coldOptions {
@@ -49,8 +51,9 @@
 	return float64(running) * min(age.Seconds()/max(service.Seconds(), 0.001), 1)
 }
 
-// waterLevel is the load that the options reach when so many calls fill up the
-// least loaded ones evenly. The options are sorted by load.
+// waterLevel returns the load that the candidates reach if the arrivals are
+// spread over the least loaded ones until their loads are equal
+// ("water-filling"). s.coldOptions must be sorted by load.
 func (s *Scheduler) waterLevel(arrivals float64) float64 {
 	sum, waterLevel := arrivals, 0.0
 	for i, each := range s.coldOptions {
--- a/schedule/view.go
+++ b/schedule/view.go
@@ -14,67 +14,70 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// view is what this node knows of the back ends: the machine list, their late
-// load reports, and its own calls since each report.
+// view is this node's state of the back ends: the machine list, the latest load
+// report of each, and the node's own calls since that report.
 type view struct {
 	staleLoad time.Duration
 	byID      map[machine.ID]*backend
-	// sorted is every back end, by id.
+	// sorted lists all back ends, by id.
 	sorted []*backend
-	// pools index the live back ends by what they serve and where, so that a
-	// decision touches only those that can serve it.
+	// pools indexes the live back ends by model or tool and zone, so that a
+	// decision reads only those that may serve the call.
 	pools map[poolKey][]*backend
-	// scratch is reused from search to search.
+	// scratch is a buffer that feasible reuses.
 	scratch [][]*backend
-	// inFlight are this node's placed calls that have not ended.
+	// inFlight holds this node's placed calls that have not ended.
 	inFlight map[program.CallRef]placedCall
-	// revision grows when the set of back ends changes.
+	// revision is incremented whenever the list of back ends is replaced.
 	revision uint64
 }
 
-// poolKey names the back ends of one zone that serve one model or tool.
+// poolKey identifies the back ends of one zone that serve one model or tool.
 type poolKey struct {
 	kind api.CallKind
 	name string
 	zone zone.Name
 }
 
-// backend is one back end as this node sees it.
+// backend is this node's state of one back end.
 type backend struct {
 	machine machine.Machine
-	// shard is the group of engines that this one belongs to.
+	// shard is the number of the back end's shard; see assignShards.
 	shard int
 	load  Load
-	// ownInFlight counts this node's calls in flight there.
+	// ownInFlight is the number of this node's calls in flight at the back end.
 	ownInFlight int
-	// sent are the own calls in flight that the report cannot count yet.
+	// sent lists this node's calls in flight that were placed after the load
+	// report, which therefore does not count them.
 	sent []loadChange
-	// ended are the own calls that ended since the report counted them.
+	// ended lists this node's calls that the load report counts and that have
+	// ended since.
 	ended []loadChange
-	// released are the prefixes that were dropped there since the report.
+	// released lists the prefixes dropped from the cache since the load report.
 	released []loadChange
 }
 
-// loadChange is one placed or ended call, or one released prefix.
+// loadChange is a change of a back end's load since its report: a placed call,
+// an ended call or a dropped prefix.
 type loadChange struct {
 	call program.CallRef
 	at   time.Time
-	// prefillTokens is the prefill that a placed call brings; memory is what it adds
-	// to the cache, or what a release frees.
+	// prefillTokens is the prefill of a placed call. cachedTokens is what the
+	// call adds to the cache, or what dropping the prefix frees.
 	prefillTokens int
 	cachedTokens  int
 }
 
-// placedCall is one placed call.
+// placedCall is a call in flight at a back end.
 type placedCall struct {
 	backend  machine.ID
 	placedAt time.Time
 	request  Request
-	// missingTokens is the prefill that the placement expected; peers the sequences
-	// beside it.
+	// missingTokens is the prefill expected at placement; peers is the expected
+	// number of concurrent sequences.
 	missingTokens int
 	peers         int
-	// cachedTokens is what the call adds to the engine's cache, in tokens.
+	// cachedTokens is the number of tokens that the call adds to the cache.
 	cachedTokens int
 }
 
@@ -87,8 +90,8 @@
 	}
 }
 
-// setBackends replaces the machine list. It returns the back ends that are
-// gone or were started anew, whose caches are lost.
+// setBackends replaces the machine list. It returns the back ends that are no
+// longer listed or have restarted, and whose caches are therefore lost.
 func (v *view) setBackends(machines []machine.Machine) (lost []machine.ID) {
 	listed := make(map[machine.ID]bool, len(machines))
 	for _, entry := range machines {
@@ -120,7 +123,7 @@
 	return lost
 }
 
-// rebuildIndex rebuilds the order by id, and the pools from the live back ends.
+// rebuildIndex rebuilds sorted, the shards, and the pools of live back ends.
 func (v *view) rebuildIndex() {
 	v.revision++
 	clear(v.pools)
@@ -145,8 +148,8 @@
 	}
 }
 
-// assignShards deals the back ends into equal shards, in an order that has
-// nothing to do with zones or models.
+// assignShards distributes the back ends over shards of equal size, in the
+// order of a hash of their ids, which is independent of zones and models.
 func (v *view) assignShards() {
 	byHash := slices.Clone(v.sorted)
 	slices.SortFunc(byHash, func(a, b *backend) int {
@@ -157,15 +160,16 @@
 	}
 }
 
-// shardCount is the number of shards; a tenant that floods leaves one of them to
-// the others.
+// shardCount is the number of shards. A flooding tenant starts no program in
+// one of them.
 const shardCount = 4
 
 func (v *view) addToPool(key poolKey, entry *backend) {
 	v.pools[key] = append(v.pools[key], entry)
 }
 
-// observeLoad takes a load report unless a later one is known.
+// observeLoad stores a load report unless a later one is known, and discards
+// the changes that the report already counts.
 func (v *view) observeLoad(load Load) {
 	entry := v.byID[load.Backend]
 	if entry == nil || load.At.Before(entry.load.At) {
@@ -178,7 +182,7 @@
 	entry.released = slices.DeleteFunc(entry.released, inReport)
 }
 
-// recordPlaced counts a call that is sent to a back end.
+// recordPlaced records a call that is placed on a back end.
 func (v *view) recordPlaced(now time.Time, entry *backend, sent placedCall) {
 	sent.backend = entry.machine.ID
 	sent.placedAt = now
@@ -187,7 +191,8 @@
 	entry.sent = append(entry.sent, loadChange{call: sent.request.Call, at: now, prefillTokens: sent.missingTokens, cachedTokens: sent.cachedTokens})
 }
 
-// recordEnded counts a call that ended, and returns its placement.
+// recordEnded records the end of a call and returns the placed call, or false
+// if the call is not in flight.
 func (v *view) recordEnded(now time.Time, call program.CallRef) (placedCall, bool) {
 	sent, ok := v.inFlight[call]
 	if !ok {
@@ -212,13 +217,14 @@
 	return sent, true
 }
 
-// hasFreshLoad reports whether the last load report still says anything.
+// hasFreshLoad reports whether there is a load report that is not stale.
 func (b *backend) hasFreshLoad(now time.Time, staleLoad time.Duration) bool {
 	return !b.load.At.IsZero() && now.Sub(b.load.At) < staleLoad
 }
 
-// outstanding estimates the sequences at the back end: what it reported, with
-// this node's calls since then, and never less than this node's own.
+// outstanding estimates the number of sequences at the back end: the reported
+// ones, adjusted by this node's calls since the report, and at least this
+// node's own calls in flight.
 func (b *backend) outstanding(now time.Time, staleLoad time.Duration) int {
 	if !b.hasFreshLoad(now, staleLoad) {
 		return b.ownInFlight
@@ -227,7 +233,8 @@
 	return max(estimate, b.ownInFlight)
 }
 
-// queuedTokens estimates the prefill that waits at the back end.
+// queuedTokens estimates the number of prompt tokens that wait for prefill at
+// the back end.
 func (b *backend) queuedTokens(now time.Time, staleLoad time.Duration) int {
 	total := 0
 	if b.hasFreshLoad(now, staleLoad) {
@@ -239,8 +246,9 @@
 	return total
 }
 
-// cachedTokens estimates the tokens that the back end's cache holds: what it
-// reported, what this node's calls have added since, less what was released.
+// cachedTokens estimates the number of tokens in the back end's cache: the
+// reported number, plus what this node's calls have added since, minus the
+// prefixes dropped since.
 func (b *backend) cachedTokens(now time.Time, staleLoad time.Duration) int {
 	total := 0
 	if b.hasFreshLoad(now, staleLoad) {
@@ -255,7 +263,8 @@
 	return max(total, 0)
 }
 
-// recordDropped notes that a prefix was dropped at a back end.
+// recordDropped records that a prefix of some tokens was dropped from a back
+// end's cache.
 func (v *view) recordDropped(now time.Time, id machine.ID, tokens int) {
 	entry := v.byID[id]
 	if entry == nil || !entry.hasFreshLoad(now, v.staleLoad) {
