--- a/schedule/benchmark_test.go
+++ b/schedule/benchmark_test.go
@@ -17,7 +17,7 @@
 	for _, engines := range []int{10, 60, 600} {
 		b.Run(fmt.Sprintf("replicas=%d", engines), func(b *testing.B) {
 			policy := newPolicy("birchwood", testConfig(1))
-			driver := newBed(policy, engines)
+			driver := newPolicyDriver(policy, engines)
 			for i := range engines {
 				driver.enqueue(fmt.Sprintf("p-%d", i), "tenant")
 			}
@@ -49,7 +49,7 @@
 	const programs = 20000
 	for b.Loop() {
 		policy := newPolicy("birchwood", testConfig(1))
-		driver := newBed(policy, 10)
+		driver := newPolicyDriver(policy, 10)
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -13,16 +13,16 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// bed drives one policy by hand.
-type bed struct {
+// policyDriver drives one policy by hand.
+type policyDriver struct {
 	policy schedule.Policy
 	now    time.Time
 	calls  uint64
 }
 
-// newBed returns a policy with count engines of the model "small" in zone a.
-func newBed(policy schedule.Policy, engines int) *bed {
-	b := &bed{policy: policy, now: start}
+// newPolicyDriver returns a policy with count engines of the model "small" in zone a.
+func newPolicyDriver(policy schedule.Policy, engines int) *policyDriver {
+	b := &policyDriver{policy: policy, now: start}
 	policy.SetBackends(b.now, engineList(engines))
 	return b
 }
@@ -39,7 +39,7 @@
 }
 
 // enqueue hands over a model call of a program, changed by adjust.
-func (b *bed) enqueue(owner, tenant string, adjust ...func(*schedule.Request)) program.CallRef {
+func (b *policyDriver) enqueue(owner, tenant string, adjust ...func(*schedule.Request)) program.CallRef {
 	b.calls++
 	request := schedule.Request{
 		Call: program.CallRef{Program: api.ProgramID(owner), Sequence: b.calls},
@@ -54,7 +54,7 @@
 }
 
 // ready returns the decisions that are due, by action.
-func (b *bed) ready() map[schedule.Action][]schedule.Decision {
+func (b *policyDriver) ready() map[schedule.Action][]schedule.Decision {
 	byAction := map[schedule.Action][]schedule.Decision{}
 	for _, decision := range b.policy.Ready(b.now) {
 		byAction[decision.Action] = append(byAction[decision.Action], decision)
@@ -62,8 +62,8 @@
 	return byAction
 }
 
-// placeOne expects exactly one placement, and nothing refused.
-func (b *bed) placeOne() schedule.Decision {
+// placeExactlyOne expects exactly one placement, and nothing refused.
+func (b *policyDriver) placeExactlyOne() schedule.Decision {
 	decisions := b.ready()
 	gomega.ExpectWithOffset(1, decisions[schedule.ActionPlace]).To(gomega.HaveLen(1))
 	gomega.ExpectWithOffset(1, decisions[schedule.ActionRefuse]).To(gomega.BeEmpty())
@@ -71,16 +71,16 @@
 }
 
 // finish ends a placed call after a second, with a prefix left behind.
-func (b *bed) finish(placed schedule.Decision, resident int) {
+func (b *policyDriver) finish(placed schedule.Decision, resident int) {
 	b.now = b.now.Add(time.Second)
 	usage := api.Usage{PromptTokens: 500, OutputTokens: 50}
 	b.policy.Finished(b.now, placed.Call, placed.Backend, usage, resident)
 }
 
-func attained(tokens int64) func(*schedule.Request) {
+func withAttained(tokens int64) func(*schedule.Request) {
 	return func(request *schedule.Request) { request.Attained = tokens }
 }
 
-func prompt(tokens int) func(*schedule.Request) {
+func withPrompt(tokens int) func(*schedule.Request) {
 	return func(request *schedule.Request) { request.PromptTokens = tokens }
 }
--- a/schedule/herding_test.go
+++ b/schedule/herding_test.go
@@ -13,11 +13,11 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// herd is many nodes that share a few engines. Every engine reports its load
+// herdSimulation is many nodes that share a few engines. Every engine reports its load
 // twice a second, and each report reaches the nodes a second late.
-type herd struct {
-	nodes   []*bed
-	running map[machine.ID][]ending
+type herdSimulation struct {
+	nodes   []*policyDriver
+	running map[machine.ID][]scheduledEnd
 	reports []schedule.Load
 	// excess sums up, over samples moments, the busiest engine's load over the
 	// mean.
@@ -25,41 +25,41 @@
 	samples int
 }
 
-type ending struct {
+type scheduledEnd struct {
 	at       time.Time
 	node     int
 	decision schedule.Decision
 }
 
 const (
-	herdNodes    = 24
-	herdEngines  = 12
-	herdStep     = 50 * time.Millisecond
-	herdLateness = time.Second
-	herdDuration = 2 * time.Second
-	herdSeconds  = 30
+	herdNodes            = 24
+	herdEngines          = 12
+	herdTickInterval     = 50 * time.Millisecond
+	herdReportDelay      = time.Second
+	herdCallDuration     = 2 * time.Second
+	herdSimulatedSeconds = 30
 )
 
-// runHerd lets every node place about one call in each half second, and
+// simulateHerd lets every node place about one call in each half second, and
 // returns how far the busiest engine was above the mean, on average over time.
-func runHerd(policy string) float64 {
-	h := &herd{running: map[machine.ID][]ending{}}
+func simulateHerd(policy string) float64 {
+	h := &herdSimulation{running: map[machine.ID][]scheduledEnd{}}
 	machines := engineList(herdEngines)
 	for i := range machines {
 		machines[i].Slots = 16
 	}
 	for i := range herdNodes {
-		node := newBed(newPolicy(policy, testConfig(uint64(i))), 0)
+		node := newPolicyDriver(newPolicy(policy, testConfig(uint64(i))), 0)
 		node.policy.SetBackends(start, machines)
 		h.nodes = append(h.nodes, node)
 	}
-	for tick := range herdSeconds * int(time.Second/herdStep) {
-		h.step(tick, start.Add(time.Duration(tick)*herdStep))
+	for tick := range herdSimulatedSeconds * int(time.Second/herdTickInterval) {
+		h.step(tick, start.Add(time.Duration(tick)*herdTickInterval))
 	}
 	return h.excess / float64(h.samples)
 }
 
-func (h *herd) step(tick int, now time.Time) {
+func (h *herdSimulation) step(tick int, now time.Time) {
 	h.end(now)
 	if tick%10 == 0 {
 		for i := range herdEngines {
@@ -67,7 +67,7 @@
 			h.reports = append(h.reports, schedule.Load{Backend: id, At: now, Running: len(h.running[id])})
 		}
 	}
-	for len(h.reports) > 0 && !h.reports[0].At.After(now.Add(-herdLateness)) {
+	for len(h.reports) > 0 && !h.reports[0].At.After(now.Add(-herdReportDelay)) {
 		for _, node := range h.nodes {
 			node.policy.ObserveLoad(now, h.reports[0])
 		}
@@ -79,28 +79,28 @@
 			node.enqueue(fmt.Sprintf("p-%d-%d", i, tick), "tenant")
 		}
 		for _, placed := range node.ready()[schedule.ActionPlace] {
-			end := ending{at: now.Add(herdDuration), node: i, decision: placed}
+			end := scheduledEnd{at: now.Add(herdCallDuration), node: i, decision: placed}
 			h.running[placed.Backend] = append(h.running[placed.Backend], end)
 		}
 	}
 	if now.After(start.Add(5 * time.Second)) {
-		h.measure()
+		h.sampleExcess()
 	}
 }
 
 // end finishes the calls that are due.
-func (h *herd) end(now time.Time) {
+func (h *herdSimulation) end(now time.Time) {
 	for i := range herdEngines {
 		id := machine.ID(fmt.Sprintf("e%03d", i))
 		for len(h.running[id]) > 0 && !h.running[id][0].at.After(now) {
-			over := h.running[id][0]
+			due := h.running[id][0]
 			h.running[id] = h.running[id][1:]
-			h.nodes[over.node].policy.Finished(now, over.decision.Call, id, api.Usage{PromptTokens: 500, OutputTokens: 50}, 0)
+			h.nodes[due.node].policy.Finished(now, due.decision.Call, id, api.Usage{PromptTokens: 500, OutputTokens: 50}, 0)
 		}
 	}
 }
 
-func (h *herd) measure() {
+func (h *herdSimulation) sampleExcess() {
 	total, most := 0, 0
 	for _, running := range h.running {
 		total += len(running)
@@ -114,8 +114,8 @@
 
 var _ = Describe("nodes that share late reports", func() {
 	It("do not herd to the engine that looked idle, as least loaded does", func() {
-		ours := runHerd("birchwood")
-		naive := runHerd(schedule.BaselineLeastLoaded)
+		ours := simulateHerd("birchwood")
+		naive := simulateHerd(schedule.BaselineLeastLoaded)
 		GinkgoWriter.Printf("busiest engine over the mean: %.2f, least loaded %.2f\n", ours, naive)
 		Expect(ours).To(BeNumerically("<", 1.8))
 		Expect(naive).To(BeNumerically(">", 1.5*ours))
@@ -125,7 +125,7 @@
 var _ = Describe("a policy", func() {
 	DescribeTable("decides the same from the same seed and inputs", func(name string) {
 		run := func() (all []schedule.Decision) {
-			b := newBed(newPolicy(name, testConfig(5)), 6)
+			b := newPolicyDriver(newPolicy(name, testConfig(5)), 6)
 			for i := range 200 {
 				b.enqueue(fmt.Sprintf("p-%d", i%40), fmt.Sprintf("t-%d", i%3))
 				decisions := b.policy.Ready(b.now)
--- a/schedule/rules_test.go
+++ b/schedule/rules_test.go
@@ -109,7 +109,7 @@
 
 // withdraw takes back the oldest held call, when there is one.
 func (o *oracle) withdraw(t *rapid.T) {
-	call, ok := first(o.held)
+	call, ok := oldestCall(o.held)
 	if !ok {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 func (o *oracle) finish(t *rapid.T) {
-	call, ok := first(o.placed)
+	call, ok := oldestCall(o.placed)
 	if !ok {
 		return
 	}
@@ -139,7 +139,7 @@
 	})
 }
 
-func (o *oracle) forget(t *rapid.T) {
+func (o *oracle) endOrEvict(t *rapid.T) {
 	owner := api.ProgramID(fmt.Sprintf("p%d", rapid.IntRange(0, 6).Draw(t, "owner")))
 	if rapid.Bool().Draw(t, "ended") {
 		o.policy.ProgramEnded(o.now, owner)
@@ -152,8 +152,8 @@
 	o.now = o.now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "step")) * time.Millisecond)
 }
 
-// check reads the decisions that are due and holds each against the rules.
-func (o *oracle) check(t *rapid.T) {
+// checkDecisions reads the decisions that are due and holds each against the rules.
+func (o *oracle) checkDecisions(t *rapid.T) {
 	for _, decision := range o.policy.Ready(o.now) {
 		switch decision.Action {
 		case schedule.ActionPlace:
@@ -216,12 +216,12 @@
 			t.Fatalf("%d calls are never placed or refused", len(o.held))
 		}
 		o.now = wake
-		o.check(t)
+		o.checkDecisions(t)
 	}
 }
 
-// first returns the smallest call of a map.
-func first[V any](calls map[program.CallRef]V) (program.CallRef, bool) {
+// oldestCall returns the smallest call of a map.
+func oldestCall[V any](calls map[program.CallRef]V) (program.CallRef, bool) {
 	var smallest program.CallRef
 	found := false
 	for call := range calls {
@@ -244,13 +244,13 @@
 			}
 			o.setBackends(t)
 			t.Repeat(map[string]func(*rapid.T){
-				"":         o.check,
+				"":         o.checkDecisions,
 				"backends": o.setBackends,
 				"enqueue":  o.enqueue,
 				"withdraw": o.withdraw,
 				"finish":   o.finish,
 				"observe":  o.observe,
-				"forget":   o.forget,
+				"forget":   o.endOrEvict,
 				"advance":  o.advance,
 			})
 			o.drain(t)
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("the order of held calls", func() {
-	var b *bed
+	var b *policyDriver
 
 	// fill takes both slots of the only engine with another program's calls.
 	fill := func() (first, second schedule.Decision) {
@@ -24,22 +24,22 @@
 		return placed[0], placed[1]
 	}
 
-	BeforeEach(func() { b = newBed(newPolicy("birchwood", testConfig(1)), 1) })
+	BeforeEach(func() { b = newPolicyDriver(newPolicy("birchwood", testConfig(1)), 1) })
 
 	It("holds calls while every feasible engine is saturated", func() {
 		first, _ := fill()
 		waiting := b.enqueue("waits", "tenant")
 		Expect(b.ready()).To(BeEmpty())
 		b.finish(first, 0)
-		Expect(b.placeOne().Call).To(Equal(waiting))
+		Expect(b.placeExactlyOne().Call).To(Equal(waiting))
 	})
 
 	It("serves the program with the least attained service first, whatever came first", func() {
 		first, _ := fill()
-		b.enqueue("long", "tenant", attained(30_000))
-		short := b.enqueue("short", "tenant", attained(100))
+		b.enqueue("long", "tenant", withAttained(30_000))
+		short := b.enqueue("short", "tenant", withAttained(100))
 		b.finish(first, 0)
-		Expect(b.placeOne().Call).To(Equal(short))
+		Expect(b.placeExactlyOne().Call).To(Equal(short))
 	})
 
 	It("serves the program that has little time before one that has much", func() {
@@ -47,27 +47,27 @@
 		b.enqueue("patient", "tenant", func(request *schedule.Request) { request.Deadline = b.now.Add(time.Hour) })
 		urgent := b.enqueue("urgent", "tenant")
 		b.finish(first, 0)
-		Expect(b.placeOne().Call).To(Equal(urgent))
+		Expect(b.placeExactlyOne().Call).To(Equal(urgent))
 	})
 
 	It("takes a program of unknown arrival as arriving with its call", func() {
 		first, _ := fill()
-		unknown := b.enqueue("unknown", "tenant", attained(30_000), func(request *schedule.Request) { request.Arrived = time.Time{} })
+		unknown := b.enqueue("unknown", "tenant", withAttained(30_000), func(request *schedule.Request) { request.Arrived = time.Time{} })
 		b.now = b.now.Add(20 * time.Second)
 		b.enqueue("later", "tenant", func(request *schedule.Request) { request.Arrived = time.Time{} })
 		b.finish(first, 0)
-		Expect(b.placeOne().Call).To(Equal(unknown))
+		Expect(b.placeExactlyOne().Call).To(Equal(unknown))
 	})
 
 	It("lets no stream of newcomers overtake a long program forever", func() {
 		first, second := fill()
-		long := b.enqueue("long", "tenant", attained(1_000_000))
+		long := b.enqueue("long", "tenant", withAttained(1_000_000))
 		running := []schedule.Decision{first, second}
 		deadline := b.now.Add(30 * time.Second)
 		for round := 0; b.now.Before(deadline); round++ {
 			b.enqueue(fmt.Sprintf("new-%d", round), "tenant")
 			b.finish(running[0], 0)
-			placed := b.placeOne()
+			placed := b.placeExactlyOne()
 			if placed.Call == long {
 				return
 			}
@@ -82,16 +82,16 @@
 			b.enqueue(fmt.Sprintf("flood-%d", i), "flood")
 		}
 		b.finish(first, 0)
-		placed := b.placeOne()
+		placed := b.placeExactlyOne()
 		b.enqueue("quiet", "quiet")
 		b.finish(placed, 0)
-		next := b.placeOne()
+		next := b.placeExactlyOne()
 		Expect(next.Program).To(Equal(api.ProgramID("quiet")))
 	})
 })
 
 var _ = Describe("admission", func() {
-	var b *bed
+	var b *policyDriver
 	var running []schedule.Decision
 
 	// overload keeps two slots busy and enqueues programs until one is
@@ -114,7 +114,7 @@
 	}
 
 	BeforeEach(func() {
-		b = newBed(newPolicy("birchwood", testConfig(1)), 1)
+		b = newPolicyDriver(newPolicy("birchwood", testConfig(1)), 1)
 		running = nil
 	})
 
@@ -141,23 +141,23 @@
 
 	It("refuses neither a program under way nor another tenant's", func() {
 		overload()
-		b.enqueue("under-way", "tenant", attained(500))
+		b.enqueue("under-way", "tenant", withAttained(500))
 		b.enqueue("other", "other")
 		Expect(b.ready()[schedule.ActionRefuse]).To(BeEmpty())
 	})
 })
 
 var _ = Describe("prefixes", func() {
-	var b *bed
+	var b *policyDriver
 
-	BeforeEach(func() { b = newBed(newPolicy("birchwood", testConfig(1)), 4) })
+	BeforeEach(func() { b = newPolicyDriver(newPolicy("birchwood", testConfig(1)), 4) })
 
 	It("sends a program's next call to the engine that holds its prefix", func() {
-		first := func() schedule.Decision { b.enqueue("p", "tenant"); return b.placeOne() }()
+		first := func() schedule.Decision { b.enqueue("p", "tenant"); return b.placeExactlyOne() }()
 		b.finish(first, 550)
 		for range 5 {
-			b.enqueue("p", "tenant", attained(550), prompt(600))
-			next := b.placeOne()
+			b.enqueue("p", "tenant", withAttained(550), withPrompt(600))
+			next := b.placeExactlyOne()
 			Expect(next.Backend).To(Equal(first.Backend))
 			Expect(next.Terms.MissingTokens).To(Equal(50))
 			b.finish(next, 550)
@@ -166,11 +166,11 @@
 
 	It("gives affinity up under load, and takes the prefix along", func() {
 		b.enqueue("p", "tenant")
-		first := b.placeOne()
+		first := b.placeExactlyOne()
 		b.finish(first, 6000)
 		b.policy.ObserveLoad(b.now, schedule.Load{Backend: first.Backend, At: b.now, Running: 2, CachedTokens: 6000})
-		b.enqueue("p", "tenant", attained(6000), prompt(6100))
-		moved := b.placeOne()
+		b.enqueue("p", "tenant", withAttained(6000), withPrompt(6100))
+		moved := b.placeExactlyOne()
 		Expect(moved.Backend).NotTo(Equal(first.Backend))
 		Expect(moved.ImportFrom).To(Equal(first.Backend))
 		b.finish(moved, 6200)
@@ -181,16 +181,16 @@
 		for _, engine := range engineList(4) {
 			b.policy.ObserveLoad(b.now, schedule.Load{Backend: engine.ID, At: b.now, CachedTokens: 15000})
 		}
-		b.enqueue("large", "tenant", prompt(5000))
+		b.enqueue("large", "tenant", withPrompt(5000))
 		Expect(b.ready()).To(BeEmpty())
 		b.policy.ObserveLoad(b.now, schedule.Load{Backend: "e002", At: b.now, CachedTokens: 1000})
-		Expect(b.placeOne().Backend).To(Equal(machine.ID("e002")))
+		Expect(b.placeExactlyOne().Backend).To(Equal(machine.ID("e002")))
 	})
 
 	It("drops the prefix when programs like it have not returned", func() {
 		runOnce := func(programID string) (drops []schedule.Decision) {
 			b.enqueue(programID, "tenant")
-			b.finish(b.placeOne(), 500)
+			b.finish(b.placeExactlyOne(), 500)
 			b.enqueue(programID, "tenant", func(request *schedule.Request) {
 				request.Kind, request.Model, request.Tool = api.CallTool, "", "send-notice"
 			})
@@ -208,7 +208,7 @@
 
 	It("exports the prefixes of paused programs from a leaving engine", func() {
 		b.enqueue("p", "tenant")
-		first := b.placeOne()
+		first := b.placeExactlyOne()
 		b.finish(first, 550)
 		machines := engineList(4)
 		for i := range machines {
@@ -220,16 +220,16 @@
 		exports := b.ready()[schedule.ActionExport]
 		Expect(exports).To(HaveLen(1))
 		Expect(exports[0].Backend).To(Equal(first.Backend))
-		b.enqueue("p", "tenant", attained(550), prompt(600))
-		Expect(b.placeOne().Backend).To(Equal(exports[0].ExportTo))
+		b.enqueue("p", "tenant", withAttained(550), withPrompt(600))
+		Expect(b.placeExactlyOne().Backend).To(Equal(exports[0].ExportTo))
 	})
 })
 
 var _ = Describe("a tenant's flood", func() {
 	It("leaves an engine to the others, whose calls are placed at once", func() {
-		b := newBed(newPolicy("birchwood", testConfig(1)), 4)
+		b := newPolicyDriver(newPolicy("birchwood", testConfig(1)), 4)
 		b.enqueue("seen", "quiet")
-		b.finish(b.placeOne(), 500)
+		b.finish(b.placeExactlyOne(), 500)
 		var running []schedule.Decision
 		used := map[machine.ID]bool{}
 		for i := range 200 {
@@ -254,17 +254,17 @@
 		Expect(used).To(HaveLen(4))
 		Expect(left).To(Equal(1))
 		b.enqueue("new", "quiet")
-		Expect(b.placeOne().Program).To(Equal(api.ProgramID("new")))
+		Expect(b.placeExactlyOne().Program).To(Equal(api.ProgramID("new")))
 	})
 })
 
 var _ = Describe("models", func() {
 	// busy reports three of four engines with the model "small" as full, and
 	// lists a fifth that has only the model "large".
-	busy := func(commands bool) *bed {
+	busy := func(commands bool) *policyDriver {
 		config := testConfig(1)
 		config.Commands = func(machine.ID) bool { return commands }
-		b := newBed(newPolicy("birchwood", config), 4)
+		b := newPolicyDriver(newPolicy("birchwood", config), 4)
 		spare := machine.Machine{
 			ID: "spare", Kind: machine.KindEngine, Zone: "a", Status: machine.StatusLive,
 			Models: []string{"large"}, Slots: 2, CacheTokens: 20000,
@@ -292,7 +292,7 @@
 
 var _ = Describe("tool calls", func() {
 	It("go to the least outstanding service, the nearest of equals", func() {
-		b := &bed{policy: newPolicy("birchwood", testConfig(1)), now: start}
+		b := &policyDriver{policy: newPolicy("birchwood", testConfig(1)), now: start}
 		b.policy.SetBackends(b.now, []machine.Machine{
 			{ID: "far", Kind: machine.KindTool, Zone: "b", Status: machine.StatusLive, Tools: []string{"t"}},
 			{ID: "near", Kind: machine.KindTool, Zone: "a", Status: machine.StatusLive, Tools: []string{"t"}},
@@ -301,9 +301,9 @@
 			request.Kind, request.Model, request.Tool, request.Placement = api.CallTool, "", "t", "a_b"
 		}
 		b.enqueue("p", "tenant", tool)
-		Expect(b.placeOne().Backend).To(Equal(machine.ID("near")))
+		Expect(b.placeExactlyOne().Backend).To(Equal(machine.ID("near")))
 		b.enqueue("q", "tenant", tool)
-		Expect(b.placeOne().Backend).To(Equal(machine.ID("far")))
+		Expect(b.placeExactlyOne().Backend).To(Equal(machine.ID("far")))
 	})
 })
 
