--- a/schedule/benchmark_test.go
+++ b/schedule/benchmark_test.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// BenchmarkDecision measures one call from Enqueue to its placement, and its
-// end, in fleets that are about half full.
+// BenchmarkDecision measures enqueueing, placing and finishing one call in
+// fleets whose slots are about half used.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{10, 60, 600} {
 		b.Run(fmt.Sprintf("replicas=%d", engines), func(b *testing.B) {
--- a/schedule/example_test.go
+++ b/schedule/example_test.go
@@ -12,8 +12,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// A scheduler places a call on the only engine whose zone its program's data
-// may visit.
+// The scheduler places a call on the only engine in a zone that the call's
+// placement permits.
 func Example() {
 	config := schedule.DefaultConfig()
 	config.Self = "isando"
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -13,14 +13,15 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// policyDriver drives one policy by hand.
+// policyDriver passes inputs to a policy and reads its decisions.
 type policyDriver struct {
 	policy schedule.Policy
 	now    time.Time
 	calls  uint64
 }
 
-// newPolicyDriver returns a policy with count engines of the model "small" in zone a.
+// newPolicyDriver returns a driver of the policy, which has the given number of
+// engines with the model "small" in zone a.
 func newPolicyDriver(policy schedule.Policy, engines int) *policyDriver {
 	b := &policyDriver{policy: policy, now: start}
 	policy.SetBackends(b.now, engineList(engines))
@@ -38,7 +39,7 @@
 	return machines
 }
 
-// enqueue hands over a model call of a program, changed by adjust.
+// enqueue enqueues a model call of a program, after adjust has changed it.
 func (b *policyDriver) enqueue(owner, tenant string, adjust ...func(*schedule.Request)) program.CallRef {
 	b.calls++
 	request := schedule.Request{
@@ -53,7 +54,7 @@
 	return request.Call
 }
 
-// ready returns the decisions that are due, by action.
+// ready returns the decisions of one call of Ready, by action.
 func (b *policyDriver) ready() map[schedule.Action][]schedule.Decision {
 	byAction := map[schedule.Action][]schedule.Decision{}
 	for _, decision := range b.policy.Ready(b.now) {
@@ -62,7 +63,8 @@
 	return byAction
 }
 
-// placeExactlyOne expects exactly one placement, and nothing refused.
+// placeExactlyOne expects exactly one placement and no refusal, and returns the
+// placement.
 func (b *policyDriver) placeExactlyOne() schedule.Decision {
 	decisions := b.ready()
 	gomega.ExpectWithOffset(1, decisions[schedule.ActionPlace]).To(gomega.HaveLen(1))
@@ -70,7 +72,8 @@
 	return decisions[schedule.ActionPlace][0]
 }
 
-// finish ends a placed call after a second, with a prefix left behind.
+// finish ends a placed call one second later, with resident tokens of its
+// prefix in the engine's cache.
 func (b *policyDriver) finish(placed schedule.Decision, resident int) {
 	b.now = b.now.Add(time.Second)
 	usage := api.Usage{PromptTokens: 500, OutputTokens: 50}
--- a/schedule/herding_test.go
+++ b/schedule/herding_test.go
@@ -13,14 +13,15 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// herdSimulation is many nodes that share a few engines. Every engine reports its load
-// twice a second, and each report reaches the nodes a second late.
+// herdSimulation simulates nodes that share a few engines. Every engine reports
+// its load twice a second, and each report reaches the nodes herdReportDelay
+// later.
 type herdSimulation struct {
 	nodes   []*policyDriver
 	running map[machine.ID][]scheduledEnd
 	reports []schedule.Load
-	// excess sums up, over samples moments, the busiest engine's load over the
-	// mean.
+	// excess is the sum, over all samples, of the busiest engine's load divided
+	// by the mean load.
 	excess  float64
 	samples int
 }
@@ -40,8 +41,8 @@
 	herdSimulatedSeconds = 30
 )
 
-// simulateHerd lets every node place about one call in each half second, and
-// returns how far the busiest engine was above the mean, on average over time.
+// simulateHerd enqueues one call per node every half second. It returns the
+// ratio of the busiest engine's load to the mean load, averaged over time.
 func simulateHerd(policy string) float64 {
 	h := &herdSimulation{running: map[machine.ID][]scheduledEnd{}}
 	machines := engineList(herdEngines)
@@ -88,7 +89,7 @@
 	}
 }
 
-// end finishes the calls that are due.
+// end finishes the calls whose end time has come.
 func (h *herdSimulation) end(now time.Time) {
 	for i := range herdEngines {
 		id := machine.ID(fmt.Sprintf("e%03d", i))
--- a/schedule/rules_test.go
+++ b/schedule/rules_test.go
@@ -16,13 +16,13 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// policyNames are every policy that the rules bind.
+// policyNames lists all policies. Each has to follow the rules below.
 var policyNames = []string{"birchwood", schedule.BaselineRoundRobin, schedule.BaselineLeastLoaded, schedule.BaselineSticky}
 
-// start is the time at which every test begins.
+// start is the time of the first input in every test.
 var start = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// testConfig returns a complete configuration of a node in zone a.
+// testConfig returns a complete configuration for a node in zone a.
 func testConfig(seed uint64) schedule.Config {
 	config := schedule.DefaultConfig()
 	config.Self = "a"
@@ -51,7 +51,8 @@
 	return policy
 }
 
-// oracle checks each decision against the inputs so far.
+// oracle records the inputs of a policy and checks each of its decisions against
+// them.
 type oracle struct {
 	policy   schedule.Policy
 	now      time.Time
@@ -107,7 +108,7 @@
 	o.policy.Enqueue(o.now, request)
 }
 
-// withdraw takes back the oldest held call, when there is one.
+// withdraw withdraws the oldest held call, if there is one.
 func (o *oracle) withdraw(t *rapid.T) {
 	call, ok := oldestCall(o.held)
 	if !ok {
@@ -152,7 +153,8 @@
 	o.now = o.now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "step")) * time.Millisecond)
 }
 
-// checkDecisions reads the decisions that are due and holds each against the rules.
+// checkDecisions reads the decisions that are due and checks each of them. While
+// calls are held, the policy must also have a next wake in the future.
 func (o *oracle) checkDecisions(t *rapid.T) {
 	for _, decision := range o.policy.Ready(o.now) {
 		switch decision.Action {
@@ -206,8 +208,8 @@
 	delete(o.held, decision.Call)
 }
 
-// drain moves the time on until nothing is held, and fails if that takes
-// longer than every deadline.
+// drain advances the time until no call is held, and fails if that takes longer
+// than any deadline.
 func (o *oracle) drain(t *rapid.T) {
 	limit := o.now.Add(2 * time.Minute)
 	for len(o.held) > 0 {
@@ -220,7 +222,7 @@
 	}
 }
 
-// oldestCall returns the smallest call of a map.
+// oldestCall returns the call with the lowest sequence number.
 func oldestCall[V any](calls map[program.CallRef]V) (program.CallRef, bool) {
 	var smallest program.CallRef
 	found := false
@@ -232,9 +234,9 @@
 	return smallest, found
 }
 
-// TestPolicyRules drives every policy with random inputs: no call is placed
-// where its rules forbid, none is placed after its withdrawal, and each is
-// placed or refused in the end.
+// TestPolicyRules passes random inputs to every policy. No call may be placed on
+// a back end that is not feasible for it or after it was withdrawn, and every
+// other call has to be placed or refused in the end.
 func TestPolicyRules(t *testing.T) {
 	for _, name := range policyNames {
 		t.Run(name, rapid.MakeCheck(func(t *rapid.T) {
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("the order of held calls", func() {
 	var b *policyDriver
 
-	// fill takes both slots of the only engine with another program's calls.
+	// fill occupies both slots of the only engine with calls of another tenant.
 	fill := func() (first, second schedule.Decision) {
 		b.enqueue("busy-1", "other")
 		b.enqueue("busy-2", "other")
@@ -94,7 +94,7 @@
 	var b *policyDriver
 	var running []schedule.Decision
 
-	// overload keeps two slots busy and enqueues programs until one is
+	// overload keeps both slots busy and enqueues new programs until one is
 	// refused.
 	overload := func() schedule.Decision {
 		for i := range 200 {
@@ -259,8 +259,8 @@
 })
 
 var _ = Describe("models", func() {
-	// busy reports three of four engines with the model "small" as full, and
-	// lists a fifth that has only the model "large".
+	// busy reports the four engines with the model "small" as full, and lists a
+	// fifth, idle one that has only the model "large".
 	busy := func(commands bool) *policyDriver {
 		config := testConfig(1)
 		config.Commands = func(machine.ID) bool { return commands }
