--- a/schedule/models.go
+++ b/schedule/models.go
@@ -155,8 +155,8 @@
 
 // spareEngines returns the unused capacity that the model's engines have if one
 // of them unloads it, in engines.
-func (u *modelDemand) spareEngines() float64 {
-	return (1 - u.meanUtilisation) * float64(len(u.engines)-1)
+func (d *modelDemand) spareEngines() float64 {
+	return (1 - d.meanUtilisation) * float64(len(d.engines)-1)
 }
 
 // loadTarget returns the engine that should load the overloaded model, or nil.
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -40,7 +40,7 @@
 	// virtualTime is the virtual time of start-time fair queueing: the largest
 	// start tag of the calls placed so far.
 	virtualTime float64
-	flows       map[string]*share
+	shares      map[string]*share
 	subqueues   map[subqueueKey]*subqueue
 	// active lists the subqueues that contain calls, in the order in which they
 	// became non-empty. resetRound removes empty ones.
@@ -121,7 +121,7 @@
 	}
 	known := q.byName[name]
 	if known == nil {
-		known = &pool{poolName: name, flows: map[string]*share{}, subqueues: map[subqueueKey]*subqueue{}}
+		known = &pool{poolName: name, shares: map[string]*share{}, subqueues: map[subqueueKey]*subqueue{}}
 		q.byName[name] = known
 		q.pools = append(q.pools, known)
 	}
@@ -134,10 +134,10 @@
 	if known := p.subqueues[key]; known != nil {
 		return known
 	}
-	tenantShare := p.flows[request.Tenant]
+	tenantShare := p.shares[request.Tenant]
 	if tenantShare == nil {
 		tenantShare = &share{tenant: request.Tenant, usage: usage}
-		p.flows[request.Tenant] = tenantShare
+		p.shares[request.Tenant] = tenantShare
 	}
 	tenantShare.weight = float64(1 + max(request.Priority, 0))
 	added := &subqueue{
@@ -186,10 +186,10 @@
 
 // skip removes the head of the subqueue for the rest of the round, until
 // restore adds it again.
-func (l *subqueue) skip(call *heldCall) { heap.Remove(&l.calls, call.subqueueIndex) }
+func (sub *subqueue) skip(call *heldCall) { heap.Remove(&sub.calls, call.subqueueIndex) }
 
 // restore adds a call that skip removed.
-func (l *subqueue) restore(call *heldCall) { heap.Push(&l.calls, call) }
+func (sub *subqueue) restore(call *heldCall) { heap.Push(&sub.calls, call) }
 
 // blockSaturated blocks the subqueues with the placement for which every
 // feasible back end is saturated. If onlyTenant is set, the tenant may use fewer
@@ -221,10 +221,10 @@
 // resetRound removes the empty subqueues from the active ones, and unblocks the
 // others.
 func (p *pool) resetRound() {
-	p.active = slices.DeleteFunc(p.active, func(l *subqueue) bool {
-		l.blocked = false
-		l.active = l.calls.Len() > 0
-		return !l.active
+	p.active = slices.DeleteFunc(p.active, func(sub *subqueue) bool {
+		sub.blocked = false
+		sub.active = sub.calls.Len() > 0
+		return !sub.active
 	})
 }
 
@@ -243,11 +243,11 @@
 	return best
 }
 
-func (l *subqueue) before(other *subqueue) bool {
-	if order := cmp.Compare(l.share.virtualTime, other.share.virtualTime); order != 0 {
+func (sub *subqueue) before(other *subqueue) bool {
+	if order := cmp.Compare(sub.share.virtualTime, other.share.virtualTime); order != 0 {
 		return order < 0
 	}
-	return arrivesEarlier(l.calls.items[0], other.calls.items[0])
+	return arrivesEarlier(sub.calls.items[0], other.calls.items[0])
 }
 
 // effectiveArrivalOf returns the time by which a call is ordered among those of
@@ -266,9 +266,9 @@
 
 // callsAhead returns the number of calls in the subqueue that are ordered before
 // a call.
-func (l *subqueue) callsAhead(call *heldCall) int {
+func (sub *subqueue) callsAhead(call *heldCall) int {
 	count := 0
-	for _, other := range l.calls.items {
+	for _, other := range sub.calls.items {
 		if arrivesEarlier(other, call) {
 			count++
 		}
