--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -243,8 +243,7 @@
 	}
 }
 
-// earliest returns the earlier of two times. A zero a means never; b is not
-// zero.
+// earliest returns the earlier of two times; a zero a means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/schedule/select.go
+++ b/schedule/select.go
@@ -13,9 +13,9 @@
 const (
 	// placed means that the call was placed.
 	placed placeResult = iota
-	// skipped means that the call has to wait for room in a cache, or for a
-	// back end other than those in Request.Avoid. Calls behind it may still be
-	// placed.
+	// skipped means that the call has to wait for room in a cache, for a back
+	// end that serves it, or for one that is not in Request.Avoid. Calls behind
+	// it may still be placed.
 	skipped
 	// blocked means that every feasible back end is saturated.
 	blocked
