--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -32,44 +32,44 @@
 }
 
 // addWaiting records that one more program waits to start.
-func (p *startEstimator) addWaiting(now time.Time) {
-	if p.waiting == 0 {
-		p.waitStart = now
+func (e *startEstimator) addWaiting(now time.Time) {
+	if e.waiting == 0 {
+		e.waitStart = now
 	}
-	p.waiting++
+	e.waiting++
 }
 
 // removeWaiting records that a waiting program started or was withdrawn. Only
 // programs that had to wait change the interval; one that starts at once says
 // nothing about the time between starts under load.
-func (p *startEstimator) removeWaiting(now time.Time, started, waited bool) {
-	p.waiting--
+func (e *startEstimator) removeWaiting(now time.Time, started, waited bool) {
+	e.waiting--
 	if !started {
 		return
 	}
 	if waited {
-		p.interval.add(now.Sub(p.waitStart).Seconds())
+		e.interval.add(now.Sub(e.waitStart).Seconds())
 	}
-	p.waitStart = now
+	e.waitStart = now
 }
 
 // meanInterval returns the mean time between two starts, or prior if none has
 // been observed.
-func (p *startEstimator) meanInterval(prior time.Duration) time.Duration {
-	if p.interval.count == 0 {
+func (e *startEstimator) meanInterval(prior time.Duration) time.Duration {
+	if e.interval.count == 0 {
 		return prior
 	}
-	return seconds(p.interval.value)
+	return seconds(e.interval.value)
 }
 
 // expectedWait predicts how long a program waits if ahead others start before
 // it. The next of them takes at least as long as it has already waited.
-func (p *startEstimator) expectedWait(now time.Time, ahead int, prior time.Duration) time.Duration {
+func (e *startEstimator) expectedWait(now time.Time, ahead int, prior time.Duration) time.Duration {
 	if ahead == 0 {
 		return 0
 	}
-	meanInterval := p.meanInterval(prior)
-	return max(meanInterval, now.Sub(p.waitStart)) + time.Duration(ahead-1)*meanInterval
+	meanInterval := e.meanInterval(prior)
+	return max(meanInterval, now.Sub(e.waitStart)) + time.Duration(ahead-1)*meanInterval
 }
 
 // isUnstarted reports whether no work has been spent on the program yet, so
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -23,9 +23,9 @@
 // newPolicyDriver returns a driver of the policy, which has the given number of
 // engines with the model "small" in zone a.
 func newPolicyDriver(policy schedule.Policy, engines int) *policyDriver {
-	b := &policyDriver{policy: policy, now: start}
-	policy.SetBackends(b.now, engineList(engines))
-	return b
+	d := &policyDriver{policy: policy, now: start}
+	policy.SetBackends(d.now, engineList(engines))
+	return d
 }
 
 func engineList(count int) []machine.Machine {
@@ -40,24 +40,24 @@
 }
 
 // enqueue enqueues a model call of a program, after adjust has changed it.
-func (b *policyDriver) enqueue(owner, tenant string, adjust ...func(*schedule.Request)) program.CallRef {
-	b.calls++
+func (d *policyDriver) enqueue(programID, tenant string, adjust ...func(*schedule.Request)) program.CallRef {
+	d.calls++
 	request := schedule.Request{
-		Call: program.CallRef{Program: api.ProgramID(owner), Sequence: b.calls},
+		Call: program.CallRef{Program: api.ProgramID(programID), Sequence: d.calls},
 		Kind: api.CallModel, Model: "small", Tenant: tenant, Placement: zone.NewPlacement("a"),
-		PromptTokens: 500, OutputCap: 100, Arrived: b.now, Enqueued: b.now, Deadline: b.now.Add(time.Minute),
+		PromptTokens: 500, OutputCap: 100, Arrived: d.now, Enqueued: d.now, Deadline: d.now.Add(time.Minute),
 	}
 	for _, each := range adjust {
 		each(&request)
 	}
-	b.policy.Enqueue(b.now, request)
+	d.policy.Enqueue(d.now, request)
 	return request.Call
 }
 
 // ready returns the decisions of one call of Ready, by action.
-func (b *policyDriver) ready() map[schedule.Action][]schedule.Decision {
+func (d *policyDriver) ready() map[schedule.Action][]schedule.Decision {
 	byAction := map[schedule.Action][]schedule.Decision{}
-	for _, decision := range b.policy.Ready(b.now) {
+	for _, decision := range d.policy.Ready(d.now) {
 		byAction[decision.Action] = append(byAction[decision.Action], decision)
 	}
 	return byAction
@@ -65,8 +65,8 @@
 
 // placeExactlyOne expects exactly one placement and no refusal, and returns the
 // placement.
-func (b *policyDriver) placeExactlyOne() schedule.Decision {
-	decisions := b.ready()
+func (d *policyDriver) placeExactlyOne() schedule.Decision {
+	decisions := d.ready()
 	gomega.ExpectWithOffset(1, decisions[schedule.ActionPlace]).To(gomega.HaveLen(1))
 	gomega.ExpectWithOffset(1, decisions[schedule.ActionRefuse]).To(gomega.BeEmpty())
 	return decisions[schedule.ActionPlace][0]
@@ -74,10 +74,10 @@
 
 // finish ends a placed call one second later, with resident tokens of its
 // prefix in the engine's cache.
-func (b *policyDriver) finish(placed schedule.Decision, resident int) {
-	b.now = b.now.Add(time.Second)
+func (d *policyDriver) finish(placed schedule.Decision, resident int) {
+	d.now = d.now.Add(time.Second)
 	usage := api.Usage{PromptTokens: 500, OutputTokens: 50}
-	b.policy.Finished(b.now, placed.Call, placed.Backend, usage, resident)
+	d.policy.Finished(d.now, placed.Call, placed.Backend, usage, resident)
 }
 
 func withAttained(tokens int64) func(*schedule.Request) {
