--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -11,19 +11,21 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// queue holds the calls that wait for a back end. Two rules order them:
-// tenants share each pool of back ends by start-time fair queueing, weighted
-// by their urgency, and within a tenant the program with the least attained
-// service goes first, with aging and the deadline.
+// queue contains the held calls. Tenants share each pool of back ends by
+// start-time fair queueing, weighted by priority. Within a tenant the program
+// with the least attained service goes first, adjusted by aging and the
+// deadline.
 type queue struct {
 	calls map[program.CallRef]*heldCall
-	// expiry orders every held call by when it is refused.
+	// expiry orders all held calls by their hold deadline.
 	expiry callHeap
 	pools  []*pool
 	byName map[poolName]*pool
-	// turn rotates which pool is served first.
-	turn int
-	// order numbers the calls, to break ties by arrival.
+	// rotation is incremented by each run of Ready, to rotate which pool is
+	// served first.
+	rotation int
+	// order is the number of calls enqueued so far. Each call gets its value as
+	// a sequence number, which breaks ties in the heaps.
 	order uint64
 }
 
@@ -32,161 +34,167 @@
 	name string
 }
 
-// pool is the calls that need the same model or tool.
+// pool contains the held calls that need the same model or tool.
 type pool struct {
 	poolName
-	// virtual is the virtual time of fair queueing: the start tag of the call
-	// that was sent last.
-	virtual float64
-	shares  map[string]*share
-	lines   map[lineKey]*line
-	// active are the lines that hold calls, in the order in which they began
-	// to; empty ones are taken out by the next search.
-	active []*line
+	// virtualTime is the virtual time of start-time fair queueing: the largest
+	// start tag of the calls placed so far.
+	virtualTime float64
+	shares      map[string]*share
+	subqueues   map[subqueueKey]*subqueue
+	// active lists the subqueues that contain calls, in the order in which they
+	// became non-empty. resetRound removes empty ones.
+	active []*subqueue
 }
 
-type lineKey struct {
+type subqueueKey struct {
 	tenant    string
 	placement zone.Placement
 	unstarted bool
 }
 
-// share is one tenant's part of a pool.
+// share is the fair-queueing state of one tenant in a pool.
 type share struct {
 	tenant string
 	weight float64
-	// virtual is the tenant's service so far over its weight, in seconds. It
-	// never lags behind the pool's while the tenant has nothing held: unused
-	// shares are not saved up.
-	virtual float64
-	held    int
-	// starts is the pace of the tenant's programs that wait to start.
-	starts pace
-	// use is what the tenant holds, in all pools.
-	use *tenantUse
-	// nextRetry is the last retry time that a refusal promised.
-	nextRetry time.Time
+	// virtualTime is the tenant's expected service so far divided by its
+	// weight, in seconds. When a tenant without held calls enqueues one, it is
+	// raised to at least the pool's virtual time, so that idle tenants do not
+	// accumulate credit.
+	virtualTime float64
+	heldCalls   int
+	// starts estimates how often the tenant's waiting programs start.
+	starts startEstimator
+	// usage is the tenant's resource usage, over all pools.
+	usage *tenantUsage
+	// lastRetryAt is the retry time given in the tenant's last refusal.
+	lastRetryAt time.Time
 }
 
-// line is one tenant's held calls of one placement. Calls of programs that
-// have not started stand in a line of their own: they all need new room, so
-// that the first one speaks for those behind it.
-type line struct {
-	lineKey
+// subqueue contains one tenant's held calls with the same placement. Calls of
+// unstarted programs have a subqueue of their own: all of them need new cache
+// space, so if the first one cannot be placed the others are not tried.
+type subqueue struct {
+	subqueueKey
 	share *share
 	calls callHeap
-	// capacity is the slots of the back ends that the placement permits, as
-	// of a revision of the view.
+	// capacity is the number of slots of the feasible back ends, computed at
+	// this revision of the view.
 	capacity int
 	revision uint64
 	blocked  bool
 	active   bool
 }
 
-// heldCall is one call that waits.
+// heldCall is a call in the queue.
 type heldCall struct {
-	request Request
-	pool    *pool
-	line    *line
-	// place orders the calls of a line, the earliest first.
-	place time.Time
-	order uint64
-	// expires is when the call is refused at the latest.
+	request  Request
+	pool     *pool
+	subqueue *subqueue
+	// effectiveArrival orders the calls of a subqueue, the earliest first.
+	effectiveArrival time.Time
+	order            uint64
+	// expires is the hold deadline, after which the call is refused.
 	expires time.Time
-	// cost is the predicted service.
-	cost     time.Duration
-	inLine   int
-	inExpiry int
+	// expectedService is the predicted time in a back end. subqueueIndex and
+	// expiryIndex are the call's positions in the two heaps; -1 if it is not in
+	// the heap.
+	expectedService time.Duration
+	subqueueIndex   int
+	expiryIndex     int
 }
 
 func newQueue() *queue {
 	return &queue{
 		calls:  map[program.CallRef]*heldCall{},
 		byName: map[poolName]*pool{},
-		expiry: callHeap{earlier: expiresEarlier, position: expiryPosition},
+		expiry: callHeap{less: expiresEarlier, index: expiryIndexOf},
 	}
 }
 
-// poolOf returns the pool that serves a request.
-func (q *queue) poolOf(request *Request) *pool {
+// poolFor returns the pool of the request's model or tool, and creates it if
+// needed.
+func (q *queue) poolFor(request *Request) *pool {
 	name := poolName{request.Kind, request.Model}
 	if request.Kind == api.CallTool {
 		name.name = request.Tool
 	}
 	known := q.byName[name]
 	if known == nil {
-		known = &pool{poolName: name, shares: map[string]*share{}, lines: map[lineKey]*line{}}
+		known = &pool{poolName: name, shares: map[string]*share{}, subqueues: map[subqueueKey]*subqueue{}}
 		q.byName[name] = known
 		q.pools = append(q.pools, known)
 	}
 	return known
 }
 
-// lineOf returns the line of a request's tenant and placement.
-func (p *pool) lineOf(request *Request, use *tenantUse) *line {
-	key := lineKey{request.Tenant, request.Placement, unstarted(request)}
-	if known := p.lines[key]; known != nil {
+// subqueueFor returns the subqueue for a request, and creates it if needed.
+func (p *pool) subqueueFor(request *Request, usage *tenantUsage) *subqueue {
+	key := subqueueKey{request.Tenant, request.Placement, isUnstarted(request)}
+	if known := p.subqueues[key]; known != nil {
 		return known
 	}
-	owner := p.shares[request.Tenant]
-	if owner == nil {
-		owner = &share{tenant: request.Tenant, use: use}
-		p.shares[request.Tenant] = owner
+	tenantShare := p.shares[request.Tenant]
+	if tenantShare == nil {
+		tenantShare = &share{tenant: request.Tenant, usage: usage}
+		p.shares[request.Tenant] = tenantShare
 	}
-	owner.weight = float64(1 + max(request.Priority, 0))
-	added := &line{
-		lineKey: key,
-		share:   owner,
-		calls:   callHeap{earlier: placedEarlier, position: linePosition},
+	tenantShare.weight = float64(1 + max(request.Priority, 0))
+	added := &subqueue{
+		subqueueKey: key,
+		share:       tenantShare,
+		calls:       callHeap{less: arrivesEarlier, index: subqueueIndexOf},
 	}
-	p.lines[key] = added
+	p.subqueues[key] = added
 	return added
 }
 
-// push holds a call.
+// push adds a call to the queue.
 func (q *queue) push(now time.Time, call *heldCall) {
 	q.order++
 	call.order = q.order
 	q.calls[call.request.Call] = call
-	owner := call.line.share
-	if owner.held == 0 {
-		owner.virtual = max(owner.virtual, call.pool.virtual)
+	tenantShare := call.subqueue.share
+	if tenantShare.heldCalls == 0 {
+		tenantShare.virtualTime = max(tenantShare.virtualTime, call.pool.virtualTime)
 	}
-	owner.held++
-	if unstarted(&call.request) {
-		owner.starts.enter(now)
+	tenantShare.heldCalls++
+	if isUnstarted(&call.request) {
+		tenantShare.starts.addWaiting(now)
 	}
-	heap.Push(&call.line.calls, call)
+	heap.Push(&call.subqueue.calls, call)
 	heap.Push(&q.expiry, call)
-	if !call.line.active {
-		call.line.active = true
-		call.pool.active = append(call.pool.active, call.line)
+	if !call.subqueue.active {
+		call.subqueue.active = true
+		call.pool.active = append(call.pool.active, call.subqueue)
 	}
 }
 
-// remove takes a call out, wherever it stands, because it is sent or not.
+// remove removes a call from the queue; sent reports whether it was placed.
 func (q *queue) remove(now time.Time, call *heldCall, sent bool) {
 	delete(q.calls, call.request.Call)
-	owner := call.line.share
-	owner.held--
-	if unstarted(&call.request) {
-		owner.starts.leave(now, sent, now.After(call.request.Enqueued))
+	tenantShare := call.subqueue.share
+	tenantShare.heldCalls--
+	if isUnstarted(&call.request) {
+		tenantShare.starts.removeWaiting(now, sent, now.After(call.request.Enqueued))
 	}
-	if call.inLine >= 0 {
-		heap.Remove(&call.line.calls, call.inLine)
+	if call.subqueueIndex >= 0 {
+		heap.Remove(&call.subqueue.calls, call.subqueueIndex)
 	}
-	heap.Remove(&q.expiry, call.inExpiry)
+	heap.Remove(&q.expiry, call.expiryIndex)
 }
 
-// setAside takes the head off the line, for a moment.
-func (l *line) setAside(call *heldCall) { heap.Remove(&l.calls, call.inLine) }
+// skip removes the head of the subqueue for the rest of the round, until
+// restore adds it again.
+func (sub *subqueue) skip(call *heldCall) { heap.Remove(&sub.calls, call.subqueueIndex) }
 
-// putBack undoes setAside.
-func (l *line) putBack(call *heldCall) { heap.Push(&l.calls, call) }
+// restore adds a call that skip removed.
+func (sub *subqueue) restore(call *heldCall) { heap.Push(&sub.calls, call) }
 
-// block marks the lines that found every back end saturated: those of the
-// placement, or only the tenant's, if others may use more slots than it.
-func (p *pool) block(full *line, onlyTenant bool) {
+// blockSaturated blocks the subqueues with the placement for which every
+// feasible back end is saturated. If onlyTenant is set, the tenant may use fewer
+// slots than the others and only its own subqueues are blocked.
+func (p *pool) blockSaturated(full *subqueue, onlyTenant bool) {
 	for _, each := range p.active {
 		if each.placement == full.placement && (!onlyTenant || each.share == full.share) {
 			each.blocked = true
@@ -194,8 +202,8 @@
 	}
 }
 
-// held counts the calls that the pool holds.
-func (p *pool) held() int {
+// heldCount returns the number of calls in the pool.
+func (p *pool) heldCount() int {
 	total := 0
 	for _, each := range p.active {
 		total += each.calls.Len()
@@ -203,27 +211,27 @@
 	return total
 }
 
-// served charges a tenant for a call that was sent.
-func (p *pool) served(call *heldCall) {
-	owner := call.line.share
-	p.virtual = max(p.virtual, owner.virtual)
-	owner.virtual += call.cost.Seconds() / owner.weight
+// charge adds the cost of a placed call to its tenant's virtual time.
+func (p *pool) charge(call *heldCall) {
+	tenantShare := call.subqueue.share
+	p.virtualTime = max(p.virtualTime, tenantShare.virtualTime)
+	tenantShare.virtualTime += call.expectedService.Seconds() / tenantShare.weight
 }
 
-// trim takes the empty lines off the active ones, and clears the marks of the
-// last round.
-func (p *pool) trim() {
-	p.active = slices.DeleteFunc(p.active, func(l *line) bool {
-		l.blocked = false
-		l.active = l.calls.Len() > 0
-		return !l.active
+// resetRound removes the empty subqueues from the active ones, and unblocks the
+// others.
+func (p *pool) resetRound() {
+	p.active = slices.DeleteFunc(p.active, func(sub *subqueue) bool {
+		sub.blocked = false
+		sub.active = sub.calls.Len() > 0
+		return !sub.active
 	})
 }
 
-// next returns the line whose head is to be tried: of the tenants with the
-// least weighted service, the one whose head is placed earliest.
-func (p *pool) next() *line {
-	var best *line
+// next returns the subqueue whose head should be tried next, or nil. Among the
+// unblocked ones it has the lowest virtual time, then the earliest head.
+func (p *pool) next() *subqueue {
+	var best *subqueue
 	for _, candidate := range p.active {
 		if candidate.blocked || candidate.calls.Len() == 0 {
 			continue
@@ -235,46 +243,49 @@
 	return best
 }
 
-func (l *line) before(other *line) bool {
-	if order := cmp.Compare(l.share.virtual, other.share.virtual); order != 0 {
+func (sub *subqueue) before(other *subqueue) bool {
+	if order := cmp.Compare(sub.share.virtualTime, other.share.virtualTime); order != 0 {
 		return order < 0
 	}
-	return placedEarlier(l.calls.items[0], other.calls.items[0])
+	return arrivesEarlier(sub.calls.items[0], other.calls.items[0])
 }
 
-// placeInLine is a call's place among its tenant's: the arrival of its
-// program, later by the attained service, and later by a part of the time that
-// its caller has. Both are bounded, so that no call is overtaken forever.
-func placeInLine(request *Request, order OrderConfig) time.Time {
+// effectiveArrivalOf returns the time by which a call is ordered among those of
+// its tenant: the arrival of its program, plus a time for the attained service,
+// plus a share of the time until the deadline. Both are bounded, so that no
+// call starves.
+func effectiveArrivalOf(request *Request, order OrderConfig) time.Time {
 	attained := time.Duration(request.Attained) * order.AttainedPerToken
-	place := request.Arrived.Add(min(attained, order.AttainedMaximum))
+	arrival := request.Arrived.Add(min(attained, order.AttainedMaximum))
 	if request.Deadline.IsZero() {
-		return place
+		return arrival
 	}
-	patience := request.Deadline.Sub(request.Arrived)
-	return place.Add(time.Duration(order.DeadlineShare * float64(patience)))
+	timeLimit := request.Deadline.Sub(request.Arrived)
+	return arrival.Add(time.Duration(order.DeadlineShare * float64(timeLimit)))
 }
 
-// ahead counts the calls of the line that are placed before a call.
-func (l *line) ahead(call *heldCall) int {
+// callsAhead returns the number of calls in the subqueue that are ordered before
+// a call.
+func (sub *subqueue) callsAhead(call *heldCall) int {
 	count := 0
-	for _, other := range l.calls.items {
-		if placedEarlier(other, call) {
+	for _, other := range sub.calls.items {
+		if arrivesEarlier(other, call) {
 			count++
 		}
 	}
 	return count
 }
 
-// callHeap is a heap of held calls that knows each call's position.
+// callHeap is a heap of held calls that stores in each call its position, so
+// that calls can be removed from the middle.
 type callHeap struct {
-	items    []*heldCall
-	earlier  func(a, b *heldCall) bool
-	position func(*heldCall) *int
+	items []*heldCall
+	less  func(a, b *heldCall) bool
+	index func(*heldCall) *int
 }
 
-func placedEarlier(a, b *heldCall) bool {
-	if order := a.place.Compare(b.place); order != 0 {
+func arrivesEarlier(a, b *heldCall) bool {
+	if order := a.effectiveArrival.Compare(b.effectiveArrival); order != 0 {
 		return order < 0
 	}
 	return a.order < b.order
@@ -287,26 +298,26 @@
 	return a.order < b.order
 }
 
-func linePosition(call *heldCall) *int   { return &call.inLine }
-func expiryPosition(call *heldCall) *int { return &call.inExpiry }
+func subqueueIndexOf(call *heldCall) *int { return &call.subqueueIndex }
+func expiryIndexOf(call *heldCall) *int   { return &call.expiryIndex }
 
 // Len implements heap.Interface.
 func (h *callHeap) Len() int { return len(h.items) }
 
 // Less implements heap.Interface.
-func (h *callHeap) Less(i, j int) bool { return h.earlier(h.items[i], h.items[j]) }
+func (h *callHeap) Less(i, j int) bool { return h.less(h.items[i], h.items[j]) }
 
 // Swap implements heap.Interface.
 func (h *callHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	*h.position(h.items[i]) = i
-	*h.position(h.items[j]) = j
+	*h.index(h.items[i]) = i
+	*h.index(h.items[j]) = j
 }
 
 // Push implements heap.Interface.
 func (h *callHeap) Push(item any) {
 	call := item.(*heldCall)
-	*h.position(call) = len(h.items)
+	*h.index(call) = len(h.items)
 	h.items = append(h.items, call)
 }
 
@@ -316,6 +327,6 @@
 	call := h.items[last]
 	h.items[last] = nil
 	h.items = h.items[:last]
-	*h.position(call) = -1
+	*h.index(call) = -1
 	return call
 }
--- a/schedule/rules_test.go
+++ b/schedule/rules_test.go
@@ -16,13 +16,13 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// policyNames are every policy that the rules bind.
+// policyNames lists all policies. Each has to follow the rules below.
 var policyNames = []string{"birchwood", schedule.BaselineRoundRobin, schedule.BaselineLeastLoaded, schedule.BaselineSticky}
 
-// start is the time at which every test begins.
+// start is the time of the first input in every test.
 var start = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// testConfig returns a complete configuration of a node in zone a.
+// testConfig returns a complete configuration for a node in zone a.
 func testConfig(seed uint64) schedule.Config {
 	config := schedule.DefaultConfig()
 	config.Self = "a"
@@ -51,7 +51,8 @@
 	return policy
 }
 
-// oracle checks each decision against the inputs so far.
+// oracle records the inputs of a policy and checks each of its decisions against
+// them.
 type oracle struct {
 	policy   schedule.Policy
 	now      time.Time
@@ -107,9 +108,9 @@
 	o.policy.Enqueue(o.now, request)
 }
 
-// withdraw takes back the oldest held call, when there is one.
+// withdraw withdraws the oldest held call, if there is one.
 func (o *oracle) withdraw(t *rapid.T) {
-	call, ok := first(o.held)
+	call, ok := oldestCall(o.held)
 	if !ok {
 		return
 	}
@@ -120,7 +121,7 @@
 }
 
 func (o *oracle) finish(t *rapid.T) {
-	call, ok := first(o.placed)
+	call, ok := oldestCall(o.placed)
 	if !ok {
 		return
 	}
@@ -139,7 +140,7 @@
 	})
 }
 
-func (o *oracle) forget(t *rapid.T) {
+func (o *oracle) endOrEvict(t *rapid.T) {
 	owner := api.ProgramID(fmt.Sprintf("p%d", rapid.IntRange(0, 6).Draw(t, "owner")))
 	if rapid.Bool().Draw(t, "ended") {
 		o.policy.ProgramEnded(o.now, owner)
@@ -152,8 +153,9 @@
 	o.now = o.now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "step")) * time.Millisecond)
 }
 
-// check reads the decisions that are due and holds each against the rules.
-func (o *oracle) check(t *rapid.T) {
+// checkDecisions reads the decisions that are due and checks each of them. While
+// calls are held, the policy must also have a next wake in the future.
+func (o *oracle) checkDecisions(t *rapid.T) {
 	for _, decision := range o.policy.Ready(o.now) {
 		switch decision.Action {
 		case schedule.ActionPlace:
@@ -206,8 +208,8 @@
 	delete(o.held, decision.Call)
 }
 
-// drain moves the time on until nothing is held, and fails if that takes
-// longer than every deadline.
+// drain advances the time until no call is held, and fails if that takes longer
+// than any deadline.
 func (o *oracle) drain(t *rapid.T) {
 	limit := o.now.Add(2 * time.Minute)
 	for len(o.held) > 0 {
@@ -216,12 +218,12 @@
 			t.Fatalf("%d calls are never placed or refused", len(o.held))
 		}
 		o.now = wake
-		o.check(t)
+		o.checkDecisions(t)
 	}
 }
 
-// first returns the smallest call of a map.
-func first[V any](calls map[program.CallRef]V) (program.CallRef, bool) {
+// oldestCall returns the call with the lowest sequence number.
+func oldestCall[V any](calls map[program.CallRef]V) (program.CallRef, bool) {
 	var smallest program.CallRef
 	found := false
 	for call := range calls {
@@ -232,9 +234,9 @@
 	return smallest, found
 }
 
-// TestPolicyRules drives every policy with random inputs: no call is placed
-// where its rules forbid, none is placed after its withdrawal, and each is
-// placed or refused in the end.
+// TestPolicyRules passes random inputs to every policy. No call may be placed on
+// a back end that is not feasible for it or after it was withdrawn, and every
+// other call has to be placed or refused in the end.
 func TestPolicyRules(t *testing.T) {
 	for _, name := range policyNames {
 		t.Run(name, rapid.MakeCheck(func(t *rapid.T) {
@@ -244,13 +246,13 @@
 			}
 			o.setBackends(t)
 			t.Repeat(map[string]func(*rapid.T){
-				"":         o.check,
+				"":         o.checkDecisions,
 				"backends": o.setBackends,
 				"enqueue":  o.enqueue,
 				"withdraw": o.withdraw,
 				"finish":   o.finish,
 				"observe":  o.observe,
-				"forget":   o.forget,
+				"forget":   o.endOrEvict,
 				"advance":  o.advance,
 			})
 			o.drain(t)
