--- a/coordinator/charge_test.go
+++ b/coordinator/charge_test.go
@@ -260,11 +260,11 @@
 			load.run(600 * time.Millisecond)
 			load.world.kill(load.counter("hot"))
 		}),
-		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.ShareWhole = true }, func(load *charges) {
+		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.GrantFullLimits = true }, func(load *charges) {
 			load.world.cutInTwo()
 			load.run(10 * time.Second)
 		}),
-		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.ShareWhole = true, true }, func(*charges) {}),
+		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*charges) {}),
 	)
 
 	It("refuse far more where each node counts to its own part", func() {
--- a/coordinator/cold_test.go
+++ b/coordinator/cold_test.go
@@ -233,8 +233,8 @@
 			Expect(load.broken()).NotTo(BeEmpty())
 		},
 		Entry("a question before each request", nil, func(load *coldLoad) { load.unasked = true }),
-		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.ShareWhole = true, true }, func(*coldLoad) {}),
-		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.ShareWhole = true },
+		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*coldLoad) {}),
+		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.GrantFullLimits = true },
 			func(load *coldLoad) { load.world.cutInTwo() }),
 	)
 })
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -23,9 +23,9 @@
 	Salt ownership.Salt
 	// Settle is how long after its start a node claims nothing and counts for no
 	// tenant, so that it knows its peers.
-	Settle time.Duration
+	StartupDelay time.Duration
 	// ClaimPause is the least time between two claims of one partition.
-	ClaimPause time.Duration
+	MinClaimInterval time.Duration
 	// StatusFanout bounds the peers that are told at once of a change that
 	// cannot wait. All other statuses travel on the messages of the failure
 	// detector, whose number does not depend on the number of nodes.
@@ -33,18 +33,18 @@
 	// KnownPeriod is the time between two statuses that name other nodes, and
 	// KnownPerStatus how many of them one names: few, so that the message with them
 	// fits into one packet.
-	KnownPeriod    time.Duration
-	KnownPerStatus int
+	KnownNodesPeriod    time.Duration
+	KnownNodesPerStatus int
 	// HoldFor is how long a request waits for a takeover under way.
-	HoldFor time.Duration
+	HoldTimeout time.Duration
 	// StallAfter is how long an append may go unanswered before turns that
 	// need the log are refused.
-	StallAfter time.Duration
+	StallTimeout time.Duration
 	// AppendPause is the least time between the beginnings of two appends to one
 	// partition, and ProofWait how long a proof that a turn is not kept waits for an
 	// append that is needed anyway.
-	AppendPause time.Duration
-	ProofWait   time.Duration
+	MinAppendInterval time.Duration
+	AbsenceProofDelay time.Duration
 	// ClaimWithoutAsking takes partitions over without asking their owner first,
 	// to measure what a hand-over in order is worth.
 	ClaimWithoutAsking bool
@@ -61,7 +61,7 @@
 	AskOwnView bool
 	// ShareWhole has nodes grant the whole of the limits though others that they
 	// know of may count behind a cut, to show what that would break.
-	ShareWhole bool
+	GrantFullLimits bool
 	// GatherNothing leaves nodes of a large fleet to hear loads by statuses alone, to
 	// measure what collectors are worth.
 	GatherNothing bool
@@ -82,22 +82,22 @@
 	membership.ProbesPerPeriod = 2
 	membership.MaximumHealthScore = 4
 	return Config{
-		Membership:     membership,
-		Ledger:         ledger.DefaultConfig(),
-		Partitions:     partitions,
-		Salt:           ownership.SaltOf(random.Uint64()),
-		Settle:         350 * time.Millisecond,
-		ClaimPause:     time.Second,
-		StatusFanout:   12,
-		KnownPeriod:    time.Second,
-		KnownPerStatus: 4,
-		HoldFor:        800 * time.Millisecond,
-		StallAfter:     700 * time.Millisecond,
-		AppendPause:    40 * time.Millisecond,
-		ProofWait:      150 * time.Millisecond,
-		Tenants:        tenant.DefaultConfig(),
-		ColdReplicas:   tenant.ColdReplicaConfig(),
-		Random:         random,
+		Membership:          membership,
+		Ledger:              ledger.DefaultConfig(),
+		Partitions:          partitions,
+		Salt:                ownership.SaltOf(random.Uint64()),
+		StartupDelay:        350 * time.Millisecond,
+		MinClaimInterval:    time.Second,
+		StatusFanout:        12,
+		KnownNodesPeriod:    time.Second,
+		KnownNodesPerStatus: 4,
+		HoldTimeout:         800 * time.Millisecond,
+		StallTimeout:        700 * time.Millisecond,
+		MinAppendInterval:   40 * time.Millisecond,
+		AbsenceProofDelay:   150 * time.Millisecond,
+		Tenants:             tenant.DefaultConfig(),
+		ColdReplicas:        tenant.ColdReplicaConfig(),
+		Random:              random,
 	}
 }
 
@@ -108,30 +108,30 @@
 	partitions []*partition
 	directory  map[machine.ID]machine.Machine
 	// listing is the directory and this node, sorted by id.
-	listing []machine.Machine
-	peers   map[machine.ID]peerState
+	sortedNodes []machine.Machine
+	peers       map[machine.ID]peerState
 	// owners are the newest records of who serves each partition.
-	owners []ownerRecord
+	owners []knownOwner
 	// unreaching are the peers that last counted as not reaching the store.
-	unreaching map[machine.ID]bool
-	started    time.Time
-	listed     bool
-	leaving    bool
+	withoutStore map[machine.ID]bool
+	startedAt    time.Time
+	listRead     bool
+	leaving      bool
 	// reaches says whether this node reaches the store, reachedSince since
 	// when without a break, failing whether calls have failed since it answered last,
 	// and lastContact when that was.
-	reaches      bool
-	failing      bool
-	reachedSince time.Time
-	lastContact  time.Time
-	loads        Loads
-	nextKnown    time.Time
-	hearing      hearing
-	ranking      ranking
-	charging     charging
-	proving      proving
-	gathering    *gather.Core
-	ready        Ready
+	storeReachable      bool
+	storeCallsFailing   bool
+	storeReachableSince time.Time
+	lastStoreAnswer     time.Time
+	loads               Loads
+	nextKnownNodesAt    time.Time
+	receiveTimes        receiveTimes
+	ranking             ranking
+	chargeState         chargeState
+	freshness           freshness
+	gatherer            *gather.Core
+	ready               Ready
 }
 
 // New returns a core that knows of no node but itself.
@@ -141,23 +141,23 @@
 		return nil, err
 	}
 	core := &Core{
-		config:     config,
-		membership: membership,
-		directory:  make(map[machine.ID]machine.Machine),
-		peers:      make(map[machine.ID]peerState),
-		unreaching: make(map[machine.ID]bool),
-		started:    now,
-		reaches:    true,
-		charging:   newCharging(now, &config),
-		proving:    proving{number: firstNumber(config.Random)},
-		gathering:  gather.New(uint64(now.UnixMilli())),
+		config:         config,
+		membership:     membership,
+		directory:      make(map[machine.ID]machine.Machine),
+		peers:          make(map[machine.ID]peerState),
+		withoutStore:   make(map[machine.ID]bool),
+		startedAt:      now,
+		storeReachable: true,
+		chargeState:    newChargeState(now, &config),
+		freshness:      freshness{queryNumber: firstNumber(config.Random)},
+		gatherer:       gather.New(uint64(now.UnixMilli())),
 	}
-	core.list(config.Membership.Self)
+	core.addSorted(config.Membership.Self)
 	for index := range config.Partitions {
 		core.partitions = append(core.partitions, &partition{index: index})
 	}
-	core.owners = make([]ownerRecord, config.Partitions)
-	core.rank(now)
+	core.owners = make([]knownOwner, config.Partitions)
+	core.updateRanking(now)
 	return core, nil
 }
 
@@ -167,14 +167,14 @@
 	case Tick:
 		c.tick(now)
 	case Listed:
-		c.listed = true
-		c.learn(now, event.Nodes)
-		c.ranking.lookedAt = time.Time{}
-		c.rank(now)
+		c.listRead = true
+		c.addNodes(now, event.Nodes)
+		c.ranking.checkedAt = time.Time{}
+		c.updateRanking(now)
 	case Learned:
-		c.learn(now, event.Nodes)
+		c.addNodes(now, event.Nodes)
 	case Contact:
-		c.noteContact(now, event)
+		c.stepStoreContact(now, event)
 	case PeerReceived:
 		c.stepPeer(now, event.Message)
 	case Requested:
@@ -184,46 +184,46 @@
 	case TakenOver:
 		c.stepTakenOver(now, event)
 	case LogFull:
-		c.noteFull(event)
+		c.stepLogFull(event)
 	case Appended:
 		c.stepAppended(now, event)
 	case OwnerHeard:
-		c.takeOwner(now, event.Owner)
+		c.mergeOwner(now, event.Owner)
 	case Disowned:
-		c.disown(event)
+		c.stepOwnershipDenied(event)
 	case ChargeRequested:
 		c.stepCharge(now, event)
 	case ProofNoted:
-		c.noteProof(event)
+		c.stepFreshnessProven(event)
 	case ChargeReturned:
-		c.stepReturn(event)
+		c.stepChargeRefunded(event)
 	case Leave:
 		c.leave(now)
 	case Loads:
 		c.loads = event
-		c.retainFor(event.RetainFor)
+		c.setRetention(event.RetainFor)
 		c.gather(now)
 	}
-	c.collect(now)
+	c.collectReady(now)
 }
 
 // leave begins this node's planned stop.
 func (c *Core) leave(now time.Time) {
 	c.leaving = true
 	c.membership.Leave(now)
-	for _, one := range c.partitions {
-		if one.state == stateServing {
-			one.ledger.Close(now)
+	for _, p := range c.partitions {
+		if p.state == stateServing {
+			p.ledger.Close(now)
 		}
 	}
 	c.sendStatus(now)
 }
 
 // retainFor tells the ledgers how long programs are kept.
-func (c *Core) retainFor(retain time.Duration) {
-	for _, one := range c.partitions {
-		if one.state == stateServing {
-			one.ledger.RetainFor(retain)
+func (c *Core) setRetention(retain time.Duration) {
+	for _, p := range c.partitions {
+		if p.state == stateServing {
+			p.ledger.RetainFor(retain)
 		}
 	}
 }
@@ -249,16 +249,16 @@
 
 func (c *Core) tick(now time.Time) {
 	c.membership.Tick(now)
-	c.rank(now)
+	c.updateRanking(now)
 	c.tickCharges(now)
-	c.tickProof(now)
-	for _, one := range c.partitions {
-		c.tickPartition(now, one)
+	c.tickFreshness(now)
+	for _, p := range c.partitions {
+		c.tickPartition(now, p)
 	}
 }
 
 // collect turns what the parts have ready into the core's own.
-func (c *Core) collect(now time.Time) {
+func (c *Core) collectReady(now time.Time) {
 	for _, outbound := range c.membership.Ready().Messages {
 		target, known := c.membership.Lookup(outbound.To)
 		if !known {
@@ -269,8 +269,8 @@
 			To: target, Message: PeerMessage{From: c.self(), Membership: &message, Status: c.status(now)},
 		})
 	}
-	for _, one := range c.partitions {
-		c.collectAppend(now, one)
+	for _, p := range c.partitions {
+		c.collectAppend(now, p)
 	}
 }
 
@@ -283,8 +283,8 @@
 }
 
 // learn adds nodes to the directory.
-func (c *Core) learn(now time.Time, nodes []machine.Machine) {
-	var fresh []machine.Machine
+func (c *Core) addNodes(now time.Time, nodes []machine.Machine) {
+	var added []machine.Machine
 	for _, node := range nodes {
 		if node.ID == c.self().ID || node.Address == "" {
 			continue
@@ -296,40 +296,40 @@
 		node.Kind = machine.KindNode
 		node.Status = machine.StatusLive
 		c.directory[node.ID] = node
-		c.list(node)
-		fresh = append(fresh, node)
+		c.addSorted(node)
+		added = append(added, node)
 	}
-	if len(fresh) > 0 {
-		c.membership.ObserveSome(now, fresh)
+	if len(added) > 0 {
+		c.membership.ObserveSome(now, added)
 	}
 }
 
 // list puts a node into the sorted listing, or renews its entry there.
-func (c *Core) list(node machine.Machine) {
-	place, found := slices.BinarySearchFunc(c.listing, node.ID, func(listed machine.Machine, id machine.ID) int {
+func (c *Core) addSorted(node machine.Machine) {
+	index, found := slices.BinarySearchFunc(c.sortedNodes, node.ID, func(listed machine.Machine, id machine.ID) int {
 		return cmp.Compare(listed.ID, id)
 	})
 	if found {
-		c.listing[place] = node
+		c.sortedNodes[index] = node
 		return
 	}
-	c.listing = slices.Insert(c.listing, place, node)
+	c.sortedNodes = slices.Insert(c.sortedNodes, index, node)
 }
 
 // owned returns the partitions that this node serves.
-func (c *Core) owned() map[int]ownership.Epoch {
-	owned := make(map[int]ownership.Epoch)
-	for _, one := range c.partitions {
-		if one.state == stateServing {
-			owned[one.index] = one.epoch
+func (c *Core) ownedPartitions() map[int]ownership.Epoch {
+	ownedPartitions := make(map[int]ownership.Epoch)
+	for _, p := range c.partitions {
+		if p.state == stateServing {
+			ownedPartitions[p.index] = p.epoch
 		}
 	}
-	return owned
+	return ownedPartitions
 }
 
 // Directory returns the nodes that this one knows of, itself included, sorted by id, and
 // whether it has read the whole list of them. The caller must not change the slice.
-func (c *Core) Directory() (nodes []machine.Machine, whole bool) { return c.listing, c.listed }
+func (c *Core) Directory() (nodes []machine.Machine, whole bool) { return c.sortedNodes, c.listRead }
 
 // LiveCount returns how many nodes are live, this one included.
 func (c *Core) LiveCount() int { return max(1, len(c.membership.Nodes())) }
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -164,7 +164,7 @@
 	// Charge is about a request that counts to a limit, or nil.
 	Charge *ChargeMessage `json:"charge,omitempty"`
 	// Proof is about the age of the sender's configuration, or nil.
-	Proof *ProofMessage `json:"proof,omitempty"`
+	Proof *FreshnessMessage `json:"proof,omitempty"`
 	// Gather is about the loads of all nodes, or nil.
 	Gather *gather.Message `json:"gather,omitempty"`
 }
@@ -187,7 +187,7 @@
 	Known []machine.Machine `json:"known,omitempty"`
 	// Unable are nodes that told the sender, which reaches the store, that they
 	// do not. Those that cannot hear them learn of it so.
-	Unable []machine.ID `json:"unable,omitempty"`
+	StoreUnreachable []machine.ID `json:"unable,omitempty"`
 }
 
 // Outbound is a message to another node.
--- a/coordinator/find_test.go
+++ b/coordinator/find_test.go
@@ -20,7 +20,7 @@
 		former := coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "x", Program: "p", Input: []byte("in;"), Retain: time.Minute}}
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: &former})).Status).To(Equal(coordinator.ReplyDone))
 		found := reply(world, owner, world.ask(owner, 0, coordinator.Request{Find: &find}))
-		Expect(found.Status).To(Equal(coordinator.ReplyUnowned))
+		Expect(found.Status).To(Equal(coordinator.ReplyUnscoped))
 		Expect(found.Chain).To(BeEmpty())
 		Expect(find.ProvesAbsent(&found)).To(BeFalse())
 	})
--- a/coordinator/gathering.go
+++ b/coordinator/gathering.go
@@ -9,25 +9,25 @@
 
 // heardWithin is how often statuses must bring the loads of each peer, in the mean, for
 // them to do: half of the time that such a report counts.
-const heardWithin = time.Second
+const maxLoadReportInterval = time.Second
 
 // hearsAll reports whether the statuses of the failure detector, which each probe and
 // each answer carries, bring every peer's loads often enough.
-func (c *Core) hearsAll() bool {
+func (c *Core) statusesSuffice() bool {
 	probing := &c.config.Membership
-	statuses := 2 * max(1, probing.ProbesPerPeriod)
-	return time.Duration(c.LiveCount()-1)*probing.ProbePeriod/time.Duration(statuses) <= heardWithin
+	statusesPerPeriod := 2 * max(1, probing.ProbesPerPeriod)
+	return time.Duration(c.LiveCount()-1)*probing.ProbePeriod/time.Duration(statusesPerPeriod) <= maxLoadReportInterval
 }
 
 // gather tells the collectors what this node has under way, and as a collector tells
 // others.
 func (c *Core) gather(now time.Time) {
 	roles := &c.ranking.roles
-	c.gathering.Tick(now, gather.Fleet{
-		Self: c.self(), Off: c.config.GatherNothing || c.hearsAll(), Near: roles.Near,
+	c.gatherer.Tick(now, gather.Fleet{
+		Self: c.self(), Off: c.config.GatherNothing || c.statusesSuffice(), Near: roles.Near,
 		Collectors: roles.Collectors, Remote: roles.RemoteCollectors,
 	}, c.loads.Reports)
-	c.collectGathered()
+	c.collectGatherReady()
 }
 
 // stepGather takes in a message about loads, of a node that this one knows.
@@ -36,18 +36,18 @@
 	if !known {
 		return
 	}
-	if err := c.gathering.Receive(now, sender, message); err != nil {
+	if err := c.gatherer.Receive(now, sender, message); err != nil {
 		c.ready.Unread = append(c.ready.Unread, Unread{From: from, Err: err})
 	}
-	c.collectGathered()
+	c.collectGatherReady()
 }
 
 // collectGathered passes on what the exchange of loads has ready.
-func (c *Core) collectGathered() {
-	ready := c.gathering.Ready()
+func (c *Core) collectGatherReady() {
+	ready := c.gatherer.Ready()
 	for _, outbound := range ready.Messages {
 		message := outbound.Message
-		c.ready.Messages = append(c.ready.Messages, Outbound{To: outbound.To, Message: PeerMessage{From: c.brief(), Gather: &message}})
+		c.ready.Messages = append(c.ready.Messages, Outbound{To: outbound.To, Message: PeerMessage{From: c.briefSelf(), Gather: &message}})
 	}
 	if ready.Totals != nil {
 		c.ready.Totals = ready.Totals
@@ -56,6 +56,6 @@
 }
 
 // brief names this node where the receiver knows the rest: such messages are many.
-func (c *Core) brief() machine.Machine {
+func (c *Core) briefSelf() machine.Machine {
 	return machine.Machine{ID: c.self().ID, Zone: c.self().Zone}
 }
--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -15,107 +15,107 @@
 	Partition int `json:"partition"`
 	// Given is false in the question. In the answer it says that the sender
 	// does not serve the partition, or no longer does; Kept that it goes on.
-	Given bool `json:"given,omitempty"`
-	Kept  bool `json:"kept,omitempty"`
+	Released bool `json:"given,omitempty"`
+	Retained bool `json:"kept,omitempty"`
 	// Ordered says that the sender of Given was the owner, and that the log has all
 	// that it owed.
-	Ordered bool `json:"ordered,omitempty"`
+	Clean bool `json:"ordered,omitempty"`
 	// Epoch is the highest that the sender of an answer knows of.
 	Epoch ownership.Epoch `json:"epoch,omitempty"`
 }
 
 // handoverPatience is how long a node waits for the owner's answer before it
 // claims without it. An owner needs two appends.
-const handoverPatience = 200 * time.Millisecond
+const handoverTimeout = 200 * time.Millisecond
 
 // handoverContact is the age up to which an owner's last contact with the store
 // says that it can settle what it owes. An owner that cannot goes on as before.
-const handoverContact = 1200 * time.Millisecond
+const maxStoreAnswerAge = 1200 * time.Millisecond
 
 // handover is where a partition's change of owner stands on this node.
 type handover struct {
 	// askedAt is when this node asked; asked are those that have not answered, and
 	// again says that they were asked twice. given is set once all have answered.
-	askedAt time.Time
-	asked   map[machine.ID]machine.Machine
-	again   bool
-	given   bool
+	requestedAt time.Time
+	unanswered  map[machine.ID]machine.Machine
+	repeated    bool
+	released    bool
 	// ordered says that the owner itself gave the partition up.
-	ordered bool
+	clean bool
 	// to is the node that this one, as the owner, gives the partition to, once
 	// the position is durable.
-	to       *machine.Machine
-	position uint64
+	successor     *machine.Machine
+	flushPosition uint64
 }
 
 // askOwner asks those that may serve the partition, or be taking it over, for it. It
 // reports whether this node may claim.
-func (c *Core) askOwner(now time.Time, one *partition) bool {
-	if one.handover.given || c.config.ClaimWithoutAsking {
+func (c *Core) requestHandover(now time.Time, p *partition) bool {
+	if p.handover.released || c.config.ClaimWithoutAsking {
 		return true
 	}
-	if !one.handover.askedAt.IsZero() {
-		c.askAgain(now, one)
-		return now.Sub(one.handover.askedAt) >= handoverPatience
+	if !p.handover.requestedAt.IsZero() {
+		c.repeatHandoverRequests(now, p)
+		return now.Sub(p.handover.requestedAt) >= handoverTimeout
 	}
-	asked := c.heirsBefore(now, one)
-	owner, known := c.presumedOwner(now, one.index)
+	unanswered := c.higherRanked(now, p)
+	owner, known := c.presumedOwner(now, p.index)
 	// A node that told itself that it has lost the store cannot give up.
-	if known && (!c.peers[owner.ID].heard || c.reachesStore(now, owner.ID)) {
-		asked[owner.ID] = owner
+	if known && (!c.peers[owner.ID].direct || c.reachesStore(now, owner.ID)) {
+		unanswered[owner.ID] = owner
 	}
-	if len(asked) == 0 {
+	if len(unanswered) == 0 {
 		return true
 	}
-	one.handover.askedAt = now
-	one.handover.asked = asked
-	c.sendQuestions(one)
+	p.handover.requestedAt = now
+	p.handover.unanswered = unanswered
+	c.sendHandoverRequests(p)
 	return false
 }
 
 // heirsBefore returns the live nodes that rank before this one for the partition.
-func (c *Core) heirsBefore(now time.Time, one *partition) map[machine.ID]machine.Machine {
-	before := make(map[machine.ID]machine.Machine)
-	for _, id := range c.ranking.heirs[one.index] {
+func (c *Core) higherRanked(now time.Time, p *partition) map[machine.ID]machine.Machine {
+	higher := make(map[machine.ID]machine.Machine)
+	for _, id := range c.ranking.preferred[p.index] {
 		if id == string(c.self().ID) {
 			break
 		}
-		if c.unableOwner(now, one.index, machine.ID(id)) {
+		if c.ownerWithoutStore(now, p.index, machine.ID(id)) {
 			continue
 		}
-		if heir, known := c.membership.Lookup(machine.ID(id)); known && c.reachesStore(now, heir.ID) {
-			before[heir.ID] = heir
+		if node, known := c.membership.Lookup(machine.ID(id)); known && c.reachesStore(now, node.ID) {
+			higher[node.ID] = node
 		}
 	}
-	return before
+	return higher
 }
 
 // unableOwner reports whether a node is recorded as the partition's owner and as one
 // that does not reach the store: it cannot give up.
-func (c *Core) unableOwner(now time.Time, index int, node machine.ID) bool {
+func (c *Core) ownerWithoutStore(now time.Time, index int, node machine.ID) bool {
 	known := &c.owners[index]
-	return known.Node == node && known.Unable && c.provesUnable(now, known.heardAt)
+	return known.Node == node && known.StoreUnreachable && c.failureIsLocal(now, known.receivedAt)
 }
 
 // askAgain repeats the question once to those that have not answered: a message may
 // be lost.
-func (c *Core) askAgain(now time.Time, one *partition) {
-	if one.handover.again || now.Sub(one.handover.askedAt) < handoverPatience/2 {
+func (c *Core) repeatHandoverRequests(now time.Time, p *partition) {
+	if p.handover.repeated || now.Sub(p.handover.requestedAt) < handoverTimeout/2 {
 		return
 	}
-	one.handover.again = true
-	c.sendQuestions(one)
+	p.handover.repeated = true
+	c.sendHandoverRequests(p)
 }
 
-func (c *Core) sendQuestions(one *partition) {
-	for _, id := range slices.Sorted(maps.Keys(one.handover.asked)) {
-		c.sendHandover(one.handover.asked[id], Handover{Partition: one.index})
+func (c *Core) sendHandoverRequests(p *partition) {
+	for _, id := range slices.Sorted(maps.Keys(p.handover.unanswered)) {
+		c.sendHandover(p.handover.unanswered[id], Handover{Partition: p.index})
 	}
 }
 
 // lostFor is how long a node that went is asked before its partitions are
 // claimed: it may live, and be taken for dead.
-const lostFor = 3 * time.Second
+const lostNodeGrace = 3 * time.Second
 
 // presumedOwner returns the node that serves the partition as far as is known,
 // or the one that ranks next after this one. Nodes that went lately count.
@@ -130,8 +130,8 @@
 func (c *Core) nextByRank(now time.Time, index int) (machine.Machine, bool) {
 	var others []ownership.Node
 	for _, node := range c.membership.All() {
-		lost, wasLost := c.ranking.lost[string(node.ID)]
-		recent := node.Status != machine.StatusDead || (wasLost && now.Sub(lost) < lostFor)
+		lostAt, wasLost := c.ranking.lostAt[string(node.ID)]
+		recent := node.Status != machine.StatusDead || (wasLost && now.Sub(lostAt) < lostNodeGrace)
 		if node.Kind == machine.KindNode && node.ID != c.self().ID && recent {
 			others = append(others, ownership.Node{ID: string(node.ID), Weight: node.Weight})
 		}
@@ -141,16 +141,16 @@
 
 // tellHeirs tells those that rank next after this node for its partitions that
 // it has lost the store.
-func (c *Core) tellHeirs(now time.Time) {
-	told := make(map[machine.ID]bool)
-	for _, one := range c.partitions {
-		if one.state != stateServing {
+func (c *Core) notifySuccessors(now time.Time) {
+	notified := make(map[machine.ID]bool)
+	for _, p := range c.partitions {
+		if p.state != stateServing {
 			continue
 		}
-		heir, known := c.nextByRank(now, one.index)
-		if known && !told[heir.ID] {
-			told[heir.ID] = true
-			c.ready.Messages = append(c.ready.Messages, Outbound{To: heir, Message: PeerMessage{From: c.self(), Status: c.status(now)}})
+		successor, known := c.nextByRank(now, p.index)
+		if known && !notified[successor.ID] {
+			notified[successor.ID] = true
+			c.ready.Messages = append(c.ready.Messages, Outbound{To: successor, Message: PeerMessage{From: c.self(), Status: c.status(now)}})
 		}
 	}
 }
@@ -160,33 +160,33 @@
 	if message.Partition < 0 || message.Partition >= len(c.partitions) {
 		return
 	}
-	one := c.partitions[message.Partition]
-	if message.Ordered {
-		one.contest = contest{}
-		one.handover.ordered = true
+	p := c.partitions[message.Partition]
+	if message.Clean {
+		p.contested = contested{}
+		p.handover.clean = true
 	}
-	if message.Kept {
-		one.handover = handover{}
-		one.nextClaim = now.Add(c.keptPause(now, one))
+	if message.Retained {
+		p.handover = handover{}
+		p.nextClaimAt = now.Add(c.retainedPause(now, p))
 		return
 	}
-	if message.Given {
-		one.highest = max(one.highest, message.Epoch)
-		if one.state == stateAbsent && !one.handover.askedAt.IsZero() {
-			delete(one.handover.asked, from.ID)
-			one.handover.given = len(one.handover.asked) == 0
-			c.tickPartition(now, one)
+	if message.Released {
+		p.highestEpoch = max(p.highestEpoch, message.Epoch)
+		if p.state == stateAbsent && !p.handover.requestedAt.IsZero() {
+			delete(p.handover.unanswered, from.ID)
+			p.handover.released = len(p.handover.unanswered) == 0
+			c.tickPartition(now, p)
 		}
 		return
 	}
-	switch one.state {
+	switch p.state {
 	case stateAbsent:
-		c.answerAbsent(now, one, from)
+		c.answerAsNonOwner(now, p, from)
 	case stateServing:
-		c.answerHandover(now, one, from)
-	case stateTaking:
-		if c.reaches && now.Sub(one.restoring.progressAt) < takingPatience {
-			c.sendHandover(from, Handover{Partition: one.index, Kept: true, Epoch: one.epoch})
+		c.answerAsOwner(now, p, from)
+	case stateTakingOver:
+		if c.storeReachable && now.Sub(p.takeover.progressAt) < takeoverStallTimeout {
+			c.sendHandover(from, Handover{Partition: p.index, Retained: true, Epoch: p.epoch})
 		}
 		// Otherwise the asker claims when its patience is over.
 	}
@@ -194,32 +194,32 @@
 
 // yieldFor is how long a node that has left a partition to another heir does not claim
 // it: until word of the other's claim has come.
-const yieldFor = 400 * time.Millisecond
+const yieldPause = 400 * time.Millisecond
 
 // keptPause is how long a node that was answered that the partition is kept leaves it
 // alone: for long where it knows who serves, or else until word of the claim has come.
-func (c *Core) keptPause(now time.Time, one *partition) time.Duration {
-	if _, served := c.servingPeer(now, one.index); served {
-		return c.config.ClaimPause
+func (c *Core) retainedPause(now time.Time, p *partition) time.Duration {
+	if _, serving := c.servingPeer(now, p.index); serving {
+		return c.config.MinClaimInterval
 	}
-	return heirPatience
+	return successionDelay
 }
 
 // answerAbsent answers another heir. Of two that would claim, the one that ranks first
 // goes on.
-func (c *Core) answerAbsent(now time.Time, one *partition, from machine.Machine) {
-	if !one.handover.askedAt.IsZero() && c.mayClaim(now) && c.ranksBefore(one.index, from.ID) {
-		c.sendHandover(from, Handover{Partition: one.index, Kept: true, Epoch: one.highest})
+func (c *Core) answerAsNonOwner(now time.Time, p *partition, from machine.Machine) {
+	if !p.handover.requestedAt.IsZero() && c.mayClaim(now) && c.outranks(p.index, from.ID) {
+		c.sendHandover(from, Handover{Partition: p.index, Retained: true, Epoch: p.highestEpoch})
 		return
 	}
-	one.handover.forget()
-	one.nextClaim = later(one.nextClaim, now.Add(yieldFor))
-	c.sendHandover(from, Handover{Partition: one.index, Given: true, Epoch: one.highest})
+	p.handover.resetRequest()
+	p.nextClaimAt = laterOf(p.nextClaimAt, now.Add(yieldPause))
+	c.sendHandover(from, Handover{Partition: p.index, Released: true, Epoch: p.highestEpoch})
 }
 
 // ranksBefore reports whether this node ranks before another one for a partition.
-func (c *Core) ranksBefore(index int, other machine.ID) bool {
-	for _, id := range c.ranking.heirs[index] {
+func (c *Core) outranks(index int, other machine.ID) bool {
+	for _, id := range c.ranking.preferred[index] {
 		switch id {
 		case string(c.self().ID):
 			return true
@@ -230,60 +230,60 @@
 	return false
 }
 
-func later(one, other time.Time) time.Time {
-	if one.After(other) {
-		return one
+func laterOf(p, other time.Time) time.Time {
+	if p.After(other) {
+		return p
 	}
 	return other
 }
 
 // forget drops a question that is under way.
-func (h *handover) forget() {
-	h.askedAt, h.asked, h.again, h.given, h.ordered = time.Time{}, nil, false, false, false
+func (h *handover) resetRequest() {
+	h.requestedAt, h.unanswered, h.repeated, h.released, h.clean = time.Time{}, nil, false, false, false
 }
 
 // toOwn reports whether a node is to own a partition by rank, as this node sees it.
-func (c *Core) toOwn(index int, node machine.ID) bool {
-	heirs := c.ranking.heirs[index]
-	return len(heirs) > 0 && heirs[0] == string(node)
+func (c *Core) ranksFirst(index int, node machine.ID) bool {
+	preferred := c.ranking.preferred[index]
+	return len(preferred) > 0 && preferred[0] == string(node)
 }
 
 // answerHandover has an owner give the partition up to the node that is to own it, and
 // keep it otherwise. One that has lost the store does not answer.
-func (c *Core) answerHandover(now time.Time, one *partition, from machine.Machine) {
-	if !c.reaches || now.Sub(c.lastContact) > handoverContact {
+func (c *Core) answerAsOwner(now time.Time, p *partition, from machine.Machine) {
+	if !c.storeReachable || now.Sub(c.lastStoreAnswer) > maxStoreAnswerAge {
 		return
 	}
-	c.rank(now)
-	if !c.leaving && (!c.toOwn(one.index, from.ID) || c.settling(now, one)) {
-		c.sendHandover(from, Handover{Partition: one.index, Kept: true, Epoch: one.epoch})
+	c.updateRanking(now)
+	if !c.leaving && (!c.ranksFirst(p.index, from.ID) || c.recentlyTakenOver(now, p)) {
+		c.sendHandover(from, Handover{Partition: p.index, Retained: true, Epoch: p.epoch})
 		return
 	}
-	one.ledger.Close(now)
-	one.handover.to = &from
-	one.handover.position = one.ledger.Proposed()
-	c.giveUp(now, one)
+	p.ledger.Close(now)
+	p.handover.successor = &from
+	p.handover.flushPosition = p.ledger.Proposed()
+	c.completeHandover(now, p)
 }
 
 // tenureLeast is how long an owner keeps what it took over: until nodes agree again on
 // who lives, so that a partition does not pass from heir to heir meanwhile.
-const tenureLeast = 5 * time.Second
+const minTenure = 5 * time.Second
 
 // settling reports whether this owner's takeover is too young for it to be followed.
-func (c *Core) settling(now time.Time, one *partition) bool {
-	return one.restoring.turns || (one.restoring.forced && now.Sub(one.claimedAt) < tenureLeast)
+func (c *Core) recentlyTakenOver(now time.Time, p *partition) bool {
+	return p.takeover.turnsPending || (p.takeover.forced && now.Sub(p.takeoverStartedAt) < minTenure)
 }
 
 // giveUp hands the partition over if that is asked for and nothing is owed to
 // the log any more.
-func (c *Core) giveUp(now time.Time, one *partition) {
-	to := one.handover.to
-	if one.state != stateServing || to == nil || one.handover.position > one.ledger.Durable() {
+func (c *Core) completeHandover(now time.Time, p *partition) {
+	successor := p.handover.successor
+	if p.state != stateServing || successor == nil || p.handover.flushPosition > p.ledger.Durable() {
 		return
 	}
-	c.lose(one, "handed over")
-	one.nextClaim = now.Add(c.config.ClaimPause)
-	c.sendHandover(*to, Handover{Partition: one.index, Given: true, Ordered: true, Epoch: one.epoch})
+	c.loseOwnership(p, "handed over")
+	p.nextClaimAt = now.Add(c.config.MinClaimInterval)
+	c.sendHandover(*successor, Handover{Partition: p.index, Released: true, Clean: true, Epoch: p.epoch})
 }
 
 func (c *Core) sendHandover(to machine.Machine, message Handover) {
--- a/coordinator/isolation.go
+++ b/coordinator/isolation.go
@@ -8,16 +8,16 @@
 )
 
 // hearing is when this node heard other nodes last.
-type hearing struct {
+type receiveTimes struct {
 	// last is when a message of any other node came, and byZone when one of each zone
 	// did.
-	last   time.Time
+	latest time.Time
 	byZone map[zone.Name]time.Time
 }
 
 // note takes in that a message of a node came.
-func (h *hearing) note(now time.Time, sender machine.Machine) {
-	h.last = now
+func (h *receiveTimes) record(now time.Time, sender machine.Machine) {
+	h.latest = now
 	if h.byZone == nil {
 		h.byZone = make(map[zone.Name]time.Time)
 	}
@@ -26,20 +26,20 @@
 
 // silenceLimit is how long nothing has been heard before this node counts as cut off.
 // The failure detector does not tell: it declares no deaths while nobody answers.
-const silenceLimit = 1500 * time.Millisecond
+const isolationTimeout = 1500 * time.Millisecond
 
 // cutLimit is that time where calls to the store have failed for as long: several times
 // what passes between two messages of a zone, and short against what clients have left.
 // Either sign alone has other causes.
-const cutLimit = 700 * time.Millisecond
+const failingIsolationTimeout = 700 * time.Millisecond
 
 // silence returns how long a zone is silent that counts as cut off, and whether this node
 // does not reach the store.
-func (c *Core) silence(now time.Time) (limit time.Duration, cut bool) {
-	if c.failing && now.Sub(c.lastContact) >= cutLimit {
-		return cutLimit, true
+func (c *Core) silenceTimeout(now time.Time) (timeout time.Duration, storeUnreachable bool) {
+	if c.storeCallsFailing && now.Sub(c.lastStoreAnswer) >= failingIsolationTimeout {
+		return failingIsolationTimeout, true
 	}
-	return silenceLimit, !c.reaches
+	return isolationTimeout, !c.storeReachable
 }
 
 // Isolated reports whether this node cannot serve programs that others can: it does not
@@ -47,41 +47,41 @@
 // store that is away from all leaves the zones in touch, so that no node is isolated
 // then.
 func (c *Core) Isolated(now time.Time) bool {
-	limit, cut := c.silence(now)
-	if !cut || len(c.directory) == 0 {
+	timeout, storeUnreachable := c.silenceTimeout(now)
+	if !storeUnreachable || len(c.directory) == 0 {
 		return false
 	}
-	if now.Sub(c.hearing.last) > limit {
+	if now.Sub(c.receiveTimes.latest) > timeout {
 		return true
 	}
-	known, heard := c.zonesHeard(now, limit)
+	known, heard := c.countZones(now, timeout)
 	return 2*heard < known
 }
 
 // zonesHeard counts the zones that this node knows of, and those of which it heard a
 // node lately. Its own counts as heard.
-func (c *Core) zonesHeard(now time.Time, limit time.Duration) (known, heard int) {
-	counted := make(map[zone.Name]bool)
-	for _, node := range c.listing {
-		if counted[node.Zone] {
+func (c *Core) countZones(now time.Time, timeout time.Duration) (known, heard int) {
+	seen := make(map[zone.Name]bool)
+	for _, node := range c.sortedNodes {
+		if seen[node.Zone] {
 			continue
 		}
-		counted[node.Zone] = true
-		if !c.zoneSilent(now, node.Zone, limit) {
+		seen[node.Zone] = true
+		if !c.zoneSilent(now, node.Zone, timeout) {
 			heard++
 		}
 	}
-	return len(counted), heard
+	return len(seen), heard
 }
 
 // zoneSilent reports whether no node of another zone has been heard for some time. One
 // of which none ever was is silent, too.
-func (c *Core) zoneSilent(now time.Time, name zone.Name, limit time.Duration) bool {
-	return name != c.self().Zone && now.Sub(c.hearing.byZone[name]) > limit
+func (c *Core) zoneSilent(now time.Time, name zone.Name, timeout time.Duration) bool {
+	return name != c.self().Zone && now.Sub(c.receiveTimes.byZone[name]) > timeout
 }
 
 // zoneLost reports whether a zone is silent of which nodes were heard before.
-func (c *Core) zoneLost(now time.Time, name zone.Name, limit time.Duration) bool {
-	_, known := c.hearing.byZone[name]
-	return known && c.zoneSilent(now, name, limit)
+func (c *Core) zoneWentSilent(now time.Time, name zone.Name, timeout time.Duration) bool {
+	_, known := c.receiveTimes.byZone[name]
+	return known && c.zoneSilent(now, name, timeout)
 }
--- a/coordinator/owners.go
+++ b/coordinator/owners.go
@@ -19,102 +19,102 @@
 	// Revision counts what the owner changed in the record within its epoch.
 	Revision int `json:"revision,omitempty"`
 	// Unable says that the owner does not reach the store.
-	Unable bool `json:"unable,omitempty"`
+	StoreUnreachable bool `json:"unable,omitempty"`
 	// Taking says that the log has the owner's claim, and that the owner still reads
 	// what it needs to serve. Each further revision tells of progress.
-	Taking bool `json:"taking,omitempty"`
+	TakingOver bool `json:"taking,omitempty"`
 }
 
 // newer reports whether the record replaces another one.
-func (o Owner) newer(than Owner) bool {
-	if o.Epoch != than.Epoch {
-		return o.Epoch > than.Epoch
+func (o Owner) supersedes(other Owner) bool {
+	if o.Epoch != other.Epoch {
+		return o.Epoch > other.Epoch
 	}
-	return o.Revision > than.Revision
+	return o.Revision > other.Revision
 }
 
 // ownerRecord is what this node knows of a partition's owner.
-type ownerRecord struct {
+type knownOwner struct {
 	Owner
-	heardAt time.Time
+	receivedAt time.Time
 	// remaining is how often the record is still to be passed on.
-	remaining int
+	sendsLeft int
 	// disowned says that the owner itself told that it does not serve.
-	disowned bool
+	denied bool
 }
 
 // ownersPerStatus bounds the records that a status carries, so that the message
 // fits into one packet.
-const ownersPerStatus = 5
+const maxOwnersPerStatus = 5
 
 // minimumOwnerRounds is how often a record is passed on in a small fleet.
-const minimumOwnerRounds = 6
+const minOwnerSends = 6
 
 // ownerRounds is how often a record is passed on from here: a rumour that each of n
 // nodes sends to 2 log2(n) others reaches all with near certainty.
-func (c *Core) ownerRounds() int {
-	return max(minimumOwnerRounds, 2*bits.Len(uint(len(c.listing))))
+func (c *Core) ownerSends() int {
+	return max(minOwnerSends, 2*bits.Len(uint(len(c.sortedNodes))))
 }
 
 // takeOwner takes a record in that may be news.
-func (c *Core) takeOwner(now time.Time, heard Owner) {
-	if heard.Partition < 0 || heard.Partition >= len(c.owners) || heard.Epoch == 0 {
+func (c *Core) mergeOwner(now time.Time, record Owner) {
+	if record.Partition < 0 || record.Partition >= len(c.owners) || record.Epoch == 0 {
 		return
 	}
-	known := &c.owners[heard.Partition]
-	if !heard.newer(known.Owner) {
+	known := &c.owners[record.Partition]
+	if !record.supersedes(known.Owner) {
 		return
 	}
-	if heard.Epoch > known.Epoch {
+	if record.Epoch > known.Epoch {
 		// Whoever was asked for the partition before does not have it.
-		c.partitions[heard.Partition].handover.forget()
+		c.partitions[record.Partition].handover.resetRequest()
 	}
-	*known = ownerRecord{Owner: heard, heardAt: now, remaining: c.ownerRounds()}
-	if heard.Node == c.self().ID {
+	*known = knownOwner{Owner: record, receivedAt: now, sendsLeft: c.ownerSends()}
+	if record.Node == c.self().ID {
 		return
 	}
-	if heard.Unable {
-		c.noteUnable(now, []machine.ID{heard.Node})
+	if record.StoreUnreachable {
+		c.mergeStoreUnreachable(now, []machine.ID{record.Node})
 	}
-	c.hearOwned(now, map[int]ownership.Epoch{heard.Partition: heard.Epoch})
+	c.stepPeerEpochs(now, map[int]ownership.Epoch{record.Partition: record.Epoch})
 }
 
 // ownedHere makes the record of a partition that this node serves, or is taking over.
-func (c *Core) ownedHere(now time.Time, one *partition) {
+func (c *Core) publishOwnership(now time.Time, p *partition) {
 	record := Owner{
-		Partition: one.index, Epoch: one.epoch, Node: c.self().ID, Unable: !c.reaches, Taking: one.state == stateTaking,
+		Partition: p.index, Epoch: p.epoch, Node: c.self().ID, StoreUnreachable: !c.storeReachable, TakingOver: p.state == stateTakingOver,
 	}
-	if known := c.owners[one.index].Owner; known.Epoch == one.epoch {
+	if known := c.owners[p.index].Owner; known.Epoch == p.epoch {
 		record.Revision = known.Revision + 1
 	}
-	c.takeOwner(now, record)
+	c.mergeOwner(now, record)
 }
 
 // someOwners returns the records that are to be passed on, those that were sent the
 // least first.
-func (c *Core) someOwners() (sent []Owner) {
-	var fresh []*ownerRecord
+func (c *Core) nextOwners() (records []Owner) {
+	var pending []*knownOwner
 	for index := range c.owners {
-		if c.owners[index].remaining > 0 {
-			fresh = append(fresh, &c.owners[index])
+		if c.owners[index].sendsLeft > 0 {
+			pending = append(pending, &c.owners[index])
 		}
 	}
-	slices.SortStableFunc(fresh, func(left, right *ownerRecord) int { return cmp.Compare(right.remaining, left.remaining) })
-	for _, record := range fresh[:min(len(fresh), ownersPerStatus)] {
-		record.remaining--
-		sent = append(sent, record.Owner)
+	slices.SortStableFunc(pending, func(left, right *knownOwner) int { return cmp.Compare(right.sendsLeft, left.sendsLeft) })
+	for _, record := range pending[:min(len(pending), maxOwnersPerStatus)] {
+		record.sendsLeft--
+		records = append(records, record.Owner)
 	}
-	return sent
+	return records
 }
 
 // disown takes in that a node which counts as a partition's owner told that it does
 // not serve it.
-func (c *Core) disown(answer Disowned) {
-	if answer.Partition < 0 || answer.Partition >= len(c.owners) {
+func (c *Core) stepOwnershipDenied(event Disowned) {
+	if event.Partition < 0 || event.Partition >= len(c.owners) {
 		return
 	}
-	if known := &c.owners[answer.Partition]; known.Node == answer.Node {
-		known.disowned = true
+	if known := &c.owners[event.Partition]; known.Node == event.Node {
+		known.denied = true
 	}
 }
 
@@ -123,9 +123,9 @@
 func (c *Core) recordedOwner(now time.Time, index int) (machine.Machine, bool) {
 	known := &c.owners[index]
 	switch {
-	case known.Epoch == 0 || known.disowned || known.Node == c.self().ID:
+	case known.Epoch == 0 || known.denied || known.Node == c.self().ID:
 		return machine.Machine{}, false
-	case known.Unable && c.provesUnable(now, known.heardAt):
+	case known.StoreUnreachable && c.failureIsLocal(now, known.receivedAt):
 		return machine.Machine{}, false
 	case !c.reachesStore(now, known.Node):
 		return machine.Machine{}, false
--- a/coordinator/owners_test.go
+++ b/coordinator/owners_test.go
@@ -79,7 +79,7 @@
 		core := newCore()
 		later := start.Add(10 * time.Second)
 		core.Step(later, coordinator.Contact{Reached: true, Last: later})
-		hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2", Revision: 1, Unable: true})
+		hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2", Revision: 1, StoreUnreachable: true})
 		hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2"})
 		for index := range 2 {
 			owner, _ := core.Owner(later, 0)
--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -14,7 +14,7 @@
 	// stateAbsent partitions are another node's, or nobody's.
 	stateAbsent partitionState = iota
 	// stateTaking partitions are being claimed, or their accounts are being read.
-	stateTaking
+	stateTakingOver
 	// stateServing partitions are this node's. Kept turns may still be read.
 	stateServing
 )
@@ -25,26 +25,26 @@
 	state partitionState
 	epoch ownership.Epoch
 	// highest is the highest epoch known of.
-	highest  ownership.Epoch
-	ledger   *ledger.Ledger
-	sequence uint64
-	inFlight bool
+	highestEpoch   ownership.Epoch
+	ledger         *ledger.Ledger
+	appendSequence uint64
+	appendInFlight bool
 	// full says that the log had no space for the append under way.
-	full      bool
-	sentAt    time.Time
-	nextClaim time.Time
+	logFull      bool
+	appendSentAt time.Time
+	nextClaimAt  time.Time
 	// vacantSince is since when this node, an heir, has known of no owner.
 	vacantSince time.Time
 	// claimedAt is when the takeover under way, or the last one, began.
-	claimedAt time.Time
-	restoring restoring
-	contest   contest
+	takeoverStartedAt time.Time
+	takeover          takeover
+	contested         contested
 	// begun counts appends; each verifier waits for one that began after it.
-	begun     uint64
-	waiters   []waiter
-	verifiers []verifier
-	held      []heldRequest
-	handover  handover
+	appendsBegun uint64
+	waiters      []waiter
+	epochChecks  []epochCheck
+	heldRequests []heldRequest
+	handover     handover
 }
 
 // waiter waits for a position to be durable.
@@ -54,10 +54,10 @@
 }
 
 // verifier waits for proof that the epoch was in force after it asked.
-type verifier struct {
-	id    uint64
-	after uint64
-	reply Reply
+type epochCheck struct {
+	id          uint64
+	afterAppend uint64
+	reply       Reply
 	// askedAt is when the question came.
 	askedAt time.Time
 }
@@ -68,105 +68,105 @@
 	until   time.Time
 }
 
-func (c *Core) tickPartition(now time.Time, one *partition) {
-	c.expireHeld(now, one)
-	if one.state == stateServing {
-		one.ledger.Tick(now)
+func (c *Core) tickPartition(now time.Time, p *partition) {
+	c.expireHeld(now, p)
+	if p.state == stateServing {
+		p.ledger.Tick(now)
 	}
-	if one.state != stateAbsent || !c.mayClaim(now) || now.Before(one.nextClaim) {
+	if p.state != stateAbsent || !c.mayClaim(now) || now.Before(p.nextClaimAt) {
 		return
 	}
-	if !c.mayOwn(now, one) {
-		one.handover = handover{}
+	if !c.shouldOwn(now, p) {
+		p.handover = handover{}
 		return
 	}
-	if !c.askOwner(now, one) {
+	if !c.requestHandover(now, p) {
 		return
 	}
-	c.claim(now, one)
-	one.handover = handover{}
+	c.claim(now, p)
+	p.handover = handover{}
 }
 
 // mayClaim reports whether this node knows enough to take partitions over.
 func (c *Core) mayClaim(now time.Time) bool {
-	return c.listed && c.reaches && !c.leaving && now.Sub(c.started) >= c.config.Settle
+	return c.listRead && c.storeReachable && !c.leaving && now.Sub(c.startedAt) >= c.config.StartupDelay
 }
 
 // appendDue reports whether the partition's next append may begin. What comes shortly
 // after an append waits for a little and shares the next one, and a proof that a turn is
 // not kept waits for an append that is needed anyway: each append is a call to the store,
 // of which all nodes together may make so many.
-func (c *Core) appendDue(now time.Time, one *partition) bool {
+func (c *Core) appendDue(now time.Time, p *partition) bool {
 	switch {
-	case c.leaving || one.handover.to != nil:
+	case c.leaving || p.handover.successor != nil:
 		return true
-	case one.ledger.Pending():
-		return now.Sub(one.sentAt) >= c.config.AppendPause
-	case len(one.verifiers) > 0 && now.Sub(one.verifiers[0].askedAt) >= c.config.ProofWait:
+	case p.ledger.Pending():
+		return now.Sub(p.appendSentAt) >= c.config.MinAppendInterval
+	case len(p.epochChecks) > 0 && now.Sub(p.epochChecks[0].askedAt) >= c.config.AbsenceProofDelay:
 		return true
 	default:
-		return c.renews(now, one)
+		return c.keepaliveDue(now, p)
 	}
 }
 
 // collectAppend puts out the partition's next append if one is due.
-func (c *Core) collectAppend(now time.Time, one *partition) {
-	if one.state != stateServing || one.inFlight || !c.appendDue(now, one) {
+func (c *Core) collectAppend(now time.Time, p *partition) {
+	if p.state != stateServing || p.appendInFlight || !c.appendDue(now, p) {
 		return
 	}
-	records := one.ledger.Ready()
-	if records == nil && len(one.verifiers) == 0 && !c.renews(now, one) {
+	records := p.ledger.Ready()
+	if records == nil && len(p.epochChecks) == 0 && !c.keepaliveDue(now, p) {
 		return
 	}
-	one.inFlight = true
-	one.begun++
-	one.sequence++
-	one.sentAt = now
+	p.appendInFlight = true
+	p.appendsBegun++
+	p.appendSequence++
+	p.appendSentAt = now
 	c.ready.Appends = append(c.ready.Appends, Append{
-		Partition: one.index, Epoch: one.epoch, Sequence: one.sequence, Records: records,
+		Partition: p.index, Epoch: p.epoch, Sequence: p.appendSequence, Records: records,
 	})
 }
 
 func (c *Core) stepAppended(now time.Time, appended Appended) {
-	one := c.partitions[appended.Partition]
-	if one.state != stateServing || appended.Epoch != one.epoch || appended.Sequence != one.sequence {
+	p := c.partitions[appended.Partition]
+	if p.state != stateServing || appended.Epoch != p.epoch || appended.Sequence != p.appendSequence {
 		return
 	}
 	switch appended.Outcome {
 	case OutcomeDone:
 	case OutcomeFailed:
-		c.lose(one, "the log wants another sequence")
-		one.nextClaim = now.Add(c.config.ClaimPause)
+		c.loseOwnership(p, "the log wants another sequence")
+		p.nextClaimAt = now.Add(c.config.MinClaimInterval)
 		return
 	default:
-		c.lose(one, "fenced by the log")
-		c.stayAway(now, one)
+		c.loseOwnership(p, "fenced by the log")
+		c.backOffAfterFencing(now, p)
 		return
 	}
-	one.inFlight = false
-	one.full = false
-	one.ledger.Prove(one.sentAt)
-	one.ledger.Stored()
-	c.answerWaiters(one)
-	c.answerVerifiers(one)
-	c.giveUp(now, one)
+	p.appendInFlight = false
+	p.logFull = false
+	p.ledger.Prove(p.appendSentAt)
+	p.ledger.Stored()
+	c.answerWaiters(p)
+	c.answerEpochChecks(p)
+	c.completeHandover(now, p)
 }
 
 // stalled reports whether the log has left an append unanswered for too long.
-func (c *Core) stalled(now time.Time, one *partition) bool {
-	return one.inFlight && (one.full || now.Sub(one.sentAt) > c.config.StallAfter)
+func (c *Core) stalled(now time.Time, p *partition) bool {
+	return p.appendInFlight && (p.logFull || now.Sub(p.appendSentAt) > c.config.StallTimeout)
 }
 
 // noteFull takes in that the log has no space for the append under way.
-func (c *Core) noteFull(event LogFull) {
-	if one := c.partitions[event.Partition]; one.state == stateServing && one.epoch == event.Epoch && one.inFlight {
-		one.full = true
+func (c *Core) stepLogFull(event LogFull) {
+	if p := c.partitions[event.Partition]; p.state == stateServing && p.epoch == event.Epoch && p.appendInFlight {
+		p.logFull = true
 	}
 }
 
 // refusal is why a turn that needs the log is refused while appends do not get on.
-func (p *partition) refusal() ReplyStatus {
-	if p.full {
+func (p *partition) refusalStatus() ReplyStatus {
+	if p.logFull {
 		return ReplyFull
 	}
 	return ReplyStalled
@@ -176,93 +176,93 @@
 // that this node serves.
 func (c *Core) KeptBytes() map[int]int {
 	kept := make(map[int]int)
-	for _, one := range c.partitions {
-		if one.state == stateServing {
-			kept[one.index] = one.ledger.Size()
+	for _, p := range c.partitions {
+		if p.state == stateServing {
+			kept[p.index] = p.ledger.Size()
 		}
 	}
 	return kept
 }
 
 // answerWaiters answers those whose position is durable.
-func (c *Core) answerWaiters(one *partition) {
-	durable := one.ledger.Durable()
-	rest := one.waiters[:0]
-	for _, waiting := range one.waiters {
+func (c *Core) answerWaiters(p *partition) {
+	durable := p.ledger.Durable()
+	remaining := p.waiters[:0]
+	for _, waiting := range p.waiters {
 		if waiting.position > durable {
-			rest = append(rest, waiting)
+			remaining = append(remaining, waiting)
 			continue
 		}
-		c.reply(Reply{ID: waiting.id, Status: ReplyDone, Epoch: one.epoch})
+		c.reply(Reply{ID: waiting.id, Status: ReplyDone, Epoch: p.epoch})
 	}
-	one.waiters = rest
+	p.waiters = remaining
 }
 
-func (c *Core) answerVerifiers(one *partition) {
-	rest := one.verifiers[:0]
-	for _, waiting := range one.verifiers {
-		if waiting.after >= one.begun {
-			rest = append(rest, waiting)
+func (c *Core) answerEpochChecks(p *partition) {
+	remaining := p.epochChecks[:0]
+	for _, check := range p.epochChecks {
+		if check.afterAppend >= p.appendsBegun {
+			remaining = append(remaining, check)
 			continue
 		}
-		c.reply(waiting.reply)
+		c.reply(check.reply)
 	}
-	one.verifiers = rest
+	p.epochChecks = remaining
 }
 
 // hearOwned ends the ownership of partitions that a peer serves at a higher
 // epoch.
-func (c *Core) hearOwned(now time.Time, owned map[int]ownership.Epoch) {
+func (c *Core) stepPeerEpochs(now time.Time, owned map[int]ownership.Epoch) {
 	for index, epoch := range owned {
 		if index < 0 || index >= len(c.partitions) {
 			continue
 		}
-		one := c.partitions[index]
-		one.highest = max(one.highest, epoch)
-		if one.contest.active && epoch > one.contest.epoch {
-			c.endContest(now, one)
+		p := c.partitions[index]
+		p.highestEpoch = max(p.highestEpoch, epoch)
+		if p.contested.active && epoch > p.contested.epoch {
+			c.leaveContested(now, p)
 		}
-		if epoch <= one.epoch {
+		if epoch <= p.epoch {
 			continue
 		}
-		switch one.state {
+		switch p.state {
 		case stateServing:
-			c.lose(one, "a peer serves a higher epoch")
-			one.nextClaim = now.Add(c.config.ClaimPause)
-		case stateTaking:
-			c.abandon(one)
-			one.nextClaim = now.Add(c.config.ClaimPause)
+			c.loseOwnership(p, "a peer serves a higher epoch")
+			p.nextClaimAt = now.Add(c.config.MinClaimInterval)
+		case stateTakingOver:
+			c.abandon(p)
+			p.nextClaimAt = now.Add(c.config.MinClaimInterval)
 		case stateAbsent:
 		}
 	}
 }
 
 // lose ends the ownership of a partition and tells all that wait.
-func (c *Core) lose(one *partition, reason string) {
-	c.ready.Changes = append(c.ready.Changes, Change{Partition: one.index, Epoch: one.epoch, Reason: reason})
-	for _, waiting := range one.waiters {
+func (c *Core) loseOwnership(p *partition, reason string) {
+	c.ready.Changes = append(c.ready.Changes, Change{Partition: p.index, Epoch: p.epoch, Reason: reason})
+	for _, waiting := range p.waiters {
 		c.reply(Reply{ID: waiting.id, Status: ReplyLost})
 	}
-	for _, waiting := range one.verifiers {
+	for _, waiting := range p.epochChecks {
 		c.reply(Reply{ID: waiting.id, Status: ReplyLost})
 	}
-	one.waiters = nil
-	one.verifiers = nil
-	one.inFlight = false
-	one.full = false
-	c.abandon(one)
+	p.waiters = nil
+	p.epochChecks = nil
+	p.appendInFlight = false
+	p.logFull = false
+	c.abandon(p)
 }
 
-func (c *Core) expireHeld(now time.Time, one *partition) {
-	rest := one.held[:0]
-	for _, waiting := range one.held {
-		if (one.state == stateTaking || one.restoring.turns) && now.Before(waiting.until) {
-			rest = append(rest, waiting)
+func (c *Core) expireHeld(now time.Time, p *partition) {
+	remaining := p.heldRequests[:0]
+	for _, held := range p.heldRequests {
+		if (p.state == stateTakingOver || p.takeover.turnsPending) && now.Before(held.until) {
+			remaining = append(remaining, held)
 			continue
 		}
-		c.reply(c.notYet(one, waiting.request))
+		c.reply(c.expiredReply(p, held.request))
 	}
-	one.held = rest
+	p.heldRequests = remaining
 }
 
 func (c *Core) reply(reply Reply) { c.ready.Replies = append(c.ready.Replies, reply) }
--- a/coordinator/pause_test.go
+++ b/coordinator/pause_test.go
@@ -33,7 +33,7 @@
 		world := newFleet(31, 3, 1)
 		world.run(settled)
 		paused := keepSome(world, world.owners(0)[0], 12)
-		world = newFleetWith(31, 3, 1, func(config *coordinator.Config) { config.AppendPause = 0 })
+		world = newFleetWith(31, 3, 1, func(config *coordinator.Config) { config.MinAppendInterval = 0 })
 		world.run(settled)
 		Expect(2 * paused).To(BeNumerically("<=", keepSome(world, world.owners(0)[0], 12)))
 	})
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -10,13 +10,13 @@
 
 // peerState is what a peer told of itself last.
 type peerState struct {
-	at     time.Time
-	status Status
+	receivedAt time.Time
+	status     Status
 	// heard says that it told so itself, and not through another node.
-	heard bool
+	direct bool
 	// unableSince is when it first told that it does not reach the store;
 	// zero while it does.
-	unableSince time.Time
+	storeUnreachableSince time.Time
 }
 
 // peerStateLifetime is how long a peer's status counts.
@@ -24,22 +24,22 @@
 
 // counts reports whether the status is recent enough to count; that of a node
 // that was never heard of is not.
-func (s peerState) counts(now time.Time) bool { return now.Sub(s.at) <= peerStateLifetime }
+func (s peerState) fresh(now time.Time) bool { return now.Sub(s.receivedAt) <= peerStateLifetime }
 
 func (c *Core) stepPeer(now time.Time, message PeerMessage) {
 	sender := message.From
-	c.hearing.note(now, sender)
+	c.receiveTimes.record(now, sender)
 	if message.Status != nil {
-		c.learn(now, append(message.Status.Known, sender))
-		c.notePeer(now, sender.ID, *message.Status)
-		c.noteUnable(now, message.Status.Unable)
+		c.addNodes(now, append(message.Status.Known, sender))
+		c.updatePeer(now, sender.ID, *message.Status)
+		c.mergeStoreUnreachable(now, message.Status.StoreUnreachable)
 		c.ready.Loads = append(c.ready.Loads, PeerLoad{
 			Node: string(sender.ID), Counts: message.Status.Loads, Version: message.Status.Version,
 			Evacuations: message.Status.Evacuations, From: sender,
 		})
-		c.takeOwners(now, sender.ID, message.Status)
+		c.mergeOwners(now, sender.ID, message.Status)
 	} else {
-		c.learn(now, []machine.Machine{sender})
+		c.addNodes(now, []machine.Machine{sender})
 	}
 	if message.Gather != nil {
 		c.stepGather(now, sender.ID, *message.Gather)
@@ -50,7 +50,7 @@
 	if message.Charge != nil {
 		c.stepChargeMessage(now, sender, message)
 	} else if message.Proof != nil {
-		c.stepProof(now, sender, *message.Proof)
+		c.stepFreshness(now, sender, *message.Proof)
 	}
 	if message.Handover != nil {
 		c.stepHandover(now, sender, *message.Handover)
@@ -58,23 +58,23 @@
 }
 
 // takeOwners takes in what a status tells of owners: the sender itself and others.
-func (c *Core) takeOwners(now time.Time, sender machine.ID, status *Status) {
+func (c *Core) mergeOwners(now time.Time, sender machine.ID, status *Status) {
 	for index, epoch := range status.Owned {
-		c.noteServing(sender, index, epoch)
-		c.takeOwner(now, Owner{Partition: index, Epoch: epoch, Node: sender, Unable: !status.ReachesStore})
+		c.markServing(sender, index, epoch)
+		c.mergeOwner(now, Owner{Partition: index, Epoch: epoch, Node: sender, StoreUnreachable: !status.ReachesStore})
 	}
 	for _, owner := range status.Owners {
-		c.takeOwner(now, owner)
+		c.mergeOwner(now, owner)
 	}
 }
 
 // notePeer takes over what a peer tells of itself.
-func (c *Core) notePeer(now time.Time, peer machine.ID, status Status) {
-	state := peerState{at: now, status: status, heard: true}
+func (c *Core) updatePeer(now time.Time, peer machine.ID, status Status) {
+	state := peerState{receivedAt: now, status: status, direct: true}
 	if !status.ReachesStore {
-		state.unableSince = now
-		if before := c.peers[peer].unableSince; !before.IsZero() {
-			state.unableSince = before
+		state.storeUnreachableSince = now
+		if before := c.peers[peer].storeUnreachableSince; !before.IsZero() {
+			state.storeUnreachableSince = before
 		}
 	}
 	c.setPeer(peer, state)
@@ -84,43 +84,43 @@
 func (c *Core) setPeer(peer machine.ID, state peerState) {
 	c.peers[peer] = state
 	if state.status.ReachesStore {
-		delete(c.unreaching, peer)
+		delete(c.withoutStore, peer)
 		return
 	}
-	c.unreaching[peer] = true
+	c.withoutStore[peer] = true
 }
 
 // forgetUnreaching drops the peers whose word of the store counts no longer.
-func (c *Core) forgetUnreaching(now time.Time) {
-	for peer := range c.unreaching {
-		if !c.peers[peer].counts(now) {
-			delete(c.unreaching, peer)
+func (c *Core) expireWithoutStore(now time.Time) {
+	for peer := range c.withoutStore {
+		if !c.peers[peer].fresh(now) {
+			delete(c.withoutStore, peer)
 		}
 	}
 }
 
 // noteContact takes over whether this node reaches the store.
-func (c *Core) noteContact(now time.Time, contact Contact) {
-	if contact.Reached && !c.reaches {
-		c.reachedSince = now
-	}
-	lost := c.reaches && !contact.Reached
-	changed := c.reaches != contact.Reached
-	c.reaches = contact.Reached
-	c.lastContact, c.failing = contact.Last, contact.Failing
+func (c *Core) stepStoreContact(now time.Time, contact Contact) {
+	if contact.Reached && !c.storeReachable {
+		c.storeReachableSince = now
+	}
+	lost := c.storeReachable && !contact.Reached
+	changed := c.storeReachable != contact.Reached
+	c.storeReachable = contact.Reached
+	c.lastStoreAnswer, c.storeCallsFailing = contact.Last, contact.Failing
 	if changed {
-		c.renewRecords(now)
+		c.republishOwnership(now)
 	}
 	if lost {
-		c.tellHeirs(now)
+		c.notifySuccessors(now)
 	}
 }
 
 // renewRecords changes the records of the partitions that this node serves.
-func (c *Core) renewRecords(now time.Time) {
-	for _, one := range c.partitions {
-		if one.state == stateServing || one.restoring.claimed {
-			c.ownedHere(now, one)
+func (c *Core) republishOwnership(now time.Time) {
+	for _, p := range c.partitions {
+		if p.state == stateServing || p.takeover.claimed {
+			c.publishOwnership(now, p)
 		}
 	}
 }
@@ -146,29 +146,29 @@
 // nodes that it knows.
 func (c *Core) status(now time.Time) *Status {
 	status := &Status{
-		ReachesStore: c.reaches, Owned: c.owned(), Owners: c.someOwners(), Loads: c.loads.Counts, Version: c.loads.Version,
-		Evacuations: c.loads.Evacuations, Unable: c.unable(now),
+		ReachesStore: c.storeReachable, Owned: c.ownedPartitions(), Owners: c.nextOwners(), Loads: c.loads.Counts, Version: c.loads.Version,
+		Evacuations: c.loads.Evacuations, StoreUnreachable: c.sampleWithoutStore(now),
 	}
-	if now.Before(c.nextKnown) {
+	if now.Before(c.nextKnownNodesAt) {
 		return status
 	}
-	c.nextKnown = now.Add(c.config.KnownPeriod)
-	status.Known = c.someKnown()
+	c.nextKnownNodesAt = now.Add(c.config.KnownNodesPeriod)
+	status.Known = c.sampleKnownNodes()
 	return status
 }
 
 // someKnown returns some of the nodes that this one knows, itself among them.
-func (c *Core) someKnown() []machine.Machine {
+func (c *Core) sampleKnownNodes() []machine.Machine {
 	var known []machine.Machine
-	for _, place := range c.config.Random.Perm(len(c.listing))[:min(len(c.listing), c.config.KnownPerStatus)] {
-		known = append(known, c.listing[place])
+	for _, index := range c.config.Random.Perm(len(c.sortedNodes))[:min(len(c.sortedNodes), c.config.KnownNodesPerStatus)] {
+		known = append(known, c.sortedNodes[index])
 	}
 	return known
 }
 
 // regainFor is how long after this node reached the store again it may still hold
 // that others do not: as long as their statuses count, and until they notice.
-const regainFor = peerStateLifetime + time.Second
+const storeRecoveryGrace = peerStateLifetime + time.Second
 
 // reachesStore reports whether a node may own partitions. A peer that does not
 // reach the store counts as able while the store may be down for all: until
@@ -176,22 +176,22 @@
 // store came back.
 func (c *Core) reachesStore(now time.Time, node machine.ID) bool {
 	if node == c.self().ID {
-		return c.reaches
+		return c.storeReachable
 	}
-	if !c.unreaching[node] {
+	if !c.withoutStore[node] {
 		return true
 	}
 	state := c.peers[node]
-	if !state.counts(now) {
+	if !state.fresh(now) {
 		return true
 	}
-	return !c.provesUnable(now, state.unableSince)
+	return !c.failureIsLocal(now, state.storeUnreachableSince)
 }
 
 // provesUnable reports whether word that a node does not reach the store, heard at a
 // time, tells of that node alone: the store has answered this one since, and for long.
-func (c *Core) provesUnable(now, heardAt time.Time) bool {
-	return c.lastContact.After(heardAt) && now.Sub(c.reachedSince) >= regainFor
+func (c *Core) failureIsLocal(now, heardAt time.Time) bool {
+	return c.lastStoreAnswer.After(heardAt) && now.Sub(c.storeReachableSince) >= storeRecoveryGrace
 }
 
 // Owner returns the node that serves the partition as far as this node knows:
@@ -203,8 +203,8 @@
 	if peer, found := c.servingPeer(now, index); found {
 		return peer, true
 	}
-	if heirs := c.ranking.heirs[index]; len(heirs) > 0 {
-		return c.lookup(machine.ID(heirs[0]))
+	if preferred := c.ranking.preferred[index]; len(preferred) > 0 {
+		return c.lookup(machine.ID(preferred[0]))
 	}
 	return machine.Machine{}, false
 }
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -160,7 +160,7 @@
 		asking.core.Step(world.now, coordinator.ProofNoted{At: world.now.Add(-5 * time.Second), Version: 1})
 		asking.core.Ready()
 		asking.core.Step(world.now, coordinator.Tick{})
-		var question *coordinator.ProofMessage
+		var question *coordinator.FreshnessMessage
 		for _, message := range asking.core.Ready().Messages {
 			if message.Message.Proof != nil {
 				question = message.Message.Proof
@@ -168,7 +168,7 @@
 		}
 		Expect(question).NotTo(BeNil())
 		Expect(question.Ask).To(BeTrue())
-		word := &coordinator.ProofMessage{Number: question.Number, Version: 1, Age: 100 * time.Millisecond}
+		word := &coordinator.FreshnessMessage{Number: question.Number, Version: 1, Age: 100 * time.Millisecond}
 		answer := coordinator.PeerReceived{Message: coordinator.PeerMessage{From: asked.self, Proof: word}}
 		asking.core.Step(world.now.Add(4*time.Second), answer)
 		Expect(asking.core.Ready().Proven).To(Equal(world.now.Add(-100 * time.Millisecond)))
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -78,27 +78,27 @@
 	NotOwner bool       `json:"not_owner,omitempty"`
 	Owner    machine.ID `json:"owner,omitempty"`
 	// Left are nodes that told the asker that they leave, and so count no more.
-	Left []machine.ID `json:"left,omitempty"`
+	Leaving []machine.ID `json:"left,omitempty"`
 	// Return gives a grant back whose request did not run.
-	Return *Charge `json:"return,omitempty"`
+	Refund *Charge `json:"return,omitempty"`
 }
 
 // chargeResend is after what time without an answer a charge is asked for again:
 // several times the way between zones and back.
-const chargeResend = 60 * time.Millisecond
+const chargeResendInterval = 60 * time.Millisecond
 
 // chargeSilences is the question in a row without an answer that goes to the node which
 // counts if the one asked before is gone. One or two may be lost on the way.
-const chargeSilences = 3
+const attemptsPerFallback = 3
 
 // charging is this node's part in keeping the limits of tenants and cold replicas.
-type charging struct {
+type chargeState struct {
 	books map[accountKind]*tenant.Book
 	// owners are the nodes that count, as far as they were asked for since the nodes
 	// were those of this version.
-	owners  map[account]machine.ID
-	version uint64
-	nodes   []machine.ID
+	countingNodes     map[account]machine.ID
+	membershipVersion uint64
+	liveNodes         []machine.ID
 	// pending are this node's charges without an answer, by number.
 	pending    map[uint64]*pendingCharge
 	nextNumber uint64
@@ -109,30 +109,30 @@
 	id     uint64
 	charge Charge
 	// askedAt is when the charge was asked for first, and until when it is given up.
-	askedAt  time.Time
-	until    time.Time
-	resendAt time.Time
-	askedOf  machine.ID
+	requestedAt time.Time
+	deadline    time.Time
+	resendAt    time.Time
+	target      machine.ID
 	// redirects is how often a node that was asked named another one.
 	redirects int
 	// left are the nodes that answered that they leave.
-	left []machine.ID
+	leavingNodes []machine.ID
 	// silent is how often in a row no node that was asked answered.
-	silent int
+	unanswered int
 }
 
 // maximumRedirects bounds how often a charge follows the views of the nodes that were
 // asked, before the asker's own view is followed again: two views that name each other
 // would send it back and forth.
-const maximumRedirects = 4
+const maxRedirects = 4
 
-func newCharging(now time.Time, config *Config) charging {
-	return charging{
+func newChargeState(now time.Time, config *Config) chargeState {
+	return chargeState{
 		books: map[accountKind]*tenant.Book{
-			tenantAccount:  tenant.NewBook(now.Add(config.Settle), config.Tenants),
-			replicaAccount: tenant.NewBook(now.Add(config.Settle), config.ColdReplicas),
+			tenantAccount:  tenant.NewBook(now.Add(config.StartupDelay), config.Tenants),
+			replicaAccount: tenant.NewBook(now.Add(config.StartupDelay), config.ColdReplicas),
 		},
-		owners: make(map[account]machine.ID), pending: make(map[uint64]*pendingCharge), nextNumber: firstNumber(config.Random),
+		countingNodes: make(map[account]machine.ID), pending: make(map[uint64]*pendingCharge), nextNumber: firstNumber(config.Random),
 	}
 }
 
@@ -142,34 +142,34 @@
 func firstNumber(random *rand.Rand) uint64 { return random.Uint64() >> 1 }
 
 // spend decides a charge that this node counts.
-func (h *charging) spend(now time.Time, charge *Charge) tenant.Decision {
-	to := charge.account()
-	return h.books[to.kind].Spend(now, to.name, charge.Request)
+func (h *chargeState) spend(now time.Time, charge *Charge) tenant.Decision {
+	key := charge.account()
+	return h.books[key.kind].Spend(now, key.name, charge.Request)
 }
 
 // giveBack takes back a charge that this node granted and whose request did not run.
-func (h *charging) giveBack(charge *Charge) {
-	to := charge.account()
-	h.books[to.kind].Return(to.name, charge.Request)
+func (h *chargeState) refund(charge *Charge) {
+	key := charge.account()
+	h.books[key.kind].Return(key.name, charge.Request)
 }
 
 // chargeOwner returns the node that counts for an account: the live one that ranks
 // first for its name. Whether a node reaches the store does not matter.
-func (c *Core) chargeOwner(name account) machine.ID {
+func (c *Core) countingNode(key account) machine.ID {
 	if c.config.CountAlone {
 		return c.self().ID
 	}
-	if owner, known := c.charging.owners[name]; known {
-		return owner
+	if node, known := c.chargeState.countingNodes[key]; known {
+		return node
 	}
-	owner := c.chargeOwnerWithout(name)
-	c.charging.owners[name] = owner
-	return owner
+	node := c.countingNodeExcluding(key)
+	c.chargeState.countingNodes[key] = node
+	return node
 }
 
 // chargePlace stands for an account in the ranking, beside the partitions.
-func chargePlace(one account) int {
-	return int(xxhash.Sum64String(string(one.kind)+"/"+one.name) >> 1)
+func accountRankKey(key account) int {
+	return int(xxhash.Sum64String(string(key.kind)+"/"+key.name) >> 1)
 }
 
 func (c *Core) chargeCandidates() []ownership.Node {
@@ -183,192 +183,192 @@
 
 // renewCharging follows the live nodes: accounts that another node counts for by now
 // are dropped, and where a node was lost, accounts that are opened begin empty.
-func (c *Core) renewCharging(now time.Time) {
-	held := &c.charging
-	if held.nodes != nil && held.version == c.membership.Version() {
+func (c *Core) updateCountingNodes(now time.Time) {
+	state := &c.chargeState
+	if state.liveNodes != nil && state.membershipVersion == c.membership.Version() {
 		return
 	}
-	held.version = c.membership.Version()
-	var nodes []machine.ID
+	state.membershipVersion = c.membership.Version()
+	var liveNodes []machine.ID
 	for _, node := range c.membership.Nodes() {
-		nodes = append(nodes, node.ID)
+		liveNodes = append(liveNodes, node.ID)
 	}
-	lost := slices.ContainsFunc(held.nodes, func(id machine.ID) bool { return !slices.Contains(nodes, id) })
-	changed := held.nodes == nil || !slices.Equal(held.nodes, nodes)
+	lost := slices.ContainsFunc(state.liveNodes, func(id machine.ID) bool { return !slices.Contains(liveNodes, id) })
+	changed := state.liveNodes == nil || !slices.Equal(state.liveNodes, liveNodes)
 	if changed {
-		clear(held.owners)
-		held.nodes = nodes
+		clear(state.countingNodes)
+		state.liveNodes = liveNodes
 	}
-	for kind, book := range held.books {
+	for kind, book := range state.books {
 		if lost {
 			book.Inherit(now)
 		}
 		if changed {
-			book.Keep(func(name string) bool { return c.chargeOwner(account{kind: kind, name: name}) == c.self().ID })
+			book.Keep(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
 		}
-		book.SetShare(c.chargeShare())
+		book.SetShare(c.grantableShare())
 	}
 }
 
 // chargeShare is the part of each limit that the live nodes may grant. Nodes that are
 // known and not live may be lost, or live on behind a cut and count for their side.
-func (c *Core) chargeShare() float64 {
-	if c.config.ShareWhole {
+func (c *Core) grantableShare() float64 {
+	if c.config.GrantFullLimits {
 		return 1
 	}
 	if c.config.CountAlone {
-		return 1 / float64(max(1, len(c.listing)))
+		return 1 / float64(max(1, len(c.sortedNodes)))
 	}
 	live := float64(c.LiveCount())
-	return min(1, live/float64(max(1, len(c.listing))))
+	return min(1, live/float64(max(1, len(c.sortedNodes))))
 }
 
 // countsCharges reports whether this node knows its peers well enough to count.
-func (c *Core) countsCharges(now time.Time) bool {
-	return !c.leaving && now.Sub(c.started) >= c.config.Settle
+func (c *Core) canCount(now time.Time) bool {
+	return !c.leaving && now.Sub(c.startedAt) >= c.config.StartupDelay
 }
 
 // stepCharge takes in that a request of this node's traffic is to be counted.
 func (c *Core) stepCharge(now time.Time, event ChargeRequested) {
-	c.renewCharging(now)
-	c.charging.nextNumber++
-	asked := &pendingCharge{id: event.ID, charge: event.Charge, askedAt: now, until: now.Add(event.Patience)}
-	c.charging.pending[c.charging.nextNumber] = asked
-	c.askCharge(now, c.charging.nextNumber, asked)
+	c.updateCountingNodes(now)
+	c.chargeState.nextNumber++
+	waiting := &pendingCharge{id: event.ID, charge: event.Charge, requestedAt: now, deadline: now.Add(event.Patience)}
+	c.chargeState.pending[c.chargeState.nextNumber] = waiting
+	c.requestCharge(now, c.chargeState.nextNumber, waiting)
 }
 
 // askCharge decides a charge, or asks the node that counts for its account.
-func (c *Core) askCharge(now time.Time, number uint64, asked *pendingCharge) {
-	asked.resendAt = now.Add(chargeResend)
-	asked.redirects = 0
-	owner := c.chargeOwner(asked.charge.account())
-	if !c.config.AskOwnView && asked.silent%chargeSilences == chargeSilences-1 {
+func (c *Core) requestCharge(now time.Time, number uint64, waiting *pendingCharge) {
+	waiting.resendAt = now.Add(chargeResendInterval)
+	waiting.redirects = 0
+	node := c.countingNode(waiting.charge.account())
+	if !c.config.AskOwnView && waiting.unanswered%attemptsPerFallback == attemptsPerFallback-1 {
 		// The node may be gone, which others may have noticed: the next one counts then.
-		owner = c.chargeOwnerWithout(asked.charge.account(), owner)
+		node = c.countingNodeExcluding(waiting.charge.account(), node)
 	}
-	asked.silent++
-	asked.askedOf = owner
-	if owner == c.self().ID {
-		if c.countsCharges(now) {
-			c.endCharge(number, asked, c.charging.spend(now, &asked.charge))
+	waiting.unanswered++
+	waiting.target = node
+	if node == c.self().ID {
+		if c.canCount(now) {
+			c.finishCharge(number, waiting, c.chargeState.spend(now, &waiting.charge))
 		}
 		return
 	}
-	c.sendCharge(owner, ChargeMessage{Number: number, Ask: &asked.charge}, nil)
+	c.sendCharge(node, ChargeMessage{Number: number, Ask: &waiting.charge}, nil)
 }
 
-func (c *Core) sendCharge(to machine.ID, message ChargeMessage, word *ProofMessage) {
+func (c *Core) sendCharge(to machine.ID, message ChargeMessage, freshness *FreshnessMessage) {
 	if target, known := c.membership.Lookup(to); known {
 		c.ready.Messages = append(c.ready.Messages, Outbound{
-			To: target, Message: PeerMessage{From: c.self(), Charge: &message, Proof: word},
+			To: target, Message: PeerMessage{From: c.self(), Charge: &message, Proof: freshness},
 		})
 	}
 }
 
 // endCharge hands a decision to the driver.
-func (c *Core) endCharge(number uint64, asked *pendingCharge, decision tenant.Decision) {
-	delete(c.charging.pending, number)
+func (c *Core) finishCharge(number uint64, waiting *pendingCharge, decision tenant.Decision) {
+	delete(c.chargeState.pending, number)
 	status := ChargeRefused
 	if decision.Granted {
 		status = ChargeGranted
 	}
-	c.ready.Charged = append(c.ready.Charged, Charged{ID: asked.id, Status: status, Owner: asked.askedOf, Decision: decision})
+	c.ready.Charged = append(c.ready.Charged, Charged{ID: waiting.id, Status: status, Owner: waiting.target, Decision: decision})
 }
 
 // stepReturn gives back a grant whose request did not run.
-func (c *Core) stepReturn(event ChargeReturned) {
-	owner := c.chargeOwner(event.Charge.account())
-	if owner == c.self().ID {
-		c.charging.giveBack(&event.Charge)
+func (c *Core) stepChargeRefunded(event ChargeReturned) {
+	node := c.countingNode(event.Charge.account())
+	if node == c.self().ID {
+		c.chargeState.refund(&event.Charge)
 		return
 	}
-	c.sendCharge(owner, ChargeMessage{Return: &event.Charge}, nil)
+	c.sendCharge(node, ChargeMessage{Refund: &event.Charge}, nil)
 }
 
 // stepChargeMessage takes in what another node says of a charge.
 func (c *Core) stepChargeMessage(now time.Time, from machine.Machine, received PeerMessage) {
 	message := *received.Charge
-	asked := c.charging.pending[message.Number]
+	waiting := c.chargeState.pending[message.Number]
 	switch {
 	case message.Ask != nil:
 		c.answerCharge(now, from, message)
-	case message.Return != nil:
-		c.charging.giveBack(message.Return)
-	case asked == nil:
+	case message.Refund != nil:
+		c.chargeState.refund(message.Refund)
+	case waiting == nil:
 		// Too late: the charge counts at its owner, and its request does not run.
 	case message.Answer != nil:
-		c.endCharge(message.Number, asked, *message.Answer)
+		c.finishCharge(message.Number, waiting, *message.Answer)
 	default:
-		c.redirectCharge(now, from, message, asked)
+		c.redirectCharge(now, from, message, waiting)
 	}
-	if asked != nil && received.Proof != nil {
-		c.takeProof(from, *received.Proof, asked.askedAt)
+	if waiting != nil && received.Proof != nil {
+		c.acceptFreshness(from, *received.Proof, waiting.requestedAt)
 	}
 }
 
 // redirectCharge follows the view of a node that does not count: the views of the nodes
 // differ for a while after one comes or goes, and whoever was asked may have heard of it.
 // Where that leads nowhere, the charge is asked for again when that is due.
-func (c *Core) redirectCharge(now time.Time, from machine.Machine, message ChargeMessage, asked *pendingCharge) {
-	if c.config.AskOwnView || from.ID != asked.askedOf || message.Owner == "" || message.Owner == c.self().ID || asked.redirects >= maximumRedirects {
+func (c *Core) redirectCharge(now time.Time, from machine.Machine, message ChargeMessage, waiting *pendingCharge) {
+	if c.config.AskOwnView || from.ID != waiting.target || message.Owner == "" || message.Owner == c.self().ID || waiting.redirects >= maxRedirects {
 		return
 	}
-	asked.redirects++
-	asked.silent = 0
-	asked.askedOf = message.Owner
-	asked.resendAt = now.Add(chargeResend)
-	if from.Status == machine.StatusLeaving && !slices.Contains(asked.left, from.ID) {
-		asked.left = append(asked.left, from.ID)
+	waiting.redirects++
+	waiting.unanswered = 0
+	waiting.target = message.Owner
+	waiting.resendAt = now.Add(chargeResendInterval)
+	if from.Status == machine.StatusLeaving && !slices.Contains(waiting.leavingNodes, from.ID) {
+		waiting.leavingNodes = append(waiting.leavingNodes, from.ID)
 	}
-	c.sendCharge(message.Owner, ChargeMessage{Number: message.Number, Ask: &asked.charge, Left: asked.left}, nil)
+	c.sendCharge(message.Owner, ChargeMessage{Number: message.Number, Ask: &waiting.charge, Leaving: waiting.leavingNodes}, nil)
 }
 
 // answerCharge decides a charge of another node's traffic.
 func (c *Core) answerCharge(now time.Time, from machine.Machine, message ChargeMessage) {
-	c.renewCharging(now)
-	owner := c.chargeOwner(message.Ask.account())
-	left := message.Left
+	c.updateCountingNodes(now)
+	node := c.countingNode(message.Ask.account())
+	leavingNodes := message.Leaving
 	if c.leaving {
-		left = append(slices.Clone(left), c.self().ID)
+		leavingNodes = append(slices.Clone(leavingNodes), c.self().ID)
 	}
-	if slices.Contains(left, owner) {
-		owner = c.chargeOwnerWithout(message.Ask.account(), left...)
+	if slices.Contains(leavingNodes, node) {
+		node = c.countingNodeExcluding(message.Ask.account(), leavingNodes...)
 	}
-	if owner != c.self().ID || !c.countsCharges(now) {
+	if node != c.self().ID || !c.canCount(now) {
 		answer := ChargeMessage{Number: message.Number, NotOwner: true}
-		if owner != c.self().ID {
-			answer.Owner = owner
+		if node != c.self().ID {
+			answer.Owner = node
 		}
-		c.sendCharge(from.ID, answer, c.proofWord(now, 0))
+		c.sendCharge(from.ID, answer, c.freshnessClaim(now, 0))
 		return
 	}
-	decision := c.charging.spend(now, message.Ask)
-	c.sendCharge(from.ID, ChargeMessage{Number: message.Number, Answer: &decision}, c.proofWord(now, 0))
+	decision := c.chargeState.spend(now, message.Ask)
+	c.sendCharge(from.ID, ChargeMessage{Number: message.Number, Answer: &decision}, c.freshnessClaim(now, 0))
 }
 
 // chargeOwnerWithout returns the node that counts for an account once others are gone.
-func (c *Core) chargeOwnerWithout(name account, gone ...machine.ID) machine.ID {
-	rest := slices.DeleteFunc(c.chargeCandidates(), func(node ownership.Node) bool {
-		return slices.Contains(gone, machine.ID(node.ID))
+func (c *Core) countingNodeExcluding(key account, excluded ...machine.ID) machine.ID {
+	candidates := slices.DeleteFunc(c.chargeCandidates(), func(node ownership.Node) bool {
+		return slices.Contains(excluded, machine.ID(node.ID))
 	})
-	return machine.ID(ownership.Rank(chargePlace(name), rest))
+	return machine.ID(ownership.Rank(accountRankKey(key), candidates))
 }
 
 // tickCharges asks again for charges without an answer, and gives up those whose time
 // is over.
 func (c *Core) tickCharges(now time.Time) {
-	c.renewCharging(now)
-	if len(c.charging.pending) == 0 {
+	c.updateCountingNodes(now)
+	if len(c.chargeState.pending) == 0 {
 		return
 	}
-	for _, number := range slices.Sorted(maps.Keys(c.charging.pending)) {
-		asked := c.charging.pending[number]
+	for _, number := range slices.Sorted(maps.Keys(c.chargeState.pending)) {
+		waiting := c.chargeState.pending[number]
 		switch {
-		case !now.Before(asked.until):
-			delete(c.charging.pending, number)
-			c.ready.Charged = append(c.ready.Charged, Charged{ID: asked.id, Status: ChargeUnknown, Owner: asked.askedOf})
-		case !now.Before(asked.resendAt):
-			c.askCharge(now, number, asked)
+		case !now.Before(waiting.deadline):
+			delete(c.chargeState.pending, number)
+			c.ready.Charged = append(c.ready.Charged, Charged{ID: waiting.id, Status: ChargeUnknown, Owner: waiting.target})
+		case !now.Before(waiting.resendAt):
+			c.requestCharge(now, number, waiting)
 		}
 	}
 }
--- a/coordinator/request.go
+++ b/coordinator/request.go
@@ -73,7 +73,7 @@
 	ReplyAbsent ReplyStatus = "absent"
 	// ReplyUnowned says that a turn of this id is kept here of which nobody knows
 	// whose it is: it was kept before ids had a scope. It is handed to nobody.
-	ReplyUnowned ReplyStatus = "unowned"
+	ReplyUnscoped ReplyStatus = "unowned"
 	// ReplyStalled says that the log does not take records at present, and
 	// that nothing was done.
 	ReplyStalled ReplyStatus = "stalled"
--- a/coordinator/restoring_test.go
+++ b/coordinator/restoring_test.go
@@ -93,7 +93,7 @@
 		read()
 		peer := machine.Machine{ID: "peer", Kind: machine.KindNode, Zone: "z", Address: "10.0.0.8:1", Incarnation: 1, Status: machine.StatusLive}
 		core.Step(now, coordinator.PeerReceived{Message: coordinator.PeerMessage{From: peer, Status: &coordinator.Status{
-			ReachesStore: true, Owners: []coordinator.Owner{{Partition: 0, Epoch: epoch.Epoch + 1, Node: "peer", Taking: true}},
+			ReachesStore: true, Owners: []coordinator.Owner{{Partition: 0, Epoch: epoch.Epoch + 1, Node: "peer", TakingOver: true}},
 		}}})
 		Expect(core.Ready().Stopped).To(ConsistOf(coordinator.Stopped{Partition: 0, Epoch: epoch.Epoch}))
 		read(keptTurn("a", ""))
--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -32,12 +32,12 @@
 const (
 	// sourceRank, readerRank and collectorRank stand for a partition in the rankings of
 	// sources, readers and collectors.
-	sourceRank    = -2
-	readerRank    = -1
-	collectorRank = -3
+	sourceRankKey    = -2
+	readerRankKey    = -1
+	collectorRankKey = -3
 	// sourcesOfFleet and readersPerZone are how many there are, so that one may fail.
-	sourcesOfFleet = 2
-	readersPerZone = 2
+	sourcesPerFleet = 2
+	readersPerZone  = 2
 	// collectorsPerZone is how many nodes may gather the loads of a zone: the second
 	// stands in for one that is lost, and the third where that is frozen too.
 	collectorsPerZone = 3
@@ -53,19 +53,19 @@
 // rankRoles deals the roles to the candidates, weak machines excepted where there are others:
 // a source or reader carries what hundreds of nodes ask for. Places are this node's among
 // the heirs of the partitions.
-func (c *Core) rankRoles(candidates []ownership.Node, places []int) Roles {
-	roles := Roles{Sources: c.machines(ownership.First(sourceRank, ownership.Able(candidates), sourcesOfFleet))}
+func (c *Core) assignRoles(candidates []ownership.Node, selfRanks []int) Roles {
+	roles := Roles{Sources: c.lookupAll(ownership.First(sourceRankKey, ownership.Able(candidates), sourcesPerFleet))}
 	byZone := make(map[zone.Name][]ownership.Node)
 	for _, candidate := range candidates {
 		byZone[zone.Name(candidate.Zone)] = append(byZone[zone.Name(candidate.Zone)], candidate)
 	}
-	own := c.self().Zone
-	for name, near := range byZone {
-		able := ownership.Able(near)
-		readers := c.machines(ownership.First(readerRank, able, readersPerZone))
-		collectors := c.machines(ownership.First(collectorRank, able, collectorsPerZone))
-		if name == own {
-			roles.Readers, roles.Near, roles.Collectors = readers, len(near), collectors
+	ownZone := c.self().Zone
+	for name, zoneNodes := range byZone {
+		eligible := ownership.Able(zoneNodes)
+		readers := c.lookupAll(ownership.First(readerRankKey, eligible, readersPerZone))
+		collectors := c.lookupAll(ownership.First(collectorRankKey, eligible, collectorsPerZone))
+		if name == ownZone {
+			roles.Readers, roles.Near, roles.Collectors = readers, len(zoneNodes), collectors
 			continue
 		}
 		roles.Remote = append(roles.Remote, readers...)
@@ -73,12 +73,12 @@
 	}
 	slices.SortFunc(roles.Remote, machine.CompareID)
 	slices.SortFunc(roles.RemoteCollectors, machine.CompareID)
-	roles.Heir = slices.ContainsFunc(places, func(place int) bool { return place >= 0 })
+	roles.Heir = slices.ContainsFunc(selfRanks, func(rank int) bool { return rank >= 0 })
 	return roles
 }
 
 // machines returns the nodes of some ids.
-func (c *Core) machines(ids []string) (found []machine.Machine) {
+func (c *Core) lookupAll(ids []string) (found []machine.Machine) {
 	for _, id := range ids {
 		if node, known := c.lookup(machine.ID(id)); known {
 			found = append(found, node)
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -13,112 +13,112 @@
 		c.reply(Reply{ID: request.ID, Status: ReplyNotOwner})
 		return
 	}
-	one := c.partitions[request.Partition]
-	switch one.state {
+	p := c.partitions[request.Partition]
+	switch p.state {
 	case stateServing:
-		c.serveOrHold(now, one, heldRequest{request: request, until: now.Add(c.config.HoldFor)})
-	case stateTaking:
-		one.held = append(one.held, heldRequest{request: request, until: now.Add(c.config.HoldFor)})
+		c.serveOrHold(now, p, heldRequest{request: request, until: now.Add(c.config.HoldTimeout)})
+	case stateTakingOver:
+		p.heldRequests = append(p.heldRequests, heldRequest{request: request, until: now.Add(c.config.HoldTimeout)})
 	default:
-		c.reply(c.notOwner(request))
+		c.reply(c.notOwnerReply(request))
 	}
 }
 
 // notOwner answers a request about a partition that this node does not serve, with
 // the node that does as far as it knows.
-func (c *Core) notOwner(request Requested) Reply {
+func (c *Core) notOwnerReply(request Requested) Reply {
 	reply := Reply{ID: request.ID, Status: ReplyNotOwner}
-	if known := c.owners[request.Partition]; known.Epoch > 0 && known.Node != c.self().ID && !known.disowned {
+	if known := c.owners[request.Partition]; known.Epoch > 0 && known.Node != c.self().ID && !known.denied {
 		reply.Owner = &known.Owner
 	}
 	return reply
 }
 
 // serve answers a request about a partition that this node serves.
-func (c *Core) serve(now time.Time, one *partition, request Requested) {
+func (c *Core) serve(now time.Time, p *partition, request Requested) {
 	body := request.Request
 	switch {
 	case body.Admit != nil:
-		c.admit(now, one, request.ID, body.Admit)
+		c.admit(now, p, request.ID, body.Admit)
 	case body.Await != nil:
-		c.await(one, request.ID, body.Await)
+		c.await(p, request.ID, body.Await)
 	case body.Settle != nil:
-		one.ledger.Settle(now, *body.Settle)
-		c.reply(Reply{ID: request.ID, Status: ReplyDone, Epoch: one.epoch})
+		p.ledger.Settle(now, *body.Settle)
+		c.reply(Reply{ID: request.ID, Status: ReplyDone, Epoch: p.epoch})
 	case body.Keep != nil:
-		c.keep(now, one, request.ID, body.Keep)
+		c.keep(now, p, request.ID, body.Keep)
 	case body.Find != nil:
-		c.find(now, one, request.ID, body.Find)
+		c.find(now, p, request.ID, body.Find)
 	default:
 		c.reply(Reply{ID: request.ID, Status: ReplyNotOwner})
 	}
 }
 
-func (c *Core) admit(now time.Time, one *partition, id uint64, asked *AdmitRequest) {
-	reply := Reply{ID: id, Status: ReplyDone, Epoch: one.epoch}
-	if asked.Previous != "" && !asked.HasChain {
-		chain, found := one.ledger.Chain(asked.Previous)
+func (c *Core) admit(now time.Time, p *partition, id uint64, request *AdmitRequest) {
+	reply := Reply{ID: id, Status: ReplyDone, Epoch: p.epoch}
+	if request.Previous != "" && !request.HasChain {
+		chain, found := p.ledger.Chain(request.Previous)
 		if !found {
-			c.reply(Reply{ID: id, Status: ReplyAbsent, Epoch: one.epoch})
+			c.reply(Reply{ID: id, Status: ReplyAbsent, Epoch: p.epoch})
 			return
 		}
 		reply.Chain = chain
 	}
-	admission := one.ledger.Admit(now, asked.Turn)
-	if admission.Position > 0 && c.stalled(now, one) {
+	admission := p.ledger.Admit(now, request.Turn)
+	if admission.Position > 0 && c.stalled(now, p) {
 		if !admission.Again {
 			// One that was granted before may run, and wait for its record.
-			one.ledger.Settle(now, ledger.Settlement{Turn: asked.Turn.ID, Program: asked.Turn.Program})
+			p.ledger.Settle(now, ledger.Settlement{Turn: request.Turn.ID, Program: request.Turn.Program})
 		}
-		c.reply(Reply{ID: id, Status: one.refusal(), Epoch: one.epoch})
+		c.reply(Reply{ID: id, Status: p.refusalStatus(), Epoch: p.epoch})
 		return
 	}
-	if admission.Replica == "" && asked.Previous != "" {
-		admission.Replica = one.ledger.ServedBy(asked.Previous)
+	if admission.Replica == "" && request.Previous != "" {
+		admission.Replica = p.ledger.ServedBy(request.Previous)
 	}
-	reply.Admission, reply.Stalled = &admission, c.stalled(now, one)
+	reply.Admission, reply.Stalled = &admission, c.stalled(now, p)
 	c.reply(reply)
 }
 
 // keep takes a whole turn in, and answers once it is durable.
-func (c *Core) keep(now time.Time, one *partition, id uint64, asked *KeepRequest) {
-	previous := asked.Turn.Previous
-	if previous != "" && !asked.HasBase && !one.ledger.Holds(previous) {
-		c.reply(Reply{ID: id, Status: ReplyAbsent, Epoch: one.epoch})
+func (c *Core) keep(now time.Time, p *partition, id uint64, request *KeepRequest) {
+	previous := request.Turn.Previous
+	if previous != "" && !request.HasBase && !p.ledger.Holds(previous) {
+		c.reply(Reply{ID: id, Status: ReplyAbsent, Epoch: p.epoch})
 		return
 	}
-	if asked.AtOnce && c.stalled(now, one) {
-		c.reply(Reply{ID: id, Status: one.refusal(), Epoch: one.epoch})
+	if request.AtOnce && c.stalled(now, p) {
+		c.reply(Reply{ID: id, Status: p.refusalStatus(), Epoch: p.epoch})
 		return
 	}
-	one.ledger.Settle(now, asked.Settlement)
-	position := one.ledger.Keep(now, asked.Turn)
-	one.waiters = append(one.waiters, waiter{id: id, position: position})
+	p.ledger.Settle(now, request.Settlement)
+	position := p.ledger.Keep(now, request.Turn)
+	p.waiters = append(p.waiters, waiter{id: id, position: position})
 }
 
 // await answers at once what is durable already.
-func (c *Core) await(one *partition, id uint64, asked *AwaitRequest) {
+func (c *Core) await(p *partition, id uint64, request *AwaitRequest) {
 	switch {
-	case asked.Epoch != one.epoch:
+	case request.Epoch != p.epoch:
 		c.reply(Reply{ID: id, Status: ReplyLost})
-	case asked.Position <= one.ledger.Durable():
-		c.reply(Reply{ID: id, Status: ReplyDone, Epoch: one.epoch})
+	case request.Position <= p.ledger.Durable():
+		c.reply(Reply{ID: id, Status: ReplyDone, Epoch: p.epoch})
 	default:
-		one.waiters = append(one.waiters, waiter{id: id, position: asked.Position})
+		p.waiters = append(p.waiters, waiter{id: id, position: request.Position})
 	}
 }
 
 // find answers with a chain, or proves first that it is not here.
-func (c *Core) find(now time.Time, one *partition, id uint64, asked *FindRequest) {
-	chain, found := one.ledger.Chain(asked.Turn)
+func (c *Core) find(now time.Time, p *partition, id uint64, request *FindRequest) {
+	chain, found := p.ledger.Chain(request.Turn)
 	if found {
-		c.reply(Reply{ID: id, Status: ReplyDone, Epoch: one.epoch, Chain: chain})
+		c.reply(Reply{ID: id, Status: ReplyDone, Epoch: p.epoch, Chain: chain})
 		return
 	}
-	if asked.Unscoped != "" && one.ledger.Holds(asked.Unscoped) {
-		c.reply(Reply{ID: id, Status: ReplyUnowned, Epoch: one.epoch})
+	if request.Unscoped != "" && p.ledger.Holds(request.Unscoped) {
+		c.reply(Reply{ID: id, Status: ReplyUnscoped, Epoch: p.epoch})
 		return
 	}
-	absent := Reply{ID: id, Status: ReplyAbsent, Epoch: one.epoch, Scoped: true}
-	one.verifiers = append(one.verifiers, verifier{id: id, after: one.begun, reply: absent, askedAt: now})
+	absent := Reply{ID: id, Status: ReplyAbsent, Epoch: p.epoch, Scoped: true}
+	p.epochChecks = append(p.epochChecks, epochCheck{id: id, afterAppend: p.appendsBegun, reply: absent, askedAt: now})
 }
