--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -17,55 +17,54 @@
 type Config struct {
 	Membership machine.Config
 	Ledger     ledger.Config
-	// Partitions is how many partitions there are.
+	// Partitions is the number of partitions.
 	Partitions int
-	// Salt is this process's part of its epochs.
+	// Salt makes this process's epochs differ from those of other processes.
 	Salt ownership.Salt
-	// Settle is how long after its start a node claims nothing and counts for no
-	// tenant, so that it knows its peers.
+	// StartupDelay is how long after its start a node claims no partition and counts no
+	// requests, so that it first discovers its peers.
 	StartupDelay time.Duration
-	// ClaimPause is the least time between two claims of one partition.
+	// MinClaimInterval is the least time between two claims of one partition.
 	MinClaimInterval time.Duration
-	// StatusFanout bounds the peers that are told at once of a change that
-	// cannot wait. All other statuses travel on the messages of the failure
-	// detector, whose number does not depend on the number of nodes.
+	// StatusFanout bounds the number of peers that are notified at once of an urgent
+	// change. All other statuses are piggybacked on the messages of the failure detector,
+	// whose number per node does not depend on the size of the fleet.
 	StatusFanout int
-	// KnownPeriod is the time between two statuses that name other nodes, and
-	// KnownPerStatus how many of them one names: few, so that the message with them
-	// fits into one packet.
+	// KnownNodesPeriod is the time between two statuses that list other nodes, and
+	// KnownNodesPerStatus the number of nodes in such a list. It is small so that the
+	// message fits into one packet.
 	KnownNodesPeriod    time.Duration
 	KnownNodesPerStatus int
-	// HoldFor is how long a request waits for a takeover under way.
+	// HoldTimeout is how long a request is held for a takeover in progress.
 	HoldTimeout time.Duration
-	// StallAfter is how long an append may go unanswered before turns that
-	// need the log are refused.
+	// StallTimeout is how long an append may go unanswered before turns that need the log
+	// are refused.
 	StallTimeout time.Duration
-	// AppendPause is the least time between the beginnings of two appends to one
-	// partition, and ProofWait how long a proof that a turn is not kept waits for an
-	// append that is needed anyway.
+	// MinAppendInterval is the least time between the starts of two appends to one
+	// partition. AbsenceProofDelay is how long a proof that a turn is not stored waits to
+	// share an append with other records.
 	MinAppendInterval time.Duration
 	AbsenceProofDelay time.Duration
-	// ClaimWithoutAsking takes partitions over without asking their owner first,
-	// to measure what a hand-over in order is worth.
+	// SkipHandover claims partitions without requesting a handover from their owner, to
+	// measure what clean handovers gain.
 	ClaimWithoutAsking bool
-	// Tenants sets up the accounts by which the limits of tenants are kept.
+	// Tenants sets up the accounts that enforce the limits of tenants.
 	Tenants tenant.Config
-	// ColdReplicas sets up the accounts by which the requests to cold replicas are
-	// counted.
+	// ColdReplicas sets up the accounts that limit the requests to cold replicas.
 	ColdReplicas tenant.Config
-	// CountAlone has each node count to its own part of the limits, alike for all
-	// nodes, to measure what one account for the fleet is worth.
+	// CountLocally has each node count against an equal share of the limits, to measure
+	// what one fleet-wide account gains.
 	CountAlone bool
-	// AskOwnView has nodes ask for charges by their own view of who counts alone, to
-	// measure what it is worth to follow that of the nodes asked.
+	// IgnoreRedirects has nodes select the counting node only by their own view, to measure
+	// what it gains to follow the redirects of other nodes.
 	AskOwnView bool
-	// ShareWhole has nodes grant the whole of the limits though others that they
-	// know of may count behind a cut, to show what that would break.
+	// GrantFullLimits has nodes grant the full limits even if known but unreachable nodes
+	// may be counting in another network partition, to show which guarantees that breaks.
 	GrantFullLimits bool
-	// GatherNothing leaves nodes of a large fleet to hear loads by statuses alone, to
-	// measure what collectors are worth.
+	// DisableGathering has nodes of a large fleet learn loads from statuses only, to
+	// measure what collectors gain.
 	GatherNothing bool
-	// Random picks the peers of a status.
+	// Random selects the peers that receive a status.
 	Random *rand.Rand
 }
 
@@ -107,19 +106,19 @@
 	membership *machine.Membership
 	partitions []*partition
 	directory  map[machine.ID]machine.Machine
-	// listing is the directory and this node, sorted by id.
+	// sortedNodes holds the nodes of the directory and this node, sorted by ID.
 	sortedNodes []machine.Machine
 	peers       map[machine.ID]peerState
-	// owners are the newest records of who serves each partition.
+	// owners holds the newest known owner record of each partition.
 	owners []knownOwner
-	// unreaching are the peers that last counted as not reaching the store.
+	// withoutStore holds the peers that, by their last status, cannot reach the store.
 	withoutStore map[machine.ID]bool
 	startedAt    time.Time
 	listRead     bool
 	leaving      bool
-	// reaches says whether this node reaches the store, reachedSince since
-	// when without a break, failing whether calls have failed since it answered last,
-	// and lastContact when that was.
+	// storeReachable says whether this node reaches the store, and storeReachableSince
+	// since when without interruption. lastStoreAnswer is when the store last answered, and
+	// storeCallsFailing says that calls have failed since then.
 	storeReachable      bool
 	storeCallsFailing   bool
 	storeReachableSince time.Time
@@ -134,7 +133,7 @@
 	ready               Ready
 }
 
-// New returns a core that knows of no node but itself.
+// New returns a core that knows no node but itself.
 func New(now time.Time, config Config) (*Core, error) {
 	membership, err := machine.NewMembership(config.Membership)
 	if err != nil {
@@ -161,7 +160,7 @@
 	return core, nil
 }
 
-// Step takes in one event.
+// Step processes one event.
 func (c *Core) Step(now time.Time, event Event) {
 	switch event := event.(type) {
 	case Tick:
@@ -207,7 +206,7 @@
 	c.collectReady(now)
 }
 
-// leave begins this node's planned stop.
+// leave starts this node's planned stop.
 func (c *Core) leave(now time.Time) {
 	c.leaving = true
 	c.membership.Leave(now)
@@ -219,7 +218,7 @@
 	c.sendStatus(now)
 }
 
-// retainFor tells the ledgers how long programs are kept.
+// setRetention passes the retention time of programs to the ledgers.
 func (c *Core) setRetention(retain time.Duration) {
 	for _, p := range c.partitions {
 		if p.state == stateServing {
@@ -228,7 +227,7 @@
 	}
 }
 
-// Ready returns what has accumulated since the last call.
+// Ready returns the output accumulated since the last call.
 func (c *Core) Ready() Ready {
 	ready := c.ready
 	c.ready = Ready{}
@@ -238,7 +237,7 @@
 // tickPeriod is the longest time between two ticks.
 const tickPeriod = 50 * time.Millisecond
 
-// NextWake returns when a Tick is due at the latest.
+// NextWake returns the latest time at which the next Tick is due.
 func (c *Core) NextWake(now time.Time) time.Time {
 	wake := now.Add(tickPeriod)
 	if due := c.membership.NextWake(); due.Before(wake) {
@@ -257,7 +256,7 @@
 	}
 }
 
-// collect turns what the parts have ready into the core's own.
+// collectReady moves the output of the components into that of the core.
 func (c *Core) collectReady(now time.Time) {
 	for _, outbound := range c.membership.Ready().Messages {
 		target, known := c.membership.Lookup(outbound.To)
@@ -282,7 +281,7 @@
 	return self
 }
 
-// learn adds nodes to the directory.
+// addNodes adds nodes to the directory.
 func (c *Core) addNodes(now time.Time, nodes []machine.Machine) {
 	var added []machine.Machine
 	for _, node := range nodes {
@@ -304,7 +303,7 @@
 	}
 }
 
-// list puts a node into the sorted listing, or renews its entry there.
+// addSorted inserts a node into sortedNodes, or replaces its entry.
 func (c *Core) addSorted(node machine.Machine) {
 	index, found := slices.BinarySearchFunc(c.sortedNodes, node.ID, func(listed machine.Machine, id machine.ID) int {
 		return cmp.Compare(listed.ID, id)
@@ -316,7 +315,7 @@
 	c.sortedNodes = slices.Insert(c.sortedNodes, index, node)
 }
 
-// owned returns the partitions that this node serves.
+// ownedPartitions returns the partitions that this node serves, with their epochs.
 func (c *Core) ownedPartitions() map[int]ownership.Epoch {
 	ownedPartitions := make(map[int]ownership.Epoch)
 	for _, p := range c.partitions {
@@ -327,14 +326,14 @@
 	return ownedPartitions
 }
 
-// Directory returns the nodes that this one knows of, itself included, sorted by id, and
-// whether it has read the whole list of them. The caller must not change the slice.
+// Directory returns the known nodes including this one, sorted by ID, and whether this node
+// has read the complete list. The caller must not change the slice.
 func (c *Core) Directory() (nodes []machine.Machine, whole bool) { return c.sortedNodes, c.listRead }
 
-// LiveCount returns how many nodes are live, this one included.
+// LiveCount returns the number of live nodes, including this one.
 func (c *Core) LiveCount() int { return max(1, len(c.membership.Nodes())) }
 
-// Lives reports whether a node counts as live.
+// IsLive reports whether a node is considered live.
 func (c *Core) Lives(id machine.ID) bool {
 	_, found := slices.BinarySearchFunc(c.membership.Nodes(), id, func(node machine.Machine, id machine.ID) int {
 		return cmp.Compare(node.ID, id)
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -1,65 +1,66 @@
-// Package coordinator is one node's control state: who is live, which
+// Package coordinator implements the control state of one node: which nodes are live, which
 // partitions this node owns, and the ledgers of those partitions.
 //
-// A Core is a pure state machine. The driver passes in events with Step and
-// performs what Ready returns: messages to peers, replies to requests, takeovers
-// of partitions and appends to the log. It calls Step with a Tick no later than
-// NextWake. Nothing here reads a clock, opens a connection, starts a goroutine
-// or uses a random source that was not passed in.
+// A Core is a pure state machine. The driver passes in events with Step and performs the
+// work that Ready returns: messages to peers, replies to requests, takeovers of partitions
+// and appends to the log. It calls Step with a Tick no later than NextWake. The package
+// reads no clock, opens no connection, starts no goroutine and uses no random source other
+// than the one passed in.
 //
-// # Owning a partition
+// # Ownership of partitions
 //
-// The node that ranks first for a partition among the live nodes that reach
-// the log takes it over: it claims a new epoch, which fences the former owner,
-// and then reads the newest record of each key, page by page. It serves once all
-// accounts are read; requests that need what is not read yet are held for a bounded
-// time. Others know of the takeover and wait for it while it gets on.
+// Of the live nodes that reach the log, the one that ranks first for a partition takes it
+// over: it claims a new epoch, which fences the former owner, and then reads the newest
+// record of each key, page by page. It starts to serve once it has read all accounts.
+// Requests that need records not yet read are held for a bounded time. Other nodes learn of
+// the takeover and wait for it as long as it makes progress.
 //
-// A node that was fenced, or that may be behind a cut, claims only once the log shows
-// that nobody else appends.
+// Before it claims, the node requests a handover from the present owner (Handover). The
+// owner closes its ledger, releases the partition once all its records are in the log, and
+// answers. An owner that should own the partition answers that it retains it. If the owner
+// does not answer within 200 ms, the node claims the partition anyway.
 //
-// It asks the owner first, which closes its ledger, gives the partition up once
-// the log has all of it, and answers (Handover). An owner that is to own the
-// partition answers that it keeps it; one that does not answer within a fifth of
-// a second is followed all the same.
+// A node that was fenced, or that may be in the minority of a network partition, claims only
+// once the log shows that nobody else appends.
 //
-// A node that does not reach the log is no candidate. It tells so itself, or is
-// named by nodes that heard it. An outage for all changes no owner: others' lack
-// of the log counts only after an answer of the log that came later than their
-// word, and not for some seconds after one's own return.
+// A node that cannot reach the log is not a candidate. It reports this itself, or nodes that
+// received the report pass it on. An outage of the log for all nodes changes no owner: a
+// node takes such reports of others into account only after the log has answered it since
+// the report, and not for some seconds after it reached the log again itself.
 //
-// In a large fleet a node hears each of the others seldom. Who serves a partition is
-// therefore a record with the owner's epoch, which its owner renews when it loses or
-// regains the log and which nodes pass on until all have it (Owner). A node that is
-// asked in vain answers with the record that it has. The nodes that rank next after
-// the first one take a partition over, one after the other, when it stays without an
-// owner.
+// In a large fleet a node receives messages from each of the others only seldom. The owner
+// of a partition is therefore a record with the owner's epoch, which nodes gossip until all
+// have it (Owner). The owner revises it when it loses or regains the log. A node that
+// receives a request for a partition it does not serve replies with the record it has. If a
+// partition remains without an owner, the nodes that rank next in its preference list take
+// it over, one after the other.
 //
-// Each node also ranks who reads the platform's lists for the others (Roles), so that
-// all agree on that without a message.
+// An append that the log refuses as fenced ends the ownership at once, as does a message
+// with a higher epoch. Requests that waited for the append are answered with ReplyLost, and
+// the requesters turn to the new owner.
 //
-// An append that the log refuses as fenced ends the ownership at once, as does
-// word of a higher epoch. What waited for the append is told that the owner is
-// lost, and asks the new one.
+// Each node also computes by rank which nodes read the platform's lists for the others
+// (Roles), so that all nodes agree on this without exchanging messages.
 //
-// # Counting to the limits of tenants
+// # Limits of tenants
 //
-// One live node counts each tenant's requests, by rank; it needs neither the log nor
-// a record of its own (ChargeMessage). Who follows a lost one begins with an empty
-// account, and live nodes leave a part of each limit to those that they know of and
-// do not reach, which may live on behind a cut.
+// One live node, the counting node, counts all requests of a tenant (ChargeMessage). It is
+// determined by rank, and needs neither the log nor a record of its own. The successor of a
+// lost counting node starts with an empty account. The live nodes leave a part of each limit
+// to known nodes that they cannot reach, since these may be alive in another network
+// partition.
 //
-// # How lately a configuration was the newest
+// # Freshness of the configuration
 //
-// Answers to charges carry how long ago the answering node's configuration was proven
-// to be the newest; nodes that hear nothing recent ask (ProofMessage). Such word
-// counts from when its question was sent, so that no delay makes it younger than it
-// is.
+// Answers to charges carry a freshness proof: how long ago the answering node's
+// configuration was proven to be the newest. Nodes without a recent proof request one
+// (FreshnessMessage). A proof is dated from when its request was sent, so that delays never
+// make it appear more recent than it is.
 //
-// # Answers that must be certain
+// # Answers from former owners
 //
-// A former owner that does not yet know of its end still answers. What it
-// grants lies under marks that the new owner counts as used, so that the
-// budget holds. That a turn is not kept it says only after an append, if need
-// be an empty one, has shown that its epoch is still in force.
+// A former owner that does not know yet that it was replaced still answers requests. The
+// tokens that it grants lie below marks that the new owner counts as used, so that budgets
+// are not exceeded. It replies that a turn is not stored only after an append, if necessary
+// an empty one, has proven that its epoch is still in force.
 package coordinator
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -10,30 +10,30 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// Event is what a driver passes to Core.Step.
+// Event is an input to Core.Step.
 type Event interface{ event() }
 
-// Tick performs what is due.
+// Tick performs the work that is due.
 type Tick struct{}
 
-// Listed brings all nodes that the platform's store names.
+// NodeListRead carries the complete list of nodes in the platform's store.
 type Listed struct{ Nodes []machine.Machine }
 
-// Learned brings some nodes of the fleet.
+// NodesDiscovered carries some nodes of the fleet.
 type Learned struct{ Nodes []machine.Machine }
 
-// Contact tells whether this node reached the store lately, and when last.
+// StoreContact says whether this node reached the store recently, and when last.
 type Contact struct {
 	Reached bool
 	Last    time.Time
-	// Failing says that calls to the store have failed since it answered last.
+	// Failing says that calls to the store have failed since its last answer.
 	Failing bool
 }
 
-// PeerReceived is a message of another node.
+// PeerReceived carries a message from another node.
 type PeerReceived struct{ Message PeerMessage }
 
-// Requested is a request about a partition, of this node or of a peer.
+// RequestReceived carries a request about a partition, from this node or from a peer.
 type Requested struct {
 	// ID correlates the Reply; the driver allocates it.
 	ID        uint64
@@ -41,26 +41,26 @@
 	Request   Request
 }
 
-// TakeoverRead tells of progress in a takeover: the log has the claim, and some of
-// the newest record of each key were read, in the order of the keys.
+// TakeoverRead reports progress of a takeover: the claim is in the log, and some of the
+// newest records were read, in key order.
 type TakeoverRead struct {
 	Partition int
 	Epoch     ownership.Epoch
 	Records   []ledger.Record
 }
 
-// TakenOver ends a Takeover.
+// TakeoverEnded reports the end of a Takeover.
 type TakenOver struct {
 	Partition int
 	Epoch     ownership.Epoch
 	Outcome   Outcome
-	// End is where the log ended, for OutcomeMoved.
+	// End is the end of the log, for OutcomeLogAdvanced.
 	End uint64
-	// Records are those that no TakeoverRead has brought, when done.
+	// Records are those that no TakeoverRead has carried, for OutcomeDone.
 	Records []ledger.Record
 }
 
-// Appended answers an Append.
+// Appended reports the end of an Append.
 type Appended struct {
 	Partition int
 	Epoch     ownership.Epoch
@@ -68,55 +68,59 @@
 	Outcome   Outcome
 }
 
-// LogFull tells that the log takes no record of an append under way, for want of space.
+// LogFull reports that the log has no space for the append in progress.
 type LogFull struct {
 	Partition int
 	Epoch     ownership.Epoch
 }
 
-// Outcome tells how a takeover or an append ended.
+// Outcome says how a takeover or an append ended.
 type Outcome int
 
-// The outcomes.
+// Outcomes of takeovers and appends.
 const (
-	// OutcomeDone was acknowledged.
+	// OutcomeDone means that the log acknowledged the operation.
 	OutcomeDone Outcome = iota
-	// OutcomeFenced was refused because a higher epoch holds.
+	// OutcomeFenced means that the log refused it because a higher epoch is in force.
 	OutcomeFenced
-	// OutcomeFailed is a takeover that was given up; it may be tried again.
+	// OutcomeFailed means that a takeover was abandoned, and may be tried again, or that
+	// the log expected another append sequence.
 	OutcomeFailed
-	// OutcomeMoved is a takeover that was not begun: another owner appends.
+	// OutcomeLogAdvanced means that a contested takeover was not started because another
+	// owner still appends.
 	OutcomeMoved
 )
 
-// OwnerHeard is what another node answered of a partition's owner.
+// OwnerReported carries the owner record that another node sent in an answer.
 type OwnerHeard struct{ Owner Owner }
 
-// Disowned tells that a node does not serve a partition, and knows of nobody who
+// OwnershipDenied reports that a node does not serve a partition and does not know who
 // does.
 type Disowned struct {
 	Partition int
 	Node      machine.ID
 }
 
-// Leave begins this node's planned stop.
+// Leave starts this node's planned stop.
 type Leave struct{}
 
-// Loads brings this node's requests under way, by replica.
+// Loads carries this node's requests in progress, by replica.
 type Loads struct {
 	Counts map[string]int
-	// Reports are what collectors are told: these requests, and the paces of replicas.
+	// Reports are sent to collectors. They hold these requests and the token times of
+	// replicas.
 	Reports map[replica.ID]replica.Report
-	// Version is the newest configuration that this node holds, and RetainFor
-	// the longest time for which any of its routes keeps programs.
+	// Version is the newest configuration that this node holds, and RetainFor the longest
+	// retention of programs among its routes.
 	Version   uint64
 	RetainFor time.Duration
-	// Evacuations is the version of what this node knows of evacuated zones.
+	// Evacuations is the version of this node's state of zone evacuations.
 	Evacuations uint64
 }
 
-// ChargeRequested asks for a request of this node's traffic to be counted to its
-// tenant's limit, or to a cold replica's rate. The answer is a Charged, after the patience at the latest.
+// ChargeRequested requests that a request received by this node be counted against its
+// tenant's limit or a cold replica's rate. A Charged answers it, at the latest after
+// Timeout.
 type ChargeRequested struct {
 	// ID correlates the Charged; the driver allocates it.
 	ID       uint64
@@ -124,14 +128,14 @@
 	Patience time.Duration
 }
 
-// ProofNoted says that the configuration which this node holds, of this version or a
-// newer one, was the newest at a time.
+// FreshnessProven reports that the configuration this node holds, which has the given
+// version or a newer one, was the newest at the given time.
 type ProofNoted struct {
 	At      time.Time
 	Version uint64
 }
 
-// ChargeReturned says that a request did not run that was granted.
+// ChargeRefunded reports that a granted request did not run.
 type ChargeReturned struct{ Charge Charge }
 
 func (Tick) event()            {}
@@ -152,41 +156,42 @@
 func (Leave) event()           {}
 func (Loads) event()           {}
 
-// PeerMessage is what two nodes exchange besides requests.
+// PeerMessage is a message between two nodes, other than a request.
 type PeerMessage struct {
 	From machine.Machine `json:"from"`
 	// Membership is a message of the failure detector, or nil.
 	Membership *machine.Message `json:"membership,omitempty"`
-	// Status is what the sender tells of itself, or nil.
+	// Status is the sender's state, or nil.
 	Status *Status `json:"status,omitempty"`
-	// Handover asks for a partition, or answers that, or is nil.
+	// Handover requests a partition or answers such a request, or is nil.
 	Handover *Handover `json:"handover,omitempty"`
-	// Charge is about a request that counts to a limit, or nil.
+	// Charge concerns a request that counts against a limit, or is nil.
 	Charge *ChargeMessage `json:"charge,omitempty"`
-	// Proof is about the age of the sender's configuration, or nil.
+	// Proof concerns the age of the sender's configuration, or is nil.
 	Proof *FreshnessMessage `json:"proof,omitempty"`
-	// Gather is about the loads of all nodes, or nil.
+	// Gather concerns the loads of all nodes, or is nil.
 	Gather *gather.Message `json:"gather,omitempty"`
 }
 
-// Status is what a node tells of itself every now and then.
+// Status is a node's state, which it sends to its peers regularly.
 type Status struct {
-	// ReachesStore is false for a node that may not own partitions.
+	// ReachesStore is false for a node that cannot reach the store, and so may not own
+	// partitions.
 	ReachesStore bool `json:"reaches_store"`
-	// Owned are the partitions that the node serves, with their epochs.
+	// Owned holds the epochs of the partitions that the node serves.
 	Owned map[int]ownership.Epoch `json:"owned,omitempty"`
-	// Owners are records of the owners of partitions that are news.
+	// Owners are recently changed owner records.
 	Owners []Owner `json:"owners,omitempty"`
-	// Loads are the node's requests under way, by replica.
+	// Loads are the node's requests in progress, by replica.
 	Loads map[string]int `json:"loads,omitempty"`
 	// Version is the newest configuration that the node holds.
 	Version uint64 `json:"version"`
-	// Evacuations is the version of what the node knows of evacuated zones.
+	// Evacuations is the version of the node's state of zone evacuations.
 	Evacuations uint64 `json:"evacuations,omitempty"`
-	// Known are some of the nodes that the sender knows.
+	// Known is a sample of the nodes that the sender knows.
 	Known []machine.Machine `json:"known,omitempty"`
-	// Unable are nodes that told the sender, which reaches the store, that they
-	// do not. Those that cannot hear them learn of it so.
+	// StoreUnreachable are nodes that reported to the sender, which reaches the store, that
+	// they do not. It informs nodes that do not receive messages from them.
 	StoreUnreachable []machine.ID `json:"unable,omitempty"`
 }
 
@@ -196,25 +201,25 @@
 	Message PeerMessage
 }
 
-// Takeover asks the driver to claim a partition in the log at the epoch, and
-// then to read the newest record of each key.
+// Takeover instructs the driver to claim a partition in the log at the epoch, and then to
+// read the newest record of each key.
 type Takeover struct {
 	Partition int
 	Epoch     ownership.Epoch
-	// Contested claims are made only where the log still ends at Unmoved: the node
-	// was fenced by an owner of which it has heard nothing else.
+	// Contested claims may be made only if the log still ends at ExpectedEnd. They are used
+	// after this node was fenced by an owner that it does not know.
 	Contested bool
 	Unmoved   uint64
 }
 
-// Stopped asks the driver to read no more for a takeover.
+// Stopped instructs the driver to stop reading for a takeover.
 type Stopped struct {
 	Partition int
 	Epoch     ownership.Epoch
 }
 
-// Append asks the driver to append records under the epoch, or none, and to
-// repeat it until it is acknowledged or fenced.
+// Append instructs the driver to append the records, possibly none, under the epoch, and to
+// retry until the append is acknowledged or fenced.
 type Append struct {
 	Partition int
 	Epoch     ownership.Epoch
@@ -222,12 +227,12 @@
 	Records   []ledger.Record
 }
 
-// PeerLoad is another node's requests under way.
+// PeerLoad is another node's requests in progress.
 type PeerLoad struct {
 	Node   string
 	Counts map[string]int
-	// Version is the newest configuration that the peer holds, and Evacuations the
-	// version of what it knows of evacuated zones.
+	// Version is the newest configuration that the peer holds, and Evacuations the version
+	// of its state of zone evacuations.
 	Version     uint64
 	Evacuations uint64
 	From        machine.Machine
@@ -239,7 +244,7 @@
 	Version uint64
 }
 
-// Ready is what a driver has to perform.
+// Ready is the work that the driver has to perform.
 type Ready struct {
 	Messages  []Outbound
 	Replies   []Reply
@@ -247,37 +252,38 @@
 	Stopped   []Stopped
 	Appends   []Append
 	Loads     []PeerLoad
-	// Totals are what all other nodes have under way, where that is news, and Collectors
-	// tells of collectors taken and lost, for the log.
+	// Totals are the requests in progress on all other nodes, or nil if unchanged.
+	// Collectors are the selected and lost collectors, for logging.
 	Totals     *gather.Totals
 	Collectors []gather.Change
-	// Unread are messages that were not understood.
+	// Rejected are messages that could not be processed.
 	Unread  []Unread
 	Charged []Charged
-	// Newer are peers that hold a newer configuration than this node.
+	// NewerPeers are peers that hold a newer configuration than this node.
 	Newer []PeerVersion
-	// Proven is when this node's configuration was the newest by word of a peer;
-	// zero where that is no news.
+	// FreshAsOf is a time at which this node's configuration was the newest, as proven by a
+	// peer; zero if there is no new proof.
 	Proven time.Time
-	// Changes tell of partitions won or lost, for the log.
+	// Changes are the partitions gained or lost, for logging.
 	Changes []Change
 }
 
-// Unread is a message of a peer that was not understood.
+// Rejected is a peer message that could not be processed.
 type Unread struct {
 	From machine.ID
 	Err  error
 }
 
-// Change is a partition that this node won or lost.
+// OwnershipChange reports a partition that this node gained or lost.
 type Change struct {
 	Partition int
 	Epoch     ownership.Epoch
 	Owned     bool
-	// Reason tells why, and Accounts and Turns what was found, when won.
+	// Inherited says that the former owner did not hand the partition over cleanly, and may
+	// have started programs that the log does not contain.
 	Reason   string
 	Accounts int
 	Turns    int
-	// Inherited says that the former owner did not give up in order.
+	// Inherited says that the former owner did not hand the partition over cleanly.
 	Inherited bool
 }
--- a/coordinator/gathering.go
+++ b/coordinator/gathering.go
@@ -7,20 +7,21 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// heardWithin is how often statuses must bring the loads of each peer, in the mean, for
-// them to do: half of the time that such a report counts.
+// maxLoadReportInterval is the longest mean time between two statuses of a peer at which
+// statuses alone report loads often enough. It is half of the time for which such a report
+// is valid.
 const maxLoadReportInterval = time.Second
 
-// hearsAll reports whether the statuses of the failure detector, which each probe and
-// each answer carries, bring every peer's loads often enough.
+// statusesSuffice reports whether the statuses of the failure detector, which each probe
+// and each answer carries, report every peer's loads often enough.
 func (c *Core) statusesSuffice() bool {
 	probing := &c.config.Membership
 	statusesPerPeriod := 2 * max(1, probing.ProbesPerPeriod)
 	return time.Duration(c.LiveCount()-1)*probing.ProbePeriod/time.Duration(statusesPerPeriod) <= maxLoadReportInterval
 }
 
-// gather tells the collectors what this node has under way, and as a collector tells
-// others.
+// gather reports this node's requests in progress to the collectors, and performs the
+// collector role if this node has it.
 func (c *Core) gather(now time.Time) {
 	roles := &c.ranking.roles
 	c.gatherer.Tick(now, gather.Fleet{
@@ -30,7 +31,7 @@
 	c.collectGatherReady()
 }
 
-// stepGather takes in a message about loads, of a node that this one knows.
+// stepGather processes a message about loads if its sender is known.
 func (c *Core) stepGather(now time.Time, from machine.ID, message gather.Message) {
 	sender, known := c.lookup(from)
 	if !known {
@@ -42,7 +43,7 @@
 	c.collectGatherReady()
 }
 
-// collectGathered passes on what the exchange of loads has ready.
+// collectGatherReady moves the output of the gatherer into that of the core.
 func (c *Core) collectGatherReady() {
 	ready := c.gatherer.Ready()
 	for _, outbound := range ready.Messages {
@@ -55,7 +56,8 @@
 	c.ready.Collectors = append(c.ready.Collectors, ready.Changes...)
 }
 
-// brief names this node where the receiver knows the rest: such messages are many.
+// briefSelf returns only this node's ID and zone. Gather messages are frequent, and their
+// receivers know the rest.
 func (c *Core) briefSelf() machine.Machine {
 	return machine.Machine{ID: c.self().ID, Zone: c.self().Zone}
 }
--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -9,47 +9,49 @@
 	"birchwood.example/birchwood/ownership"
 )
 
-// Handover is how a partition changes its owner in order: the node that is to
-// own it asks the owner, which gives it up once the log has all that it owes.
+// Handover is the message of a clean change of owner. The node that should own the
+// partition requests it, and the owner releases it once all its records are in the log.
 type Handover struct {
 	Partition int `json:"partition"`
-	// Given is false in the question. In the answer it says that the sender
-	// does not serve the partition, or no longer does; Kept that it goes on.
+	// Released is false in a request. In an answer it says that the sender does not, or no
+	// longer does, serve the partition, and Retained that it continues to.
 	Released bool `json:"given,omitempty"`
 	Retained bool `json:"kept,omitempty"`
-	// Ordered says that the sender of Given was the owner, and that the log has all
-	// that it owed.
+	// Clean says that the sender of Released was the owner, and that all its records are in
+	// the log.
 	Clean bool `json:"ordered,omitempty"`
-	// Epoch is the highest that the sender of an answer knows of.
+	// Epoch is the highest epoch that the sender of an answer knows.
 	Epoch ownership.Epoch `json:"epoch,omitempty"`
 }
 
-// handoverPatience is how long a node waits for the owner's answer before it
-// claims without it. An owner needs two appends.
+// handoverTimeout is how long a node waits for the owner's answer before it claims the
+// partition without it. An owner needs two appends to answer.
 const handoverTimeout = 200 * time.Millisecond
 
-// handoverContact is the age up to which an owner's last contact with the store
-// says that it can settle what it owes. An owner that cannot goes on as before.
+// maxStoreAnswerAge is the age of the store's last answer up to which an owner takes part
+// in a handover. Beyond it the owner may be unable to flush its records, and continues to
+// serve.
 const maxStoreAnswerAge = 1200 * time.Millisecond
 
-// handover is where a partition's change of owner stands on this node.
+// handover is the state of a partition's change of owner on this node.
 type handover struct {
-	// askedAt is when this node asked; asked are those that have not answered, and
-	// again says that they were asked twice. given is set once all have answered.
+	// requestedAt is when this node requested the partition. unanswered holds the nodes
+	// that have not answered, and repeated says that they were sent the request twice.
+	// released is set once all nodes have answered.
 	requestedAt time.Time
 	unanswered  map[machine.ID]machine.Machine
 	repeated    bool
 	released    bool
-	// ordered says that the owner itself gave the partition up.
+	// clean says that the owner itself released the partition.
 	clean bool
-	// to is the node that this one, as the owner, gives the partition to, once
-	// the position is durable.
+	// successor is the node to which this node, as the owner, releases the partition once
+	// flushPosition is durable.
 	successor     *machine.Machine
 	flushPosition uint64
 }
 
-// askOwner asks those that may serve the partition, or be taking it over, for it. It
-// reports whether this node may claim.
+// requestHandover requests the partition from the nodes that may be serving it or taking it
+// over. It reports whether this node may claim it.
 func (c *Core) requestHandover(now time.Time, p *partition) bool {
 	if p.handover.released || c.config.ClaimWithoutAsking {
 		return true
@@ -60,7 +62,8 @@
 	}
 	unanswered := c.higherRanked(now, p)
 	owner, known := c.presumedOwner(now, p.index)
-	// A node that told itself that it has lost the store cannot give up.
+	// A node that reported itself that it cannot reach the store cannot release the
+	// partition.
 	if known && (!c.peers[owner.ID].direct || c.reachesStore(now, owner.ID)) {
 		unanswered[owner.ID] = owner
 	}
@@ -73,7 +76,7 @@
 	return false
 }
 
-// heirsBefore returns the live nodes that rank before this one for the partition.
+// higherRanked returns the live nodes that rank before this one for the partition.
 func (c *Core) higherRanked(now time.Time, p *partition) map[machine.ID]machine.Machine {
 	higher := make(map[machine.ID]machine.Machine)
 	for _, id := range c.ranking.preferred[p.index] {
@@ -90,15 +93,15 @@
 	return higher
 }
 
-// unableOwner reports whether a node is recorded as the partition's owner and as one
-// that does not reach the store: it cannot give up.
+// ownerWithoutStore reports whether a node is recorded as the partition's owner and as
+// unable to reach the store, and so cannot release the partition.
 func (c *Core) ownerWithoutStore(now time.Time, index int, node machine.ID) bool {
 	known := &c.owners[index]
 	return known.Node == node && known.StoreUnreachable && c.failureIsLocal(now, known.receivedAt)
 }
 
-// askAgain repeats the question once to those that have not answered: a message may
-// be lost.
+// repeatHandoverRequests repeats the request once to the nodes that have not answered,
+// since a message may be lost.
 func (c *Core) repeatHandoverRequests(now time.Time, p *partition) {
 	if p.handover.repeated || now.Sub(p.handover.requestedAt) < handoverTimeout/2 {
 		return
@@ -113,12 +116,12 @@
 	}
 }
 
-// lostFor is how long a node that went is asked before its partitions are
-// claimed: it may live, and be taken for dead.
+// lostNodeGrace is how long after its loss a node is still asked for its partitions before
+// they are claimed. It may be alive and wrongly declared dead.
 const lostNodeGrace = 3 * time.Second
 
-// presumedOwner returns the node that serves the partition as far as is known,
-// or the one that ranks next after this one. Nodes that went lately count.
+// presumedOwner returns the node that serves the partition by the newest record, or else
+// the other node that ranks first. Recently lost nodes are included.
 func (c *Core) presumedOwner(now time.Time, index int) (machine.Machine, bool) {
 	if owner, found := c.recordedOwner(now, index); found {
 		return owner, true
@@ -126,7 +129,7 @@
 	return c.nextByRank(now, index)
 }
 
-// nextByRank returns the node that ranks first besides this one.
+// nextByRank returns the node that ranks first, excluding this one.
 func (c *Core) nextByRank(now time.Time, index int) (machine.Machine, bool) {
 	var others []ownership.Node
 	for _, node := range c.membership.All() {
@@ -139,8 +142,8 @@
 	return c.membership.Lookup(machine.ID(ownership.Rank(index, others)))
 }
 
-// tellHeirs tells those that rank next after this node for its partitions that
-// it has lost the store.
+// notifySuccessors notifies the nodes that rank first after this one for its partitions
+// that it cannot reach the store.
 func (c *Core) notifySuccessors(now time.Time) {
 	notified := make(map[machine.ID]bool)
 	for _, p := range c.partitions {
@@ -155,7 +158,7 @@
 	}
 }
 
-// stepHandover takes in a question for a partition, or its answer.
+// stepHandover processes a request for a partition, or an answer to one.
 func (c *Core) stepHandover(now time.Time, from machine.Machine, message Handover) {
 	if message.Partition < 0 || message.Partition >= len(c.partitions) {
 		return
@@ -188,16 +191,17 @@
 		if c.storeReachable && now.Sub(p.takeover.progressAt) < takeoverStallTimeout {
 			c.sendHandover(from, Handover{Partition: p.index, Retained: true, Epoch: p.epoch})
 		}
-		// Otherwise the asker claims when its patience is over.
+		// Otherwise the requester claims the partition after handoverTimeout.
 	}
 }
 
-// yieldFor is how long a node that has left a partition to another heir does not claim
-// it: until word of the other's claim has come.
+// yieldPause is how long a node that left a partition to another preferred node does not
+// claim it. By then the other node's claim is known.
 const yieldPause = 400 * time.Millisecond
 
-// keptPause is how long a node that was answered that the partition is kept leaves it
-// alone: for long where it knows who serves, or else until word of the claim has come.
+// retainedPause is how long a node does not claim a partition after another node answered
+// that it retains it: the full claim interval if the owner is known, otherwise the time
+// until its claim is known.
 func (c *Core) retainedPause(now time.Time, p *partition) time.Duration {
 	if _, serving := c.servingPeer(now, p.index); serving {
 		return c.config.MinClaimInterval
@@ -205,8 +209,8 @@
 	return successionDelay
 }
 
-// answerAbsent answers another heir. Of two that would claim, the one that ranks first
-// goes on.
+// answerAsNonOwner answers another preferred node. If both intend to claim the partition,
+// the higher-ranked one proceeds.
 func (c *Core) answerAsNonOwner(now time.Time, p *partition, from machine.Machine) {
 	if !p.handover.requestedAt.IsZero() && c.mayClaim(now) && c.outranks(p.index, from.ID) {
 		c.sendHandover(from, Handover{Partition: p.index, Retained: true, Epoch: p.highestEpoch})
@@ -217,7 +221,7 @@
 	c.sendHandover(from, Handover{Partition: p.index, Released: true, Epoch: p.highestEpoch})
 }
 
-// ranksBefore reports whether this node ranks before another one for a partition.
+// outranks reports whether this node ranks before another one for a partition.
 func (c *Core) outranks(index int, other machine.ID) bool {
 	for _, id := range c.ranking.preferred[index] {
 		switch id {
@@ -237,19 +241,19 @@
 	return other
 }
 
-// forget drops a question that is under way.
+// resetRequest discards the request in progress.
 func (h *handover) resetRequest() {
 	h.requestedAt, h.unanswered, h.repeated, h.released, h.clean = time.Time{}, nil, false, false, false
 }
 
-// toOwn reports whether a node is to own a partition by rank, as this node sees it.
+// ranksFirst reports whether a node ranks first for a partition in this node's view.
 func (c *Core) ranksFirst(index int, node machine.ID) bool {
 	preferred := c.ranking.preferred[index]
 	return len(preferred) > 0 && preferred[0] == string(node)
 }
 
-// answerHandover has an owner give the partition up to the node that is to own it, and
-// keep it otherwise. One that has lost the store does not answer.
+// answerAsOwner releases the partition if the requester should own it, and retains it
+// otherwise. A node that cannot reach the store does not answer.
 func (c *Core) answerAsOwner(now time.Time, p *partition, from machine.Machine) {
 	if !c.storeReachable || now.Sub(c.lastStoreAnswer) > maxStoreAnswerAge {
 		return
@@ -265,17 +269,19 @@
 	c.completeHandover(now, p)
 }
 
-// tenureLeast is how long an owner keeps what it took over: until nodes agree again on
-// who lives, so that a partition does not pass from heir to heir meanwhile.
+// minTenure is how long an owner retains a partition that it claimed without a clean
+// handover. By then nodes agree again on who is live, so that the partition does not move
+// from node to node meanwhile.
 const minTenure = 5 * time.Second
 
-// settling reports whether this owner's takeover is too young for it to be followed.
+// recentlyTakenOver reports whether this node's takeover is too recent for another one to
+// follow.
 func (c *Core) recentlyTakenOver(now time.Time, p *partition) bool {
 	return p.takeover.turnsPending || (p.takeover.forced && now.Sub(p.takeoverStartedAt) < minTenure)
 }
 
-// giveUp hands the partition over if that is asked for and nothing is owed to
-// the log any more.
+// completeHandover releases the partition if that was requested and everything up to
+// flushPosition is durable.
 func (c *Core) completeHandover(now time.Time, p *partition) {
 	successor := p.handover.successor
 	if p.state != stateServing || successor == nil || p.handover.flushPosition > p.ledger.Durable() {
--- a/coordinator/isolation.go
+++ b/coordinator/isolation.go
@@ -7,15 +7,15 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// hearing is when this node heard other nodes last.
+// receiveTimes records when this node last received messages from other nodes.
 type receiveTimes struct {
-	// last is when a message of any other node came, and byZone when one of each zone
-	// did.
+	// latest is the time of the last message from any other node, and byZone that of the
+	// last message from each zone.
 	latest time.Time
 	byZone map[zone.Name]time.Time
 }
 
-// note takes in that a message of a node came.
+// record notes the arrival of a message.
 func (h *receiveTimes) record(now time.Time, sender machine.Machine) {
 	h.latest = now
 	if h.byZone == nil {
@@ -24,17 +24,17 @@
 	h.byZone[sender.Zone] = now
 }
 
-// silenceLimit is how long nothing has been heard before this node counts as cut off.
-// The failure detector does not tell: it declares no deaths while nobody answers.
+// isolationTimeout is the time without messages after which this node considers itself cut
+// off. The failure detector cannot decide this: it declares no deaths while nobody answers.
 const isolationTimeout = 1500 * time.Millisecond
 
-// cutLimit is that time where calls to the store have failed for as long: several times
-// what passes between two messages of a zone, and short against what clients have left.
-// Either sign alone has other causes.
+// failingIsolationTimeout replaces isolationTimeout if calls to the store have failed for
+// as long. It is several times the interval between two messages of a zone, and short
+// compared with the time that clients have left. Either sign alone has other causes.
 const failingIsolationTimeout = 700 * time.Millisecond
 
-// silence returns how long a zone is silent that counts as cut off, and whether this node
-// does not reach the store.
+// silenceTimeout returns the time without messages after which a zone is considered cut
+// off, and whether this node cannot reach the store.
 func (c *Core) silenceTimeout(now time.Time) (timeout time.Duration, storeUnreachable bool) {
 	if c.storeCallsFailing && now.Sub(c.lastStoreAnswer) >= failingIsolationTimeout {
 		return failingIsolationTimeout, true
@@ -42,10 +42,10 @@
 	return isolationTimeout, !c.storeReachable
 }
 
-// Isolated reports whether this node cannot serve programs that others can: it does not
-// reach the store, and hears no other node, or nodes of less than half of the zones. A
-// store that is away from all leaves the zones in touch, so that no node is isolated
-// then.
+// Isolated reports whether this node cannot serve programs that other nodes can: it cannot
+// reach the store, and receives messages from no other node, or from less than half of the
+// zones. If the store is unavailable to all nodes, the zones still reach each other and no
+// node is isolated.
 func (c *Core) Isolated(now time.Time) bool {
 	timeout, storeUnreachable := c.silenceTimeout(now)
 	if !storeUnreachable || len(c.directory) == 0 {
@@ -58,8 +58,8 @@
 	return 2*heard < known
 }
 
-// zonesHeard counts the zones that this node knows of, and those of which it heard a
-// node lately. Its own counts as heard.
+// countZones counts the known zones, and those from which a message arrived within the
+// timeout. This node's own zone counts as heard.
 func (c *Core) countZones(now time.Time, timeout time.Duration) (known, heard int) {
 	seen := make(map[zone.Name]bool)
 	for _, node := range c.sortedNodes {
@@ -74,13 +74,13 @@
 	return len(seen), heard
 }
 
-// zoneSilent reports whether no node of another zone has been heard for some time. One
-// of which none ever was is silent, too.
+// zoneSilent reports whether no message arrived from another zone within the timeout. A
+// zone from which none ever arrived is silent, too.
 func (c *Core) zoneSilent(now time.Time, name zone.Name, timeout time.Duration) bool {
 	return name != c.self().Zone && now.Sub(c.receiveTimes.byZone[name]) > timeout
 }
 
-// zoneLost reports whether a zone is silent of which nodes were heard before.
+// zoneWentSilent reports whether a zone is silent from which messages arrived before.
 func (c *Core) zoneWentSilent(now time.Time, name zone.Name, timeout time.Duration) bool {
 	_, known := c.receiveTimes.byZone[name]
 	return known && c.zoneSilent(now, name, timeout)
--- a/coordinator/owners.go
+++ b/coordinator/owners.go
@@ -10,22 +10,22 @@
 	"birchwood.example/birchwood/ownership"
 )
 
-// Owner is who serves a partition, as nodes pass it on. Of two records of a
-// partition the one with the higher epoch holds, then the later one of its owner.
+// Owner is the record of who serves a partition, which nodes gossip. Of two records of a
+// partition the one with the higher epoch wins, then the one with the higher revision.
 type Owner struct {
 	Partition int             `json:"partition"`
 	Epoch     ownership.Epoch `json:"epoch"`
 	Node      machine.ID      `json:"node"`
-	// Revision counts what the owner changed in the record within its epoch.
+	// Revision counts the owner's changes to the record within its epoch.
 	Revision int `json:"revision,omitempty"`
-	// Unable says that the owner does not reach the store.
+	// StoreUnreachable says that the owner cannot reach the store.
 	StoreUnreachable bool `json:"unable,omitempty"`
-	// Taking says that the log has the owner's claim, and that the owner still reads
-	// what it needs to serve. Each further revision tells of progress.
+	// TakingOver says that the owner's claim is in the log, and that the owner is still
+	// reading the records it needs to serve. Each further revision shows progress.
 	TakingOver bool `json:"taking,omitempty"`
 }
 
-// newer reports whether the record replaces another one.
+// supersedes reports whether the record replaces another one.
 func (o Owner) supersedes(other Owner) bool {
 	if o.Epoch != other.Epoch {
 		return o.Epoch > other.Epoch
@@ -33,30 +33,30 @@
 	return o.Revision > other.Revision
 }
 
-// ownerRecord is what this node knows of a partition's owner.
+// knownOwner is this node's knowledge of a partition's owner.
 type knownOwner struct {
 	Owner
 	receivedAt time.Time
-	// remaining is how often the record is still to be passed on.
+	// sendsLeft is how many more times the record is to be sent.
 	sendsLeft int
-	// disowned says that the owner itself told that it does not serve.
+	// denied says that the recorded owner itself reported that it does not serve.
 	denied bool
 }
 
-// ownersPerStatus bounds the records that a status carries, so that the message
-// fits into one packet.
+// maxOwnersPerStatus bounds the records in a status, so that the message fits into one
+// packet.
 const maxOwnersPerStatus = 5
 
-// minimumOwnerRounds is how often a record is passed on in a small fleet.
+// minOwnerSends is how many times a node of a small fleet sends a record.
 const minOwnerSends = 6
 
-// ownerRounds is how often a record is passed on from here: a rumour that each of n
-// nodes sends to 2 log2(n) others reaches all with near certainty.
+// ownerSends is how many times this node sends a record. Gossip that each of n nodes sends
+// to 2 log2(n) others reaches all of them with near certainty.
 func (c *Core) ownerSends() int {
 	return max(minOwnerSends, 2*bits.Len(uint(len(c.sortedNodes))))
 }
 
-// takeOwner takes a record in that may be news.
+// mergeOwner stores a record if it supersedes the known one.
 func (c *Core) mergeOwner(now time.Time, record Owner) {
 	if record.Partition < 0 || record.Partition >= len(c.owners) || record.Epoch == 0 {
 		return
@@ -66,7 +66,7 @@
 		return
 	}
 	if record.Epoch > known.Epoch {
-		// Whoever was asked for the partition before does not have it.
+		// The nodes that were asked for the partition no longer have it.
 		c.partitions[record.Partition].handover.resetRequest()
 	}
 	*known = knownOwner{Owner: record, receivedAt: now, sendsLeft: c.ownerSends()}
@@ -79,7 +79,8 @@
 	c.stepPeerEpochs(now, map[int]ownership.Epoch{record.Partition: record.Epoch})
 }
 
-// ownedHere makes the record of a partition that this node serves, or is taking over.
+// publishOwnership creates or revises the record of a partition that this node serves or is
+// taking over.
 func (c *Core) publishOwnership(now time.Time, p *partition) {
 	record := Owner{
 		Partition: p.index, Epoch: p.epoch, Node: c.self().ID, StoreUnreachable: !c.storeReachable, TakingOver: p.state == stateTakingOver,
@@ -90,8 +91,7 @@
 	c.mergeOwner(now, record)
 }
 
-// someOwners returns the records that are to be passed on, those that were sent the
-// least first.
+// nextOwners returns the records to send next, those sent least often first.
 func (c *Core) nextOwners() (records []Owner) {
 	var pending []*knownOwner
 	for index := range c.owners {
@@ -107,7 +107,7 @@
 	return records
 }
 
-// disown takes in that a node which counts as a partition's owner told that it does
+// stepOwnershipDenied notes that the recorded owner of a partition reported that it does
 // not serve it.
 func (c *Core) stepOwnershipDenied(event Disowned) {
 	if event.Partition < 0 || event.Partition >= len(c.owners) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// recordedOwner returns the owner that the newest record names, if it is one of the
-// nodes that may serve.
+// recordedOwner returns the owner in the newest record if that is another node and may
+// serve.
 func (c *Core) recordedOwner(now time.Time, index int) (machine.Machine, bool) {
 	known := &c.owners[index]
 	switch {
--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -7,39 +7,42 @@
 	"birchwood.example/birchwood/ownership"
 )
 
-// partitionState is where a partition stands on this node.
+// partitionState is the state of a partition on this node.
 type partitionState int
 
 const (
-	// stateAbsent partitions are another node's, or nobody's.
+	// stateAbsent means that another node, or none, owns the partition.
 	stateAbsent partitionState = iota
-	// stateTaking partitions are being claimed, or their accounts are being read.
+	// stateTakingOver means that this node is claiming the partition or reading its
+	// accounts.
 	stateTakingOver
-	// stateServing partitions are this node's. Kept turns may still be read.
+	// stateServing means that this node owns the partition. Stored turns may still be
+	// unread.
 	stateServing
 )
 
-// partition is one partition as this node has it.
+// partition is this node's state of one partition.
 type partition struct {
 	index int
 	state partitionState
 	epoch ownership.Epoch
-	// highest is the highest epoch known of.
+	// highestEpoch is the highest known epoch of any owner.
 	highestEpoch   ownership.Epoch
 	ledger         *ledger.Ledger
 	appendSequence uint64
 	appendInFlight bool
-	// full says that the log had no space for the append under way.
+	// logFull says that the log had no space for the append in progress.
 	logFull      bool
 	appendSentAt time.Time
 	nextClaimAt  time.Time
-	// vacantSince is since when this node, an heir, has known of no owner.
+	// vacantSince is since when this node, a preferred node of the partition, has known no
+	// owner.
 	vacantSince time.Time
-	// claimedAt is when the takeover under way, or the last one, began.
+	// takeoverStartedAt is when the current or last takeover started.
 	takeoverStartedAt time.Time
 	takeover          takeover
 	contested         contested
-	// begun counts appends; each verifier waits for one that began after it.
+	// appendsBegun counts appends. Each epoch check waits for one that started after it.
 	appendsBegun uint64
 	waiters      []waiter
 	epochChecks  []epochCheck
@@ -47,22 +50,23 @@
 	handover     handover
 }
 
-// waiter waits for a position to be durable.
+// waiter waits until a position is durable.
 type waiter struct {
 	id       uint64
 	position uint64
 }
 
-// verifier waits for proof that the epoch was in force after it asked.
+// epochCheck is a reply that waits for proof that the epoch was still in force after the
+// request arrived.
 type epochCheck struct {
 	id          uint64
 	afterAppend uint64
 	reply       Reply
-	// askedAt is when the question came.
+	// askedAt is when the request arrived.
 	askedAt time.Time
 }
 
-// heldRequest waits for the takeover under way.
+// heldRequest is a request that waits for the takeover in progress.
 type heldRequest struct {
 	request Requested
 	until   time.Time
@@ -87,15 +91,15 @@
 	p.handover = handover{}
 }
 
-// mayClaim reports whether this node knows enough to take partitions over.
+// mayClaim reports whether this node is in a state to take partitions over.
 func (c *Core) mayClaim(now time.Time) bool {
 	return c.listRead && c.storeReachable && !c.leaving && now.Sub(c.startedAt) >= c.config.StartupDelay
 }
 
-// appendDue reports whether the partition's next append may begin. What comes shortly
-// after an append waits for a little and shares the next one, and a proof that a turn is
-// not kept waits for an append that is needed anyway: each append is a call to the store,
-// of which all nodes together may make so many.
+// appendDue reports whether the partition's next append may start. Each append is a call to
+// the store, whose rate is limited for all nodes together. Records that follow an append
+// closely therefore wait and share the next one, and a proof that a turn is not stored
+// waits for an append that is needed anyway.
 func (c *Core) appendDue(now time.Time, p *partition) bool {
 	switch {
 	case c.leaving || p.handover.successor != nil:
@@ -109,7 +113,7 @@
 	}
 }
 
-// collectAppend puts out the partition's next append if one is due.
+// collectAppend emits the partition's next append if one is due.
 func (c *Core) collectAppend(now time.Time, p *partition) {
 	if p.state != stateServing || p.appendInFlight || !c.appendDue(now, p) {
 		return
@@ -135,7 +139,7 @@
 	switch appended.Outcome {
 	case OutcomeDone:
 	case OutcomeFailed:
-		c.loseOwnership(p, "the log wants another sequence")
+		c.loseOwnership(p, "the log expects another append sequence")
 		p.nextClaimAt = now.Add(c.config.MinClaimInterval)
 		return
 	default:
@@ -152,19 +156,20 @@
 	c.completeHandover(now, p)
 }
 
-// stalled reports whether the log has left an append unanswered for too long.
+// stalled reports whether an append has been unanswered for too long, or found the log
+// full.
 func (c *Core) stalled(now time.Time, p *partition) bool {
 	return p.appendInFlight && (p.logFull || now.Sub(p.appendSentAt) > c.config.StallTimeout)
 }
 
-// noteFull takes in that the log has no space for the append under way.
+// stepLogFull notes that the log has no space for the append in progress.
 func (c *Core) stepLogFull(event LogFull) {
 	if p := c.partitions[event.Partition]; p.state == stateServing && p.epoch == event.Epoch && p.appendInFlight {
 		p.logFull = true
 	}
 }
 
-// refusal is why a turn that needs the log is refused while appends do not get on.
+// refusalStatus is the status of turns that are refused because appends make no progress.
 func (p *partition) refusalStatus() ReplyStatus {
 	if p.logFull {
 		return ReplyFull
@@ -172,8 +177,8 @@
 	return ReplyStalled
 }
 
-// KeptBytes estimates how much the newest records of each partition take in the log
-// that this node serves.
+// KeptBytes estimates the size in the log of the newest records of each partition that this
+// node serves.
 func (c *Core) KeptBytes() map[int]int {
 	kept := make(map[int]int)
 	for _, p := range c.partitions {
@@ -184,7 +189,7 @@
 	return kept
 }
 
-// answerWaiters answers those whose position is durable.
+// answerWaiters answers the requests whose position is durable.
 func (c *Core) answerWaiters(p *partition) {
 	durable := p.ledger.Durable()
 	remaining := p.waiters[:0]
@@ -210,8 +215,8 @@
 	p.epochChecks = remaining
 }
 
-// hearOwned ends the ownership of partitions that a peer serves at a higher
-// epoch.
+// stepPeerEpochs ends this node's ownership or takeover of partitions that a peer serves at
+// a higher epoch.
 func (c *Core) stepPeerEpochs(now time.Time, owned map[int]ownership.Epoch) {
 	for index, epoch := range owned {
 		if index < 0 || index >= len(c.partitions) {
@@ -237,7 +242,7 @@
 	}
 }
 
-// lose ends the ownership of a partition and tells all that wait.
+// loseOwnership ends the ownership of a partition and answers the waiting requests.
 func (c *Core) loseOwnership(p *partition, reason string) {
 	c.ready.Changes = append(c.ready.Changes, Change{Partition: p.index, Epoch: p.epoch, Reason: reason})
 	for _, waiting := range p.waiters {
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -8,22 +8,22 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// peerState is what a peer told of itself last.
+// peerState is the last known status of a peer.
 type peerState struct {
 	receivedAt time.Time
 	status     Status
-	// heard says that it told so itself, and not through another node.
+	// direct says that the peer reported the status itself, not through another node.
 	direct bool
-	// unableSince is when it first told that it does not reach the store;
-	// zero while it does.
+	// storeUnreachableSince is when the peer first reported that it cannot reach the store;
+	// zero while it reaches it.
 	storeUnreachableSince time.Time
 }
 
-// peerStateLifetime is how long a peer's status counts.
+// peerStateLifetime is how long a peer's status is valid.
 const peerStateLifetime = 3 * time.Second
 
-// counts reports whether the status is recent enough to count; that of a node
-// that was never heard of is not.
+// fresh reports whether the status is recent enough to be valid. A peer that never sent a
+// status has none that is.
 func (s peerState) fresh(now time.Time) bool { return now.Sub(s.receivedAt) <= peerStateLifetime }
 
 func (c *Core) stepPeer(now time.Time, message PeerMessage) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// takeOwners takes in what a status tells of owners: the sender itself and others.
+// mergeOwners merges the owner records of a status: those of the sender itself and those of
+// others.
 func (c *Core) mergeOwners(now time.Time, sender machine.ID, status *Status) {
 	for index, epoch := range status.Owned {
 		c.markServing(sender, index, epoch)
@@ -68,7 +69,7 @@
 	}
 }
 
-// notePeer takes over what a peer tells of itself.
+// updatePeer stores the status that a peer reported of itself.
 func (c *Core) updatePeer(now time.Time, peer machine.ID, status Status) {
 	state := peerState{receivedAt: now, status: status, direct: true}
 	if !status.ReachesStore {
@@ -80,7 +81,7 @@
 	c.setPeer(peer, state)
 }
 
-// setPeer takes over the state of a peer.
+// setPeer stores the state of a peer.
 func (c *Core) setPeer(peer machine.ID, state peerState) {
 	c.peers[peer] = state
 	if state.status.ReachesStore {
@@ -90,7 +91,7 @@
 	c.withoutStore[peer] = true
 }
 
-// forgetUnreaching drops the peers whose word of the store counts no longer.
+// expireWithoutStore removes the peers from withoutStore whose status is no longer valid.
 func (c *Core) expireWithoutStore(now time.Time) {
 	for peer := range c.withoutStore {
 		if !c.peers[peer].fresh(now) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// noteContact takes over whether this node reaches the store.
+// stepStoreContact updates whether this node reaches the store.
 func (c *Core) stepStoreContact(now time.Time, contact Contact) {
 	if contact.Reached && !c.storeReachable {
 		c.storeReachableSince = now
@@ -116,7 +117,8 @@
 	}
 }
 
-// renewRecords changes the records of the partitions that this node serves.
+// republishOwnership revises the owner records of the partitions that this node serves or
+// has claimed.
 func (c *Core) republishOwnership(now time.Time) {
 	for _, p := range c.partitions {
 		if p.state == stateServing || p.takeover.claimed {
@@ -125,15 +127,15 @@
 	}
 }
 
-// statusPeers returns the other nodes that are not dead. Those that leave are
-// among them: they must hear who took their partitions over.
+// statusPeers returns the other nodes that are not dead. Leaving nodes are included because
+// they need to learn who took over their partitions.
 func (c *Core) statusPeers() []machine.Machine {
 	return slices.DeleteFunc(c.membership.All(), func(node machine.Machine) bool {
 		return node.ID == c.self().ID || node.Kind != machine.KindNode || node.Status == machine.StatusDead
 	})
 }
 
-// sendStatus tells peers about this node at once.
+// sendStatus sends this node's status to some peers at once.
 func (c *Core) sendStatus(now time.Time) {
 	peers := c.statusPeers()
 	c.config.Random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
@@ -142,8 +144,8 @@
 	}
 }
 
-// status returns what this node tells of itself, and now and then some of the
-// nodes that it knows.
+// status returns this node's status, which from time to time includes a sample of the known
+// nodes.
 func (c *Core) status(now time.Time) *Status {
 	status := &Status{
 		ReachesStore: c.storeReachable, Owned: c.ownedPartitions(), Owners: c.nextOwners(), Loads: c.loads.Counts, Version: c.loads.Version,
@@ -157,7 +159,7 @@
 	return status
 }
 
-// someKnown returns some of the nodes that this one knows, itself among them.
+// sampleKnownNodes returns a random sample of the known nodes, which may include this one.
 func (c *Core) sampleKnownNodes() []machine.Machine {
 	var known []machine.Machine
 	for _, index := range c.config.Random.Perm(len(c.sortedNodes))[:min(len(c.sortedNodes), c.config.KnownNodesPerStatus)] {
@@ -166,14 +168,15 @@
 	return known
 }
 
-// regainFor is how long after this node reached the store again it may still hold
-// that others do not: as long as their statuses count, and until they notice.
+// storeRecoveryGrace is how long after this node reached the store again it may still
+// consider others unable to reach it: while their old statuses are valid, and until they
+// notice the recovery.
 const storeRecoveryGrace = peerStateLifetime + time.Second
 
-// reachesStore reports whether a node may own partitions. A peer that does not
-// reach the store counts as able while the store may be down for all: until
-// this node has had an answer after the peer told so, and for a while after the
-// store came back.
+// reachesStore reports whether a node may own partitions. A peer that reports that it
+// cannot reach the store may still own them while the store may be unavailable to all:
+// until this node has had an answer from the store after that report, and for
+// storeRecoveryGrace after the store came back.
 func (c *Core) reachesStore(now time.Time, node machine.ID) bool {
 	if node == c.self().ID {
 		return c.storeReachable
@@ -188,14 +191,15 @@
 	return !c.failureIsLocal(now, state.storeUnreachableSince)
 }
 
-// provesUnable reports whether word that a node does not reach the store, heard at a
-// time, tells of that node alone: the store has answered this one since, and for long.
+// failureIsLocal reports whether a node's failure to reach the store, reported at heardAt,
+// concerns that node alone: the store has answered this node since, and has been reachable
+// for storeRecoveryGrace.
 func (c *Core) failureIsLocal(now, heardAt time.Time) bool {
 	return c.lastStoreAnswer.After(heardAt) && now.Sub(c.storeReachableSince) >= storeRecoveryGrace
 }
 
-// Owner returns the node that serves the partition as far as this node knows:
-// the live one with the highest epoch, or the one that ranks first.
+// Owner returns the node that serves the partition as far as this node knows: the owner by
+// the newest record if it is live, or else the node that ranks first.
 func (c *Core) Owner(now time.Time, index int) (machine.Machine, bool) {
 	if c.partitions[index].state == stateServing {
 		return c.self(), true
@@ -209,8 +213,8 @@
 	return machine.Machine{}, false
 }
 
-// servingPeer returns the node that serves a partition by the newest record, if it
-// is live and reaches the store.
+// servingPeer returns the node that serves a partition by the newest record, and whether
+// that node is live and may serve.
 func (c *Core) servingPeer(now time.Time, index int) (machine.Machine, bool) {
 	peer, found := c.recordedOwner(now, index)
 	if !found {
@@ -222,7 +226,7 @@
 	return peer, live
 }
 
-// Peers returns the live nodes besides this one that reach the store.
+// Peers returns the other live nodes that reach the store.
 func (c *Core) Peers(now time.Time) []machine.Machine {
 	return slices.DeleteFunc(slices.Clone(c.membership.Nodes()), func(node machine.Machine) bool {
 		return node.ID == c.self().ID || !c.reachesStore(now, node.ID)
--- a/coordinator/proof.go
+++ b/coordinator/proof.go
@@ -6,43 +6,44 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// ProofMessage tells how lately the configuration that a node holds was proven to be
-// the newest, or asks for that. A node takes such word only as the answer to a
-// question of its own, and dates it from when it sent the question: how long a message
-// was on its way, or lay unread at a node that stood still, is not known.
+// FreshnessMessage says when the sender's configuration was last proven to be the newest,
+// or requests such a proof. A node accepts a proof only in answer to a request of its own,
+// and dates it from when it sent the request, since it cannot know how long the answer was
+// in transit or waited unread at a node that was paused.
 type FreshnessMessage struct {
-	// Number correlates an answer with its question. Word of proofs that comes with
-	// the answer to a charge has the charge's number and none of its own.
+	// Number correlates an answer with its request. A proof that accompanies the answer to
+	// a charge is correlated by the charge's number and has none of its own.
 	Number uint64 `json:"number,omitempty"`
 	Ask    bool   `json:"ask,omitempty"`
-	// Version is the newest configuration at the time that lies Age before the
-	// answer, as far as the sender can prove. 0 says that it can prove nothing.
+	// Version is the newest configuration at the time Age before the answer, as far as the
+	// sender can prove; 0 if it can prove nothing.
 	Version uint64        `json:"version,omitempty"`
 	Age     time.Duration `json:"age,omitempty"`
 }
 
 const (
-	// proofAskAfter is the age of this node's proof from which on it asks a peer:
-	// well under the least bound within which a key that was taken away must not
-	// work any more, and above what nodes with traffic reach by the way.
+	// freshnessQueryAge is the age of this node's proof after which it requests a newer one
+	// from a peer. It is well below the least bound after which a revoked key must stop
+	// working, and above the age that nodes with traffic reach through the answers to
+	// charges.
 	freshnessQueryAge = 1200 * time.Millisecond
-	// proofAskPause is the least time between two such questions.
+	// minFreshnessQueryInterval is the least time between two such requests.
 	minFreshnessQueryInterval = 150 * time.Millisecond
 )
 
-// proving is what this node knows of the age of its configuration.
+// freshness is what this node can prove about the age of its configuration.
 type freshness struct {
-	// wanted says that the configuration holds keys, so that its age matters.
+	// needed says that the configuration contains keys, so that its age matters.
 	needed bool
-	// at is when version was proven to be the newest; zero before any proof.
+	// provenAt is when version was proven to be the newest; zero before the first proof.
 	provenAt time.Time
 	version  uint64
-	// askedAt is when the question of the newest number was sent.
+	// queriedAt is when the request with queryNumber was sent.
 	queriedAt   time.Time
 	queryNumber uint64
 }
 
-// noteProof takes in a proof of the driver's.
+// stepFreshnessProven stores a proof from the driver.
 func (c *Core) stepFreshnessProven(event ProofNoted) {
 	c.freshness.needed = true
 	c.freshness.version = max(c.freshness.version, event.Version)
@@ -51,7 +52,7 @@
 	}
 }
 
-// proofWord is what this node can prove, for a peer.
+// freshnessClaim returns this node's proof for a peer.
 func (c *Core) freshnessClaim(now time.Time, number uint64) *FreshnessMessage {
 	claim := &FreshnessMessage{Number: number}
 	if !c.freshness.provenAt.IsZero() {
@@ -60,7 +61,7 @@
 	return claim
 }
 
-// tickProof asks a peer for a newer proof once this node's own is old.
+// tickFreshness requests a newer proof from a peer once this node's own is old.
 func (c *Core) tickFreshness(now time.Time) {
 	state := &c.freshness
 	if !state.needed || now.Sub(state.provenAt) < freshnessQueryAge || now.Sub(state.queriedAt) < minFreshnessQueryInterval {
@@ -77,8 +78,8 @@
 	})
 }
 
-// proofPeer draws whom to ask: one of the nodes of this zone that read the
-// configuration often, or any other, in turn.
+// freshnessPeer selects the peer to query: in turns, a random reader of this zone, since
+// those read the configuration often, or any random peer.
 func (c *Core) freshnessPeer(now time.Time) (machine.Machine, bool) {
 	peers := c.Readers()
 	if c.freshness.queryNumber%2 == 1 {
@@ -91,7 +92,7 @@
 	return peer, peer.ID != c.self().ID
 }
 
-// stepProof answers a question, or takes an answer in.
+// stepFreshness answers a request for a proof, or processes an answer.
 func (c *Core) stepFreshness(now time.Time, from machine.Machine, message FreshnessMessage) {
 	if message.Ask {
 		c.ready.Messages = append(c.ready.Messages, Outbound{
@@ -104,8 +105,8 @@
 	}
 }
 
-// takeProof takes in what a peer proved at a time that lies the word's age before the
-// question. It counts only where this node holds what was the newest then.
+// acceptFreshness accepts a peer's proof, dated the claim's age before the request. The
+// proof is valid only if this node holds the configuration that was the newest then.
 func (c *Core) acceptFreshness(from machine.Machine, claim FreshnessMessage, askedAt time.Time) {
 	if claim.Version == 0 {
 		return
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -13,15 +13,15 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// Charge asks for one request of a tenant, or one to a cold replica, of the node that
-// counts for it. Exactly one of Tenant and Replica is set.
+// Charge requests that the counting node count one request of a tenant, or one to a cold
+// replica. Exactly one of Tenant and Replica is set.
 type Charge struct {
 	Tenant  string         `json:"tenant,omitempty"`
 	Replica string         `json:"replica,omitempty"`
 	Request tenant.Request `json:"request"`
 }
 
-// account names what the request counts to.
+// account returns the account that the request counts against.
 func (c *Charge) account() account {
 	if c.Replica != "" {
 		return account{kind: replicaAccount, name: c.Replica}
@@ -29,13 +29,13 @@
 	return account{kind: tenantAccount, name: c.Tenant}
 }
 
-// account is what one node counts requests for.
+// account identifies what one node counts requests for: a tenant or a cold replica.
 type account struct {
 	kind accountKind
 	name string
 }
 
-// accountKind tells accounts of tenants from those of cold replicas.
+// accountKind distinguishes accounts of tenants from those of cold replicas.
 type accountKind string
 
 const (
@@ -48,82 +48,83 @@
 	// ID is that of the ChargeRequested.
 	ID     uint64
 	Status ChargeStatus
-	// Owner is the node that counts.
+	// Owner is the counting node.
 	Owner    machine.ID
 	Decision tenant.Decision
 }
 
-// ChargeStatus tells how a Charge ended.
+// ChargeStatus says how a Charge ended.
 type ChargeStatus string
 
-// The statuses of a charge.
+// Statuses of a charge.
 const (
-	// ChargeGranted lets the request run.
+	// ChargeGranted permits the request to run.
 	ChargeGranted ChargeStatus = "granted"
-	// ChargeRefused says that the limit does not hold the request.
+	// ChargeRefused says that the request exceeds the limit.
 	ChargeRefused ChargeStatus = "refused"
-	// ChargeUnknown says that no node that counts answered in time.
+	// ChargeUnknown says that no counting node answered in time.
 	ChargeUnknown ChargeStatus = "unknown"
 )
 
-// ChargeMessage is what nodes say to each other about charges. Exactly one of Ask,
-// Answer, NotOwner and Return is set.
+// ChargeMessage is a message between nodes about charges. Exactly one of Ask, Answer,
+// NotOwner and Refund is set.
 type ChargeMessage struct {
-	// Number correlates an answer with its question.
+	// Number correlates an answer with its request.
 	Number uint64           `json:"number,omitempty"`
 	Ask    *Charge          `json:"ask,omitempty"`
 	Answer *tenant.Decision `json:"answer,omitempty"`
-	// NotOwner says that the asked node does not count for the account, and Owner, if
-	// named, which one does by its view.
+	// NotOwner says that the requested node is not the counting node of the account. Owner,
+	// if set, is the counting node in its view.
 	NotOwner bool       `json:"not_owner,omitempty"`
 	Owner    machine.ID `json:"owner,omitempty"`
-	// Left are nodes that told the asker that they leave, and so count no more.
+	// Leaving are nodes that reported to the requester that they are leaving, and so no
+	// longer count.
 	Leaving []machine.ID `json:"left,omitempty"`
-	// Return gives a grant back whose request did not run.
+	// Refund undoes a grant whose request did not run.
 	Refund *Charge `json:"return,omitempty"`
 }
 
-// chargeResend is after what time without an answer a charge is asked for again:
-// several times the way between zones and back.
+// chargeResendInterval is the time without an answer after which a charge is sent again:
+// several round trips between zones.
 const chargeResendInterval = 60 * time.Millisecond
 
-// chargeSilences is the question in a row without an answer that goes to the node which
-// counts if the one asked before is gone. One or two may be lost on the way.
+// attemptsPerFallback is how many consecutive attempts without an answer include one
+// fallback: the last of them goes to the node that would count if the counting node were
+// gone. One or two messages may merely be lost in transit.
 const attemptsPerFallback = 3
 
-// charging is this node's part in keeping the limits of tenants and cold replicas.
+// chargeState is this node's state for enforcing the limits of tenants and cold replicas.
 type chargeState struct {
 	books map[accountKind]*tenant.Book
-	// owners are the nodes that count, as far as they were asked for since the nodes
-	// were those of this version.
+	// countingNodes caches the counting nodes of accounts for the live nodes of
+	// membershipVersion.
 	countingNodes     map[account]machine.ID
 	membershipVersion uint64
 	liveNodes         []machine.ID
-	// pending are this node's charges without an answer, by number.
+	// pending holds this node's unanswered charges by number.
 	pending    map[uint64]*pendingCharge
 	nextNumber uint64
 }
 
-// pendingCharge is a charge of this node's traffic that waits for its answer.
+// pendingCharge is an unanswered charge of a request that this node received.
 type pendingCharge struct {
 	id     uint64
 	charge Charge
-	// askedAt is when the charge was asked for first, and until when it is given up.
+	// requestedAt is when the charge was first requested, and deadline when it is given up.
 	requestedAt time.Time
 	deadline    time.Time
 	resendAt    time.Time
 	target      machine.ID
-	// redirects is how often a node that was asked named another one.
+	// redirects counts the redirects followed since the last attempt started.
 	redirects int
-	// left are the nodes that answered that they leave.
+	// leavingNodes are the nodes that answered that they are leaving.
 	leavingNodes []machine.ID
-	// silent is how often in a row no node that was asked answered.
+	// unanswered counts consecutive attempts without an answer.
 	unanswered int
 }
 
-// maximumRedirects bounds how often a charge follows the views of the nodes that were
-// asked, before the asker's own view is followed again: two views that name each other
-// would send it back and forth.
+// maxRedirects bounds the redirects that one attempt follows before the requester uses its
+// own view again. Two nodes that each name the other would redirect the charge forever.
 const maxRedirects = 4
 
 func newChargeState(now time.Time, config *Config) chargeState {
@@ -136,9 +137,9 @@
 	}
 }
 
-// firstNumber draws where the numbers of a process's questions begin, so that an answer
-// to a question of the process before is none of this one's. Half of the numbers stay
-// above it.
+// firstNumber returns a random first request number for a process, so that an answer to the
+// previous process is not taken for one to this process. At least half of the number space
+// remains above it.
 func firstNumber(random *rand.Rand) uint64 { return random.Uint64() >> 1 }
 
 // spend decides a charge that this node counts.
@@ -147,14 +148,14 @@
 	return h.books[key.kind].Spend(now, key.name, charge.Request)
 }
 
-// giveBack takes back a charge that this node granted and whose request did not run.
+// refund undoes a charge that this node granted and whose request did not run.
 func (h *chargeState) refund(charge *Charge) {
 	key := charge.account()
 	h.books[key.kind].Return(key.name, charge.Request)
 }
 
-// chargeOwner returns the node that counts for an account: the live one that ranks
-// first for its name. Whether a node reaches the store does not matter.
+// countingNode returns the counting node of an account: the live node that ranks first for
+// its name, whether or not it reaches the store.
 func (c *Core) countingNode(key account) machine.ID {
 	if c.config.CountAlone {
 		return c.self().ID
@@ -167,7 +168,8 @@
 	return node
 }
 
-// chargePlace stands for an account in the ranking, beside the partitions.
+// accountRankKey returns the key that stands for an account in the rendezvous ranking,
+// where partitions use their index.
 func accountRankKey(key account) int {
 	return int(xxhash.Sum64String(string(key.kind)+"/"+key.name) >> 1)
 }
@@ -181,8 +183,8 @@
 	return candidates
 }
 
-// renewCharging follows the live nodes: accounts that another node counts for by now
-// are dropped, and where a node was lost, accounts that are opened begin empty.
+// updateCountingNodes follows changes of the live nodes. It drops the accounts that other
+// nodes now count, and after the loss of a node lets newly opened accounts start empty.
 func (c *Core) updateCountingNodes(now time.Time) {
 	state := &c.chargeState
 	if state.liveNodes != nil && state.membershipVersion == c.membership.Version() {
@@ -210,8 +212,8 @@
 	}
 }
 
-// chargeShare is the part of each limit that the live nodes may grant. Nodes that are
-// known and not live may be lost, or live on behind a cut and count for their side.
+// grantableShare returns the share of each limit that the live nodes may grant. Known nodes
+// that are not live may be lost, or alive in another network partition and counting there.
 func (c *Core) grantableShare() float64 {
 	if c.config.GrantFullLimits {
 		return 1
@@ -223,12 +225,12 @@
 	return min(1, live/float64(max(1, len(c.sortedNodes))))
 }
 
-// countsCharges reports whether this node knows its peers well enough to count.
+// canCount reports whether this node knows its peers well enough to count requests.
 func (c *Core) canCount(now time.Time) bool {
 	return !c.leaving && now.Sub(c.startedAt) >= c.config.StartupDelay
 }
 
-// stepCharge takes in that a request of this node's traffic is to be counted.
+// stepCharge starts counting a request that this node received.
 func (c *Core) stepCharge(now time.Time, event ChargeRequested) {
 	c.updateCountingNodes(now)
 	c.chargeState.nextNumber++
@@ -237,13 +239,14 @@
 	c.requestCharge(now, c.chargeState.nextNumber, waiting)
 }
 
-// askCharge decides a charge, or asks the node that counts for its account.
+// requestCharge decides a charge, or sends it to the counting node of its account.
 func (c *Core) requestCharge(now time.Time, number uint64, waiting *pendingCharge) {
 	waiting.resendAt = now.Add(chargeResendInterval)
 	waiting.redirects = 0
 	node := c.countingNode(waiting.charge.account())
 	if !c.config.AskOwnView && waiting.unanswered%attemptsPerFallback == attemptsPerFallback-1 {
-		// The node may be gone, which others may have noticed: the next one counts then.
+		// The node may be gone, and others may have noticed it, so that the next one
+		// counts.
 		node = c.countingNodeExcluding(waiting.charge.account(), node)
 	}
 	waiting.unanswered++
@@ -265,7 +268,7 @@
 	}
 }
 
-// endCharge hands a decision to the driver.
+// finishCharge passes a decision to the driver.
 func (c *Core) finishCharge(number uint64, waiting *pendingCharge, decision tenant.Decision) {
 	delete(c.chargeState.pending, number)
 	status := ChargeRefused
@@ -275,7 +278,7 @@
 	c.ready.Charged = append(c.ready.Charged, Charged{ID: waiting.id, Status: status, Owner: waiting.target, Decision: decision})
 }
 
-// stepReturn gives back a grant whose request did not run.
+// stepChargeRefunded undoes a grant whose request did not run.
 func (c *Core) stepChargeRefunded(event ChargeReturned) {
 	node := c.countingNode(event.Charge.account())
 	if node == c.self().ID {
@@ -285,7 +288,7 @@
 	c.sendCharge(node, ChargeMessage{Refund: &event.Charge}, nil)
 }
 
-// stepChargeMessage takes in what another node says of a charge.
+// stepChargeMessage processes a message about a charge.
 func (c *Core) stepChargeMessage(now time.Time, from machine.Machine, received PeerMessage) {
 	message := *received.Charge
 	waiting := c.chargeState.pending[message.Number]
@@ -295,7 +298,8 @@
 	case message.Refund != nil:
 		c.chargeState.refund(message.Refund)
 	case waiting == nil:
-		// Too late: the charge counts at its owner, and its request does not run.
+		// The answer is too late: the counting node has counted the charge, but its request
+		// does not run.
 	case message.Answer != nil:
 		c.finishCharge(message.Number, waiting, *message.Answer)
 	default:
@@ -306,9 +310,9 @@
 	}
 }
 
-// redirectCharge follows the view of a node that does not count: the views of the nodes
-// differ for a while after one comes or goes, and whoever was asked may have heard of it.
-// Where that leads nowhere, the charge is asked for again when that is due.
+// redirectCharge follows the view of a node that is not the counting node. After a node
+// joins or leaves, the views of nodes differ for a while, and the requested node may be
+// ahead. If the redirect fails, the charge is resent when that is due.
 func (c *Core) redirectCharge(now time.Time, from machine.Machine, message ChargeMessage, waiting *pendingCharge) {
 	if c.config.AskOwnView || from.ID != waiting.target || message.Owner == "" || message.Owner == c.self().ID || waiting.redirects >= maxRedirects {
 		return
@@ -323,7 +327,7 @@
 	c.sendCharge(message.Owner, ChargeMessage{Number: message.Number, Ask: &waiting.charge, Leaving: waiting.leavingNodes}, nil)
 }
 
-// answerCharge decides a charge of another node's traffic.
+// answerCharge decides a charge of another node.
 func (c *Core) answerCharge(now time.Time, from machine.Machine, message ChargeMessage) {
 	c.updateCountingNodes(now)
 	node := c.countingNode(message.Ask.account())
@@ -346,7 +350,8 @@
 	c.sendCharge(from.ID, ChargeMessage{Number: message.Number, Answer: &decision}, c.freshnessClaim(now, 0))
 }
 
-// chargeOwnerWithout returns the node that counts for an account once others are gone.
+// countingNodeExcluding returns the counting node of an account if the excluded nodes are
+// gone.
 func (c *Core) countingNodeExcluding(key account, excluded ...machine.ID) machine.ID {
 	candidates := slices.DeleteFunc(c.chargeCandidates(), func(node ownership.Node) bool {
 		return slices.Contains(excluded, machine.ID(node.ID))
@@ -354,8 +359,7 @@
 	return machine.ID(ownership.Rank(accountRankKey(key), candidates))
 }
 
-// tickCharges asks again for charges without an answer, and gives up those whose time
-// is over.
+// tickCharges resends unanswered charges, and gives up those past their deadline.
 func (c *Core) tickCharges(now time.Time) {
 	c.updateCountingNodes(now)
 	if len(c.chargeState.pending) == 0 {
--- a/coordinator/rank.go
+++ b/coordinator/rank.go
@@ -8,48 +8,47 @@
 	"birchwood.example/birchwood/ownership"
 )
 
-// ranking is which node is to own each partition, for one set of candidates.
+// ranking says which nodes should own each partition, for one set of candidates.
 type ranking struct {
 	candidates []ownership.Node
-	// heirs are, for each partition, the node that is to own it and those that rank
-	// next.
+	// preferred holds the preference list of each partition: the node that should own it
+	// and those that rank next.
 	preferred [][]string
-	// places are, for each partition, this node's place among its heirs; -1 where it is
-	// none.
+	// selfRanks holds this node's index in the preference list of each partition, or -1.
 	selfRanks []int
-	// roles are what nodes do for others.
+	// roles are the roles of nodes that follow from the candidates.
 	roles Roles
-	// lost is when a candidate was one last.
+	// lostAt holds the times at which recent candidates were lost.
 	lostAt map[string]time.Time
-	// since is when the candidates changed last, and lookedAt when they were looked at
-	// last.
+	// changedAt is when the candidates last changed, and checkedAt when they were last
+	// checked.
 	changedAt time.Time
 	checkedAt time.Time
-	// version, reaches and unreaching are what the candidates followed from: the
-	// version of the nodes' view, whether this node reached the store, and whether
-	// any peer counted as not reaching it.
+	// membershipVersion, storeReachable and withoutStore are the inputs of the candidates:
+	// the version of the membership, whether this node reached the store, and whether any
+	// peer was unable to reach it.
 	membershipVersion uint64
 	storeReachable    bool
 	withoutStore      bool
 }
 
 const (
-	// heirsPerPartition is how many nodes may take a partition over: one that ranks
-	// first may have lost the store as well, unknown to the others. With a third of
-	// all nodes cut off, three are cut off together once in 27 times.
+	// preferredPerPartition is how many nodes may take a partition over. The first one may
+	// have lost the store as well without the others knowing. With a third of all nodes cut
+	// off, all three of a partition are cut off once in 27 times.
 	preferredPerPartition = 3
-	// heirPatience is how long each heir leaves a partition without an owner to
-	// those that rank before it, until it asks whether they are taking it over.
+	// successionDelay is how long each preferred node leaves a partition without an owner
+	// to each one that ranks before it, before it asks whether they are taking it over.
 	successionDelay = 300 * time.Millisecond
 )
 
-// calmFor is how long the candidates must not have changed before the node that ranks
-// first takes a partition over from one that serves it: while many come back, who ranks
-// first changes, and each change reads anew.
+// stableRankingPeriod is how long the candidates must be unchanged before the node that
+// ranks first takes over a partition that another one serves. While many nodes come back,
+// the first rank changes often, and each takeover reads the partition anew.
 const stableRankingPeriod = time.Second
 
-// mayOwn reports whether this node is to own the partition: it ranks first, or those
-// that rank before it have left it without an owner for too long.
+// shouldOwn reports whether this node should own the partition: it ranks first, or the
+// nodes that rank before it have left it without an owner for too long.
 func (c *Core) shouldOwn(now time.Time, p *partition) bool {
 	rank := c.ranking.selfRanks[p.index]
 	if rank < 0 {
@@ -72,8 +71,8 @@
 	return now.Sub(p.vacantSince) >= time.Duration(rank)*successionDelay
 }
 
-// current reports whether the candidates are what they were. Who reaches the
-// store changes with time alone while any peer counts as not reaching it.
+// upToDate reports whether the candidates are unchanged. While any peer is considered
+// unable to reach the store, they may change with time alone.
 func (r *ranking) upToDate(c *Core) bool {
 	if r.preferred == nil || r.withoutStore || len(c.withoutStore) > 0 {
 		return false
@@ -81,7 +80,7 @@
 	return r.membershipVersion == c.membership.Version() && r.storeReachable == c.storeReachable
 }
 
-// rank renews the ranking where the candidates have changed.
+// updateRanking recomputes the ranking if the candidates have changed.
 func (c *Core) updateRanking(now time.Time) {
 	c.expireWithoutStore(now)
 	if c.ranking.upToDate(c) || now.Sub(c.ranking.checkedAt) < c.minRankInterval() {
@@ -96,16 +95,16 @@
 	c.ranking.withoutStore = len(c.withoutStore) > 0
 }
 
-// rankPausePerNode times the nodes is the least time between two looks at who may own
-// partitions: a look visits every node, and while many come or go there would be one
-// with each tick. At 1,000 nodes it is a fifth of a second, less than an heir waits.
+// rankIntervalPerNode times the number of nodes is the least time between two checks of the
+// candidates. A check visits every node, and while many nodes come or go, each tick would
+// trigger one. At 1,000 nodes the interval is 200 ms, less than successionDelay.
 const rankIntervalPerNode = 200 * time.Microsecond
 
 func (c *Core) minRankInterval() time.Duration {
 	return time.Duration(len(c.sortedNodes)) * rankIntervalPerNode
 }
 
-// rankAnew ranks the candidates for every partition.
+// computeRanking ranks the candidates for every partition.
 func (c *Core) computeRanking(now time.Time, candidates []ownership.Node) ranking {
 	preferred := make([][]string, len(c.partitions))
 	eligible := ownership.Able(candidates)
@@ -121,7 +120,7 @@
 	}
 }
 
-// lookup returns a node, this one included.
+// lookup returns a node, which may be this one.
 func (c *Core) lookup(id machine.ID) (machine.Machine, bool) {
 	if id == c.self().ID {
 		return c.self(), true
@@ -129,8 +128,8 @@
 	return c.membership.Lookup(id)
 }
 
-// lostCandidates adds the candidates that are none any more to those that were
-// lost lately.
+// lostCandidates returns the recently lost nodes, including the candidates that are missing
+// from the new ones.
 func (c *Core) lostCandidates(now time.Time, candidates []ownership.Node) map[string]time.Time {
 	lostAt := make(map[string]time.Time)
 	for id, when := range c.ranking.lostAt {
@@ -147,12 +146,13 @@
 	return lostAt
 }
 
-// maximumUnable bounds the nodes without the store that a status names. They are
-// drawn anew for each, so that all of many are named in time.
+// maxStoreUnreachablePerStatus bounds the nodes without the store in a status. Each status
+// has a new random sample, so that all of them are soon reported even if there are many.
 const maxStoreUnreachablePerStatus = 4
 
-// unable returns nodes that told this one lately that they do not reach the
-// store, or none where this node does not reach it either, or did not lately.
+// sampleWithoutStore returns a random sample of the nodes that recently reported to this
+// one that they cannot reach the store. It returns none if this node cannot reach the store
+// either, or has reached it for less than storeRecoveryGrace.
 func (c *Core) sampleWithoutStore(now time.Time) []machine.ID {
 	if !c.storeReachable || now.Sub(c.storeReachableSince) < storeRecoveryGrace {
 		return nil
@@ -168,8 +168,8 @@
 	return ids[:min(len(ids), maxStoreUnreachablePerStatus)]
 }
 
-// noteUnable takes over what a peer heard of others, unless they were heard
-// here as well.
+// mergeStoreUnreachable stores which nodes cannot reach the store by a peer's report. A
+// valid status from a node itself takes precedence.
 func (c *Core) mergeStoreUnreachable(now time.Time, nodes []machine.ID) {
 	for _, id := range nodes {
 		state := c.peers[id]
@@ -186,8 +186,8 @@
 	}
 }
 
-// candidates returns the nodes that may own partitions: the live ones that
-// reach the store, or all live ones where none does.
+// candidates returns the nodes that may own partitions: the live ones that reach the store,
+// or all live ones if none does.
 func (c *Core) candidates(now time.Time) []ownership.Node {
 	var live, reachable []ownership.Node
 	for _, node := range c.membership.Nodes() {
--- a/coordinator/request.go
+++ b/coordinator/request.go
@@ -5,7 +5,7 @@
 	"birchwood.example/birchwood/ownership"
 )
 
-// Request is a question to the owner of a partition. Exactly one field is set.
+// Request is a request to the owner of a partition. Exactly one field is set.
 type Request struct {
 	Admit  *AdmitRequest      `json:"admit,omitempty"`
 	Await  *AwaitRequest      `json:"await,omitempty"`
@@ -17,67 +17,66 @@
 // AdmitRequest asks whether a turn may run.
 type AdmitRequest struct {
 	Turn ledger.Turn `json:"turn"`
-	// Previous is the kept turn that the turn goes on from, or "". Its chain
-	// comes with the answer.
+	// Previous is the stored turn that the turn continues, or "". The reply contains its
+	// chain.
 	Previous string `json:"previous,omitempty"`
-	// HasChain says that the asker has the chain already.
+	// HasChain says that the requester already has the chain.
 	HasChain bool `json:"has_chain,omitempty"`
 }
 
-// AwaitRequest asks to be told when a position is durable.
+// AwaitRequest asks for a reply once a position is durable.
 type AwaitRequest struct {
 	Epoch    ownership.Epoch `json:"epoch"`
 	Position uint64          `json:"position"`
 }
 
-// KeepRequest asks to keep a whole turn, and settles it.
+// KeepRequest stores a complete turn and settles it.
 type KeepRequest struct {
 	Turn ledger.KeptTurn `json:"turn"`
-	// HasBase says that the turn brings its base. Without it the owner answers
-	// ReplyAbsent where it does not hold the previous turn.
+	// HasBase says that the turn contains its base, the chain of the previous turn. Without
+	// it the owner replies with ReplyAbsent if it does not hold the previous turn.
 	HasBase bool `json:"has_base,omitempty"`
-	// AtOnce has the owner refuse the turn while its log takes no records, rather than
-	// count what it used and keep it at some time.
+	// RefuseWhenStalled has the owner refuse the turn while appends are stalled, instead of
+	// settling it now and storing it at some later time.
 	AtOnce     bool              `json:"at_once,omitempty"`
 	Settlement ledger.Settlement `json:"settlement"`
 }
 
-// FindRequest asks for the chain of a kept turn.
+// FindRequest asks for the chain of a stored turn.
 type FindRequest struct {
 	Turn string `json:"turn"`
-	// Unscoped is what the turn would be known by if it was kept before ids had a
-	// scope, or "".
+	// Unscoped is the turn's ID if it was stored before IDs were scoped by tenant, or "".
 	Unscoped string `json:"unscoped,omitempty"`
 }
 
-// ProvesAbsent reports whether a reply to the question says for certain that the
-// partition keeps no such turn, under its id or that of a former format.
+// ProvesAbsent reports whether a reply to the request proves that the partition does not
+// store the turn, neither under its ID nor under an unscoped one of a former version.
 func (f *FindRequest) ProvesAbsent(reply *Reply) bool {
 	return reply.Status == ReplyAbsent && (f.Unscoped == "" || reply.Scoped)
 }
 
-// Status of a reply.
+// ReplyStatus is the status of a reply.
 type ReplyStatus string
 
-// The statuses of a reply.
+// Statuses of a reply.
 const (
 	// ReplyDone answers the request.
 	ReplyDone ReplyStatus = "done"
-	// ReplyNotOwner says that this node does not serve the partition. Nothing
-	// was done; the asker tries the owner.
+	// ReplyNotOwner says that this node does not serve the partition, and that the request
+	// had no effect. The requester tries the owner.
 	ReplyNotOwner ReplyStatus = "not_owner"
-	// ReplyLost says that this node lost the partition meanwhile. What was
-	// asked for may have become durable.
+	// ReplyLost says that this node lost the partition while it processed the request. The
+	// request's records may have become durable.
 	ReplyLost ReplyStatus = "lost"
-	// ReplyAbsent says that the turn is certainly not kept here.
+	// ReplyAbsent says that the turn is certainly not stored here.
 	ReplyAbsent ReplyStatus = "absent"
-	// ReplyUnowned says that a turn of this id is kept here of which nobody knows
-	// whose it is: it was kept before ids had a scope. It is handed to nobody.
+	// ReplyUnscoped says that the turn was stored here before IDs were scoped, so that its
+	// tenant is unknown. It is returned to nobody.
 	ReplyUnscoped ReplyStatus = "unowned"
-	// ReplyStalled says that the log does not take records at present, and
-	// that nothing was done.
+	// ReplyStalled says that the log does not accept records at present, and that the
+	// request had no effect.
 	ReplyStalled ReplyStatus = "stalled"
-	// ReplyFull says that the log is full, and that nothing was done.
+	// ReplyFull says that the log is full, and that the request had no effect.
 	ReplyFull ReplyStatus = "full"
 )
 
@@ -85,17 +84,16 @@
 type Reply struct {
 	ID     uint64      `json:"-"`
 	Status ReplyStatus `json:"status"`
-	// Scoped says that the owner looked for a turn that was kept before ids had a
-	// scope, too: only then is one absent that has an Unscoped id.
+	// Scoped says that the owner also looked for an unscoped turn. A turn with an Unscoped
+	// ID is proven absent only then.
 	Scoped bool `json:"scoped,omitempty"`
-	// Epoch is the owner's, for an AwaitRequest.
+	// Epoch is the owner's epoch, which an AwaitRequest refers to.
 	Epoch ownership.Epoch `json:"epoch,omitempty"`
-	// Owner is who serves the partition as far as a node knows that does not, or
-	// nil.
+	// Owner is the partition's owner as known to a node that does not serve it, or nil.
 	Owner     *Owner            `json:"owner,omitempty"`
 	Admission *ledger.Admission `json:"admission,omitempty"`
 	Chain     []byte            `json:"chain,omitempty"`
-	// Stalled says that the log has left an append of the partition unanswered for long,
-	// where a turn was admitted all the same.
+	// Stalled says that a turn was admitted although an append of the partition has been
+	// unanswered for too long.
 	Stalled bool `json:"stalled,omitempty"`
 }
--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -8,51 +8,52 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Roles are what nodes of a large fleet do for the others, as one node ranks them.
-// What all nodes would else read of the store grows with nodes times replicas: two
-// sources read it for the fleet, the readers of each zone follow a source, and all
-// others follow a reader of their zone.
+// Roles are the tasks that some nodes of a large fleet perform for the others, as ranked by
+// one node. If every node read the replicas from the store, the load would grow with nodes
+// times replicas. Instead, two sources read them for the fleet, the readers of each zone
+// follow a source, and all other nodes follow a reader of their zone.
 type Roles struct {
 	// Sources follow the replicas in the store.
 	Sources []machine.Machine
-	// Readers are those of this node's zone, and Remote those of the others.
+	// Readers are the readers of this node's zone, and RemoteReaders those of the other
+	// zones.
 	Readers []machine.Machine
 	Remote  []machine.Machine
-	// Collectors gather the loads of this node's zone, the first that answers, and
-	// RemoteCollectors are the first ones of the other zones.
+	// Collectors gather the loads of this node's zone; the first one that answers is used.
+	// RemoteCollectors are the first collectors of the other zones.
 	Collectors       []machine.Machine
 	RemoteCollectors []machine.Machine
-	// Near is how many nodes of this node's zone there are, itself included.
+	// ZoneNodes is the number of nodes in this node's zone, including itself.
 	Near int
-	// Heir says that this node may own a partition: it has to notice soon when it
-	// no longer reaches the store.
+	// MayOwnPartition says that this node is in the preference list of a partition, and so
+	// has to notice quickly when it can no longer reach the store.
 	Heir bool
 }
 
 const (
-	// sourceRank, readerRank and collectorRank stand for a partition in the rankings of
-	// sources, readers and collectors.
+	// sourceRankKey, readerRankKey and collectorRankKey stand for a partition in the
+	// rankings of sources, readers and collectors.
 	sourceRankKey    = -2
 	readerRankKey    = -1
 	collectorRankKey = -3
-	// sourcesOfFleet and readersPerZone are how many there are, so that one may fail.
+	// sourcesPerFleet and readersPerZone allow for the failure of one of them.
 	sourcesPerFleet = 2
 	readersPerZone  = 2
 	// collectorsPerZone is how many nodes may gather the loads of a zone: the second
-	// stands in for one that is lost, and the third where that is frozen too.
+	// replaces a lost first one, and the third is used if the second is unresponsive too.
 	collectorsPerZone = 3
 )
 
-// Roles returns what nodes do for others. The caller must not change its slices.
+// Roles returns the current roles. The caller must not change their slices.
 func (c *Core) Roles() Roles { return c.ranking.roles }
 
-// Readers returns the nodes of this node's zone that the others of the zone follow. The
-// caller must not change the slice.
+// Readers returns the nodes that the other nodes of this node's zone follow. The caller
+// must not change the slice.
 func (c *Core) Readers() []machine.Machine { return c.ranking.roles.Readers }
 
-// rankRoles deals the roles to the candidates, weak machines excepted where there are others:
-// a source or reader carries what hundreds of nodes ask for. Places are this node's among
-// the heirs of the partitions.
+// assignRoles assigns the roles to the candidates. It excludes weak machines if there are
+// others, since a source or reader serves hundreds of nodes. selfRanks holds this node's
+// ranks in the preference lists of the partitions.
 func (c *Core) assignRoles(candidates []ownership.Node, selfRanks []int) Roles {
 	roles := Roles{Sources: c.lookupAll(ownership.First(sourceRankKey, ownership.Able(candidates), sourcesPerFleet))}
 	byZone := make(map[zone.Name][]ownership.Node)
@@ -77,7 +78,7 @@
 	return roles
 }
 
-// machines returns the nodes of some ids.
+// lookupAll returns the nodes with the given IDs, except unknown ones.
 func (c *Core) lookupAll(ids []string) (found []machine.Machine) {
 	for _, id := range ids {
 		if node, known := c.lookup(machine.ID(id)); known {
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -6,8 +6,8 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-// stepRequest serves a request, holds it for the takeover under way, or says
-// that this node is not the owner.
+// stepRequest serves a request, holds it for the takeover in progress, or replies that this
+// node is not the owner.
 func (c *Core) stepRequest(now time.Time, request Requested) {
 	if request.Partition < 0 || request.Partition >= len(c.partitions) {
 		c.reply(Reply{ID: request.ID, Status: ReplyNotOwner})
@@ -24,8 +24,8 @@
 	}
 }
 
-// notOwner answers a request about a partition that this node does not serve, with
-// the node that does as far as it knows.
+// notOwnerReply returns the reply to a request about a partition that this node does not
+// serve. It names the known owner, if there is one.
 func (c *Core) notOwnerReply(request Requested) Reply {
 	reply := Reply{ID: request.ID, Status: ReplyNotOwner}
 	if known := c.owners[request.Partition]; known.Epoch > 0 && known.Node != c.self().ID && !known.denied {
@@ -67,7 +67,7 @@
 	admission := p.ledger.Admit(now, request.Turn)
 	if admission.Position > 0 && c.stalled(now, p) {
 		if !admission.Again {
-			// One that was granted before may run, and wait for its record.
+			// A turn that was granted before may be running and waiting for its record.
 			p.ledger.Settle(now, ledger.Settlement{Turn: request.Turn.ID, Program: request.Turn.Program})
 		}
 		c.reply(Reply{ID: id, Status: p.refusalStatus(), Epoch: p.epoch})
@@ -80,7 +80,7 @@
 	c.reply(reply)
 }
 
-// keep takes a whole turn in, and answers once it is durable.
+// keep stores a complete turn, and answers once it is durable.
 func (c *Core) keep(now time.Time, p *partition, id uint64, request *KeepRequest) {
 	previous := request.Turn.Previous
 	if previous != "" && !request.HasBase && !p.ledger.Holds(previous) {
@@ -96,7 +96,7 @@
 	p.waiters = append(p.waiters, waiter{id: id, position: position})
 }
 
-// await answers at once what is durable already.
+// await answers at once if the position is already durable, and later otherwise.
 func (c *Core) await(p *partition, id uint64, request *AwaitRequest) {
 	switch {
 	case request.Epoch != p.epoch:
@@ -108,7 +108,8 @@
 	}
 }
 
-// find answers with a chain, or proves first that it is not here.
+// find replies with the chain of a turn, or with its absence once an append has proven that
+// this node still owns the partition.
 func (c *Core) find(now time.Time, p *partition, id uint64, request *FindRequest) {
 	chain, found := p.ledger.Chain(request.Turn)
 	if found {
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -9,53 +9,57 @@
 )
 
 const (
-	// takingPatience is how long a takeover may stay without progress until others
-	// stop waiting for it: longer than a slow store needs for one page.
+	// takeoverStallTimeout is how long a takeover may make no progress before other nodes
+	// stop waiting for it. It is longer than a slow store needs for one page.
 	takeoverStallTimeout = 4 * time.Second
-	// progressPeriod is the least time between two records of one takeover's progress,
-	// so that those of many leave room for others in the statuses.
+	// progressInterval is the least time between two published records of one takeover's
+	// progress, so that many takeovers leave space for other records in the statuses.
 	progressInterval = 500 * time.Millisecond
-	// fencedPause is how long a node that was fenced waits, at first, before it looks
-	// whether the owner that fenced it still appends. The wait doubles up to
-	// fencedPauseMost. Word of that owner ends it.
+	// fencedBackoff is how long a fenced node first waits before it checks whether the
+	// owner that fenced it still appends. The wait doubles up to maxFencedBackoff. It ends
+	// once the node learns of that owner.
 	fencedBackoff    = 3 * time.Second
 	maxFencedBackoff = 24 * time.Second
-	// renewPeriod is the time after which an owner without appends makes one, so that
-	// a node behind a cut sees that it lives: well under fencedPause.
+	// keepaliveInterval is the time after which an owner without appends makes one, so that
+	// a node in another network partition sees that it is alive. It is well below
+	// fencedBackoff.
 	keepaliveInterval = time.Second
-	// contestedFor is for how long after its claim an owner does so.
+	// recentLossWindow is how long a lost node counts as recently lost, and for how long
+	// after its takeover an owner makes keepalive appends.
 	recentLossWindow = time.Minute
-	// epochLeapMost bounds by how far, as a power of two of seconds, a node whose
-	// claims are refused raises its epochs.
+	// maxEpochLeapExponent bounds how far a node whose claims are refused advances its
+	// epochs: up to 2^10 seconds.
 	maxEpochLeapExponent = 10
 )
 
-// restoring is how far a takeover has got.
+// takeover is the progress of a takeover.
 type takeover struct {
-	// claimed says that the log has the claim of a takeover under way.
+	// claimed says that the claim of the takeover in progress is in the log.
 	claimed bool
-	// forced says that nobody gave the partition up in order.
+	// forced says that no owner released the partition cleanly.
 	forced bool
-	// turns says that kept turns are still to be read.
+	// turnsPending says that stored turns are still to be read.
 	turnsPending bool
-	// progressAt is when it last got on, and toldAt when peers were told of that.
+	// progressAt is when the takeover last made progress, and publishedAt when peers were
+	// last notified of it.
 	progressAt  time.Time
 	publishedAt time.Time
 }
 
-// contest is what a node knows that was fenced and has not heard by whom.
+// contested is the state of a node that was fenced, or may be in the minority of a network
+// partition, and does not know the present owner.
 type contested struct {
 	active bool
-	// epoch is the one that was fenced.
+	// epoch is the highest epoch known when the state began. A higher one reveals the owner.
 	epoch   ownership.Epoch
 	backoff time.Duration
-	// end is where the log ended when it was looked at last.
+	// logEnd is the end of the log when it was last checked.
 	logEnd uint64
-	// refused counts claims that were fenced one after the other.
+	// refusals counts consecutive claims that were fenced.
 	refusals int
 }
 
-// claim begins a takeover.
+// claim starts a takeover.
 func (c *Core) claim(now time.Time, p *partition) {
 	p.nextClaimAt = now.Add(c.config.MinClaimInterval)
 	p.state = stateTakingOver
@@ -74,7 +78,7 @@
 	})
 }
 
-// stayAway has this node, which was fenced, leave the partition to whoever did that.
+// backOffAfterFencing leaves the partition to the owner that fenced this node.
 func (c *Core) backOffAfterFencing(now time.Time, p *partition) {
 	p.nextClaimAt = now
 	if p.contested.active {
@@ -84,7 +88,7 @@
 	c.enterContested(p)
 }
 
-// contend has this node claim the partition only once the log shows that nobody else
+// enterContested has this node claim the partition only once the log shows that nobody else
 // appends to it.
 func (c *Core) enterContested(p *partition) {
 	if p.contested.active {
@@ -93,12 +97,13 @@
 	p.contested = contested{active: true, epoch: p.highestEpoch, backoff: fencedBackoff, refusals: p.contested.refusals}
 }
 
-// zoneSilence is the time without a message of any node of a zone after which the zone
-// counts as cut off: the failure detector names its nodes one by one, and later.
+// zoneSilenceTimeout is the time without messages after which a zone counts as cut off. The
+// failure detector declares its nodes dead one by one, and later.
 const zoneSilenceTimeout = 500 * time.Millisecond
 
-// minority reports whether more nodes went lately than are left: this node may be
-// behind a cut, and those beyond it follow the lost owners at once.
+// likelyMinority reports whether more nodes were recently lost than are left. This node may
+// then be in the minority of a network partition, and nodes on the other side replace the
+// lost owners at once.
 func (c *Core) likelyMinority(now time.Time) bool {
 	if len(c.ranking.lostAt) > len(c.ranking.candidates) {
 		return true
@@ -112,7 +117,7 @@
 	return 2*silent > len(c.sortedNodes)
 }
 
-// endContest forgets that this node was fenced: it knows the owner.
+// leaveContested ends the contested state because the owner is known.
 func (c *Core) leaveContested(now time.Time, p *partition) {
 	if p.state == stateTakingOver && !p.takeover.claimed {
 		c.abandon(p)
@@ -122,7 +127,7 @@
 	p.contested = contested{}
 }
 
-// stepMoved takes in that another owner appends.
+// stepLogAdvanced ends a contested takeover because another owner appends.
 func (c *Core) stepLogAdvanced(now time.Time, p *partition, logEnd uint64) {
 	c.abandon(p)
 	p.epoch = p.contested.epoch
@@ -134,8 +139,8 @@
 	}
 }
 
-// renews reports whether an owner without appends makes one: nodes that it does not
-// reach may take it for dead.
+// keepaliveDue reports whether an owner without appends should make one. While nodes were
+// recently lost, nodes that the owner cannot reach may consider it dead.
 func (c *Core) keepaliveDue(now time.Time, p *partition) bool {
 	if now.Sub(p.takeoverStartedAt) > recentLossWindow || now.Sub(p.appendSentAt) < keepaliveInterval {
 		return false
@@ -154,7 +159,7 @@
 	p.handover = handover{}
 }
 
-// stepTakeoverRead takes in the progress of a takeover.
+// stepTakeoverRead processes the progress of a takeover.
 func (c *Core) stepTakeoverRead(now time.Time, event TakeoverRead) {
 	p := c.partitions[event.Partition]
 	if !p.takingOver(event.Epoch) {
@@ -172,8 +177,8 @@
 	}
 }
 
-// tellTaking tells peers of a takeover under way: at once that it has begun, the other
-// heirs above all, and then now and again of its progress.
+// publishTakeover notifies peers of a takeover in progress: at once when it has started,
+// first of all the other preferred nodes, and then from time to time of its progress.
 func (c *Core) publishTakeover(now time.Time, p *partition) {
 	first := !p.takeover.claimed
 	if !first && now.Sub(p.takeover.publishedAt) < progressInterval {
@@ -196,17 +201,17 @@
 	}
 }
 
-// takes reports whether the takeover of an epoch is under way.
+// takingOver reports whether the takeover with the epoch is still reading.
 func (p *partition) takingOver(epoch ownership.Epoch) bool {
 	return epoch == p.epoch && (p.state == stateTakingOver || p.takeover.turnsPending)
 }
 
-// restore takes records in, and serves those that waited for them.
+// restoreRecords adds records to the ledger, and serves the requests that waited for them.
 func (c *Core) restoreRecords(now time.Time, p *partition, records []ledger.Record) {
 	p.takeover.progressAt = now
 	for _, record := range records {
-		// A record that does not decode was written by no version of this
-		// program; the others must not be lost for it.
+		// A record that does not decode was not written by any version of this program. It
+		// must not cause the loss of the others.
 		_ = p.ledger.Restore(now, record)
 	}
 	if p.state == stateServing {
@@ -236,7 +241,7 @@
 	}
 }
 
-// failTakeover gives a takeover up that could not be read to its end.
+// failTakeover ends a takeover whose records could not all be read.
 func (c *Core) failTakeover(p *partition) {
 	if p.state == stateServing {
 		c.loseOwnership(p, "the log could not be read")
@@ -245,7 +250,7 @@
 	c.abandon(p)
 }
 
-// finishTakeover takes the last records in.
+// finishTakeover adds the last records.
 func (c *Core) finishTakeover(now time.Time, p *partition, records []ledger.Record) {
 	if p.ledger == nil {
 		p.ledger = ledger.New(c.config.Ledger)
@@ -260,8 +265,8 @@
 	c.serveHeld(now, p)
 }
 
-// open begins to serve a partition whose accounts are known. Turns says that kept
-// turns are still to be read.
+// startServing starts to serve a partition whose accounts are known. turnsPending says that
+// stored turns are still to be read.
 func (c *Core) startServing(now time.Time, p *partition, turnsPending bool) {
 	p.contested = contested{}
 	p.ledger.RetainFor(c.loads.RetainFor)
@@ -279,13 +284,13 @@
 		Partition: p.index, Epoch: p.epoch, Owned: true, Reason: "claimed", Accounts: accounts, Turns: turns,
 		Inherited: p.ledger.Inherited(),
 	})
-	// The others are told at once, so that they ask here.
+	// Notify the peers at once, so that they send their requests here.
 	c.publishOwnership(now, p)
 	c.sendStatus(now)
 	c.serveHeld(now, p)
 }
 
-// serveHeld serves the requests that waited, as far as what they need is known.
+// serveHeld serves the held requests whose records have been read.
 func (c *Core) serveHeld(now time.Time, p *partition) {
 	heldRequests := p.heldRequests
 	p.heldRequests = nil
@@ -294,7 +299,8 @@
 	}
 }
 
-// serveOrHold serves a request, or holds it for a kept turn that may still be read.
+// serveOrHold serves a request, or holds it if it needs a stored turn that may still be
+// read.
 func (c *Core) serveOrHold(now time.Time, p *partition, held heldRequest) {
 	if p.needsUnreadTurn(held.request.Request) {
 		p.heldRequests = append(p.heldRequests, held)
@@ -303,7 +309,7 @@
 	c.serve(now, p, held.request)
 }
 
-// awaits reports whether a request needs a kept turn that may still be read.
+// needsUnreadTurn reports whether a request needs a stored turn that may still be read.
 func (p *partition) needsUnreadTurn(request Request) bool {
 	if !p.takeover.turnsPending {
 		return false
@@ -319,8 +325,8 @@
 	}
 }
 
-// notYet answers a request that was held for too long: it is to be asked here again
-// while the takeover is under way.
+// expiredReply answers a request that was held for too long. It names this node as owner
+// while the takeover is in progress, so that the requester retries here.
 func (c *Core) expiredReply(p *partition, request Requested) Reply {
 	reply := Reply{ID: request.ID, Status: ReplyNotOwner}
 	if known := c.owners[p.index].Owner; p.state != stateAbsent && known.Epoch == p.epoch {
@@ -329,7 +335,7 @@
 	return reply
 }
 
-// noteServing takes in that a node serves whose takeover was known to be under way.
+// markServing notes that a node now serves whose takeover was known to be in progress.
 func (c *Core) markServing(node machine.ID, index int, epoch ownership.Epoch) {
 	if index < 0 || index >= len(c.owners) {
 		return
@@ -339,8 +345,8 @@
 	}
 }
 
-// stuck reports whether the takeover that is known of a partition has made no
-// progress for too long.
+// takeoverStalled reports whether a known takeover of a partition has made no progress for
+// too long.
 func (c *Core) takeoverStalled(now time.Time, index int) bool {
 	known := &c.owners[index]
 	return known.TakingOver && now.Sub(known.receivedAt) > takeoverStallTimeout
