--- a/coordinator/charge_test.go
+++ b/coordinator/charge_test.go
@@ -13,34 +13,34 @@
 )
 
 // account is a tenant whose clients ask all nodes alike, at a pace of their own.
-type account struct {
+type tenantLoad struct {
 	name    string
 	limit   tenant.Limit
 	version uint64
 	// flow is what its clients send.
 	flow
-	asked   int
-	granted []time.Time
-	refused int
-	unknown int
+	requested int
+	granted   []time.Time
+	refused   int
+	unknown   int
 }
 
 // charges drives accounts at a fleet.
-type charges struct {
-	questions[*account]
-	accounts []*account
+type chargeLoad struct {
+	pendingCharges[*tenantLoad]
+	accounts []*tenantLoad
 	// counting are the nodes that counted last, by tenant.
-	counting map[string]machine.ID
+	countingNodes map[string]machine.ID
 	// patience is how long an answer is waited for.
-	patience time.Duration
+	timeout time.Duration
 }
 
-func newCharges(world *fleet, accounts ...*account) *charges {
-	return &charges{questions: newQuestions[*account](world), accounts: accounts, counting: map[string]machine.ID{}, patience: 600 * time.Millisecond}
+func newChargeLoad(world *fleet, accounts ...*tenantLoad) *chargeLoad {
+	return &chargeLoad{pendingCharges: newPendingCharges[*tenantLoad](world), accounts: accounts, countingNodes: map[string]machine.ID{}, timeout: 600 * time.Millisecond}
 }
 
 // run lets the clients send for a while.
-func (c *charges) run(span time.Duration) {
+func (c *chargeLoad) run(span time.Duration) {
 	for end := c.world.now.Add(span); c.world.now.Before(end); {
 		for _, one := range c.accounts {
 			for range one.due() {
@@ -48,27 +48,27 @@
 			}
 		}
 		c.world.run(step)
-		c.collect(c.take)
+		c.collect(c.record)
 	}
 }
 
 // send has a random node that runs ask for one request.
-func (c *charges) send(one *account) {
+func (c *chargeLoad) send(one *tenantLoad) {
 	at, runs := c.anyNode()
 	if !runs {
 		return
 	}
-	one.asked++
-	c.ask(one, at, c.patience, coordinator.Charge{
+	one.requested++
+	c.ask(one, at, c.timeout, coordinator.Charge{
 		Tenant: one.name, Request: tenant.Request{Limit: one.limit, Version: one.version},
 	})
 }
 
 // take takes one answer in.
-func (c *charges) take(one *account, charged coordinator.Charged) {
+func (c *chargeLoad) record(one *tenantLoad, charged coordinator.Charged) {
 	switch charged.Status {
 	case coordinator.ChargeGranted:
-		c.counting[one.name] = charged.Owner
+		c.countingNodes[one.name] = charged.Owner
 		one.granted = append(one.granted, c.world.now)
 	case coordinator.ChargeRefused:
 		one.refused++
@@ -78,7 +78,7 @@
 }
 
 // accepted is what a window of a limit may hold, with what the operator accepts.
-func accepted(limit tenant.Limit) float64 {
+func maxPerWindow(limit tenant.Limit) float64 {
 	config := tenant.DefaultConfig()
 	return (limit.Rate*config.Window.Seconds()+limit.Burst)*(1+config.Overrun) + config.Slack
 }
@@ -100,9 +100,9 @@
 }
 
 // broken names the accounts of which a window held too much.
-func (c *charges) broken() (names []string) {
+func (c *chargeLoad) overLimit() (names []string) {
 	for _, one := range c.accounts {
-		if float64(busiestWindow(one.granted, start)) > accepted(one.limit) {
+		if float64(busiestWindow(one.granted, start)) > maxPerWindow(one.limit) {
 			names = append(names, one.name)
 		}
 	}
@@ -111,16 +111,16 @@
 
 // The accounts of the tests: far beyond its limit, usual use, and a small tenant far
 // beyond its limit.
-func hot() *account {
-	return &account{name: "hot", limit: tenant.Limit{Rate: 200, Burst: 200}, version: 1, flow: flow{perSecond: 550}}
+func overloaded() *tenantLoad {
+	return &tenantLoad{name: "hot", limit: tenant.Limit{Rate: 200, Burst: 200}, version: 1, flow: flow{perSecond: 550}}
 }
 
-func usual() *account {
-	return &account{name: "usual", limit: tenant.Limit{Rate: 80, Burst: 80}, version: 1, flow: flow{perSecond: 50}}
+func moderate() *tenantLoad {
+	return &tenantLoad{name: "usual", limit: tenant.Limit{Rate: 80, Burst: 80}, version: 1, flow: flow{perSecond: 50}}
 }
 
-func small() *account {
-	return &account{name: "small", limit: tenant.Limit{Rate: 3, Burst: 3}, version: 1, flow: flow{perSecond: 9}}
+func small() *tenantLoad {
+	return &tenantLoad{name: "small", limit: tenant.Limit{Rate: 3, Burst: 3}, version: 1, flow: flow{perSecond: 9}}
 }
 
 // countingFleet starts a fleet whose nodes know each other and have counted for long.
@@ -131,82 +131,82 @@
 }
 
 // counter returns the node that counted for a tenant last.
-func (c *charges) counter(name string) machine.ID { return c.counting[name] }
+func (c *chargeLoad) countingNode(name string) machine.ID { return c.countingNodes[name] }
 
 var _ = Describe("The limits of tenants", func() {
 	It("hold over a calm fleet, and nothing is refused below them", func() {
 		for _, nodes := range []int{11, 65} {
-			heavy, steady, light := hot(), usual(), small()
-			load := newCharges(countingFleet(nodes, nil), heavy, steady, light)
+			heavy, steady, light := overloaded(), moderate(), small()
+			load := newChargeLoad(countingFleet(nodes, nil), heavy, steady, light)
 			load.run(12 * time.Second)
-			Expect(load.broken()).To(BeEmpty())
-			Expect((steady.refused + steady.unknown) * 200).To(BeNumerically("<", steady.asked))
+			Expect(load.overLimit()).To(BeEmpty())
+			Expect((steady.refused + steady.unknown) * 200).To(BeNumerically("<", steady.requested))
 			Expect(len(heavy.granted)).To(BeNumerically(">=", 0.95*12*240))
 			Expect(len(light.granted)).To(BeNumerically(">=", 0.9*12*3.6))
 		}
 	})
 
 	It("hold over 295 nodes, also when nodes that count are lost, stand still, and are cut off", func() {
-		heavy, light := hot(), small()
-		load := newCharges(countingFleet(295, nil), heavy, light)
+		heavy, light := overloaded(), small()
+		load := newChargeLoad(countingFleet(295, nil), heavy, light)
 		load.run(6 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 		Expect(len(heavy.granted)).To(BeNumerically(">=", 1000))
-		load.world.kill(load.counter("hot"))
-		load.world.nodes[load.counter("small")].frozen = true
+		load.world.kill(load.countingNode("hot"))
+		load.world.nodes[load.countingNode("small")].frozen = true
 		load.run(3 * time.Second)
-		load.world.nodes[load.counter("small")].frozen = false
-		load.world.cutInTwo()
+		load.world.nodes[load.countingNode("small")].frozen = false
+		load.world.partitionInHalves()
 		load.run(6 * time.Second)
 		load.world.heal()
 		load.run(3 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
 	It("hold when the nodes that count are lost, one after the other", func() {
-		heavy, steady, light := hot(), usual(), small()
-		load := newCharges(countingFleet(65, nil), heavy, steady, light)
+		heavy, steady, light := overloaded(), moderate(), small()
+		load := newChargeLoad(countingFleet(65, nil), heavy, steady, light)
 		for range 4 {
 			load.run(2500 * time.Millisecond)
 			for _, one := range load.accounts {
-				load.world.kill(load.counter(one.name))
+				load.world.kill(load.countingNode(one.name))
 			}
 		}
 		load.run(6 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 		// A loss is noticed after about a second; here four in sixteen.
-		Expect(len(steady.granted)).To(BeNumerically(">=", steady.asked*2/3))
+		Expect(len(steady.granted)).To(BeNumerically(">=", steady.requested*2/3))
 	})
 
 	It("hold when a node that counts stands still and wakes", func() {
-		heavy, light := hot(), small()
-		load := newCharges(countingFleet(65, nil), heavy, light)
+		heavy, light := overloaded(), small()
+		load := newChargeLoad(countingFleet(65, nil), heavy, light)
 		load.run(4 * time.Second)
 		for _, still := range []time.Duration{300 * time.Millisecond, 2 * time.Second} {
-			counting := load.counter("hot")
+			counting := load.countingNode("hot")
 			load.world.nodes[counting].frozen = true
 			load.run(still)
 			load.world.nodes[counting].frozen = false
 			load.run(4 * time.Second)
 		}
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
 	It("hold when the fleet is cut in two, and when it heals", func() {
-		heavy, steady, light := hot(), usual(), small()
-		load := newCharges(countingFleet(65, nil), heavy, steady, light)
+		heavy, steady, light := overloaded(), moderate(), small()
+		load := newChargeLoad(countingFleet(65, nil), heavy, steady, light)
 		load.run(4 * time.Second)
-		load.world.cutInTwo()
+		load.world.partitionInHalves()
 		load.run(12 * time.Second)
 		load.world.heal()
 		load.run(6 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 		Expect(len(heavy.granted)).To(BeNumerically(">=", 22*200*3/4))
 	})
 
 	It("hold when all nodes are killed and start again", func() {
-		heavy, light := hot(), small()
-		load := newCharges(countingFleet(65, nil), heavy, light)
+		heavy, light := overloaded(), small()
+		load := newChargeLoad(countingFleet(65, nil), heavy, light)
 		load.run(4 * time.Second)
 		ids := load.world.ids()
 		for _, id := range ids {
@@ -218,60 +218,60 @@
 		}
 		load.world.list()
 		load.run(10 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 		Expect(len(heavy.granted)).To(BeNumerically(">=", 12*200))
 	})
 
 	It("follow a limit that is lowered and raised, and a tenant that comes and goes", func() {
-		heavy := hot()
-		load := newCharges(countingFleet(65, nil), heavy)
+		heavy := overloaded()
+		load := newChargeLoad(countingFleet(65, nil), heavy)
 		load.run(6 * time.Second)
 		heavy.version, heavy.limit = 2, tenant.Limit{Rate: 10}
 		lowered := load.world.now
 		load.run(12 * time.Second)
-		Expect(float64(busiestWindow(heavy.granted, lowered.Add(tenant.DefaultConfig().Window)))).To(BeNumerically("<=", accepted(heavy.limit)))
+		Expect(float64(busiestWindow(heavy.granted, lowered.Add(tenant.DefaultConfig().Window)))).To(BeNumerically("<=", maxPerWindow(heavy.limit)))
 		heavy.version, heavy.limit = 3, tenant.Limit{Rate: 400}
 		raised := load.world.now
 		load.run(6 * time.Second)
 		Expect(busiestWindow(heavy.granted, raised)).To(BeNumerically(">", 1500))
-		fresh := usual()
+		fresh := moderate()
 		fresh.name = "fresh"
-		load.accounts = []*account{fresh}
+		load.accounts = []*tenantLoad{fresh}
 		load.run(6 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
-		Expect((fresh.refused + fresh.unknown) * 200).To(BeNumerically("<", fresh.asked))
+		Expect(load.overLimit()).To(BeEmpty())
+		Expect((fresh.refused + fresh.unknown) * 200).To(BeNumerically("<", fresh.requested))
 	})
 
 	// The checker notices when a protection is missing.
 	DescribeTable("do not hold without",
-		func(configure func(*coordinator.Config), disturb func(load *charges)) {
-			heavy := hot()
-			load := newCharges(countingFleet(20, configure), heavy)
+		func(configure func(*coordinator.Config), disturb func(load *chargeLoad)) {
+			heavy := overloaded()
+			load := newChargeLoad(countingFleet(20, configure), heavy)
 			load.run(5 * time.Second)
 			disturb(load)
 			load.run(6 * time.Second)
-			Expect(load.broken()).To(Equal([]string{"hot"}))
+			Expect(load.overLimit()).To(Equal([]string{"hot"}))
 		},
-		Entry("the window's own count", func(config *coordinator.Config) { config.Tenants.Window = 500 * time.Millisecond }, func(*charges) {}),
-		Entry("a small bucket, when the nodes that count are lost", func(config *coordinator.Config) { config.Tenants.Overrun = 3 }, func(load *charges) {
+		Entry("the window's own count", func(config *coordinator.Config) { config.Tenants.Window = 500 * time.Millisecond }, func(*chargeLoad) {}),
+		Entry("a small bucket, when the nodes that count are lost", func(config *coordinator.Config) { config.Tenants.Overrun = 3 }, func(load *chargeLoad) {
 			load.accounts[0].perSecond = 0
 			load.run(5 * time.Second)
 			load.accounts[0].perSecond = 3000
 			load.run(600 * time.Millisecond)
-			load.world.kill(load.counter("hot"))
+			load.world.kill(load.countingNode("hot"))
 		}),
-		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.GrantFullLimits = true }, func(load *charges) {
-			load.world.cutInTwo()
+		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.GrantFullLimits = true }, func(load *chargeLoad) {
+			load.world.partitionInHalves()
 			load.run(10 * time.Second)
 		}),
-		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*charges) {}),
+		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*chargeLoad) {}),
 	)
 
 	It("refuse far more where each node counts to its own part", func() {
-		together, alone := usual(), usual()
-		newCharges(countingFleet(65, nil), together).run(6 * time.Second)
-		newCharges(countingFleet(65, func(config *coordinator.Config) { config.CountAlone = true }), alone).run(6 * time.Second)
-		Expect(together.refused * 200).To(BeNumerically("<", together.asked))
+		together, alone := moderate(), moderate()
+		newChargeLoad(countingFleet(65, nil), together).run(6 * time.Second)
+		newChargeLoad(countingFleet(65, func(config *coordinator.Config) { config.CountAlone = true }), alone).run(6 * time.Second)
+		Expect(together.refused * 200).To(BeNumerically("<", together.requested))
 		Expect(alone.refused).To(BeNumerically(">", 10*together.refused+1))
 	})
 })
--- a/coordinator/cold_test.go
+++ b/coordinator/cold_test.go
@@ -17,10 +17,10 @@
 // The cold replicas of the tests: what one bears a second, and how long a request that
 // was granted is on its way at most.
 const (
-	coldRate = 28.0
-	coldWay  = 150 * time.Millisecond
+	coldReplicaRate = 28.0
+	maxTransitTime  = 150 * time.Millisecond
 	// coldPatience is how long a node waits for the node that counts.
-	coldPatience = 100 * time.Millisecond
+	coldChargeTimeout = 100 * time.Millisecond
 )
 
 // coldReplica is a replica that all nodes hold cold.
@@ -28,22 +28,22 @@
 	name string
 	// flow is what all nodes would like to send there.
 	flow
-	arrived []time.Time
-	refused int
-	unknown int
-	counter machine.ID
+	arrived      []time.Time
+	refused      int
+	unknown      int
+	countingNode machine.ID
 }
 
 // coldLoad has all nodes of a fleet send to cold replicas.
 type coldLoad struct {
-	questions[*coldReplica]
+	pendingCharges[*coldReplica]
 	replicas []*coldReplica
 	// unasked sends without asking.
-	unasked bool
+	withoutCharge bool
 }
 
 func newColdLoad(world *fleet, perSecond float64, replicas int) *coldLoad {
-	load := &coldLoad{questions: newQuestions[*coldReplica](world)}
+	load := &coldLoad{pendingCharges: newPendingCharges[*coldReplica](world)}
 	for index := range replicas {
 		load.replicas = append(load.replicas, &coldReplica{name: fmt.Sprintf("r%d", index), flow: flow{perSecond: perSecond}})
 	}
@@ -58,7 +58,7 @@
 			}
 		}
 		c.world.run(step)
-		c.collect(c.take)
+		c.collect(c.record)
 	}
 }
 
@@ -68,25 +68,25 @@
 	if !runs {
 		return
 	}
-	if c.unasked {
+	if c.withoutCharge {
 		c.arrive(one)
 		return
 	}
-	c.ask(one, at, coldPatience, coordinator.Charge{
-		Replica: one.name, Request: tenant.Request{Limit: tenant.Limit{Rate: coldRate}, Version: 1},
+	c.ask(one, at, coldChargeTimeout, coordinator.Charge{
+		Replica: one.name, Request: tenant.Request{Limit: tenant.Limit{Rate: coldReplicaRate}, Version: 1},
 	})
 }
 
 func (c *coldLoad) arrive(one *coldReplica) {
-	way := time.Duration(c.world.random.Float64() * float64(coldWay))
+	way := time.Duration(c.world.random.Float64() * float64(maxTransitTime))
 	one.arrived = append(one.arrived, c.world.now.Add(way))
 }
 
 // take takes one answer in.
-func (c *coldLoad) take(one *coldReplica, charged coordinator.Charged) {
+func (c *coldLoad) record(one *coldReplica, charged coordinator.Charged) {
 	switch charged.Status {
 	case coordinator.ChargeGranted:
-		one.counter = charged.Owner
+		one.countingNode = charged.Owner
 		c.arrive(one)
 	case coordinator.ChargeRefused:
 		one.refused++
@@ -96,9 +96,9 @@
 }
 
 // coldAccepted is what may reach a cold replica in a second.
-func coldAccepted() int {
+func maxPerSecond() int {
 	config := tenant.ColdReplicaConfig()
-	return int(coldRate*config.Window.Seconds()*(1+config.Overrun) + config.Slack)
+	return int(coldReplicaRate*config.Window.Seconds()*(1+config.Overrun) + config.Slack)
 }
 
 // busiestSecond returns the most arrivals of any second, and when it begins.
@@ -117,9 +117,9 @@
 }
 
 // broken returns the replicas of which a second held too much.
-func (c *coldLoad) broken() (names []string) {
+func (c *coldLoad) overLimit() (names []string) {
 	for _, one := range c.replicas {
-		if most, begins := busiestSecond(one.arrived); most > coldAccepted() {
+		if most, begins := busiestSecond(one.arrived); most > maxPerSecond() {
 			names = append(names, fmt.Sprintf("%s: %d from %v on", one.name, most, begins.Sub(start)))
 		}
 	}
@@ -137,26 +137,26 @@
 
 // disturb brings one disturbance about, at nodes that the draw names.
 func (c *coldLoad) disturb(kind byte) {
-	world, counter := c.world, c.replicas[0].counter
+	world, countingNode := c.world, c.replicas[0].countingNode
 	ids := world.ids()
-	if _, runs := world.nodes[counter]; !runs {
-		counter = ids[world.random.IntN(len(ids))]
+	if _, runs := world.nodes[countingNode]; !runs {
+		countingNode = ids[world.random.IntN(len(ids))]
 	}
 	switch kind % 6 {
 	case 0:
-		world.kill(counter)
+		world.kill(countingNode)
 	case 1:
-		world.nodes[counter].frozen = true
+		world.nodes[countingNode].frozen = true
 		c.run(time.Duration(world.random.IntN(2500)) * time.Millisecond)
-		world.nodes[counter].frozen = false
+		world.nodes[countingNode].frozen = false
 	case 2:
-		world.cutInTwo()
+		world.partitionInHalves()
 	case 3:
 		world.heal()
 	case 4:
-		world.kill(counter)
+		world.kill(countingNode)
 		c.run(100 * time.Millisecond)
-		world.start(counter)
+		world.start(countingNode)
 		world.list()
 	case 5:
 		world.start(machine.ID(fmt.Sprintf("new-%02d", len(ids))))
@@ -169,8 +169,8 @@
 		for _, nodes := range []int{11, 74, 295} {
 			load := newColdLoad(countingFleet(nodes, nil), 200, 3)
 			load.run(4 * time.Second)
-			Expect(load.broken()).To(BeEmpty(), "%d nodes", nodes)
-			Expect(load.served(4*time.Second)).To(BeNumerically(">=", 0.9*coldRate), "%d nodes", nodes)
+			Expect(load.overLimit()).To(BeEmpty(), "%d nodes", nodes)
+			Expect(load.served(4*time.Second)).To(BeNumerically(">=", 0.9*coldReplicaRate), "%d nodes", nodes)
 		}
 	})
 
@@ -186,9 +186,9 @@
 		for _, nodes := range []int{11, 74, 295} {
 			load := newColdLoad(countingFleet(nodes, func(config *coordinator.Config) { config.CountAlone = true }), 200, 1)
 			load.run(4 * time.Second)
-			Expect(load.broken()).To(BeEmpty(), "%d nodes", nodes)
-			if nodes > coldRate {
-				Expect(load.served(4*time.Second)).To(BeNumerically("<", 0.5*coldRate), "%d nodes", nodes)
+			Expect(load.overLimit()).To(BeEmpty(), "%d nodes", nodes)
+			if nodes > coldReplicaRate {
+				Expect(load.served(4*time.Second)).To(BeNumerically("<", 0.5*coldReplicaRate), "%d nodes", nodes)
 			}
 		}
 	})
@@ -200,17 +200,17 @@
 			load.disturb(kind)
 		}
 		load.run(2 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
 	It("holds over 295 nodes that are cut in two and heal", func() {
 		load := newColdLoad(countingFleet(295, nil), 200, 1)
 		load.run(time.Second)
-		load.world.cutInTwo()
+		load.world.partitionInHalves()
 		load.run(4 * time.Second)
 		load.world.heal()
 		load.run(2 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
 	It("lets nodes grant nothing that reach no other", func() {
@@ -220,7 +220,7 @@
 			load.world.nodes[id].alone = true
 		}
 		load.run(4 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
 	// The checker notices when the bound is off, or a protection is missing.
@@ -230,12 +230,12 @@
 			load.run(2 * time.Second)
 			disturb(load)
 			load.run(4 * time.Second)
-			Expect(load.broken()).NotTo(BeEmpty())
+			Expect(load.overLimit()).NotTo(BeEmpty())
 		},
-		Entry("a question before each request", nil, func(load *coldLoad) { load.unasked = true }),
+		Entry("a question before each request", nil, func(load *coldLoad) { load.withoutCharge = true }),
 		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*coldLoad) {}),
 		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.GrantFullLimits = true },
-			func(load *coldLoad) { load.world.cutInTwo() }),
+			func(load *coldLoad) { load.world.partitionInHalves() }),
 	)
 })
 
@@ -252,6 +252,6 @@
 			load.disturb(kind)
 		}
 		load.run(2 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -188,9 +188,9 @@
 				world.nodes[id].noticeLag = time.Duration(index%12) * 100 * time.Millisecond
 			}
 			before := world.changeCount()
-			world.turnStore(false)
+			world.setStoreUp(false)
 			world.run(4 * time.Second)
-			world.turnStore(true)
+			world.setStoreUp(true)
 			world.run(8 * time.Second)
 			Expect(world.changeCount()).To(Equal(before))
 		}
@@ -206,14 +206,14 @@
 				lost := world.nodes[owner]
 				others := slices.DeleteFunc(ids, func(id machine.ID) bool { return id == owner })
 				lost.cut = true
-				lost.near = others[:3]
+				lost.reachable = others[:3]
 				world.run(4 * time.Second)
 				for _, id := range others {
 					found, _ := world.nodes[id].core.Owner(world.now, partition)
 					Expect(found.ID).NotTo(Equal(owner), "seed %d, partition %d, as %s sees it", seed, partition, id)
 				}
 				lost.cut = false
-				lost.near = nil
+				lost.reachable = nil
 				world.run(2 * settled)
 			}
 		}
@@ -228,9 +228,9 @@
 			}
 			before := world.changeCount()
 			for range 3 {
-				world.turnStore(false)
+				world.setStoreUp(false)
 				world.run(4 * time.Second)
-				world.turnStore(true)
+				world.setStoreUp(true)
 				world.run(6 * time.Second)
 			}
 			Expect(world.changeCount()).To(Equal(before))
@@ -261,7 +261,7 @@
 
 var _ = Describe("An owner that was frozen and wakes", func() {
 	// wakeFormer freezes an owner until another has taken over and kept a turn.
-	wakeFormer := func(seed uint64) (*fleet, machine.ID, machine.ID) {
+	freezeOwner := func(seed uint64) (*fleet, machine.ID, machine.ID) {
 		world := newFleet(seed, 5, 1)
 		world.run(settled)
 		former := world.owners(0)[0]
@@ -279,7 +279,7 @@
 
 	It("never says that a turn is not kept which its successor keeps", func() {
 		for seed := range uint64(8) {
-			world, former, _ := wakeFormer(seed)
+			world, former, _ := freezeOwner(seed)
 			world.nodes[former].frozen = false
 			asked := world.ask(former, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "kept"}})
 			Expect(reply(world, former, asked).Status).NotTo(Equal(coordinator.ReplyAbsent))
@@ -325,7 +325,7 @@
 		for id, one := range world.nodes {
 			Expect(one.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
 		}
-		world.joinZones()
+		world.healZones()
 		world.run(settled)
 		for id, one := range world.nodes {
 			Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
@@ -335,7 +335,7 @@
 	It("knows of the cut within a second where its calls to the store fail", func() {
 		for _, seed := range []uint64{16, 17, 18} {
 			world := newZonedFleet(seed, 12, 4)
-			world.contactLag = 1500 * time.Millisecond
+			world.contactTimeout = 1500 * time.Millisecond
 			world.run(settled)
 			cut := world.cutZone("zone-1")
 			world.run(time.Second)
@@ -348,9 +348,9 @@
 	It("is not isolated while calls of all to the store fail", func() {
 		for _, seed := range []uint64{16, 17, 18} {
 			world := newZonedFleet(seed, 12, 4)
-			world.contactLag = 1500 * time.Millisecond
+			world.contactTimeout = 1500 * time.Millisecond
 			world.run(settled)
-			world.turnStore(false)
+			world.setStoreUp(false)
 			for range 40 {
 				world.run(50 * time.Millisecond)
 				for id, one := range world.nodes {
@@ -363,7 +363,7 @@
 	It("is not isolated while the store is away from all", func() {
 		world := newZonedFleet(17, 12, 4)
 		world.run(settled)
-		world.turnStore(false)
+		world.setStoreUp(false)
 		world.run(2 * settled)
 		for id, one := range world.nodes {
 			Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
--- a/coordinator/flow_test.go
+++ b/coordinator/flow_test.go
@@ -12,37 +12,37 @@
 type flow struct {
 	perSecond float64
 	// owed is what is to be sent by now.
-	owed float64
+	backlog float64
 }
 
 // due returns how many requests are to be sent in the next step.
 func (f *flow) due() (count int) {
-	f.owed += f.perSecond * step.Seconds()
-	for ; f.owed >= 1; f.owed-- {
+	f.backlog += f.perSecond * step.Seconds()
+	for ; f.backlog >= 1; f.backlog-- {
 		count++
 	}
 	return count
 }
 
 // questions are charges that nodes of a fleet were asked for, each on behalf of a T.
-type questions[T any] struct {
+type pendingCharges[T any] struct {
 	world *fleet
 	// open are those without an answer.
-	open map[uint64]openQuestion[T]
+	open map[uint64]pendingCharge[T]
 	next uint64
 }
 
-type openQuestion[T any] struct {
-	of T
-	at machine.ID
+type pendingCharge[T any] struct {
+	source T
+	node   machine.ID
 }
 
-func newQuestions[T any](world *fleet) questions[T] {
-	return questions[T]{world: world, open: map[uint64]openQuestion[T]{}}
+func newPendingCharges[T any](world *fleet) pendingCharges[T] {
+	return pendingCharges[T]{world: world, open: map[uint64]pendingCharge[T]{}}
 }
 
 // anyNode draws a node; false where it does not run.
-func (q *questions[T]) anyNode() (machine.ID, bool) {
+func (q *pendingCharges[T]) anyNode() (machine.ID, bool) {
 	ids := q.world.ids()
 	if len(ids) == 0 {
 		return "", false
@@ -52,24 +52,24 @@
 }
 
 // ask has a node ask for a charge, under an id of its own.
-func (q *questions[T]) ask(of T, at machine.ID, patience time.Duration, charge coordinator.Charge) {
+func (q *pendingCharges[T]) ask(source T, node machine.ID, patience time.Duration, charge coordinator.Charge) {
 	q.next++
-	q.open[q.next] = openQuestion[T]{of: of, at: at}
+	q.open[q.next] = pendingCharge[T]{source: source, node: node}
 	charge.Request.ID = fmt.Sprint(q.next)
-	q.world.send(at, 0, coordinator.ChargeRequested{ID: q.next, Patience: patience, Charge: charge})
+	q.world.send(node, 0, coordinator.ChargeRequested{ID: q.next, Patience: patience, Charge: charge})
 }
 
 // collect takes the answers in.
-func (q *questions[T]) collect(take func(of T, charged coordinator.Charged)) {
+func (q *pendingCharges[T]) collect(take func(source T, charged coordinator.Charged)) {
 	for _, id := range q.world.ids() {
 		member := q.world.nodes[id]
 		for _, charged := range member.charged {
 			open, known := q.open[charged.ID]
-			if !known || open.at != id {
+			if !known || open.node != id {
 				continue
 			}
 			delete(q.open, charged.ID)
-			take(open.of, charged)
+			take(open.source, charged)
 		}
 		member.charged = nil
 	}
--- a/coordinator/gathering_test.go
+++ b/coordinator/gathering_test.go
@@ -50,7 +50,7 @@
 }
 
 // heardOf returns how many requests of others at the replica each node heard of last.
-func heardOf(world *fleet) (heard []int) {
+func reportedRequests(world *fleet) (heard []int) {
 	for _, id := range world.ids() {
 		if totals := world.nodes[id].totals; totals != nil && world.now.Sub(totals.At) < time.Second {
 			heard = append(heard, totals.Counts[gather.KeyOf("r")])
@@ -64,16 +64,16 @@
 	It("tells all nodes of a large fleet what the others have", func() {
 		world := gatherFleet(gatherNodes, nil)
 		runLoads(world, 3*time.Second)
-		Expect(heardOf(world)).To(Equal([]int{gatherNodes - 1}))
+		Expect(reportedRequests(world)).To(Equal([]int{gatherNodes - 1}))
 	})
 
 	It("sends nothing in a fleet whose nodes hear each other often, or where it is switched off", func() {
 		off := func(config *coordinator.Config) { config.GatherNothing = true }
 		for _, world := range []*fleet{gatherFleet(12, nil), gatherFleet(gatherNodes, off)} {
 			runLoads(world, 3*time.Second)
-			Expect(heardOf(world)).To(BeEmpty())
+			Expect(reportedRequests(world)).To(BeEmpty())
 			for _, id := range world.ids() {
-				Expect(world.nodes[id].gathered).To(BeZero())
+				Expect(world.nodes[id].gatherMessages).To(BeZero())
 			}
 		}
 	})
@@ -84,9 +84,9 @@
 			config.GatherNothing = config.Membership.Self.ID == collector
 		})
 		runLoads(world, 3*time.Second)
-		Expect(world.nodes[collector].gathered).To(BeZero())
+		Expect(world.nodes[collector].gatherMessages).To(BeZero())
 		// Nodes that try the silent collector again hear nothing for a few reports.
-		heard := heardOf(world)
+		heard := reportedRequests(world)
 		Expect(heard[len(heard)-1]).To(Equal(gatherNodes - 2))
 		Expect(world.nodes["node-01"].totals.Nodes).To(BeNumerically("<", gatherNodes-1))
 	})
@@ -97,12 +97,12 @@
 		collector := world.nodes["node-00"].core.Roles().Collectors[0].ID
 		world.kill(collector)
 		runLoads(world, 2*time.Second)
-		Expect(heardOf(world)).To(Equal([]int{gatherNodes - 2}))
+		Expect(reportedRequests(world)).To(Equal([]int{gatherNodes - 2}))
 		// It is not seen to be dead yet when the others have left it.
 		second := world.nodes[world.ids()[0]].core.Roles().Collectors[0].ID
 		world.nodes[second].frozen = true
 		runLoads(world, 2*time.Second)
 		world.nodes[second].totals = nil
-		Expect(heardOf(world)).To(Equal([]int{gatherNodes - 3}))
+		Expect(reportedRequests(world)).To(Equal([]int{gatherNodes - 3}))
 	})
 })
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -34,27 +34,27 @@
 	partitions int
 	random     *rand.Rand
 	nodes      map[machine.ID]*member
-	due        []delivery
+	inTransit  []delivery
 	store      map[int]*streamState
 	// appends counts those that nodes began.
-	appends int
+	appendCount int
 	// storeDown has the store answer nothing.
 	storeDown bool
 	// contactLag is how long after its last answer the store counts as reached.
-	contactLag time.Duration
+	contactTimeout time.Duration
 	// turned is when storeDown changed last through turnStore.
-	turned time.Time
-	nextID uint64
+	storeChangedAt time.Time
+	nextID         uint64
 	// pageTakes is how long the store takes for a page of a takeover.
-	pageTakes time.Duration
+	pageDelay time.Duration
 	// lossOf is the share of the messages between nodes that are lost.
-	lossOf float64
+	lossRate float64
 	// zoneOf places the nodes; nil has all in one zone.
 	zoneOf func(machine.ID) zone.Name
 	// wins are when a node began to serve a partition, for each.
-	wins map[int][]time.Time
+	gainedAt map[int][]time.Time
 	// handed is how often one was given up in order.
-	handed map[int]int
+	handovers map[int]int
 	// configure changes the settings of the nodes; nil leaves them.
 	configure func(*coordinator.Config)
 	// expect asserts for the test that the fleet is of.
@@ -70,13 +70,13 @@
 	// alone nodes exchange no messages with others.
 	alone bool
 	// near nodes exchange messages with these alone, where there are any.
-	near []machine.ID
+	reachable []machine.ID
 	// noticeLag is how long after a turn of the store the node notices it.
 	noticeLag time.Duration
 	// contacted is when the store answered the node last.
-	contacted time.Time
-	replies   map[uint64]coordinator.Reply
-	changes   []coordinator.Change
+	lastStoreAnswer time.Time
+	replies         map[uint64]coordinator.Reply
+	changes         []coordinator.Change
 	// charged are the answers to charges that were not collected yet.
 	charged []coordinator.Charged
 	// proven is when the node's configuration was the newest by word of a peer.
@@ -84,8 +84,8 @@
 	// newer are peers that hold a newer configuration, not collected yet.
 	newer []coordinator.PeerVersion
 	// totals are what a collector told last, and gathered counts messages about loads.
-	totals   *gather.Totals
-	gathered int
+	totals         *gather.Totals
+	gatherMessages int
 }
 
 // delivery is an event on its way.
@@ -114,7 +114,7 @@
 	world := &fleet{
 		configure: configure, now: start, partitions: partitions, random: rand.New(rand.NewPCG(seed, 1)),
 		nodes: map[machine.ID]*member{}, store: map[int]*streamState{},
-		wins: map[int][]time.Time{}, handed: map[int]int{}, expect: Expect,
+		gainedAt: map[int][]time.Time{}, handovers: map[int]int{}, expect: Expect,
 	}
 	for index := range partitions {
 		world.store[index] = &streamState{records: map[string]ledger.Record{}}
@@ -177,7 +177,7 @@
 		for _, id := range f.ids() {
 			if one := f.nodes[id]; !one.frozen {
 				if !f.storeDown && !one.cut {
-					one.contacted = f.now
+					one.lastStoreAnswer = f.now
 				}
 				one.core.Step(f.now, f.contactOf(one))
 				one.core.Step(f.now, coordinator.Tick{})
@@ -190,20 +190,20 @@
 // contactOf is what a node knows of its contact with the store.
 func (f *fleet) contactOf(one *member) coordinator.Contact {
 	reached := f.reaches(one)
-	lately := f.now.Sub(one.contacted) < f.contactLag
-	return coordinator.Contact{Reached: reached || lately, Last: one.contacted, Failing: lately && !reached}
+	lately := f.now.Sub(one.lastStoreAnswer) < f.contactTimeout
+	return coordinator.Contact{Reached: reached || lately, Last: one.lastStoreAnswer, Failing: lately && !reached}
 }
 
 // turnStore has the store answer, or not.
-func (f *fleet) turnStore(up bool) {
+func (f *fleet) setStoreUp(up bool) {
 	f.storeDown = !up
-	f.turned = f.now
+	f.storeChangedAt = f.now
 }
 
 // reaches reports whether a node believes that it reaches the store.
 func (f *fleet) reaches(one *member) bool {
 	down := f.storeDown
-	if f.now.Sub(f.turned) < one.noticeLag {
+	if f.now.Sub(f.storeChangedAt) < one.noticeLag {
 		down = !down
 	}
 	return !down && !one.cut
@@ -220,14 +220,14 @@
 
 // deliver hands over what has arrived. A frozen node's events wait.
 func (f *fleet) deliver() {
-	due := f.due
-	f.due = nil
-	for _, one := range due {
+	inTransit := f.inTransit
+	f.inTransit = nil
+	for _, one := range inTransit {
 		target := f.nodes[one.to]
 		waits := one.at.After(f.now) || (target != nil && target.frozen)
 		switch {
 		case waits:
-			f.due = append(f.due, one)
+			f.inTransit = append(f.inTransit, one)
 		case one.call != nil:
 			one.call()
 		case target != nil:
@@ -238,7 +238,7 @@
 }
 
 func (f *fleet) send(to machine.ID, delay time.Duration, event coordinator.Event) {
-	f.due = append(f.due, delivery{at: f.now.Add(delay), to: to, event: event})
+	f.inTransit = append(f.inTransit, delivery{at: f.now.Add(delay), to: to, event: event})
 }
 
 // perform carries out what a core has ready.
@@ -249,13 +249,13 @@
 	}
 	for _, message := range ready.Messages {
 		if message.Message.Gather != nil {
-			one.gathered++
+			one.gatherMessages++
 		}
 		target := f.nodes[message.To.ID]
-		if one.alone || (target != nil && (target.alone || !near(one, target))) {
+		if one.alone || (target != nil && (target.alone || !reachable(one, target))) {
 			continue
 		}
-		if f.lossOf > 0 && f.random.Float64() < f.lossOf {
+		if f.lossRate > 0 && f.random.Float64() < f.lossRate {
 			continue
 		}
 		f.send(message.To.ID, peerDelay, coordinator.PeerReceived{Message: message.Message})
@@ -267,16 +267,16 @@
 		f.callStore(id, func() { f.takeOver(id, takeover) })
 	}
 	for _, batch := range ready.Appends {
-		f.appends++
+		f.appendCount++
 		f.callStore(id, func() { f.append(id, batch) })
 	}
 	one.changes = append(one.changes, ready.Changes...)
 	for _, change := range ready.Changes {
 		if change.Reason == "handed over" {
-			f.handed[change.Partition]++
+			f.handovers[change.Partition]++
 		}
 		if change.Owned {
-			f.wins[change.Partition] = append(f.wins[change.Partition], f.now)
+			f.gainedAt[change.Partition] = append(f.gainedAt[change.Partition], f.now)
 		}
 	}
 	one.charged = append(one.charged, ready.Charged...)
@@ -287,33 +287,35 @@
 }
 
 // cutInTwo lets each half of the nodes exchange messages with its own half alone.
-func (f *fleet) cutInTwo() {
+func (f *fleet) partitionInHalves() {
 	ids := f.ids()
 	for index, id := range ids {
 		half := ids[:len(ids)/2]
 		if index >= len(ids)/2 {
 			half = ids[len(ids)/2:]
 		}
-		f.nodes[id].near = half
+		f.nodes[id].reachable = half
 	}
 }
 
 // heal lets all nodes exchange messages again.
 func (f *fleet) heal() {
 	for _, one := range f.nodes {
-		one.near = nil
+		one.reachable = nil
 	}
 }
 
 // near reports whether two nodes exchange messages as far as their limits go.
-func near(one, other *member) bool {
-	allows := func(from, to *member) bool { return len(from.near) == 0 || slices.Contains(from.near, to.self.ID) }
+func reachable(one, other *member) bool {
+	allows := func(from, to *member) bool {
+		return len(from.reachable) == 0 || slices.Contains(from.reachable, to.self.ID)
+	}
 	return allows(one, other) && allows(other, one)
 }
 
 // callStore carries out a call once the store can be reached.
 func (f *fleet) callStore(from machine.ID, call func()) {
-	f.due = append(f.due, delivery{at: f.now.Add(appendDelay / 2), call: func() {
+	f.inTransit = append(f.inTransit, delivery{at: f.now.Add(appendDelay / 2), call: func() {
 		sender := f.nodes[from]
 		switch {
 		case f.storeDown && sender == nil:
@@ -350,7 +352,7 @@
 	f.send(id, delay, coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch})
 	records := stream.sorted()
 	for page := range slices.Chunk(records, pageRecords) {
-		delay += f.pageTakes
+		delay += f.pageDelay
 		f.send(id, delay, coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch, Records: page})
 	}
 	f.send(id, delay, coordinator.TakenOver{Partition: takeover.Partition, Epoch: takeover.Epoch})
--- a/coordinator/large_test.go
+++ b/coordinator/large_test.go
@@ -15,12 +15,12 @@
 	largeNodes      = 150
 	largePartitions = 24
 	// Each node that cutEvery divides loses the store, owners among them.
-	cutEvery = 3
+	storeCutEvery = 3
 )
 
 // ablePartitions returns how many partitions are served by a node that reaches the
 // store.
-func ablePartitions(world *fleet) (able int) {
+func servablePartitions(world *fleet) (able int) {
 	for partition := range world.partitions {
 		if slices.ContainsFunc(world.owners(partition), func(id machine.ID) bool { return !world.nodes[id].cut }) {
 			able++
@@ -31,7 +31,7 @@
 
 // lostRequests returns how many pairs of a node and a partition there are where the
 // node takes one for the owner that does not serve, or cannot record.
-func lostRequests(world *fleet) (lost int) {
+func wrongOwners(world *fleet) (lost int) {
 	for partition := range world.partitions {
 		owners := world.owners(partition)
 		for _, id := range world.ids() {
@@ -48,15 +48,15 @@
 	It("takes the partitions of many nodes that lose the store at once over, and all know it", func() {
 		world := newFleet(5, largeNodes, largePartitions)
 		world.run(settled)
-		Expect(lostRequests(world)).To(BeZero())
+		Expect(wrongOwners(world)).To(BeZero())
 		for index, id := range world.ids() {
-			world.nodes[id].cut = index%cutEvery == 0
+			world.nodes[id].cut = index%storeCutEvery == 0
 		}
-		Expect(ablePartitions(world)).To(BeNumerically("<", largePartitions))
+		Expect(servablePartitions(world)).To(BeNumerically("<", largePartitions))
 		world.run(1500 * time.Millisecond)
-		Expect(ablePartitions(world)).To(Equal(largePartitions))
+		Expect(servablePartitions(world)).To(Equal(largePartitions))
 		world.run(500 * time.Millisecond)
-		Expect(lostRequests(world)).To(BeZero())
+		Expect(wrongOwners(world)).To(BeZero())
 	})
 
 	It("tells all nodes of an owner's successor", func() {
@@ -64,6 +64,6 @@
 		world.run(settled)
 		world.kill(world.owners(0)[0])
 		world.run(3 * time.Second)
-		Expect(lostRequests(world)).To(BeZero())
+		Expect(wrongOwners(world)).To(BeZero())
 	})
 })
--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -63,7 +63,7 @@
 	afterAppend uint64
 	reply       Reply
 	// askedAt is when the request arrived.
-	askedAt time.Time
+	requestedAt time.Time
 }
 
 // heldRequest is a request that waits for the takeover in progress.
@@ -106,7 +106,7 @@
 		return true
 	case p.ledger.Pending():
 		return now.Sub(p.appendSentAt) >= c.config.MinAppendInterval
-	case len(p.epochChecks) > 0 && now.Sub(p.epochChecks[0].askedAt) >= c.config.AbsenceProofDelay:
+	case len(p.epochChecks) > 0 && now.Sub(p.epochChecks[0].requestedAt) >= c.config.AbsenceProofDelay:
 		return true
 	default:
 		return c.keepaliveDue(now, p)
--- a/coordinator/pause_test.go
+++ b/coordinator/pause_test.go
@@ -14,8 +14,8 @@
 
 // keepSome has an owner keep turns that end one shortly after the other, and returns how
 // many appends that took.
-func keepSome(world *fleet, owner machine.ID, turns int) int {
-	before := world.appends
+func storeTurns(world *fleet, owner machine.ID, turns int) int {
+	before := world.appendCount
 	var asked []uint64
 	for index := range turns {
 		keep := &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: fmt.Sprintf("t-%d", index), Program: "p", Input: []byte("in"), Retain: time.Minute}}
@@ -25,17 +25,17 @@
 	for _, id := range asked {
 		Expect(reply(world, owner, id).Status).To(Equal(coordinator.ReplyDone))
 	}
-	return world.appends - before
+	return world.appendCount - before
 }
 
 var _ = Describe("Appends to one partition", func() {
 	It("are shared by turns that end shortly after each other", func() {
 		world := newFleet(31, 3, 1)
 		world.run(settled)
-		paused := keepSome(world, world.owners(0)[0], 12)
+		paused := storeTurns(world, world.owners(0)[0], 12)
 		world = newFleetWith(31, 3, 1, func(config *coordinator.Config) { config.MinAppendInterval = 0 })
 		world.run(settled)
-		Expect(2 * paused).To(BeNumerically("<=", keepSome(world, world.owners(0)[0], 12)))
+		Expect(2 * paused).To(BeNumerically("<=", storeTurns(world, world.owners(0)[0], 12)))
 	})
 
 	It("begin at once where none was made lately", func() {
@@ -52,14 +52,14 @@
 		world := newFleet(33, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		before := world.appends
+		before := world.appendCount
 		find := world.ask(owner, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "none"}})
 		world.run(4 * step)
-		Expect(world.appends).To(Equal(before))
+		Expect(world.appendCount).To(Equal(before))
 		keep := world.ask(owner, 0, coordinator.Request{Keep: &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "t", Program: "p", Retain: time.Minute}}})
 		Expect(reply(world, owner, keep).Status).To(Equal(coordinator.ReplyDone))
 		Expect(reply(world, owner, find).Status).To(Equal(coordinator.ReplyAbsent))
-		Expect(world.appends).To(Equal(before + 1))
+		Expect(world.appendCount).To(Equal(before + 1))
 	})
 
 	It("prove the absence of a turn also where no record is due", func() {
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -194,8 +194,8 @@
 // failureIsLocal reports whether a node's failure to reach the store, reported at heardAt,
 // concerns that node alone: the store has answered this node since, and has been reachable
 // for storeRecoveryGrace.
-func (c *Core) failureIsLocal(now, heardAt time.Time) bool {
-	return c.lastStoreAnswer.After(heardAt) && now.Sub(c.storeReachableSince) >= storeRecoveryGrace
+func (c *Core) failureIsLocal(now, reportedAt time.Time) bool {
+	return c.lastStoreAnswer.After(reportedAt) && now.Sub(c.storeReachableSince) >= storeRecoveryGrace
 }
 
 // Owner returns the node that serves the partition as far as this node knows: the owner by
--- a/coordinator/proof.go
+++ b/coordinator/proof.go
@@ -107,7 +107,7 @@
 
 // acceptFreshness accepts a peer's proof, dated the claim's age before the request. The
 // proof is valid only if this node holds the configuration that was the newest then.
-func (c *Core) acceptFreshness(from machine.Machine, claim FreshnessMessage, askedAt time.Time) {
+func (c *Core) acceptFreshness(from machine.Machine, claim FreshnessMessage, requestedAt time.Time) {
 	if claim.Version == 0 {
 		return
 	}
@@ -115,7 +115,7 @@
 		c.ready.Newer = append(c.ready.Newer, PeerVersion{From: from, Version: claim.Version})
 		return
 	}
-	if provenAt := askedAt.Add(-claim.Age); provenAt.After(c.freshness.provenAt) {
+	if provenAt := requestedAt.Add(-claim.Age); provenAt.After(c.freshness.provenAt) {
 		c.freshness.provenAt = provenAt
 		c.freshness.version = max(c.freshness.version, claim.Version)
 		c.ready.Proven = provenAt
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -12,7 +12,7 @@
 )
 
 // proofs drives what nodes of a fleet know of the newest configuration.
-type proofs struct {
+type freshnessRun struct {
 	world *fleet
 	// version is the newest configuration in the store, and changed when it became so.
 	version uint64
@@ -26,11 +26,11 @@
 	reads             int
 	// early names the nodes that claimed proof of a time after the change while they
 	// held the configuration before it.
-	early []machine.ID
+	tooFresh []machine.ID
 }
 
-func newProofs(world *fleet, wait, readersWait time.Duration) *proofs {
-	driven := &proofs{
+func newFreshnessRun(world *fleet, wait, readersWait time.Duration) *freshnessRun {
+	driven := &freshnessRun{
 		world: world, version: 1, held: map[machine.ID]uint64{}, proven: map[machine.ID]time.Time{},
 		nextAt: map[machine.ID]time.Time{}, sentAt: map[machine.ID]time.Time{}, wait: wait, readersWait: readersWait,
 	}
@@ -41,7 +41,7 @@
 	return driven
 }
 
-func (p *proofs) run(span time.Duration) {
+func (p *freshnessRun) run(span time.Duration) {
 	for end := p.world.now.Add(span); p.world.now.Before(end); {
 		for _, id := range p.world.ids() {
 			p.read(id)
@@ -52,14 +52,14 @@
 }
 
 // read carries out the read of the configuration that a node has under way.
-func (p *proofs) read(id machine.ID) {
+func (p *freshnessRun) read(id machine.ID) {
 	one := p.world.nodes[id]
 	if one.frozen || p.world.now.Before(p.nextAt[id]) {
 		return
 	}
 	if p.world.reaches(one) {
 		p.held[id] = p.version
-		p.note(id, p.sentAt[id])
+		p.recordProof(id, p.sentAt[id])
 		one.core.Step(p.world.now, coordinator.ProofNoted{At: p.sentAt[id], Version: p.version})
 		one.core.Step(p.world.now, coordinator.Loads{Version: p.version})
 	}
@@ -73,21 +73,21 @@
 }
 
 // note takes a proof in, and holds it against what the node holds.
-func (p *proofs) note(id machine.ID, at time.Time) {
+func (p *freshnessRun) recordProof(id machine.ID, at time.Time) {
 	if at.After(p.proven[id]) {
 		p.proven[id] = at
 	}
 	if p.held[id] < p.version && p.proven[id].After(p.changed) {
-		p.early = append(p.early, id)
+		p.tooFresh = append(p.tooFresh, id)
 	}
 }
 
 // collect takes the proofs of peers in, and has nodes fetch what peers hold.
-func (p *proofs) collect() {
+func (p *freshnessRun) collect() {
 	for _, id := range p.world.ids() {
 		one := p.world.nodes[id]
 		if !one.proven.IsZero() {
-			p.note(id, one.proven)
+			p.recordProof(id, one.proven)
 		}
 		for _, newer := range one.newer {
 			p.held[id] = max(p.held[id], newer.Version)
@@ -98,7 +98,7 @@
 }
 
 // ages returns how old the proofs of the nodes are, the youngest first.
-func (p *proofs) ages() (ages []time.Duration) {
+func (p *freshnessRun) ages() (ages []time.Duration) {
 	for _, id := range p.world.ids() {
 		ages = append(ages, p.world.now.Sub(p.proven[id]))
 	}
@@ -111,7 +111,7 @@
 		for _, nodes := range []int{11, 65, 295} {
 			world := newFleet(5, nodes, 2)
 			world.run(2 * time.Second)
-			word := newProofs(world, 2*time.Second, 300*time.Millisecond)
+			word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
 			word.run(5 * time.Second)
 			calm := word.ages()
 			for index, id := range world.ids() {
@@ -129,7 +129,7 @@
 	It("is never younger than the truth, whoever stands still, is cut off or starts anew", func() {
 		world := newFleet(6, 20, 2)
 		world.run(2 * time.Second)
-		word := newProofs(world, 2*time.Second, 300*time.Millisecond)
+		word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
 		word.run(5 * time.Second)
 		for round := range 12 {
 			for _, id := range world.ids() {
@@ -149,7 +149,7 @@
 				world.list()
 			}
 		}
-		Expect(word.early).To(BeEmpty())
+		Expect(word.tooFresh).To(BeEmpty())
 	})
 
 	It("is dated from the question, however late the answer is read", func() {
@@ -199,9 +199,9 @@
 	It("grows old where no node reaches the store", func() {
 		world := newFleet(7, 20, 2)
 		world.run(2 * time.Second)
-		word := newProofs(world, 2*time.Second, 300*time.Millisecond)
+		word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
 		word.run(5 * time.Second)
-		world.turnStore(false)
+		world.setStoreUp(false)
 		word.run(5 * time.Second)
 		Expect(word.ages()[0]).To(BeNumerically(">=", 5*time.Second))
 	})
--- a/coordinator/redirect_test.go
+++ b/coordinator/redirect_test.go
@@ -14,19 +14,19 @@
 
 // A fleet whose nodes are stopped and started again one after the other.
 const (
-	rolledNodes   = 60
-	rolledTenants = 40
+	restartNodes   = 60
+	restartTenants = 40
 	// rollGap lies between two stops; a node ends rollDrain after it was told to, and is
 	// back after rollDown.
-	rollGap   = 300 * time.Millisecond
-	rollDrain = 3 * time.Second
-	rollDown  = 500 * time.Millisecond
+	stopInterval = 300 * time.Millisecond
+	drainTime    = 3 * time.Second
+	downTime     = 500 * time.Millisecond
 	// rollPatience is that of the nodes of edge.
-	rollPatience = 900 * time.Millisecond
+	chargeTimeout = 900 * time.Millisecond
 )
 
 // roll stops each node in turn and starts it again, while the accounts' clients send.
-func (c *charges) roll(ids []machine.ID) {
+func (c *chargeLoad) rollingRestart(ids []machine.ID) {
 	world, begun := c.world, c.world.now
 	type stopped struct {
 		id machine.ID
@@ -37,17 +37,17 @@
 		return len(list) > 0 && world.now.Sub(list[0].at) >= after
 	}
 	for next := 0; next < len(ids) || len(draining)+len(down) > 0; c.run(50 * time.Millisecond) {
-		if next < len(ids) && world.now.Sub(begun) >= time.Duration(next)*rollGap {
+		if next < len(ids) && world.now.Sub(begun) >= time.Duration(next)*stopInterval {
 			world.nodes[ids[next]].core.Step(world.now, coordinator.Leave{})
 			draining = append(draining, stopped{id: ids[next], at: world.now})
 			next++
 		}
-		if due(draining, rollDrain) {
+		if due(draining, drainTime) {
 			world.kill(draining[0].id)
 			down = append(down, stopped{id: draining[0].id, at: world.now})
 			draining = draining[1:]
 		}
-		if due(down, rollDown) {
+		if due(down, downTime) {
 			world.start(down[0].id)
 			world.list()
 			down = down[1:]
@@ -58,24 +58,24 @@
 var _ = Describe("Requests that count to limits while nodes are stopped in turn", func() {
 	// unanswered returns the share of the requests that nobody answered in time.
 	unanswered := func(configure func(*coordinator.Config)) float64 {
-		world := countingFleet(rolledNodes, configure)
-		var accounts []*account
-		for index := range rolledTenants {
-			accounts = append(accounts, &account{
+		world := countingFleet(restartNodes, configure)
+		var accounts []*tenantLoad
+		for index := range restartTenants {
+			accounts = append(accounts, &tenantLoad{
 				name: fmt.Sprintf("tenant-%d", index), limit: tenant.Limit{Rate: 30, Burst: 30}, version: 1, flow: flow{perSecond: 10},
 			})
 		}
-		sent := newCharges(world, accounts...)
-		sent.patience = rollPatience
-		sent.roll(world.ids()[:rolledNodes/2])
-		asked, unknown := 0, 0
+		sent := newChargeLoad(world, accounts...)
+		sent.timeout = chargeTimeout
+		sent.rollingRestart(world.ids()[:restartNodes/2])
+		requested, unknown := 0, 0
 		for _, one := range accounts {
-			asked += one.asked
+			requested += one.requested
 			unknown += one.unknown
 		}
-		AddReportEntry("unknown of asked", fmt.Sprintf("%d of %d", unknown, asked))
-		Expect(sent.broken()).To(BeEmpty())
-		return float64(unknown) / float64(asked)
+		AddReportEntry("unknown of asked", fmt.Sprintf("%d of %d", unknown, requested))
+		Expect(sent.overLimit()).To(BeEmpty())
+		return float64(unknown) / float64(requested)
 	}
 
 	It("are answered by whoever counts, though nodes hear of each other late", func() {
--- a/coordinator/replica_test.go
+++ b/coordinator/replica_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("The replica that served a kept turn", func() {
 	// keepTurn has an owner keep a turn that a replica served.
-	keepTurn := func(world *fleet) {
+	storeServedTurn := func(world *fleet) {
 		owner := world.owners(0)[0]
 		kept := ledger.KeptTurn{
 			ID: "kept", Program: "p", Input: []byte("in"), Output: []byte("out"), Replica: "r1", Retain: time.Minute,
@@ -22,7 +22,7 @@
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
 	}
 	// goOn asks the present owner for a turn that goes on from it.
-	goOn := func(world *fleet, session string) string {
+	continueTurn := func(world *fleet, session string) string {
 		owner := world.owners(0)[0]
 		next := turn("next-" + session)
 		next.Turn.Program, next.Turn.Session, next.Previous = "p", session, "kept"
@@ -34,21 +34,21 @@
 	It("is told to the lines that go on from the turn, also new ones", func() {
 		world := newFleet(1, 3, 1)
 		world.run(settled)
-		keepTurn(world)
-		Expect(goOn(world, "s")).To(Equal("r1"))
-		Expect(goOn(world, "child")).To(Equal("r1"))
+		storeServedTurn(world)
+		Expect(continueTurn(world, "s")).To(Equal("r1"))
+		Expect(continueTurn(world, "child")).To(Equal("r1"))
 	})
 
 	It("is known after the loss of all nodes", func() {
 		world := newFleet(2, 3, 1)
 		world.run(settled)
-		keepTurn(world)
+		storeServedTurn(world)
 		for _, id := range world.ids() {
 			world.kill(id)
 			world.start(id)
 		}
 		world.list()
 		world.run(settled)
-		Expect(goOn(world, "s")).To(Equal("r1"))
+		Expect(continueTurn(world, "s")).To(Equal("r1"))
 	})
 })
--- a/coordinator/restoring_test.go
+++ b/coordinator/restoring_test.go
@@ -31,7 +31,7 @@
 		}
 		return ledger.Record{Key: "turn/" + id, Value: []byte(value + "}")}
 	}
-	going := func(id, previous string, hasChain bool) coordinator.Request {
+	admitContinuing := func(id, previous string, hasChain bool) coordinator.Request {
 		admit := turn(id)
 		admit.Previous, admit.HasChain = previous, hasChain
 		return coordinator.Request{Admit: admit}
@@ -59,15 +59,15 @@
 	})
 
 	It("serves first turns once the accounts are read, and holds what needs a turn that is not", func() {
-		ask(1, going("t1", "", false))
+		ask(1, admitContinuing("t1", "", false))
 		read()
 		read(ledger.Record{Key: "account/p", Value: []byte(`{"mark":50,"retain_ms":60000}`)})
 		Expect(statuses()).To(BeEmpty())
 		read(keptTurn("a", ""), keptTurn("c", "b"))
 		Expect(statuses()).To(Equal(map[uint64]coordinator.ReplyStatus{1: coordinator.ReplyDone}))
-		ask(2, going("t2", "a", false))
-		ask(3, going("t3", "unread", true))
-		ask(4, going("t4", "c", false))
+		ask(2, admitContinuing("t2", "a", false))
+		ask(3, admitContinuing("t3", "unread", true))
+		ask(4, admitContinuing("t4", "c", false))
 		ask(5, coordinator.Request{Find: &coordinator.FindRequest{Turn: "unread"}})
 		Expect(statuses()).To(Equal(map[uint64]coordinator.ReplyStatus{2: coordinator.ReplyDone, 3: coordinator.ReplyDone}))
 		read(keptTurn("b", ""))
@@ -76,7 +76,7 @@
 
 	It("says that a turn is not there only once all is read", func() {
 		read(keptTurn("a", ""))
-		ask(1, going("t1", "nowhere", false))
+		ask(1, admitContinuing("t1", "nowhere", false))
 		Expect(statuses()).To(BeEmpty())
 		core.Step(now, coordinator.TakenOver{Partition: 0, Epoch: epoch.Epoch})
 		Expect(statuses()).To(Equal(map[uint64]coordinator.ReplyStatus{1: coordinator.ReplyAbsent}))
@@ -84,7 +84,7 @@
 
 	It("is asked again where the turn is not read in time", func() {
 		read(keptTurn("a", ""))
-		ask(1, going("t1", "unread", false))
+		ask(1, admitContinuing("t1", "unread", false))
 		core.Step(now.Add(time.Second), coordinator.Tick{})
 		Expect(statuses()).To(Equal(map[uint64]coordinator.ReplyStatus{1: coordinator.ReplyNotOwner}))
 	})
--- a/coordinator/roles_test.go
+++ b/coordinator/roles_test.go
@@ -14,7 +14,7 @@
 )
 
 // rolesNodes returns the nodes of a fleet over five zones, one in six of them strong.
-func rolesNodes(count int) []machine.Machine {
+func roleNodes(count int) []machine.Machine {
 	nodes := make([]machine.Machine, 0, count)
 	for index := range count {
 		weight := 5.0
@@ -34,7 +34,7 @@
 func TestRolesDoNotGrow(t *testing.T) {
 	g := NewWithT(t)
 	for _, count := range []int{984, 2_000} {
-		nodes := rolesNodes(count)
+		nodes := roleNodes(count)
 		sources, readers := make(map[machine.ID]bool), make(map[machine.ID]bool)
 		for index := 0; index < count; index += 97 {
 			now := time.Unix(1000, 0)
@@ -63,7 +63,7 @@
 func TestWeakNodesServeNobody(t *testing.T) {
 	g := NewWithT(t)
 	for fleet := range 40 {
-		nodes := rolesNodes(150)
+		nodes := roleNodes(150)
 		for index := range nodes {
 			nodes[index].ID = machine.ID(fmt.Sprintf("fleet-%d-%s", fleet, nodes[index].ID))
 		}
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -46,9 +46,9 @@
 		p.ledger.Settle(now, *body.Settle)
 		c.reply(Reply{ID: request.ID, Status: ReplyDone, Epoch: p.epoch})
 	case body.Keep != nil:
-		c.keep(now, p, request.ID, body.Keep)
+		c.storeTurn(now, p, request.ID, body.Keep)
 	case body.Find != nil:
-		c.find(now, p, request.ID, body.Find)
+		c.findChain(now, p, request.ID, body.Find)
 	default:
 		c.reply(Reply{ID: request.ID, Status: ReplyNotOwner})
 	}
@@ -81,7 +81,7 @@
 }
 
 // keep stores a complete turn, and answers once it is durable.
-func (c *Core) keep(now time.Time, p *partition, id uint64, request *KeepRequest) {
+func (c *Core) storeTurn(now time.Time, p *partition, id uint64, request *KeepRequest) {
 	previous := request.Turn.Previous
 	if previous != "" && !request.HasBase && !p.ledger.Holds(previous) {
 		c.reply(Reply{ID: id, Status: ReplyAbsent, Epoch: p.epoch})
@@ -110,7 +110,7 @@
 
 // find replies with the chain of a turn, or with its absence once an append has proven that
 // this node still owns the partition.
-func (c *Core) find(now time.Time, p *partition, id uint64, request *FindRequest) {
+func (c *Core) findChain(now time.Time, p *partition, id uint64, request *FindRequest) {
 	chain, found := p.ledger.Chain(request.Turn)
 	if found {
 		c.reply(Reply{ID: id, Status: ReplyDone, Epoch: p.epoch, Chain: chain})
@@ -121,5 +121,5 @@
 		return
 	}
 	absent := Reply{ID: id, Status: ReplyAbsent, Epoch: p.epoch, Scoped: true}
-	p.epochChecks = append(p.epochChecks, epochCheck{id: id, afterAppend: p.appendsBegun, reply: absent, askedAt: now})
+	p.epochChecks = append(p.epochChecks, epochCheck{id: id, afterAppend: p.appendsBegun, reply: absent, requestedAt: now})
 }
--- a/coordinator/takeover_test.go
+++ b/coordinator/takeover_test.go
@@ -22,7 +22,7 @@
 	zoneCount    = 4
 	// lossWatched covers the takeovers after a loss, and handing back to nodes that rank
 	// first by the views of afterwards.
-	lossWatched = 9 * time.Second
+	lossObservation = 9 * time.Second
 )
 
 // zoneByName deals the nodes out to zones by the last digit of their names.
@@ -58,19 +58,19 @@
 }
 
 // forget drops what was counted of changes of ownership.
-func (f *fleet) forget() {
-	clear(f.wins)
-	clear(f.handed)
+func (f *fleet) resetCounts() {
+	clear(f.gainedAt)
+	clear(f.handovers)
 }
 
 // mostWins returns how often a partition changed hands at most, besides handing over
 // in order, of which there may be one, and how long after a time the last one was
 // served first.
-func (f *fleet) mostWins(since time.Time) (most int, last time.Duration) {
-	for partition, wins := range f.wins {
-		f.expect(f.handed[partition]).To(gomega.BeNumerically("<=", 1))
-		most = max(most, len(wins)-f.handed[partition])
-		last = max(last, wins[0].Sub(since))
+func (f *fleet) mostGains(since time.Time) (most int, last time.Duration) {
+	for partition, gainedAt := range f.gainedAt {
+		f.expect(f.handovers[partition]).To(gomega.BeNumerically("<=", 1))
+		most = max(most, len(gainedAt)-f.handovers[partition])
+		last = max(last, gainedAt[0].Sub(since))
 	}
 	return most, last
 }
@@ -83,7 +83,7 @@
 }
 
 // killShare ends each node whose place is a multiple of every.
-func killShare(world *fleet, every int) {
+func killEveryNth(world *fleet, every int) {
 	for index, id := range world.ids() {
 		if index%every == 0 {
 			world.kill(id)
@@ -102,25 +102,25 @@
 		}
 	}
 	for _, id := range world.ids() {
-		world.nodes[id].near = outside
+		world.nodes[id].reachable = outside
 		if slices.Contains(inside, id) {
-			world.nodes[id].near = inside
+			world.nodes[id].reachable = inside
 		}
 	}
 }
 
 // takeoverFleet is a size of fleet in which takeovers are tested.
-type takeoverFleet struct{ nodes, partitions int }
+type fleetSize struct{ nodes, partitions int }
 
 // The sizes: those at which each takeover is tested, and one with many more nodes than
 // partitions.
 var (
-	takeoverFleets = []takeoverFleet{{11, 24}, {74, 24}, {74, 400}}
-	widestFleet    = takeoverFleet{295, 24}
+	fleetSizes   = []fleetSize{{11, 24}, {74, 24}, {74, 400}}
+	largestFleet = fleetSize{295, 24}
 )
 
 // inFleets runs a test in worlds of several sizes side by side: they share nothing.
-func inFleets(t *testing.T, fleets []takeoverFleet, run func(t *testing.T, size takeoverFleet)) {
+func forEachSize(t *testing.T, fleets []fleetSize, run func(t *testing.T, size fleetSize)) {
 	t.Helper()
 	for _, size := range fleets {
 		t.Run(fmt.Sprintf("%d nodes, %d partitions", size.nodes, size.partitions), func(t *testing.T) {
@@ -131,43 +131,43 @@
 }
 
 // reportWins logs how ownership changed since a time, and returns how often it did at most.
-func reportWins(t *testing.T, world *fleet, since time.Time) int {
+func reportGains(t *testing.T, world *fleet, since time.Time) int {
 	t.Helper()
-	most, last := world.mostWins(since)
+	most, last := world.mostGains(since)
 	t.Logf("changes of hands %d, time to the last partition's first turn %v", most, last)
 	return most
 }
 
 // TestTakeoversAfterTheLossOfHalfTheNodes converge while each takes seconds.
 func TestTakeoversAfterTheLossOfHalfTheNodes(t *testing.T) {
-	inFleets(t, append(slices.Clone(takeoverFleets), widestFleet), func(t *testing.T, size takeoverFleet) {
+	forEachSize(t, append(slices.Clone(fleetSizes), largestFleet), func(t *testing.T, size fleetSize) {
 		world := newFilledFleet(t, 31, size.nodes, size.partitions)
-		world.forget()
-		world.pageTakes = slowPage
-		killShare(world, 2)
+		world.resetCounts()
+		world.pageDelay = slowPage
+		killEveryNth(world, 2)
 		since := world.now
-		world.run(lossWatched)
-		world.expect(reportWins(t, world, since)).To(gomega.Equal(1))
+		world.run(lossObservation)
+		world.expect(reportGains(t, world, since)).To(gomega.Equal(1))
 		expectOwners(world)
 	})
 }
 
 // TestTakeoversAfterTheLossOfAllNodes converge while each takes seconds.
 func TestTakeoversAfterTheLossOfAllNodes(t *testing.T) {
-	inFleets(t, takeoverFleets, func(t *testing.T, size takeoverFleet) {
+	forEachSize(t, fleetSizes, func(t *testing.T, size fleetSize) {
 		world := newFilledFleet(t, 32, size.nodes, size.partitions)
 		ids := world.ids()
-		world.forget()
-		world.pageTakes = slowPage
-		killShare(world, 1)
+		world.resetCounts()
+		world.pageDelay = slowPage
+		killEveryNth(world, 1)
 		world.run(step)
 		for _, id := range ids {
 			world.start(id)
 		}
 		world.list()
 		since := world.now
-		world.run(lossWatched)
-		world.expect(reportWins(t, world, since)).To(gomega.Equal(1))
+		world.run(lossObservation)
+		world.expect(reportGains(t, world, since)).To(gomega.Equal(1))
 		expectOwners(world)
 	})
 }
@@ -175,17 +175,17 @@
 // TestTakeoversWhileAZoneIsCutOff do not go back and forth, though the zone reaches the
 // store.
 func TestTakeoversWhileAZoneIsCutOff(t *testing.T) {
-	inFleets(t, takeoverFleets, func(t *testing.T, size takeoverFleet) {
+	forEachSize(t, fleetSizes, func(t *testing.T, size fleetSize) {
 		world := newFilledFleet(t, 33, size.nodes, size.partitions)
-		world.forget()
+		world.resetCounts()
 		cutZone(world, "zone-1")
 		since := world.now
 		world.run(14 * time.Second)
-		world.expect(reportWins(t, world, since)).To(gomega.Equal(1))
-		world.forget()
+		world.expect(reportGains(t, world, since)).To(gomega.Equal(1))
+		world.resetCounts()
 		world.heal()
 		world.run(7 * time.Second)
-		world.expect(reportWins(t, world, world.now)).To(gomega.BeZero())
+		world.expect(reportGains(t, world, world.now)).To(gomega.BeZero())
 		expectOwners(world)
 	})
 }
@@ -194,12 +194,12 @@
 func TestTakeoversWhileAZoneIsCutOffAndMessagesAreLost(t *testing.T) {
 	t.Parallel()
 	world := newFilledFleet(t, 34, 74, 24)
-	world.forget()
-	world.pageTakes = slowPage
-	world.lossOf = 0.05
+	world.resetCounts()
+	world.pageDelay = slowPage
+	world.lossRate = 0.05
 	cutZone(world, "zone-1")
-	killShare(world, 5)
+	killEveryNth(world, 5)
 	since := world.now
 	world.run(20 * time.Second)
-	world.expect(reportWins(t, world, since)).To(gomega.Equal(1))
+	world.expect(reportGains(t, world, since)).To(gomega.Equal(1))
 }
--- a/coordinator/zones_test.go
+++ b/coordinator/zones_test.go
@@ -23,18 +23,18 @@
 	inside := f.nodesOf(name)
 	for id, one := range f.nodes {
 		one.cut = slices.Contains(inside, id)
-		one.near = inside
+		one.reachable = inside
 		if !one.cut {
-			one.near = f.nodesOutside(name)
+			one.reachable = f.nodesOutside(name)
 		}
 	}
 	return inside
 }
 
 // joinZones ends a cut.
-func (f *fleet) joinZones() {
+func (f *fleet) healZones() {
 	for _, one := range f.nodes {
-		one.cut, one.near = false, nil
+		one.cut, one.reachable = false, nil
 	}
 }
 
