--- a/coordinator/charge_test.go
+++ b/coordinator/charge_test.go
@@ -12,12 +12,12 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// account is a tenant whose clients ask all nodes alike, at a pace of their own.
+// tenantLoad is a tenant whose clients send requests to all nodes alike, at a fixed rate.
 type tenantLoad struct {
 	name    string
 	limit   tenant.Limit
 	version uint64
-	// flow is what its clients send.
+	// flow is the rate at which its clients send.
 	flow
 	requested int
 	granted   []time.Time
@@ -25,13 +25,13 @@
 	unknown   int
 }
 
-// charges drives accounts at a fleet.
+// chargeLoad sends the requests of tenants to a fleet.
 type chargeLoad struct {
 	pendingCharges[*tenantLoad]
 	accounts []*tenantLoad
-	// counting are the nodes that counted last, by tenant.
+	// countingNodes holds the last counting node of each tenant.
 	countingNodes map[string]machine.ID
-	// patience is how long an answer is waited for.
+	// timeout is how long a node waits for an answer.
 	timeout time.Duration
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// send has a random node that runs ask for one request.
+// send has a random running node request a charge.
 func (c *chargeLoad) send(one *tenantLoad) {
 	at, runs := c.anyNode()
 	if !runs {
@@ -64,7 +64,7 @@
 	})
 }
 
-// take takes one answer in.
+// record counts an answer.
 func (c *chargeLoad) record(one *tenantLoad, charged coordinator.Charged) {
 	switch charged.Status {
 	case coordinator.ChargeGranted:
@@ -77,13 +77,14 @@
 	}
 }
 
-// accepted is what a window of a limit may hold, with what the operator accepts.
+// maxPerWindow returns how many requests a window of a limit may contain, including the
+// overrun that the operator accepts.
 func maxPerWindow(limit tenant.Limit) float64 {
 	config := tenant.DefaultConfig()
 	return (limit.Rate*config.Window.Seconds()+limit.Burst)*(1+config.Overrun) + config.Slack
 }
 
-// busiestWindow returns the most grants of any window from a time on.
+// busiestWindow returns the most grants in any window that starts at or after a time.
 func busiestWindow(granted []time.Time, from time.Time) int {
 	first := slices.IndexFunc(granted, func(at time.Time) bool { return !at.Before(from) })
 	if first < 0 {
@@ -99,7 +100,7 @@
 	return most
 }
 
-// broken names the accounts of which a window held too much.
+// overLimit returns the names of the tenants for which a window contained too many grants.
 func (c *chargeLoad) overLimit() (names []string) {
 	for _, one := range c.accounts {
 		if float64(busiestWindow(one.granted, start)) > maxPerWindow(one.limit) {
@@ -109,8 +110,8 @@
 	return names
 }
 
-// The accounts of the tests: far beyond its limit, usual use, and a small tenant far
-// beyond its limit.
+// The tenants of the tests: one far above its limit, one below its limit, and a small one
+// far above its limit.
 func overloaded() *tenantLoad {
 	return &tenantLoad{name: "hot", limit: tenant.Limit{Rate: 200, Burst: 200}, version: 1, flow: flow{perSecond: 550}}
 }
@@ -123,14 +124,15 @@
 	return &tenantLoad{name: "small", limit: tenant.Limit{Rate: 3, Burst: 3}, version: 1, flow: flow{perSecond: 9}}
 }
 
-// countingFleet starts a fleet whose nodes know each other and have counted for long.
+// countingFleet starts a fleet and runs it until its nodes know each other and have been
+// counting for some time.
 func countingFleet(nodes int, configure func(*coordinator.Config)) *fleet {
 	world := newFleetWith(7, nodes, 2, configure)
 	world.run(7 * time.Second)
 	return world
 }
 
-// counter returns the node that counted for a tenant last.
+// countingNode returns the last counting node of a tenant.
 func (c *chargeLoad) countingNode(name string) machine.ID { return c.countingNodes[name] }
 
 var _ = Describe("The limits of tenants", func() {
@@ -174,7 +176,7 @@
 		}
 		load.run(6 * time.Second)
 		Expect(load.overLimit()).To(BeEmpty())
-		// A loss is noticed after about a second; here four in sixteen.
+		// A loss is noticed after about 1 s; here four losses occur in 16 s.
 		Expect(len(steady.granted)).To(BeNumerically(">=", steady.requested*2/3))
 	})
 
@@ -242,7 +244,7 @@
 		Expect((fresh.refused + fresh.unknown) * 200).To(BeNumerically("<", fresh.requested))
 	})
 
-	// The checker notices when a protection is missing.
+	// These specs show that the check fails if a protection is missing.
 	DescribeTable("do not hold without",
 		func(configure func(*coordinator.Config), disturb func(load *chargeLoad)) {
 			heavy := overloaded()
--- a/coordinator/cold_test.go
+++ b/coordinator/cold_test.go
@@ -14,19 +14,19 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// The cold replicas of the tests: what one bears a second, and how long a request that
-// was granted is on its way at most.
+// The cold replicas of the tests: the requests per second that one may receive, and the
+// longest time in transit of a granted request.
 const (
 	coldReplicaRate = 28.0
 	maxTransitTime  = 150 * time.Millisecond
-	// coldPatience is how long a node waits for the node that counts.
+	// coldChargeTimeout is how long a node waits for the counting node.
 	coldChargeTimeout = 100 * time.Millisecond
 )
 
-// coldReplica is a replica that all nodes hold cold.
+// coldReplica is a replica that all nodes consider cold.
 type coldReplica struct {
 	name string
-	// flow is what all nodes would like to send there.
+	// flow is the rate at which all nodes together try to send to the replica.
 	flow
 	arrived      []time.Time
 	refused      int
@@ -38,7 +38,7 @@
 type coldLoad struct {
 	pendingCharges[*coldReplica]
 	replicas []*coldReplica
-	// unasked sends without asking.
+	// withoutCharge sends requests without a charge.
 	withoutCharge bool
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// send has a random node that runs send one request, once it may.
+// send has a random running node send one request, once its charge is granted.
 func (c *coldLoad) send(one *coldReplica) {
 	at, runs := c.anyNode()
 	if !runs {
@@ -82,7 +82,7 @@
 	one.arrived = append(one.arrived, c.world.now.Add(way))
 }
 
-// take takes one answer in.
+// record counts an answer.
 func (c *coldLoad) record(one *coldReplica, charged coordinator.Charged) {
 	switch charged.Status {
 	case coordinator.ChargeGranted:
@@ -95,13 +95,13 @@
 	}
 }
 
-// coldAccepted is what may reach a cold replica in a second.
+// maxPerSecond returns how many requests may reach a cold replica in a second.
 func maxPerSecond() int {
 	config := tenant.ColdReplicaConfig()
 	return int(coldReplicaRate*config.Window.Seconds()*(1+config.Overrun) + config.Slack)
 }
 
-// busiestSecond returns the most arrivals of any second, and when it begins.
+// busiestSecond returns the most arrivals in any second, and when that second begins.
 func busiestSecond(arrived []time.Time) (most int, begins time.Time) {
 	sorted := slices.SortedFunc(slices.Values(arrived), time.Time.Compare)
 	left := 0
@@ -116,7 +116,7 @@
 	return most, begins
 }
 
-// broken returns the replicas of which a second held too much.
+// overLimit returns the replicas that received too many requests in a second.
 func (c *coldLoad) overLimit() (names []string) {
 	for _, one := range c.replicas {
 		if most, begins := busiestSecond(one.arrived); most > maxPerSecond() {
@@ -126,7 +126,7 @@
 	return names
 }
 
-// served is how many requests reached the replicas in a second on the mean.
+// served returns the mean number of requests that reached a replica per second.
 func (c *coldLoad) served(span time.Duration) float64 {
 	total := 0
 	for _, one := range c.replicas {
@@ -135,7 +135,7 @@
 	return float64(total) / float64(len(c.replicas)) / span.Seconds()
 }
 
-// disturb brings one disturbance about, at nodes that the draw names.
+// disturb causes a disturbance of the given kind.
 func (c *coldLoad) disturb(kind byte) {
 	world, countingNode := c.world, c.replicas[0].countingNode
 	ids := world.ids()
@@ -223,7 +223,7 @@
 		Expect(load.overLimit()).To(BeEmpty())
 	})
 
-	// The checker notices when the bound is off, or a protection is missing.
+	// These specs show that the check fails if the bound is off or a protection is missing.
 	DescribeTable("does not hold without",
 		func(configure func(*coordinator.Config), disturb func(load *coldLoad)) {
 			load := newColdLoad(countingFleet(20, configure), 200, 1)
@@ -239,7 +239,7 @@
 	)
 })
 
-// FuzzColdRate disturbs a fleet in any order.
+// FuzzColdRate disturbs a fleet in arbitrary order.
 func FuzzColdRate(f *testing.F) {
 	f.Add([]byte{0, 1, 2})
 	f.Add([]byte{2, 0, 3, 4})
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -13,10 +13,10 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// settled is long enough for a fleet to have found its owners.
+// settled is long enough for a fleet to have an owner for each partition.
 const settled = 3 * time.Second
 
-// reply lets the time pass until a node has answered.
+// reply runs the fleet until a node has answered.
 func reply(world *fleet, from machine.ID, id uint64) coordinator.Reply {
 	for range 400 {
 		if found, answered := world.nodes[from].replies[id]; answered {
@@ -28,7 +28,7 @@
 	return coordinator.Reply{}
 }
 
-// serveAll has every owner serve a turn of a program.
+// serveAll has every owner admit a turn of a new program.
 func serveAll(world *fleet) {
 	for partition := range world.partitions {
 		for _, owner := range world.owners(partition) {
@@ -260,7 +260,7 @@
 })
 
 var _ = Describe("An owner that was frozen and wakes", func() {
-	// wakeFormer freezes an owner until another has taken over and kept a turn.
+	// freezeOwner freezes an owner until another node has taken over and stored a turn.
 	freezeOwner := func(seed uint64) (*fleet, machine.ID, machine.ID) {
 		world := newFleet(seed, 5, 1)
 		world.run(settled)
@@ -409,14 +409,14 @@
 })
 
 var _ = Describe("While the log takes no records", func() {
-	// unrecorded has the fleet's programs begin before the log knows of them.
+	// unrecorded returns a fleet whose programs may start before the log contains them.
 	unrecorded := func(seed uint64, nodes int) *fleet {
 		world := newFleetWith(seed, nodes, 1, func(config *coordinator.Config) {
 			config.Ledger.UnrecordedShare = 0.5
 			config.Ledger.UnrecordedFor = 8 * time.Second
 		})
 		world.run(settled)
-		// The log says that programs may begin unrecorded once there was one.
+		// Once one program was admitted, the log says that programs may start unrecorded.
 		before := turn("before")
 		before.Turn.Program = "before"
 		reply(world, world.owners(0)[0], world.ask(world.owners(0)[0], 0, coordinator.Request{Admit: before}))
--- a/coordinator/find_test.go
+++ b/coordinator/find_test.go
@@ -48,7 +48,8 @@
 		asked.Turn.Budget = asked.Turn.Most
 		end := ledger.Settlement{Turn: "given up", Program: "p", Session: "s"}
 		for len(world.owners(0)) == 0 {
-			// Whoever takes the partition over is asked, and nobody waits for the answer.
+			// Send the turn and its end to every node, so that the one that takes over gets
+			// them, and do not wait for the replies.
 			for _, id := range world.ids() {
 				world.ask(id, 0, coordinator.Request{Admit: asked})
 				world.ask(id, 0, coordinator.Request{Settle: &end})
--- a/coordinator/flow_test.go
+++ b/coordinator/flow_test.go
@@ -11,11 +11,11 @@
 // flow is a steady stream of requests.
 type flow struct {
 	perSecond float64
-	// owed is what is to be sent by now.
+	// backlog is the number of requests due but not yet sent.
 	backlog float64
 }
 
-// due returns how many requests are to be sent in the next step.
+// due returns how many requests are due in the next step.
 func (f *flow) due() (count int) {
 	f.backlog += f.perSecond * step.Seconds()
 	for ; f.backlog >= 1; f.backlog-- {
@@ -24,10 +24,11 @@
 	return count
 }
 
-// questions are charges that nodes of a fleet were asked for, each on behalf of a T.
+// pendingCharges tracks the charges requested of the nodes of a fleet, each on behalf of a
+// T.
 type pendingCharges[T any] struct {
 	world *fleet
-	// open are those without an answer.
+	// open holds the unanswered charges.
 	open map[uint64]pendingCharge[T]
 	next uint64
 }
@@ -41,7 +42,7 @@
 	return pendingCharges[T]{world: world, open: map[uint64]pendingCharge[T]{}}
 }
 
-// anyNode draws a node; false where it does not run.
+// anyNode returns a random node, and whether it is running.
 func (q *pendingCharges[T]) anyNode() (machine.ID, bool) {
 	ids := q.world.ids()
 	if len(ids) == 0 {
@@ -51,7 +52,7 @@
 	return at, !q.world.nodes[at].frozen
 }
 
-// ask has a node ask for a charge, under an id of its own.
+// ask has a node request a charge under a new ID.
 func (q *pendingCharges[T]) ask(source T, node machine.ID, patience time.Duration, charge coordinator.Charge) {
 	q.next++
 	q.open[q.next] = pendingCharge[T]{source: source, node: node}
@@ -59,7 +60,7 @@
 	q.world.send(node, 0, coordinator.ChargeRequested{ID: q.next, Patience: patience, Charge: charge})
 }
 
-// collect takes the answers in.
+// collect passes the answers to take.
 func (q *pendingCharges[T]) collect(take func(source T, charged coordinator.Charged)) {
 	for _, id := range q.world.ids() {
 		member := q.world.nodes[id]
--- a/coordinator/gathering_test.go
+++ b/coordinator/gathering_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// gatherNodes is more than hear each other often, and reportPeriod the time between
-	// two looks of a node at its own loads.
+	// gatherNodes is too many for statuses alone to report loads often enough. reportPeriod
+	// is the time between two reports of a node's own loads.
 	gatherNodes  = 42
 	reportPeriod = 100 * time.Millisecond
 )
 
-// gatherFleet returns a fleet over three zones.
+// gatherFleet returns a fleet with three zones.
 func gatherFleet(nodes int, configure func(*coordinator.Config)) *fleet {
 	world := newFleetWith(8, 0, 3, configure)
 	zones := make(map[machine.ID]zone.Name)
@@ -36,7 +36,7 @@
 	return world
 }
 
-// runLoads lets the time pass while each node has one request at a replica.
+// runLoads runs the fleet while each node has one request at a replica.
 func runLoads(world *fleet, span time.Duration) {
 	for range int(span / reportPeriod) {
 		for _, id := range world.ids() {
@@ -49,7 +49,8 @@
 	}
 }
 
-// heardOf returns how many requests of others at the replica each node heard of last.
+// reportedRequests returns the distinct numbers of other nodes' requests at the replica
+// that the nodes last received.
 func reportedRequests(world *fleet) (heard []int) {
 	for _, id := range world.ids() {
 		if totals := world.nodes[id].totals; totals != nil && world.now.Sub(totals.At) < time.Second {
@@ -85,7 +86,7 @@
 		})
 		runLoads(world, 3*time.Second)
 		Expect(world.nodes[collector].gatherMessages).To(BeZero())
-		// Nodes that try the silent collector again hear nothing for a few reports.
+		// Nodes that try the silent collector again receive no totals for a few reports.
 		heard := reportedRequests(world)
 		Expect(heard[len(heard)-1]).To(Equal(gatherNodes - 2))
 		Expect(world.nodes["node-01"].totals.Nodes).To(BeNumerically("<", gatherNodes-1))
@@ -98,7 +99,7 @@
 		world.kill(collector)
 		runLoads(world, 2*time.Second)
 		Expect(reportedRequests(world)).To(Equal([]int{gatherNodes - 2}))
-		// It is not seen to be dead yet when the others have left it.
+		// The other nodes switch collectors before the frozen one is declared dead.
 		second := world.nodes[world.ids()[0]].core.Roles().Collectors[0].ID
 		world.nodes[second].frozen = true
 		runLoads(world, 2*time.Second)
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -21,14 +21,14 @@
 // start is the beginning of the virtual time.
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// The delays of the virtual world.
+// The delays of the simulation.
 const (
 	step        = 5 * time.Millisecond
 	peerDelay   = 2 * time.Millisecond
 	appendDelay = 8 * time.Millisecond
 )
 
-// fleet runs real cores against one store in virtual time.
+// fleet runs real cores against one simulated store in virtual time.
 type fleet struct {
 	now        time.Time
 	partitions int
@@ -36,28 +36,28 @@
 	nodes      map[machine.ID]*member
 	inTransit  []delivery
 	store      map[int]*streamState
-	// appends counts those that nodes began.
+	// appendCount is the number of appends that nodes have started.
 	appendCount int
-	// storeDown has the store answer nothing.
+	// storeDown makes the store unavailable to all nodes.
 	storeDown bool
-	// contactLag is how long after its last answer the store counts as reached.
+	// contactTimeout is how long after its last answer the store counts as reached.
 	contactTimeout time.Duration
-	// turned is when storeDown changed last through turnStore.
+	// storeChangedAt is when setStoreUp last changed storeDown.
 	storeChangedAt time.Time
 	nextID         uint64
-	// pageTakes is how long the store takes for a page of a takeover.
+	// pageDelay is how long the store takes to return a page of a takeover.
 	pageDelay time.Duration
-	// lossOf is the share of the messages between nodes that are lost.
+	// lossRate is the share of the messages between nodes that are lost.
 	lossRate float64
-	// zoneOf places the nodes; nil has all in one zone.
+	// zoneOf returns the zone of a node; nil puts all nodes into one zone.
 	zoneOf func(machine.ID) zone.Name
-	// wins are when a node began to serve a partition, for each.
+	// gainedAt holds, for each partition, the times at which a node started to serve it.
 	gainedAt map[int][]time.Time
-	// handed is how often one was given up in order.
+	// handovers counts the clean handovers of each partition.
 	handovers map[int]int
-	// configure changes the settings of the nodes; nil leaves them.
+	// configure changes the nodes' configuration; nil leaves it unchanged.
 	configure func(*coordinator.Config)
-	// expect asserts for the test that the fleet is of.
+	// expect makes assertions for the test that uses the fleet.
 	expect func(actual any, extra ...any) types.Assertion
 }
 
@@ -69,38 +69,40 @@
 	cut    bool
 	// alone nodes exchange no messages with others.
 	alone bool
-	// near nodes exchange messages with these alone, where there are any.
+	// reachable, if not empty, lists the only nodes with which the node exchanges messages.
 	reachable []machine.ID
-	// noticeLag is how long after a turn of the store the node notices it.
+	// noticeLag is how long after a change of the store the node notices it.
 	noticeLag time.Duration
-	// contacted is when the store answered the node last.
+	// lastStoreAnswer is when the store last answered the node.
 	lastStoreAnswer time.Time
 	replies         map[uint64]coordinator.Reply
 	changes         []coordinator.Change
-	// charged are the answers to charges that were not collected yet.
+	// charged holds the answers to charges that were not collected yet.
 	charged []coordinator.Charged
-	// proven is when the node's configuration was the newest by word of a peer.
+	// proven is a time at which the node's configuration was the newest, as proven by a
+	// peer.
 	proven time.Time
-	// newer are peers that hold a newer configuration, not collected yet.
+	// newer holds peers with a newer configuration that were not collected yet.
 	newer []coordinator.PeerVersion
-	// totals are what a collector told last, and gathered counts messages about loads.
+	// totals are the last ones from a collector, and gatherMessages counts messages about
+	// loads.
 	totals         *gather.Totals
 	gatherMessages int
 }
 
-// delivery is an event on its way.
+// delivery is an event in transit.
 type delivery struct {
 	at    time.Time
 	to    machine.ID
 	event coordinator.Event
-	// call is carried out at the store instead.
+	// call is executed at the store instead of delivering an event.
 	call func()
 }
 
-// streamState is what the store keeps of one partition.
+// streamState is the store's state of one partition.
 type streamState struct {
 	epoch ownership.Epoch
-	// end counts appends.
+	// end counts the appends and claims.
 	end     uint64
 	records map[string]ledger.Record
 	order   []string
@@ -126,7 +128,7 @@
 	return world
 }
 
-// start starts a node, anew if it ran before.
+// start starts a node, or restarts it.
 func (f *fleet) start(id machine.ID) {
 	self := machine.Machine{
 		ID: id, Kind: machine.KindNode, Zone: "z", Address: "address-of-" + string(id), Status: machine.StatusLive,
@@ -148,7 +150,7 @@
 // kill ends a node's process.
 func (f *fleet) kill(id machine.ID) { delete(f.nodes, id) }
 
-// list has every node read the nodes' addresses from the store.
+// list has every node read the complete node list from the store.
 func (f *fleet) list() {
 	var all []machine.Machine
 	for _, id := range f.ids() {
@@ -168,7 +170,7 @@
 	return ids
 }
 
-// run lets the time pass.
+// run advances the virtual time.
 func (f *fleet) run(span time.Duration) {
 	end := f.now.Add(span)
 	for f.now.Before(end) {
@@ -187,14 +189,14 @@
 	}
 }
 
-// contactOf is what a node knows of its contact with the store.
+// contactOf returns a node's knowledge of its contact with the store.
 func (f *fleet) contactOf(one *member) coordinator.Contact {
 	reached := f.reaches(one)
 	lately := f.now.Sub(one.lastStoreAnswer) < f.contactTimeout
 	return coordinator.Contact{Reached: reached || lately, Last: one.lastStoreAnswer, Failing: lately && !reached}
 }
 
-// turnStore has the store answer, or not.
+// setStoreUp makes the store available or unavailable.
 func (f *fleet) setStoreUp(up bool) {
 	f.storeDown = !up
 	f.storeChangedAt = f.now
@@ -209,7 +211,7 @@
 	return !down && !one.cut
 }
 
-// changeCount returns how often partitions were won or lost.
+// changeCount returns how many times partitions were gained or lost.
 func (f *fleet) changeCount() int {
 	count := 0
 	for _, one := range f.nodes {
@@ -218,7 +220,7 @@
 	return count
 }
 
-// deliver hands over what has arrived. A frozen node's events wait.
+// deliver delivers the events that have arrived. Events for a frozen node wait.
 func (f *fleet) deliver() {
 	inTransit := f.inTransit
 	f.inTransit = nil
@@ -241,7 +243,7 @@
 	f.inTransit = append(f.inTransit, delivery{at: f.now.Add(delay), to: to, event: event})
 }
 
-// perform carries out what a core has ready.
+// perform performs the work that a core has ready.
 func (f *fleet) perform(id machine.ID, one *member) {
 	ready := one.core.Ready()
 	if ready.Totals != nil {
@@ -286,7 +288,7 @@
 	}
 }
 
-// cutInTwo lets each half of the nodes exchange messages with its own half alone.
+// partitionInHalves lets nodes exchange messages only within their half of the fleet.
 func (f *fleet) partitionInHalves() {
 	ids := f.ids()
 	for index, id := range ids {
@@ -305,7 +307,7 @@
 	}
 }
 
-// near reports whether two nodes exchange messages as far as their limits go.
+// reachable reports whether the limits of both nodes let them exchange messages.
 func reachable(one, other *member) bool {
 	allows := func(from, to *member) bool {
 		return len(from.reachable) == 0 || slices.Contains(from.reachable, to.self.ID)
@@ -313,13 +315,13 @@
 	return allows(one, other) && allows(other, one)
 }
 
-// callStore carries out a call once the store can be reached.
+// callStore executes a call once the store can be reached.
 func (f *fleet) callStore(from machine.ID, call func()) {
 	f.inTransit = append(f.inTransit, delivery{at: f.now.Add(appendDelay / 2), call: func() {
 		sender := f.nodes[from]
 		switch {
 		case f.storeDown && sender == nil:
-			// What a lost process had not got through is lost with it.
+			// The process is gone, and its unsent calls with it.
 		case f.storeDown || (sender != nil && sender.cut):
 			f.callStore(from, call)
 		default:
@@ -346,7 +348,7 @@
 	f.readPages(id, takeover, stream)
 }
 
-// readPages answers a takeover whose claim the store has, page by page.
+// readPages answers a takeover page by page after its claim is in the store.
 func (f *fleet) readPages(id machine.ID, takeover coordinator.Takeover, stream *streamState) {
 	delay := appendDelay / 2
 	f.send(id, delay, coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch})
@@ -358,10 +360,10 @@
 	f.send(id, delay, coordinator.TakenOver{Partition: takeover.Partition, Epoch: takeover.Epoch})
 }
 
-// pageRecords is how many records a page of a takeover holds.
+// pageRecords is the number of records in a page of a takeover.
 const pageRecords = 50
 
-// sorted returns the newest records in the order of their keys.
+// sorted returns the newest records in key order.
 func (s *streamState) sorted() []ledger.Record {
 	var records []ledger.Record
 	for _, key := range slices.Sorted(maps.Keys(s.records)) {
@@ -389,14 +391,14 @@
 	f.send(id, appendDelay/2, answer)
 }
 
-// ask puts a request to a node and returns the id of the reply.
+// ask sends a request to a node and returns the ID of the reply.
 func (f *fleet) ask(to machine.ID, partition int, request coordinator.Request) uint64 {
 	f.nextID++
 	f.send(to, 0, coordinator.Requested{ID: f.nextID, Partition: partition, Request: request})
 	return f.nextID
 }
 
-// owners returns the nodes that serve a partition, as they believe.
+// owners returns the nodes that consider themselves the owner of a partition.
 func (f *fleet) owners(partition int) []machine.ID {
 	var owners []machine.ID
 	for _, id := range f.ids() {
@@ -413,7 +415,7 @@
 	return owners
 }
 
-// turn is a turn of at most 100 tokens of a budget of 300.
+// turn returns a request for a turn of at most 100 tokens from a budget of 300.
 func turn(id string) *coordinator.AdmitRequest {
 	return &coordinator.AdmitRequest{Turn: ledger.Turn{
 		ID: id, Program: "p", Session: "s", Most: 100, Budget: 300, Within: time.Second, Retain: time.Minute,
--- a/coordinator/large_test.go
+++ b/coordinator/large_test.go
@@ -10,16 +10,16 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// The fleet of these tests: a node hears each of the others seldom.
+// The fleet of these tests is so large that a node seldom receives messages from each of
+// the others.
 const (
 	largeNodes      = 150
 	largePartitions = 24
-	// Each node that cutEvery divides loses the store, owners among them.
+	// Every storeCutEvery-th node loses the store, owners among them.
 	storeCutEvery = 3
 )
 
-// ablePartitions returns how many partitions are served by a node that reaches the
-// store.
+// servablePartitions returns how many partitions have an owner that reaches the store.
 func servablePartitions(world *fleet) (able int) {
 	for partition := range world.partitions {
 		if slices.ContainsFunc(world.owners(partition), func(id machine.ID) bool { return !world.nodes[id].cut }) {
@@ -29,8 +29,8 @@
 	return able
 }
 
-// lostRequests returns how many pairs of a node and a partition there are where the
-// node takes one for the owner that does not serve, or cannot record.
+// wrongOwners counts the pairs of a node and a partition for which the node has no owner,
+// or one that does not serve the partition or cannot reach the store.
 func wrongOwners(world *fleet) (lost int) {
 	for partition := range world.partitions {
 		owners := world.owners(partition)
--- a/coordinator/pause_test.go
+++ b/coordinator/pause_test.go
@@ -12,7 +12,7 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// keepSome has an owner keep turns that end one shortly after the other, and returns how
+// storeTurns has an owner store turns that end shortly after each other, and returns how
 // many appends that took.
 func storeTurns(world *fleet, owner machine.ID, turns int) int {
 	before := world.appendCount
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -11,21 +11,23 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// proofs drives what nodes of a fleet know of the newest configuration.
+// freshnessRun simulates the nodes' reads of the configuration, and checks their freshness
+// proofs.
 type freshnessRun struct {
 	world *fleet
-	// version is the newest configuration in the store, and changed when it became so.
+	// version is the newest configuration in the store, and changed when it was stored.
 	version uint64
 	changed time.Time
 	held    map[machine.ID]uint64
 	proven  map[machine.ID]time.Time
 	nextAt  map[machine.ID]time.Time
 	sentAt  map[machine.ID]time.Time
-	// wait is how long a read of a node waits; readersWait that of a zone's readers.
+	// wait is how long a node's read takes, and readersWait how long that of a zone's
+	// readers takes.
 	wait, readersWait time.Duration
 	reads             int
-	// early names the nodes that claimed proof of a time after the change while they
-	// held the configuration before it.
+	// tooFresh lists nodes whose proof is dated after the last change although they hold an
+	// older configuration.
 	tooFresh []machine.ID
 }
 
@@ -51,7 +53,7 @@
 	}
 }
 
-// read carries out the read of the configuration that a node has under way.
+// read completes a node's read of the configuration if it is due.
 func (p *freshnessRun) read(id machine.ID) {
 	one := p.world.nodes[id]
 	if one.frozen || p.world.now.Before(p.nextAt[id]) {
@@ -72,7 +74,7 @@
 	p.nextAt[id] = p.world.now.Add(wait)
 }
 
-// note takes a proof in, and holds it against what the node holds.
+// recordProof records a proof, and checks it against the configuration that the node holds.
 func (p *freshnessRun) recordProof(id machine.ID, at time.Time) {
 	if at.After(p.proven[id]) {
 		p.proven[id] = at
@@ -82,7 +84,8 @@
 	}
 }
 
-// collect takes the proofs of peers in, and has nodes fetch what peers hold.
+// collect records the proofs from peers, and has nodes fetch newer configurations from
+// peers.
 func (p *freshnessRun) collect() {
 	for _, id := range p.world.ids() {
 		one := p.world.nodes[id]
@@ -97,7 +100,7 @@
 	}
 }
 
-// ages returns how old the proofs of the nodes are, the youngest first.
+// ages returns the ages of the nodes' proofs in ascending order.
 func (p *freshnessRun) ages() (ages []time.Duration) {
 	for _, id := range p.world.ids() {
 		ages = append(ages, p.world.now.Sub(p.proven[id]))
--- a/coordinator/redirect_test.go
+++ b/coordinator/redirect_test.go
@@ -16,16 +16,16 @@
 const (
 	restartNodes   = 60
 	restartTenants = 40
-	// rollGap lies between two stops; a node ends rollDrain after it was told to, and is
-	// back after rollDown.
+	// stopInterval is the time between two stops. A node ends drainTime after it was told
+	// to stop, and is started again after downTime.
 	stopInterval = 300 * time.Millisecond
 	drainTime    = 3 * time.Second
 	downTime     = 500 * time.Millisecond
-	// rollPatience is that of the nodes of edge.
+	// chargeTimeout is the timeout that package edge uses.
 	chargeTimeout = 900 * time.Millisecond
 )
 
-// roll stops each node in turn and starts it again, while the accounts' clients send.
+// rollingRestart stops and restarts the nodes one after the other while the clients send.
 func (c *chargeLoad) rollingRestart(ids []machine.ID) {
 	world, begun := c.world, c.world.now
 	type stopped struct {
@@ -56,7 +56,7 @@
 }
 
 var _ = Describe("Requests that count to limits while nodes are stopped in turn", func() {
-	// unanswered returns the share of the requests that nobody answered in time.
+	// unanswered returns the share of the requests that no counting node answered in time.
 	unanswered := func(configure func(*coordinator.Config)) float64 {
 		world := countingFleet(restartNodes, configure)
 		var accounts []*tenantLoad
--- a/coordinator/replica_test.go
+++ b/coordinator/replica_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("The replica that served a kept turn", func() {
-	// keepTurn has an owner keep a turn that a replica served.
+	// storeServedTurn has an owner store a turn that a replica served.
 	storeServedTurn := func(world *fleet) {
 		owner := world.owners(0)[0]
 		kept := ledger.KeptTurn{
@@ -21,7 +21,8 @@
 		keep := &coordinator.KeepRequest{Turn: kept, Settlement: settled}
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
 	}
-	// goOn asks the present owner for a turn that goes on from it.
+	// continueTurn requests a turn that continues it from the present owner, and returns
+	// the replica.
 	continueTurn := func(world *fleet, session string) string {
 		owner := world.owners(0)[0]
 		next := turn("next-" + session)
--- a/coordinator/roles_test.go
+++ b/coordinator/roles_test.go
@@ -13,7 +13,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// rolesNodes returns the nodes of a fleet over five zones, one in six of them strong.
+// roleNodes returns the nodes of a fleet with five zones, one in six of them strong.
 func roleNodes(count int) []machine.Machine {
 	nodes := make([]machine.Machine, 0, count)
 	for index := range count {
@@ -29,8 +29,8 @@
 	return nodes
 }
 
-// TestRolesDoNotGrow has as many nodes follow the store in a fleet of 2,000 as of 984, the
-// same by whoever ranks them, and none of them weak.
+// TestRolesDoNotGrow checks that a fleet of 2,000 nodes has as many sources and readers as
+// one of 984, that all nodes agree on them, and that none of them is weak.
 func TestRolesDoNotGrow(t *testing.T) {
 	g := NewWithT(t)
 	for _, count := range []int{984, 2_000} {
@@ -58,8 +58,9 @@
 	}
 }
 
-// TestWeakNodesServeNobody has no weak node be a source or a reader in any of forty fleets
-// with strong ones: one in ten had a weak source by rank and weight alone.
+// TestWeakNodesServeNobody checks that no weak node is a source or a reader in any of 40
+// fleets that have strong nodes. By rank and weight alone, one fleet in ten had a weak
+// source.
 func TestWeakNodesServeNobody(t *testing.T) {
 	g := NewWithT(t)
 	for fleet := range 40 {
--- a/coordinator/takeover_test.go
+++ b/coordinator/takeover_test.go
@@ -13,25 +13,25 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The partitions of these tests: what they hold, and how slow the store is when a
-// takeover takes seconds.
+// The records in the partitions of these tests, and the delay of a page when a takeover
+// takes seconds.
 const (
 	accountsHeld = 20
 	turnsHeld    = 130
 	slowPage     = 1500 * time.Millisecond
 	zoneCount    = 4
-	// lossWatched covers the takeovers after a loss, and handing back to nodes that rank
-	// first by the views of afterwards.
+	// lossObservation covers the takeovers after a loss, and handovers to the nodes that
+	// rank first afterwards.
 	lossObservation = 9 * time.Second
 )
 
-// zoneByName deals the nodes out to zones by the last digit of their names.
+// zoneByName assigns a node to a zone by the last digit of its name.
 func zoneByName(id machine.ID) zone.Name {
 	return zone.Name(fmt.Sprintf("zone-%d", int(id[len(id)-1]-'0')%zoneCount))
 }
 
-// newFilledFleet returns a fleet in zones that has settled, and whose partitions hold
-// accounts and kept turns.
+// newFilledFleet returns a settled fleet with several zones whose partitions contain
+// accounts and stored turns.
 func newFilledFleet(t *testing.T, seed uint64, nodes, partitions int) *fleet {
 	world := newFleet(seed, 0, partitions)
 	world.expect = gomega.NewWithT(t).Expect
@@ -57,15 +57,15 @@
 	}
 }
 
-// forget drops what was counted of changes of ownership.
+// resetCounts resets the counts of ownership changes.
 func (f *fleet) resetCounts() {
 	clear(f.gainedAt)
 	clear(f.handovers)
 }
 
-// mostWins returns how often a partition changed hands at most, besides handing over
-// in order, of which there may be one, and how long after a time the last one was
-// served first.
+// mostGains returns the highest number of times that a partition changed owners, not
+// counting its clean handover, of which it expects at most one. It also returns the longest
+// time after since until a partition was served again.
 func (f *fleet) mostGains(since time.Time) (most int, last time.Duration) {
 	for partition, gainedAt := range f.gainedAt {
 		f.expect(f.handovers[partition]).To(gomega.BeNumerically("<=", 1))
@@ -82,7 +82,7 @@
 	}
 }
 
-// killShare ends each node whose place is a multiple of every.
+// killEveryNth kills each node whose index is a multiple of every.
 func killEveryNth(world *fleet, every int) {
 	for index, id := range world.ids() {
 		if index%every == 0 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// cutZone cuts the nodes of a zone off from all others; all reach the store.
+// cutZone cuts the nodes of a zone off from all others. All nodes still reach the store.
 func cutZone(world *fleet, cut zone.Name) {
 	var inside, outside []machine.ID
 	for _, id := range world.ids() {
@@ -109,17 +109,17 @@
 	}
 }
 
-// takeoverFleet is a size of fleet in which takeovers are tested.
+// fleetSize is a size of fleet for which takeovers are tested.
 type fleetSize struct{ nodes, partitions int }
 
-// The sizes: those at which each takeover is tested, and one with many more nodes than
-// partitions.
+// fleetSizes are the sizes for which each takeover is tested. largestFleet has many more
+// nodes than partitions.
 var (
 	fleetSizes   = []fleetSize{{11, 24}, {74, 24}, {74, 400}}
 	largestFleet = fleetSize{295, 24}
 )
 
-// inFleets runs a test in worlds of several sizes side by side: they share nothing.
+// forEachSize runs a test in parallel for several sizes. The fleets share no state.
 func forEachSize(t *testing.T, fleets []fleetSize, run func(t *testing.T, size fleetSize)) {
 	t.Helper()
 	for _, size := range fleets {
@@ -130,7 +130,8 @@
 	}
 }
 
-// reportWins logs how ownership changed since a time, and returns how often it did at most.
+// reportGains logs the ownership changes since a time, and returns the most of any
+// partition.
 func reportGains(t *testing.T, world *fleet, since time.Time) int {
 	t.Helper()
 	most, last := world.mostGains(since)
@@ -138,7 +139,8 @@
 	return most
 }
 
-// TestTakeoversAfterTheLossOfHalfTheNodes converge while each takes seconds.
+// TestTakeoversAfterTheLossOfHalfTheNodes checks that takeovers converge although each
+// takes seconds.
 func TestTakeoversAfterTheLossOfHalfTheNodes(t *testing.T) {
 	forEachSize(t, append(slices.Clone(fleetSizes), largestFleet), func(t *testing.T, size fleetSize) {
 		world := newFilledFleet(t, 31, size.nodes, size.partitions)
@@ -152,7 +154,8 @@
 	})
 }
 
-// TestTakeoversAfterTheLossOfAllNodes converge while each takes seconds.
+// TestTakeoversAfterTheLossOfAllNodes checks that takeovers converge although each takes
+// seconds.
 func TestTakeoversAfterTheLossOfAllNodes(t *testing.T) {
 	forEachSize(t, fleetSizes, func(t *testing.T, size fleetSize) {
 		world := newFilledFleet(t, 32, size.nodes, size.partitions)
@@ -172,8 +175,8 @@
 	})
 }
 
-// TestTakeoversWhileAZoneIsCutOff do not go back and forth, though the zone reaches the
-// store.
+// TestTakeoversWhileAZoneIsCutOff checks that partitions do not move back and forth
+// although the zone that is cut off reaches the store.
 func TestTakeoversWhileAZoneIsCutOff(t *testing.T) {
 	forEachSize(t, fleetSizes, func(t *testing.T, size fleetSize) {
 		world := newFilledFleet(t, 33, size.nodes, size.partitions)
@@ -190,7 +193,8 @@
 	})
 }
 
-// TestTakeoversWhileAZoneIsCutOffAndMessagesAreLost converge although the store is slow.
+// TestTakeoversWhileAZoneIsCutOffAndMessagesAreLost checks that takeovers converge although
+// the store is slow.
 func TestTakeoversWhileAZoneIsCutOffAndMessagesAreLost(t *testing.T) {
 	t.Parallel()
 	world := newFilledFleet(t, 34, 74, 24)
--- a/coordinator/tick_test.go
+++ b/coordinator/tick_test.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/coordinator"
 )
 
-// BenchmarkTick reports what one node of a settled fleet spends on a tick in which
-// nothing changes, by the number of nodes:
+// BenchmarkTick measures a tick of one node of a settled fleet in which nothing changes, by
+// the number of nodes:
 //
 //	go test -run '^$' -bench Tick ./coordinator
 func BenchmarkTick(b *testing.B) {
--- a/coordinator/zones_test.go
+++ b/coordinator/zones_test.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// newZonedFleet starts nodes that are dealt to zones in turn.
+// newZonedFleet starts nodes and assigns them to zones in turn.
 func newZonedFleet(seed uint64, nodes, zones int) *fleet {
 	started := 0
 	return newFleetWith(seed, nodes, 1, func(config *coordinator.Config) {
@@ -31,7 +31,7 @@
 	return inside
 }
 
-// joinZones ends a cut.
+// healZones ends a cut.
 func (f *fleet) healZones() {
 	for _, one := range f.nodes {
 		one.cut, one.reachable = false, nil
