--- a/coordinator/charge_test.go
+++ b/coordinator/charge_test.go
@@ -42,9 +42,9 @@
 // run lets the clients send for a while.
 func (c *chargeLoad) run(span time.Duration) {
 	for end := c.world.now.Add(span); c.world.now.Before(end); {
-		for _, one := range c.accounts {
-			for range one.due() {
-				c.send(one)
+		for _, client := range c.accounts {
+			for range client.due() {
+				c.send(client)
 			}
 		}
 		c.world.run(step)
@@ -53,27 +53,27 @@
 }
 
 // send has a random running node request a charge.
-func (c *chargeLoad) send(one *tenantLoad) {
+func (c *chargeLoad) send(client *tenantLoad) {
 	at, runs := c.anyNode()
 	if !runs {
 		return
 	}
-	one.requested++
-	c.ask(one, at, c.timeout, coordinator.Charge{
-		Tenant: one.name, Request: tenant.Request{Limit: one.limit, Version: one.version},
+	client.requested++
+	c.ask(client, at, c.timeout, coordinator.Charge{
+		Tenant: client.name, Request: tenant.Request{Limit: client.limit, Version: client.version},
 	})
 }
 
 // record counts an answer.
-func (c *chargeLoad) record(one *tenantLoad, charged coordinator.Charged) {
+func (c *chargeLoad) record(client *tenantLoad, charged coordinator.Charged) {
 	switch charged.Status {
 	case coordinator.ChargeGranted:
-		c.countingNodes[one.name] = charged.Owner
-		one.granted = append(one.granted, c.world.now)
+		c.countingNodes[client.name] = charged.Owner
+		client.granted = append(client.granted, c.world.now)
 	case coordinator.ChargeRefused:
-		one.refused++
+		client.refused++
 	default:
-		one.unknown++
+		client.unknown++
 	}
 }
 
@@ -102,9 +102,9 @@
 
 // overLimit returns the names of the tenants for which a window contained too many grants.
 func (c *chargeLoad) overLimit() (names []string) {
-	for _, one := range c.accounts {
-		if float64(busiestWindow(one.granted, start)) > maxPerWindow(one.limit) {
-			names = append(names, one.name)
+	for _, client := range c.accounts {
+		if float64(busiestWindow(client.granted, start)) > maxPerWindow(client.limit) {
+			names = append(names, client.name)
 		}
 	}
 	return names
@@ -170,8 +170,8 @@
 		load := newChargeLoad(countingFleet(65, nil), heavy, steady, light)
 		for range 4 {
 			load.run(2500 * time.Millisecond)
-			for _, one := range load.accounts {
-				load.world.kill(load.countingNode(one.name))
+			for _, client := range load.accounts {
+				load.world.kill(load.countingNode(client.name))
 			}
 		}
 		load.run(6 * time.Second)
--- a/coordinator/cold_test.go
+++ b/coordinator/cold_test.go
@@ -52,9 +52,9 @@
 
 func (c *coldLoad) run(span time.Duration) {
 	for end := c.world.now.Add(span); c.world.now.Before(end); {
-		for _, one := range c.replicas {
-			for range one.due() {
-				c.send(one)
+		for _, target := range c.replicas {
+			for range target.due() {
+				c.send(target)
 			}
 		}
 		c.world.run(step)
@@ -63,35 +63,35 @@
 }
 
 // send has a random running node send one request, once its charge is granted.
-func (c *coldLoad) send(one *coldReplica) {
+func (c *coldLoad) send(target *coldReplica) {
 	at, runs := c.anyNode()
 	if !runs {
 		return
 	}
 	if c.withoutCharge {
-		c.arrive(one)
+		c.arrive(target)
 		return
 	}
-	c.ask(one, at, coldChargeTimeout, coordinator.Charge{
-		Replica: one.name, Request: tenant.Request{Limit: tenant.Limit{Rate: coldReplicaRate}, Version: 1},
+	c.ask(target, at, coldChargeTimeout, coordinator.Charge{
+		Replica: target.name, Request: tenant.Request{Limit: tenant.Limit{Rate: coldReplicaRate}, Version: 1},
 	})
 }
 
-func (c *coldLoad) arrive(one *coldReplica) {
+func (c *coldLoad) arrive(target *coldReplica) {
 	way := time.Duration(c.world.random.Float64() * float64(maxTransitTime))
-	one.arrived = append(one.arrived, c.world.now.Add(way))
+	target.arrived = append(target.arrived, c.world.now.Add(way))
 }
 
 // record counts an answer.
-func (c *coldLoad) record(one *coldReplica, charged coordinator.Charged) {
+func (c *coldLoad) record(target *coldReplica, charged coordinator.Charged) {
 	switch charged.Status {
 	case coordinator.ChargeGranted:
-		one.countingNode = charged.Owner
-		c.arrive(one)
+		target.countingNode = charged.Owner
+		c.arrive(target)
 	case coordinator.ChargeRefused:
-		one.refused++
+		target.refused++
 	default:
-		one.unknown++
+		target.unknown++
 	}
 }
 
@@ -118,9 +118,9 @@
 
 // overLimit returns the replicas that received too many requests in a second.
 func (c *coldLoad) overLimit() (names []string) {
-	for _, one := range c.replicas {
-		if most, begins := busiestSecond(one.arrived); most > maxPerSecond() {
-			names = append(names, fmt.Sprintf("%s: %d from %v on", one.name, most, begins.Sub(start)))
+	for _, target := range c.replicas {
+		if most, begins := busiestSecond(target.arrived); most > maxPerSecond() {
+			names = append(names, fmt.Sprintf("%s: %d from %v on", target.name, most, begins.Sub(start)))
 		}
 	}
 	return names
@@ -129,8 +129,8 @@
 // served returns the mean number of requests that reached a replica per second.
 func (c *coldLoad) served(span time.Duration) float64 {
 	total := 0
-	for _, one := range c.replicas {
-		total += len(one.arrived)
+	for _, target := range c.replicas {
+		total += len(target.arrived)
 	}
 	return float64(total) / float64(len(c.replicas)) / span.Seconds()
 }
@@ -177,8 +177,8 @@
 	It("refuses nothing below it", func() {
 		load := newColdLoad(countingFleet(74, nil), 20, 3)
 		load.run(4 * time.Second)
-		for _, one := range load.replicas {
-			Expect(one.refused + one.unknown).To(BeNumerically("<=", 1))
+		for _, target := range load.replicas {
+			Expect(target.refused + target.unknown).To(BeNumerically("<=", 1))
 		}
 	})
 
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -322,13 +322,13 @@
 		world.run(settled)
 		cut := world.cutZone("zone-1")
 		world.run(2 * settled)
-		for id, one := range world.nodes {
-			Expect(one.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
+		for id, node := range world.nodes {
+			Expect(node.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
 		}
 		world.healZones()
 		world.run(settled)
-		for id, one := range world.nodes {
-			Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
+		for id, node := range world.nodes {
+			Expect(node.core.Isolated(world.now)).To(BeFalse(), "%s", id)
 		}
 	})
 
@@ -339,8 +339,8 @@
 			world.run(settled)
 			cut := world.cutZone("zone-1")
 			world.run(time.Second)
-			for id, one := range world.nodes {
-				Expect(one.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
+			for id, node := range world.nodes {
+				Expect(node.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
 			}
 		}
 	})
@@ -353,8 +353,8 @@
 			world.setStoreUp(false)
 			for range 40 {
 				world.run(50 * time.Millisecond)
-				for id, one := range world.nodes {
-					Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
+				for id, node := range world.nodes {
+					Expect(node.core.Isolated(world.now)).To(BeFalse(), "%s", id)
 				}
 			}
 		}
@@ -365,8 +365,8 @@
 		world.run(settled)
 		world.setStoreUp(false)
 		world.run(2 * settled)
-		for id, one := range world.nodes {
-			Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
+		for id, node := range world.nodes {
+			Expect(node.core.Isolated(world.now)).To(BeFalse(), "%s", id)
 		}
 	})
 })
--- a/coordinator/gathering_test.go
+++ b/coordinator/gathering_test.go
@@ -40,9 +40,9 @@
 func runLoads(world *fleet, span time.Duration) {
 	for range int(span / reportPeriod) {
 		for _, id := range world.ids() {
-			if one := world.nodes[id]; !one.frozen {
-				one.core.Step(world.now, coordinator.Loads{Reports: map[replica.ID]replica.Report{"r": {Requests: 1}}})
-				world.perform(id, one)
+			if node := world.nodes[id]; !node.frozen {
+				node.core.Step(world.now, coordinator.Loads{Reports: map[replica.ID]replica.Report{"r": {Requests: 1}}})
+				world.perform(id, node)
 			}
 		}
 		world.run(reportPeriod)
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -177,23 +177,23 @@
 		f.now = f.now.Add(step)
 		f.deliver()
 		for _, id := range f.ids() {
-			if one := f.nodes[id]; !one.frozen {
-				if !f.storeDown && !one.cut {
-					one.lastStoreAnswer = f.now
+			if node := f.nodes[id]; !node.frozen {
+				if !f.storeDown && !node.cut {
+					node.lastStoreAnswer = f.now
 				}
-				one.core.Step(f.now, f.contactOf(one))
-				one.core.Step(f.now, coordinator.Tick{})
-				f.perform(id, one)
+				node.core.Step(f.now, f.contactOf(node))
+				node.core.Step(f.now, coordinator.Tick{})
+				f.perform(id, node)
 			}
 		}
 	}
 }
 
 // contactOf returns a node's knowledge of its contact with the store.
-func (f *fleet) contactOf(one *member) coordinator.Contact {
-	reached := f.reaches(one)
-	lately := f.now.Sub(one.lastStoreAnswer) < f.contactTimeout
-	return coordinator.Contact{Reached: reached || lately, Last: one.lastStoreAnswer, Failing: lately && !reached}
+func (f *fleet) contactOf(node *member) coordinator.Contact {
+	reached := f.reaches(node)
+	lately := f.now.Sub(node.lastStoreAnswer) < f.contactTimeout
+	return coordinator.Contact{Reached: reached || lately, Last: node.lastStoreAnswer, Failing: lately && !reached}
 }
 
 // setStoreUp makes the store available or unavailable.
@@ -203,19 +203,19 @@
 }
 
 // reaches reports whether a node believes that it reaches the store.
-func (f *fleet) reaches(one *member) bool {
+func (f *fleet) reaches(node *member) bool {
 	down := f.storeDown
-	if f.now.Sub(f.storeChangedAt) < one.noticeLag {
+	if f.now.Sub(f.storeChangedAt) < node.noticeLag {
 		down = !down
 	}
-	return !down && !one.cut
+	return !down && !node.cut
 }
 
 // changeCount returns how many times partitions were gained or lost.
 func (f *fleet) changeCount() int {
 	count := 0
-	for _, one := range f.nodes {
-		count += len(one.changes)
+	for _, node := range f.nodes {
+		count += len(node.changes)
 	}
 	return count
 }
@@ -224,17 +224,17 @@
 func (f *fleet) deliver() {
 	inTransit := f.inTransit
 	f.inTransit = nil
-	for _, one := range inTransit {
-		target := f.nodes[one.to]
-		waits := one.at.After(f.now) || (target != nil && target.frozen)
+	for _, next := range inTransit {
+		target := f.nodes[next.to]
+		waits := next.at.After(f.now) || (target != nil && target.frozen)
 		switch {
 		case waits:
-			f.inTransit = append(f.inTransit, one)
-		case one.call != nil:
-			one.call()
+			f.inTransit = append(f.inTransit, next)
+		case next.call != nil:
+			next.call()
 		case target != nil:
-			target.core.Step(f.now, one.event)
-			f.perform(one.to, target)
+			target.core.Step(f.now, next.event)
+			f.perform(next.to, target)
 		}
 	}
 }
@@ -244,17 +244,17 @@
 }
 
 // perform performs the work that a core has ready.
-func (f *fleet) perform(id machine.ID, one *member) {
-	ready := one.core.Ready()
+func (f *fleet) perform(id machine.ID, node *member) {
+	ready := node.core.Ready()
 	if ready.Totals != nil {
-		one.totals = ready.Totals
+		node.totals = ready.Totals
 	}
 	for _, message := range ready.Messages {
 		if message.Message.Gather != nil {
-			one.gatherMessages++
+			node.gatherMessages++
 		}
 		target := f.nodes[message.To.ID]
-		if one.alone || (target != nil && (target.alone || !reachable(one, target))) {
+		if node.alone || (target != nil && (target.alone || !reachable(node, target))) {
 			continue
 		}
 		if f.lossRate > 0 && f.random.Float64() < f.lossRate {
@@ -263,7 +263,7 @@
 		f.send(message.To.ID, peerDelay, coordinator.PeerReceived{Message: message.Message})
 	}
 	for _, reply := range ready.Replies {
-		one.replies[reply.ID] = reply
+		node.replies[reply.ID] = reply
 	}
 	for _, takeover := range ready.Takeovers {
 		f.callStore(id, func() { f.takeOver(id, takeover) })
@@ -272,7 +272,7 @@
 		f.appendCount++
 		f.callStore(id, func() { f.append(id, batch) })
 	}
-	one.changes = append(one.changes, ready.Changes...)
+	node.changes = append(node.changes, ready.Changes...)
 	for _, change := range ready.Changes {
 		if change.Reason == "handed over" {
 			f.handovers[change.Partition]++
@@ -281,10 +281,10 @@
 			f.gainedAt[change.Partition] = append(f.gainedAt[change.Partition], f.now)
 		}
 	}
-	one.charged = append(one.charged, ready.Charged...)
-	one.newer = append(one.newer, ready.Newer...)
-	if ready.Proven.After(one.proven) {
-		one.proven = ready.Proven
+	node.charged = append(node.charged, ready.Charged...)
+	node.newer = append(node.newer, ready.Newer...)
+	if ready.Proven.After(node.proven) {
+		node.proven = ready.Proven
 	}
 }
 
@@ -302,17 +302,17 @@
 
 // heal lets all nodes exchange messages again.
 func (f *fleet) heal() {
-	for _, one := range f.nodes {
-		one.reachable = nil
+	for _, node := range f.nodes {
+		node.reachable = nil
 	}
 }
 
 // reachable reports whether the limits of both nodes let them exchange messages.
-func reachable(one, other *member) bool {
+func reachable(left, right *member) bool {
 	allows := func(from, to *member) bool {
 		return len(from.reachable) == 0 || slices.Contains(from.reachable, to.self.ID)
 	}
-	return allows(one, other) && allows(other, one)
+	return allows(left, right) && allows(right, left)
 }
 
 // callStore executes a call once the store can be reached.
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -55,19 +55,19 @@
 
 // read completes a node's read of the configuration if it is due.
 func (p *freshnessRun) read(id machine.ID) {
-	one := p.world.nodes[id]
-	if one.frozen || p.world.now.Before(p.nextAt[id]) {
+	node := p.world.nodes[id]
+	if node.frozen || p.world.now.Before(p.nextAt[id]) {
 		return
 	}
-	if p.world.reaches(one) {
+	if p.world.reaches(node) {
 		p.held[id] = p.version
 		p.recordProof(id, p.sentAt[id])
-		one.core.Step(p.world.now, coordinator.ProofNoted{At: p.sentAt[id], Version: p.version})
-		one.core.Step(p.world.now, coordinator.Loads{Version: p.version})
+		node.core.Step(p.world.now, coordinator.ProofNoted{At: p.sentAt[id], Version: p.version})
+		node.core.Step(p.world.now, coordinator.Loads{Version: p.version})
 	}
 	p.reads++
 	wait := p.wait
-	if slices.ContainsFunc(one.core.Readers(), func(reader machine.Machine) bool { return reader.ID == id }) {
+	if slices.ContainsFunc(node.core.Readers(), func(reader machine.Machine) bool { return reader.ID == id }) {
 		wait = p.readersWait
 	}
 	p.sentAt[id] = p.world.now
@@ -88,15 +88,15 @@
 // peers.
 func (p *freshnessRun) collect() {
 	for _, id := range p.world.ids() {
-		one := p.world.nodes[id]
-		if !one.proven.IsZero() {
-			p.recordProof(id, one.proven)
+		node := p.world.nodes[id]
+		if !node.proven.IsZero() {
+			p.recordProof(id, node.proven)
 		}
-		for _, newer := range one.newer {
+		for _, newer := range node.newer {
 			p.held[id] = max(p.held[id], newer.Version)
-			one.core.Step(p.world.now, coordinator.Loads{Version: p.held[id]})
+			node.core.Step(p.world.now, coordinator.Loads{Version: p.held[id]})
 		}
-		one.newer = nil
+		node.newer = nil
 	}
 }
 
--- a/coordinator/redirect_test.go
+++ b/coordinator/redirect_test.go
@@ -69,9 +69,9 @@
 		sent.timeout = chargeTimeout
 		sent.rollingRestart(world.ids()[:restartNodes/2])
 		requested, unknown := 0, 0
-		for _, one := range accounts {
-			requested += one.requested
-			unknown += one.unknown
+		for _, client := range accounts {
+			requested += client.requested
+			unknown += client.unknown
 		}
 		AddReportEntry("unknown of asked", fmt.Sprintf("%d of %d", unknown, requested))
 		Expect(sent.overLimit()).To(BeEmpty())
--- a/coordinator/roles_test.go
+++ b/coordinator/roles_test.go
@@ -73,8 +73,8 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		core.Step(now, coordinator.Listed{Nodes: nodes})
 		roles := core.Roles()
-		for _, one := range append(append(roles.Sources, roles.Readers...), roles.Remote...) {
-			g.Expect(one.Weight).To(BeNumerically(">", 100), string(one.ID))
+		for _, node := range append(append(roles.Sources, roles.Readers...), roles.Remote...) {
+			g.Expect(node.Weight).To(BeNumerically(">", 100), string(node.ID))
 		}
 	}
 }
--- a/coordinator/tick_test.go
+++ b/coordinator/tick_test.go
@@ -19,11 +19,11 @@
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			world := newFleet(1, nodes, largePartitions)
 			world.run(settled)
-			one := world.nodes["node-00"]
+			node := world.nodes["node-00"]
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				one.core.Step(world.now, coordinator.Tick{})
+				node.core.Step(world.now, coordinator.Tick{})
 			}
 		})
 	}
--- a/coordinator/zones_test.go
+++ b/coordinator/zones_test.go
@@ -21,11 +21,11 @@
 // cutZone cuts a zone's nodes off from the store and from the other zones.
 func (f *fleet) cutZone(name zone.Name) []machine.ID {
 	inside := f.nodesOf(name)
-	for id, one := range f.nodes {
-		one.cut = slices.Contains(inside, id)
-		one.reachable = inside
-		if !one.cut {
-			one.reachable = f.nodesOutside(name)
+	for id, node := range f.nodes {
+		node.cut = slices.Contains(inside, id)
+		node.reachable = inside
+		if !node.cut {
+			node.reachable = f.nodesOutside(name)
 		}
 	}
 	return inside
@@ -33,22 +33,22 @@
 
 // healZones ends a cut.
 func (f *fleet) healZones() {
-	for _, one := range f.nodes {
-		one.cut, one.reachable = false, nil
+	for _, node := range f.nodes {
+		node.cut, node.reachable = false, nil
 	}
 }
 
 func (f *fleet) nodesOf(name zone.Name) []machine.ID {
-	return f.nodesWhere(func(one *member) bool { return one.self.Zone == name })
+	return f.nodesWhere(func(node *member) bool { return node.self.Zone == name })
 }
 
 func (f *fleet) nodesOutside(name zone.Name) []machine.ID {
-	return f.nodesWhere(func(one *member) bool { return one.self.Zone != name })
+	return f.nodesWhere(func(node *member) bool { return node.self.Zone != name })
 }
 
 func (f *fleet) nodesWhere(matches func(*member) bool) (found []machine.ID) {
-	for id, one := range f.nodes {
-		if matches(one) {
+	for id, node := range f.nodes {
+		if matches(node) {
 			found = append(found, id)
 		}
 	}
