--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -234,11 +234,11 @@
 	return false
 }
 
-func laterOf(p, other time.Time) time.Time {
-	if p.After(other) {
-		return p
+func laterOf(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
-	return other
+	return b
 }
 
 // resetRequest discards the request in progress.
--- a/coordinator/isolation.go
+++ b/coordinator/isolation.go
@@ -16,12 +16,12 @@
 }
 
 // record notes the arrival of a message.
-func (h *receiveTimes) record(now time.Time, sender machine.Machine) {
-	h.latest = now
-	if h.byZone == nil {
-		h.byZone = make(map[zone.Name]time.Time)
+func (r *receiveTimes) record(now time.Time, sender machine.Machine) {
+	r.latest = now
+	if r.byZone == nil {
+		r.byZone = make(map[zone.Name]time.Time)
 	}
-	h.byZone[sender.Zone] = now
+	r.byZone[sender.Zone] = now
 }
 
 // isolationTimeout is the time without messages after which this node considers itself cut
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -143,15 +143,15 @@
 func firstNumber(random *rand.Rand) uint64 { return random.Uint64() >> 1 }
 
 // spend decides a charge that this node counts.
-func (h *chargeState) spend(now time.Time, charge *Charge) tenant.Decision {
+func (s *chargeState) spend(now time.Time, charge *Charge) tenant.Decision {
 	key := charge.account()
-	return h.books[key.kind].Spend(now, key.name, charge.Request)
+	return s.books[key.kind].Spend(now, key.name, charge.Request)
 }
 
 // refund undoes a charge that this node granted and whose request did not run.
-func (h *chargeState) refund(charge *Charge) {
+func (s *chargeState) refund(charge *Charge) {
 	key := charge.account()
-	h.books[key.kind].Return(key.name, charge.Request)
+	s.books[key.kind].Return(key.name, charge.Request)
 }
 
 // countingNode returns the counting node of an account: the live node that ranks first for
