--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -56,7 +56,7 @@
 	// what one fleet-wide account gains.
 	CountAlone bool
 	// IgnoreRedirects has nodes select the counting node only by their own view, to measure
-	// what it gains to follow the redirects of other nodes.
+	// what following the redirects of other nodes gains.
 	AskOwnView bool
 	// GrantFullLimits has nodes grant the full limits even if known but unreachable nodes
 	// may be counting in another network partition, to show which guarantees that breaks.
@@ -64,7 +64,7 @@
 	// DisableGathering has nodes of a large fleet learn loads from statuses only, to
 	// measure what collectors gain.
 	GatherNothing bool
-	// Random selects the peers that receive a status.
+	// Random selects the recipients of statuses, and makes all other random choices.
 	Random *rand.Rand
 }
 
--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -142,8 +142,8 @@
 	return c.membership.Lookup(machine.ID(ownership.Rank(index, others)))
 }
 
-// notifySuccessors notifies the nodes that rank first after this one for its partitions
-// that it cannot reach the store.
+// notifySuccessors notifies the node that ranks first after this one for each of its
+// partitions that it cannot reach the store.
 func (c *Core) notifySuccessors(now time.Time) {
 	notified := make(map[machine.ID]bool)
 	for _, p := range c.partitions {
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -63,8 +63,9 @@
 
 // member is one node of the fleet.
 type member struct {
-	self   machine.Machine
-	core   *coordinator.Core
+	self machine.Machine
+	core *coordinator.Core
+	// frozen nodes process no events, and cut nodes cannot reach the store.
 	frozen bool
 	cut    bool
 	// alone nodes exchange no messages with others.
--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -62,7 +62,7 @@
 	id          uint64
 	afterAppend uint64
 	reply       Reply
-	// askedAt is when the request arrived.
+	// requestedAt is when the request arrived.
 	requestedAt time.Time
 }
 
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -22,8 +22,8 @@
 // peerStateLifetime is how long a peer's status is valid.
 const peerStateLifetime = 3 * time.Second
 
-// fresh reports whether the status is recent enough to be valid. A peer that never sent a
-// status has none that is.
+// fresh reports whether the status is recent enough to be valid. The zero state of a peer
+// without any status is not.
 func (s peerState) fresh(now time.Time) bool { return now.Sub(s.receivedAt) <= peerStateLifetime }
 
 func (c *Core) stepPeer(now time.Time, message PeerMessage) {
@@ -191,9 +191,9 @@
 	return !c.failureIsLocal(now, state.storeUnreachableSince)
 }
 
-// failureIsLocal reports whether a node's failure to reach the store, reported at heardAt,
-// concerns that node alone: the store has answered this node since, and has been reachable
-// for storeRecoveryGrace.
+// failureIsLocal reports whether a node's failure to reach the store, reported at
+// reportedAt, concerns that node alone: the store has answered this node since, and has been
+// reachable for storeRecoveryGrace.
 func (c *Core) failureIsLocal(now, reportedAt time.Time) bool {
 	return c.lastStoreAnswer.After(reportedAt) && now.Sub(c.storeReachableSince) >= storeRecoveryGrace
 }
--- a/coordinator/rank.go
+++ b/coordinator/rank.go
@@ -18,7 +18,7 @@
 	selfRanks []int
 	// roles are the roles of nodes that follow from the candidates.
 	roles Roles
-	// lostAt holds the times at which recent candidates were lost.
+	// lostAt holds, for recently lost candidates, the time of the loss.
 	lostAt map[string]time.Time
 	// changedAt is when the candidates last changed, and checkedAt when they were last
 	// checked.
@@ -37,8 +37,9 @@
 	// have lost the store as well without the others knowing. With a third of all nodes cut
 	// off, all three of a partition are cut off once in 27 times.
 	preferredPerPartition = 3
-	// successionDelay is how long each preferred node leaves a partition without an owner
-	// to each one that ranks before it, before it asks whether they are taking it over.
+	// successionDelay times its rank is how long a preferred node waits while a partition
+	// has no owner, until it asks the nodes that rank before it whether they are taking it
+	// over.
 	successionDelay = 300 * time.Millisecond
 )
 
@@ -120,7 +121,7 @@
 	}
 }
 
-// lookup returns a node, which may be this one.
+// lookup returns the entry of a node, which may be this one.
 func (c *Core) lookup(id machine.ID) (machine.Machine, bool) {
 	if id == c.self().ID {
 		return c.self(), true
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -80,7 +80,7 @@
 	c.reply(reply)
 }
 
-// keep stores a complete turn, and answers once it is durable.
+// storeTurn stores a complete turn, and answers once it is durable.
 func (c *Core) storeTurn(now time.Time, p *partition, id uint64, request *KeepRequest) {
 	previous := request.Turn.Previous
 	if previous != "" && !request.HasBase && !p.ledger.Holds(previous) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// find replies with the chain of a turn, or with its absence once an append has proven that
-// this node still owns the partition.
+// findChain replies with the chain of a turn, or with its absence once an append has proven
+// that this node still owns the partition.
 func (c *Core) findChain(now time.Time, p *partition, id uint64, request *FindRequest) {
 	chain, found := p.ledger.Chain(request.Turn)
 	if found {
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -201,7 +201,7 @@
 	}
 }
 
-// takingOver reports whether the takeover with the epoch is still reading.
+// takingOver reports whether the takeover with the epoch is in progress.
 func (p *partition) takingOver(epoch ownership.Epoch) bool {
 	return epoch == p.epoch && (p.state == stateTakingOver || p.takeover.turnsPending)
 }
