--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -274,7 +274,7 @@
 	Err  error
 }
 
-// OwnershipChange reports a partition that this node gained or lost.
+// Change reports a partition that this node gained or lost.
 type Change struct {
 	Partition int
 	Epoch     ownership.Epoch
--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -23,7 +23,7 @@
 	// RemoteCollectors are the first collectors of the other zones.
 	Collectors       []machine.Machine
 	RemoteCollectors []machine.Machine
-	// ZoneNodes is the number of nodes in this node's zone, including itself.
+	// Near is the number of nodes in this node's zone, including itself.
 	Near int
 	// MayOwnPartition says that this node is in the preference list of a partition, and so
 	// has to notice quickly when it can no longer reach the store.
