--- a/coordinator/cold_test.go
+++ b/coordinator/cold_test.go
@@ -14,36 +14,36 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// The cold replicas of the tests: what one bears a second, and how long a request that
-// was granted is on its way at most.
+// The cold replicas of the tests: the requests per second that one may receive, and the
+// longest time in transit of a granted request.
 const (
-	coldRate = 28.0
-	coldWay  = 150 * time.Millisecond
-	// coldPatience is how long a node waits for the node that counts.
-	coldPatience = 100 * time.Millisecond
+	coldReplicaRate = 28.0
+	maxTransitTime  = 150 * time.Millisecond
+	// coldChargeTimeout is how long a node waits for the counting node.
+	coldChargeTimeout = 100 * time.Millisecond
 )
 
-// coldReplica is a replica that all nodes hold cold.
+// coldReplica is a replica that all nodes consider cold.
 type coldReplica struct {
 	name string
-	// flow is what all nodes would like to send there.
+	// flow is the rate at which all nodes together try to send to the replica.
 	flow
-	arrived []time.Time
-	refused int
-	unknown int
-	counter machine.ID
+	arrived      []time.Time
+	refused      int
+	unknown      int
+	countingNode machine.ID
 }
 
 // coldLoad has all nodes of a fleet send to cold replicas.
 type coldLoad struct {
-	questions[*coldReplica]
+	pendingCharges[*coldReplica]
 	replicas []*coldReplica
-	// unasked sends without asking.
-	unasked bool
+	// withoutCharge sends requests without a charge.
+	withoutCharge bool
 }
 
 func newColdLoad(world *fleet, perSecond float64, replicas int) *coldLoad {
-	load := &coldLoad{questions: newQuestions[*coldReplica](world)}
+	load := &coldLoad{pendingCharges: newPendingCharges[*coldReplica](world)}
 	for index := range replicas {
 		load.replicas = append(load.replicas, &coldReplica{name: fmt.Sprintf("r%d", index), flow: flow{perSecond: perSecond}})
 	}
@@ -52,56 +52,56 @@
 
 func (c *coldLoad) run(span time.Duration) {
 	for end := c.world.now.Add(span); c.world.now.Before(end); {
-		for _, one := range c.replicas {
-			for range one.due() {
-				c.send(one)
+		for _, target := range c.replicas {
+			for range target.due() {
+				c.send(target)
 			}
 		}
 		c.world.run(step)
-		c.collect(c.take)
+		c.collect(c.record)
 	}
 }
 
-// send has a random node that runs send one request, once it may.
-func (c *coldLoad) send(one *coldReplica) {
+// send has a random running node send one request, once its charge is granted.
+func (c *coldLoad) send(target *coldReplica) {
 	at, runs := c.anyNode()
 	if !runs {
 		return
 	}
-	if c.unasked {
-		c.arrive(one)
+	if c.withoutCharge {
+		c.arrive(target)
 		return
 	}
-	c.ask(one, at, coldPatience, coordinator.Charge{
-		Replica: one.name, Request: tenant.Request{Limit: tenant.Limit{Rate: coldRate}, Version: 1},
+	c.ask(target, at, coldChargeTimeout, coordinator.Charge{
+		Replica: target.name, Request: tenant.Request{Limit: tenant.Limit{Rate: coldReplicaRate}, Version: 1},
 	})
 }
 
-func (c *coldLoad) arrive(one *coldReplica) {
-	way := time.Duration(c.world.random.Float64() * float64(coldWay))
-	one.arrived = append(one.arrived, c.world.now.Add(way))
+func (c *coldLoad) arrive(target *coldReplica) {
+	way := time.Duration(c.world.random.Float64() * float64(maxTransitTime))
+	target.arrived = append(target.arrived, c.world.now.Add(way))
 }
 
-// take takes one answer in.
-func (c *coldLoad) take(one *coldReplica, charged coordinator.Charged) {
+// record counts an answer.
+func (c *coldLoad) record(target *coldReplica, charged coordinator.Charged) {
 	switch charged.Status {
 	case coordinator.ChargeGranted:
-		one.counter = charged.Owner
-		c.arrive(one)
+		target.countingNode = charged.Owner
+		c.arrive(target)
 	case coordinator.ChargeRefused:
-		one.refused++
+		target.refused++
 	default:
-		one.unknown++
+		target.unknown++
 	}
 }
 
-// coldAccepted is what may reach a cold replica in a second.
-func coldAccepted() int {
+// maxPerSecond returns how many requests may reach a cold replica in a second.
+func maxPerSecond() int {
 	config := tenant.ColdReplicaConfig()
-	return int(coldRate*config.Window.Seconds()*(1+config.Overrun) + config.Slack)
+	return int(coldReplicaRate*config.Window.Seconds()*(1+config.Overrun) + config.Slack)
 }
 
-// busiestSecond returns the most arrivals of any second, and when it begins.
+// busiestSecond returns the most arrivals in any second, and when that second begins.
 func busiestSecond(arrived []time.Time) (most int, begins time.Time) {
 	sorted := slices.SortedFunc(slices.Values(arrived), time.Time.Compare)
 	left := 0
@@ -116,47 +116,47 @@
 	return most, begins
 }
 
-// broken returns the replicas of which a second held too much.
-func (c *coldLoad) broken() (names []string) {
-	for _, one := range c.replicas {
-		if most, begins := busiestSecond(one.arrived); most > coldAccepted() {
-			names = append(names, fmt.Sprintf("%s: %d from %v on", one.name, most, begins.Sub(start)))
+// overLimit returns the replicas that received too many requests in a second.
+func (c *coldLoad) overLimit() (names []string) {
+	for _, target := range c.replicas {
+		if most, begins := busiestSecond(target.arrived); most > maxPerSecond() {
+			names = append(names, fmt.Sprintf("%s: %d from %v on", target.name, most, begins.Sub(start)))
 		}
 	}
 	return names
 }
 
-// served is how many requests reached the replicas in a second on the mean.
+// served returns the mean number of requests that reached a replica per second.
 func (c *coldLoad) served(span time.Duration) float64 {
 	total := 0
-	for _, one := range c.replicas {
-		total += len(one.arrived)
+	for _, target := range c.replicas {
+		total += len(target.arrived)
 	}
 	return float64(total) / float64(len(c.replicas)) / span.Seconds()
 }
 
-// disturb brings one disturbance about, at nodes that the draw names.
+// disturb causes a disturbance of the given kind.
 func (c *coldLoad) disturb(kind byte) {
-	world, counter := c.world, c.replicas[0].counter
+	world, countingNode := c.world, c.replicas[0].countingNode
 	ids := world.ids()
-	if _, runs := world.nodes[counter]; !runs {
-		counter = ids[world.random.IntN(len(ids))]
+	if _, runs := world.nodes[countingNode]; !runs {
+		countingNode = ids[world.random.IntN(len(ids))]
 	}
 	switch kind % 6 {
 	case 0:
-		world.kill(counter)
+		world.kill(countingNode)
 	case 1:
-		world.nodes[counter].frozen = true
+		world.nodes[countingNode].frozen = true
 		c.run(time.Duration(world.random.IntN(2500)) * time.Millisecond)
-		world.nodes[counter].frozen = false
+		world.nodes[countingNode].frozen = false
 	case 2:
-		world.cutInTwo()
+		world.partitionInHalves()
 	case 3:
 		world.heal()
 	case 4:
-		world.kill(counter)
+		world.kill(countingNode)
 		c.run(100 * time.Millisecond)
-		world.start(counter)
+		world.start(countingNode)
 		world.list()
 	case 5:
 		world.start(machine.ID(fmt.Sprintf("new-%02d", len(ids))))
@@ -169,16 +169,16 @@
 		for _, nodes := range []int{11, 74, 295} {
 			load := newColdLoad(countingFleet(nodes, nil), 200, 3)
 			load.run(4 * time.Second)
-			Expect(load.broken()).To(BeEmpty(), "%d nodes", nodes)
-			Expect(load.served(4*time.Second)).To(BeNumerically(">=", 0.9*coldRate), "%d nodes", nodes)
+			Expect(load.overLimit()).To(BeEmpty(), "%d nodes", nodes)
+			Expect(load.served(4*time.Second)).To(BeNumerically(">=", 0.9*coldReplicaRate), "%d nodes", nodes)
 		}
 	})
 
 	It("refuses nothing below it", func() {
 		load := newColdLoad(countingFleet(74, nil), 20, 3)
 		load.run(4 * time.Second)
-		for _, one := range load.replicas {
-			Expect(one.refused + one.unknown).To(BeNumerically("<=", 1))
+		for _, target := range load.replicas {
+			Expect(target.refused + target.unknown).To(BeNumerically("<=", 1))
 		}
 	})
 
@@ -186,60 +186,60 @@
 		for _, nodes := range []int{11, 74, 295} {
 			load := newColdLoad(countingFleet(nodes, func(config *coordinator.Config) { config.CountAlone = true }), 200, 1)
 			load.run(4 * time.Second)
-			Expect(load.broken()).To(BeEmpty(), "%d nodes", nodes)
-			if nodes > coldRate {
-				Expect(load.served(4*time.Second)).To(BeNumerically("<", 0.5*coldRate), "%d nodes", nodes)
+			Expect(load.overLimit()).To(BeEmpty(), "%d nodes", nodes)
+			if nodes > coldReplicaRate {
+				Expect(load.served(4*time.Second)).To(BeNumerically("<", 0.5*coldReplicaRate), "%d nodes", nodes)
 			}
 		}
 	})
 
-	It("holds when nodes are lost, stand still, start anew, come, and are cut off", func() {
+	It("holds when nodes are lost, paused, restarted, added and cut off", func() {
 		load := newColdLoad(countingFleet(74, nil), 200, 2)
 		for _, kind := range []byte{0, 1, 4, 2, 1, 3, 5, 0, 4, 1} {
 			load.run(1500 * time.Millisecond)
 			load.disturb(kind)
 		}
 		load.run(2 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
 	It("holds over 295 nodes that are cut in two and heal", func() {
 		load := newColdLoad(countingFleet(295, nil), 200, 1)
 		load.run(time.Second)
-		load.world.cutInTwo()
+		load.world.partitionInHalves()
 		load.run(4 * time.Second)
 		load.world.heal()
 		load.run(2 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
-	It("lets nodes grant nothing that reach no other", func() {
+	It("holds when no node reaches any other", func() {
 		load := newColdLoad(countingFleet(74, nil), 200, 1)
 		load.run(2 * time.Second)
 		for _, id := range load.world.ids() {
 			load.world.nodes[id].alone = true
 		}
 		load.run(4 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 
-	// The checker notices when the bound is off, or a protection is missing.
+	// These specs show that the check fails if the bound is off or a protection is missing.
 	DescribeTable("does not hold without",
 		func(configure func(*coordinator.Config), disturb func(load *coldLoad)) {
 			load := newColdLoad(countingFleet(20, configure), 200, 1)
 			load.run(2 * time.Second)
 			disturb(load)
 			load.run(4 * time.Second)
-			Expect(load.broken()).NotTo(BeEmpty())
+			Expect(load.overLimit()).NotTo(BeEmpty())
 		},
-		Entry("a question before each request", nil, func(load *coldLoad) { load.unasked = true }),
-		Entry("one node that counts for all", func(config *coordinator.Config) { config.CountAlone, config.ShareWhole = true, true }, func(*coldLoad) {}),
-		Entry("the part that is left to nodes behind a cut", func(config *coordinator.Config) { config.ShareWhole = true },
-			func(load *coldLoad) { load.world.cutInTwo() }),
+		Entry("a charge before each request", nil, func(load *coldLoad) { load.withoutCharge = true }),
+		Entry("one counting node for the fleet", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*coldLoad) {}),
+		Entry("the share left to nodes in another network partition", func(config *coordinator.Config) { config.GrantFullLimits = true },
+			func(load *coldLoad) { load.world.partitionInHalves() }),
 	)
 })
 
-// FuzzColdRate disturbs a fleet in any order.
+// FuzzColdRate disturbs a fleet in arbitrary order.
 func FuzzColdRate(f *testing.F) {
 	f.Add([]byte{0, 1, 2})
 	f.Add([]byte{2, 0, 3, 4})
@@ -252,6 +252,6 @@
 			load.disturb(kind)
 		}
 		load.run(2 * time.Second)
-		Expect(load.broken()).To(BeEmpty())
+		Expect(load.overLimit()).To(BeEmpty())
 	})
 }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -13,10 +13,10 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// settled is long enough for a fleet to have found its owners.
+// settled is long enough for a fleet to have an owner for each partition.
 const settled = 3 * time.Second
 
-// reply lets the time pass until a node has answered.
+// reply runs the fleet until a node has answered.
 func reply(world *fleet, from machine.ID, id uint64) coordinator.Reply {
 	for range 400 {
 		if found, answered := world.nodes[from].replies[id]; answered {
@@ -28,7 +28,7 @@
 	return coordinator.Reply{}
 }
 
-// serveAll has every owner serve a turn of a program.
+// serveAll has every owner admit a turn of a new program.
 func serveAll(world *fleet) {
 	for partition := range world.partitions {
 		for _, owner := range world.owners(partition) {
@@ -91,7 +91,7 @@
 		Expect(world.owners(0)).To(HaveLen(1))
 	})
 
-	It("gives partitions back in order to a node that comes back", func() {
+	It("returns partitions by clean handovers to a node that restarts", func() {
 		for seed := range uint64(8) {
 			world := newFleetWith(seed, 7, 6, func(config *coordinator.Config) {
 				config.Ledger.UnrecordedShare = 0.5
@@ -117,7 +117,7 @@
 		}
 	})
 
-	It("leaves its partitions to an owner that others take for dead", func() {
+	It("leaves its partitions to an owner that others wrongly consider dead", func() {
 		for seed := range uint64(8) {
 			world := newFleet(seed, 7, 6)
 			world.run(2 * settled)
@@ -188,15 +188,15 @@
 				world.nodes[id].noticeLag = time.Duration(index%12) * 100 * time.Millisecond
 			}
 			before := world.changeCount()
-			world.turnStore(false)
+			world.setStoreUp(false)
 			world.run(4 * time.Second)
-			world.turnStore(true)
+			world.setStoreUp(true)
 			world.run(8 * time.Second)
 			Expect(world.changeCount()).To(Equal(before))
 		}
 	})
 
-	It("is passed over also by nodes that cannot hear it, and lie behind those that do", func() {
+	It("is also not considered the owner by nodes that receive its state only through others", func() {
 		for seed := range uint64(8) {
 			world := newFleet(seed, 9, 6)
 			world.run(2 * settled)
@@ -206,14 +206,14 @@
 				lost := world.nodes[owner]
 				others := slices.DeleteFunc(ids, func(id machine.ID) bool { return id == owner })
 				lost.cut = true
-				lost.near = others[:3]
+				lost.reachable = others[:3]
 				world.run(4 * time.Second)
 				for _, id := range others {
 					found, _ := world.nodes[id].core.Owner(world.now, partition)
 					Expect(found.ID).NotTo(Equal(owner), "seed %d, partition %d, as %s sees it", seed, partition, id)
 				}
 				lost.cut = false
-				lost.near = nil
+				lost.reachable = nil
 				world.run(2 * settled)
 			}
 		}
@@ -228,9 +228,9 @@
 			}
 			before := world.changeCount()
 			for range 3 {
-				world.turnStore(false)
+				world.setStoreUp(false)
 				world.run(4 * time.Second)
-				world.turnStore(true)
+				world.setStoreUp(true)
 				world.run(6 * time.Second)
 			}
 			Expect(world.changeCount()).To(Equal(before))
@@ -260,8 +260,8 @@
 })
 
 var _ = Describe("An owner that was frozen and wakes", func() {
-	// wakeFormer freezes an owner until another has taken over and kept a turn.
-	wakeFormer := func(seed uint64) (*fleet, machine.ID, machine.ID) {
+	// freezeOwner freezes an owner until another node has taken over and stored a turn.
+	freezeOwner := func(seed uint64) (*fleet, machine.ID, machine.ID) {
 		world := newFleet(seed, 5, 1)
 		world.run(settled)
 		former := world.owners(0)[0]
@@ -277,9 +277,9 @@
 		return world, former, heir
 	}
 
-	It("never says that a turn is not kept which its successor keeps", func() {
+	It("never says that a turn is absent which its successor has stored", func() {
 		for seed := range uint64(8) {
-			world, former, _ := wakeFormer(seed)
+			world, former, _ := freezeOwner(seed)
 			world.nodes[former].frozen = false
 			asked := world.ask(former, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "kept"}})
 			Expect(reply(world, former, asked).Status).NotTo(Equal(coordinator.ReplyAbsent))
@@ -322,25 +322,25 @@
 		world.run(settled)
 		cut := world.cutZone("zone-1")
 		world.run(2 * settled)
-		for id, one := range world.nodes {
-			Expect(one.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
+		for id, node := range world.nodes {
+			Expect(node.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
 		}
-		world.joinZones()
+		world.healZones()
 		world.run(settled)
-		for id, one := range world.nodes {
-			Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
+		for id, node := range world.nodes {
+			Expect(node.core.Isolated(world.now)).To(BeFalse(), "%s", id)
 		}
 	})
 
-	It("knows of the cut within a second where its calls to the store fail", func() {
+	It("detects the cut within a second if its calls to the store fail", func() {
 		for _, seed := range []uint64{16, 17, 18} {
 			world := newZonedFleet(seed, 12, 4)
-			world.contactLag = 1500 * time.Millisecond
+			world.contactTimeout = 1500 * time.Millisecond
 			world.run(settled)
 			cut := world.cutZone("zone-1")
 			world.run(time.Second)
-			for id, one := range world.nodes {
-				Expect(one.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
+			for id, node := range world.nodes {
+				Expect(node.core.Isolated(world.now)).To(Equal(slices.Contains(cut, id)), "%s", id)
 			}
 		}
 	})
@@ -348,31 +348,31 @@
 	It("is not isolated while calls of all to the store fail", func() {
 		for _, seed := range []uint64{16, 17, 18} {
 			world := newZonedFleet(seed, 12, 4)
-			world.contactLag = 1500 * time.Millisecond
+			world.contactTimeout = 1500 * time.Millisecond
 			world.run(settled)
-			world.turnStore(false)
+			world.setStoreUp(false)
 			for range 40 {
 				world.run(50 * time.Millisecond)
-				for id, one := range world.nodes {
-					Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
+				for id, node := range world.nodes {
+					Expect(node.core.Isolated(world.now)).To(BeFalse(), "%s", id)
 				}
 			}
 		}
 	})
 
-	It("is not isolated while the store is away from all", func() {
+	It("is not isolated while the store is unavailable to all nodes", func() {
 		world := newZonedFleet(17, 12, 4)
 		world.run(settled)
-		world.turnStore(false)
+		world.setStoreUp(false)
 		world.run(2 * settled)
-		for id, one := range world.nodes {
-			Expect(one.core.Isolated(world.now)).To(BeFalse(), "%s", id)
+		for id, node := range world.nodes {
+			Expect(node.core.Isolated(world.now)).To(BeFalse(), "%s", id)
 		}
 	})
 })
 
-var _ = Describe("An owner that is alone and does not hear of its successor", func() {
-	It("is told by the log, and calls nothing kept that is not", func() {
+var _ = Describe("An owner that is cut off from its peers and does not learn of its successor", func() {
+	It("is fenced by the log, and confirms no turn that is not stored", func() {
 		for seed := range uint64(8) {
 			world := newFleet(seed, 5, 1)
 			world.run(settled)
@@ -388,7 +388,7 @@
 	})
 })
 
-var _ = Describe("The answer that a turn is not kept", func() {
+var _ = Describe("The answer that a turn is absent", func() {
 	It("comes once the log has confirmed the owner", func() {
 		world := newFleet(12, 3, 1)
 		world.run(settled)
@@ -408,15 +408,15 @@
 	})
 })
 
-var _ = Describe("While the log takes no records", func() {
-	// unrecorded has the fleet's programs begin before the log knows of them.
+var _ = Describe("While the log accepts no records", func() {
+	// unrecorded returns a fleet whose programs may start before the log contains them.
 	unrecorded := func(seed uint64, nodes int) *fleet {
 		world := newFleetWith(seed, nodes, 1, func(config *coordinator.Config) {
 			config.Ledger.UnrecordedShare = 0.5
 			config.Ledger.UnrecordedFor = 8 * time.Second
 		})
 		world.run(settled)
-		// The log says that programs may begin unrecorded once there was one.
+		// Once one program was admitted, the log says that programs may start unrecorded.
 		before := turn("before")
 		before.Turn.Program = "before"
 		reply(world, world.owners(0)[0], world.ask(world.owners(0)[0], 0, coordinator.Request{Admit: before}))
@@ -424,7 +424,7 @@
 		return world
 	}
 
-	It("a program begins at an owner that the log has proven lately, and no longer at one later", func() {
+	It("a program may start while the owner's last proof of ownership is recent, and not later", func() {
 		for seed := range uint64(8) {
 			world := unrecorded(seed, 3)
 			owner := world.owners(0)[0]
@@ -440,7 +440,7 @@
 		}
 	})
 
-	It("what a lost owner let begin is counted by the next one", func() {
+	It("the next owner counts what programs may have used at a lost owner", func() {
 		for seed := range uint64(8) {
 			world := unrecorded(seed, 3)
 			owner := world.owners(0)[0]
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -17,55 +17,54 @@
 type Config struct {
 	Membership machine.Config
 	Ledger     ledger.Config
-	// Partitions is how many partitions there are.
+	// Partitions is the number of partitions.
 	Partitions int
-	// Salt is this process's part of its epochs.
+	// Salt makes this process's epochs differ from those of other processes.
 	Salt ownership.Salt
-	// Settle is how long after its start a node claims nothing and counts for no
-	// tenant, so that it knows its peers.
-	Settle time.Duration
-	// ClaimPause is the least time between two claims of one partition.
-	ClaimPause time.Duration
-	// StatusFanout bounds the peers that are told at once of a change that
-	// cannot wait. All other statuses travel on the messages of the failure
-	// detector, whose number does not depend on the number of nodes.
+	// StartupDelay is how long after its start a node claims no partition and counts no
+	// requests, so that it first discovers its peers.
+	StartupDelay time.Duration
+	// MinClaimInterval is the least time between two claims of one partition.
+	MinClaimInterval time.Duration
+	// StatusFanout bounds the number of peers that are notified at once of an urgent
+	// change. All other statuses are piggybacked on the messages of the failure detector,
+	// whose number per node does not depend on the size of the fleet.
 	StatusFanout int
-	// KnownPeriod is the time between two statuses that name other nodes, and
-	// KnownPerStatus how many of them one names: few, so that the message with them
-	// fits into one packet.
-	KnownPeriod    time.Duration
-	KnownPerStatus int
-	// HoldFor is how long a request waits for a takeover under way.
-	HoldFor time.Duration
-	// StallAfter is how long an append may go unanswered before turns that
-	// need the log are refused.
-	StallAfter time.Duration
-	// AppendPause is the least time between the beginnings of two appends to one
-	// partition, and ProofWait how long a proof that a turn is not kept waits for an
-	// append that is needed anyway.
-	AppendPause time.Duration
-	ProofWait   time.Duration
-	// ClaimWithoutAsking takes partitions over without asking their owner first,
-	// to measure what a hand-over in order is worth.
+	// KnownNodesPeriod is the time between two statuses that list other nodes, and
+	// KnownNodesPerStatus the number of nodes in such a list. It is small so that the
+	// message fits into one packet.
+	KnownNodesPeriod    time.Duration
+	KnownNodesPerStatus int
+	// HoldTimeout is how long a request is held for a takeover in progress.
+	HoldTimeout time.Duration
+	// StallTimeout is how long an append may go unanswered before turns that need the log
+	// are refused.
+	StallTimeout time.Duration
+	// MinAppendInterval is the least time between the starts of two appends to one
+	// partition. AbsenceProofDelay is how long a proof that a turn is not stored waits to
+	// share an append with other records.
+	MinAppendInterval time.Duration
+	AbsenceProofDelay time.Duration
+	// SkipHandover claims partitions without requesting a handover from their owner, to
+	// measure what clean handovers gain.
 	ClaimWithoutAsking bool
-	// Tenants sets up the accounts by which the limits of tenants are kept.
+	// Tenants sets up the accounts that enforce the limits of tenants.
 	Tenants tenant.Config
-	// ColdReplicas sets up the accounts by which the requests to cold replicas are
-	// counted.
+	// ColdReplicas sets up the accounts that limit the requests to cold replicas.
 	ColdReplicas tenant.Config
-	// CountAlone has each node count to its own part of the limits, alike for all
-	// nodes, to measure what one account for the fleet is worth.
+	// CountLocally has each node count against an equal share of the limits, to measure
+	// what one fleet-wide account gains.
 	CountAlone bool
-	// AskOwnView has nodes ask for charges by their own view of who counts alone, to
-	// measure what it is worth to follow that of the nodes asked.
+	// IgnoreRedirects has nodes select the counting node only by their own view, to measure
+	// what following the redirects of other nodes gains.
 	AskOwnView bool
-	// ShareWhole has nodes grant the whole of the limits though others that they
-	// know of may count behind a cut, to show what that would break.
-	ShareWhole bool
-	// GatherNothing leaves nodes of a large fleet to hear loads by statuses alone, to
-	// measure what collectors are worth.
+	// GrantFullLimits has nodes grant the full limits even if known but unreachable nodes
+	// may be counting in another network partition, to show which guarantees that breaks.
+	GrantFullLimits bool
+	// DisableGathering has nodes of a large fleet learn loads from statuses only, to
+	// measure what collectors gain.
 	GatherNothing bool
-	// Random picks the peers of a status.
+	// Random selects the recipients of statuses, and makes all other random choices.
 	Random *rand.Rand
 }
 
@@ -82,22 +81,22 @@
 	membership.ProbesPerPeriod = 2
 	membership.MaximumHealthScore = 4
 	return Config{
-		Membership:     membership,
-		Ledger:         ledger.DefaultConfig(),
-		Partitions:     partitions,
-		Salt:           ownership.SaltOf(random.Uint64()),
-		Settle:         350 * time.Millisecond,
-		ClaimPause:     time.Second,
-		StatusFanout:   12,
-		KnownPeriod:    time.Second,
-		KnownPerStatus: 4,
-		HoldFor:        800 * time.Millisecond,
-		StallAfter:     700 * time.Millisecond,
-		AppendPause:    40 * time.Millisecond,
-		ProofWait:      150 * time.Millisecond,
-		Tenants:        tenant.DefaultConfig(),
-		ColdReplicas:   tenant.ColdReplicaConfig(),
-		Random:         random,
+		Membership:          membership,
+		Ledger:              ledger.DefaultConfig(),
+		Partitions:          partitions,
+		Salt:                ownership.SaltOf(random.Uint64()),
+		StartupDelay:        350 * time.Millisecond,
+		MinClaimInterval:    time.Second,
+		StatusFanout:        12,
+		KnownNodesPeriod:    time.Second,
+		KnownNodesPerStatus: 4,
+		HoldTimeout:         800 * time.Millisecond,
+		StallTimeout:        700 * time.Millisecond,
+		MinAppendInterval:   40 * time.Millisecond,
+		AbsenceProofDelay:   150 * time.Millisecond,
+		Tenants:             tenant.DefaultConfig(),
+		ColdReplicas:        tenant.ColdReplicaConfig(),
+		Random:              random,
 	}
 }
 
@@ -107,74 +106,74 @@
 	membership *machine.Membership
 	partitions []*partition
 	directory  map[machine.ID]machine.Machine
-	// listing is the directory and this node, sorted by id.
-	listing []machine.Machine
-	peers   map[machine.ID]peerState
-	// owners are the newest records of who serves each partition.
-	owners []ownerRecord
-	// unreaching are the peers that last counted as not reaching the store.
-	unreaching map[machine.ID]bool
-	started    time.Time
-	listed     bool
-	leaving    bool
-	// reaches says whether this node reaches the store, reachedSince since
-	// when without a break, failing whether calls have failed since it answered last,
-	// and lastContact when that was.
-	reaches      bool
-	failing      bool
-	reachedSince time.Time
-	lastContact  time.Time
-	loads        Loads
-	nextKnown    time.Time
-	hearing      hearing
-	ranking      ranking
-	charging     charging
-	proving      proving
-	gathering    *gather.Core
-	ready        Ready
+	// sortedNodes holds the nodes of the directory and this node, sorted by ID.
+	sortedNodes []machine.Machine
+	peers       map[machine.ID]peerState
+	// owners holds the newest known owner record of each partition.
+	owners []knownOwner
+	// withoutStore holds the peers that, by their last status, cannot reach the store.
+	withoutStore map[machine.ID]bool
+	startedAt    time.Time
+	listRead     bool
+	leaving      bool
+	// storeReachable says whether this node reaches the store, and storeReachableSince
+	// since when without interruption. lastStoreAnswer is when the store last answered, and
+	// storeCallsFailing says that calls have failed since then.
+	storeReachable      bool
+	storeCallsFailing   bool
+	storeReachableSince time.Time
+	lastStoreAnswer     time.Time
+	loads               Loads
+	nextKnownNodesAt    time.Time
+	receiveTimes        receiveTimes
+	ranking             ranking
+	chargeState         chargeState
+	freshness           freshness
+	gatherer            *gather.Core
+	ready               Ready
 }
 
-// New returns a core that knows of no node but itself.
+// New returns a core that knows no node but itself.
 func New(now time.Time, config Config) (*Core, error) {
 	membership, err := machine.NewMembership(config.Membership)
 	if err != nil {
 		return nil, err
 	}
 	core := &Core{
-		config:     config,
-		membership: membership,
-		directory:  make(map[machine.ID]machine.Machine),
-		peers:      make(map[machine.ID]peerState),
-		unreaching: make(map[machine.ID]bool),
-		started:    now,
-		reaches:    true,
-		charging:   newCharging(now, &config),
-		proving:    proving{number: firstNumber(config.Random)},
-		gathering:  gather.New(uint64(now.UnixMilli())),
+		config:         config,
+		membership:     membership,
+		directory:      make(map[machine.ID]machine.Machine),
+		peers:          make(map[machine.ID]peerState),
+		withoutStore:   make(map[machine.ID]bool),
+		startedAt:      now,
+		storeReachable: true,
+		chargeState:    newChargeState(now, &config),
+		freshness:      freshness{queryNumber: firstNumber(config.Random)},
+		gatherer:       gather.New(uint64(now.UnixMilli())),
 	}
-	core.list(config.Membership.Self)
+	core.addSorted(config.Membership.Self)
 	for index := range config.Partitions {
 		core.partitions = append(core.partitions, &partition{index: index})
 	}
-	core.owners = make([]ownerRecord, config.Partitions)
-	core.rank(now)
+	core.owners = make([]knownOwner, config.Partitions)
+	core.updateRanking(now)
 	return core, nil
 }
 
-// Step takes in one event.
+// Step processes one event.
 func (c *Core) Step(now time.Time, event Event) {
 	switch event := event.(type) {
 	case Tick:
 		c.tick(now)
 	case Listed:
-		c.listed = true
-		c.learn(now, event.Nodes)
-		c.ranking.lookedAt = time.Time{}
-		c.rank(now)
+		c.listRead = true
+		c.addNodes(now, event.Nodes)
+		c.ranking.checkedAt = time.Time{}
+		c.updateRanking(now)
 	case Learned:
-		c.learn(now, event.Nodes)
+		c.addNodes(now, event.Nodes)
 	case Contact:
-		c.noteContact(now, event)
+		c.stepStoreContact(now, event)
 	case PeerReceived:
 		c.stepPeer(now, event.Message)
 	case Requested:
@@ -184,51 +183,51 @@
 	case TakenOver:
 		c.stepTakenOver(now, event)
 	case LogFull:
-		c.noteFull(event)
+		c.stepLogFull(event)
 	case Appended:
 		c.stepAppended(now, event)
 	case OwnerHeard:
-		c.takeOwner(now, event.Owner)
+		c.mergeOwner(now, event.Owner)
 	case Disowned:
-		c.disown(event)
+		c.stepOwnershipDenied(event)
 	case ChargeRequested:
 		c.stepCharge(now, event)
 	case ProofNoted:
-		c.noteProof(event)
+		c.stepFreshnessProven(event)
 	case ChargeReturned:
-		c.stepReturn(event)
+		c.stepChargeRefunded(event)
 	case Leave:
 		c.leave(now)
 	case Loads:
 		c.loads = event
-		c.retainFor(event.RetainFor)
+		c.setRetention(event.RetainFor)
 		c.gather(now)
 	}
-	c.collect(now)
+	c.collectReady(now)
 }
 
-// leave begins this node's planned stop.
+// leave starts this node's planned stop.
 func (c *Core) leave(now time.Time) {
 	c.leaving = true
 	c.membership.Leave(now)
-	for _, one := range c.partitions {
-		if one.state == stateServing {
-			one.ledger.Close(now)
+	for _, p := range c.partitions {
+		if p.state == stateServing {
+			p.ledger.Close(now)
 		}
 	}
 	c.sendStatus(now)
 }
 
-// retainFor tells the ledgers how long programs are kept.
-func (c *Core) retainFor(retain time.Duration) {
-	for _, one := range c.partitions {
-		if one.state == stateServing {
-			one.ledger.RetainFor(retain)
+// setRetention passes the retention time of programs to the ledgers.
+func (c *Core) setRetention(retain time.Duration) {
+	for _, p := range c.partitions {
+		if p.state == stateServing {
+			p.ledger.RetainFor(retain)
 		}
 	}
 }
 
-// Ready returns what has accumulated since the last call.
+// Ready returns the output accumulated since the last call.
 func (c *Core) Ready() Ready {
 	ready := c.ready
 	c.ready = Ready{}
@@ -238,7 +237,7 @@
 // tickPeriod is the longest time between two ticks.
 const tickPeriod = 50 * time.Millisecond
 
-// NextWake returns when a Tick is due at the latest.
+// NextWake returns the latest time at which the next Tick is due.
 func (c *Core) NextWake(now time.Time) time.Time {
 	wake := now.Add(tickPeriod)
 	if due := c.membership.NextWake(); due.Before(wake) {
@@ -249,16 +248,16 @@
 
 func (c *Core) tick(now time.Time) {
 	c.membership.Tick(now)
-	c.rank(now)
+	c.updateRanking(now)
 	c.tickCharges(now)
-	c.tickProof(now)
-	for _, one := range c.partitions {
-		c.tickPartition(now, one)
+	c.tickFreshness(now)
+	for _, p := range c.partitions {
+		c.tickPartition(now, p)
 	}
 }
 
-// collect turns what the parts have ready into the core's own.
-func (c *Core) collect(now time.Time) {
+// collectReady moves the output of the components into that of the core.
+func (c *Core) collectReady(now time.Time) {
 	for _, outbound := range c.membership.Ready().Messages {
 		target, known := c.membership.Lookup(outbound.To)
 		if !known {
@@ -269,8 +268,8 @@
 			To: target, Message: PeerMessage{From: c.self(), Membership: &message, Status: c.status(now)},
 		})
 	}
-	for _, one := range c.partitions {
-		c.collectAppend(now, one)
+	for _, p := range c.partitions {
+		c.collectAppend(now, p)
 	}
 }
 
@@ -282,9 +281,9 @@
 	return self
 }
 
-// learn adds nodes to the directory.
-func (c *Core) learn(now time.Time, nodes []machine.Machine) {
-	var fresh []machine.Machine
+// addNodes adds nodes to the directory.
+func (c *Core) addNodes(now time.Time, nodes []machine.Machine) {
+	var added []machine.Machine
 	for _, node := range nodes {
 		if node.ID == c.self().ID || node.Address == "" {
 			continue
@@ -296,45 +295,45 @@
 		node.Kind = machine.KindNode
 		node.Status = machine.StatusLive
 		c.directory[node.ID] = node
-		c.list(node)
-		fresh = append(fresh, node)
+		c.addSorted(node)
+		added = append(added, node)
 	}
-	if len(fresh) > 0 {
-		c.membership.ObserveSome(now, fresh)
+	if len(added) > 0 {
+		c.membership.ObserveSome(now, added)
 	}
 }
 
-// list puts a node into the sorted listing, or renews its entry there.
-func (c *Core) list(node machine.Machine) {
-	place, found := slices.BinarySearchFunc(c.listing, node.ID, func(listed machine.Machine, id machine.ID) int {
+// addSorted inserts a node into sortedNodes, or replaces its entry.
+func (c *Core) addSorted(node machine.Machine) {
+	index, found := slices.BinarySearchFunc(c.sortedNodes, node.ID, func(listed machine.Machine, id machine.ID) int {
 		return cmp.Compare(listed.ID, id)
 	})
 	if found {
-		c.listing[place] = node
+		c.sortedNodes[index] = node
 		return
 	}
-	c.listing = slices.Insert(c.listing, place, node)
+	c.sortedNodes = slices.Insert(c.sortedNodes, index, node)
 }
 
-// owned returns the partitions that this node serves.
-func (c *Core) owned() map[int]ownership.Epoch {
-	owned := make(map[int]ownership.Epoch)
-	for _, one := range c.partitions {
-		if one.state == stateServing {
-			owned[one.index] = one.epoch
+// ownedPartitions returns the partitions that this node serves, with their epochs.
+func (c *Core) ownedPartitions() map[int]ownership.Epoch {
+	ownedPartitions := make(map[int]ownership.Epoch)
+	for _, p := range c.partitions {
+		if p.state == stateServing {
+			ownedPartitions[p.index] = p.epoch
 		}
 	}
-	return owned
+	return ownedPartitions
 }
 
-// Directory returns the nodes that this one knows of, itself included, sorted by id, and
-// whether it has read the whole list of them. The caller must not change the slice.
-func (c *Core) Directory() (nodes []machine.Machine, whole bool) { return c.listing, c.listed }
+// Directory returns the known nodes including this one, sorted by ID, and whether this node
+// has read the complete list. The caller must not change the slice.
+func (c *Core) Directory() (nodes []machine.Machine, whole bool) { return c.sortedNodes, c.listRead }
 
-// LiveCount returns how many nodes are live, this one included.
+// LiveCount returns the number of live nodes, including this one.
 func (c *Core) LiveCount() int { return max(1, len(c.membership.Nodes())) }
 
-// Lives reports whether a node counts as live.
+// IsLive reports whether a node is considered live.
 func (c *Core) Lives(id machine.ID) bool {
 	_, found := slices.BinarySearchFunc(c.membership.Nodes(), id, func(node machine.Machine, id machine.ID) int {
 		return cmp.Compare(node.ID, id)
--- a/coordinator/gathering_test.go
+++ b/coordinator/gathering_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// gatherNodes is more than hear each other often, and reportPeriod the time between
-	// two looks of a node at its own loads.
+	// gatherNodes is too many for statuses alone to report loads often enough. reportPeriod
+	// is the time between two reports of a node's own loads.
 	gatherNodes  = 42
 	reportPeriod = 100 * time.Millisecond
 )
 
-// gatherFleet returns a fleet over three zones.
+// gatherFleet returns a fleet with three zones.
 func gatherFleet(nodes int, configure func(*coordinator.Config)) *fleet {
 	world := newFleetWith(8, 0, 3, configure)
 	zones := make(map[machine.ID]zone.Name)
@@ -36,21 +36,22 @@
 	return world
 }
 
-// runLoads lets the time pass while each node has one request at a replica.
+// runLoads runs the fleet while each node has one request at a replica.
 func runLoads(world *fleet, span time.Duration) {
 	for range int(span / reportPeriod) {
 		for _, id := range world.ids() {
-			if one := world.nodes[id]; !one.frozen {
-				one.core.Step(world.now, coordinator.Loads{Reports: map[replica.ID]replica.Report{"r": {Requests: 1}}})
-				world.perform(id, one)
+			if node := world.nodes[id]; !node.frozen {
+				node.core.Step(world.now, coordinator.Loads{Reports: map[replica.ID]replica.Report{"r": {Requests: 1}}})
+				world.perform(id, node)
 			}
 		}
 		world.run(reportPeriod)
 	}
 }
 
-// heardOf returns how many requests of others at the replica each node heard of last.
-func heardOf(world *fleet) (heard []int) {
+// reportedRequests returns the distinct numbers of other nodes' requests at the replica
+// that the nodes last received.
+func reportedRequests(world *fleet) (heard []int) {
 	for _, id := range world.ids() {
 		if totals := world.nodes[id].totals; totals != nil && world.now.Sub(totals.At) < time.Second {
 			heard = append(heard, totals.Counts[gather.KeyOf("r")])
@@ -61,48 +62,48 @@
 }
 
 var _ = Describe("Gathering loads", func() {
-	It("tells all nodes of a large fleet what the others have", func() {
+	It("reports the loads of all others to each node of a large fleet", func() {
 		world := gatherFleet(gatherNodes, nil)
 		runLoads(world, 3*time.Second)
-		Expect(heardOf(world)).To(Equal([]int{gatherNodes - 1}))
+		Expect(reportedRequests(world)).To(Equal([]int{gatherNodes - 1}))
 	})
 
-	It("sends nothing in a fleet whose nodes hear each other often, or where it is switched off", func() {
+	It("sends nothing in a small fleet, or if it is disabled", func() {
 		off := func(config *coordinator.Config) { config.GatherNothing = true }
 		for _, world := range []*fleet{gatherFleet(12, nil), gatherFleet(gatherNodes, off)} {
 			runLoads(world, 3*time.Second)
-			Expect(heardOf(world)).To(BeEmpty())
+			Expect(reportedRequests(world)).To(BeEmpty())
 			for _, id := range world.ids() {
-				Expect(world.nodes[id].gathered).To(BeZero())
+				Expect(world.nodes[id].gatherMessages).To(BeZero())
 			}
 		}
 	})
 
-	It("goes on where the first collector is a node that knows of no such messages", func() {
+	It("continues if the first collector does not support gathering", func() {
 		collector := gatherFleet(gatherNodes, nil).nodes["node-00"].core.Roles().Collectors[0].ID
 		world := gatherFleet(gatherNodes, func(config *coordinator.Config) {
 			config.GatherNothing = config.Membership.Self.ID == collector
 		})
 		runLoads(world, 3*time.Second)
-		Expect(world.nodes[collector].gathered).To(BeZero())
-		// Nodes that try the silent collector again hear nothing for a few reports.
-		heard := heardOf(world)
+		Expect(world.nodes[collector].gatherMessages).To(BeZero())
+		// Nodes that try the silent collector again receive no totals for a few reports.
+		heard := reportedRequests(world)
 		Expect(heard[len(heard)-1]).To(Equal(gatherNodes - 2))
 		Expect(world.nodes["node-01"].totals.Nodes).To(BeNumerically("<", gatherNodes-1))
 	})
 
-	It("goes on where a collector dies, or freezes", func() {
+	It("continues if a collector dies or freezes", func() {
 		world := gatherFleet(gatherNodes, nil)
 		runLoads(world, 2*time.Second)
 		collector := world.nodes["node-00"].core.Roles().Collectors[0].ID
 		world.kill(collector)
 		runLoads(world, 2*time.Second)
-		Expect(heardOf(world)).To(Equal([]int{gatherNodes - 2}))
-		// It is not seen to be dead yet when the others have left it.
+		Expect(reportedRequests(world)).To(Equal([]int{gatherNodes - 2}))
+		// The other nodes switch collectors before the frozen one is declared dead.
 		second := world.nodes[world.ids()[0]].core.Roles().Collectors[0].ID
 		world.nodes[second].frozen = true
 		runLoads(world, 2*time.Second)
 		world.nodes[second].totals = nil
-		Expect(heardOf(world)).To(Equal([]int{gatherNodes - 3}))
+		Expect(reportedRequests(world)).To(Equal([]int{gatherNodes - 3}))
 	})
 })
--- a/coordinator/roles_test.go
+++ b/coordinator/roles_test.go
@@ -13,8 +13,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// rolesNodes returns the nodes of a fleet over five zones, one in six of them strong.
-func rolesNodes(count int) []machine.Machine {
+// roleNodes returns the nodes of a fleet with five zones, one in six of them strong.
+func roleNodes(count int) []machine.Machine {
 	nodes := make([]machine.Machine, 0, count)
 	for index := range count {
 		weight := 5.0
@@ -29,12 +29,12 @@
 	return nodes
 }
 
-// TestRolesDoNotGrow has as many nodes follow the store in a fleet of 2,000 as of 984, the
-// same by whoever ranks them, and none of them weak.
+// TestRolesDoNotGrow checks that a fleet of 2,000 nodes has as many sources and readers as
+// one of 984, that all nodes agree on them, and that none of them is weak.
 func TestRolesDoNotGrow(t *testing.T) {
 	g := NewWithT(t)
 	for _, count := range []int{984, 2_000} {
-		nodes := rolesNodes(count)
+		nodes := roleNodes(count)
 		sources, readers := make(map[machine.ID]bool), make(map[machine.ID]bool)
 		for index := 0; index < count; index += 97 {
 			now := time.Unix(1000, 0)
@@ -58,12 +58,13 @@
 	}
 }
 
-// TestWeakNodesServeNobody has no weak node be a source or a reader in any of forty fleets
-// with strong ones: one in ten had a weak source by rank and weight alone.
+// TestWeakNodesServeNobody checks that no weak node is a source or a reader in any of 40
+// fleets that have strong nodes. By rank and weight alone, one fleet in ten had a weak
+// source.
 func TestWeakNodesServeNobody(t *testing.T) {
 	g := NewWithT(t)
 	for fleet := range 40 {
-		nodes := rolesNodes(150)
+		nodes := roleNodes(150)
 		for index := range nodes {
 			nodes[index].ID = machine.ID(fmt.Sprintf("fleet-%d-%s", fleet, nodes[index].ID))
 		}
@@ -72,8 +73,8 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		core.Step(now, coordinator.Listed{Nodes: nodes})
 		roles := core.Roles()
-		for _, one := range append(append(roles.Sources, roles.Readers...), roles.Remote...) {
-			g.Expect(one.Weight).To(BeNumerically(">", 100), string(one.ID))
+		for _, node := range append(append(roles.Sources, roles.Readers...), roles.Remote...) {
+			g.Expect(node.Weight).To(BeNumerically(">", 100), string(node.ID))
 		}
 	}
 }
