--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -207,7 +207,8 @@
 	Partition int
 	Epoch     ownership.Epoch
 	// Contested claims may be made only if the log still ends at ExpectedEnd. They are used
-	// after this node was fenced by an owner that it does not know.
+	// after this node was fenced by an owner that it does not know, or while it may be in
+	// the minority of a network partition.
 	Contested bool
 	Unmoved   uint64
 }
@@ -279,11 +280,12 @@
 	Partition int
 	Epoch     ownership.Epoch
 	Owned     bool
-	// Inherited says that the former owner did not hand the partition over cleanly, and may
-	// have started programs that the log does not contain.
+	// Reason is the cause. Accounts and Turns count what the log held, if the partition was
+	// gained.
 	Reason   string
 	Accounts int
 	Turns    int
-	// Inherited says that the former owner did not hand the partition over cleanly.
+	// Inherited says that the former owner did not hand the partition over cleanly, and may
+	// have started programs that the log does not contain.
 	Inherited bool
 }
