--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -41,27 +41,27 @@
 	Expected, Bound time.Duration
 }
 
-// fullForNew is how full the replicas are from which on new programs wait: a few requests
+// maxNewUtilisation is how full the replicas are from which on new programs wait: a few requests
 // that wait at a replica begin the moment that a place comes free there, and more programs
 // than that make those under way wait, which have to come back for each of their turns.
-const fullForNew = 1.1
+const maxNewUtilisation = 1.1
 
 const (
-	// waitMost is how long a turn waits for room at most: a caller that is told to come
+	// maxWait is how long a turn waits for room at most: a caller that is told to come
 	// back is back by then.
-	waitMost = 500 * time.Millisecond
-	// waitPart is the part of what is left until the turn's deadline that it may wait:
+	maxWait = 500 * time.Millisecond
+	// deadlineWaitFraction is the part of what is left until the turn's deadline that it may wait:
 	// the rest is for the turn itself, and a second try elsewhere.
-	waitPart = 0.25
-	// waitSlack is the part of its program's slack that a turn may wait: the rest is for
+	deadlineWaitFraction = 0.25
+	// slackWaitFraction is the part of its program's slack that a turn may wait: the rest is for
 	// the turns that follow, each of which may meet others.
-	waitSlack = 0.125
-	// waitUnknown is how long room is expected to take where nothing is known.
-	waitUnknown = 100 * time.Millisecond
+	slackWaitFraction = 0.125
+	// defaultExpectedWait is how long room is expected to take where nothing is known.
+	defaultExpectedWait = 100 * time.Millisecond
 )
 
 // Free reports whether a new program need not wait.
-func (r *Room) Free() bool { return r.Mean < fullForNew }
+func (r *Room) Free() bool { return r.Mean < maxNewUtilisation }
 
 // Admit decides on a turn with a time left until its deadline. Programs under way go to a
 // replica at once and wait there, in the order that replicas keep. New ones wait here if
@@ -71,13 +71,13 @@
 	if standing.Begun || room.Free() && room.Ahead == 0 {
 		return Admission{Verdict: VerdictRun}
 	}
-	expected := waitUnknown
+	expected := defaultExpectedWait
 	if room.Pace > 0 {
 		expected = time.Duration(float64(room.Ahead+1) / room.Pace * float64(time.Second))
 	}
-	bound := min(waitMost, time.Duration(float64(left)*waitPart))
+	bound := min(maxWait, time.Duration(float64(left)*deadlineWaitFraction))
 	if slack := standing.Slack(); slack > 0 {
-		bound = min(bound, time.Duration(float64(slack)*waitSlack))
+		bound = min(bound, time.Duration(float64(slack)*slackWaitFraction))
 	}
 	switch {
 	case expected <= bound:
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -9,17 +9,17 @@
 
 // The ways in which nodes treat what finds no room.
 var (
-	byThreshold = replayPolicy{refuseNew: true}
-	atReplica   = replayPolicy{bySlack: true}
-	atNode      = replayPolicy{waitHere: true, bySlack: true}
-	inArrival   = replayPolicy{waitHere: true}
+	thresholdPolicy = simPolicy{refuseNew: true}
+	replicaPolicy   = simPolicy{orderBySlack: true}
+	nodePolicy      = simPolicy{waitAtNode: true, orderBySlack: true}
+	arrivalPolicy   = simPolicy{waitAtNode: true}
 )
 
 // burst replays six seconds of a load, in parts of the room, between calm seconds, with
 // several seeds.
-func burst(policy replayPolicy, load float64) (sum crowd) {
+func burst(policy simPolicy, load float64) (sum simulation) {
 	for seed := range uint64(5) {
-		c := newCrowd(policy, seed)
+		c := newSimulation(policy, seed)
 		c.play(10*time.Second, func(at time.Duration) float64 {
 			if at > 2*time.Second && at < 8*time.Second {
 				return load
@@ -32,20 +32,20 @@
 	return sum
 }
 
-// TestBurstOfTwiceTheRoom serves half as many programs more in time than a threshold at
+// TestBurstOverCapacity serves half as many programs more in time than a threshold at
 // arrival and order of arrival at the replicas do, and refuses no more than one in a
 // hundred beyond that.
-func TestBurstOfTwiceTheRoom(t *testing.T) {
+func TestBurstOverCapacity(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{1.2, 2, 3} {
-		before, now := burst(byThreshold, load), burst(atNode, load)
+		before, now := burst(thresholdPolicy, load), burst(nodePolicy, load)
 		t.Logf("load %.1f: threshold %d in time, %d late, %d refused; waiting %d, %d, %d", load, before.inTime, before.late, before.refused, now.inTime, now.late, now.refused)
 		g.Expect(float64(now.inTime)).To(BeNumerically(">=", 1.35*float64(before.inTime)), "load %.1f", load)
 		asked := now.inTime + now.late + now.refused
 		g.Expect(now.refused).To(BeNumerically("<=", before.refused+asked/100))
 		g.Expect(now.failed).To(BeZero())
 	}
-	g.Expect(burst(atNode, 2).inTime).To(BeNumerically(">=", burst(byThreshold, 2).inTime*3/2))
+	g.Expect(burst(nodePolicy, 2).inTime).To(BeNumerically(">=", burst(thresholdPolicy, 2).inTime*3/2))
 }
 
 // TestWaitAtNodeOrReplica compares the two places: what waits at its node goes where a
@@ -53,43 +53,43 @@
 func TestWaitAtNodeOrReplica(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{1.2, 2, 3} {
-		node, replica := burst(atNode, load), burst(atReplica, load)
+		node, replica := burst(nodePolicy, load), burst(replicaPolicy, load)
 		g.Expect(node.inTime).To(BeNumerically(">", replica.inTime), "load %.1f", load)
 	}
 }
 
-// TestOrderWherePrioritiesCount serves more in time where replicas keep the order, and no
+// TestOrderAtReplicas serves more in time where replicas keep the order, and no
 // fewer than a threshold where they serve as requests arrive.
-func TestOrderWherePrioritiesCount(t *testing.T) {
+func TestOrderAtReplicas(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{1.2, 2, 3} {
-		g.Expect(burst(atNode, load).inTime).To(BeNumerically(">", burst(inArrival, load).inTime), "load %.1f", load)
-		g.Expect(burst(inArrival, load).inTime).To(BeNumerically(">=", burst(byThreshold, load).inTime), "load %.1f", load)
+		g.Expect(burst(nodePolicy, load).inTime).To(BeNumerically(">", burst(arrivalPolicy, load).inTime), "load %.1f", load)
+		g.Expect(burst(arrivalPolicy, load).inTime).To(BeNumerically(">=", burst(thresholdPolicy, load).inTime), "load %.1f", load)
 	}
 }
 
-// TestRoomIsUsed refuses nobody and is late with nobody while there is room.
-func TestRoomIsUsed(t *testing.T) {
+// TestNoRefusalsBelowCapacity refuses nobody and is late with nobody while there is room.
+func TestNoRefusalsBelowCapacity(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{0.5, 0.7, 0.9} {
-		calm := burst(atNode, load)
+		calm := burst(nodePolicy, load)
 		g.Expect(calm.refused+calm.failed).To(BeZero(), "load %.1f", load)
 		g.Expect(calm.late).To(BeNumerically("<=", calm.inTime/100), "load %.1f", load)
 	}
 }
 
-// TestMoreLoadIsBorne loses at most a fifth of those in time where half as much again
+// TestHigherOverload loses at most a fifth of those in time where half as much again
 // comes as twice the room.
-func TestMoreLoadIsBorne(t *testing.T) {
+func TestHigherOverload(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(burst(atNode, 3).inTime).To(BeNumerically(">=", burst(atNode, 2).inTime*4/5))
+	g.Expect(burst(nodePolicy, 3).inTime).To(BeNumerically(">=", burst(nodePolicy, 2).inTime*4/5))
 }
 
 // TestRefusedNeverRuns holds whatever the load.
 func TestRefusedNeverRuns(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{0.9, 2, 4} {
-		g.Expect(burst(atNode, load).ranAfterRefusal).To(BeZero())
+		g.Expect(burst(nodePolicy, load).ranAfterRefusal).To(BeZero())
 	}
 }
 
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -11,16 +11,16 @@
 // epoch is when replays begin.
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestComeBackIsBearable tells nobody to wait for longer than the caller would, whatever
+// TestRetryAfterIsBounded tells nobody to wait for longer than the caller would, whatever
 // the cause, and never at once.
-func TestComeBackIsBearable(t *testing.T) {
+func TestRetryAfterIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(1, 2))
 	for cause := range causes {
 		for range 2000 {
 			refusal := &Refusal{
 				Cause: cause, Lasted: time.Duration(draws.Int64N(int64(9 * time.Second))), Left: time.Duration(draws.Int64N(int64(4 * time.Second))),
-				Refused: draws.Float64() * 500, Pace: draws.Float64() * 50, Begun: draws.IntN(2) == 0, Urgency: draws.IntN(12), Draw: draws.Float64(),
+				RecentRefusals: draws.Float64() * 500, ServiceRate: draws.Float64() * 50, Begun: draws.IntN(2) == 0, Urgency: draws.IntN(12), Draw: draws.Float64(),
 			}
 			after := refusal.ComeBack()
 			g.Expect(after).To(BeNumerically(">", 0), "%+v", refusal)
@@ -30,28 +30,28 @@
 	}
 }
 
-// TestComeBackFollowsTheOutage lets callers wait for longer the longer an outage has
+// TestRetryAfterGrowsWithOutage lets callers wait for longer the longer an outage has
 // lasted, and until its end where that is known.
-func TestComeBackFollowsTheOutage(t *testing.T) {
+func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	g := NewWithT(t)
 	early := (&Refusal{Cause: CauseStoreAway, Left: 20 * time.Second}).ComeBack()
 	late := (&Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 20 * time.Second}).ComeBack()
 	endless := (&Refusal{Cause: CauseStoreAway, Lasted: time.Hour, Left: 20 * time.Second}).ComeBack()
-	g.Expect(early).To(BeNumerically(">=", outage.least))
+	g.Expect(early).To(BeNumerically(">=", outageBounds.minimum))
 	g.Expect(late).To(BeNumerically(">=", 2*time.Second))
-	g.Expect(endless).To(BeNumerically("<=", outage.most*5/4))
+	g.Expect(endless).To(BeNumerically("<=", outageBounds.maximum*5/4))
 	short := &Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 3 * time.Second}
 	g.Expect(short.ComeBack()).To(BeNumerically(">=", 900*time.Millisecond), "as late as the caller bears")
 	known := (&Refusal{Cause: CauseIsolated, Ends: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).ComeBack()
 	g.Expect(known).To(BeNumerically("~", 1050*time.Millisecond, 150*time.Millisecond))
 }
 
-// TestComeBackInOrder has programs under way come back before new ones, and the more
+// TestRetryAfterOrder has programs under way come back before new ones, and the more
 // urgent sooner, however the draws fall.
-func TestComeBackInOrder(t *testing.T) {
+func TestRetryAfterOrder(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(3, 4))
-	refusal := Refusal{Cause: CauseFull, Left: 30 * time.Second, Refused: 80, Pace: 80}
+	refusal := Refusal{Cause: CauseFull, Left: 30 * time.Second, RecentRefusals: 80, ServiceRate: 80}
 	mean := func(begun bool, urgency int) (mean, first, last time.Duration) {
 		first = time.Hour
 		for range 500 {
@@ -71,9 +71,9 @@
 	g.Expect(firstFresh).To(BeNumerically(">=", lastBegun))
 }
 
-// TestWaveComesBackAsARamp replays an outage of five seconds at a node that served 40
+// TestRetriesAreSpread replays an outage of five seconds at a node that served 40
 // requests a second: what it refused comes back over more than a second, not at once.
-func TestWaveComesBackAsARamp(t *testing.T) {
+func TestRetriesAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(5, 6))
 	var returns Returns
@@ -98,7 +98,7 @@
 		}
 		refusal := &Refusal{Cause: CauseStoreAway, Left: 6 * time.Second, Begun: draws.IntN(2) == 0, Draw: draws.Float64()}
 		returns.Refuse(at, refusal)
-		g.Expect(refusal.Pace).To(BeNumerically("~", 40, 1))
+		g.Expect(refusal.ServiceRate).To(BeNumerically("~", 40, 1))
 		tries++
 		queue = insertTime(queue, at.Add(refusal.ComeBack()))
 	}
@@ -124,8 +124,8 @@
 	return times
 }
 
-// TestReturnsForgets begins anew once a cause was over.
-func TestReturnsForgets(t *testing.T) {
+// TestRefusalTrackerExpiry begins anew once a cause was over.
+func TestRefusalTrackerExpiry(t *testing.T) {
 	g := NewWithT(t)
 	var returns Returns
 	refuse := func(after time.Duration) Refusal {
@@ -138,5 +138,5 @@
 	g.Expect(refuse(1800 * time.Millisecond).Lasted).To(Equal(1800 * time.Millisecond))
 	again := refuse(4 * time.Second)
 	g.Expect(again.Lasted).To(BeZero())
-	g.Expect(again.Refused).To(Equal(1.))
+	g.Expect(again.RecentRefusals).To(Equal(1.))
 }
--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -13,33 +13,33 @@
 	Left, Usual time.Duration
 }
 
-// leastRepeat is the least time left in which a call is worth sending again: the way to a
+// minRepeatTime is the least time left in which a call is worth sending again: the way to a
 // replica and back, and pauses of this process.
-const leastRepeat = 20 * time.Millisecond
+const minRepeatTime = 20 * time.Millisecond
 
-// Again is whether a late call goes out again, with its reason.
-type Again int
+// RepeatVerdict is whether a late call goes out again, with its reason.
+type RepeatVerdict int
 
 // The verdicts on a late call.
 const (
 	// AgainYes: its answer is likely lost, and another can come in time.
-	AgainYes Again = iota
-	// AgainLate: no other answer would come in time.
-	AgainLate
+	AgainYes RepeatVerdict = iota
+	// RepeatNoTime: no other answer would come in time.
+	RepeatNoTime
 	// AgainFull: every replica is full. The call is late because others are; one more
 	// would wait in a line and make that longer.
 	AgainFull
-	agains
+	repeatVerdicts
 )
 
 // String returns the verdict as logs and metrics name it.
-func (a Again) String() string { return [agains]string{"sent", "no time", "full"}[a] }
+func (a RepeatVerdict) String() string { return [repeatVerdicts]string{"sent", "no time", "full"}[a] }
 
 // Repeat decides whether a late call goes out again beside itself.
-func Repeat(call *Late) Again {
+func Repeat(call *Late) RepeatVerdict {
 	switch {
-	case call.Left < max(leastRepeat, call.Usual):
-		return AgainLate
+	case call.Left < max(minRepeatTime, call.Usual):
+		return RepeatNoTime
 	case call.Full >= 1:
 		return AgainFull
 	default:
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -14,12 +14,12 @@
 func TestRepeat(t *testing.T) {
 	for _, one := range []struct {
 		call Late
-		want Again
+		want RepeatVerdict
 	}{
 		{Late{Full: 0.5, Left: time.Second, Usual: 30 * time.Millisecond}, AgainYes},
 		{Late{Full: 0.99, Left: 30 * time.Millisecond, Usual: 30 * time.Millisecond}, AgainYes},
-		{Late{Full: 0.5, Left: 29 * time.Millisecond, Usual: 30 * time.Millisecond}, AgainLate},
-		{Late{Left: 19 * time.Millisecond}, AgainLate},
+		{Late{Full: 0.5, Left: 29 * time.Millisecond, Usual: 30 * time.Millisecond}, RepeatNoTime},
+		{Late{Left: 19 * time.Millisecond}, RepeatNoTime},
 		{Late{Full: 1, Left: time.Second}, AgainFull},
 	} {
 		NewWithT(t).Expect(Repeat(&one.call)).To(Equal(one.want), "%+v", one.call)
@@ -36,7 +36,7 @@
 	queue  toolEvents
 	now    time.Duration
 	// free are the times at which the places of each replica are free.
-	free    [toolReplicas][toolPlaces]time.Duration
+	free    [toolReplicas][toolSlots]time.Duration
 	times   []time.Duration
 	repeats int
 	// budget is how many repeats may be sent: a tenth of the calls that were answered.
@@ -44,11 +44,11 @@
 }
 
 const (
-	toolReplicas = 36
-	toolPlaces   = 6
-	toolLate     = 180 * time.Millisecond
-	toolSpell    = 600 * time.Millisecond
-	toolSlow     = 2.5
+	toolReplicas     = 36
+	toolSlots        = 6
+	toolLateAfter    = 180 * time.Millisecond
+	toolSlowdownTime = 600 * time.Millisecond
+	toolSlowdown     = 2.5
 )
 
 type toolEvent struct {
@@ -99,9 +99,9 @@
 		}
 	}
 	begins := max(f.now, f.free[replica][place])
-	spell := rand.New(rand.NewPCG(uint64(replica), uint64(begins/toolSpell)))
-	if spell.Float64() < 0.15 {
-		work = time.Duration(float64(work) * toolSlow)
+	slowdown := rand.New(rand.NewPCG(uint64(replica), uint64(begins/toolSlowdownTime)))
+	if slowdown.Float64() < 0.15 {
+		work = time.Duration(float64(work) * toolSlowdown)
 	}
 	f.free[replica][place] = begins + work
 	return begins + work
@@ -111,14 +111,14 @@
 	came := f.now
 	work := min(time.Duration(16*math.Exp(f.random.NormFloat64())*float64(time.Millisecond)), 107*time.Millisecond)
 	ends := f.send(f.emptiest(), work)
-	if ends-came <= toolLate {
+	if ends-came <= toolLateAfter {
 		f.times = append(f.times, ends-came)
 		f.budget = min(10, f.budget+0.1)
 		return
 	}
-	heap.Push(&f.queue, toolEvent{came + toolLate, func() {
+	heap.Push(&f.queue, toolEvent{came + toolLateAfter, func() {
 		other := f.emptiest()
-		late := Late{Full: float64(f.under(other)) / toolPlaces, Left: time.Second}
+		late := Late{Full: float64(f.under(other)) / toolSlots, Left: time.Second}
 		if f.budget >= 1 && (!f.guard || Repeat(&late) == AgainYes) {
 			f.budget--
 			f.repeats++
@@ -128,8 +128,8 @@
 	}})
 }
 
-// playTools has calls come for 10 s, a burst of them in the middle.
-func playTools(guard bool, usual, burst float64) *toolFleet {
+// simulateTools has calls come for 10 s, a burst of them in the middle.
+func simulateTools(guard bool, usual, burst float64) *toolFleet {
 	fleet := &toolFleet{random: rand.New(rand.NewPCG(11, 3)), guard: guard}
 	var arrive func()
 	arrive = func() {
@@ -160,13 +160,13 @@
 	return sum / time.Duration(len(times))
 }
 
-// TestRepeatsOfAnOverload do not make it longer.
-func TestRepeatsOfAnOverload(t *testing.T) {
+// TestRepeatsDuringOverload do not make it longer.
+func TestRepeatsDuringOverload(t *testing.T) {
 	g := NewWithT(t)
-	before, guarded := playTools(false, 2000, 11000), playTools(true, 2000, 11000)
+	before, guarded := simulateTools(false, 2000, 11000), simulateTools(true, 2000, 11000)
 	t.Logf("repeats %d and %d of %d calls, mean %v and %v", before.repeats, guarded.repeats, len(before.times), meanTime(before.times), meanTime(guarded.times))
 	g.Expect(guarded.repeats).To(BeNumerically("<", before.repeats/2))
 	g.Expect(meanTime(guarded.times)).To(BeNumerically("<", meanTime(before.times)*95/100))
-	calm, calmGuarded := playTools(false, 2000, 2000), playTools(true, 2000, 2000)
+	calm, calmGuarded := simulateTools(false, 2000, 2000), simulateTools(true, 2000, 2000)
 	g.Expect(calmGuarded.repeats).To(Equal(calm.repeats))
 }
--- a/dispatch/length.go
+++ b/dispatch/length.go
@@ -8,43 +8,43 @@
 // Lengths learns how many tokens the turns of each route usually have. It is not safe for
 // concurrent use.
 type Lengths struct {
-	routes map[string]*length
+	routes map[string]*routeLength
 }
 
-// length is the usual of one route, as a mean of logarithms: a few long turns do not move
+// routeLength is the usual of one route, as a mean of logarithms: a few long turns do not move
 // it far.
-type length struct {
-	logarithm float64
-	turns     float64
-	at        time.Time
+type routeLength struct {
+	meanLog float64
+	turns   float64
+	usedAt  time.Time
 }
 
 const (
-	// lengthTurns is how many turns the mean of a route's lengths holds.
-	lengthTurns = 100
-	// lengthRoutes bounds the routes that are followed: more than deployments have.
-	lengthRoutes = 200
+	// lengthMemory is how many turns the mean of a route's lengths holds.
+	lengthMemory = 100
+	// maxLengthRoutes bounds the routes that are followed: more than deployments have.
+	maxLengthRoutes = 200
 )
 
 // NewLengths returns lengths that know no route.
-func NewLengths() *Lengths { return &Lengths{routes: make(map[string]*length)} }
+func NewLengths() *Lengths { return &Lengths{routes: make(map[string]*routeLength)} }
 
 // Observe takes in how many tokens a turn of the route had.
 func (l *Lengths) Observe(now time.Time, route string, tokens int) {
 	if tokens <= 0 {
 		return
 	}
-	known := l.routes[route]
-	if known == nil {
-		if len(l.routes) >= lengthRoutes {
-			ForgetOldest(l.routes, func(one *length) time.Time { return one.at })
+	stats := l.routes[route]
+	if stats == nil {
+		if len(l.routes) >= maxLengthRoutes {
+			ForgetOldest(l.routes, func(one *routeLength) time.Time { return one.usedAt })
 		}
-		known = &length{}
-		l.routes[route] = known
+		stats = &routeLength{}
+		l.routes[route] = stats
 	}
-	known.at = now
-	known.turns = min(known.turns+1, lengthTurns)
-	known.logarithm += (math.Log(float64(tokens)) - known.logarithm) / known.turns
+	stats.usedAt = now
+	stats.turns = min(stats.turns+1, lengthMemory)
+	stats.meanLog += (math.Log(float64(tokens)) - stats.meanLog) / stats.turns
 }
 
 // Expected returns how many tokens a turn will have: between the client's hint and the
@@ -52,8 +52,8 @@
 // nothing is known. A hint is right in the median, and often far off.
 func (l *Lengths) Expected(route string, hint, most int) int {
 	usual := 0.0
-	if known := l.routes[route]; known != nil {
-		usual = math.Exp(known.logarithm)
+	if stats := l.routes[route]; stats != nil {
+		usual = math.Exp(stats.meanLog)
 	}
 	expected := float64(max(0, hint))
 	switch {
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -43,7 +43,7 @@
 // cannot be in time. Without the client's word it has slackUnknown.
 func (s *Standing) Slack() time.Duration {
 	if !s.HasLeft {
-		return slackUnknown
+		return defaultSlack
 	}
 	return s.Left - s.Need
 }
@@ -64,21 +64,21 @@
 }
 
 const (
-	// slackUnknown is the slack of programs whose clients name no time: a few turns'.
-	slackUnknown = time.Second
-	// slackMost is the slack beyond which programs are alike: none of them is near its
+	// defaultSlack is the slack of programs whose clients name no time: a few turns'.
+	defaultSlack = time.Second
+	// maxSlack is the slack beyond which programs are alike: none of them is near its
 	// end.
-	slackMost = 4 * time.Second
-	// tierAge is the wait by which a turn moves up one tier, so that none waits for ever:
+	maxSlack = 4 * time.Second
+	// tierAgingTime is the wait by which a turn moves up one tier, so that none waits for ever:
 	// a part of what callers bear for one turn.
-	tierAge = 400 * time.Millisecond
+	tierAgingTime = 400 * time.Millisecond
 )
 
-// Key returns where the turn stands in the order: the least is served first. Turns of one
+// SortKey returns where the turn stands in the order: the least is served first. Turns of one
 // tier go by their slack, and waiting moves a turn up, past every tier in the end.
-func (s *Standing) Key() float64 {
-	within := float64(min(max(s.Slack(), 0), slackMost)) / float64(slackMost+1)
-	return float64(s.Tier()) + within - float64(s.Waited)/float64(tierAge)
+func (s *Standing) SortKey() float64 {
+	within := float64(min(max(s.Slack(), 0), maxSlack)) / float64(maxSlack+1)
+	return float64(s.Tier()) + within - float64(s.Waited)/float64(tierAgingTime)
 }
 
 // Before orders two turns that compete: the more urgent by priority first, then by their
@@ -87,7 +87,7 @@
 	if priority != otherPriority {
 		return priority < otherPriority
 	}
-	return standing.Key() < other.Key()
+	return standing.SortKey() < other.SortKey()
 }
 
 // Bands maps the priorities of a service's routes and tenants to ranges of the urgency
@@ -114,6 +114,6 @@
 	if index, _ := slices.BinarySearch(b.priorities, priority+1); index < len(b.priorities) {
 		end = min(end, b.priorities[index])
 	}
-	share := min(max(standing.Key()/float64(tiers), 0), 1)
+	share := min(max(standing.SortKey()/float64(tiers), 0), 1)
 	return max(first, min(first+int(share*float64(end-first)), end-1))
 }
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// standing returns a program under way with a slack.
-func standing(slack time.Duration) *Standing {
+// startedWithSlack returns a program under way with a slack.
+func startedWithSlack(slack time.Duration) *Standing {
 	return &Standing{Begun: true, HasLeft: true, Left: 2*time.Second + slack, Need: 2 * time.Second}
 }
 
@@ -19,8 +19,8 @@
 func TestOrderByTier(t *testing.T) {
 	g := NewWithT(t)
 	ranked := []*Standing{
-		standing(10 * time.Millisecond), standing(400 * time.Millisecond), {Begun: true}, standing(3 * time.Second),
-		{HasLeft: true, Left: 2100 * time.Millisecond, Need: 2 * time.Second}, {}, standing(-time.Second), {HasLeft: true, Need: time.Second},
+		startedWithSlack(10 * time.Millisecond), startedWithSlack(400 * time.Millisecond), {Begun: true}, startedWithSlack(3 * time.Second),
+		{HasLeft: true, Left: 2100 * time.Millisecond, Need: 2 * time.Second}, {}, startedWithSlack(-time.Second), {HasLeft: true, Need: time.Second},
 	}
 	tiersOf := []Tier{TierInTime, TierInTime, TierInTime, TierInTime, TierNew, TierNew, TierLate, TierNewLate}
 	for index, one := range ranked {
@@ -37,12 +37,12 @@
 // once it has waited for all tiers.
 func TestOrderStarvesNobody(t *testing.T) {
 	g := NewWithT(t)
-	waiting := &Standing{HasLeft: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAge + time.Millisecond}
-	g.Expect(Before(1, waiting, 1, standing(0))).To(BeTrue())
+	waiting := &Standing{HasLeft: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAgingTime + time.Millisecond}
+	g.Expect(Before(1, waiting, 1, startedWithSlack(0))).To(BeTrue())
 }
 
 // TestBandsKeepPriorities ranks no turn with or before one of a more urgent priority,
-// whatever their standing.
+// whatever their startedWithSlack.
 func TestBandsKeepPriorities(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(9, 10))
@@ -52,7 +52,7 @@
 		for range 2000 {
 			end := -1
 			for _, priority := range sorted {
-				one := standing(time.Duration(draws.Int64N(int64(8*time.Second))) - 4*time.Second)
+				one := startedWithSlack(time.Duration(draws.Int64N(int64(8*time.Second))) - 4*time.Second)
 				one.Begun, one.Waited = draws.IntN(2) == 0, time.Duration(draws.Int64N(int64(2*time.Second)))
 				one.HasLeft = draws.IntN(4) > 0
 				urgency := bands.Urgency(priority, one)
@@ -65,18 +65,18 @@
 	}
 }
 
-// TestBandsTellSlackApart gives programs that are nearly late a better rank than new ones
+// TestBandsDistinguishSlack gives programs that are nearly late a better rank than new ones
 // and late ones of the same priority, and leaves turns at their priority whose clients
 // name no finish.
-func TestBandsTellSlackApart(t *testing.T) {
+func TestBandsDistinguishSlack(t *testing.T) {
 	g := NewWithT(t)
 	bands := NewBands([]int{0, 1})
 	fresh := &Standing{HasLeft: true, Left: time.Second}
 	lateAndNew := &Standing{HasLeft: true, Need: time.Second}
-	g.Expect(bands.Urgency(1, standing(0))).To(Equal(1))
-	g.Expect(bands.Urgency(1, standing(0))).To(BeNumerically("<", bands.Urgency(1, fresh)))
-	g.Expect(bands.Urgency(1, fresh)).To(BeNumerically("<", bands.Urgency(1, standing(-time.Second))))
-	g.Expect(bands.Urgency(1, standing(-time.Second))).To(BeNumerically("<", bands.Urgency(1, lateAndNew)))
+	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(Equal(1))
+	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(BeNumerically("<", bands.Urgency(1, fresh)))
+	g.Expect(bands.Urgency(1, fresh)).To(BeNumerically("<", bands.Urgency(1, startedWithSlack(-time.Second))))
+	g.Expect(bands.Urgency(1, startedWithSlack(-time.Second))).To(BeNumerically("<", bands.Urgency(1, lateAndNew)))
 	g.Expect(bands.Urgency(0, lateAndNew)).To(BeZero(), "there is no rank between the two priorities")
 	g.Expect(bands.Urgency(1, &Standing{})).To(Equal(1))
 	g.Expect(bands.Urgency(12, &Standing{})).To(Equal(LeastUrgency))
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -29,14 +29,14 @@
 	g.Expect(float64(pace.Token(now, steady))).To(BeNumerically("~", float64(want), 0.1*float64(want)))
 }
 
-func TestPaceOfAReplicaWithoutTurnsIsTheMiddle(t *testing.T) {
+func TestTokenTimeWithoutSamplesIsTheMedian(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
 	g.Expect(pace.Known()).To(BeFalse())
 	near(g, &pace, begin, steady)
 }
 
-func TestPaceFollowsAChangeWithinTwoSeconds(t *testing.T) {
+func TestTokenTimeFollowsAChangeWithinTwoSeconds(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
 	now := feed(&pace, begin, 10*time.Second, 250*time.Millisecond, quick)
@@ -45,7 +45,7 @@
 	near(g, &pace, now, 3*quick)
 }
 
-func TestPacePassesOverAShortSlowSpell(t *testing.T) {
+func TestTokenTimeIgnoresAShortSlowdown(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
 	now := feed(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
@@ -54,7 +54,7 @@
 	near(g, &pace, now, quick)
 }
 
-func TestPaceForgetsWhatIsOld(t *testing.T) {
+func TestTokenTimeForgetsOldSamples(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
 	now := feed(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
@@ -62,22 +62,22 @@
 	near(g, &pace, now.Add(2*time.Minute), steady)
 }
 
-func TestPaceOfOthersIsKnownToOneThatSentNothing(t *testing.T) {
+func TestTokenTimeFromReports(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
 	pace.Hear(begin, quick, 10)
 	near(g, &pace, begin, quick)
 }
 
-func TestAFalseReportMovesAPaceByABoundedFactor(t *testing.T) {
+func TestFalseReportMovesTokenTimeByABoundedFactor(t *testing.T) {
 	g := NewWithT(t)
-	for _, false1 := range []time.Duration{time.Nanosecond, time.Hour} {
+	for _, falseToken := range []time.Duration{time.Nanosecond, time.Hour} {
 		var pace dispatch.Pace
 		now := feed(&pace, begin, 4*time.Second, 100*time.Millisecond, steady)
-		pace.Hear(now, false1, 1_000_000)
+		pace.Hear(now, falseToken, 1_000_000)
 		g.Expect(pace.Token(now, steady)).To(And(BeNumerically(">=", steady/4), BeNumerically("<=", 4*steady)))
-		pace.Hear(now, -false1, 5)
-		pace.Hear(now, false1, 0)
+		pace.Hear(now, -falseToken, 5)
+		pace.Hear(now, falseToken, 0)
 		g.Expect(pace.Token(now, steady)).To(And(BeNumerically(">=", steady/4), BeNumerically("<=", 4*steady)))
 	}
 }
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -26,53 +26,53 @@
 	// ReadShare is the time to read one token of a prompt by that to generate one, until
 	// a service's own is learned.
 	ReadShare = 1.0 / 200
-	// lateShare is how far, by the slots, the load may be off what is known of it: other
+	// loadUncertainty is how far, by the slots, the load may be off what is known of it: other
 	// nodes choose at the same time.
-	lateShare = 0.45
-	// queueShare is what a turn costs for each that is over the slots, by its own length:
+	loadUncertainty = 0.45
+	// queueingFactor is what a turn costs for each that is over the slots, by its own length:
 	// it waits for a slot, and those that come after it wait as well.
-	queueShare = 0.3
-	// moreShare is how much one request beside raises what another one costs all
+	queueingFactor = 0.3
+	// marginalSlowdown is how much one request beside raises what another one costs all
 	// together, by a token with none beside: it slows them, and they slow it, and prompts
 	// are read between the tokens.
-	moreShare = 0.13
-	// roomShare is the part of the slots that shares are dealt up to: the rest is for
+	marginalSlowdown = 0.13
+	// maxFillFraction is the part of the slots that shares are dealt up to: the rest is for
 	// what other nodes send at the same time.
-	roomShare = 0.5
+	maxFillFraction = 0.5
 )
 
 // End predicts how long after it is sent the turn is whole.
 func (j *Job) End(place *Place) float64 {
 	work := place.Missing*place.Read + j.Tokens*place.Token*(1+BesideShare*place.Load)
-	return place.Way + work*(1+queueShare*place.over())
+	return place.Way + work*(1+queueingFactor*place.expectedQueue())
 }
 
-// Burden predicts by how much the turn delays those beside it, all together.
-func (j *Job) Burden(place *Place) float64 {
+// AddedDelay predicts by how much the turn delays those beside it, all together.
+func (j *Job) AddedDelay(place *Place) float64 {
 	return place.Load * (place.Missing*place.Read + BesideShare*j.Tokens*place.Token)
 }
 
 // Cost is what a placement weighs: the turn's end, and what it costs the others.
 func (j *Job) Cost(place *Place) float64 {
-	return j.End(place) + j.Burden(place)
+	return j.End(place) + j.AddedDelay(place)
 }
 
-// over is how many requests are expected over the slots once the turn is there, where the
+// expectedQueue is how many requests are expected expectedQueue the slots once the turn is there, where the
 // load is uncertain by a share of the slots.
-func (p *Place) over() float64 {
-	beyond, off := p.Load-p.Slots+1, lateShare*p.Slots
+func (p *Place) expectedQueue() float64 {
+	excess, margin := p.Load-p.Slots+1, loadUncertainty*p.Slots
 	switch {
-	case beyond <= -off:
+	case excess <= -margin:
 		return 0
-	case beyond >= off:
-		return beyond
+	case excess >= margin:
+		return excess
 	default:
-		return (beyond + off) * (beyond + off) / (4 * off)
+		return (excess + margin) * (excess + margin) / (4 * margin)
 	}
 }
 
 // Fill is how many requests a replica has when one more would cost so much a token, all
 // told, up to its place.
 func Fill(level, token, slots float64) float64 {
-	return min(max(0, (level/token-1)/moreShare), roomShare*slots)
+	return min(max(0, (level/token-1)/marginalSlowdown), maxFillFraction*slots)
 }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -17,8 +17,8 @@
 	Bytes int
 }
 
-// at returns the standing of the turn by now.
-func (w *Waiting) at(now time.Time) *Standing {
+// stateAt returns the standing of the turn by now.
+func (w *Waiting) stateAt(now time.Time) *Standing {
 	standing := w.Standing
 	standing.Waited = now.Sub(w.Since)
 	standing.Left -= standing.Waited
@@ -30,9 +30,9 @@
 	Requests, Bytes int
 }
 
-// tenantShare is the part of a queue that one tenant's turns may take while others have
+// maxTenantFraction is the part of a queue that one tenant's turns may take while others have
 // none: a tenant that sends many times its usual leaves places to others.
-const tenantShare = 0.5
+const maxTenantFraction = 0.5
 
 // Queue holds the turns that wait for room at one node, in the order in which they are to
 // be served. It is not safe for concurrent use.
@@ -58,11 +58,11 @@
 }
 
 // Ahead returns how many turns wait that go before one.
-func (q *Queue) Ahead(now time.Time, one *Waiting) int {
+func (q *Queue) Ahead(now time.Time, turn *Waiting) int {
 	ahead := 0
-	standing := one.at(now)
+	standing := turn.stateAt(now)
 	for _, entry := range q.entries {
-		if Before(entry.Priority, entry.at(now), one.Priority, standing) {
+		if Before(entry.Priority, entry.stateAt(now), turn.Priority, standing) {
 			ahead++
 		}
 	}
@@ -71,11 +71,11 @@
 
 // Join takes a turn in. If there is no place for it, the last in the order gives way: the
 // turns that do are returned, which may be the new one itself.
-func (q *Queue) Join(now time.Time, one *Waiting) (displaced []*Waiting) {
-	q.entries = append(q.entries, one)
-	q.bytes += one.Bytes
-	if one.Tenant != "" && float64(q.ofTenant(one.Tenant)) > max(1, float64(q.limits.Requests)*tenantShare) {
-		displaced = append(displaced, q.removeLast(now, one.Tenant))
+func (q *Queue) Join(now time.Time, turn *Waiting) (displaced []*Waiting) {
+	q.entries = append(q.entries, turn)
+	q.bytes += turn.Bytes
+	if turn.Tenant != "" && float64(q.countOf(turn.Tenant)) > max(1, float64(q.limits.Requests)*maxTenantFraction) {
+		displaced = append(displaced, q.removeLast(now, turn.Tenant))
 	}
 	for len(q.entries) > q.limits.Requests || q.bytes > q.limits.Bytes && len(q.entries) > 0 {
 		displaced = append(displaced, q.removeLast(now, ""))
@@ -83,8 +83,8 @@
 	return displaced
 }
 
-// ofTenant returns how many turns of a tenant wait.
-func (q *Queue) ofTenant(tenant string) int {
+// countOf returns how many turns of a tenant wait.
+func (q *Queue) countOf(tenant string) int {
 	count := 0
 	for _, entry := range q.entries {
 		if entry.Tenant == tenant {
@@ -110,15 +110,15 @@
 }
 
 // before orders two turns that wait: those that stand alike by when they came.
-func (q *Queue) before(now time.Time, one, other *Waiting) bool {
-	left, right := one.at(now), other.at(now)
+func (q *Queue) before(now time.Time, turn, other *Waiting) bool {
+	left, right := turn.stateAt(now), other.stateAt(now)
 	switch {
-	case Before(one.Priority, left, other.Priority, right):
+	case Before(turn.Priority, left, other.Priority, right):
 		return true
-	case Before(other.Priority, right, one.Priority, left):
+	case Before(other.Priority, right, turn.Priority, left):
 		return false
 	default:
-		return one.Since.Before(other.Since)
+		return turn.Since.Before(other.Since)
 	}
 }
 
--- a/dispatch/reading.go
+++ b/dispatch/reading.go
@@ -16,21 +16,21 @@
 }
 
 const (
-	// readingHalf is the time in which a turn counts half as much: a node's own turns at
+	// prefillHalfLife is the time in which a turn counts half as much: a node's own turns at
 	// a service are some a second, and what engines need to read changes with releases.
-	readingHalf = 10 * time.Second
-	// readingPrior is how many turns ReadShare counts as, with prompts that differ by
+	prefillHalfLife = 10 * time.Second
+	// priorTurns is how many turns ReadShare counts as, with prompts that differ by
 	// readingSpread tokens.
-	readingPrior  = 20
-	readingSpread = 2000
-	// readingLeast and readingMost bound the time to read a token, by that to generate
+	priorTurns  = 20
+	priorSpread = 2000
+	// minPrefillRatio and readingMost bound the time to read a token, by that to generate
 	// one.
-	readingLeast = ReadShare / 4
-	readingMost  = ReadShare * 4
-	// readingFar is how far over what is expected, by that and by so many tokens' times,
+	minPrefillRatio = ReadShare / 4
+	maxPrefillRatio = ReadShare * 4
+	// outlierFactor is how far over what is expected, by that and by so many tokens' times,
 	// one turn may lie: it waited for something else.
-	readingFar      = 2
-	readingFarFixed = 20
+	outlierFactor = 2
+	outlierTokens = 20
 )
 
 // Observe takes in how long a turn waited for its first event at a replica where so many
@@ -41,18 +41,18 @@
 	}
 	base, share := r.Fit()
 	tokens := float64(missing)
-	took := min(float64(first)/float64(token), readingFar*(base+share*tokens)+readingFarFixed)
+	observed := min(float64(first)/float64(token), outlierFactor*(base+share*tokens)+outlierTokens)
 	if !r.at.IsZero() {
-		kept := math.Exp2(-float64(max(0, now.Sub(r.at))) / float64(readingHalf))
-		r.turns, r.missing, r.first = r.turns*kept, r.missing*kept, r.first*kept
-		r.squares, r.products = r.squares*kept, r.products*kept
+		decay := math.Exp2(-float64(max(0, now.Sub(r.at))) / float64(prefillHalfLife))
+		r.turns, r.missing, r.first = r.turns*decay, r.missing*decay, r.first*decay
+		r.squares, r.products = r.squares*decay, r.products*decay
 	}
 	r.at = now
 	r.turns++
 	r.missing += tokens
-	r.first += took
+	r.first += observed
 	r.squares += tokens * tokens
-	r.products += tokens * took
+	r.products += tokens * observed
 }
 
 // Fit returns the time that each turn has, and that of each missing token, in times of a
@@ -61,10 +61,10 @@
 	if r.turns == 0 {
 		return 0, ReadShare
 	}
-	const prior = readingPrior * readingSpread * readingSpread
+	const prior = priorTurns * priorSpread * priorSpread
 	variance := r.squares - r.missing*r.missing/r.turns
 	covariance := r.products - r.missing*r.first/r.turns
-	share = min(max((covariance+prior*ReadShare)/(variance+prior), readingLeast), readingMost)
+	share = min(max((covariance+prior*ReadShare)/(variance+prior), minPrefillRatio), maxPrefillRatio)
 	base = max(0, (r.first-share*r.missing)/r.turns)
 	return base, share
 }
--- a/dispatch/reading_test.go
+++ b/dispatch/reading_test.go
@@ -20,7 +20,7 @@
 	return from
 }
 
-func TestReadingLearnsBaseAndShare(t *testing.T) {
+func TestPrefillLearnsBaseAndRatio(t *testing.T) {
 	g := NewWithT(t)
 	var reading dispatch.Reading
 	_, share := reading.Fit()
@@ -31,7 +31,7 @@
 	g.Expect(base).To(BeNumerically("~", 12, 6))
 }
 
-func TestReadingFollowsAChange(t *testing.T) {
+func TestPrefillFollowsAChange(t *testing.T) {
 	g := NewWithT(t)
 	var reading dispatch.Reading
 	now := readAt(&reading, begin, 300, 12, 1.0/80)
@@ -40,7 +40,7 @@
 	g.Expect(share).To(BeNumerically("~", 1.0/300, 1.0/1500))
 }
 
-func TestOneTurnMovesAReadingLittle(t *testing.T) {
+func TestOutlierChangesPrefillLittle(t *testing.T) {
 	g := NewWithT(t)
 	var reading dispatch.Reading
 	now := readAt(&reading, begin, 300, 12, 1.0/200)
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// crowd replays programs of four turns at replicas that all nodes share, in steps of
-// virtual time. Nodes see what others sent only every loadsHeard.
-type crowd struct {
-	draws    *rand.Rand
-	now      time.Time
-	replicas [][]*replayTurn // running and waiting, in the order of their service
-	heard    [][]int         // by node and replica: requests as last heard, own ones since
-	queues   []*Queue
-	coming   []*replayTurn
-	held     map[uint64]*replayTurn
-	returns  []Returns
-	policy   replayPolicy
+// simulation replays programs of four turns at replicas that all nodes share, in steps of
+// virtual time. Nodes see what others sent only every loadReportInterval.
+type simulation struct {
+	random     *rand.Rand
+	now        time.Time
+	replicas   [][]*simTurn // running and waiting, in the order of their service
+	knownLoads [][]int      // by node and replica: requests as last knownLoads, own ones since
+	queues     []*Queue
+	arrivals   []*simTurn
+	held       map[uint64]*simTurn
+	returns    []Returns
+	policy     simPolicy
 
 	inTime, late, refused, failed int
 	ranAfterRefusal               int
 	lastEnd                       time.Time
 }
 
-// replayPolicy is how a crowd's nodes treat turns that find no room.
-type replayPolicy struct {
-	// refuseNew refuses new programs at once while even the emptiest replica is full; waitHere has turns wait
-	// at their node, and bySlack has replicas serve them by the order, else as they come.
-	refuseNew, waitHere, bySlack bool
+// simPolicy is how a simulation's nodes treat turns that find no room.
+type simPolicy struct {
+	// refuseNew refuses new programs at once while even the emptiest replica is full; waitAtNode has turns wait
+	// at their node, and orderBySlack has replicas serve them by the order, else as they come.
+	refuseNew, waitAtNode, orderBySlack bool
 }
 
-// replayTurn is the next turn of a program.
-type replayTurn struct {
+// simTurn is the next turn of a program.
+type simTurn struct {
 	id             uint64
 	node, step     int
 	tries          int
@@ -42,58 +42,58 @@
 }
 
 const (
-	crowdNodes, crowdReplicas, crowdSlots = 6, 8, 4
-	crowdTurn                             = 200 * time.Millisecond
-	crowdTurns                            = 4
-	crowdStep                             = 5 * time.Millisecond
-	crowdDeadline                         = 3 * time.Second
-	// refuseFrom is how full the emptiest replica is for refuseNew.
-	refuseFrom = 1.25
-	loadsHeard = 100 * time.Millisecond
-	// crowdRoom is how many programs a second the replicas serve.
-	crowdRoom = float64(crowdReplicas*crowdSlots) / crowdTurns * float64(time.Second/crowdTurn)
+	simNodes, simReplicas, simSlots = 6, 8, 4
+	simTurnTime                     = 200 * time.Millisecond
+	simTurns                        = 4
+	simStep                         = 5 * time.Millisecond
+	simDeadline                     = 3 * time.Second
+	// refuseUtilisation is how full the emptiest replica is for refuseNew.
+	refuseUtilisation  = 1.25
+	loadReportInterval = 100 * time.Millisecond
+	// simCapacity is how many programs a second the replicas serve.
+	simCapacity = float64(simReplicas*simSlots) / simTurns * float64(time.Second/simTurnTime)
 )
 
-func newCrowd(policy replayPolicy, seed uint64) *crowd {
-	c := &crowd{
-		draws: rand.New(rand.NewPCG(seed, seed)), now: epoch, policy: policy, replicas: make([][]*replayTurn, crowdReplicas),
-		heard: make([][]int, crowdNodes), returns: make([]Returns, crowdNodes), held: map[uint64]*replayTurn{},
+func newSimulation(policy simPolicy, seed uint64) *simulation {
+	c := &simulation{
+		random: rand.New(rand.NewPCG(seed, seed)), now: epoch, policy: policy, replicas: make([][]*simTurn, simReplicas),
+		knownLoads: make([][]int, simNodes), returns: make([]Returns, simNodes), held: map[uint64]*simTurn{},
 	}
-	for node := range crowdNodes {
-		c.heard[node] = make([]int, crowdReplicas)
+	for node := range simNodes {
+		c.knownLoads[node] = make([]int, simReplicas)
 		c.queues = append(c.queues, NewQueue(QueueLimits{Requests: 64, Bytes: 1 << 20}))
 	}
 	return c
 }
 
-// play lets programs come at a rate, in parts of crowdRoom, that depends on the time, and
+// play lets programs come at a rate, in parts of simCapacity, that depends on the time, and
 // goes on until all are over.
-func (c *crowd) play(span time.Duration, rate func(time.Duration) float64) {
+func (c *simulation) play(span time.Duration, rate func(time.Duration) float64) {
 	id, due := uint64(0), 0.
-	for at := time.Duration(0); at < span+20*time.Second; at += crowdStep {
+	for at := time.Duration(0); at < span+20*time.Second; at += simStep {
 		c.now = epoch.Add(at)
 		if at < span {
-			due += rate(at) * crowdRoom * crowdStep.Seconds()
+			due += rate(at) * simCapacity * simStep.Seconds()
 		}
 		for ; due >= 1; due-- {
 			id++
-			finish := c.now.Add(crowdTurns*crowdTurn*3/2 + 200*time.Millisecond)
-			c.coming = append(c.coming, &replayTurn{id: id, node: c.draws.IntN(crowdNodes), at: c.now, deadline: c.now.Add(crowdDeadline), finish: finish})
+			finish := c.now.Add(simTurns*simTurnTime*3/2 + 200*time.Millisecond)
+			c.arrivals = append(c.arrivals, &simTurn{id: id, node: c.random.IntN(simNodes), at: c.now, deadline: c.now.Add(simDeadline), finish: finish})
 		}
 		c.step(at)
 	}
 }
 
 // step ends what is over, and takes in what comes.
-func (c *crowd) step(at time.Duration) {
+func (c *simulation) step(at time.Duration) {
 	for index, line := range c.replicas {
-		c.replicas[index] = slices.DeleteFunc(line, func(turn *replayTurn) bool { return turn.began && !c.now.Before(turn.ends) && c.end(turn) })
+		c.replicas[index] = slices.DeleteFunc(line, func(turn *simTurn) bool { return turn.began && !c.now.Before(turn.ends) && c.end(turn) })
 		c.start(index)
 	}
-	if at%loadsHeard == 0 {
-		for node := range c.heard {
+	if at%loadReportInterval == 0 {
+		for node := range c.knownLoads {
 			for index, line := range c.replicas {
-				c.heard[node][index] = len(line)
+				c.knownLoads[node][index] = len(line)
 			}
 		}
 	}
@@ -110,11 +110,11 @@
 			c.send(c.held[first.ID])
 		}
 	}
-	coming := c.coming
-	c.coming = nil
-	for _, turn := range coming {
+	arrivals := c.arrivals
+	c.arrivals = nil
+	for _, turn := range arrivals {
 		if turn.at.After(c.now) {
-			c.coming = append(c.coming, turn)
+			c.arrivals = append(c.arrivals, turn)
 			continue
 		}
 		c.arrive(turn)
@@ -122,27 +122,27 @@
 }
 
 // room is what a node knows.
-func (c *crowd) room(node int) *Room {
+func (c *simulation) room(node int) *Room {
 	sum := 0
-	for _, load := range c.heard[node] {
+	for _, load := range c.knownLoads[node] {
 		sum += load
 	}
-	least := float64(slices.Min(c.heard[node])) / crowdSlots
-	return &Room{Least: least, Mean: float64(sum) / crowdSlots / crowdReplicas, Pace: c.returns[node].served.rate(c.now)}
+	least := float64(slices.Min(c.knownLoads[node])) / simSlots
+	return &Room{Least: least, Mean: float64(sum) / simSlots / simReplicas, Pace: c.returns[node].served.rate(c.now)}
 }
 
-func (c *crowd) standing(turn *replayTurn) Standing {
-	return Standing{Begun: turn.step > 0, Left: turn.finish.Sub(c.now), HasLeft: true, Need: time.Duration(crowdTurns-turn.step) * crowdTurn}
+func (c *simulation) standing(turn *simTurn) Standing {
+	return Standing{Begun: turn.step > 0, Left: turn.finish.Sub(c.now), HasLeft: true, Need: time.Duration(simTurns-turn.step) * simTurnTime}
 }
 
 // arrive decides on a turn.
-func (c *crowd) arrive(turn *replayTurn) {
+func (c *simulation) arrive(turn *simTurn) {
 	room, standing := c.room(turn.node), c.standing(turn)
-	if c.policy.refuseNew && !standing.Begun && room.Least >= refuseFrom {
+	if c.policy.refuseNew && !standing.Begun && room.Least >= refuseUtilisation {
 		c.refuse(turn, CauseFull, 0)
 		return
 	}
-	if !c.policy.waitHere {
+	if !c.policy.waitAtNode {
 		c.send(turn)
 		return
 	}
@@ -165,46 +165,46 @@
 
 // refuse sends a turn's caller away: it comes back as told, once a try, and goes out anew
 // twice at most.
-func (c *crowd) refuse(turn *replayTurn, cause Cause, ends time.Duration) {
+func (c *simulation) refuse(turn *simTurn, cause Cause, ends time.Duration) {
 	turn.tries++
 	if turn.tries >= 6 {
 		turn.refused = true
 		c.refused++
 		return
 	}
-	refusal := &Refusal{Cause: cause, Ends: ends, Left: turn.deadline.Sub(c.now), Begun: turn.step > 0, Draw: c.draws.Float64()}
+	refusal := &Refusal{Cause: cause, Ends: ends, Left: turn.deadline.Sub(c.now), Begun: turn.step > 0, Draw: c.random.Float64()}
 	c.returns[turn.node].Refuse(c.now, refusal)
 	turn.at = c.now.Add(refusal.ComeBack())
-	turn.node = c.draws.IntN(crowdNodes)
+	turn.node = c.random.IntN(simNodes)
 	if turn.tries%2 == 0 {
-		turn.at = c.now.Add(100*time.Millisecond + time.Duration(c.draws.Int64N(int64(300*time.Millisecond))))
-		turn.deadline = turn.at.Add(crowdDeadline)
+		turn.at = c.now.Add(100*time.Millisecond + time.Duration(c.random.Int64N(int64(300*time.Millisecond))))
+		turn.deadline = turn.at.Add(simDeadline)
 	}
-	c.coming = append(c.coming, turn)
+	c.arrivals = append(c.arrivals, turn)
 }
 
 // send puts a turn into the line of the emptier of two replicas.
-func (c *crowd) send(turn *replayTurn) {
+func (c *simulation) send(turn *simTurn) {
 	if turn.refused {
 		c.ranAfterRefusal++
 	}
-	one, other := c.draws.IntN(crowdReplicas), c.draws.IntN(crowdReplicas)
-	heard := c.heard[turn.node]
-	if heard[other] < heard[one] {
+	one, other := c.random.IntN(simReplicas), c.random.IntN(simReplicas)
+	knownLoads := c.knownLoads[turn.node]
+	if knownLoads[other] < knownLoads[one] {
 		one = other
 	}
-	if least := slices.Min(heard); heard[one] > least && heard[one] >= crowdSlots {
-		one = slices.Index(heard, least)
+	if least := slices.Min(knownLoads); knownLoads[one] > least && knownLoads[one] >= simSlots {
+		one = slices.Index(knownLoads, least)
 	}
-	heard[one]++
+	knownLoads[one]++
 	turn.began, turn.at = false, c.now
 	c.replicas[one] = append(c.replicas[one], turn)
 	c.start(one)
 }
 
 // start begins what a replica has places for, and drops what is over before.
-func (c *crowd) start(index int) {
-	line := slices.DeleteFunc(c.replicas[index], func(turn *replayTurn) bool {
+func (c *simulation) start(index int) {
+	line := slices.DeleteFunc(c.replicas[index], func(turn *simTurn) bool {
 		if turn.began || c.now.Before(turn.deadline) {
 			return false
 		}
@@ -218,18 +218,18 @@
 			running++
 		}
 	}
-	for ; running < crowdSlots; running++ {
+	for ; running < simSlots; running++ {
 		next := c.nextOf(line)
 		if next == nil {
 			return
 		}
-		next.began, next.ends = true, c.now.Add(crowdTurn)
+		next.began, next.ends = true, c.now.Add(simTurnTime)
 	}
 }
 
 // nextOf returns the turn that a replica begins next.
-func (c *crowd) nextOf(line []*replayTurn) *replayTurn {
-	var next *replayTurn
+func (c *simulation) nextOf(line []*simTurn) *simTurn {
+	var next *simTurn
 	for _, turn := range line {
 		if turn.began {
 			continue
@@ -239,7 +239,7 @@
 			right = c.standing(next)
 			left.Waited, right.Waited = c.now.Sub(turn.at), c.now.Sub(next.at)
 		}
-		if next == nil || c.policy.bySlack && Before(0, &left, 0, &right) {
+		if next == nil || c.policy.orderBySlack && Before(0, &left, 0, &right) {
 			next = turn
 		}
 	}
@@ -247,12 +247,12 @@
 }
 
 // end notes that a turn is over, and has its program go on.
-func (c *crowd) end(turn *replayTurn) bool {
+func (c *simulation) end(turn *simTurn) bool {
 	c.returns[turn.node].Served(c.now)
 	turn.step++
-	if turn.step < crowdTurns {
-		turn.tries, turn.at, turn.deadline = 0, c.now, c.now.Add(crowdDeadline)
-		c.coming = append(c.coming, turn)
+	if turn.step < simTurns {
+		turn.tries, turn.at, turn.deadline = 0, c.now, c.now.Add(simDeadline)
+		c.arrivals = append(c.arrivals, turn)
 		return true
 	}
 	c.lastEnd = c.now
--- a/dispatch/share.go
+++ b/dispatch/share.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// useKnownFor is how long what was told of a tenant's programs counts: the counting
+	// usageTTL is how long what was told of a tenant's programs counts: the counting
 	// node tells it with each of the tenant's requests.
-	useKnownFor = time.Second
-	// leastPrograms is how many programs a tenant may have under way beyond its share, and
+	usageTTL = time.Second
+	// minPrograms is how many programs a tenant may have under way beyond its share, and
 	// what chance brings: shares of small tenants are fractions of a program.
-	leastPrograms = 2
-	// levelFor is how long a level counts: all uses are looked at for it, and few
+	minPrograms = 2
+	// levelTTL is how long a level counts: all uses are looked at for it, and few
 	// programs begin or end meanwhile.
-	levelFor = 50 * time.Millisecond
-	// mostTenants bounds the tenants that are known: some times those in use.
-	mostTenants = 4096
+	levelTTL = 50 * time.Millisecond
+	// maxTenants bounds the tenants that are known: some times those in use.
+	maxTenants = 4096
 )
 
 // Shares divides the room of replicas among tenants while there is too little: max-min
@@ -26,38 +26,38 @@
 // tenant that sends many times its usual gets what others leave. It is not safe for
 // concurrent use.
 type Shares struct {
-	uses map[string]use
+	usages map[string]usage
 	// level is how many programs by its weight each tenant may have, as of a time.
 	level   float64
 	levelAt time.Time
 }
 
-// use is what is known of one tenant.
-type use struct {
+// usage is what is known of one tenant.
+type usage struct {
 	programs int
 	weight   float64
 	at       time.Time
 }
 
 // NewShares returns shares that know no tenant.
-func NewShares() *Shares { return &Shares{uses: make(map[string]use)} }
+func NewShares() *Shares { return &Shares{usages: make(map[string]usage)} }
 
 // Observe takes in how many programs a tenant has under way, and its weight.
 func (s *Shares) Observe(now time.Time, tenant string, programs int, weight float64) {
-	if _, known := s.uses[tenant]; !known && len(s.uses) >= mostTenants {
-		s.forget(now)
-		if len(s.uses) >= mostTenants {
+	if _, known := s.usages[tenant]; !known && len(s.usages) >= maxTenants {
+		s.dropExpired(now)
+		if len(s.usages) >= maxTenants {
 			return
 		}
 	}
-	s.uses[tenant] = use{programs: programs, weight: max(weight, 1), at: now}
+	s.usages[tenant] = usage{programs: programs, weight: max(weight, 1), at: now}
 }
 
-// forget drops what is too old to count.
-func (s *Shares) forget(now time.Time) {
-	for tenant, one := range s.uses {
-		if now.Sub(one.at) > useKnownFor {
-			delete(s.uses, tenant)
+// dropExpired drops what is too old to count.
+func (s *Shares) dropExpired(now time.Time) {
+	for tenant, reported := range s.usages {
+		if now.Sub(reported.at) > usageTTL {
+			delete(s.usages, tenant)
 		}
 	}
 }
@@ -65,39 +65,39 @@
 // Over reports whether a tenant has more than its share while the replicas are as full as
 // that: requests by places at the emptiest of them. It is never so while a place is free.
 func (s *Shares) Over(now time.Time, tenant string, full float64) bool {
-	one, known := s.uses[tenant]
-	if full < 1 || !known || now.Sub(one.at) > useKnownFor || one.programs <= leastPrograms {
+	reported, known := s.usages[tenant]
+	if full < 1 || !known || now.Sub(reported.at) > usageTTL || reported.programs <= minPrograms {
 		return false
 	}
-	if now.Sub(s.levelAt) >= levelFor {
-		s.level, s.levelAt = s.levelOf(now, full), now
+	if now.Sub(s.levelAt) >= levelTTL {
+		s.level, s.levelAt = s.computeLevel(now, full), now
 	}
-	share := s.level * one.weight
-	return float64(one.programs) > share+math.Sqrt(share)+leastPrograms
+	share := s.level * reported.weight
+	return float64(reported.programs) > share+math.Sqrt(share)+minPrograms
 }
 
-// levelOf returns how many programs by its weight each tenant may have, so that all together
+// computeLevel returns how many programs by its weight each tenant may have, so that all together
 // have as many as the replicas bear without being fuller than their places.
-func (s *Shares) levelOf(now time.Time, full float64) float64 {
-	uses := make([]use, 0, len(s.uses))
+func (s *Shares) computeLevel(now time.Time, full float64) float64 {
+	usages := make([]usage, 0, len(s.usages))
 	programs, weights := 0., 0.
-	for _, one := range s.uses {
-		if now.Sub(one.at) <= useKnownFor {
-			uses = append(uses, one)
-			programs += float64(one.programs)
-			weights += one.weight
+	for _, reported := range s.usages {
+		if now.Sub(reported.at) <= usageTTL {
+			usages = append(usages, reported)
+			programs += float64(reported.programs)
+			weights += reported.weight
 		}
 	}
-	slices.SortFunc(uses, func(one, other use) int {
-		return cmp.Compare(float64(one.programs)/one.weight, float64(other.programs)/other.weight)
+	slices.SortFunc(usages, func(reported, other usage) int {
+		return cmp.Compare(float64(reported.programs)/reported.weight, float64(other.programs)/other.weight)
 	})
 	room := programs / full
-	for _, one := range uses {
-		if float64(one.programs) >= one.weight*room/weights {
+	for _, reported := range usages {
+		if float64(reported.programs) >= reported.weight*room/weights {
 			break
 		}
-		room -= float64(one.programs)
-		weights -= one.weight
+		room -= float64(reported.programs)
+		weights -= reported.weight
 	}
 	return room / weights
 }
--- a/dispatch/share_test.go
+++ b/dispatch/share_test.go
@@ -11,97 +11,97 @@
 	. "github.com/onsi/gomega"
 )
 
-var shareBegun = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+var shareEpoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestSharesLeaveFreePlaces never count a tenant as over its share while a place is free,
+// TestSharesAllowFreeSlots never count a tenant as over its share while a place is free,
 // nor one with few programs, nor by what was told too long ago.
-func TestSharesLeaveFreePlaces(t *testing.T) {
+func TestSharesAllowFreeSlots(t *testing.T) {
 	g := NewWithT(t)
 	shares := NewShares()
-	shares.Observe(shareBegun, "hot", 100, 10)
-	shares.Observe(shareBegun, "large", 60, 60)
-	shares.Observe(shareBegun, "small", 2, 1)
-	g.Expect(shares.Over(shareBegun, "hot", 0.99)).To(BeFalse())
-	g.Expect(shares.Over(shareBegun, "hot", 1.2)).To(BeTrue())
-	g.Expect(shares.Over(shareBegun, "large", 1.2)).To(BeFalse())
-	g.Expect(shares.Over(shareBegun, "small", 3)).To(BeFalse())
-	g.Expect(shares.Over(shareBegun, "unknown", 3)).To(BeFalse())
-	g.Expect(shares.Over(shareBegun.Add(useKnownFor+time.Millisecond), "hot", 1.2)).To(BeFalse())
+	shares.Observe(shareEpoch, "hot", 100, 10)
+	shares.Observe(shareEpoch, "large", 60, 60)
+	shares.Observe(shareEpoch, "small", 2, 1)
+	g.Expect(shares.Over(shareEpoch, "hot", 0.99)).To(BeFalse())
+	g.Expect(shares.Over(shareEpoch, "hot", 1.2)).To(BeTrue())
+	g.Expect(shares.Over(shareEpoch, "large", 1.2)).To(BeFalse())
+	g.Expect(shares.Over(shareEpoch, "small", 3)).To(BeFalse())
+	g.Expect(shares.Over(shareEpoch, "unknown", 3)).To(BeFalse())
+	g.Expect(shares.Over(shareEpoch.Add(usageTTL+time.Millisecond), "hot", 1.2)).To(BeFalse())
 }
 
 // TestSharesAreBounded keep a bounded number of tenants, and forget the old ones first.
 func TestSharesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	shares := NewShares()
-	for index := range mostTenants + 10 {
-		shares.Observe(shareBegun, fmt.Sprint(index), 5, 1)
+	for index := range maxTenants + 10 {
+		shares.Observe(shareEpoch, fmt.Sprint(index), 5, 1)
 	}
-	g.Expect(shares.uses).To(HaveLen(mostTenants))
-	shares.Observe(shareBegun.Add(2*useKnownFor), "new", 5, 1)
-	g.Expect(shares.uses).To(HaveLen(1))
+	g.Expect(shares.usages).To(HaveLen(maxTenants))
+	shares.Observe(shareEpoch.Add(2*usageTTL), "new", 5, 1)
+	g.Expect(shares.usages).To(HaveLen(1))
 }
 
-// tenantsReplay is a fleet before places for 300 programs, and 73 tenants of which one
-// sends ten times its usual for 6 s. Programs that find no place are refused; those under
+// shareSimulation is a fleet before places for 300 programs, and 73 tenants of which one
+// sends ten times its usualRates for 6 s. Programs that find no place are refused; those running
 // way are slowed by what is over the places.
-type tenantsReplay struct {
+type shareSimulation struct {
 	random *rand.Rand
 	shares *Shares
 	fair   bool
-	// under is how many programs each tenant has under way, and told what nodes know of it.
-	under         []int
+	// running is how many programs each tenant has running way, and told what nodes know of it.
+	running       []int
 	asked, served []float64
 }
 
 const (
-	replayTenants = 73
-	replayPlaces  = 300
-	replayHot     = 1
-	// replayTell is after what time nodes know of a change.
-	replayTell = 100 * time.Millisecond
-	replayStep = 10 * time.Millisecond
+	simTenants      = 73
+	simProgramSlots = 300
+	simHotTenant    = 1
+	// simReportInterval is after what time nodes know of a change.
+	simReportInterval = 100 * time.Millisecond
+	shareStep         = 10 * time.Millisecond
 )
 
-// usual is how many programs a second each tenant begins: three quarters of what the
+// usualRates is how many programs a second each tenant begins: three quarters of what the
 // places bear, a few of the tenants large.
-var usual = func() (rates [replayTenants]float64) {
+var usualRates = func() (rates [simTenants]float64) {
 	sum := 0.
 	for index := range rates {
 		rates[index] = math.Pow(float64(index+1), -1.2)
 		sum += rates[index]
 	}
 	for index := range rates {
-		rates[index] *= 0.75 * replayPlaces / sum
+		rates[index] *= 0.75 * simProgramSlots / sum
 	}
 	return rates
 }()
 
-func (r *tenantsReplay) run() {
+func (r *shareSimulation) run() {
 	type end struct {
 		at     time.Time
 		tenant int
 	}
 	var ends []end
-	for tick := range int(16 * time.Second / replayStep) {
-		now := shareBegun.Add(time.Duration(tick) * replayStep)
+	for tick := range int(16 * time.Second / shareStep) {
+		now := shareEpoch.Add(time.Duration(tick) * shareStep)
 		ends = slices.DeleteFunc(ends, func(one end) bool {
 			if one.at.After(now) {
 				return false
 			}
-			r.under[one.tenant]--
+			r.running[one.tenant]--
 			return true
 		})
-		if tick%int(replayTell/replayStep) == 0 {
-			r.tell(now)
+		if tick%int(simReportInterval/shareStep) == 0 {
+			r.report(now)
 		}
-		since := now.Sub(shareBegun)
+		since := now.Sub(shareEpoch)
 		hot := since > 5*time.Second && since < 11*time.Second
-		for _, tenant := range r.random.Perm(replayTenants) {
-			rate := usual[tenant]
-			if tenant == replayHot && hot {
+		for _, tenant := range r.random.Perm(simTenants) {
+			rate := usualRates[tenant]
+			if tenant == simHotTenant && hot {
 				rate *= 10
 			}
-			for arrivals := rate * replayStep.Seconds(); arrivals > 0; arrivals-- {
+			for arrivals := rate * shareStep.Seconds(); arrivals > 0; arrivals-- {
 				if r.random.Float64() < arrivals && r.begin(now, tenant, hot, len(ends)) {
 					ends = append(ends, end{now.Add(time.Duration(r.random.ExpFloat64() * float64(time.Second))), tenant})
 				}
@@ -110,35 +110,35 @@
 	}
 }
 
-func (r *tenantsReplay) tell(now time.Time) {
-	for tenant, under := range r.under {
-		r.shares.Observe(now, fmt.Sprint(tenant), under, 16*usual[tenant])
+func (r *shareSimulation) report(now time.Time) {
+	for tenant, running := range r.running {
+		r.shares.Observe(now, fmt.Sprint(tenant), running, 16*usualRates[tenant])
 	}
 }
 
 // begin has a program of a tenant begin, or refuses it.
-func (r *tenantsReplay) begin(now time.Time, tenant int, counts bool, under int) bool {
-	full := float64(under) / replayPlaces
+func (r *shareSimulation) begin(now time.Time, tenant int, counts bool, running int) bool {
+	full := float64(running) / simProgramSlots
 	if counts {
 		r.asked[tenant]++
 	}
 	if full >= 1.25 || r.fair && r.shares.Over(now, fmt.Sprint(tenant), full) {
 		return false
 	}
-	r.under[tenant]++
+	r.running[tenant]++
 	if counts {
 		r.served[tenant]++
 	}
 	return true
 }
 
-// othersServed returns the part of programs that the tenants who send their usual have
+// othersServed returns the part of programs that the tenants who send their usualRates have
 // served: the mean, and that of the worst tenth of them.
 func othersServed(fair bool) (mean, worst, hot float64) {
-	asked, served := make([]float64, replayTenants), make([]float64, replayTenants)
+	asked, served := make([]float64, simTenants), make([]float64, simTenants)
 	for seed := range uint64(30) {
-		replay := &tenantsReplay{
-			random: rand.New(rand.NewPCG(seed, 5)), shares: NewShares(), fair: fair, under: make([]int, replayTenants),
+		replay := &shareSimulation{
+			random: rand.New(rand.NewPCG(seed, 5)), shares: NewShares(), fair: fair, running: make([]int, simTenants),
 			asked: asked, served: served,
 		}
 		replay.run()
@@ -146,24 +146,24 @@
 	var parts []float64
 	for tenant := range asked {
 		part := served[tenant] / max(1, asked[tenant])
-		if tenant == replayHot {
+		if tenant == simHotTenant {
 			hot = part
 			continue
 		}
 		parts = append(parts, part)
-		mean += part / (replayTenants - 1)
+		mean += part / (simTenants - 1)
 	}
 	slices.Sort(parts)
-	tenth := parts[:replayTenants/10]
+	tenth := parts[:simTenants/10]
 	for _, part := range tenth {
 		worst += part / float64(len(tenth))
 	}
 	return mean, worst, hot
 }
 
-// TestSharesInAHotTenantsBurst has the others served as if it were not there, where they
+// TestSharesDuringABurstOfOneTenant has the others served as if it were not there, where they
 // are refused as often as the hot one otherwise.
-func TestSharesInAHotTenantsBurst(t *testing.T) {
+func TestSharesDuringABurstOfOneTenant(t *testing.T) {
 	g := NewWithT(t)
 	meanBefore, worstBefore, _ := othersServed(false)
 	mean, worst, hot := othersServed(true)
@@ -178,9 +178,9 @@
 func BenchmarkSharesOver(b *testing.B) {
 	shares := NewShares()
 	for index := range 600 {
-		shares.Observe(shareBegun, fmt.Sprint(index), 3+index%50, float64(1+index%7))
+		shares.Observe(shareEpoch, fmt.Sprint(index), 3+index%50, float64(1+index%7))
 	}
 	for b.Loop() {
-		shares.Over(shareBegun, "599", 1.1)
+		shares.Over(shareEpoch, "599", 1.1)
 	}
 }
--- a/dispatch/slack.go
+++ b/dispatch/slack.go
@@ -24,72 +24,72 @@
 // and tells how one compares. It is not safe for concurrent use.
 type Slack struct {
 	// routes are what the programs of each route have left, by stage.
-	routes map[string]*[slackStages]slackStage
-	// ranks is when a service's requests of each priority came last.
-	ranks map[string]*[slackRanks]time.Time
+	routes map[string]*[maxStages]stageSlack
+	// lastSeen is when a service's requests of each priority came last.
+	lastSeen map[string]*[priorityCount]time.Time
 }
 
-// slackStage is what programs have left in the mean, in nanoseconds, and how many they were.
-type slackStage struct {
+// stageSlack is what programs have left in the mean, in nanoseconds, and how many they were.
+type stageSlack struct {
 	left, programs float64
 }
 
 const (
-	// slackStages bounds the stages of a program that are told apart: its turns.
-	slackStages = 24
-	// slackPrograms is how many programs the mean of a stage holds, and slackLeast how
+	// maxStages bounds the stages of a program that are told apart: its turns.
+	maxStages = 24
+	// stageMemory is how many programs the mean of a stage holds, and slackLeast how
 	// many have to be known.
-	slackPrograms = 50
-	slackLeast    = 5
-	// slackAhead and slackBehind are the shares of the usual time left from which on, and
+	stageMemory      = 50
+	minStagePrograms = 5
+	// aheadFactor and slackBehind are the shares of the usual time left from which on, and
 	// up to which, a program is ahead or behind. Between lies what the lengths of programs
 	// differ by anyway.
-	slackAhead  = 1.25
-	slackBehind = 0.8
-	// slackNames bounds the routes and the services that are followed.
-	slackNames = 200
-	// slackRanks is how many priorities there are, and slackRecent for how long one that
+	aheadFactor  = 1.25
+	behindFactor = 0.8
+	// maxTrackedNames bounds the routes and the services that are followed.
+	maxTrackedNames = 200
+	// priorityCount is how many priorities there are, and slackRecent for how long one that
 	// was seen is taken to have requests.
-	slackRanks  = 10
-	slackRecent = 10 * time.Second
+	priorityCount = 10
+	priorityTTL   = 10 * time.Second
 )
 
 // NewSlack returns a Slack that knows no route.
 func NewSlack() *Slack {
-	return &Slack{routes: make(map[string]*[slackStages]slackStage), ranks: make(map[string]*[slackRanks]time.Time)}
+	return &Slack{routes: make(map[string]*[maxStages]stageSlack), lastSeen: make(map[string]*[priorityCount]time.Time)}
 }
 
 // Observe takes in a turn of a program at a stage with so much time left, and tells how the
 // program compares.
 func (s *Slack) Observe(route string, stage int, left time.Duration) Progress {
-	known := s.routes[route]
-	if known == nil {
-		if len(s.routes) >= slackNames {
+	entry := s.routes[route]
+	if entry == nil {
+		if len(s.routes) >= maxTrackedNames {
 			clear(s.routes)
 		}
-		known = &[slackStages]slackStage{}
-		s.routes[route] = known
+		entry = &[maxStages]stageSlack{}
+		s.routes[route] = entry
 	}
-	at := &known[min(max(0, stage), slackStages-1)]
+	at := &entry[min(max(0, stage), maxStages-1)]
 	progress := at.progress(float64(left))
 	if left > 0 {
 		// What is lost already says nothing of what programs need.
-		at.programs = min(at.programs+1, slackPrograms)
+		at.programs = min(at.programs+1, stageMemory)
 		at.left += (float64(left) - at.left) / at.programs
 	}
 	return progress
 }
 
 // progress tells how a program compares that has so much time left.
-func (s *slackStage) progress(left float64) Progress {
+func (s *stageSlack) progress(left float64) Progress {
 	switch {
 	case left <= 0:
 		return ProgressLost
-	case s.programs < slackLeast:
+	case s.programs < minStagePrograms:
 		return ProgressEven
-	case left < slackBehind*s.left:
+	case left < behindFactor*s.left:
 		return ProgressBehind
-	case left > slackAhead*s.left:
+	case left > aheadFactor*s.left:
 		return ProgressAhead
 	default:
 		return ProgressEven
@@ -101,19 +101,19 @@
 // priorities, only the most urgent come before their share, and only the least urgent after
 // it: none is served better than a more urgent one.
 func (s *Slack) Haste(now time.Time, service string, priority int, progress Progress) int {
-	known := s.ranks[service]
-	if known == nil {
-		if len(s.ranks) >= slackNames {
-			clear(s.ranks)
+	entry := s.lastSeen[service]
+	if entry == nil {
+		if len(s.lastSeen) >= maxTrackedNames {
+			clear(s.lastSeen)
 		}
-		known = &[slackRanks]time.Time{}
-		s.ranks[service] = known
+		entry = &[priorityCount]time.Time{}
+		s.lastSeen[service] = entry
 	}
-	rank := min(max(0, priority), slackRanks-1)
-	known[rank] = now
+	rank := min(max(0, priority), priorityCount-1)
+	entry[rank] = now
 	first, last := rank, rank
-	for other, at := range known {
-		if !at.IsZero() && now.Sub(at) <= slackRecent {
+	for other, at := range entry {
+		if !at.IsZero() && now.Sub(at) <= priorityTTL {
 			first, last = min(first, other), max(last, other)
 		}
 	}
@@ -124,11 +124,11 @@
 	if rank < last {
 		least = 0
 	}
-	return min(max(least, progress.haste()), most)
+	return min(max(least, progress.speedBias()), most)
 }
 
 // haste is what a progress calls for.
-func (s Progress) haste() int {
+func (s Progress) speedBias() int {
 	switch s {
 	case ProgressBehind:
 		return 1
--- a/dispatch/slack_test.go
+++ b/dispatch/slack_test.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// taught returns a slack that saw programs with three seconds left at their first stage.
-func taught() *dispatch.Slack {
+// trained returns a slack that saw programs with three seconds left at their first stage.
+func trained() *dispatch.Slack {
 	slack := dispatch.NewSlack()
 	for range 20 {
 		slack.Observe("route", 2, 3*time.Second)
@@ -18,28 +18,28 @@
 	return slack
 }
 
-func TestStandFollowsTheUsualTimeLeft(t *testing.T) {
+func TestProgressFollowsTheUsualTimeLeft(t *testing.T) {
 	g := NewWithT(t)
 	for left, want := range map[time.Duration]dispatch.Progress{
 		-time.Second: dispatch.ProgressLost, 0: dispatch.ProgressLost, time.Second: dispatch.ProgressBehind,
 		3 * time.Second: dispatch.ProgressEven, 6 * time.Second: dispatch.ProgressAhead,
 	} {
-		g.Expect(taught().Observe("route", 2, left)).To(Equal(want), left.String())
+		g.Expect(trained().Observe("route", 2, left)).To(Equal(want), left.String())
 	}
-	g.Expect(taught().Observe("route", 3, time.Second)).To(Equal(dispatch.ProgressEven), "an unknown stage")
-	g.Expect(taught().Observe("route", 1_000, time.Second)).To(Equal(dispatch.ProgressEven), "a stage beyond all")
+	g.Expect(trained().Observe("route", 3, time.Second)).To(Equal(dispatch.ProgressEven), "an unknown stage")
+	g.Expect(trained().Observe("route", 1_000, time.Second)).To(Equal(dispatch.ProgressEven), "a stage beyond all")
 }
 
-func TestLostProgramsDoNotTeachTheUsual(t *testing.T) {
+func TestLateProgramsDoNotChangeTheUsual(t *testing.T) {
 	g := NewWithT(t)
-	slack := taught()
+	slack := trained()
 	for range 500 {
 		slack.Observe("route", 2, -time.Hour)
 	}
 	g.Expect(slack.Observe("route", 2, 3*time.Second)).To(Equal(dispatch.ProgressEven))
 }
 
-func TestHasteOfOnePriorityFollowsTheStand(t *testing.T) {
+func TestSpeedBiasOfOnePriorityFollowsProgress(t *testing.T) {
 	g := NewWithT(t)
 	slack := dispatch.NewSlack()
 	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressBehind)).To(Equal(1))
@@ -51,12 +51,12 @@
 func TestNoProgramGoesBeforeAMoreUrgentOne(t *testing.T) {
 	g := NewWithT(t)
 	slack := dispatch.NewSlack()
-	stands := []dispatch.Progress{dispatch.ProgressLost, dispatch.ProgressAhead, dispatch.ProgressEven, dispatch.ProgressBehind}
+	values := []dispatch.Progress{dispatch.ProgressLost, dispatch.ProgressAhead, dispatch.ProgressEven, dispatch.ProgressBehind}
 	for _, priority := range []int{-3, 2, 5, 99} {
 		slack.Haste(begin, "model", priority, dispatch.ProgressEven)
 	}
-	for _, urgent := range stands {
-		for _, other := range stands {
+	for _, urgent := range values {
+		for _, other := range values {
 			for more, less := range map[int]int{0: 5, 2: 5, 5: 9} {
 				first := slack.Haste(begin, "model", more, urgent)
 				g.Expect(first).To(BeNumerically(">=", slack.Haste(begin, "model", less, other)))
--- a/dispatch/usual_test.go
+++ b/dispatch/usual_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestUsualLearnsWhatIsNeeded by programs of two to six turns of 250 ms each, whose
+// TestRemainingTimeIsLearned by programs of two to six turns of 250 ms each, whose
 // clients grant 400 ms a turn.
-func TestUsualLearnsWhatIsNeeded(t *testing.T) {
+func TestRemainingTimeIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	usual := NewUsual()
 	now := epoch
@@ -36,8 +36,8 @@
 	g.Expect(usual.Need("other", "1")).To(BeZero(), "a route that is not known")
 }
 
-// TestUsualIsBounded in programs and routes, whatever comes.
-func TestUsualIsBounded(t *testing.T) {
+// TestRemainingTimeEstimatorIsBounded in programs and routes, whatever comes.
+func TestRemainingTimeEstimatorIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	usual := NewUsual()
 	now := epoch
@@ -46,6 +46,6 @@
 		usual.Begin(now, fmt.Sprint("route", number), fmt.Sprint(number), time.Second)
 	}
 	usual.Begin(now.Add(time.Minute), "last", "last", time.Second)
-	g.Expect(len(usual.programs)).To(BeNumerically("<=", usualPrograms))
-	g.Expect(len(usual.routes)).To(BeNumerically("<=", usualRoutes))
+	g.Expect(len(usual.programs)).To(BeNumerically("<=", maxTrackedPrograms))
+	g.Expect(len(usual.routes)).To(BeNumerically("<=", maxTrackedRoutes))
 }
