--- a/tenant/account.go
+++ b/tenant/account.go
@@ -41,14 +41,14 @@
 }
 
 const (
-	// overdraftShare is the part of the accepted overrun by which programs under way
+	// overdraftFraction is the part of the accepted overrun by which programs under way
 	// may overdraw an account. The rest is for what nodes count apart while the
 	// counting passes from one to another.
-	overdraftShare = 0.25
-	// slackInBucket is the part of Config.Slack that the bucket holds besides the
+	overdraftFraction = 0.25
+	// bucketSlackFraction is the part of Config.Slack that the bucket holds besides the
 	// share Config.Overrun of a window's limit. The bucket is what may pass twice
 	// where the counting passes on.
-	slackInBucket = 0.5
+	bucketSlackFraction = 0.5
 	// takeoverOverlap is how long a node may count on that another one follows: until
 	// word of a loss, or of a return, is everywhere. Fleets in virtual time need 0.2 to
 	// 0.4 s.
@@ -56,30 +56,30 @@
 )
 
 const (
-	// firstShare is the part of a program's needs that a short account holds if one that
+	// newProgramFraction is the part of a program's needs that a short account holds if one that
 	// comes for the first time begins: the rest is earned while it runs.
-	firstShare = 0.7
-	// backBehind is the part of a bucket that an account is to be expected to have left if
+	newProgramFraction = 0.7
+	// retryReserve is the part of a bucket that an account is to be expected to have left if
 	// a program begins that was refused lately: more than chance makes of an expectation.
-	backBehind = 2.0
-	// fullShare is the part of a bucket from which on what the account earns is soon lost.
-	fullShare = 0.9
+	retryReserve = 2.0
+	// nearlyFullFraction is the part of a bucket from which on what the account earns is soon lost.
+	nearlyFullFraction = 0.9
 )
 
 // Times of an account.
 const (
-	// grantLife is how long a grant or a refused program is remembered, a grant so that it
+	// grantTTL is how long a grant or a refused program is remembered, a grant so that it
 	// counts once if it is asked for again, and can be returned: longer than a request is refused late.
-	grantLife = 4 * time.Second
-	// graceAfterOpening is how long a new account takes programs that it does not
+	grantTTL = 4 * time.Second
+	// openingGrace is how long a new account takes programs that it does not
 	// know for ones under way: the owner before it knew them.
-	graceAfterOpening = 2500 * time.Millisecond
-	// tightFor is how long after an account was empty new programs have to fit beside
+	openingGrace = 2500 * time.Millisecond
+	// shortageMemory is how long after an account was empty new programs have to fit beside
 	// those under way: about as long as a program lasts.
-	tightFor = 3 * time.Second
-	// leastWait and mostWait bound the time to come back that a refusal names.
-	leastWait = 50 * time.Millisecond
-	mostWait  = 5 * time.Second
+	shortageMemory = 3 * time.Second
+	// minRetryAfter and mostWait bound the time to come back that a refusal names.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
 // Request asks for one request of a tenant.
@@ -124,111 +124,113 @@
 	granted  map[string]time.Time
 	// refused are the programs that were refused before they began.
 	refused map[string]time.Time
-	// tightUntil is until when new programs have to fit beside those under way.
-	tightUntil time.Time
-	// nextStart is when the next program that was refused may come back.
-	nextStart time.Time
+	// shortUntil is until when new programs have to fit beside those under way.
+	shortUntil time.Time
+	// nextRetry is when the next program that was refused may come back.
+	nextRetry time.Time
 }
 
 // program is what an account knows of a program.
 type program struct {
-	route string
-	used  float64
-	first time.Time
-	last  time.Time
-	// joined says that the program was under way when the account was opened, and
+	route    string
+	requests float64
+	firstAt  time.Time
+	lastAt   time.Time
+	// inherited says that the program was under way when the account was opened, and
 	// refused that a request of it was refused: neither tells what programs need.
-	joined  bool
-	refused bool
+	inherited bool
+	refused   bool
 }
 
 // newAccount opens an account whose tenant this node alone has counted for since a
 // time.
-func newAccount(now, since time.Time, config *Config, asked *Request) *account {
+func newAccount(now, since time.Time, config *Config, request *Request) *account {
 	return &account{
-		limit: asked.Limit, version: asked.Version, opened: now, at: since, window: newWindow(now, config.Window),
+		limit: request.Limit, version: request.Version, opened: now, at: since, window: newWindow(now, config.Window),
 		cautiousUntil: since.Add(config.Window), programs: make(map[string]*program), granted: make(map[string]time.Time),
 		refused: make(map[string]time.Time),
 	}
 }
 
-// most is what may pass in a window.
-func (a *account) most(config *Config) float64 {
+// windowLimit is what may pass in a window.
+func (a *account) windowLimit(config *Config) float64 {
 	return a.limit.Rate*config.Window.Seconds() + a.limit.Burst
 }
 
 // capacity is the most that the bucket holds.
 func (a *account) capacity(config *Config, share float64) float64 {
-	return max(1, share*(config.Overrun*a.most(config)+slackInBucket*config.Slack))
+	return max(1, share*(config.Overrun*a.windowLimit(config)+bucketSlackFraction*config.Slack))
 }
 
-// pace is how many requests a second the account earns.
-func (a *account) pace(now time.Time, config *Config, share float64) float64 {
-	full := a.most(config) / config.Window.Seconds()
+// rate is how many requests a second the account earns.
+func (a *account) rate(now time.Time, config *Config, share float64) float64 {
+	full := a.windowLimit(config) / config.Window.Seconds()
 	if now.Before(a.cautiousUntil) {
-		full = min(full, a.cautiousPace(config))
+		full = min(full, a.cautiousRate(config))
 	}
 	return share * full
 }
 
-// cautiousPace is how many requests a second the account earns while grants of a node
+// cautiousRate is how many requests a second the account earns while grants of a node
 // that counted before may lie in the window. That node may have granted all of a
 // window, the last of it as fast as its bucket let it: the faster, the shorter ago. What
 // is granted here from then on has to fit into what the operator accepts beyond.
-func (a *account) cautiousPace(config *Config) float64 {
-	most := a.most(config)
-	saved := a.capacity(config, 1) / most * config.Window.Seconds()
-	return (config.Overrun*most + config.Slack) / (saved + takeoverOverlap.Seconds())
+func (a *account) cautiousRate(config *Config) float64 {
+	windowLimit := a.windowLimit(config)
+	saved := a.capacity(config, 1) / windowLimit * config.Window.Seconds()
+	return (config.Overrun*windowLimit + config.Slack) / (saved + takeoverOverlap.Seconds())
 }
 
-// fill lets the bucket fill up to now, and the window pass.
-func (a *account) fill(now time.Time, config *Config, share float64) {
+// refill lets the bucket refill up to now, and the window pass.
+func (a *account) refill(now time.Time, config *Config, share float64) {
 	if passed := now.Sub(a.at); passed > 0 {
-		a.balance += passed.Seconds() * a.pace(now, config, share)
+		a.balance += passed.Seconds() * a.rate(now, config, share)
 		a.at = now
 	}
 	a.balance = min(a.balance, a.capacity(config, share))
 	a.window.advance(now)
 }
 
-// holds is how many requests may be granted now.
-func (a *account) holds(config *Config, share float64) float64 {
-	return min(a.balance, share*a.most(config)-a.window.total)
+// available is how many requests may be granted now.
+func (a *account) available(config *Config, share float64) float64 {
+	return min(a.balance, share*a.windowLimit(config)-a.window.total)
 }
 
-// follow takes a newer limit over.
-func (a *account) follow(asked *Request) {
-	if asked.Version > a.version {
-		a.limit, a.version = asked.Limit, asked.Version
+// updateLimit takes a newer limit over.
+func (a *account) updateLimit(request *Request) {
+	if request.Version > a.version {
+		a.limit, a.version = request.Limit, request.Version
 	}
 }
 
 // overdraft is how far programs under way may overdraw the account.
 func (a *account) overdraft(config *Config) float64 {
-	return overdraftShare * (config.Overrun*a.most(config) + config.Slack)
+	return overdraftFraction * (config.Overrun*a.windowLimit(config) + config.Slack)
 }
 
 // grant takes a request off the account.
-func (a *account) grant(now time.Time, asked *Request) {
+func (a *account) grant(now time.Time, request *Request) {
 	a.balance--
 	a.window.add()
-	a.granted[asked.ID] = now
-	if known := a.programs[asked.Program]; known != nil {
-		known.used++
-		known.last = now
+	a.granted[request.ID] = now
+	if known := a.programs[request.Program]; known != nil {
+		known.requests++
+		known.lastAt = now
 	}
 }
 
 // waitFor is how long the account takes to earn an amount.
 func (a *account) waitFor(now time.Time, config *Config, amount, share float64) time.Duration {
-	seconds := amount / max(a.pace(now, config, share), math.SmallestNonzeroFloat32)
-	return boundWait(time.Duration(min(seconds, mostWait.Seconds()) * float64(time.Second)))
+	seconds := amount / max(a.rate(now, config, share), math.SmallestNonzeroFloat32)
+	return clampRetryAfter(time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second)))
 }
 
-func boundWait(wait time.Duration) time.Duration { return min(max(wait, leastWait), mostWait) }
+func clampRetryAfter(wait time.Duration) time.Duration {
+	return min(max(wait, minRetryAfter), maxRetryAfter)
+}
 
-// giveBack takes back a grant whose request did not run.
-func (a *account) giveBack(id, program string) {
+// refund takes back a grant whose request did not run.
+func (a *account) refund(id, program string) {
 	at, known := a.granted[id]
 	if !known {
 		return
@@ -237,7 +239,7 @@
 	a.balance++
 	a.window.remove(at)
 	if known := a.programs[program]; known != nil {
-		if known.used--; known.used <= 0 {
+		if known.requests--; known.requests <= 0 {
 			delete(a.programs, program)
 		}
 	}
@@ -246,17 +248,17 @@
 // sweep forgets old grants, and hands over the programs that have ended.
 func (a *account) sweep(now time.Time, ended func(*program)) {
 	for id, at := range a.granted {
-		if now.Sub(at) > grantLife {
+		if now.Sub(at) > grantTTL {
 			delete(a.granted, id)
 		}
 	}
 	for id, at := range a.refused {
-		if now.Sub(at) > grantLife {
+		if now.Sub(at) > grantTTL {
 			delete(a.refused, id)
 		}
 	}
 	for id, known := range a.programs {
-		if now.Sub(known.last) > programIdle {
+		if now.Sub(known.lastAt) > programIdleTime {
 			delete(a.programs, id)
 			ended(known)
 		}
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -11,9 +11,9 @@
 	config   Config
 	accounts map[string]*account
 	costs    map[string]*cost
-	// since is from when on this node alone counts for the tenants that come to it
-	// now: an account that is opened begins with what was earned since then.
-	since time.Time
+	// countingSince is from when on this node alone counts for the tenants that come to it
+	// now: an account that is opened begins with what was earned countingSince then.
+	countingSince time.Time
 	// share is the part of each limit that this node may grant.
 	share     float64
 	nextSweep time.Time
@@ -21,7 +21,7 @@
 
 // NewBook returns a book without accounts.
 func NewBook(now time.Time, config Config) *Book {
-	return &Book{config: config, accounts: make(map[string]*account), costs: make(map[string]*cost), since: now, share: 1}
+	return &Book{config: config, accounts: make(map[string]*account), costs: make(map[string]*cost), countingSince: now, share: 1}
 }
 
 // SetShare sets the part of each limit that this node may grant: what it may not is
@@ -30,7 +30,7 @@
 
 // Inherit says that a node was lost that counted for tenants which come here now. It
 // may have granted all that their accounts held.
-func (b *Book) Inherit(now time.Time) { b.since = now }
+func (b *Book) Inherit(now time.Time) { b.countingSince = now }
 
 // Keep drops the accounts of the tenants that another node counts for by now.
 func (b *Book) Keep(owned func(tenant string) bool) {
@@ -43,136 +43,136 @@
 
 // Spend decides whether a request of a tenant fits its limit, and counts it if so.
 // The same request may be asked for again.
-func (b *Book) Spend(now time.Time, name string, asked Request) Decision {
+func (b *Book) Spend(now time.Time, name string, request Request) Decision {
 	b.sweep(now)
-	held := b.accounts[name]
-	if held == nil {
-		held = newAccount(now, b.since, &b.config, &asked)
-		b.accounts[name] = held
-	}
-	held.follow(&asked)
-	held.fill(now, &b.config, b.share)
-	decision := b.decide(now, held, &asked)
-	decision.Balance = b.holds(held)
-	if asked.Program != "" {
-		decision.Programs = len(held.programs)
+	acct := b.accounts[name]
+	if acct == nil {
+		acct = newAccount(now, b.countingSince, &b.config, &request)
+		b.accounts[name] = acct
+	}
+	acct.updateLimit(&request)
+	acct.refill(now, &b.config, b.share)
+	decision := b.decide(now, acct, &request)
+	decision.Balance = b.available(acct)
+	if request.Program != "" {
+		decision.Programs = len(acct.programs)
 	}
 	return decision
 }
 
 // decide grants a request, or tells when it may come back.
-func (b *Book) decide(now time.Time, held *account, asked *Request) Decision {
-	if _, again := held.granted[asked.ID]; again {
+func (b *Book) decide(now time.Time, acct *account, request *Request) Decision {
+	if _, again := acct.granted[request.ID]; again {
 		return Decision{Granted: true}
 	}
-	if wait := b.refuse(now, held, asked); wait > 0 {
+	if wait := b.retryAfter(now, acct, request); wait > 0 {
 		return Decision{RetryAfter: wait}
 	}
-	held.grant(now, asked)
-	b.use(held, asked)
+	acct.grant(now, request)
+	b.recordUse(acct, request)
 	return Decision{Granted: true}
 }
 
-// use has what programs need follow from a request that was granted.
-func (b *Book) use(held *account, asked *Request) {
-	if known := held.programs[asked.Program]; known != nil && !known.joined {
-		b.costOf(known.route).use()
+// recordUse has what programs need follow from a request that was granted.
+func (b *Book) recordUse(acct *account, request *Request) {
+	if known := acct.programs[request.Program]; known != nil && !known.inherited {
+		b.costOf(known.route).recordUse()
 	}
 }
 
-func (b *Book) holds(held *account) float64 { return held.holds(&b.config, b.share) }
+func (b *Book) available(acct *account) float64 { return acct.available(&b.config, b.share) }
 
-// refuse returns when a request may come back that has to be refused, or 0.
-func (b *Book) refuse(now time.Time, held *account, asked *Request) time.Duration {
-	if asked.Program == "" || b.config.FirstCome {
-		return b.refusePlain(now, held)
+// retryAfter returns when a request may come back that has to be refused, or 0.
+func (b *Book) retryAfter(now time.Time, acct *account, request *Request) time.Duration {
+	if request.Program == "" || b.config.FirstCome {
+		return b.retryAfterPlain(now, acct)
 	}
-	if b.holds(held) < 1 {
-		held.tightUntil = now.Add(tightFor)
+	if b.available(acct) < 1 {
+		acct.shortUntil = now.Add(shortageMemory)
 	}
-	known := held.programs[asked.Program]
-	if known == nil && now.Sub(held.opened) < graceAfterOpening {
-		known = &program{route: asked.Route, first: now, joined: true}
-		held.programs[asked.Program] = known
+	known := acct.programs[request.Program]
+	if known == nil && now.Sub(acct.opened) < openingGrace {
+		known = &program{route: request.Route, firstAt: now, inherited: true}
+		acct.programs[request.Program] = known
 	}
 	if known != nil {
-		return b.refuseUnderWay(now, held, known)
+		return b.retryAfterStarted(now, acct, known)
 	}
-	return b.refuseNew(now, held, asked)
+	return b.retryAfterNew(now, acct, request)
 }
 
-// refusePlain has a request wait that does not belong to a program.
-func (b *Book) refusePlain(now time.Time, held *account) time.Duration {
-	lacks := 1 - b.holds(held)
-	if lacks <= 0 {
+// retryAfterPlain has a request wait that does not belong to a program.
+func (b *Book) retryAfterPlain(now time.Time, acct *account) time.Duration {
+	deficit := 1 - b.available(acct)
+	if deficit <= 0 {
 		return 0
 	}
-	return held.waitFor(now, &b.config, lacks, b.share)
+	return acct.waitFor(now, &b.config, deficit, b.share)
 }
 
-// refuseUnderWay has a request of a program under way wait only if the account is
+// retryAfterStarted has a request of a program under way wait only if the account is
 // overdrawn already.
-func (b *Book) refuseUnderWay(now time.Time, held *account, known *program) time.Duration {
-	known.last = now
-	lacks := 1 - b.holds(held) - held.overdraft(&b.config)
-	if lacks <= 0 {
+func (b *Book) retryAfterStarted(now time.Time, acct *account, known *program) time.Duration {
+	known.lastAt = now
+	deficit := 1 - b.available(acct) - acct.overdraft(&b.config)
+	if deficit <= 0 {
 		return 0
 	}
 	known.refused = true
-	return held.waitFor(now, &b.config, lacks, b.share)
+	return acct.waitFor(now, &b.config, deficit, b.share)
 }
 
-// refuseNew has a program wait whose requests, with those that programs under way
+// retryAfterNew has a program wait whose requests, with those that programs under way
 // still need, are more than the account can be expected to hold. Half of a program's
 // span is what those under way need on the mean until they end. While the account has
 // not been empty lately, what programs need is not looked at: most of them end below
 // the limit, and one that waits for nothing is late.
-func (b *Book) refuseNew(now time.Time, held *account, asked *Request) time.Duration {
-	needs := b.costOf(asked.Route)
-	earned := needs.span.Seconds() / 2 * held.pace(now, &b.config, b.share)
-	lacks := b.committed(now, held) + needs.mean() - b.holds(held) - held.overdraft(&b.config) - earned
-	loose := !now.Before(held.tightUntil)
-	alone := len(held.programs) == 0 && b.holds(held) >= 1
-	if alone || loose || b.mayBegin(held, asked, lacks) {
-		held.programs[asked.Program] = &program{route: asked.Route, first: now, last: now}
+func (b *Book) retryAfterNew(now time.Time, acct *account, request *Request) time.Duration {
+	needs := b.costOf(request.Route)
+	earned := needs.span.Seconds() / 2 * acct.rate(now, &b.config, b.share)
+	deficit := b.committed(now, acct) + needs.mean() - b.available(acct) - acct.overdraft(&b.config) - earned
+	noShortage := !now.Before(acct.shortUntil)
+	alone := len(acct.programs) == 0 && b.available(acct) >= 1
+	if alone || noShortage || b.mayStart(acct, request, deficit) {
+		acct.programs[request.Program] = &program{route: request.Route, firstAt: now, lastAt: now}
 		return 0
 	}
-	held.refused[asked.Program] = now
+	acct.refused[request.Program] = now
 	// Those that are refused come back one after the other, as fast as programs
 	// can begin.
-	earliest := now.Add(held.waitFor(now, &b.config, lacks, b.share))
-	if held.nextStart.Before(earliest) {
-		held.nextStart = earliest
+	earliest := now.Add(acct.waitFor(now, &b.config, deficit, b.share))
+	if acct.nextRetry.Before(earliest) {
+		acct.nextRetry = earliest
 	}
-	wait := held.nextStart.Sub(now)
-	held.nextStart = now.Add(min(wait+held.waitFor(now, &b.config, needs.mean(), b.share), mostWait))
-	return boundWait(wait)
+	wait := acct.nextRetry.Sub(now)
+	acct.nextRetry = now.Add(min(wait+acct.waitFor(now, &b.config, needs.mean(), b.share), maxRetryAfter))
+	return clampRetryAfter(wait)
 }
 
-// mayBegin reports whether a program begins for which the account lacks so much by what
+// mayStart reports whether a program begins for which the account lacks so much by what
 // those under way are expected to need. While the account is short, programs that come back
 // go behind those that come for the first time: what is left of their time has shrunk, and
 // a limit that holds half of the programs serves half of them in time or all of them late.
 // One that comes for the first time begins if the account holds most of what it needs,
 // and each if the account is almost full.
-func (b *Book) mayBegin(held *account, asked *Request, lacks float64) bool {
-	_, back := held.refused[asked.Program]
+func (b *Book) mayStart(acct *account, request *Request, deficit float64) bool {
+	_, retrying := acct.refused[request.Program]
 	switch {
 	case b.config.InTurn:
-		return lacks <= 0
-	case back:
-		capacity := held.capacity(&b.config, b.share)
-		return lacks <= -backBehind*capacity || b.holds(held) >= max(1, fullShare*capacity)
+		return deficit <= 0
+	case retrying:
+		capacity := acct.capacity(&b.config, b.share)
+		return deficit <= -retryReserve*capacity || b.available(acct) >= max(1, nearlyFullFraction*capacity)
 	default:
-		return lacks <= 0 || b.holds(held) >= max(1, firstShare*b.costOf(asked.Route).mean())
+		return deficit <= 0 || b.available(acct) >= max(1, newProgramFraction*b.costOf(request.Route).mean())
 	}
 }
 
 // committed is how many requests the programs under way still need.
-func (b *Book) committed(now time.Time, held *account) float64 {
+func (b *Book) committed(now time.Time, acct *account) float64 {
 	total := 0.0
-	for _, known := range held.programs {
-		total += b.costOf(known.route).rest(now, known)
+	for _, known := range acct.programs {
+		total += b.costOf(known.route).remaining(now, known)
 	}
 	return total
 }
@@ -187,9 +187,9 @@
 }
 
 // Return takes back a request that was granted and did not run.
-func (b *Book) Return(name string, asked Request) {
-	if held := b.accounts[name]; held != nil {
-		held.giveBack(asked.ID, asked.Program)
+func (b *Book) Return(name string, request Request) {
+	if acct := b.accounts[name]; acct != nil {
+		acct.refund(request.ID, request.Program)
 	}
 }
 
@@ -198,12 +198,12 @@
 		return
 	}
 	b.nextSweep = now.Add(sweepPeriod)
-	for name, held := range b.accounts {
-		if b.config.IdleAfter > 0 && now.Sub(held.at) > b.config.IdleAfter {
+	for name, acct := range b.accounts {
+		if b.config.IdleAfter > 0 && now.Sub(acct.at) > b.config.IdleAfter {
 			delete(b.accounts, name)
 			continue
 		}
-		held.sweep(now, func(ended *program) { b.costOf(ended.route).observe(ended) })
+		acct.sweep(now, func(ended *program) { b.costOf(ended.route).observe(ended) })
 	}
 }
 
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -16,10 +16,10 @@
 // limit lets 100 requests pass in a window of five seconds.
 var limit = tenant.Limit{Rate: 16, Burst: 20}
 
-const windowMost = 100
+const windowLimit = 100
 
 // longAgo opens a book whose node has counted alone for longer than a window.
-func longAgo() *tenant.Book {
+func establishedLimiter() *tenant.Book {
 	return tenant.NewBook(begun.Add(-time.Minute), tenant.DefaultConfig())
 }
 
@@ -34,7 +34,7 @@
 }
 
 // inWindow returns the most that any window holds.
-func inWindow(times []time.Time, span time.Duration) int {
+func busiestWindow(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for index, at := range times {
 		for at.Sub(times[first]) >= span {
@@ -46,10 +46,10 @@
 }
 
 // press asks every millisecond for a while, and returns when requests were granted.
-func press(book *tenant.Book, from time.Time, span time.Duration, ask func(index int) tenant.Request) (granted []time.Time) {
+func saturate(limiter *tenant.Book, from time.Time, span time.Duration, ask func(index int) tenant.Request) (granted []time.Time) {
 	for index := range int(span / time.Millisecond) {
 		now := from.Add(time.Duration(index) * time.Millisecond)
-		if book.Spend(now, "t", ask(index)).Granted {
+		if limiter.Spend(now, "t", ask(index)).Granted {
 			granted = append(granted, now)
 		}
 	}
@@ -60,13 +60,13 @@
 
 var _ = Describe("An account", func() {
 	It("lets no more pass in any window than the limit, and as much as that", func() {
-		granted := press(longAgo(), begun, 30*time.Second, plain)
-		Expect(inWindow(granted, 5*time.Second)).To(Equal(windowMost))
-		Expect(len(granted)).To(BeNumerically(">=", 6*windowMost-windowMost/20))
+		granted := saturate(establishedLimiter(), begun, 30*time.Second, plain)
+		Expect(busiestWindow(granted, 5*time.Second)).To(Equal(windowLimit))
+		Expect(len(granted)).To(BeNumerically(">=", 6*windowLimit-windowLimit/20))
 	})
 
 	It("refuses nothing of a steady use below the limit", func() {
-		book := longAgo()
+		limiter := establishedLimiter()
 		random := rand.New(rand.NewPCG(1, 2))
 		asked, refused := 0, 0
 		for index := range 60_000 {
@@ -74,7 +74,7 @@
 				continue
 			}
 			asked++
-			if !book.Spend(begun.Add(time.Duration(index)*time.Millisecond), "t", plain(index)).Granted {
+			if !limiter.Spend(begun.Add(time.Duration(index)*time.Millisecond), "t", plain(index)).Granted {
 				refused++
 			}
 		}
@@ -83,31 +83,31 @@
 	})
 
 	It("counts a request once that is asked for again, and takes it back if it did not run", func() {
-		book := longAgo()
-		first := book.Spend(begun, "t", request("a"))
-		again := book.Spend(begun, "t", request("a"))
+		limiter := establishedLimiter()
+		first := limiter.Spend(begun, "t", request("a"))
+		again := limiter.Spend(begun, "t", request("a"))
 		Expect(again).To(Equal(first))
-		Expect(book.Spend(begun, "t", request("b")).Balance).To(Equal(first.Balance - 1))
-		book.Return("t", request("a"))
-		book.Return("t", request("a"))
-		book.Return("t", request("never"))
-		Expect(book.Spend(begun, "t", request("c")).Balance).To(Equal(first.Balance - 1))
+		Expect(limiter.Spend(begun, "t", request("b")).Balance).To(Equal(first.Balance - 1))
+		limiter.Return("t", request("a"))
+		limiter.Return("t", request("a"))
+		limiter.Return("t", request("never"))
+		Expect(limiter.Spend(begun, "t", request("c")).Balance).To(Equal(first.Balance - 1))
 	})
 
 	It("says when to come back, and takes what comes then", func() {
-		book := longAgo()
+		limiter := establishedLimiter()
 		now := begun.Add(time.Second)
-		press(book, begun, time.Second, plain)
-		book.Spend(now, "t", request("one more"))
-		refused := book.Spend(now, "t", request("later"))
+		saturate(limiter, begun, time.Second, plain)
+		limiter.Spend(now, "t", request("one more"))
+		refused := limiter.Spend(now, "t", request("later"))
 		Expect(refused.Granted).To(BeFalse())
 		Expect(refused.RetryAfter).To(And(BeNumerically(">=", 50*time.Millisecond), BeNumerically("<=", 5*time.Second)))
-		Expect(book.Spend(now.Add(refused.RetryAfter), "t", request("later")).Granted).To(BeTrue())
+		Expect(limiter.Spend(now.Add(refused.RetryAfter), "t", request("later")).Granted).To(BeTrue())
 	})
 
 	It("follows a newer limit, lower or higher, and no older one", func() {
-		book := longAgo()
-		press(book, begun, 10*time.Second, plain)
+		limiter := establishedLimiter()
+		saturate(limiter, begun, 10*time.Second, plain)
 		at := func(version uint64, rate float64) func(int) tenant.Request {
 			return func(index int) tenant.Request {
 				asked := request(fmt.Sprint(version, "/", index))
@@ -115,11 +115,11 @@
 				return asked
 			}
 		}
-		low := press(book, begun.Add(10*time.Second), 15*time.Second, at(2, 2))
-		Expect(inWindow(low[len(low)/2:], 5*time.Second)).To(BeNumerically("<=", 10))
-		Expect(inWindow(press(book, begun.Add(25*time.Second), 10*time.Second, at(1, 1000)), 5*time.Second)).To(BeNumerically("<=", 10))
-		high := press(book, begun.Add(35*time.Second), 15*time.Second, at(3, 40))
-		Expect(inWindow(high, 5*time.Second)).To(BeNumerically("~", 200, 10))
+		low := saturate(limiter, begun.Add(10*time.Second), 15*time.Second, at(2, 2))
+		Expect(busiestWindow(low[len(low)/2:], 5*time.Second)).To(BeNumerically("<=", 10))
+		Expect(busiestWindow(saturate(limiter, begun.Add(25*time.Second), 10*time.Second, at(1, 1000)), 5*time.Second)).To(BeNumerically("<=", 10))
+		high := saturate(limiter, begun.Add(35*time.Second), 15*time.Second, at(3, 40))
+		Expect(busiestWindow(high, 5*time.Second)).To(BeNumerically("~", 200, 10))
 	})
 
 	DescribeTable("opens empty after another node counted, and both stay within what is accepted",
@@ -130,7 +130,7 @@
 			accepted := (limit.Rate*config.Window.Seconds()+limit.Burst)*(1+config.Overrun) + config.Slack
 			const overlap = 400 * time.Millisecond
 			for lostAfter := 500 * time.Millisecond; lostAfter < 10*time.Second; lostAfter += 500 * time.Millisecond {
-				first := longAgo()
+				first := establishedLimiter()
 				lost := begun.Add(lostAfter)
 				next := tenant.NewBook(begun.Add(-time.Minute), config)
 				next.Inherit(lost.Add(-overlap))
@@ -146,7 +146,7 @@
 						granted = append(granted, now)
 					}
 				}
-				Expect(float64(inWindow(granted, 5*time.Second))).To(BeNumerically("<=", accepted), "lost after %v", lostAfter)
+				Expect(float64(busiestWindow(granted, 5*time.Second))).To(BeNumerically("<=", accepted), "lost after %v", lostAfter)
 			}
 		},
 		Entry("a small tenant", tenant.Limit{Rate: 3, Burst: 3}),
@@ -157,41 +157,41 @@
 	)
 
 	It("grants its share where others may count apart", func() {
-		book := longAgo()
-		book.SetShare(0.5)
-		Expect(inWindow(press(book, begun, 15*time.Second, plain), 5*time.Second)).To(BeNumerically("<=", windowMost/2))
+		limiter := establishedLimiter()
+		limiter.SetShare(0.5)
+		Expect(busiestWindow(saturate(limiter, begun, 15*time.Second, plain), 5*time.Second)).To(BeNumerically("<=", windowLimit/2))
 	})
 
 	It("drops the tenants that another node counts for", func() {
-		book := longAgo()
-		book.Spend(begun, "t", request("a"))
-		book.Spend(begun, "u", request("b"))
-		book.Keep(func(name string) bool { return name == "u" })
-		Expect(book.Count()).To(Equal(1))
+		limiter := establishedLimiter()
+		limiter.Spend(begun, "t", request("a"))
+		limiter.Spend(begun, "u", request("b"))
+		limiter.Keep(func(name string) bool { return name == "u" })
+		Expect(limiter.Count()).To(Equal(1))
 	})
 })
 
 // needs is how many requests a program of the tests makes, one in 100 ms.
-const needs = 10
+const requestsPerProgram = 10
 
 // serveHot begins a program every 100 ms, five times what the limit of 20 requests a
 // second holds, and returns how many programs had all their requests granted.
-func serveHot(config tenant.Config) (ended, asked int) {
-	book := tenant.NewBook(begun.Add(-time.Minute), config)
+func simulateOverload(config tenant.Config) (ended, asked int) {
+	limiter := tenant.NewBook(begun.Add(-time.Minute), config)
 	type run struct{ made, failed int }
 	runs := map[int]*run{}
 	random := rand.New(rand.NewPCG(3, 4))
 	for tick := range 300 {
 		now := begun.Add(time.Duration(tick) * 100 * time.Millisecond)
 		runs[tick] = &run{}
-		first := max(0, tick-needs*2)
+		first := max(0, tick-requestsPerProgram*2)
 		for _, place := range random.Perm(tick - first + 1) {
 			index := first + place
 			one := runs[index]
-			if one.made == needs || one.failed > 2 {
+			if one.made == requestsPerProgram || one.failed > 2 {
 				continue
 			}
-			if book.Spend(now, "t", turn(fmt.Sprint(index, "/", one.made), fmt.Sprint("p-", index))).Granted {
+			if limiter.Spend(now, "t", turn(fmt.Sprint(index, "/", one.made), fmt.Sprint("p-", index))).Granted {
 				one.made++
 			} else {
 				one.failed++
@@ -200,7 +200,7 @@
 	}
 	for _, one := range runs {
 		asked += one.made
-		if one.made == needs {
+		if one.made == requestsPerProgram {
 			ended++
 		}
 	}
@@ -210,20 +210,20 @@
 var _ = Describe("A tenant over its limit", func() {
 	It("has more programs end where those under way go first", func() {
 		config := tenant.DefaultConfig()
-		ended, granted := serveHot(config)
+		ended, granted := simulateOverload(config)
 		config.FirstCome = true
-		endedFirstCome, grantedFirstCome := serveHot(config)
+		endedFirstCome, grantedFirstCome := simulateOverload(config)
 		Expect(grantedFirstCome).To(BeNumerically("~", granted, 60))
 		Expect(ended).To(BeNumerically(">=", 10*endedFirstCome))
-		Expect(float64(ended * needs)).To(BeNumerically(">=", 0.6*float64(granted)))
+		Expect(float64(ended * requestsPerProgram)).To(BeNumerically(">=", 0.6*float64(granted)))
 	})
 
 	It("has the programs that are refused come back one after the other", func() {
-		book := longAgo()
-		press(book, begun, 3*time.Second, func(index int) tenant.Request { return turn(fmt.Sprint(index), fmt.Sprint("p-", index%50)) })
+		limiter := establishedLimiter()
+		saturate(limiter, begun, 3*time.Second, func(index int) tenant.Request { return turn(fmt.Sprint(index), fmt.Sprint("p-", index%50)) })
 		var waits []time.Duration
 		for index := range 5 {
-			waits = append(waits, book.Spend(begun.Add(3*time.Second), "t", turn(fmt.Sprint("n", index), fmt.Sprint("new-", index))).RetryAfter)
+			waits = append(waits, limiter.Spend(begun.Add(3*time.Second), "t", turn(fmt.Sprint("n", index), fmt.Sprint("new-", index))).RetryAfter)
 		}
 		for index := 1; index < len(waits); index++ {
 			Expect(waits[index]).To(Or(BeNumerically(">", waits[index-1]), BeNumerically("==", 5*time.Second)))
--- a/tenant/directory.go
+++ b/tenant/directory.go
@@ -52,17 +52,17 @@
 func NewDirectory(tenants []Tenant) (*Directory, error) {
 	found := findings.Of("tenants")
 	directory := &Directory{byKey: make(map[keyHash]*Tenant), tenants: len(tenants)}
-	places := make(map[string]int, len(tenants))
+	indexes := make(map[string]int, len(tenants))
 	for index, given := range tenants {
-		place := fmt.Sprintf("tenants[%d]", index)
-		found.Require(given.Name != "", place+".name", "want a name")
-		found.Require(!strings.ContainsFunc(given.Name, unicode.IsControl), place+".name", "want no control characters in %q", given.Name)
-		first, taken := places[given.Name]
-		found.Require(!taken, place+".name", "%q is the name of tenants[%d] as well", given.Name, first)
-		places[given.Name] = index
-		checkNumber(found, place+".rate", given.Limit.Rate)
-		checkNumber(found, place+".burst", given.Limit.Burst)
-		directory.add(found, place, given)
+		path := fmt.Sprintf("tenants[%d]", index)
+		found.Require(given.Name != "", path+".name", "want a name")
+		found.Require(!strings.ContainsFunc(given.Name, unicode.IsControl), path+".name", "want no control characters in %q", given.Name)
+		first, taken := indexes[given.Name]
+		found.Require(!taken, path+".name", "%q is the name of tenants[%d] as well", given.Name, first)
+		indexes[given.Name] = index
+		requireNonNegative(found, path+".rate", given.Limit.Rate)
+		requireNonNegative(found, path+".burst", given.Limit.Burst)
+		directory.add(found, path, given)
 	}
 	if err := found.Err(); err != nil {
 		return nil, err
@@ -70,19 +70,19 @@
 	return directory, nil
 }
 
-func checkNumber(found *findings.List, place string, value float64) {
-	found.Require(value >= 0 && !math.IsInf(value, 0), place, "got %v, want a number that is at least 0", value)
+func requireNonNegative(found *findings.List, path string, value float64) {
+	found.Require(value >= 0 && !math.IsInf(value, 0), path, "got %v, want a number that is at least 0", value)
 }
 
 // add takes a tenant's keys in. The findings name the places of keys and no key.
-func (d *Directory) add(found *findings.List, place string, given Tenant) {
+func (d *Directory) add(found *findings.List, path string, given Tenant) {
 	known := &Tenant{Name: given.Name, Priority: given.Priority, Limit: given.Limit, Regions: given.Regions}
 	for index, key := range given.Keys {
-		keyPlace := fmt.Sprintf("%s.keys[%d]", place, index)
-		found.Require(key != "", keyPlace, "want a key that is not empty")
+		keyPath := fmt.Sprintf("%s.keys[%d]", path, index)
+		found.Require(key != "", keyPath, "want a key that is not empty")
 		hash := keyHash(sha256.Sum256([]byte(key)))
 		other, taken := d.byKey[hash]
-		found.Require(!taken || other == known, keyPlace, "the key belongs to another tenant as well")
+		found.Require(!taken || other == known, keyPath, "the key belongs to another tenant as well")
 		d.byKey[hash] = known
 	}
 }
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -16,22 +16,22 @@
 // agents replays the programs of one tenant in virtual time: turns, each followed by
 // calls side by side. A turn that is refused is tried again, and goes out anew twice; a
 // call has one more try. A program ends with the first request that is given up.
-type agents struct {
-	book   *tenant.Book
-	limit  tenant.Limit
-	random *rand.Rand
-	now    time.Time
-	queue  events
-	number int
-
-	asked, ended, intime, granted, wasted int
+type simulation struct {
+	limiter *tenant.Book
+	limit   tenant.Limit
+	random  *rand.Rand
+	now     time.Time
+	queue   events
+	number  int
+
+	asked, ended, inTime, granted, wasted int
 }
 
 // slack is how long a program may wait and still end in time.
 const slack = 300 * time.Millisecond
 
 // agent is one program of agents.
-type agent struct {
+type simulatedProgram struct {
 	name, route string
 	turns       int
 	calls       int
@@ -58,19 +58,19 @@
 	return last
 }
 
-func (a *agents) after(wait time.Duration, do func()) {
+func (a *simulation) after(wait time.Duration, do func()) {
 	heap.Push(&a.queue, event{at: a.now.Add(wait), do: do})
 }
 
 // arrive begins programs at a pace that changes with time, until an end.
-func (a *agents) arrive(end time.Time, perSecond func(time.Time) float64) {
+func (a *simulation) arrive(end time.Time, perSecond func(time.Time) float64) {
 	wait := time.Duration(a.random.ExpFloat64() / perSecond(a.now) * float64(time.Second))
 	a.after(wait, func() {
 		if a.now.After(end) {
 			return
 		}
 		a.asked++
-		one := &agent{name: fmt.Sprint("p", a.asked), route: "short", turns: a.between(2, 4)}
+		one := &simulatedProgram{name: fmt.Sprint("p", a.asked), route: "short", turns: a.between(2, 4)}
 		if a.random.Float64() < 0.47 {
 			one.route, one.turns = "long", a.between(4, 10)
 		}
@@ -79,19 +79,19 @@
 	})
 }
 
-func (a *agents) between(least, most int) int { return least + a.random.IntN(most-least+1) }
+func (a *simulation) between(least, most int) int { return least + a.random.IntN(most-least+1) }
 
-func (a *agents) spread(mean time.Duration) time.Duration {
+func (a *simulation) spread(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * math.Exp(0.6*a.random.NormFloat64()))
 }
 
 // ask asks for a request; a refused one has some more tries, within a third of its time.
-func (a *agents) ask(one *agent, route string, left time.Duration, tries int, granted, refused func()) {
+func (a *simulation) ask(one *simulatedProgram, route string, left time.Duration, tries int, granted, refused func()) {
 	if one.over {
 		return
 	}
 	a.number++
-	decision := a.book.Spend(a.now, "t", tenant.Request{ID: fmt.Sprint(a.number), Program: one.name, Route: route, Limit: a.limit, Version: 1})
+	decision := a.limiter.Spend(a.now, "t", tenant.Request{ID: fmt.Sprint(a.number), Program: one.name, Route: route, Limit: a.limit, Version: 1})
 	switch {
 	case decision.Granted:
 		a.granted++
@@ -106,12 +106,12 @@
 	}
 }
 
-func (a *agents) turn(one *agent, failed int) {
+func (a *simulation) turn(one *simulatedProgram, failed int) {
 	a.ask(one, one.route, 3*time.Second, 1, func() {
 		a.after(a.spread(110*time.Millisecond), func() { a.tools(one) })
 	}, func() {
 		if failed == 2 {
-			a.lose(one)
+			a.abandon(one)
 			return
 		}
 		wait := time.Duration(a.between(100, 400)) * time.Millisecond
@@ -120,12 +120,12 @@
 	})
 }
 
-func (a *agents) tools(one *agent) {
+func (a *simulation) tools(one *simulatedProgram) {
 	one.turns--
 	if one.turns == 0 {
 		a.ended++
 		if one.waited <= slack {
-			a.intime++
+			a.inTime++
 		}
 		one.over = true
 		return
@@ -151,18 +151,18 @@
 					pause()
 				}
 			})
-		}, func() { a.lose(one) })
+		}, func() { a.abandon(one) })
 	}
 }
 
-func (a *agents) lose(one *agent) {
+func (a *simulation) abandon(one *simulatedProgram) {
 	if !one.over {
 		a.wasted += one.used
 		one.over = true
 	}
 }
 
-func (a *agents) run() {
+func (a *simulation) run() {
 	for len(a.queue) > 0 {
 		next := heap.Pop(&a.queue).(event)
 		a.now = next.at
@@ -172,10 +172,10 @@
 
 // playHot plays a tenant that sends its usual for 4 s, some times that for 5 s, and its
 // usual again, with twenty seeds.
-func playHot(config tenant.Config, rate, usual, times float64) (sum agents) {
+func simulateBurst(config tenant.Config, rate, usual, times float64) (sum simulation) {
 	for seed := range uint64(20) {
-		played := &agents{
-			book: tenant.NewBook(begun.Add(-time.Minute), config), limit: tenant.Limit{Rate: rate, Burst: rate},
+		played := &simulation{
+			limiter: tenant.NewBook(begun.Add(-time.Minute), config), limit: tenant.Limit{Rate: rate, Burst: rate},
 			random: rand.New(rand.NewPCG(seed, 7)), now: begun,
 		}
 		played.arrive(begun.Add(16*time.Second), func(now time.Time) float64 {
@@ -187,7 +187,7 @@
 		played.run()
 		sum.asked += played.asked
 		sum.ended += played.ended
-		sum.intime += played.intime
+		sum.inTime += played.inTime
 		sum.granted += played.granted
 		sum.wasted += played.wasted
 	}
@@ -196,9 +196,9 @@
 
 var _ = Describe("Programs of a tenant that sends many times its usual", func() {
 	DescribeTable("end in time as far as the limit holds them, and few requests are wasted",
-		func(rate, usual, times, intime, wasted float64) {
-			played := playHot(tenant.DefaultConfig(), rate, usual, times)
-			Expect(float64(played.intime) / float64(played.asked)).To(BeNumerically(">=", intime))
+		func(rate, usual, times, inTime, wasted float64) {
+			played := simulateBurst(tenant.DefaultConfig(), rate, usual, times)
+			Expect(float64(played.inTime) / float64(played.asked)).To(BeNumerically(">=", inTime))
 			Expect(float64(played.wasted) / float64(played.granted)).To(BeNumerically("<=", wasted))
 		},
 		Entry("a large tenant as usual", 134.0, 7.0, 1.0, 0.999, 0.001),
@@ -211,9 +211,9 @@
 
 	It("have fewer end in time where those that come back begin as others", func() {
 		config := tenant.DefaultConfig()
-		first := playHot(config, 134, 7, 10)
+		first := simulateBurst(config, 134, 7, 10)
 		config.InTurn = true
-		inTurn := playHot(config, 134, 7, 10)
-		Expect(first.intime).To(BeNumerically(">", inTurn.intime*12/10))
+		inTurn := simulateBurst(config, 134, 7, 10)
+		Expect(first.inTime).To(BeNumerically(">", inTurn.inTime*12/10))
 	})
 })
--- a/tenant/scope.go
+++ b/tenant/scope.go
@@ -26,10 +26,10 @@
 	// separator ends the tenant's name in the text of an id. No name holds it, since
 	// NewDirectory allows no control characters.
 	separator = "\x1f"
-	// idBytes bounds the text of an id: a key of the log is 255 bytes at most, with
+	// maxTextBytes bounds the text of an id: a key of the log is 255 bytes at most, with
 	// what stands before and after the id, and a longer one would be cut off and
 	// name something else.
-	idBytes = 230
+	maxTextBytes = 230
 )
 
 // Of returns the text by which an id of the scope is known to all nodes: the plain id
@@ -46,7 +46,7 @@
 	if s.scoped {
 		text, kind = s.name+separator+id, "scoped"
 	}
-	if len(text) <= idBytes && !strings.Contains(id, separator) {
+	if len(text) <= maxTextBytes && !strings.Contains(id, separator) {
 		return text
 	}
 	digest := sha256.Sum256([]byte(kind + separator + text))
--- a/tenant/scope_test.go
+++ b/tenant/scope_test.go
@@ -67,14 +67,14 @@
 				t.Skip("no tenant is named so")
 			}
 		}
-		type named struct {
+		type scopedID struct {
 			scope tenant.Scope
 			id    string
 		}
-		var all []named
+		var all []scopedID
 		for _, id := range []string{firstID, secondID} {
-			all = append(all, named{tenant.Scope{}, id}, named{tenant.PublicScope(), id},
-				named{tenant.ScopeOf(&tenant.Tenant{Name: firstName}), id}, named{tenant.ScopeOf(&tenant.Tenant{Name: secondName}), id})
+			all = append(all, scopedID{tenant.Scope{}, id}, scopedID{tenant.PublicScope(), id},
+				scopedID{tenant.ScopeOf(&tenant.Tenant{Name: firstName}), id}, scopedID{tenant.ScopeOf(&tenant.Tenant{Name: secondName}), id})
 		}
 		for _, first := range all {
 			for _, second := range all {
--- a/tenant/window.go
+++ b/tenant/window.go
@@ -10,18 +10,18 @@
 type window struct {
 	slot   time.Duration
 	counts [windowSlots + 1]float64
-	// newest is the number of the newest slot since begun.
-	begun  time.Time
-	newest int64
-	total  float64
+	// newest is the number of the newest slot since startedAt.
+	startedAt time.Time
+	newest    int64
+	total     float64
 }
 
 func newWindow(now time.Time, span time.Duration) *window {
-	return &window{slot: span / windowSlots, begun: now}
+	return &window{slot: span / windowSlots, startedAt: now}
 }
 
 // slotOf returns the number of the slot that a time lies in.
-func (w *window) slotOf(at time.Time) int64 { return int64(at.Sub(w.begun) / w.slot) }
+func (w *window) slotOf(at time.Time) int64 { return int64(at.Sub(w.startedAt) / w.slot) }
 
 // advance drops what lies before the window that ends now.
 func (w *window) advance(now time.Time) {
@@ -32,9 +32,9 @@
 	}
 	for w.newest < to {
 		w.newest++
-		place := w.newest % int64(len(w.counts))
-		w.total -= w.counts[place]
-		w.counts[place] = 0
+		index := w.newest % int64(len(w.counts))
+		w.total -= w.counts[index]
+		w.counts[index] = 0
 	}
 }
 
