--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -2,71 +2,73 @@
 
 import "time"
 
-// Verdict is what happens to a turn that arrives while others are served.
+// Verdict is the admission decision on a turn that arrives under load.
 type Verdict int
 
 // The verdicts.
 const (
-	// VerdictRun: there is room, or as good as room.
+	// VerdictRun: the turn is sent to a replica now.
 	VerdictRun Verdict = iota
-	// VerdictWait: room is expected in time.
+	// VerdictWait: the turn waits at the node; capacity is expected in time.
 	VerdictWait
-	// VerdictRefuse: the turn cannot be served in time here, or would wait for longer
-	// than its caller is better off asking again.
+	// VerdictRefuse: the turn cannot be served in time here, or would wait for longer than
+	// a retry by its caller takes.
 	VerdictRefuse
 	verdicts
 )
 
-// String returns the verdict as logs and metrics name it.
+// String returns the label of the verdict in logs and metrics.
 func (v Verdict) String() string { return [verdicts]string{"run", "wait", "refuse"}[v] }
 
-// Room is what is known of the room for a turn.
+// Utilisation describes the load of the replicas that may serve a turn.
 type Room struct {
-	// Least is the number of requests by slots at the emptiest replica that may serve the
-	// turn, below 1 where a place is free, and Mean that of all of them: what programs
-	// under way need as well.
+	// Least is the number of requests per slot at the least loaded replica that may serve
+	// the turn, below 1 if it has a free slot, and Mean that of all these replicas. Both
+	// count the requests of started programs as well as new ones.
 	Least, Mean float64
-	// Pace is how many turns of this node end in a second, and give their places free; 0
-	// where that is not known.
+	// CompletionRate is how many of this node's turns end per second and free their slots;
+	// 0 if unknown.
 	Pace float64
-	// Ahead is how many turns wait at this node that go before this one.
+	// Ahead is how many turns queued at this node are served before this one.
 	Ahead int
 }
 
-// Admission is a verdict with what it rests on.
+// Admission is a verdict with the times it is based on.
 type Admission struct {
 	Verdict Verdict
-	// Expected is how long the turn waits for room as far as is known, and Bound how long
-	// it may at most.
+	// Expected is how long the turn is expected to wait for a slot, and Bound how long it
+	// may wait at most.
 	Expected, Bound time.Duration
 }
 
-// maxNewUtilisation is how full the replicas are from which on new programs wait: a few requests
-// that wait at a replica begin the moment that a place comes free there, and more programs
-// than that make those under way wait, which have to come back for each of their turns.
+// maxNewUtilisation is the mean utilisation from which on new programs wait. It is above 1
+// because a few requests queued at a replica start as soon as a slot becomes free there.
+// More than that would delay started programs, which need a slot again for each of their
+// turns.
 const maxNewUtilisation = 1.1
 
 const (
-	// maxWait is how long a turn waits for room at most: a caller that is told to come
-	// back is back by then.
+	// maxWait is the longest wait for a slot: a caller that is told to retry is back after
+	// this time.
 	maxWait = 500 * time.Millisecond
-	// deadlineWaitFraction is the part of what is left until the turn's deadline that it may wait:
-	// the rest is for the turn itself, and a second try elsewhere.
+	// deadlineWaitFraction is the fraction of the time to the turn's deadline that it may
+	// wait: the rest is for running the turn and for a second try elsewhere.
 	deadlineWaitFraction = 0.25
-	// slackWaitFraction is the part of its program's slack that a turn may wait: the rest is for
-	// the turns that follow, each of which may meet others.
+	// slackWaitFraction is the fraction of its program's slack that a turn may wait: the
+	// rest is for the program's later turns, each of which may have to wait too.
 	slackWaitFraction = 0.125
-	// defaultExpectedWait is how long room is expected to take where nothing is known.
+	// defaultExpectedWait is the expected wait if the completion rate is unknown.
 	defaultExpectedWait = 100 * time.Millisecond
 )
 
-// Free reports whether a new program need not wait.
+// AcceptsNew reports whether a new program can start without waiting.
 func (r *Room) Free() bool { return r.Mean < maxNewUtilisation }
 
-// Admit decides on a turn with a time left until its deadline. Programs under way go to a
-// replica at once and wait there, in the order that replicas keep. New ones wait here if
-// the replicas are full and room is expected within what they can bear. If not, they run
-// where a place is free, and are refused on arrival where none is.
+// Admit decides on a turn with the given time left until its deadline. Turns of started
+// programs are sent to a replica at once and wait there, in the order that replicas keep.
+// Turns of new programs wait at the node if the replicas are full and a slot is expected
+// within the longest wait that the turn tolerates. Otherwise they run if a slot is free,
+// and are refused on arrival if not.
 func Admit(room *Room, standing *Standing, left time.Duration) Admission {
 	if standing.Begun || room.Free() && room.Ahead == 0 {
 		return Admission{Verdict: VerdictRun}
@@ -89,7 +91,7 @@
 	}
 }
 
-// AfterWait decides on a turn whose wait is over: it runs if a place is free by now.
+// AfterWait decides on a turn whose wait has timed out: it runs if a slot is free by now.
 func AfterWait(room *Room) Verdict {
 	if room.Free() || room.Least < 1 {
 		return VerdictRun
--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// Cause is why a request is refused that has not run.
+// Cause is why a request is refused before it ran.
 type Cause int
 
-// The causes of refusals after which callers may come back.
+// The causes of refusals after which callers may retry.
 const (
-	// CauseStarting: the node has not read what it needs to serve.
+	// CauseStarting: the node has not yet read the state that it needs to serve.
 	CauseStarting Cause = iota
 	// CauseIsolated: the node reaches neither the store nor most other nodes.
 	CauseIsolated
-	// CauseNoOwner: nobody owns what the request concerns.
+	// CauseNoOwner: no node owns the partition that the request needs.
 	CauseNoOwner
-	// CauseStoreAway: what has to be durable first cannot be recorded.
+	// CauseStoreUnavailable: a record that must be durable before the turn runs cannot be
+	// written.
 	CauseStoreAway
-	// CauseStoreFull: the store takes no further records.
+	// CauseStoreFull: the store accepts no further records.
 	CauseStoreFull
-	// CauseUnproven: whether the caller may ask, or what it goes on from, is uncertain.
+	// CauseUnproven: it is uncertain whether the caller is authorized, or whether the turn
+	// that it continues is stored.
 	CauseUnproven
-	// CauseBudgetHeld: other turns of the program hold the rest of its budget.
+	// CauseBudgetHeld: other turns of the program have reserved the rest of its budget.
 	CauseBudgetHeld
-	// CauseLimit: the limit of the tenant is counted by a node that does not answer.
+	// CauseLimit: the charge owner, which counts the tenant's requests against its limit,
+	// does not answer.
 	CauseLimit
 	// CauseFull: the replicas are full.
 	CauseFull
-	// CauseNoReplica: no replica is known that may serve the request.
+	// CauseNoReplica: no known replica may serve the request.
 	CauseNoReplica
-	// CauseEvacuated: the zones that hold the replicas are to get no requests.
+	// CauseEvacuated: the zones of the replicas are evacuated and get no requests.
 	CauseEvacuated
-	// CauseRejected: every replica that was asked turned the request away.
+	// CauseRejected: every replica that was tried rejected the request.
 	CauseRejected
 	causes
 )
 
-// String returns the cause as logs and metrics name it.
+// String returns the label of the cause in logs and metrics.
 func (c Cause) String() string {
 	return [causes]string{
 		"starting", "isolated", "no owner", "store away", "store full", "unproven", "budget held", "limit not counted",
@@ -42,86 +45,90 @@
 	}[c]
 }
 
-// OfStore reports whether the cause may last for as long as the store is away.
+// DependsOnStore reports whether the cause may last for as long as the store is
+// unavailable.
 func (c Cause) OfStore() bool {
 	return c == CauseNoOwner || c == CauseStoreAway || c == CauseUnproven
 }
 
-// durationBounds bounds how much longer a state is taken to last whose end is not known.
+// durationBounds bounds how much longer a cause is assumed to last if its end is unknown.
 type durationBounds struct{ minimum, maximum time.Duration }
 
-// How much longer states last.
+// Bounds by kind of cause.
 var (
-	// A state of some messages or one turn.
+	// Causes that end after a few messages or one turn.
 	transientBounds = durationBounds{minimum: 150 * time.Millisecond, maximum: 600 * time.Millisecond}
-	// The takeover of a partition, or the end of some turns.
+	// Causes that end with the takeover of a partition or the end of some turns.
 	takeoverBounds = durationBounds{minimum: 250 * time.Millisecond, maximum: 1200 * time.Millisecond}
-	// An outageBounds, or work of an operator.
+	// Causes that end with an outage or an operator's work.
 	outageBounds = durationBounds{minimum: 500 * time.Millisecond, maximum: 2500 * time.Millisecond}
 )
 
-// causeBounds holds a value for each cause.
+// causeBounds holds the bounds of each cause.
 var causeBounds = [causes]durationBounds{
 	CauseStarting: transientBounds, CauseIsolated: outageBounds, CauseNoOwner: takeoverBounds, CauseStoreAway: outageBounds, CauseStoreFull: outageBounds,
 	CauseUnproven: outageBounds, CauseBudgetHeld: transientBounds, CauseLimit: transientBounds, CauseFull: takeoverBounds,
 	CauseNoReplica: takeoverBounds, CauseEvacuated: outageBounds, CauseRejected: transientBounds,
 }
 
-// Bounds of the time after which a caller comes back.
+// Bounds of the retry delay.
 const (
-	// maxWaitFraction is the part of what a caller has left that it waits at most: the rest is
-	// for the try itself and one more. Clients wait for no more than that either.
+	// maxWaitFraction is the largest fraction of the caller's time left that it waits: the
+	// rest is for the next try and one more. Clients wait for no longer than that either.
 	maxWaitFraction = 1. / 3
-	// minRetryAfter is the shortest wait that is told: no state ends sooner.
+	// minRetryAfter is the shortest delay that callers are told: no cause ends sooner.
 	minRetryAfter = 50 * time.Millisecond
-	// minSpreadFraction is the part of the wait over which returns are spread at least, so that
-	// callers who were refused together do not come back together.
+	// minSpreadFraction is the smallest fraction of the delay over which retries are
+	// spread, so that callers that were refused together do not retry together.
 	minSpreadFraction = 0.25
-	// cappedSpreadFraction is that part where the wait is all that a caller bears: its tries are few,
-	// and none may end before it has to.
+	// cappedSpreadFraction replaces minSpreadFraction if the delay is capped by the
+	// caller's time left: such a caller has few tries, and none should come before it has
+	// to.
 	cappedSpreadFraction = 0.1
-	// maxSpread bounds the ramp of returns: one that lasts longer would cost the last
-	// callers more than a second refusal.
+	// maxSpread bounds the window over which retries are spread: a longer one would cost
+	// the last callers more than a second refusal.
 	maxSpread = 1500 * time.Millisecond
 )
 
-// Refusal is what is known when a request is refused that has not run.
+// Refusal describes a request that is refused before it ran.
 type Refusal struct {
 	Cause Cause
-	// Lasted is how long the cause has held.
+	// Lasted is how long the cause has been present.
 	Lasted time.Duration
-	// Ends is when the cause is expected to end; 0 where that is not known.
+	// EndsIn is the time until the cause is expected to end; 0 if unknown.
 	Ends time.Duration
-	// RecentRefusals counts those that were refused for the same cause lately and come back,
-	// and ServiceRate those that can be served in a second once it has ended; 0 where unknown.
+	// RecentRefusals is how many callers were refused for the same cause recently and will
+	// retry, and ServiceRate how many of them can be served per second once the cause has
+	// ended; 0 if unknown.
 	RecentRefusals, ServiceRate float64
-	// Left is what the request has until its deadline.
+	// Left is the time until the request's deadline.
 	Left time.Duration
-	// Begun says that the request's program is under way.
+	// Begun says that the request's program has started.
 	Begun bool
-	// Urgency is the rank of the request: 0 to LeastUrgency, 0 first.
+	// Urgency is the rank of the request, from 0 (most urgent) to LeastUrgency.
 	Urgency int
-	// Draw is a random number from 0 to below 1.
+	// Draw is a random number in [0, 1).
 	Draw float64
 }
 
-// ComeBack returns the time after which the caller had best come back: when the cause is
-// expected to end, in the order in which callers are to be served, spread so that the
-// replicas have room for them.
+// RetryAfter returns the delay after which the caller should retry. The retry comes when
+// the cause is expected to end, in the order in which callers are to be served, spread so
+// that the replicas can take all of them.
 func (r *Refusal) ComeBack() time.Duration {
 	expectedEnd := max(r.expectedEnd(), minRetryAfter)
 	spread := r.spread(expectedEnd)
 	limit := time.Duration(float64(r.Left) * maxWaitFraction)
 	if r.Left > 0 && expectedEnd+spread > limit {
-		// The window ends where the caller's patience does. A try before the cause has
-		// ended is lost, so that one who cannot bear to wait for that comes late.
+		// The window ends with the longest delay that the caller tolerates. A try before
+		// the cause has ended is lost, so a caller that cannot wait that long retries as
+		// late as it can.
 		spread = max(limit-expectedEnd, time.Duration(float64(limit)*cappedSpreadFraction))
 		expectedEnd = max(0, limit-spread)
 	}
 	return max(expectedEnd+time.Duration(float64(spread)*r.position()), min(minRetryAfter, max(limit, time.Millisecond)))
 }
 
-// expectedEnd returns when the cause is expected to end.
+// expectedEnd returns the time until the cause is expected to end.
 func (r *Refusal) expectedEnd() time.Duration {
 	if r.Ends > 0 {
 		return r.Ends
@@ -130,7 +137,8 @@
 	return min(max(r.Lasted, bounds.minimum), bounds.maximum)
 }
 
-// spread returns the length of the window in which those who were refused come back.
+// spread returns the length of the window in which refused callers retry, which starts
+// after the given time.
 func (r *Refusal) spread(ends time.Duration) time.Duration {
 	least := time.Duration(float64(ends) * minSpreadFraction)
 	if r.ServiceRate <= 0 {
@@ -140,11 +148,11 @@
 	return min(max(ramp, least), max(maxSpread, least))
 }
 
-// LeastUrgency is the rank of the least urgent requests, to replicas as well.
+// LeastUrgency is the rank of the least urgent requests, here and at replicas.
 const LeastUrgency = 9
 
-// position returns where in the window the caller comes back, from 0 to below 1: programs
-// under way in its first half, new ones in its second, the more urgent sooner in both.
+// position returns the caller's position in the retry window, in [0, 1): started programs
+// are in the first half and new ones in the second, with the more urgent earlier in each.
 func (r *Refusal) position() float64 {
 	urgency := float64(min(max(r.Urgency, 0), LeastUrgency)) / LeastUrgency
 	within := (urgency + r.Draw) / 2
@@ -154,26 +162,26 @@
 	return (1 + within) / 2
 }
 
-// Returns follows the refusals of one node by cause: since when each has held, and how
-// many callers are to come back. It is not safe for concurrent use.
+// RefusalTracker tracks the refusals of one node by cause: since when each cause has been
+// present, and how many callers will retry. It is not safe for concurrent use.
 type Returns struct {
 	causes [causes]causeState
 	served meter
 }
 
-// causeState is one cause at one node.
+// causeState is the state of one cause at one node.
 type causeState struct {
 	since, last time.Time
 	recent      meter
 }
 
-// causeExpiry is how long after the last refusal its cause counts as over. Callers of all
-// kinds come several times a second while it holds.
+// causeExpiry is the time after its last refusal from which on a cause counts as ended.
+// While it lasts, callers of all kinds come several times per second.
 const causeExpiry = time.Second
 
-// Refuse notes a refusal and fills in what is known of its cause: how long it has lasted
-// at least, how many were refused for it lately, and the pace of this
-// node before.
+// ObserveRefusal records a refusal and fills in what is known of its cause: for how long
+// it has been present at least, how many requests were refused for it recently, and the
+// service rate of this node before it.
 func (r *Returns) Refuse(now time.Time, refusal *Refusal) {
 	state := &r.causes[refusal.Cause]
 	if state.last.IsZero() || now.Sub(state.last) > causeExpiry {
@@ -186,30 +194,32 @@
 	refusal.ServiceRate = r.served.peak(now)
 }
 
-// Served notes that a turn was served, from which the node's pace is known.
+// ObserveServed records that a turn was served; the service rate follows from this.
 func (r *Returns) Served(now time.Time) { r.served.add(now) }
 
-// Pace returns how many turns were served in the last second or two.
+// ServiceRate returns how many turns were served per second in the last one to two
+// seconds.
 func (r *Returns) Pace(now time.Time) float64 { return r.served.rate(now) }
 
-// meterSpan is the time over which a meter counts, and meterSpans the number of spans
-// that the pace before an outage is remembered for.
+// meterSpan is the interval in which a meter counts, and meterSpans the number of
+// intervals kept, so that the service rate before an outage is remembered.
 const (
 	meterSpan  = time.Second
 	meterSpans = 16
 )
 
-// meter counts events by second.
+// meter counts events per interval of meterSpan.
 type meter struct {
 	counts [meterSpans]float64
-	// span is the number of the span that the last event fell in.
+	// span is the number of the interval of the last event.
 	span int64
 }
 
-// spanOf returns the number of the span in which a moment lies.
+// spanOf returns the number of the interval that a time lies in.
 func spanOf(now time.Time) int64 { return now.UnixNano() / int64(meterSpan) }
 
-// advance empties the spans that have passed without an event.
+// advance clears the intervals that have passed without an event, and returns the present
+// one.
 func (m *meter) advance(now time.Time) int64 {
 	span := spanOf(now)
 	for m.span < span-meterSpans {
@@ -222,10 +232,10 @@
 	return span
 }
 
-// add counts an event.
 func (m *meter) add(now time.Time) { m.counts[m.advance(now)%meterSpans]++ }
 
-// rate returns the events in this span and the one before, as many a second.
+// rate returns the events per second over a sliding interval: those of the present
+// interval and the remaining fraction of the one before.
 func (m *meter) rate(now time.Time) float64 {
 	span := m.advance(now)
 	passed := now.Sub(time.Unix(0, span*int64(meterSpan)))
@@ -233,7 +243,7 @@
 	return m.counts[span%meterSpans] + share*m.counts[(span+meterSpans-1)%meterSpans]
 }
 
-// peak returns the most events in one span that are remembered.
+// peak returns the largest count of any interval kept.
 func (m *meter) peak(now time.Time) float64 {
 	m.advance(now)
 	most := 0.
--- a/dispatch/forget.go
+++ b/dispatch/forget.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ForgetOldest drops the entry of a bounded map that was used the longest ago.
+// ForgetOldest removes the least recently used entry of a bounded map.
 func ForgetOldest[V any](known map[string]V, usedAt func(V) time.Time) {
 	oldest, found := "", false
 	for name, entry := range known {
--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Late is a call without an answer that has taken longer than its route's calls do, and
-// that may run more than once.
+// LateCall is a call that is still unanswered after the time that calls of its route take,
+// and that may run more than once.
 type Late struct {
-	// Full is how full the emptiest replica is that could take it as well: its requests by
-	// its places.
+	// Utilisation is the number of requests per slot at the least loaded replica that
+	// could take the call as well.
 	Full float64
-	// Left is what is left until its deadline, and Usual what a call of its route takes as
-	// a rule; 0 where that is not known.
+	// Left is the time until the call's deadline, and TypicalDuration how long a call of
+	// its route usually takes; 0 if unknown.
 	Left, Usual time.Duration
 }
 
-// minRepeatTime is the least time left in which a call is worth sending again: the way to a
-// replica and back, and pauses of this process.
+// minRepeatTime is the least time left with which a repeat is worthwhile: the round trip
+// to a replica, and pauses of this process.
 const minRepeatTime = 20 * time.Millisecond
 
-// RepeatVerdict is whether a late call goes out again, with its reason.
+// RepeatVerdict is the decision whether a late call is repeated, with its reason.
 type RepeatVerdict int
 
 // The verdicts on a late call.
 const (
-	// AgainYes: its answer is likely lost, and another can come in time.
+	// RepeatSent: the answer is likely lost, and that of a repeat can come in time.
 	AgainYes RepeatVerdict = iota
-	// RepeatNoTime: no other answer would come in time.
+	// RepeatNoTime: the answer of a repeat would not come in time.
 	RepeatNoTime
-	// AgainFull: every replica is full. The call is late because others are; one more
-	// would wait in a line and make that longer.
+	// RepeatFull: every replica is full. The call is late because of the load; a repeat
+	// would wait in a queue and make it longer.
 	AgainFull
 	repeatVerdicts
 )
 
-// String returns the verdict as logs and metrics name it.
+// String returns the label of the verdict in logs and metrics.
 func (a RepeatVerdict) String() string { return [repeatVerdicts]string{"sent", "no time", "full"}[a] }
 
-// Repeat decides whether a late call goes out again beside itself.
+// DecideRepeat decides whether a late call is sent a second time, as a hedged request
+// beside the first one.
 func Repeat(call *Late) RepeatVerdict {
 	switch {
 	case call.Left < max(minRepeatTime, call.Usual):
--- a/dispatch/length.go
+++ b/dispatch/length.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Lengths learns how many tokens the turns of each route usually have. It is not safe for
+// Lengths estimates how many tokens the turns of each route generate. It is not safe for
 // concurrent use.
 type Lengths struct {
 	routes map[string]*routeLength
 }
 
-// routeLength is the usual of one route, as a mean of logarithms: a few long turns do not move
-// it far.
+// routeLength is the geometric mean of one route's turn lengths, which a few long turns
+// change little.
 type routeLength struct {
 	meanLog float64
 	turns   float64
@@ -20,16 +20,16 @@
 }
 
 const (
-	// lengthMemory is how many turns the mean of a route's lengths holds.
+	// lengthMemory is how many turns the mean of a route covers.
 	lengthMemory = 100
-	// maxLengthRoutes bounds the routes that are followed: more than deployments have.
+	// maxLengthRoutes bounds the routes that are tracked: more than deployments have.
 	maxLengthRoutes = 200
 )
 
-// NewLengths returns lengths that know no route.
+// NewLengths returns Lengths without observations.
 func NewLengths() *Lengths { return &Lengths{routes: make(map[string]*routeLength)} }
 
-// Observe takes in how many tokens a turn of the route had.
+// Observe adds the number of tokens that a turn of the route generated.
 func (l *Lengths) Observe(now time.Time, route string, tokens int) {
 	if tokens <= 0 {
 		return
@@ -47,9 +47,10 @@
 	stats.meanLog += (math.Log(float64(tokens)) - stats.meanLog) / stats.turns
 }
 
-// Expected returns how many tokens a turn will have: between the client's hint and the
-// usual of the route, as far as they are known, and at most what it may have; 0 where
-// nothing is known. A hint is right in the median, and often far off.
+// Expected returns how many tokens a turn is expected to generate: the geometric mean of
+// the client's hint and the usual length of the route, as far as each is known, and at
+// most the turn's limit; 0 if nothing is known. The two are averaged because a hint is
+// right in the median but often far off.
 func (l *Lengths) Expected(route string, hint, most int) int {
 	usual := 0.0
 	if stats := l.routes[route]; stats != nil {
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// Standing is what a turn's program has done and needs, when turns compete.
+// SchedulingState is what decides the order of competing turns: what the turn's program
+// has done and still needs.
 type Standing struct {
-	// Begun says that the program is under way.
+	// Begun says that the program has started.
 	Begun bool
-	// Left is the time until the program is to be over, and HasLeft whether its client
-	// says so.
+	// Left is the time until the program should finish, and HasFinish says whether its
+	// client gave such a time.
 	Left    time.Duration
 	HasLeft bool
-	// Need is how much longer the program takes as a rule; 0 where that is not known.
+	// ExpectedRemaining is how much longer programs of this kind usually take; 0 if
+	// unknown.
 	Need time.Duration
-	// Waited is how long the turn has waited for room.
+	// Waited is how long the turn has waited for a slot.
 	Waited time.Duration
 }
 
-// Tier is the part of the order that a turn belongs to.
+// Tier is the coarse rank of a turn in the order.
 type Tier int
 
-// The tiers, the first to be served first.
+// The tiers, in the order in which they are served.
 const (
-	// TierInTime: the program is under way and can still be in time.
+	// TierInTime: the program has started and can still finish in time.
 	TierInTime Tier = iota
-	// TierNew: the program has not begun, and can be in time.
+	// TierNew: the program has not started, and can finish in time.
 	TierNew
-	// TierLate: the program is under way and cannot be in time any more. Its caller still
-	// waits for it, and what it has done would be lost.
+	// TierLate: the program has started and can no longer finish in time. Its caller still
+	// waits for it, and its work so far would be lost.
 	TierLate
-	// TierNewLate: the program has not begun, and cannot be in time.
+	// TierNewLate: the program has not started, and cannot finish in time.
 	TierNewLate
 	tiers
 )
 
-// String returns the tier as logs and metrics name it.
+// String returns the label of the tier in logs and metrics.
 func (t Tier) String() string { return [tiers]string{"in time", "new", "late", "new and late"}[t] }
 
-// Slack returns the time that the program has beyond what it needs, below zero where it
-// cannot be in time. Without the client's word it has slackUnknown.
+// Slack returns the time that the program has beyond its expected remaining time, negative
+// if it cannot finish in time. It is defaultSlack if the client gave no finish time.
 func (s *Standing) Slack() time.Duration {
 	if !s.HasLeft {
 		return defaultSlack
@@ -48,7 +50,6 @@
 	return s.Left - s.Need
 }
 
-// Tier returns the tier of the turn.
 func (s *Standing) Tier() Tier {
 	inTime := s.Slack() >= 0
 	switch {
@@ -64,25 +65,25 @@
 }
 
 const (
-	// defaultSlack is the slack of programs whose clients name no time: a few turns'.
+	// defaultSlack is the slack of programs whose clients give no finish time: the time of
+	// a few turns.
 	defaultSlack = time.Second
-	// maxSlack is the slack beyond which programs are alike: none of them is near its
-	// end.
+	// maxSlack is the slack above which programs rank equally: none of them is at risk of
+	// finishing late.
 	maxSlack = 4 * time.Second
-	// tierAgingTime is the wait by which a turn moves up one tier, so that none waits for ever:
-	// a part of what callers bear for one turn.
+	// tierAgingTime is the wait after which a turn moves up one tier, so that no turn
+	// starves: a fraction of the time that callers wait for one turn.
 	tierAgingTime = 400 * time.Millisecond
 )
 
-// SortKey returns where the turn stands in the order: the least is served first. Turns of one
-// tier go by their slack, and waiting moves a turn up, past every tier in the end.
+// SortKey returns the turn's rank in the order; the lowest is served first. Turns of one
+// tier are ordered by slack. Waiting moves a turn up, finally past every tier.
 func (s *Standing) SortKey() float64 {
 	within := float64(min(max(s.Slack(), 0), maxSlack)) / float64(maxSlack+1)
 	return float64(s.Tier()) + within - float64(s.Waited)/float64(tierAgingTime)
 }
 
-// Before orders two turns that compete: the more urgent by priority first, then by their
-// keys.
+// Before reports whether a turn is served before another: by priority, then by sort key.
 func Before(priority int, standing *Standing, otherPriority int, other *Standing) bool {
 	if priority != otherPriority {
 		return priority < otherPriority
@@ -91,20 +92,20 @@
 }
 
 // Bands maps the priorities of a service's routes and tenants to ranges of the urgency
-// that engines know, 0 first to LeastUrgency: each begins at its priority and ends before
-// the next less urgent one in use, so that no turn is ever ranked with or before one of a
-// more urgent priority.
+// rank that engines use, from 0 (first) to LeastUrgency. Each range begins at its priority
+// and ends before the next less urgent priority in use, so that a turn never ranks equal
+// to or before one of a more urgent priority.
 type Bands struct{ priorities []int }
 
-// NewBands returns the bands for the priorities that are in use.
+// NewBands returns the bands for the priorities in use.
 func NewBands(priorities []int) Bands {
 	sorted := slices.Clone(priorities)
 	slices.Sort(sorted)
 	return Bands{priorities: slices.Compact(sorted)}
 }
 
-// Urgency returns the rank of a turn at engines: its priority, unless its program has less
-// claim than others of the same priority and the band has room to say so.
+// Urgency returns the rank of a turn at engines: its priority, or a less urgent rank of
+// the same band if turns of that priority are to be served before it.
 func (b Bands) Urgency(priority int, standing *Standing) int {
 	first := min(max(0, priority), LeastUrgency)
 	if !standing.HasLeft {
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -7,49 +7,52 @@
 	"time"
 )
 
-// Pace learns how long a replica takes for one generated token, as it would be with
-// no request beside. The zero value knows nothing. A spell that slows fewer than half of
-// the recent turns does not move it; a lasting change has moved it once most of the
-// recent turns are of after it. It is not safe for concurrent use.
+// TokenTimeEstimator estimates how long a replica takes to generate one token without
+// concurrent requests. The zero value has no observations. A short slowdown that affects
+// fewer than half of the recent turns does not change the estimate; a lasting change does
+// once most of the recent turns came after it. It is not safe for concurrent use.
 type Pace struct {
-	// samples are this node's newest turns, next the one that is replaced next.
+	// samples are this node's newest measurements, and next the index that is overwritten
+	// next.
 	samples [keptSamples]tokenTimeSample
 	next    int
-	// peers is what the other nodes measured.
+	// peers is the combined measurement of the other nodes, and peerWeight how many turns
+	// it counts as.
 	peers      tokenTimeSample
 	peerWeight float64
-	// ownMedian is the median of own by their age, and weight how many turns of now
-	// it counts as, as of at.
+	// median is the age-weighted median of samples, and weight how many new turns
+	// it counts as, both as of at.
 	median float64
 	weight float64
 	at     time.Time
 }
 
-// tokenTimeSample is what one turn measured.
+// tokenTimeSample is the token time that one turn measured.
 type tokenTimeSample struct {
 	at    time.Time
 	token float64
 }
 
 const (
-	// keptSamples is how many turns of this node at a replica are kept: as many as a
-	// few seconds have at a node that sends there often.
+	// keptSamples is how many turns of this node are kept per replica: as many as a node
+	// that often sends there has in a few seconds.
 	keptSamples = 8
-	// medianHalfLife is the age at which a turn counts half as much as a new one against
-	// others: a change is followed within two seconds.
+	// medianHalfLife is the age at which a turn's weight within the median has halved: the
+	// median follows a change within two seconds.
 	medianHalfLife = 700 * time.Millisecond
-	// sampleHalfLife is the age at which what was measured counts half as much against the
-	// middle of the service: a replica that is fast remains so as a rule.
+	// sampleHalfLife is the age at which the weight of measurements against the service
+	// median has halved: a fast replica usually remains fast.
 	sampleHalfLife = 10 * time.Second
-	// priorWeight is how many turns the middle of the service counts as.
+	// priorWeight is how many turns the service median counts as.
 	priorWeight = 0.7
-	// maxPeerWeight is the most that what others measured counts as, in turns, and
-	// paceFalse the factor from the middle up to which it is believed.
+	// maxPeerWeight is the largest weight of the other nodes' measurement, in turns, and
+	// maxPeerFactor the largest factor between it and the service median: values beyond
+	// that are clamped.
 	maxPeerWeight = 12
 	maxPeerFactor = 4
 )
 
-// Observe takes in the time of a token that a turn of this node had.
+// Observe adds the token time that a turn of this node measured.
 func (p *Pace) Observe(now time.Time, token time.Duration) {
 	if token <= 0 {
 		return
@@ -60,7 +63,8 @@
 	p.at = now
 }
 
-// Hear takes in what the other nodes measured together, on so many turns.
+// ObserveReport sets the combined measurement of the other nodes, which covers the given
+// number of turns.
 func (p *Pace) Hear(now time.Time, token time.Duration, turns int) {
 	if token <= 0 || turns <= 0 {
 		return
@@ -69,8 +73,8 @@
 	p.peerWeight = min(maxPeerWeight, float64(turns))
 }
 
-// median returns the median of this node's turns, each by its age, and how many turns
-// of now they count as.
+// weightedMedian returns the median of this node's samples, weighted by age, and how many new
+// turns they count as.
 func (p *Pace) weightedMedian(now time.Time) (token, weight float64) {
 	var buffer [keptSamples]tokenTimeSample
 	turns := append(buffer[:0], p.samples[:]...)
@@ -90,7 +94,7 @@
 	return 0, 0
 }
 
-// weight is what a turn counts as at its age.
+// weight returns the weight of a sample, which halves with each half-life of its age.
 func (t *tokenTimeSample) weight(now time.Time, half time.Duration) float64 {
 	if t.token == 0 {
 		return 0
@@ -98,8 +102,8 @@
 	return math.Exp2(-float64(now.Sub(t.at)) / float64(half))
 }
 
-// Lately returns the time of a token in this node's turns of the last while, and how
-// many there were.
+// Lately returns the median token time of this node's turns within the given time, and
+// their number.
 func (p *Pace) Lately(now time.Time, while time.Duration) (token time.Duration, turns int) {
 	var buffer [keptSamples]float64
 	recent := buffer[:0]
@@ -115,8 +119,8 @@
 	return time.Duration(recent[(len(recent)-1)/2]), len(recent)
 }
 
-// Token estimates the time of a token, given the middle of the service's replicas, which
-// stands in as far as little or nothing recent is known; 0 where neither is known.
+// Estimate returns the token time, given the median of the service's replicas, which fills
+// in as far as recent measurements are few or missing; 0 if neither is known.
 func (p *Pace) Token(now time.Time, median time.Duration) time.Duration {
 	own := p.weight * math.Exp2(-float64(now.Sub(p.at))/float64(sampleHalfLife))
 	peerWeight := p.peerWeight * p.peers.weight(now, sampleHalfLife)
@@ -138,10 +142,10 @@
 	return time.Duration(math.Exp(sum / weight))
 }
 
-// Known reports whether anything was measured at the replica or told of it.
+// Known reports whether the replica was measured by this node or others.
 func (p *Pace) Known() bool { return p.weight > 0 || p.peerWeight > 0 }
 
-// Age is how long ago the newest that is known was measured or told.
+// Age returns the time since the newest measurement or report.
 func (p *Pace) Age(now time.Time) time.Duration {
 	newest := p.at
 	if p.peers.at.After(newest) {
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -1,64 +1,69 @@
 package dispatch
 
-// Job is what one turn needs of a replica.
+// Job is the work of one turn.
 type Job struct {
-	// Tokens is how many tokens are expected to come out.
+	// Tokens is how many tokens the turn is expected to generate.
 	Tokens float64
 }
 
-// Place is one replica as a turn would find it. Times are in nanoseconds.
+// ReplicaState is the state of one replica that a turn could be sent to. Times are in
+// nanoseconds.
 type Place struct {
-	// Load is the requests beside, and Slots how many it works on at once.
+	// Load is the number of concurrent requests, and Slots how many the replica runs at
+	// once.
 	Load, Slots float64
-	// Token is the time of a generated token with none beside, and Read that of one
-	// token of the prompt.
+	// Token is the time to generate one token without concurrent requests, and PrefillTime
+	// the time to prefill one.
 	Token, Read float64
-	// Missing is how many tokens of the prompt are to be read.
+	// UncachedTokens is how many tokens of the prompt have to be prefilled.
 	Missing float64
-	// Way is what else passes before the turn is there.
+	// Delay is any other time that passes before the replica starts on the turn.
 	Way float64
 }
 
 const (
-	// BesideShare is how much one request beside slows each token: the batch's step
-	// grows a little, and its prompt is read between the tokens.
+	// SlowdownPerRequest is the fraction by which one concurrent request lengthens the
+	// time of each token: the batch's step grows a little, and its prompt is prefilled
+	// between the tokens.
 	BesideShare = 0.05
-	// ReadShare is the time to read one token of a prompt by that to generate one, until
-	// a service's own is learned.
+	// DefaultPrefillRatio is the time to prefill one token in units of the time to
+	// generate one, used until a service's own ratio is learned.
 	ReadShare = 1.0 / 200
-	// loadUncertainty is how far, by the slots, the load may be off what is known of it: other
-	// nodes choose at the same time.
+	// loadUncertainty is how far the actual load may be from the known one, as a fraction
+	// of the slots: other nodes choose replicas at the same time.
 	loadUncertainty = 0.45
-	// queueingFactor is what a turn costs for each that is over the slots, by its own length:
-	// it waits for a slot, and those that come after it wait as well.
+	// queueingFactor is the cost of each request in excess of the slots, as a fraction of
+	// the turn's own length: the turn waits for a slot, and those that come after it wait
+	// as well.
 	queueingFactor = 0.3
-	// marginalSlowdown is how much one request beside raises what another one costs all
-	// together, by a token with none beside: it slows them, and they slow it, and prompts
-	// are read between the tokens.
+	// marginalSlowdown is by how much one concurrent request raises the total cost of a
+	// further one, in units of the token time without concurrent requests: both slow each
+	// other, and prompts are prefilled between the tokens.
 	marginalSlowdown = 0.13
-	// maxFillFraction is the part of the slots that shares are dealt up to: the rest is for
-	// what other nodes send at the same time.
+	// maxFillFraction is the fraction of the slots up to which LoadAtCost fills a replica:
+	// the rest is for what other nodes send at the same time.
 	maxFillFraction = 0.5
 )
 
-// End predicts how long after it is sent the turn is whole.
+// End predicts the time from sending the turn to its last token.
 func (j *Job) End(place *Place) float64 {
 	work := place.Missing*place.Read + j.Tokens*place.Token*(1+BesideShare*place.Load)
 	return place.Way + work*(1+queueingFactor*place.expectedQueue())
 }
 
-// AddedDelay predicts by how much the turn delays those beside it, all together.
+// AddedDelay predicts by how much the turn delays all concurrent requests together.
 func (j *Job) AddedDelay(place *Place) float64 {
 	return place.Load * (place.Missing*place.Read + BesideShare*j.Tokens*place.Token)
 }
 
-// Cost is what a placement weighs: the turn's end, and what it costs the others.
+// Cost is the quantity that a placement minimizes: the turn's completion time plus the
+// delay that it adds to others.
 func (j *Job) Cost(place *Place) float64 {
 	return j.End(place) + j.AddedDelay(place)
 }
 
-// expectedQueue is how many requests are expected expectedQueue the slots once the turn is there, where the
-// load is uncertain by a share of the slots.
+// expectedQueue returns the expected number of requests in excess of the slots once the
+// turn has arrived. The load is taken as uniformly distributed within loadUncertainty.
 func (p *Place) expectedQueue() float64 {
 	excess, margin := p.Load-p.Slots+1, loadUncertainty*p.Slots
 	switch {
@@ -71,8 +76,8 @@
 	}
 }
 
-// Fill is how many requests a replica has when one more would cost so much a token, all
-// told, up to its place.
+// LoadAtCost returns the number of concurrent requests at which one more costs the given
+// level per token in total, up to maxFillFraction of the slots.
 func Fill(level, token, slots float64) float64 {
 	return min(max(0, (level/token-1)/marginalSlowdown), maxFillFraction*slots)
 }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Waiting is a turn that waits for room at a node.
+// Waiting is a turn that waits at a node for a free slot.
 type Waiting struct {
-	// ID tells the turns of one queue apart.
+	// ID identifies the turn within its queue.
 	ID uint64
-	// Tenant is whose the turn is, or empty.
+	// Tenant is the tenant of the turn, or empty.
 	Tenant   string
 	Priority int
-	// Standing is that of the turn when it came.
+	// Standing is the scheduling state of the turn on arrival.
 	Standing Standing
-	// Since is when it came, and Until when its wait is over.
+	// Since is the time of arrival, and Until the time at which the wait ends.
 	Since, Until time.Time
-	// Bytes is the memory that it holds.
+	// Bytes is the memory that the turn occupies.
 	Bytes int
 }
 
-// stateAt returns the standing of the turn by now.
+// stateAt returns the scheduling state of the turn at the given time.
 func (w *Waiting) stateAt(now time.Time) *Standing {
 	standing := w.Standing
 	standing.Waited = now.Sub(w.Since)
@@ -25,30 +25,29 @@
 	return &standing
 }
 
-// QueueLimits bound a queue.
+// QueueLimits bounds a queue.
 type QueueLimits struct {
 	Requests, Bytes int
 }
 
-// maxTenantFraction is the part of a queue that one tenant's turns may take while others have
-// none: a tenant that sends many times its usual leaves places to others.
+// maxTenantFraction is the fraction of a queue that the turns of one tenant may occupy, so
+// that a tenant that sends many times its usual load leaves places to others.
 const maxTenantFraction = 0.5
 
-// Queue holds the turns that wait for room at one node, in the order in which they are to
-// be served. It is not safe for concurrent use.
+// Queue holds the turns that wait for a slot at one node, and serves them in the order of
+// Before. It is not safe for concurrent use.
 type Queue struct {
 	limits  QueueLimits
 	entries []*Waiting
 	bytes   int
 }
 
-// NewQueue returns an empty queue.
 func NewQueue(limits QueueLimits) *Queue { return &Queue{limits: limits} }
 
-// Len returns how many turns wait.
+// Len returns the number of waiting turns.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Oldest returns how long the turn has waited that came first; 0 where none waits.
+// Oldest returns the longest time that a waiting turn has waited so far; 0 if none waits.
 func (q *Queue) Oldest(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, entry := range q.entries {
@@ -57,7 +56,7 @@
 	return oldest
 }
 
-// Ahead returns how many turns wait that go before one.
+// Ahead returns how many waiting turns are served before the given one.
 func (q *Queue) Ahead(now time.Time, turn *Waiting) int {
 	ahead := 0
 	standing := turn.stateAt(now)
@@ -69,8 +68,8 @@
 	return ahead
 }
 
-// Join takes a turn in. If there is no place for it, the last in the order gives way: the
-// turns that do are returned, which may be the new one itself.
+// Join adds a turn. If the queue or the tenant's part of it is full, the last turns in the
+// order are removed and returned, which may include the new one.
 func (q *Queue) Join(now time.Time, turn *Waiting) (displaced []*Waiting) {
 	q.entries = append(q.entries, turn)
 	q.bytes += turn.Bytes
@@ -94,8 +93,8 @@
 	return count
 }
 
-// removeLast removes the turn that would be served last, of one tenant unless that is
-// empty.
+// removeLast removes the turn that would be served last, among those of one tenant unless
+// tenant is empty.
 func (q *Queue) removeLast(now time.Time, tenant string) *Waiting {
 	last := -1
 	for index, entry := range q.entries {
@@ -109,7 +108,7 @@
 	return q.removeAt(last)
 }
 
-// before orders two turns that wait: those that stand alike by when they came.
+// before orders two waiting turns; those of equal rank are served in order of arrival.
 func (q *Queue) before(now time.Time, turn, other *Waiting) bool {
 	left, right := turn.stateAt(now), other.stateAt(now)
 	switch {
@@ -122,7 +121,7 @@
 	}
 }
 
-// First returns the turn that is to be served first, or nil.
+// First returns the turn to be served first, or nil.
 func (q *Queue) First(now time.Time) *Waiting {
 	var first *Waiting
 	for _, entry := range q.entries {
@@ -133,8 +132,8 @@
 	return first
 }
 
-// Leave removes a turn that goes on, or whose client has left. It reports whether the
-// turn waited.
+// Leave removes a turn that is sent on or whose client has disconnected. It reports
+// whether the turn was in the queue.
 func (q *Queue) Leave(id uint64) bool {
 	for index, entry := range q.entries {
 		if entry.ID == id {
@@ -145,7 +144,7 @@
 	return false
 }
 
-// Expire removes the turns whose wait is over.
+// Expire removes and returns the turns whose wait has ended.
 func (q *Queue) Expire(now time.Time) []*Waiting {
 	var over []*Waiting
 	for index := len(q.entries) - 1; index >= 0; index-- {
--- a/dispatch/reading.go
+++ b/dispatch/reading.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// Reading learns, for the replicas of one service, how long a turn waits for its first
-// event: a time that each turn has, and one for each token of the prompt that is missing
-// there. Both are in times of a generated token at the replica. The zero value knows
-// nothing. It is not safe for concurrent use.
+// PrefillEstimator estimates, for the replicas of one service, how long a turn waits for
+// its first event: a base time of each turn, plus a time for each uncached token of its
+// prompt. Both are in units of the replica's token time. The zero value has no
+// observations. It is not safe for concurrent use.
 type Reading struct {
-	// The sums of a fit of the time by the missing tokens, halving with time.
+	// The sums of a linear regression of the first-event time on the uncached tokens, with
+	// exponential decay.
 	turns, missing, first, squares, products float64
 	at                                       time.Time
 }
 
 const (
-	// prefillHalfLife is the time in which a turn counts half as much: a node's own turns at
-	// a service are some a second, and what engines need to read changes with releases.
+	// prefillHalfLife is the age at which a turn's weight has halved: a node sends a
+	// service several turns per second, and the prefill time of engines changes with
+	// releases.
 	prefillHalfLife = 10 * time.Second
-	// priorTurns is how many turns ReadShare counts as, with prompts that differ by
-	// readingSpread tokens.
+	// priorTurns is how many turns DefaultPrefillRatio counts as, with prompts whose
+	// lengths vary by priorSpread tokens.
 	priorTurns  = 20
 	priorSpread = 2000
-	// minPrefillRatio and readingMost bound the time to read a token, by that to generate
-	// one.
+	// minPrefillRatio and maxPrefillRatio bound the ratio of prefill time to token time.
 	minPrefillRatio = ReadShare / 4
 	maxPrefillRatio = ReadShare * 4
-	// outlierFactor is how far over what is expected, by that and by so many tokens' times,
-	// one turn may lie: it waited for something else.
+	// outlierFactor and outlierTokens bound the time that one turn contributes: at most
+	// outlierFactor times the expected time plus outlierTokens token times. A longer one
+	// waited for something else.
 	outlierFactor = 2
 	outlierTokens = 20
 )
 
-// Observe takes in how long a turn waited for its first event at a replica where so many
-// tokens were missing, and a generated token takes so long.
+// Observe adds the time that a turn waited for its first event at a replica where the
+// given number of tokens were uncached, with the given token time.
 func (r *Reading) Observe(now time.Time, missing int, first, token time.Duration) {
 	if token <= 0 || first < 0 || missing < 0 {
 		return
@@ -55,8 +57,8 @@
 	r.products += tokens * observed
 }
 
-// Fit returns the time that each turn has, and that of each missing token, in times of a
-// generated token.
+// Fit returns the base time of a turn and the time of each uncached token, in units of the
+// token time.
 func (r *Reading) Fit() (base, share float64) {
 	if r.turns == 0 {
 		return 0, ReadShare
--- a/dispatch/share.go
+++ b/dispatch/share.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// usageTTL is how long what was told of a tenant's programs counts: the counting
-	// node tells it with each of the tenant's requests.
+	// usageTTL is how long a report of a tenant's programs is valid: the charge owner
+	// sends one with each of the tenant's requests.
 	usageTTL = time.Second
-	// minPrograms is how many programs a tenant may have under way beyond its share, and
-	// what chance brings: shares of small tenants are fractions of a program.
+	// minPrograms is how many programs a tenant may run in excess of its share and of
+	// chance variation: the shares of small tenants are fractions of a program.
 	minPrograms = 2
-	// levelTTL is how long a level counts: all uses are looked at for it, and few
-	// programs begin or end meanwhile.
+	// levelTTL is how long a computed level is reused: computing it goes over all tenants,
+	// and few programs begin or end meanwhile.
 	levelTTL = 50 * time.Millisecond
-	// maxTenants bounds the tenants that are known: some times those in use.
+	// maxTenants bounds the tenants that are tracked: several times those in use.
 	maxTenants = 4096
 )
 
-// Shares divides the room of replicas among tenants while there is too little: max-min
-// fair by the programs that each has under way over all nodes, weighed by its limit. A
-// tenant that sends many times its usual gets what others leave. It is not safe for
+// Shares divides the capacity of the replicas among tenants when it is scarce: max-min
+// fair by the programs that each tenant runs on all nodes, weighted by its limit. A tenant
+// that sends many times its usual load gets what the others leave. It is not safe for
 // concurrent use.
 type Shares struct {
 	usages map[string]usage
-	// level is how many programs by its weight each tenant may have, as of a time.
+	// level is how many programs per unit of weight each tenant may run, as computed at
+	// levelAt.
 	level   float64
 	levelAt time.Time
 }
 
-// usage is what is known of one tenant.
+// usage is the last report of one tenant.
 type usage struct {
 	programs int
 	weight   float64
 	at       time.Time
 }
 
-// NewShares returns shares that know no tenant.
+// NewShares returns Shares without observations.
 func NewShares() *Shares { return &Shares{usages: make(map[string]usage)} }
 
-// Observe takes in how many programs a tenant has under way, and its weight.
+// Observe records how many programs a tenant runs, and its weight.
 func (s *Shares) Observe(now time.Time, tenant string, programs int, weight float64) {
 	if _, known := s.usages[tenant]; !known && len(s.usages) >= maxTenants {
 		s.dropExpired(now)
@@ -53,7 +54,7 @@
 	s.usages[tenant] = usage{programs: programs, weight: max(weight, 1), at: now}
 }
 
-// dropExpired drops what is too old to count.
+// dropExpired removes reports older than usageTTL.
 func (s *Shares) dropExpired(now time.Time) {
 	for tenant, reported := range s.usages {
 		if now.Sub(reported.at) > usageTTL {
@@ -62,8 +63,9 @@
 	}
 }
 
-// Over reports whether a tenant has more than its share while the replicas are as full as
-// that: requests by places at the emptiest of them. It is never so while a place is free.
+// Over reports whether a tenant runs more than its share at the given utilisation of the
+// least loaded replica, in requests per slot. It is false while that replica has a free
+// slot.
 func (s *Shares) Over(now time.Time, tenant string, full float64) bool {
 	reported, known := s.usages[tenant]
 	if full < 1 || !known || now.Sub(reported.at) > usageTTL || reported.programs <= minPrograms {
@@ -76,8 +78,8 @@
 	return float64(reported.programs) > share+math.Sqrt(share)+minPrograms
 }
 
-// computeLevel returns how many programs by its weight each tenant may have, so that all together
-// have as many as the replicas bear without being fuller than their places.
+// computeLevel returns how many programs per unit of weight each tenant may run so that
+// all together run as many as fit the slots.
 func (s *Shares) computeLevel(now time.Time, full float64) float64 {
 	usages := make([]usage, 0, len(s.usages))
 	programs, weights := 0., 0.
--- a/dispatch/slack.go
+++ b/dispatch/slack.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// Progress is how a program stands against its time.
+// Progress is how a program's time left compares with what is usual for its route.
 type Progress int
 
-// The values of Progress. A program whose time is not known is even.
+// The values of Progress. A program without a finish time is ProgressEven.
 const (
-	// ProgressLost is past its time: it can't be in time any more.
+	// ProgressLost: the finish time has passed.
 	ProgressLost Progress = iota
-	// ProgressAhead has clearly more time left than programs usually have at its stage.
+	// ProgressAhead: clearly more time is left than usual at this stage.
 	ProgressAhead
-	// ProgressEven has what they usually have.
+	// ProgressEven: about the usual time is left.
 	ProgressEven
-	// ProgressBehind has clearly less.
+	// ProgressBehind: clearly less time is left than usual.
 	ProgressBehind
 )
 
-// String names the progress for the log.
+// String returns the name of the progress in logs.
 func (s Progress) String() string { return [...]string{"lost", "ahead", "even", "behind"}[s] }
 
-// Slack learns how much time the programs of each route usually have left at each stage,
-// and tells how one compares. It is not safe for concurrent use.
+// Slack learns how much time programs of each route usually have left at each stage, and
+// compares programs with it. It is not safe for concurrent use.
 type Slack struct {
-	// routes are what the programs of each route have left, by stage.
+	// routes holds the usual time left of each route, by stage.
 	routes map[string]*[maxStages]stageSlack
-	// lastSeen is when a service's requests of each priority came last.
+	// lastSeen holds when requests of each priority last came, by service.
 	lastSeen map[string]*[priorityCount]time.Time
 }
 
-// stageSlack is what programs have left in the mean, in nanoseconds, and how many they were.
+// stageSlack is the mean time left at one stage, in nanoseconds, and the number of
+// programs in the mean.
 type stageSlack struct {
 	left, programs float64
 }
 
 const (
-	// maxStages bounds the stages of a program that are told apart: its turns.
+	// maxStages bounds the stages of a program, which are its turns; later turns count as
+	// the last stage.
 	maxStages = 24
-	// stageMemory is how many programs the mean of a stage holds, and slackLeast how
-	// many have to be known.
+	// stageMemory is how many programs the mean of a stage covers, and minStagePrograms
+	// how many it needs before it is used.
 	stageMemory      = 50
 	minStagePrograms = 5
-	// aheadFactor and slackBehind are the shares of the usual time left from which on, and
-	// up to which, a program is ahead or behind. Between lies what the lengths of programs
-	// differ by anyway.
+	// aheadFactor and behindFactor are the multiples of the usual time left above and
+	// below which a program is ahead or behind. The range between them covers the usual
+	// variation of program lengths.
 	aheadFactor  = 1.25
 	behindFactor = 0.8
-	// maxTrackedNames bounds the routes and the services that are followed.
+	// maxTrackedNames bounds the routes, and the services, that are tracked.
 	maxTrackedNames = 200
-	// priorityCount is how many priorities there are, and slackRecent for how long one that
-	// was seen is taken to have requests.
+	// priorityCount is the number of priorities, and priorityTTL how long after its last
+	// request a priority counts as in use.
 	priorityCount = 10
 	priorityTTL   = 10 * time.Second
 )
 
-// NewSlack returns a Slack that knows no route.
+// NewSlack returns a Slack without observations.
 func NewSlack() *Slack {
 	return &Slack{routes: make(map[string]*[maxStages]stageSlack), lastSeen: make(map[string]*[priorityCount]time.Time)}
 }
 
-// Observe takes in a turn of a program at a stage with so much time left, and tells how the
-// program compares.
+// Observe records the time left of a program at a stage, and returns its progress.
 func (s *Slack) Observe(route string, stage int, left time.Duration) Progress {
 	entry := s.routes[route]
 	if entry == nil {
@@ -73,14 +74,14 @@
 	at := &entry[min(max(0, stage), maxStages-1)]
 	progress := at.progress(float64(left))
 	if left > 0 {
-		// What is lost already says nothing of what programs need.
+		// Programs past their finish time do not show how much time programs need.
 		at.programs = min(at.programs+1, stageMemory)
 		at.left += (float64(left) - at.left) / at.programs
 	}
 	return progress
 }
 
-// progress tells how a program compares that has so much time left.
+// progress compares the given time left with the mean of the stage.
 func (s *stageSlack) progress(left float64) Progress {
 	switch {
 	case left <= 0:
@@ -96,10 +97,11 @@
 	}
 }
 
-// Haste returns how a program of such progress takes the fast replicas of its service: 1
-// before others, 0 as its share, -1 after others. Where the service has requests of several
-// priorities, only the most urgent come before their share, and only the least urgent after
-// it: none is served better than a more urgent one.
+// SpeedBias returns how strongly a program with the given progress prefers the fast
+// replicas of its service: 1 before others, 0 by its share, -1 after others. If the
+// service has requests of several priorities, only the most urgent may go before their
+// share and only the least urgent after it, so that no program is preferred to a more
+// urgent one.
 func (s *Slack) Haste(now time.Time, service string, priority int, progress Progress) int {
 	entry := s.lastSeen[service]
 	if entry == nil {
@@ -127,7 +129,7 @@
 	return min(max(least, progress.speedBias()), most)
 }
 
-// haste is what a progress calls for.
+// speedBias returns the bias for a progress, regardless of priorities.
 func (s Progress) speedBias() int {
 	switch s {
 	case ProgressBehind:
--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// Usual learns how much longer programs take, from those that a node saw. What a client
-// grants its program at the first turn tells how large the program is; how long programs
-// of its route take for each of their turns is learned. It is not safe for concurrent use.
+// RemainingTimeEstimator estimates how much longer programs take, from earlier ones that
+// this node saw. The time that a client grants its program at the first turn indicates the
+// program's size; the time per turn is learned by route. It is not safe for concurrent
+// use.
 type Usual struct {
 	programs map[string]*trackedProgram
 	routes   map[string]*routeSums
 	sweptAt  time.Time
 }
 
-// trackedProgram is a program under way.
+// trackedProgram is a program with recent turns.
 type trackedProgram struct {
 	route string
-	// granted is the time that the client gave it at its first turn; 0 where this node
-	// did not see that, or the client did not say.
+	// granted is the time that the client granted at the first turn; 0 if this node did
+	// not see that turn, or the client gave none.
 	granted time.Duration
 	turns   int
-	// began and last are when its first turn came and when its last one came or ended.
+	// began is when the first turn came, and last when the latest turn came or ended.
 	began, last time.Time
 }
 
-// routeSums holds sums over the last programs of a route, which older programs leave
-// little by little.
+// routeSums holds sums over a route's programs, with exponential decay.
 type routeSums struct {
 	programs, turns, took, granted float64
 	at                             time.Time
 }
 
 const (
-	// maxTrackedPrograms bounds the programs that are followed at once, and usualRoutes the
-	// routes: more than one node has under way.
+	// maxTrackedPrograms and maxTrackedRoutes bound what is tracked at once: more than one
+	// node has in progress.
 	maxTrackedPrograms = 512
 	maxTrackedRoutes   = 200
-	// routeMemory is how many programs the sums of a route hold about.
+	// routeMemory is about how many programs the sums of a route cover.
 	routeMemory = 50
-	// minRoutePrograms is from how many programs on a route's sums are used.
+	// minRoutePrograms is how many programs a route's sums need before they are used.
 	minRoutePrograms = 5
-	// programIdleTime is how long after its last turn a program counts as over: longer than
-	// its pauses and tools take as a rule.
+	// programIdleTime is the time after its last turn from which on a program counts as
+	// ended: longer than its pauses and tool calls usually take.
 	programIdleTime = 2 * time.Second
-	// sweepInterval is how often programs that are over are looked for.
+	// sweepInterval is the time between searches for ended programs.
 	sweepInterval = 250 * time.Millisecond
 )
 
-// NewUsual returns a Usual that knows no route.
+// NewRemainingTimeEstimator returns an estimator without observations.
 func NewUsual() *Usual {
 	return &Usual{programs: make(map[string]*trackedProgram), routes: make(map[string]*routeSums)}
 }
 
-// Begin takes in that a turn of a program came. Granted is what the client gives the
-// whole program, if this is its first turn; else 0.
+// Begin records the arrival of a program's turn. Granted is the time that the client
+// grants the whole program if this is its first turn, else 0.
 func (u *Usual) Begin(now time.Time, route, program string, granted time.Duration) {
 	u.sweep(now)
 	tracked := u.programs[program]
@@ -66,16 +66,16 @@
 	tracked.turns++
 }
 
-// End takes in that a turn of a program was served.
+// End records that a turn of a program was served.
 func (u *Usual) End(now time.Time, program string) {
 	if tracked := u.programs[program]; tracked != nil {
 		tracked.last = now
 	}
 }
 
-// Need returns how much longer a program takes as a rule, the turn that began last
-// included; 0 where that is not known. Of a program whose first turn this node did not
-// see, only that turn is known to be left.
+// Remaining returns how much longer a program is expected to take, including the turn that
+// began last; 0 if unknown. If this node did not see the first turn of the program, the
+// result covers only the present turn.
 func (u *Usual) Need(route, program string) time.Duration {
 	sums := u.routes[route]
 	if sums == nil || sums.programs < minRoutePrograms {
@@ -89,7 +89,7 @@
 	return time.Duration(rest * sums.took / sums.turns * float64(time.Second))
 }
 
-// sweep learns from the programs that are over.
+// sweep removes the programs that have ended and learns from them.
 func (u *Usual) sweep(now time.Time) {
 	if now.Sub(u.sweptAt) < sweepInterval {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// learn takes in a program that this node saw from its beginning and that is over.
+// learn adds an ended program that this node saw from its first turn.
 func (u *Usual) learn(now time.Time, tracked *trackedProgram) {
 	sums := u.routes[tracked.route]
 	if sums == nil {
