--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// The ways in which nodes treat what finds no room.
+// Policies for turns that find no free slot.
 var (
 	thresholdPolicy = simPolicy{refuseNew: true}
 	replicaPolicy   = simPolicy{orderBySlack: true}
@@ -15,8 +15,8 @@
 	arrivalPolicy   = simPolicy{waitAtNode: true}
 )
 
-// burst replays six seconds of a load, in parts of the room, between calm seconds, with
-// several seeds.
+// burst simulates six seconds of the given load, as a fraction of capacity, between calm
+// seconds, with several seeds.
 func burst(policy simPolicy, load float64) (sum simulation) {
 	for seed := range uint64(5) {
 		c := newSimulation(policy, seed)
@@ -32,9 +32,10 @@
 	return sum
 }
 
-// TestBurstOverCapacity serves half as many programs more in time than a threshold at
-// arrival and order of arrival at the replicas do, and refuses no more than one in a
-// hundred beyond that.
+// TestBurstOverCapacity checks that waiting at the node in order of slack finishes half as
+// many programs more in time, at twice the capacity, than a threshold on arrival with
+// replicas that serve in order of arrival, and that it refuses at most one program in a
+// hundred more.
 func TestBurstOverCapacity(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{1.2, 2, 3} {
@@ -48,8 +49,9 @@
 	g.Expect(burst(nodePolicy, 2).inTime).To(BeNumerically(">=", burst(thresholdPolicy, 2).inTime*3/2))
 }
 
-// TestWaitAtNodeOrReplica compares the two places: what waits at its node goes where a
-// place comes free first, and holds none while programs under way need it.
+// TestWaitAtNodeOrReplica checks that waiting at the node serves more programs in time
+// than waiting at a replica: a turn that waits at the node goes to the replica whose slot
+// becomes free first, and occupies no slot that started programs need.
 func TestWaitAtNodeOrReplica(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{1.2, 2, 3} {
@@ -58,8 +60,8 @@
 	}
 }
 
-// TestOrderAtReplicas serves more in time where replicas keep the order, and no
-// fewer than a threshold where they serve as requests arrive.
+// TestOrderAtReplicas checks that more programs finish in time if replicas serve turns in
+// order of slack, and no fewer than with a threshold if they serve in order of arrival.
 func TestOrderAtReplicas(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{1.2, 2, 3} {
@@ -68,7 +70,8 @@
 	}
 }
 
-// TestNoRefusalsBelowCapacity refuses nobody and is late with nobody while there is room.
+// TestNoRefusalsBelowCapacity checks that below capacity no program is refused and at most
+// one in a hundred is late.
 func TestNoRefusalsBelowCapacity(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{0.5, 0.7, 0.9} {
@@ -78,14 +81,14 @@
 	}
 }
 
-// TestHigherOverload loses at most a fifth of those in time where half as much again
-// comes as twice the room.
+// TestHigherOverload checks that half as much load again as twice the capacity loses at
+// most a fifth of the programs that finish in time.
 func TestHigherOverload(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(burst(nodePolicy, 3).inTime).To(BeNumerically(">=", burst(nodePolicy, 2).inTime*4/5))
 }
 
-// TestRefusedNeverRuns holds whatever the load.
+// TestRefusedNeverRuns checks that no refused program runs afterwards, whatever the load.
 func TestRefusedNeverRuns(t *testing.T) {
 	g := NewWithT(t)
 	for _, load := range []float64{0.9, 2, 4} {
@@ -93,8 +96,8 @@
 	}
 }
 
-// TestAdmit runs what is under way, refuses what would wait for too long, and nothing
-// while a place is free.
+// TestAdmit checks that started programs run, that turns which would wait for too long are
+// refused, and that none is refused while a slot is free.
 func TestAdmit(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &Standing{HasLeft: true, Left: 3 * time.Second, Need: time.Second}
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -8,11 +8,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// epoch is when replays begin.
+// epoch is the start time of simulations.
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestRetryAfterIsBounded tells nobody to wait for longer than the caller would, whatever
-// the cause, and never at once.
+// TestRetryAfterIsBounded checks that no caller is told to wait for longer than it
+// tolerates, whatever the cause, or to retry at once.
 func TestRetryAfterIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(1, 2))
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestRetryAfterGrowsWithOutage lets callers wait for longer the longer an outage has
-// lasted, and until its end where that is known.
+// TestRetryAfterGrowsWithOutage checks that callers wait longer the longer an outage has
+// lasted, and until its end if that is known.
 func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	g := NewWithT(t)
 	early := (&Refusal{Cause: CauseStoreAway, Left: 20 * time.Second}).ComeBack()
@@ -46,8 +46,8 @@
 	g.Expect(known).To(BeNumerically("~", 1050*time.Millisecond, 150*time.Millisecond))
 }
 
-// TestRetryAfterOrder has programs under way come back before new ones, and the more
-// urgent sooner, however the draws fall.
+// TestRetryAfterOrder checks that started programs retry before new ones, and more urgent
+// ones earlier, whatever the random numbers.
 func TestRetryAfterOrder(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(3, 4))
@@ -71,8 +71,9 @@
 	g.Expect(firstFresh).To(BeNumerically(">=", lastBegun))
 }
 
-// TestRetriesAreSpread replays an outage of five seconds at a node that served 40
-// requests a second: what it refused comes back over more than a second, not at once.
+// TestRetriesAreSpread simulates an outage of five seconds at a node that served 40
+// requests per second. It guards against a burst of retries at its end: the refused
+// requests retry over more than a second.
 func TestRetriesAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(5, 6))
@@ -112,7 +113,7 @@
 	g.Expect(tries).To(BeNumerically("<=", 4*200), "tries used up while it lasted")
 }
 
-// insertTime keeps a list of times in order.
+// insertTime inserts a time into a sorted list.
 func insertTime(times []time.Time, at time.Time) []time.Time {
 	index := len(times)
 	for index > 0 && times[index-1].After(at) {
@@ -124,7 +125,8 @@
 	return times
 }
 
-// TestRefusalTrackerExpiry begins anew once a cause was over.
+// TestRefusalTrackerExpiry checks that the age of a cause starts anew after the cause has
+// ended.
 func TestRefusalTrackerExpiry(t *testing.T) {
 	g := NewWithT(t)
 	var returns Returns
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestRepeat sends a late call again where that can bring an answer.
+// TestRepeat checks that a late call is repeated only if the repeat can bring an answer.
 func TestRepeat(t *testing.T) {
 	for _, one := range []struct {
 		call Late
@@ -26,16 +26,16 @@
 	}
 }
 
-// toolFleet replays calls before replicas in virtual time: 36 replicas of 6 places, of which
-// 15 in 100 take 2.5 times as long for 0.6 s at a time. A call goes to the emptiest
-// replica, waits there for a place, and goes out once more when it is late. What it takes
-// of a replica belongs to the call, however often it is sent.
+// toolFleet simulates calls to 36 replicas of 6 slots in virtual time. In 15 of 100
+// intervals of 0.6 s a replica takes 2.5 times as long. A call goes to the least loaded
+// replica, waits there for a slot, and is repeated when it is late. Its work is the same
+// however often it is sent.
 type toolFleet struct {
 	random *rand.Rand
 	guard  bool
 	queue  toolEvents
 	now    time.Duration
-	// free are the times at which the places of each replica are free.
+	// free holds the times at which the slots of each replica become free.
 	free    [toolReplicas][toolSlots]time.Duration
 	times   []time.Duration
 	repeats int
@@ -68,7 +68,7 @@
 	return last
 }
 
-// under is how many requests a replica has that have not ended, at most its places.
+// under returns the number of unfinished requests at a replica, at most its slots.
 func (f *toolFleet) under(replica int) (count int) {
 	for _, free := range f.free[replica] {
 		if free > f.now {
@@ -78,7 +78,7 @@
 	return count
 }
 
-// emptiest returns the emptiest replica, from a random one on.
+// emptiest returns the least loaded replica, searching from a random one.
 func (f *toolFleet) emptiest() (best int) {
 	start := f.random.IntN(toolReplicas)
 	best = start
@@ -90,7 +90,7 @@
 	return best
 }
 
-// send has a replica run a call, and returns when it ends.
+// send runs a call at a replica, and returns when it ends.
 func (f *toolFleet) send(replica int, work time.Duration) time.Duration {
 	place := 0
 	for other, free := range f.free[replica] {
@@ -128,7 +128,7 @@
 	}})
 }
 
-// simulateTools has calls come for 10 s, a burst of them in the middle.
+// simulateTools simulates calls for 10 s, with a burst in the middle.
 func simulateTools(guard bool, usual, burst float64) *toolFleet {
 	fleet := &toolFleet{random: rand.New(rand.NewPCG(11, 3)), guard: guard}
 	var arrive func()
@@ -160,7 +160,8 @@
 	return sum / time.Duration(len(times))
 }
 
-// TestRepeatsDuringOverload do not make it longer.
+// TestRepeatsDuringOverload checks that repeats do not prolong an overload: while every
+// replica is full, late calls are not repeated.
 func TestRepeatsDuringOverload(t *testing.T) {
 	g := NewWithT(t)
 	before, guarded := simulateTools(false, 2000, 11000), simulateTools(true, 2000, 11000)
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -9,13 +9,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// startedWithSlack returns a program under way with a slack.
+// startedWithSlack returns the state of a started program with the given slack.
 func startedWithSlack(slack time.Duration) *Standing {
 	return &Standing{Begun: true, HasLeft: true, Left: 2*time.Second + slack, Need: 2 * time.Second}
 }
 
-// TestOrderByTier serves programs that can be in time by their slack, then new ones that
-// can, then late ones, and last new ones that are late already.
+// TestOrderByTier checks the order: started programs that can finish in time by slack, new
+// ones that can, late started ones, and new ones that are late already.
 func TestOrderByTier(t *testing.T) {
 	g := NewWithT(t)
 	ranked := []*Standing{
@@ -33,16 +33,16 @@
 	g.Expect(Before(0, ranked[7], 1, ranked[0])).To(BeTrue(), "the more urgent priority goes first")
 }
 
-// TestOrderStarvesNobody puts a new program before any other of its priority that comes
-// once it has waited for all tiers.
+// TestOrderStarvesNobody checks that a new program goes before any other of its priority
+// once it has waited through all tiers.
 func TestOrderStarvesNobody(t *testing.T) {
 	g := NewWithT(t)
 	waiting := &Standing{HasLeft: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAgingTime + time.Millisecond}
 	g.Expect(Before(1, waiting, 1, startedWithSlack(0))).To(BeTrue())
 }
 
-// TestBandsKeepPriorities ranks no turn with or before one of a more urgent priority,
-// whatever their startedWithSlack.
+// TestBandsKeepPriorities checks that no turn ranks equal to or before one of a more
+// urgent priority, whatever their state.
 func TestBandsKeepPriorities(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(9, 10))
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestBandsDistinguishSlack gives programs that are nearly late a better rank than new ones
-// and late ones of the same priority, and leaves turns at their priority whose clients
-// name no finish.
+// TestBandsDistinguishSlack checks that started programs with little slack rank before new
+// and late ones of the same priority, and that turns without a finish time rank at their
+// priority.
 func TestBandsDistinguishSlack(t *testing.T) {
 	g := NewWithT(t)
 	bands := NewBands([]int{0, 1})
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -16,7 +16,7 @@
 
 var begin = time.Unix(1000, 0)
 
-// feed has a replica measure one turn each period until an end, and returns the time after.
+// feed adds one measurement per period, and returns the time after the last.
 func feed(pace *dispatch.Pace, from time.Time, lasting, period time.Duration, token time.Duration) time.Time {
 	for at := time.Duration(0); at < lasting; at += period {
 		pace.Observe(from.Add(at), token)
@@ -24,7 +24,7 @@
 	return from.Add(lasting)
 }
 
-// near expects an estimate within a tenth.
+// near expects an estimate within a tenth of the given token time.
 func near(g *WithT, pace *dispatch.Pace, now time.Time, want time.Duration) {
 	g.Expect(float64(pace.Token(now, steady))).To(BeNumerically("~", float64(want), 0.1*float64(want)))
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// newWaiting returns a turn that has waited for a time, with a slack left.
+// newWaiting returns a turn that has waited for a time and has the given slack.
 func newWaiting(id uint64, priority int, waited, slack time.Duration) *Waiting {
 	return &Waiting{
 		ID: id, Priority: priority, Since: epoch.Add(-waited), Until: epoch.Add(time.Second), Bytes: 10,
@@ -15,7 +15,7 @@
 	}
 }
 
-// TestQueueInOrder serves the more urgent first, then the least slack.
+// TestQueueInOrder checks that turns are served by priority, then by slack.
 func TestQueueInOrder(t *testing.T) {
 	g := NewWithT(t)
 	queue := NewQueue(QueueLimits{Requests: 10, Bytes: 1000})
@@ -34,7 +34,8 @@
 	g.Expect(queue.First(epoch)).To(BeNil())
 }
 
-// TestQueueIsBounded in requests, in bytes, by tenant and in time.
+// TestQueueIsBounded checks the limits on requests, bytes, turns of one tenant, and
+// waiting time.
 func TestQueueIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	queue := NewQueue(QueueLimits{Requests: 4, Bytes: 100})
--- a/dispatch/reading_test.go
+++ b/dispatch/reading_test.go
@@ -9,7 +9,8 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// readAt has a service read each token in a share of a generated one's time, after a base.
+// readAt adds turns whose first event takes a base time plus a time per uncached token,
+// both in units of the token time.
 func readAt(reading *dispatch.Reading, from time.Time, turns int, base, share float64) time.Time {
 	for index := range turns {
 		missing := 500 + 700*(index%19)
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// simulation replays programs of four turns at replicas that all nodes share, in steps of
-// virtual time. Nodes see what others sent only every loadReportInterval.
+// simulation simulates programs of four turns at replicas that all nodes share, in steps of
+// virtual time. Nodes learn what others sent only every loadReportInterval.
 type simulation struct {
 	random     *rand.Rand
 	now        time.Time
-	replicas   [][]*simTurn // running and waiting, in the order of their service
-	knownLoads [][]int      // by node and replica: requests as last knownLoads, own ones since
+	replicas   [][]*simTurn // turns by replica, running and waiting, in order of arrival
+	knownLoads [][]int      // requests by node and replica: as last reported, plus those sent since
 	queues     []*Queue
 	arrivals   []*simTurn
 	held       map[uint64]*simTurn
@@ -24,10 +24,11 @@
 	lastEnd                       time.Time
 }
 
-// simPolicy is how a simulation's nodes treat turns that find no room.
+// simPolicy is how the nodes treat turns that find no free slot.
 type simPolicy struct {
-	// refuseNew refuses new programs at once while even the emptiest replica is full; waitAtNode has turns wait
-	// at their node, and orderBySlack has replicas serve them by the order, else as they come.
+	// refuseNew refuses new programs at once while even the least loaded replica is full;
+	// waitAtNode lets turns wait at their node; orderBySlack makes replicas serve turns in order
+	// of slack instead of arrival.
 	refuseNew, waitAtNode, orderBySlack bool
 }
 
@@ -47,10 +48,11 @@
 	simTurns                        = 4
 	simStep                         = 5 * time.Millisecond
 	simDeadline                     = 3 * time.Second
-	// refuseUtilisation is how full the emptiest replica is for refuseNew.
+	// refuseUtilisation is the utilisation of the least loaded replica from which on refuseNew
+	// refuses.
 	refuseUtilisation  = 1.25
 	loadReportInterval = 100 * time.Millisecond
-	// simCapacity is how many programs a second the replicas serve.
+	// simCapacity is how many programs per second the replicas can serve.
 	simCapacity = float64(simReplicas*simSlots) / simTurns * float64(time.Second/simTurnTime)
 )
 
@@ -66,8 +68,8 @@
 	return c
 }
 
-// play lets programs come at a rate, in parts of simCapacity, that depends on the time, and
-// goes on until all are over.
+// play starts programs at a rate that depends on the time and is a fraction of simCapacity,
+// and runs until all have ended.
 func (c *simulation) play(span time.Duration, rate func(time.Duration) float64) {
 	id, due := uint64(0), 0.
 	for at := time.Duration(0); at < span+20*time.Second; at += simStep {
@@ -84,7 +86,7 @@
 	}
 }
 
-// step ends what is over, and takes in what comes.
+// step ends the turns that are finished and processes arrivals.
 func (c *simulation) step(at time.Duration) {
 	for index, line := range c.replicas {
 		c.replicas[index] = slices.DeleteFunc(line, func(turn *simTurn) bool { return turn.began && !c.now.Before(turn.ends) && c.end(turn) })
@@ -121,7 +123,7 @@
 	}
 }
 
-// room is what a node knows.
+// room returns the utilisation as known at a node.
 func (c *simulation) room(node int) *Room {
 	sum := 0
 	for _, load := range c.knownLoads[node] {
@@ -163,8 +165,8 @@
 	}
 }
 
-// refuse sends a turn's caller away: it comes back as told, once a try, and goes out anew
-// twice at most.
+// refuse refuses a turn, whose caller retries after the delay that it is told. Every
+// second refusal, the caller sends it as a new request instead, at most twice.
 func (c *simulation) refuse(turn *simTurn, cause Cause, ends time.Duration) {
 	turn.tries++
 	if turn.tries >= 6 {
@@ -183,7 +185,7 @@
 	c.arrivals = append(c.arrivals, turn)
 }
 
-// send puts a turn into the line of the emptier of two replicas.
+// send sends a turn to the less loaded of two random replicas.
 func (c *simulation) send(turn *simTurn) {
 	if turn.refused {
 		c.ranAfterRefusal++
@@ -202,7 +204,8 @@
 	c.start(one)
 }
 
-// start begins what a replica has places for, and drops what is over before.
+// start starts turns in the free slots of a replica, and drops those whose deadline passed
+// while they waited.
 func (c *simulation) start(index int) {
 	line := slices.DeleteFunc(c.replicas[index], func(turn *simTurn) bool {
 		if turn.began || c.now.Before(turn.deadline) {
@@ -227,7 +230,7 @@
 	}
 }
 
-// nextOf returns the turn that a replica begins next.
+// nextOf returns the turn that a replica starts next.
 func (c *simulation) nextOf(line []*simTurn) *simTurn {
 	var next *simTurn
 	for _, turn := range line {
@@ -246,7 +249,7 @@
 	return next
 }
 
-// end notes that a turn is over, and has its program go on.
+// end ends a turn and continues its program.
 func (c *simulation) end(turn *simTurn) bool {
 	c.returns[turn.node].Served(c.now)
 	turn.step++
--- a/dispatch/share_test.go
+++ b/dispatch/share_test.go
@@ -13,8 +13,8 @@
 
 var shareEpoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestSharesAllowFreeSlots never count a tenant as over its share while a place is free,
-// nor one with few programs, nor by what was told too long ago.
+// TestSharesAllowFreeSlots checks that no tenant counts as over its share while a slot is
+// free, if it runs few programs, or by an expired report.
 func TestSharesAllowFreeSlots(t *testing.T) {
 	g := NewWithT(t)
 	shares := NewShares()
@@ -29,7 +29,8 @@
 	g.Expect(shares.Over(shareEpoch.Add(usageTTL+time.Millisecond), "hot", 1.2)).To(BeFalse())
 }
 
-// TestSharesAreBounded keep a bounded number of tenants, and forget the old ones first.
+// TestSharesAreBounded checks that the number of tracked tenants is bounded, and that
+// expired ones are dropped first.
 func TestSharesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	shares := NewShares()
@@ -41,14 +42,14 @@
 	g.Expect(shares.usages).To(HaveLen(1))
 }
 
-// shareSimulation is a fleet before places for 300 programs, and 73 tenants of which one
-// sends ten times its usualRates for 6 s. Programs that find no place are refused; those running
-// way are slowed by what is over the places.
+// shareSimulation simulates a fleet with slots for 300 programs and 73 tenants, one of which
+// sends ten times its usual load for 6 s. Programs run for 1 s on average; new ones are
+// refused at 1.25 programs per slot.
 type shareSimulation struct {
 	random *rand.Rand
 	shares *Shares
 	fair   bool
-	// running is how many programs each tenant has running way, and told what nodes know of it.
+	// running is how many programs each tenant runs.
 	running       []int
 	asked, served []float64
 }
@@ -57,13 +58,13 @@
 	simTenants      = 73
 	simProgramSlots = 300
 	simHotTenant    = 1
-	// simReportInterval is after what time nodes know of a change.
+	// simReportInterval is the interval at which nodes learn of changes.
 	simReportInterval = 100 * time.Millisecond
 	shareStep         = 10 * time.Millisecond
 )
 
-// usualRates is how many programs a second each tenant begins: three quarters of what the
-// places bear, a few of the tenants large.
+// usualRates is how many programs per second each tenant starts: three quarters of capacity,
+// with a few large tenants.
 var usualRates = func() (rates [simTenants]float64) {
 	sum := 0.
 	for index := range rates {
@@ -116,7 +117,7 @@
 	}
 }
 
-// begin has a program of a tenant begin, or refuses it.
+// begin starts a program of a tenant, or refuses it.
 func (r *shareSimulation) begin(now time.Time, tenant int, counts bool, running int) bool {
 	full := float64(running) / simProgramSlots
 	if counts {
@@ -132,8 +133,9 @@
 	return true
 }
 
-// othersServed returns the part of programs that the tenants who send their usualRates have
-// served: the mean, and that of the worst tenth of them.
+// othersServed returns which fraction of the programs of the tenants with usual load is
+// served, as the mean over these tenants and over the worst tenth of them, and that of the
+// hot tenant.
 func othersServed(fair bool) (mean, worst, hot float64) {
 	asked, served := make([]float64, simTenants), make([]float64, simTenants)
 	for seed := range uint64(30) {
@@ -161,8 +163,8 @@
 	return mean, worst, hot
 }
 
-// TestSharesDuringABurstOfOneTenant has the others served as if it were not there, where they
-// are refused as often as the hot one otherwise.
+// TestSharesDuringABurstOfOneTenant checks that a burst of one tenant leaves the others
+// nearly unaffected. Without shares, they are refused as often as the hot tenant.
 func TestSharesDuringABurstOfOneTenant(t *testing.T) {
 	g := NewWithT(t)
 	meanBefore, worstBefore, _ := othersServed(false)
@@ -174,7 +176,7 @@
 	g.Expect(hot).To(BeNumerically(">", 0.2))
 }
 
-// BenchmarkSharesOver decides for one of 600 tenants.
+// BenchmarkSharesOver measures the decision for one of 600 tenants.
 func BenchmarkSharesOver(b *testing.B) {
 	shares := NewShares()
 	for index := range 600 {
--- a/dispatch/usual_test.go
+++ b/dispatch/usual_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestRemainingTimeIsLearned by programs of two to six turns of 250 ms each, whose
-// clients grant 400 ms a turn.
+// TestRemainingTimeIsLearned uses programs of two to six turns of 250 ms each, whose
+// clients grant 400 ms per turn.
 func TestRemainingTimeIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	usual := NewUsual()
@@ -36,7 +36,7 @@
 	g.Expect(usual.Need("other", "1")).To(BeZero(), "a route that is not known")
 }
 
-// TestRemainingTimeEstimatorIsBounded in programs and routes, whatever comes.
+// TestRemainingTimeEstimatorIsBounded checks the bounds on tracked programs and routes.
 func TestRemainingTimeEstimatorIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	usual := NewUsual()
