--- a/tenant/account.go
+++ b/tenant/account.go
@@ -5,104 +5,107 @@
 	"time"
 )
 
-// Config sets up the accounts of a Book.
+// Config configures the accounts of a Limiter.
 type Config struct {
-	// Window is the span over which a limit is judged.
+	// Window is the time window over which a limit is enforced.
 	Window time.Duration
-	// Overrun is the share of a window's limit, and Slack the number of requests
-	// beyond it, that the operator accepts for nodes that count apart.
+	// Overrun, a fraction of a window's limit, plus Slack, a number of requests, is the
+	// excess that the operator accepts while nodes count separately.
 	Overrun float64
 	Slack   float64
-	// IdleAfter is after what time without a request an account is dropped; 0 keeps
-	// it. It is longer than the window.
+	// IdleAfter is the time without a request after which an account is dropped; 0 means
+	// never. It must be longer than the window.
 	IdleAfter time.Duration
-	// FirstCome grants requests in the order in which they come, programs under
-	// way and new ones alike, to measure what putting the former first is worth.
+	// ArrivalOrder grants requests in order of arrival, without precedence of started
+	// programs. It exists to measure the benefit of that precedence.
 	FirstCome bool
-	// InTurn has programs that were refused begin as those that come for the first time,
-	// to measure what putting the latter first is worth.
+	// RetriesAsNew treats refused programs that retry like programs that arrive for the
+	// first time. It exists to measure the benefit of preferring the latter.
 	InTurn bool
 }
 
-// DefaultConfig returns the settings used where the operator names none: what the
-// users' deployments name.
+// DefaultConfig returns the settings used where the operator sets none. The values are
+// those of the reference deployments.
 func DefaultConfig() Config {
 	return Config{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 }
 
-// coldReplicaIdle is after what time an account of a cold replica is dropped: replicas
-// come and go, and are cold for seconds.
+// coldReplicaIdle is the time without a request after which the account of a cold replica
+// is dropped: replicas come and go, and are cold for seconds.
 const coldReplicaIdle = 20 * time.Second
 
-// ColdReplicaConfig returns the settings by which requests to cold replicas are counted
-// where the operator names none: what the users' deployments name.
+// ColdReplicaConfig returns the settings for limiting requests to cold replicas, used
+// where the operator sets none. The values are those of the reference deployments.
 func ColdReplicaConfig() Config {
 	return Config{Window: time.Second, Overrun: 0.5, Slack: 5, IdleAfter: coldReplicaIdle}
 }
 
 const (
-	// overdraftFraction is the part of the accepted overrun by which programs under way
-	// may overdraw an account. The rest is for what nodes count apart while the
-	// counting passes from one to another.
+	// overdraftFraction is the fraction of the accepted overrun by which started programs
+	// may overdraw an account. The rest is for requests that two nodes count separately
+	// while an account moves from one charge owner to the next.
 	overdraftFraction = 0.25
-	// bucketSlackFraction is the part of Config.Slack that the bucket holds besides the
-	// share Config.Overrun of a window's limit. The bucket is what may pass twice
-	// where the counting passes on.
+	// bucketSlackFraction is the fraction of Config.Slack that the bucket holds, besides
+	// the fraction Config.Overrun of a window's limit. The bucket's content may be granted
+	// twice when an account moves to another node.
 	bucketSlackFraction = 0.5
-	// takeoverOverlap is how long a node may count on that another one follows: until
-	// word of a loss, or of a return, is everywhere. Fleets in virtual time need 0.2 to
-	// 0.4 s.
+	// takeoverOverlap is how long two nodes may both count for an account: until the loss
+	// or the return of a node is known everywhere. Simulated fleets need 0.2 to 0.4 s.
 	takeoverOverlap = 400 * time.Millisecond
 )
 
 const (
-	// newProgramFraction is the part of a program's needs that a short account holds if one that
-	// comes for the first time begins: the rest is earned while it runs.
+	// newProgramFraction is the fraction of a program's expected requests that an account
+	// in shortage must hold for a new program to start: the rest is earned while the
+	// program runs.
 	newProgramFraction = 0.7
-	// retryReserve is the part of a bucket that an account is to be expected to have left if
-	// a program begins that was refused lately: more than chance makes of an expectation.
+	// retryReserve is how many buckets an account must be expected to have left over for a
+	// recently refused program to start: more than random variation makes of the
+	// expectation.
 	retryReserve = 2.0
-	// nearlyFullFraction is the part of a bucket from which on what the account earns is soon lost.
+	// nearlyFullFraction is the fill level of the bucket, as a fraction of its capacity,
+	// from which on earned requests are about to be lost.
 	nearlyFullFraction = 0.9
 )
 
 // Times of an account.
 const (
-	// grantTTL is how long a grant or a refused program is remembered, a grant so that it
-	// counts once if it is asked for again, and can be returned: longer than a request is refused late.
+	// grantTTL is how long a grant or a refused program is remembered: a grant so that it
+	// counts once if it is requested again, and can be refunded. It is longer than a
+	// request may take to be refused.
 	grantTTL = 4 * time.Second
-	// openingGrace is how long a new account takes programs that it does not
-	// know for ones under way: the owner before it knew them.
+	// openingGrace is how long a new account takes unknown programs for started ones: the
+	// previous charge owner knew them.
 	openingGrace = 2500 * time.Millisecond
-	// shortageMemory is how long after an account was empty new programs have to fit beside
-	// those under way: about as long as a program lasts.
+	// shortageMemory is how long after an account was empty new programs have to fit
+	// beside the started ones: about as long as a program lasts.
 	shortageMemory = 3 * time.Second
-	// minRetryAfter and mostWait bound the time to come back that a refusal names.
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refusal.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// Request asks for one request of a tenant.
+// Request asks to count one request of a tenant against its limit.
 type Request struct {
-	// ID is the same for the same request, and no other has it.
+	// ID uniquely identifies the request; repeats of it have the same ID.
 	ID string `json:"id"`
-	// Program is the program that the request belongs to, or "".
+	// Program is the program of the request, or "".
 	Program string `json:"program,omitempty"`
-	// Route names the kind of the request.
+	// Route is the route of the request, by which the needs of programs are learned.
 	Route string `json:"route,omitempty"`
-	// Limit is the tenant's limit by the configuration of this version.
+	// Limit is the tenant's limit in the configuration of the given Version.
 	Limit   Limit  `json:"limit"`
 	Version uint64 `json:"version"`
 }
 
-// Decision answers a request.
+// Decision is the result of a Request.
 type Decision struct {
 	Granted bool `json:"granted,omitempty"`
-	// RetryAfter is when a request that was not granted may come back.
+	// RetryAfter is the delay after which a refused request should be retried.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	// Balance is what the account held after the decision.
+	// Balance is what the account holds after the decision.
 	Balance float64 `json:"balance"`
-	// Programs is how many programs of the tenant are under way, or were lately, over all
+	// Programs is how many programs of the tenant are running or ran recently, on all
 	// nodes; 0 for requests without a program.
 	Programs int `json:"programs,omitempty"`
 }
@@ -112,38 +115,41 @@
 	limit   Limit
 	version uint64
 	opened  time.Time
-	// balance is how many requests the bucket held at a time, and window those that
-	// were granted.
+	// balance is the content of the bucket as of at, in requests, and window holds the
+	// grants of the present window.
 	balance float64
 	at      time.Time
 	window  *window
-	// cautiousUntil is when no grant of a former owner is in the window any more.
+	// cautiousUntil is when the last grant of a previous charge owner leaves the window.
 	cautiousUntil time.Time
-	// programs are those under way, and granted the requests that were.
+	// programs are the started programs, and granted the times of recent grants by request
+	// ID.
 	programs map[string]*program
 	granted  map[string]time.Time
-	// refused are the programs that were refused before they began.
+	// refused are the programs that were refused before they started, with the time of the
+	// latest refusal.
 	refused map[string]time.Time
-	// shortUntil is until when new programs have to fit beside those under way.
+	// shortUntil is the time until which new programs have to fit beside started ones.
 	shortUntil time.Time
-	// nextRetry is when the next program that was refused may come back.
+	// nextRetry is the earliest retry time of the next refused program.
 	nextRetry time.Time
 }
 
-// program is what an account knows of a program.
+// program is the state of a started program.
 type program struct {
 	route    string
 	requests float64
 	firstAt  time.Time
 	lastAt   time.Time
-	// inherited says that the program was under way when the account was opened, and
-	// refused that a request of it was refused: neither tells what programs need.
+	// inherited says that the program had started before the account was opened, and
+	// refused that one of its requests was refused. In both cases its requests do not show
+	// what programs need.
 	inherited bool
 	refused   bool
 }
 
-// newAccount opens an account whose tenant this node alone has counted for since a
-// time.
+// newAccount opens an account of a tenant for which this node has been the only charge
+// owner since the given time.
 func newAccount(now, since time.Time, config *Config, request *Request) *account {
 	return &account{
 		limit: request.Limit, version: request.Version, opened: now, at: since, window: newWindow(now, config.Window),
@@ -152,17 +158,17 @@
 	}
 }
 
-// windowLimit is what may pass in a window.
+// windowLimit returns how many requests may pass in a window.
 func (a *account) windowLimit(config *Config) float64 {
 	return a.limit.Rate*config.Window.Seconds() + a.limit.Burst
 }
 
-// capacity is the most that the bucket holds.
+// capacity returns the capacity of the bucket.
 func (a *account) capacity(config *Config, share float64) float64 {
 	return max(1, share*(config.Overrun*a.windowLimit(config)+bucketSlackFraction*config.Slack))
 }
 
-// rate is how many requests a second the account earns.
+// rate returns how many requests the account earns per second.
 func (a *account) rate(now time.Time, config *Config, share float64) float64 {
 	full := a.windowLimit(config) / config.Window.Seconds()
 	if now.Before(a.cautiousUntil) {
@@ -171,17 +177,17 @@
 	return share * full
 }
 
-// cautiousRate is how many requests a second the account earns while grants of a node
-// that counted before may lie in the window. That node may have granted all of a
-// window, the last of it as fast as its bucket let it: the faster, the shorter ago. What
-// is granted here from then on has to fit into what the operator accepts beyond.
+// cautiousRate returns how many requests the account earns per second while the window may
+// hold grants of a previous charge owner. That node may have granted the limit of a
+// window, the last part of it as fast as its bucket let it: the faster, the more recently.
+// What is granted here meanwhile has to fit into the accepted overrun.
 func (a *account) cautiousRate(config *Config) float64 {
 	windowLimit := a.windowLimit(config)
 	saved := a.capacity(config, 1) / windowLimit * config.Window.Seconds()
 	return (config.Overrun*windowLimit + config.Slack) / (saved + takeoverOverlap.Seconds())
 }
 
-// refill lets the bucket refill up to now, and the window pass.
+// refill adds what the account has earned up to now, and advances the window.
 func (a *account) refill(now time.Time, config *Config, share float64) {
 	if passed := now.Sub(a.at); passed > 0 {
 		a.balance += passed.Seconds() * a.rate(now, config, share)
@@ -191,24 +197,24 @@
 	a.window.advance(now)
 }
 
-// available is how many requests may be granted now.
+// available returns how many requests may be granted now.
 func (a *account) available(config *Config, share float64) float64 {
 	return min(a.balance, share*a.windowLimit(config)-a.window.total)
 }
 
-// updateLimit takes a newer limit over.
+// updateLimit adopts the request's limit if it is of a newer version.
 func (a *account) updateLimit(request *Request) {
 	if request.Version > a.version {
 		a.limit, a.version = request.Limit, request.Version
 	}
 }
 
-// overdraft is how far programs under way may overdraw the account.
+// overdraft returns by how many requests started programs may overdraw the account.
 func (a *account) overdraft(config *Config) float64 {
 	return overdraftFraction * (config.Overrun*a.windowLimit(config) + config.Slack)
 }
 
-// grant takes a request off the account.
+// grant deducts a request from the account.
 func (a *account) grant(now time.Time, request *Request) {
 	a.balance--
 	a.window.add()
@@ -219,7 +225,7 @@
 	}
 }
 
-// waitFor is how long the account takes to earn an amount.
+// waitFor returns how long the account takes to earn the given number of requests.
 func (a *account) waitFor(now time.Time, config *Config, amount, share float64) time.Duration {
 	seconds := amount / max(a.rate(now, config, share), math.SmallestNonzeroFloat32)
 	return clampRetryAfter(time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second)))
@@ -229,7 +235,7 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// refund takes back a grant whose request did not run.
+// refund undoes the grant of a request that did not run.
 func (a *account) refund(id, program string) {
 	at, known := a.granted[id]
 	if !known {
@@ -245,7 +251,7 @@
 	}
 }
 
-// sweep forgets old grants, and hands over the programs that have ended.
+// sweep removes expired grants and refusals, and passes ended programs to a function.
 func (a *account) sweep(now time.Time, ended func(*program)) {
 	for id, at := range a.granted {
 		if now.Sub(at) > grantTTL {
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// sweepPeriod is how often an account forgets what is old.
+// sweepPeriod is the interval between sweeps of the accounts.
 const sweepPeriod = 500 * time.Millisecond
 
-// Book holds the accounts of the tenants that a node counts for the fleet. It is not
-// safe for concurrent use.
+// Limiter holds the accounts of the tenants for which a node is the charge owner. It is
+// not safe for concurrent use.
 type Book struct {
 	config   Config
 	accounts map[string]*account
 	costs    map[string]*cost
-	// countingSince is from when on this node alone counts for the tenants that come to it
-	// now: an account that is opened begins with what was earned countingSince then.
+	// countingSince is the time since which this node has been the only charge owner of
+	// the accounts that are opened from now on. A new account starts with what was earned
+	// since then.
 	countingSince time.Time
-	// share is the part of each limit that this node may grant.
+	// share is the fraction of each limit that this node may grant.
 	share     float64
 	nextSweep time.Time
 }
 
-// NewBook returns a book without accounts.
+// NewLimiter returns a Limiter without accounts.
 func NewBook(now time.Time, config Config) *Book {
 	return &Book{config: config, accounts: make(map[string]*account), costs: make(map[string]*cost), countingSince: now, share: 1}
 }
 
-// SetShare sets the part of each limit that this node may grant: what it may not is
-// for nodes that cannot be reached and may count apart.
+// SetShare sets the fraction of each limit that this node may grant. The rest is for
+// unreachable nodes, which may count separately.
 func (b *Book) SetShare(share float64) { b.share = min(max(share, 0), 1) }
 
-// Inherit says that a node was lost that counted for tenants which come here now. It
-// may have granted all that their accounts held.
+// NodeLost records that a node was lost that counted for tenants which this node counts
+// for from now on. It may have granted all that their accounts held.
 func (b *Book) Inherit(now time.Time) { b.countingSince = now }
 
-// Keep drops the accounts of the tenants that another node counts for by now.
+// Retain drops the accounts that another node counts for by now.
 func (b *Book) Keep(owned func(tenant string) bool) {
 	for name := range b.accounts {
 		if !owned(name) {
@@ -41,8 +42,8 @@
 	}
 }
 
-// Spend decides whether a request of a tenant fits its limit, and counts it if so.
-// The same request may be asked for again.
+// Charge decides whether a request fits the tenant's limit, and counts it if so. It is
+// idempotent by the ID of the request.
 func (b *Book) Spend(now time.Time, name string, request Request) Decision {
 	b.sweep(now)
 	acct := b.accounts[name]
@@ -60,7 +61,7 @@
 	return decision
 }
 
-// decide grants a request, or tells when it may come back.
+// decide grants a request, or returns when to retry it.
 func (b *Book) decide(now time.Time, acct *account, request *Request) Decision {
 	if _, again := acct.granted[request.ID]; again {
 		return Decision{Granted: true}
@@ -73,7 +74,7 @@
 	return Decision{Granted: true}
 }
 
-// recordUse has what programs need follow from a request that was granted.
+// recordUse adds a granted request to what programs of its route need.
 func (b *Book) recordUse(acct *account, request *Request) {
 	if known := acct.programs[request.Program]; known != nil && !known.inherited {
 		b.costOf(known.route).recordUse()
@@ -82,7 +83,8 @@
 
 func (b *Book) available(acct *account) float64 { return acct.available(&b.config, b.share) }
 
-// retryAfter returns when a request may come back that has to be refused, or 0.
+// retryAfter returns the retry delay of a request that has to be refused, or 0 if it can
+// be granted.
 func (b *Book) retryAfter(now time.Time, acct *account, request *Request) time.Duration {
 	if request.Program == "" || b.config.FirstCome {
 		return b.retryAfterPlain(now, acct)
@@ -101,7 +103,8 @@
 	return b.retryAfterNew(now, acct, request)
 }
 
-// retryAfterPlain has a request wait that does not belong to a program.
+// retryAfterPlain is retryAfter for a request that is granted without regard to its
+// program.
 func (b *Book) retryAfterPlain(now time.Time, acct *account) time.Duration {
 	deficit := 1 - b.available(acct)
 	if deficit <= 0 {
@@ -110,8 +113,8 @@
 	return acct.waitFor(now, &b.config, deficit, b.share)
 }
 
-// retryAfterStarted has a request of a program under way wait only if the account is
-// overdrawn already.
+// retryAfterStarted is retryAfter for a started program, whose requests are refused only
+// if the overdraft is used up.
 func (b *Book) retryAfterStarted(now time.Time, acct *account, known *program) time.Duration {
 	known.lastAt = now
 	deficit := 1 - b.available(acct) - acct.overdraft(&b.config)
@@ -122,11 +125,11 @@
 	return acct.waitFor(now, &b.config, deficit, b.share)
 }
 
-// retryAfterNew has a program wait whose requests, with those that programs under way
-// still need, are more than the account can be expected to hold. Half of a program's
-// span is what those under way need on the mean until they end. While the account has
-// not been empty lately, what programs need is not looked at: most of them end below
-// the limit, and one that waits for nothing is late.
+// retryAfterNew is retryAfter for a new program. It is refused if its requests, with those
+// that started programs still need, are more than the account is expected to hold. Started
+// programs need theirs over half of a program's span on average until they end. Unless the
+// account was empty recently, the needs are ignored: most programs finish within the
+// limit, and making one wait for nothing makes it late.
 func (b *Book) retryAfterNew(now time.Time, acct *account, request *Request) time.Duration {
 	needs := b.costOf(request.Route)
 	earned := needs.span.Seconds() / 2 * acct.rate(now, &b.config, b.share)
@@ -138,8 +141,7 @@
 		return 0
 	}
 	acct.refused[request.Program] = now
-	// Those that are refused come back one after the other, as fast as programs
-	// can begin.
+	// Refused programs retry one after the other, as fast as programs can start.
 	earliest := now.Add(acct.waitFor(now, &b.config, deficit, b.share))
 	if acct.nextRetry.Before(earliest) {
 		acct.nextRetry = earliest
@@ -149,12 +151,12 @@
 	return clampRetryAfter(wait)
 }
 
-// mayStart reports whether a program begins for which the account lacks so much by what
-// those under way are expected to need. While the account is short, programs that come back
-// go behind those that come for the first time: what is left of their time has shrunk, and
-// a limit that holds half of the programs serves half of them in time or all of them late.
-// One that comes for the first time begins if the account holds most of what it needs,
-// and each if the account is almost full.
+// mayStart reports whether a new program may start although the account lacks the given
+// number of requests, by what started programs are expected to need. While the account is
+// short, programs that retry go after those that arrive for the first time: they have less
+// time left, and a limit that holds half of the programs serves half of them in time or
+// all of them late. A program that arrives for the first time may start if the account
+// holds most of what it needs. Any program may start if the bucket is almost full.
 func (b *Book) mayStart(acct *account, request *Request, deficit float64) bool {
 	_, retrying := acct.refused[request.Program]
 	switch {
@@ -168,7 +170,7 @@
 	}
 }
 
-// committed is how many requests the programs under way still need.
+// committed returns how many requests the started programs are expected to need yet.
 func (b *Book) committed(now time.Time, acct *account) float64 {
 	total := 0.0
 	for _, known := range acct.programs {
@@ -186,7 +188,7 @@
 	return known
 }
 
-// Return takes back a request that was granted and did not run.
+// Refund undoes the grant of a request that did not run.
 func (b *Book) Return(name string, request Request) {
 	if acct := b.accounts[name]; acct != nil {
 		acct.refund(request.ID, request.Program)
@@ -207,5 +209,5 @@
 	}
 }
 
-// Count returns how many accounts the book holds.
+// Count returns the number of accounts.
 func (b *Book) Count() int { return len(b.accounts) }
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -18,7 +18,8 @@
 
 const windowLimit = 100
 
-// longAgo opens a book whose node has counted alone for longer than a window.
+// establishedLimiter returns a Limiter whose node has been the only charge owner for longer than a
+// window.
 func establishedLimiter() *tenant.Book {
 	return tenant.NewBook(begun.Add(-time.Minute), tenant.DefaultConfig())
 }
@@ -33,7 +34,7 @@
 	return asked
 }
 
-// inWindow returns the most that any window holds.
+// busiestWindow returns the largest number of events in any window.
 func busiestWindow(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for index, at := range times {
@@ -45,7 +46,8 @@
 	return most
 }
 
-// press asks every millisecond for a while, and returns when requests were granted.
+// saturate sends a request every millisecond for a time, and returns when requests were
+// granted.
 func saturate(limiter *tenant.Book, from time.Time, span time.Duration, ask func(index int) tenant.Request) (granted []time.Time) {
 	for index := range int(span / time.Millisecond) {
 		now := from.Add(time.Duration(index) * time.Millisecond)
@@ -124,7 +126,7 @@
 
 	DescribeTable("opens empty after another node counted, and both stay within what is accepted",
 		func(limit tenant.Limit) {
-			// The first node grants all it can up to its loss, and the second all it can
+			// The first node grants all it can until it is lost, and the second all it can
 			// from then on; both count for 0.4 s.
 			config := tenant.DefaultConfig()
 			accepted := (limit.Rate*config.Window.Seconds()+limit.Burst)*(1+config.Overrun) + config.Slack
@@ -171,11 +173,12 @@
 	})
 })
 
-// needs is how many requests a program of the tests makes, one in 100 ms.
+// requestsPerProgram is how many requests a simulated program makes, one per 100 ms.
 const requestsPerProgram = 10
 
-// serveHot begins a program every 100 ms, five times what the limit of 20 requests a
-// second holds, and returns how many programs had all their requests granted.
+// simulateOverload starts a program every 100 ms, which is five times what the limit of 20
+// requests per second allows, and returns how many programs had all their requests granted
+// and how many requests were granted.
 func simulateOverload(config tenant.Config) (ended, asked int) {
 	limiter := tenant.NewBook(begun.Add(-time.Minute), config)
 	type run struct{ made, failed int }
--- a/tenant/cost.go
+++ b/tenant/cost.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// What programs need is learned from those that have ended; until then it is taken
-// for this. The figures are those of the users' shifted deployment, over all kinds.
+// What programs of a route need is learned from those that have ended. These are the
+// initial values; they are averages over all kinds of programs of a reference deployment.
 const (
 	initialRequests = 8.0
 	initialSpan     = 2 * time.Second
-	// initialWeight is how many programs that counts for, and mostEnds how many the mean
-	// is taken over.
+	// initialWeight is how many programs the initial values count as, and maxEnds how many
+	// programs the mean covers.
 	initialWeight = 3.0
 	maxEnds       = 50.0
-	// minRemainingFraction is the part of the mean that a program which used all of it is still
-	// expected to need.
+	// minRemainingFraction is the fraction of the mean that a program is still expected to
+	// need once it has used up the mean.
 	minRemainingFraction = 0.25
-	// spanWeight is the weight of a new program in the means.
+	// spanWeight is the weight of a new program in the mean span.
 	spanWeight = 0.1
-	// minSpan and mostSpan bound the mean, so that a few odd programs do not
-	// stop a tenant.
+	// minSpan and maxSpan bound the span of one program, so that a few unusual programs do
+	// not block a tenant.
 	minSpan = 500 * time.Millisecond
 	maxSpan = 4 * time.Second
-	// programIdleTime is from when on a program without a new request has ended: the
-	// longest turn that its client waits for.
+	// programIdleTime is the time without a new request after which a program counts as
+	// ended: the longest turn that its client waits for.
 	programIdleTime = 3 * time.Second
-	// idleDecayTime is over what time without a new request a program is less and less
-	// expected to need any more: most that go on do so within a turn and a pause.
+	// idleDecayTime is the time without a new request over which the expected remaining
+	// requests of a program decay to 0: most programs that continue do so within a turn
+	// and a pause.
 	idleDecayTime = 2 * time.Second
 )
 
-// cost is what the programs of one route need on the mean: all requests by all ends. A
-// program that is under way or was refused before its end brings requests and no end, so
-// that long programs, which are refused more, count as long.
+// cost is the average need of the programs of one route: the number of requests divided by
+// the number of programs that ended. Programs that are running or were refused before
+// their end count with their requests and without an end, so that long programs, which are
+// refused more often, raise the average.
 type cost struct {
-	// requests and ends are those of late, and less and less those before.
+	// requests and ends are sums in which older programs have less and less weight.
 	requests, ends float64
 	span           time.Duration
 }
@@ -41,13 +43,13 @@
 	return &cost{requests: initialRequests * initialWeight, ends: initialWeight, span: initialSpan}
 }
 
-// addRequest takes in a request of a program.
+// recordUse adds a request of a program.
 func (c *cost) recordUse() { c.requests++ }
 
-// mean is how many requests a program needs.
+// mean returns how many requests a program needs on average.
 func (c *cost) mean() float64 { return c.requests / c.ends }
 
-// observe takes in a program that has ended.
+// observe adds a program that has ended.
 func (c *cost) observe(ended *program) {
 	if ended.inherited || ended.refused {
 		return
@@ -61,7 +63,7 @@
 	c.span += time.Duration(spanWeight * float64(span-c.span))
 }
 
-// remaining is how many requests a program is still expected to need.
+// remaining returns how many more requests a program is expected to need.
 func (c *cost) remaining(now time.Time, known *program) float64 {
 	fresh := 1 - float64(now.Sub(known.lastAt))/float64(idleDecayTime)
 	mean := c.mean()
--- a/tenant/directory.go
+++ b/tenant/directory.go
@@ -15,40 +15,40 @@
 // Tenant is one tenant of a configuration.
 type Tenant struct {
 	Name string
-	// Keys are the keys that the tenant's clients may show.
+	// Keys are the API keys of the tenant's clients.
 	Keys []string
-	// Priority ranks the tenant's requests, whatever their route; 0 is the most
+	// Priority is the priority of the tenant's requests on any route; 0 is the most
 	// urgent.
 	Priority int
 	Limit    Limit
-	// Regions are the only ones in which the tenant's requests may be served and
-	// their data be; none set no bound.
+	// Regions are the regions to which the tenant's requests and data are restricted; if
+	// empty, there is no restriction.
 	Regions []zone.Region
 }
 
-// Limit bounds a tenant's requests over all nodes together.
+// Limit is a tenant's rate limit over all nodes together.
 type Limit struct {
-	// Rate is how many requests a second are allowed; 0 sets no limit.
+	// Rate is the number of requests allowed per second; 0 means no limit.
 	Rate float64 `json:"rate"`
-	// Burst is how many requests may come on top of the rate.
+	// Burst is the number of requests allowed in a window in addition to the rate.
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Unlimited reports whether the limit bounds nothing.
+// Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l.Rate <= 0 }
 
-// keyHash stands for a key.
+// keyHash is the hash of an API key.
 type keyHash [sha256.Size]byte
 
-// Directory finds tenants by their keys. It is immutable, and nil where a
-// configuration knows no tenants.
+// Directory finds tenants by their keys. It is immutable, and nil if the configuration has
+// no tenants.
 type Directory struct {
 	byKey   map[keyHash]*Tenant
 	tenants int
 }
 
-// NewDirectory returns the directory of a configuration's tenants, or every finding
-// about them.
+// NewDirectory returns the directory of a configuration's tenants, or an error with every
+// finding about them.
 func NewDirectory(tenants []Tenant) (*Directory, error) {
 	found := findings.Of("tenants")
 	directory := &Directory{byKey: make(map[keyHash]*Tenant), tenants: len(tenants)}
@@ -74,7 +74,7 @@
 	found.Require(value >= 0 && !math.IsInf(value, 0), path, "got %v, want a number that is at least 0", value)
 }
 
-// add takes a tenant's keys in. The findings name the places of keys and no key.
+// add adds a tenant's keys. The findings contain the paths of keys and no key.
 func (d *Directory) add(found *findings.List, path string, given Tenant) {
 	known := &Tenant{Name: given.Name, Priority: given.Priority, Limit: given.Limit, Regions: given.Regions}
 	for index, key := range given.Keys {
@@ -87,14 +87,14 @@
 	}
 }
 
-// Lookup returns the tenant that a key belongs to. The key counts as it stands, to
-// the last sign. The caller must not change the tenant, which holds no keys.
+// Lookup returns the tenant that a key belongs to. The key must match exactly. The caller
+// must not modify the returned tenant, which holds no keys.
 func (d *Directory) Lookup(key string) (*Tenant, bool) {
 	known, found := d.byKey[keyHash(sha256.Sum256([]byte(key)))]
 	return known, found
 }
 
-// Priorities returns the priorities of all tenants, each once.
+// Priorities returns the distinct priorities of all tenants that have keys.
 func (d *Directory) Priorities() []int {
 	var priorities []int
 	for _, known := range d.byKey {
@@ -105,5 +105,5 @@
 	return priorities
 }
 
-// Count returns how many tenants there are.
+// Count returns the number of tenants.
 func (d *Directory) Count() int { return d.tenants }
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -13,9 +13,10 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// agents replays the programs of one tenant in virtual time: turns, each followed by
-// calls side by side. A turn that is refused is tried again, and goes out anew twice; a
-// call has one more try. A program ends with the first request that is given up.
+// simulation simulates the programs of one tenant in virtual time. They consist of turns, each
+// followed by concurrent tool calls. A refused turn is retried once, then sent as a new
+// request up to twice; a refused call is retried once. A program ends with the first
+// request that is given up.
 type simulation struct {
 	limiter *tenant.Book
 	limit   tenant.Limit
@@ -27,16 +28,16 @@
 	asked, ended, inTime, granted, wasted int
 }
 
-// slack is how long a program may wait and still end in time.
+// slack is how long a program may wait and still finish in time.
 const slack = 300 * time.Millisecond
 
-// agent is one program of agents.
+// simulatedProgram is one simulated program.
 type simulatedProgram struct {
 	name, route string
 	turns       int
 	calls       int
 	used        int
-	// waited is how long its requests waited after refusals.
+	// waited is the total time that its requests waited after refusals.
 	waited time.Duration
 	over   bool
 }
@@ -62,7 +63,7 @@
 	heap.Push(&a.queue, event{at: a.now.Add(wait), do: do})
 }
 
-// arrive begins programs at a pace that changes with time, until an end.
+// arrive starts programs at a rate that changes with time, until the given end.
 func (a *simulation) arrive(end time.Time, perSecond func(time.Time) float64) {
 	wait := time.Duration(a.random.ExpFloat64() / perSecond(a.now) * float64(time.Second))
 	a.after(wait, func() {
@@ -85,7 +86,8 @@
 	return time.Duration(float64(mean) * math.Exp(0.6*a.random.NormFloat64()))
 }
 
-// ask asks for a request; a refused one has some more tries, within a third of its time.
+// ask sends a request; a refused one is retried the given number of times, each after at
+// most a third of its remaining time.
 func (a *simulation) ask(one *simulatedProgram, route string, left time.Duration, tries int, granted, refused func()) {
 	if one.over {
 		return
@@ -170,8 +172,8 @@
 	}
 }
 
-// playHot plays a tenant that sends its usual for 4 s, some times that for 5 s, and its
-// usual again, with twenty seeds.
+// simulateBurst simulates a tenant that sends its usual load for 4 s, a multiple of it for 5 s,
+// and its usual load again, with twenty seeds.
 func simulateBurst(config tenant.Config, rate, usual, times float64) (sum simulation) {
 	for seed := range uint64(20) {
 		played := &simulation{
--- a/tenant/scope.go
+++ b/tenant/scope.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Scope is whose names a request's ids are: the same id under two tenants names two
-// things, neither of which the other tenant can reach. The zero Scope is that of a
+// Scope is the namespace of the ids in a request: the same id under two tenants denotes
+// two things, neither of which the other tenant can reach. The zero Scope is that of a
 // configuration without tenants.
 type Scope struct {
 	name   string
@@ -17,27 +17,28 @@
 // ScopeOf returns the scope of a tenant's requests.
 func ScopeOf(owner *Tenant) Scope { return Scope{name: owner.Name, scoped: true} }
 
-// PublicScope returns the scope of requests that need no key, where others do. It is
-// not that of a configuration without tenants: what was kept under that one may be
-// any tenant's.
+// PublicScope returns the scope of requests that need no key, in a configuration with
+// tenants. It differs from the zero Scope: what was stored under that one may belong to
+// any tenant.
 func PublicScope() Scope { return Scope{scoped: true} }
 
 const (
-	// separator ends the tenant's name in the text of an id. No name holds it, since
+	// separator follows the tenant's name in a qualified id. No name contains it, since
 	// NewDirectory allows no control characters.
 	separator = "\x1f"
-	// maxTextBytes bounds the text of an id: a key of the log is 255 bytes at most, with
-	// what stands before and after the id, and a longer one would be cut off and
-	// name something else.
+	// maxTextBytes bounds the length of a qualified id. A key of the log, with what
+	// precedes and follows the id, has at most 255 bytes; a longer one would be truncated
+	// and denote something else.
 	maxTextBytes = 230
 )
 
-// Of returns the text by which an id of the scope is known to all nodes: the plain id
-// in the zero Scope. No two ids and no two scopes yield the same text, and none yields
-// a plain id besides the zero Scope. The empty id, which names nothing, stays empty.
+// Qualify returns the text that denotes an id of the scope on all nodes; for the zero
+// Scope this is the id itself. Different ids and different scopes yield different texts,
+// and only the zero Scope yields the plain id. The empty id, which denotes nothing, stays
+// empty.
 //
-// What is too long for a key, and what holds the separator itself, is known by its
-// digest behind two separators, which no other text begins with.
+// An id that is too long for a key, or contains the separator itself, is replaced by its
+// digest after two separators, with which no other text begins.
 func (s Scope) Of(id string) string {
 	if id == "" {
 		return ""
@@ -53,8 +54,8 @@
 	return separator + separator + hex.EncodeToString(digest[:])
 }
 
-// Unscoped returns the text by which an id was known before ids had a scope, or ""
-// where it is the same as that of Of.
+// Unscoped returns the text that denoted an id before ids had a scope, or "" if it is the
+// same as that of Qualify.
 func (s Scope) Unscoped(id string) string {
 	if !s.scoped {
 		return ""
--- a/tenant/scope_test.go
+++ b/tenant/scope_test.go
@@ -54,7 +54,7 @@
 	})
 })
 
-// FuzzScope holds that no two scopes and ids have one text.
+// FuzzScope checks that different ids and scopes never yield the same text.
 func FuzzScope(f *testing.F) {
 	f.Add("one", "id", "two", "id")
 	f.Add("one", "id", "", "one\x1fid")
--- a/tenant/window.go
+++ b/tenant/window.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// windowSlots is into how many slots a window is cut. What came in the oldest slot
-// counts until all of it lies before the window.
+// windowSlots is the number of slots that a window is divided into. Events of the oldest
+// slot count until the whole slot has left the window.
 const windowSlots = 100
 
-// window counts what came within a span of time.
+// window counts events in a sliding time window.
 type window struct {
 	slot   time.Duration
 	counts [windowSlots + 1]float64
-	// newest is the number of the newest slot since startedAt.
+	// startedAt is when slot 0 began, and newest the number of the newest slot.
 	startedAt time.Time
 	newest    int64
 	total     float64
@@ -23,7 +23,7 @@
 // slotOf returns the number of the slot that a time lies in.
 func (w *window) slotOf(at time.Time) int64 { return int64(at.Sub(w.startedAt) / w.slot) }
 
-// advance drops what lies before the window that ends now.
+// advance drops the slots that lie before the window ending now.
 func (w *window) advance(now time.Time) {
 	to := w.slotOf(now)
 	if to-w.newest > windowSlots {
@@ -38,13 +38,15 @@
 	}
 }
 
-// add counts one that comes now; the window was advanced.
+// add counts an event in the newest slot; advance must have been called for the present
+// time.
 func (w *window) add() {
 	w.counts[w.newest%int64(len(w.counts))]++
 	w.total++
 }
 
-// remove takes one back that came at a time, if it still counts.
+// remove takes back an event that was counted at the given time, if it is still in the
+// window.
 func (w *window) remove(at time.Time) {
 	slot := w.slotOf(at)
 	if slot < 0 || w.newest-slot >= int64(len(w.counts)) {
