--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -69,22 +69,22 @@
 // Turns of new programs wait at the node if the replicas are full and a slot is expected
 // within the longest wait that the turn tolerates. Otherwise they run if a slot is free,
 // and are refused on arrival if not.
-func Admit(room *Room, standing *Standing, left time.Duration) Admission {
-	if standing.Begun || room.Free() && room.Ahead == 0 {
+func Admit(load *Room, state *Standing, left time.Duration) Admission {
+	if state.Begun || load.Free() && load.Ahead == 0 {
 		return Admission{Verdict: VerdictRun}
 	}
 	expected := defaultExpectedWait
-	if room.Pace > 0 {
-		expected = time.Duration(float64(room.Ahead+1) / room.Pace * float64(time.Second))
+	if load.Pace > 0 {
+		expected = time.Duration(float64(load.Ahead+1) / load.Pace * float64(time.Second))
 	}
 	bound := min(maxWait, time.Duration(float64(left)*deadlineWaitFraction))
-	if slack := standing.Slack(); slack > 0 {
+	if slack := state.Slack(); slack > 0 {
 		bound = min(bound, time.Duration(float64(slack)*slackWaitFraction))
 	}
 	switch {
 	case expected <= bound:
 		return Admission{Verdict: VerdictWait, Expected: expected, Bound: bound}
-	case room.Least < 1:
+	case load.Least < 1:
 		return Admission{Verdict: VerdictRun, Expected: expected}
 	default:
 		return Admission{Verdict: VerdictRefuse, Expected: expected, Bound: bound}
@@ -92,8 +92,8 @@
 }
 
 // AfterWait decides on a turn whose wait has timed out: it runs if a slot is free by now.
-func AfterWait(room *Room) Verdict {
-	if room.Free() || room.Least < 1 {
+func AfterWait(load *Room) Verdict {
+	if load.Free() || load.Least < 1 {
 		return VerdictRun
 	}
 	return VerdictRefuse
--- a/dispatch/length.go
+++ b/dispatch/length.go
@@ -51,7 +51,7 @@
 // the client's hint and the usual length of the route, as far as each is known, and at
 // most the turn's limit; 0 if nothing is known. The two are averaged because a hint is
 // right in the median but often far off.
-func (l *Lengths) Expected(route string, hint, most int) int {
+func (l *Lengths) Expected(route string, hint, limit int) int {
 	usual := 0.0
 	if stats := l.routes[route]; stats != nil {
 		usual = math.Exp(stats.meanLog)
@@ -63,8 +63,8 @@
 	case usual > 0:
 		expected = math.Sqrt(expected * usual)
 	}
-	if most > 0 {
-		expected = min(expected, float64(most))
+	if limit > 0 {
+		expected = min(expected, float64(limit))
 	}
 	return int(math.Round(expected))
 }
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -84,11 +84,11 @@
 }
 
 // Before reports whether a turn is served before another: by priority, then by sort key.
-func Before(priority int, standing *Standing, otherPriority int, other *Standing) bool {
+func Before(priority int, state *Standing, otherPriority int, other *Standing) bool {
 	if priority != otherPriority {
 		return priority < otherPriority
 	}
-	return standing.SortKey() < other.SortKey()
+	return state.SortKey() < other.SortKey()
 }
 
 // Bands maps the priorities of a service's routes and tenants to ranges of the urgency
@@ -106,15 +106,15 @@
 
 // Urgency returns the rank of a turn at engines: its priority, or a less urgent rank of
 // the same band if turns of that priority are to be served before it.
-func (b Bands) Urgency(priority int, standing *Standing) int {
+func (b Bands) Urgency(priority int, state *Standing) int {
 	first := min(max(0, priority), LeastUrgency)
-	if !standing.HasLeft {
+	if !state.HasLeft {
 		return first
 	}
 	end := LeastUrgency + 1
 	if index, _ := slices.BinarySearch(b.priorities, priority+1); index < len(b.priorities) {
 		end = min(end, b.priorities[index])
 	}
-	share := min(max(standing.SortKey()/float64(tiers), 0), 1)
-	return max(first, min(first+int(share*float64(end-first)), end-1))
+	position := min(max(state.SortKey()/float64(tiers), 0), 1)
+	return max(first, min(first+int(position*float64(end-first)), end-1))
 }
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -95,20 +95,20 @@
 }
 
 // weight returns the weight of a sample, which halves with each half-life of its age.
-func (t *tokenTimeSample) weight(now time.Time, half time.Duration) float64 {
+func (t *tokenTimeSample) weight(now time.Time, halfLife time.Duration) float64 {
 	if t.token == 0 {
 		return 0
 	}
-	return math.Exp2(-float64(now.Sub(t.at)) / float64(half))
+	return math.Exp2(-float64(now.Sub(t.at)) / float64(halfLife))
 }
 
 // Lately returns the median token time of this node's turns within the given time, and
 // their number.
-func (p *Pace) Lately(now time.Time, while time.Duration) (token time.Duration, turns int) {
+func (p *Pace) Lately(now time.Time, period time.Duration) (token time.Duration, turns int) {
 	var buffer [keptSamples]float64
 	recent := buffer[:0]
 	for _, one := range p.samples {
-		if one.token > 0 && now.Sub(one.at) <= while {
+		if one.token > 0 && now.Sub(one.at) <= period {
 			recent = append(recent, one.token)
 		}
 	}
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -46,20 +46,20 @@
 )
 
 // End predicts the time from sending the turn to its last token.
-func (j *Job) End(place *Place) float64 {
-	work := place.Missing*place.Read + j.Tokens*place.Token*(1+BesideShare*place.Load)
-	return place.Way + work*(1+queueingFactor*place.expectedQueue())
+func (j *Job) End(replica *Place) float64 {
+	work := replica.Missing*replica.Read + j.Tokens*replica.Token*(1+BesideShare*replica.Load)
+	return replica.Way + work*(1+queueingFactor*replica.expectedQueue())
 }
 
 // AddedDelay predicts by how much the turn delays all concurrent requests together.
-func (j *Job) AddedDelay(place *Place) float64 {
-	return place.Load * (place.Missing*place.Read + BesideShare*j.Tokens*place.Token)
+func (j *Job) AddedDelay(replica *Place) float64 {
+	return replica.Load * (replica.Missing*replica.Read + BesideShare*j.Tokens*replica.Token)
 }
 
 // Cost is the quantity that a placement minimizes: the turn's completion time plus the
 // delay that it adds to others.
-func (j *Job) Cost(place *Place) float64 {
-	return j.End(place) + j.AddedDelay(place)
+func (j *Job) Cost(replica *Place) float64 {
+	return j.End(replica) + j.AddedDelay(replica)
 }
 
 // expectedQueue returns the expected number of requests in excess of the slots once the
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -19,10 +19,10 @@
 
 // stateAt returns the scheduling state of the turn at the given time.
 func (w *Waiting) stateAt(now time.Time) *Standing {
-	standing := w.Standing
-	standing.Waited = now.Sub(w.Since)
-	standing.Left -= standing.Waited
-	return &standing
+	state := w.Standing
+	state.Waited = now.Sub(w.Since)
+	state.Left -= state.Waited
+	return &state
 }
 
 // QueueLimits bounds a queue.
@@ -59,9 +59,9 @@
 // Ahead returns how many waiting turns are served before the given one.
 func (q *Queue) Ahead(now time.Time, turn *Waiting) int {
 	ahead := 0
-	standing := turn.stateAt(now)
+	state := turn.stateAt(now)
 	for _, entry := range q.entries {
-		if Before(entry.Priority, entry.stateAt(now), turn.Priority, standing) {
+		if Before(entry.Priority, entry.stateAt(now), turn.Priority, state) {
 			ahead++
 		}
 	}
@@ -146,13 +146,13 @@
 
 // Expire removes and returns the turns whose wait has ended.
 func (q *Queue) Expire(now time.Time) []*Waiting {
-	var over []*Waiting
+	var expired []*Waiting
 	for index := len(q.entries) - 1; index >= 0; index-- {
 		if !now.Before(q.entries[index].Until) {
-			over = append(over, q.removeAt(index))
+			expired = append(expired, q.removeAt(index))
 		}
 	}
-	return over
+	return expired
 }
 
 func (q *Queue) removeAt(index int) *Waiting {
--- a/dispatch/reading.go
+++ b/dispatch/reading.go
@@ -12,8 +12,8 @@
 type Reading struct {
 	// The sums of a linear regression of the first-event time on the uncached tokens, with
 	// exponential decay.
-	turns, missing, first, squares, products float64
-	at                                       time.Time
+	turns, uncached, first, squares, products float64
+	at                                        time.Time
 }
 
 const (
@@ -37,21 +37,21 @@
 
 // Observe adds the time that a turn waited for its first event at a replica where the
 // given number of tokens were uncached, with the given token time.
-func (r *Reading) Observe(now time.Time, missing int, first, token time.Duration) {
-	if token <= 0 || first < 0 || missing < 0 {
+func (r *Reading) Observe(now time.Time, uncached int, first, token time.Duration) {
+	if token <= 0 || first < 0 || uncached < 0 {
 		return
 	}
-	base, share := r.Fit()
-	tokens := float64(missing)
-	observed := min(float64(first)/float64(token), outlierFactor*(base+share*tokens)+outlierTokens)
+	base, ratio := r.Fit()
+	tokens := float64(uncached)
+	observed := min(float64(first)/float64(token), outlierFactor*(base+ratio*tokens)+outlierTokens)
 	if !r.at.IsZero() {
 		decay := math.Exp2(-float64(max(0, now.Sub(r.at))) / float64(prefillHalfLife))
-		r.turns, r.missing, r.first = r.turns*decay, r.missing*decay, r.first*decay
+		r.turns, r.uncached, r.first = r.turns*decay, r.uncached*decay, r.first*decay
 		r.squares, r.products = r.squares*decay, r.products*decay
 	}
 	r.at = now
 	r.turns++
-	r.missing += tokens
+	r.uncached += tokens
 	r.first += observed
 	r.squares += tokens * tokens
 	r.products += tokens * observed
@@ -59,14 +59,14 @@
 
 // Fit returns the base time of a turn and the time of each uncached token, in units of the
 // token time.
-func (r *Reading) Fit() (base, share float64) {
+func (r *Reading) Fit() (base, ratio float64) {
 	if r.turns == 0 {
 		return 0, ReadShare
 	}
 	const prior = priorTurns * priorSpread * priorSpread
-	variance := r.squares - r.missing*r.missing/r.turns
-	covariance := r.products - r.missing*r.first/r.turns
-	share = min(max((covariance+prior*ReadShare)/(variance+prior), minPrefillRatio), maxPrefillRatio)
-	base = max(0, (r.first-share*r.missing)/r.turns)
-	return base, share
+	variance := r.squares - r.uncached*r.uncached/r.turns
+	covariance := r.products - r.uncached*r.first/r.turns
+	ratio = min(max((covariance+prior*ReadShare)/(variance+prior), minPrefillRatio), maxPrefillRatio)
+	base = max(0, (r.first-ratio*r.uncached)/r.turns)
+	return base, ratio
 }
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -88,14 +88,14 @@
 
 // step ends the turns that are finished and processes arrivals.
 func (c *simulation) step(at time.Duration) {
-	for index, line := range c.replicas {
-		c.replicas[index] = slices.DeleteFunc(line, func(turn *simTurn) bool { return turn.began && !c.now.Before(turn.ends) && c.end(turn) })
+	for index, turns := range c.replicas {
+		c.replicas[index] = slices.DeleteFunc(turns, func(turn *simTurn) bool { return turn.began && !c.now.Before(turn.ends) && c.end(turn) })
 		c.start(index)
 	}
 	if at%loadReportInterval == 0 {
 		for node := range c.knownLoads {
-			for index, line := range c.replicas {
-				c.knownLoads[node][index] = len(line)
+			for index, turns := range c.replicas {
+				c.knownLoads[node][index] = len(turns)
 			}
 		}
 	}
@@ -207,22 +207,22 @@
 // start starts turns in the free slots of a replica, and drops those whose deadline passed
 // while they waited.
 func (c *simulation) start(index int) {
-	line := slices.DeleteFunc(c.replicas[index], func(turn *simTurn) bool {
+	turns := slices.DeleteFunc(c.replicas[index], func(turn *simTurn) bool {
 		if turn.began || c.now.Before(turn.deadline) {
 			return false
 		}
 		c.failed++
 		return true
 	})
-	c.replicas[index] = line
+	c.replicas[index] = turns
 	running := 0
-	for _, turn := range line {
+	for _, turn := range turns {
 		if turn.began {
 			running++
 		}
 	}
 	for ; running < simSlots; running++ {
-		next := c.nextOf(line)
+		next := c.nextOf(turns)
 		if next == nil {
 			return
 		}
@@ -231,9 +231,9 @@
 }
 
 // nextOf returns the turn that a replica starts next.
-func (c *simulation) nextOf(line []*simTurn) *simTurn {
+func (c *simulation) nextOf(turns []*simTurn) *simTurn {
 	var next *simTurn
-	for _, turn := range line {
+	for _, turn := range turns {
 		if turn.began {
 			continue
 		}
--- a/dispatch/share.go
+++ b/dispatch/share.go
@@ -66,13 +66,13 @@
 // Over reports whether a tenant runs more than its share at the given utilisation of the
 // least loaded replica, in requests per slot. It is false while that replica has a free
 // slot.
-func (s *Shares) Over(now time.Time, tenant string, full float64) bool {
+func (s *Shares) Over(now time.Time, tenant string, utilisation float64) bool {
 	reported, known := s.usages[tenant]
-	if full < 1 || !known || now.Sub(reported.at) > usageTTL || reported.programs <= minPrograms {
+	if utilisation < 1 || !known || now.Sub(reported.at) > usageTTL || reported.programs <= minPrograms {
 		return false
 	}
 	if now.Sub(s.levelAt) >= levelTTL {
-		s.level, s.levelAt = s.computeLevel(now, full), now
+		s.level, s.levelAt = s.computeLevel(now, utilisation), now
 	}
 	share := s.level * reported.weight
 	return float64(reported.programs) > share+math.Sqrt(share)+minPrograms
@@ -80,7 +80,7 @@
 
 // computeLevel returns how many programs per unit of weight each tenant may run so that
 // all together run as many as fit the slots.
-func (s *Shares) computeLevel(now time.Time, full float64) float64 {
+func (s *Shares) computeLevel(now time.Time, utilisation float64) float64 {
 	usages := make([]usage, 0, len(s.usages))
 	programs, weights := 0., 0.
 	for _, reported := range s.usages {
@@ -93,13 +93,13 @@
 	slices.SortFunc(usages, func(reported, other usage) int {
 		return cmp.Compare(float64(reported.programs)/reported.weight, float64(other.programs)/other.weight)
 	})
-	room := programs / full
+	capacity := programs / utilisation
 	for _, reported := range usages {
-		if float64(reported.programs) >= reported.weight*room/weights {
+		if float64(reported.programs) >= reported.weight*capacity/weights {
 			break
 		}
-		room -= float64(reported.programs)
+		capacity -= float64(reported.programs)
 		weights -= reported.weight
 	}
-	return room / weights
+	return capacity / weights
 }
--- a/dispatch/slack.go
+++ b/dispatch/slack.go
@@ -63,20 +63,20 @@
 
 // Observe records the time left of a program at a stage, and returns its progress.
 func (s *Slack) Observe(route string, stage int, left time.Duration) Progress {
-	entry := s.routes[route]
-	if entry == nil {
+	stages := s.routes[route]
+	if stages == nil {
 		if len(s.routes) >= maxTrackedNames {
 			clear(s.routes)
 		}
-		entry = &[maxStages]stageSlack{}
-		s.routes[route] = entry
+		stages = &[maxStages]stageSlack{}
+		s.routes[route] = stages
 	}
-	at := &entry[min(max(0, stage), maxStages-1)]
-	progress := at.progress(float64(left))
+	mean := &stages[min(max(0, stage), maxStages-1)]
+	progress := mean.progress(float64(left))
 	if left > 0 {
 		// Programs past their finish time do not show how much time programs need.
-		at.programs = min(at.programs+1, stageMemory)
-		at.left += (float64(left) - at.left) / at.programs
+		mean.programs = min(mean.programs+1, stageMemory)
+		mean.left += (float64(left) - mean.left) / mean.programs
 	}
 	return progress
 }
@@ -103,30 +103,30 @@
 // share and only the least urgent after it, so that no program is preferred to a more
 // urgent one.
 func (s *Slack) Haste(now time.Time, service string, priority int, progress Progress) int {
-	entry := s.lastSeen[service]
-	if entry == nil {
+	seen := s.lastSeen[service]
+	if seen == nil {
 		if len(s.lastSeen) >= maxTrackedNames {
 			clear(s.lastSeen)
 		}
-		entry = &[priorityCount]time.Time{}
-		s.lastSeen[service] = entry
+		seen = &[priorityCount]time.Time{}
+		s.lastSeen[service] = seen
 	}
 	rank := min(max(0, priority), priorityCount-1)
-	entry[rank] = now
+	seen[rank] = now
 	first, last := rank, rank
-	for other, at := range entry {
+	for other, at := range seen {
 		if !at.IsZero() && now.Sub(at) <= priorityTTL {
 			first, last = min(first, other), max(last, other)
 		}
 	}
-	least, most := -1, 1
+	lowest, highest := -1, 1
 	if rank > first {
-		most = 0
+		highest = 0
 	}
 	if rank < last {
-		least = 0
+		lowest = 0
 	}
-	return min(max(least, progress.speedBias()), most)
+	return min(max(lowest, progress.speedBias()), highest)
 }
 
 // speedBias returns the bias for a progress, regardless of priorities.
--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -81,12 +81,12 @@
 	if sums == nil || sums.programs < minRoutePrograms {
 		return 0
 	}
-	rest := 1.
+	turnsLeft := 1.
 	if tracked := u.programs[program]; tracked != nil && tracked.granted > 0 && sums.granted > 0 {
 		turns := tracked.granted.Seconds() * sums.turns / sums.granted
-		rest = max(turns-float64(tracked.turns-1), 1)
+		turnsLeft = max(turns-float64(tracked.turns-1), 1)
 	}
-	return time.Duration(rest * sums.took / sums.turns * float64(time.Second))
+	return time.Duration(turnsLeft * sums.took / sums.turns * float64(time.Second))
 }
 
 // sweep removes the programs that have ended and learns from them.
