--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -20,7 +20,8 @@
 // String returns the label of the verdict in logs and metrics.
 func (v Verdict) String() string { return [verdicts]string{"run", "wait", "refuse"}[v] }
 
-// Utilisation describes the load of the replicas that may serve a turn.
+// Utilisation describes the load that a turn meets: that of the replicas that may serve
+// it, and of this node's queue.
 type Room struct {
 	// Least is the number of requests per slot at the least loaded replica that may serve
 	// the turn, below 1 if it has a free slot, and Mean that of all these replicas. Both
@@ -41,15 +42,15 @@
 	Expected, Bound time.Duration
 }
 
-// maxNewUtilisation is the mean utilisation from which on new programs wait. It is above 1
-// because a few requests queued at a replica start as soon as a slot becomes free there.
-// More than that would delay started programs, which need a slot again for each of their
-// turns.
+// maxNewUtilisation is the mean number of requests per slot from which on new programs
+// wait. It is above 1 because a few requests queued at a replica start as soon as a slot
+// becomes free there. More than that would delay started programs, which need a slot again
+// for each of their turns.
 const maxNewUtilisation = 1.1
 
 const (
-	// maxWait is the longest wait for a slot: a caller that is told to retry is back after
-	// this time.
+	// maxWait is the longest wait for a slot: a caller that is told to retry instead is
+	// back by then.
 	maxWait = 500 * time.Millisecond
 	// deadlineWaitFraction is the fraction of the time to the turn's deadline that it may
 	// wait: the rest is for running the turn and for a second try elsewhere.
--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -60,7 +60,7 @@
 	transientBounds = durationBounds{minimum: 150 * time.Millisecond, maximum: 600 * time.Millisecond}
 	// Causes that end with the takeover of a partition or the end of some turns.
 	takeoverBounds = durationBounds{minimum: 250 * time.Millisecond, maximum: 1200 * time.Millisecond}
-	// Causes that end with an outage or an operator's work.
+	// Causes that last as long as an outage or an operator's intervention.
 	outageBounds = durationBounds{minimum: 500 * time.Millisecond, maximum: 2500 * time.Millisecond}
 )
 
@@ -137,8 +137,8 @@
 	return min(max(r.Lasted, bounds.minimum), bounds.maximum)
 }
 
-// spread returns the length of the window in which refused callers retry, which starts
-// after the given time.
+// spread returns the length of the window in which refused callers retry; the window
+// starts when the cause is expected to end, after the given time.
 func (r *Refusal) spread(ends time.Duration) time.Duration {
 	least := time.Duration(float64(ends) * minSpreadFraction)
 	if r.ServiceRate <= 0 {
@@ -201,8 +201,8 @@
 // seconds.
 func (r *Returns) Pace(now time.Time) float64 { return r.served.rate(now) }
 
-// meterSpan is the interval in which a meter counts, and meterSpans the number of
-// intervals kept, so that the service rate before an outage is remembered.
+// meterSpan is the interval over which a meter counts, and meterSpans the number of
+// intervals kept: the service rate before an outage is remembered for as long.
 const (
 	meterSpan  = time.Second
 	meterSpans = 16
--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -35,8 +35,8 @@
 // String returns the label of the verdict in logs and metrics.
 func (a RepeatVerdict) String() string { return [repeatVerdicts]string{"sent", "no time", "full"}[a] }
 
-// DecideRepeat decides whether a late call is sent a second time, as a hedged request
-// beside the first one.
+// DecideRepeat decides whether a late call is sent a second time, as a hedged request: the
+// first one stays open.
 func Repeat(call *Late) RepeatVerdict {
 	switch {
 	case call.Left < max(minRepeatTime, call.Usual):
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -20,8 +20,8 @@
 	// it counts as.
 	peers      tokenTimeSample
 	peerWeight float64
-	// median is the age-weighted median of samples, and weight how many new turns
-	// it counts as, both as of at.
+	// median is the age-weighted median of samples, and weight how many new turns it
+	// counts as, both as of at.
 	median float64
 	weight float64
 	at     time.Time
@@ -73,8 +73,8 @@
 	p.peerWeight = min(maxPeerWeight, float64(turns))
 }
 
-// weightedMedian returns the median of this node's samples, weighted by age, and how many new
-// turns they count as.
+// weightedMedian returns the median of this node's samples, weighted by age, and how many
+// new turns they count as.
 func (p *Pace) weightedMedian(now time.Time) (token, weight float64) {
 	var buffer [keptSamples]tokenTimeSample
 	turns := append(buffer[:0], p.samples[:]...)
@@ -119,8 +119,8 @@
 	return time.Duration(recent[(len(recent)-1)/2]), len(recent)
 }
 
-// Estimate returns the token time, given the median of the service's replicas, which fills
-// in as far as recent measurements are few or missing; 0 if neither is known.
+// Token returns the estimated token time, given the median of the service's replicas,
+// which counts the more the fewer and older the measurements are; 0 if neither is known.
 func (p *Pace) Token(now time.Time, median time.Duration) time.Duration {
 	own := p.weight * math.Exp2(-float64(now.Sub(p.at))/float64(sampleHalfLife))
 	peerWeight := p.peerWeight * p.peers.weight(now, sampleHalfLife)
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -9,7 +9,7 @@
 	// Tenant is the tenant of the turn, or empty.
 	Tenant   string
 	Priority int
-	// Standing is the scheduling state of the turn on arrival.
+	// SchedulingState is the state of the turn on arrival.
 	Standing Standing
 	// Since is the time of arrival, and Until the time at which the wait ends.
 	Since, Until time.Time
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// simulation simulates programs of four turns at replicas that all nodes share, in steps of
-// virtual time. Nodes learn what others sent only every loadReportInterval.
+// simulation simulates programs of four turns at replicas that all nodes share, in steps
+// of virtual time. Nodes learn what others sent only every loadReportInterval.
 type simulation struct {
 	random     *rand.Rand
 	now        time.Time
@@ -27,8 +27,8 @@
 // simPolicy is how the nodes treat turns that find no free slot.
 type simPolicy struct {
 	// refuseNew refuses new programs at once while even the least loaded replica is full;
-	// waitAtNode lets turns wait at their node; orderBySlack makes replicas serve turns in order
-	// of slack instead of arrival.
+	// waitAtNode lets turns wait at their node; orderBySlack makes replicas serve turns in
+	// order of slack instead of arrival.
 	refuseNew, waitAtNode, orderBySlack bool
 }
 
@@ -48,8 +48,8 @@
 	simTurns                        = 4
 	simStep                         = 5 * time.Millisecond
 	simDeadline                     = 3 * time.Second
-	// refuseUtilisation is the utilisation of the least loaded replica from which on refuseNew
-	// refuses.
+	// refuseUtilisation is the utilisation of the least loaded replica from which on
+	// refuseNew refuses.
 	refuseUtilisation  = 1.25
 	loadReportInterval = 100 * time.Millisecond
 	// simCapacity is how many programs per second the replicas can serve.
@@ -68,8 +68,8 @@
 	return c
 }
 
-// play starts programs at a rate that depends on the time and is a fraction of simCapacity,
-// and runs until all have ended.
+// play starts programs at a rate that depends on the time and is a fraction of
+// simCapacity, and runs until all have ended.
 func (c *simulation) play(span time.Duration, rate func(time.Duration) float64) {
 	id, due := uint64(0), 0.
 	for at := time.Duration(0); at < span+20*time.Second; at += simStep {
--- a/dispatch/share_test.go
+++ b/dispatch/share_test.go
@@ -42,9 +42,9 @@
 	g.Expect(shares.usages).To(HaveLen(1))
 }
 
-// shareSimulation simulates a fleet with slots for 300 programs and 73 tenants, one of which
-// sends ten times its usual load for 6 s. Programs run for 1 s on average; new ones are
-// refused at 1.25 programs per slot.
+// shareSimulation simulates a fleet with slots for 300 programs and 73 tenants, one of
+// which sends ten times its usual load for 6 s. Programs run for 1 s on average; new ones
+// are refused at 1.25 programs per slot.
 type shareSimulation struct {
 	random *rand.Rand
 	shares *Shares
@@ -63,8 +63,8 @@
 	shareStep         = 10 * time.Millisecond
 )
 
-// usualRates is how many programs per second each tenant starts: three quarters of capacity,
-// with a few large tenants.
+// usualRates is how many programs per second each tenant starts: three quarters of
+// capacity, with a few large tenants.
 var usualRates = func() (rates [simTenants]float64) {
 	sum := 0.
 	for index := range rates {
--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// maxTrackedPrograms and maxTrackedRoutes bound what is tracked at once: more than one
-	// node has in progress.
+	// maxTrackedPrograms and maxTrackedRoutes bound the programs and routes that are
+	// tracked at once: more than one node has in progress.
 	maxTrackedPrograms = 512
 	maxTrackedRoutes   = 200
 	// routeMemory is about how many programs the sums of a route cover.
--- a/tenant/account.go
+++ b/tenant/account.go
@@ -24,8 +24,8 @@
 	InTurn bool
 }
 
-// DefaultConfig returns the settings used where the operator sets none. The values are
-// those of the reference deployments.
+// DefaultConfig returns the settings used where the operator sets none. They are those of
+// the users' deployments.
 func DefaultConfig() Config {
 	return Config{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 }
@@ -35,7 +35,7 @@
 const coldReplicaIdle = 20 * time.Second
 
 // ColdReplicaConfig returns the settings for limiting requests to cold replicas, used
-// where the operator sets none. The values are those of the reference deployments.
+// where the operator sets none. They are those of the users' deployments.
 func ColdReplicaConfig() Config {
 	return Config{Window: time.Second, Overrun: 0.5, Slack: 5, IdleAfter: coldReplicaIdle}
 }
@@ -60,8 +60,7 @@
 	// program runs.
 	newProgramFraction = 0.7
 	// retryReserve is how many buckets an account must be expected to have left over for a
-	// recently refused program to start: more than random variation makes of the
-	// expectation.
+	// recently refused program to start: more than the random error of the expectation.
 	retryReserve = 2.0
 	// nearlyFullFraction is the fill level of the bucket, as a fraction of its capacity,
 	// from which on earned requests are about to be lost.
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Charge decides whether a request fits the tenant's limit, and counts it if so. It is
+// Take decides whether a request fits the tenant's limit, and counts it if so. It is
 // idempotent by the ID of the request.
 func (b *Book) Spend(now time.Time, name string, request Request) Decision {
 	b.sweep(now)
@@ -127,9 +127,10 @@
 
 // retryAfterNew is retryAfter for a new program. It is refused if its requests, with those
 // that started programs still need, are more than the account is expected to hold. Started
-// programs need theirs over half of a program's span on average until they end. Unless the
-// account was empty recently, the needs are ignored: most programs finish within the
-// limit, and making one wait for nothing makes it late.
+// programs take half of a program's span on average until they end, during which the
+// account earns more requests. Unless the account was empty recently, the needs are
+// ignored: most programs finish within the limit, and making one wait for nothing makes it
+// late.
 func (b *Book) retryAfterNew(now time.Time, acct *account, request *Request) time.Duration {
 	needs := b.costOf(request.Route)
 	earned := needs.span.Seconds() / 2 * acct.rate(now, &b.config, b.share)
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -18,8 +18,8 @@
 
 const windowLimit = 100
 
-// establishedLimiter returns a Limiter whose node has been the only charge owner for longer than a
-// window.
+// establishedLimiter returns a Limiter whose node has been the only charge owner for
+// longer than a window.
 func establishedLimiter() *tenant.Book {
 	return tenant.NewBook(begun.Add(-time.Minute), tenant.DefaultConfig())
 }
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -13,9 +13,9 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// simulation simulates the programs of one tenant in virtual time. They consist of turns, each
-// followed by concurrent tool calls. A refused turn is retried once, then sent as a new
-// request up to twice; a refused call is retried once. A program ends with the first
+// simulation simulates the programs of one tenant in virtual time. They consist of turns,
+// each followed by concurrent tool calls. A refused turn is retried once, then sent as a
+// new request up to twice; a refused call is retried once. A program ends with the first
 // request that is given up.
 type simulation struct {
 	limiter *tenant.Book
@@ -172,8 +172,8 @@
 	}
 }
 
-// simulateBurst simulates a tenant that sends its usual load for 4 s, a multiple of it for 5 s,
-// and its usual load again, with twenty seeds.
+// simulateBurst simulates a tenant that sends its usual load for 4 s, a multiple of it for
+// 5 s, and its usual load again, with twenty seeds.
 func simulateBurst(config tenant.Config, rate, usual, times float64) (sum simulation) {
 	for seed := range uint64(20) {
 		played := &simulation{
