--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -68,8 +68,8 @@
 	return last
 }
 
-// under returns the number of unfinished requests at a replica, at most its slots.
-func (f *toolFleet) under(replica int) (count int) {
+// inFlight returns the number of unfinished requests at a replica, at most its slots.
+func (f *toolFleet) inFlight(replica int) (count int) {
 	for _, free := range f.free[replica] {
 		if free > f.now {
 			count++
@@ -78,12 +78,12 @@
 	return count
 }
 
-// emptiest returns the least loaded replica, searching from a random one.
-func (f *toolFleet) emptiest() (best int) {
+// leastLoaded returns the least loaded replica, searching from a random one.
+func (f *toolFleet) leastLoaded() (best int) {
 	start := f.random.IntN(toolReplicas)
 	best = start
 	for step := range toolReplicas {
-		if one := (start + step) % toolReplicas; f.under(one) < f.under(best) {
+		if one := (start + step) % toolReplicas; f.inFlight(one) < f.inFlight(best) {
 			best = one
 		}
 	}
@@ -92,39 +92,39 @@
 
 // send runs a call at a replica, and returns when it ends.
 func (f *toolFleet) send(replica int, work time.Duration) time.Duration {
-	place := 0
+	slot := 0
 	for other, free := range f.free[replica] {
-		if free < f.free[replica][place] {
-			place = other
+		if free < f.free[replica][slot] {
+			slot = other
 		}
 	}
-	begins := max(f.now, f.free[replica][place])
+	begins := max(f.now, f.free[replica][slot])
 	slowdown := rand.New(rand.NewPCG(uint64(replica), uint64(begins/toolSlowdownTime)))
 	if slowdown.Float64() < 0.15 {
 		work = time.Duration(float64(work) * toolSlowdown)
 	}
-	f.free[replica][place] = begins + work
+	f.free[replica][slot] = begins + work
 	return begins + work
 }
 
 func (f *toolFleet) call() {
-	came := f.now
+	arrived := f.now
 	work := min(time.Duration(16*math.Exp(f.random.NormFloat64())*float64(time.Millisecond)), 107*time.Millisecond)
-	ends := f.send(f.emptiest(), work)
-	if ends-came <= toolLateAfter {
-		f.times = append(f.times, ends-came)
+	ends := f.send(f.leastLoaded(), work)
+	if ends-arrived <= toolLateAfter {
+		f.times = append(f.times, ends-arrived)
 		f.budget = min(10, f.budget+0.1)
 		return
 	}
-	heap.Push(&f.queue, toolEvent{came + toolLateAfter, func() {
-		other := f.emptiest()
-		late := Late{Full: float64(f.under(other)) / toolSlots, Left: time.Second}
+	heap.Push(&f.queue, toolEvent{arrived + toolLateAfter, func() {
+		other := f.leastLoaded()
+		late := Late{Full: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
 		if f.budget >= 1 && (!f.guard || Repeat(&late) == AgainYes) {
 			f.budget--
 			f.repeats++
 			ends = min(ends, f.send(other, work))
 		}
-		f.times = append(f.times, ends-came)
+		f.times = append(f.times, ends-arrived)
 	}})
 }
 
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -16,8 +16,8 @@
 
 var begin = time.Unix(1000, 0)
 
-// feed adds one measurement per period, and returns the time after the last.
-func feed(pace *dispatch.Pace, from time.Time, lasting, period time.Duration, token time.Duration) time.Time {
+// addSamples adds one measurement per period, and returns the time after the last.
+func addSamples(pace *dispatch.Pace, from time.Time, lasting, period time.Duration, token time.Duration) time.Time {
 	for at := time.Duration(0); at < lasting; at += period {
 		pace.Observe(from.Add(at), token)
 	}
@@ -39,25 +39,25 @@
 func TestTokenTimeFollowsAChangeWithinTwoSeconds(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
-	now := feed(&pace, begin, 10*time.Second, 250*time.Millisecond, quick)
+	now := addSamples(&pace, begin, 10*time.Second, 250*time.Millisecond, quick)
 	near(g, &pace, now, quick)
-	now = feed(&pace, now, 2*time.Second, 250*time.Millisecond, 3*quick)
+	now = addSamples(&pace, now, 2*time.Second, 250*time.Millisecond, 3*quick)
 	near(g, &pace, now, 3*quick)
 }
 
 func TestTokenTimeIgnoresAShortSlowdown(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
-	now := feed(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
-	now = feed(&pace, now, 600*time.Millisecond, 200*time.Millisecond, quick*5/2)
-	now = feed(&pace, now, 200*time.Millisecond, 200*time.Millisecond, quick)
+	now := addSamples(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
+	now = addSamples(&pace, now, 600*time.Millisecond, 200*time.Millisecond, quick*5/2)
+	now = addSamples(&pace, now, 200*time.Millisecond, 200*time.Millisecond, quick)
 	near(g, &pace, now, quick)
 }
 
 func TestTokenTimeForgetsOldSamples(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
-	now := feed(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
+	now := addSamples(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
 	near(g, &pace, now.Add(5*time.Second), quick)
 	near(g, &pace, now.Add(2*time.Minute), steady)
 }
@@ -73,7 +73,7 @@
 	g := NewWithT(t)
 	for _, falseToken := range []time.Duration{time.Nanosecond, time.Hour} {
 		var pace dispatch.Pace
-		now := feed(&pace, begin, 4*time.Second, 100*time.Millisecond, steady)
+		now := addSamples(&pace, begin, 4*time.Second, 100*time.Millisecond, steady)
 		pace.Hear(now, falseToken, 1_000_000)
 		g.Expect(pace.Token(now, steady)).To(And(BeNumerically(">=", steady/4), BeNumerically("<=", 4*steady)))
 		pace.Hear(now, -falseToken, 5)
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -15,7 +15,7 @@
 	knownLoads [][]int      // requests by node and replica: as last reported, plus those sent since
 	queues     []*Queue
 	arrivals   []*simTurn
-	held       map[uint64]*simTurn
+	queued     map[uint64]*simTurn
 	returns    []Returns
 	policy     simPolicy
 
@@ -59,7 +59,7 @@
 func newSimulation(policy simPolicy, seed uint64) *simulation {
 	c := &simulation{
 		random: rand.New(rand.NewPCG(seed, seed)), now: epoch, policy: policy, replicas: make([][]*simTurn, simReplicas),
-		knownLoads: make([][]int, simNodes), returns: make([]Returns, simNodes), held: map[uint64]*simTurn{},
+		knownLoads: make([][]int, simNodes), returns: make([]Returns, simNodes), queued: map[uint64]*simTurn{},
 	}
 	for node := range simNodes {
 		c.knownLoads[node] = make([]int, simReplicas)
@@ -100,16 +100,16 @@
 		}
 	}
 	for node, queue := range c.queues {
-		for _, over := range queue.Expire(c.now) {
-			if AfterWait(c.room(node)) == VerdictRun {
-				c.send(c.held[over.ID])
+		for _, expired := range queue.Expire(c.now) {
+			if AfterWait(c.utilisation(node)) == VerdictRun {
+				c.send(c.queued[expired.ID])
 				continue
 			}
-			c.refuse(c.held[over.ID], CauseFull, 0)
+			c.refuse(c.queued[expired.ID], CauseFull, 0)
 		}
-		if first := queue.First(c.now); first != nil && c.room(node).Free() {
+		if first := queue.First(c.now); first != nil && c.utilisation(node).Free() {
 			queue.Leave(first.ID)
-			c.send(c.held[first.ID])
+			c.send(c.queued[first.ID])
 		}
 	}
 	arrivals := c.arrivals
@@ -123,8 +123,8 @@
 	}
 }
 
-// room returns the utilisation as known at a node.
-func (c *simulation) room(node int) *Room {
+// utilisation returns the utilisation as known at a node.
+func (c *simulation) utilisation(node int) *Room {
 	sum := 0
 	for _, load := range c.knownLoads[node] {
 		sum += load
@@ -133,14 +133,14 @@
 	return &Room{Least: least, Mean: float64(sum) / simSlots / simReplicas, Pace: c.returns[node].served.rate(c.now)}
 }
 
-func (c *simulation) standing(turn *simTurn) Standing {
+func (c *simulation) state(turn *simTurn) Standing {
 	return Standing{Begun: turn.step > 0, Left: turn.finish.Sub(c.now), HasLeft: true, Need: time.Duration(simTurns-turn.step) * simTurnTime}
 }
 
 // arrive decides on a turn.
 func (c *simulation) arrive(turn *simTurn) {
-	room, standing := c.room(turn.node), c.standing(turn)
-	if c.policy.refuseNew && !standing.Begun && room.Least >= refuseUtilisation {
+	utilisation, state := c.utilisation(turn.node), c.state(turn)
+	if c.policy.refuseNew && !state.Begun && utilisation.Least >= refuseUtilisation {
 		c.refuse(turn, CauseFull, 0)
 		return
 	}
@@ -148,9 +148,9 @@
 		c.send(turn)
 		return
 	}
-	waiting := &Waiting{ID: turn.id, Standing: standing, Since: c.now, Bytes: 100}
-	room.Ahead = c.queues[turn.node].Ahead(c.now, waiting)
-	admission := Admit(room, &standing, turn.deadline.Sub(c.now))
+	waiting := &Waiting{ID: turn.id, Standing: state, Since: c.now, Bytes: 100}
+	utilisation.Ahead = c.queues[turn.node].Ahead(c.now, waiting)
+	admission := Admit(utilisation, &state, turn.deadline.Sub(c.now))
 	switch admission.Verdict {
 	case VerdictRun:
 		c.send(turn)
@@ -158,9 +158,9 @@
 		c.refuse(turn, CauseFull, admission.Expected)
 	default:
 		waiting.Until = c.now.Add(admission.Bound)
-		c.held[turn.id] = turn
+		c.queued[turn.id] = turn
 		for _, displaced := range c.queues[turn.node].Join(c.now, waiting) {
-			c.refuse(c.held[displaced.ID], CauseFull, 0)
+			c.refuse(c.queued[displaced.ID], CauseFull, 0)
 		}
 	}
 }
@@ -237,9 +237,9 @@
 		if turn.began {
 			continue
 		}
-		left, right := c.standing(turn), Standing{}
+		left, right := c.state(turn), Standing{}
 		if next != nil {
-			right = c.standing(next)
+			right = c.state(next)
 			left.Waited, right.Waited = c.now.Sub(turn.at), c.now.Sub(next.at)
 		}
 		if next == nil || c.policy.orderBySlack && Before(0, &left, 0, &right) {
--- a/dispatch/share_test.go
+++ b/dispatch/share_test.go
@@ -119,11 +119,11 @@
 
 // begin starts a program of a tenant, or refuses it.
 func (r *shareSimulation) begin(now time.Time, tenant int, counts bool, running int) bool {
-	full := float64(running) / simProgramSlots
+	utilisation := float64(running) / simProgramSlots
 	if counts {
 		r.asked[tenant]++
 	}
-	if full >= 1.25 || r.fair && r.shares.Over(now, fmt.Sprint(tenant), full) {
+	if utilisation >= 1.25 || r.fair && r.shares.Over(now, fmt.Sprint(tenant), utilisation) {
 		return false
 	}
 	r.running[tenant]++
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -188,8 +188,8 @@
 		now := begun.Add(time.Duration(tick) * 100 * time.Millisecond)
 		runs[tick] = &run{}
 		first := max(0, tick-requestsPerProgram*2)
-		for _, place := range random.Perm(tick - first + 1) {
-			index := first + place
+		for _, offset := range random.Perm(tick - first + 1) {
+			index := first + offset
 			one := runs[index]
 			if one.made == requestsPerProgram || one.failed > 2 {
 				continue
