--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -61,13 +61,13 @@
 func plain(index int) tenant.Request { return request(fmt.Sprint(index)) }
 
 var _ = Describe("An account", func() {
-	It("lets no more pass in any window than the limit, and as much as that", func() {
+	It("grants the limit in any window, and no more", func() {
 		granted := saturate(establishedLimiter(), begun, 30*time.Second, plain)
 		Expect(busiestWindow(granted, 5*time.Second)).To(Equal(windowLimit))
 		Expect(len(granted)).To(BeNumerically(">=", 6*windowLimit-windowLimit/20))
 	})
 
-	It("refuses nothing of a steady use below the limit", func() {
+	It("refuses next to nothing of a steady load below the limit", func() {
 		limiter := establishedLimiter()
 		random := rand.New(rand.NewPCG(1, 2))
 		asked, refused := 0, 0
@@ -84,7 +84,7 @@
 		Expect(refused * 200).To(BeNumerically("<", asked))
 	})
 
-	It("counts a request once that is asked for again, and takes it back if it did not run", func() {
+	It("counts a repeated request once, and refunds it if it did not run", func() {
 		limiter := establishedLimiter()
 		first := limiter.Spend(begun, "t", request("a"))
 		again := limiter.Spend(begun, "t", request("a"))
@@ -96,7 +96,7 @@
 		Expect(limiter.Spend(begun, "t", request("c")).Balance).To(Equal(first.Balance - 1))
 	})
 
-	It("says when to come back, and takes what comes then", func() {
+	It("returns a retry delay, and grants a retry after it", func() {
 		limiter := establishedLimiter()
 		now := begun.Add(time.Second)
 		saturate(limiter, begun, time.Second, plain)
@@ -124,7 +124,7 @@
 		Expect(busiestWindow(high, 5*time.Second)).To(BeNumerically("~", 200, 10))
 	})
 
-	DescribeTable("opens empty after another node counted, and both stay within what is accepted",
+	DescribeTable("starts empty after the loss of another charge owner, and both stay within the accepted overrun",
 		func(limit tenant.Limit) {
 			// The first node grants all it can until it is lost, and the second all it can
 			// from then on; both count for 0.4 s.
@@ -158,7 +158,7 @@
 		Entry("a large burst", tenant.Limit{Rate: 20, Burst: 400}),
 	)
 
-	It("grants its share where others may count apart", func() {
+	It("grants only its share while other nodes may count separately", func() {
 		limiter := establishedLimiter()
 		limiter.SetShare(0.5)
 		Expect(busiestWindow(saturate(limiter, begun, 15*time.Second, plain), 5*time.Second)).To(BeNumerically("<=", windowLimit/2))
@@ -211,7 +211,7 @@
 }
 
 var _ = Describe("A tenant over its limit", func() {
-	It("has more programs end where those under way go first", func() {
+	It("finishes more programs if started ones have precedence", func() {
 		config := tenant.DefaultConfig()
 		ended, granted := simulateOverload(config)
 		config.FirstCome = true
@@ -221,7 +221,7 @@
 		Expect(float64(ended * requestsPerProgram)).To(BeNumerically(">=", 0.6*float64(granted)))
 	})
 
-	It("has the programs that are refused come back one after the other", func() {
+	It("tells refused programs to retry one after the other", func() {
 		limiter := establishedLimiter()
 		saturate(limiter, begun, 3*time.Second, func(index int) tenant.Request { return turn(fmt.Sprint(index), fmt.Sprint("p-", index%50)) })
 		var waits []time.Duration
--- a/tenant/directory_test.go
+++ b/tenant/directory_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("A directory", func() {
-	It("finds the tenant of a key, exactly as the key stands", func() {
+	It("finds the tenant of a key by exact match", func() {
 		directory, err := tenant.NewDirectory([]tenant.Tenant{
 			{Name: "one", Keys: []string{"key-a", "key-b"}, Priority: 1, Limit: tenant.Limit{Rate: 5, Burst: 2}},
 			{Name: "two", Keys: []string{"key-c"}},
@@ -40,7 +40,7 @@
 		Expect(found.Name).To(Equal("t-9999"))
 	})
 
-	It("is refused where a name would break a field of the head that replicas get", func() {
+	It("is refused if a name would break a header field that replicas get", func() {
 		_, err := tenant.NewDirectory([]tenant.Tenant{{Name: "a"}, {Name: "b\r\nX-Hold: 1"}})
 		Expect(err).To(MatchError(ContainSubstring("tenants[1].name")))
 	})
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -196,8 +196,8 @@
 	return sum
 }
 
-var _ = Describe("Programs of a tenant that sends many times its usual", func() {
-	DescribeTable("end in time as far as the limit holds them, and few requests are wasted",
+var _ = Describe("Programs of a tenant that sends many times its usual load", func() {
+	DescribeTable("finish in time as far as the limit allows, and waste few requests",
 		func(rate, usual, times, inTime, wasted float64) {
 			played := simulateBurst(tenant.DefaultConfig(), rate, usual, times)
 			Expect(float64(played.inTime) / float64(played.asked)).To(BeNumerically(">=", inTime))
@@ -211,7 +211,7 @@
 		Entry("a small tenant, six times its usual", 15.0, 0.8, 6.0, 0.35, 0.28),
 	)
 
-	It("have fewer end in time where those that come back begin as others", func() {
+	It("finish in time less often if refused programs that retry start like new ones", func() {
 		config := tenant.DefaultConfig()
 		first := simulateBurst(config, 134, 7, 10)
 		config.InTurn = true
--- a/tenant/scope_test.go
+++ b/tenant/scope_test.go
@@ -19,7 +19,7 @@
 		Expect(tenant.Scope{}.Unscoped("id")).To(BeEmpty())
 	})
 
-	It("tells tenants, requests without a key and former records apart", func() {
+	It("distinguishes tenants, requests without a key and unscoped records", func() {
 		texts := map[string]bool{}
 		for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), one, two} {
 			texts[scope.Of("id")] = true
@@ -29,7 +29,7 @@
 		Expect(tenant.PublicScope().Unscoped("id")).To(Equal("id"))
 	})
 
-	It("has no text for no id", func() {
+	It("leaves the empty id empty", func() {
 		Expect(one.Of("")).To(BeEmpty())
 	})
 
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("keeps within a key of the log, whatever a client sends", func() {
+	It("fits a key of the log, whatever a client sends", func() {
 		wide := tenant.ScopeOf(&tenant.Tenant{Name: strings.Repeat("n", 300)})
 		for length := 1; length < 600; length++ {
 			id := strings.Repeat("i", length)
