--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -10,33 +10,33 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestRepeat sends a late call again where that can bring an answer.
+// TestRepeat checks that a late call is repeated only if the repeat can bring an answer.
 func TestRepeat(t *testing.T) {
 	for _, one := range []struct {
 		call Late
-		want Again
+		want RepeatVerdict
 	}{
 		{Late{Full: 0.5, Left: time.Second, Usual: 30 * time.Millisecond}, AgainYes},
 		{Late{Full: 0.99, Left: 30 * time.Millisecond, Usual: 30 * time.Millisecond}, AgainYes},
-		{Late{Full: 0.5, Left: 29 * time.Millisecond, Usual: 30 * time.Millisecond}, AgainLate},
-		{Late{Left: 19 * time.Millisecond}, AgainLate},
+		{Late{Full: 0.5, Left: 29 * time.Millisecond, Usual: 30 * time.Millisecond}, RepeatNoTime},
+		{Late{Left: 19 * time.Millisecond}, RepeatNoTime},
 		{Late{Full: 1, Left: time.Second}, AgainFull},
 	} {
 		NewWithT(t).Expect(Repeat(&one.call)).To(Equal(one.want), "%+v", one.call)
 	}
 }
 
-// toolFleet replays calls before replicas in virtual time: 36 replicas of 6 places, of which
-// 15 in 100 take 2.5 times as long for 0.6 s at a time. A call goes to the emptiest
-// replica, waits there for a place, and goes out once more when it is late. What it takes
-// of a replica belongs to the call, however often it is sent.
+// toolFleet simulates calls to 36 replicas of 6 slots in virtual time. In 15 of 100
+// intervals of 0.6 s a replica takes 2.5 times as long. A call goes to the least loaded
+// replica, waits there for a slot, and is repeated when it is late. Its work is the same
+// however often it is sent.
 type toolFleet struct {
 	random *rand.Rand
 	guard  bool
 	queue  toolEvents
 	now    time.Duration
-	// free are the times at which the places of each replica are free.
-	free    [toolReplicas][toolPlaces]time.Duration
+	// free holds the times at which the slots of each replica become free.
+	free    [toolReplicas][toolSlots]time.Duration
 	times   []time.Duration
 	repeats int
 	// budget is how many repeats may be sent: a tenth of the calls that were answered.
@@ -44,11 +44,11 @@
 }
 
 const (
-	toolReplicas = 36
-	toolPlaces   = 6
-	toolLate     = 180 * time.Millisecond
-	toolSpell    = 600 * time.Millisecond
-	toolSlow     = 2.5
+	toolReplicas     = 36
+	toolSlots        = 6
+	toolLateAfter    = 180 * time.Millisecond
+	toolSlowdownTime = 600 * time.Millisecond
+	toolSlowdown     = 2.5
 )
 
 type toolEvent struct {
@@ -68,8 +68,8 @@
 	return last
 }
 
-// under is how many requests a replica has that have not ended, at most its places.
-func (f *toolFleet) under(replica int) (count int) {
+// inFlight returns the number of unfinished requests at a replica, at most its slots.
+func (f *toolFleet) inFlight(replica int) (count int) {
 	for _, free := range f.free[replica] {
 		if free > f.now {
 			count++
@@ -78,58 +78,58 @@
 	return count
 }
 
-// emptiest returns the emptiest replica, from a random one on.
-func (f *toolFleet) emptiest() (best int) {
+// leastLoaded returns the least loaded replica, searching from a random one.
+func (f *toolFleet) leastLoaded() (best int) {
 	start := f.random.IntN(toolReplicas)
 	best = start
 	for step := range toolReplicas {
-		if one := (start + step) % toolReplicas; f.under(one) < f.under(best) {
+		if one := (start + step) % toolReplicas; f.inFlight(one) < f.inFlight(best) {
 			best = one
 		}
 	}
 	return best
 }
 
-// send has a replica run a call, and returns when it ends.
+// send runs a call at a replica, and returns when it ends.
 func (f *toolFleet) send(replica int, work time.Duration) time.Duration {
-	place := 0
+	slot := 0
 	for other, free := range f.free[replica] {
-		if free < f.free[replica][place] {
-			place = other
+		if free < f.free[replica][slot] {
+			slot = other
 		}
 	}
-	begins := max(f.now, f.free[replica][place])
-	spell := rand.New(rand.NewPCG(uint64(replica), uint64(begins/toolSpell)))
-	if spell.Float64() < 0.15 {
-		work = time.Duration(float64(work) * toolSlow)
+	begins := max(f.now, f.free[replica][slot])
+	slowdown := rand.New(rand.NewPCG(uint64(replica), uint64(begins/toolSlowdownTime)))
+	if slowdown.Float64() < 0.15 {
+		work = time.Duration(float64(work) * toolSlowdown)
 	}
-	f.free[replica][place] = begins + work
+	f.free[replica][slot] = begins + work
 	return begins + work
 }
 
 func (f *toolFleet) call() {
-	came := f.now
+	arrived := f.now
 	work := min(time.Duration(16*math.Exp(f.random.NormFloat64())*float64(time.Millisecond)), 107*time.Millisecond)
-	ends := f.send(f.emptiest(), work)
-	if ends-came <= toolLate {
-		f.times = append(f.times, ends-came)
+	ends := f.send(f.leastLoaded(), work)
+	if ends-arrived <= toolLateAfter {
+		f.times = append(f.times, ends-arrived)
 		f.budget = min(10, f.budget+0.1)
 		return
 	}
-	heap.Push(&f.queue, toolEvent{came + toolLate, func() {
-		other := f.emptiest()
-		late := Late{Full: float64(f.under(other)) / toolPlaces, Left: time.Second}
+	heap.Push(&f.queue, toolEvent{arrived + toolLateAfter, func() {
+		other := f.leastLoaded()
+		late := Late{Full: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
 		if f.budget >= 1 && (!f.guard || Repeat(&late) == AgainYes) {
 			f.budget--
 			f.repeats++
 			ends = min(ends, f.send(other, work))
 		}
-		f.times = append(f.times, ends-came)
+		f.times = append(f.times, ends-arrived)
 	}})
 }
 
-// playTools has calls come for 10 s, a burst of them in the middle.
-func playTools(guard bool, usual, burst float64) *toolFleet {
+// simulateTools simulates calls for 10 s, with a burst in the middle.
+func simulateTools(guard bool, usual, burst float64) *toolFleet {
 	fleet := &toolFleet{random: rand.New(rand.NewPCG(11, 3)), guard: guard}
 	var arrive func()
 	arrive = func() {
@@ -160,13 +160,14 @@
 	return sum / time.Duration(len(times))
 }
 
-// TestRepeatsOfAnOverload do not make it longer.
-func TestRepeatsOfAnOverload(t *testing.T) {
+// TestRepeatsDuringOverload checks that repeats do not prolong an overload: while every
+// replica is full, late calls are not repeated.
+func TestRepeatsDuringOverload(t *testing.T) {
 	g := NewWithT(t)
-	before, guarded := playTools(false, 2000, 11000), playTools(true, 2000, 11000)
+	before, guarded := simulateTools(false, 2000, 11000), simulateTools(true, 2000, 11000)
 	t.Logf("repeats %d and %d of %d calls, mean %v and %v", before.repeats, guarded.repeats, len(before.times), meanTime(before.times), meanTime(guarded.times))
 	g.Expect(guarded.repeats).To(BeNumerically("<", before.repeats/2))
 	g.Expect(meanTime(guarded.times)).To(BeNumerically("<", meanTime(before.times)*95/100))
-	calm, calmGuarded := playTools(false, 2000, 2000), playTools(true, 2000, 2000)
+	calm, calmGuarded := simulateTools(false, 2000, 2000), simulateTools(true, 2000, 2000)
 	g.Expect(calmGuarded.repeats).To(Equal(calm.repeats))
 }
--- a/dispatch/reading.go
+++ b/dispatch/reading.go
@@ -5,66 +5,68 @@
 	"time"
 )
 
-// Reading learns, for the replicas of one service, how long a turn waits for its first
-// event: a time that each turn has, and one for each token of the prompt that is missing
-// there. Both are in times of a generated token at the replica. The zero value knows
-// nothing. It is not safe for concurrent use.
+// PrefillEstimator estimates, for the replicas of one service, how long a turn waits for
+// its first event: a base time of each turn, plus a time for each uncached token of its
+// prompt. Both are in units of the replica's token time. The zero value has no
+// observations. It is not safe for concurrent use.
 type Reading struct {
-	// The sums of a fit of the time by the missing tokens, halving with time.
-	turns, missing, first, squares, products float64
-	at                                       time.Time
+	// The sums of a linear regression of the first-event time on the uncached tokens, with
+	// exponential decay.
+	turns, uncached, first, squares, products float64
+	at                                        time.Time
 }
 
 const (
-	// readingHalf is the time in which a turn counts half as much: a node's own turns at
-	// a service are some a second, and what engines need to read changes with releases.
-	readingHalf = 10 * time.Second
-	// readingPrior is how many turns ReadShare counts as, with prompts that differ by
-	// readingSpread tokens.
-	readingPrior  = 20
-	readingSpread = 2000
-	// readingLeast and readingMost bound the time to read a token, by that to generate
-	// one.
-	readingLeast = ReadShare / 4
-	readingMost  = ReadShare * 4
-	// readingFar is how far over what is expected, by that and by so many tokens' times,
-	// one turn may lie: it waited for something else.
-	readingFar      = 2
-	readingFarFixed = 20
+	// prefillHalfLife is the age at which a turn's weight has halved: a node sends a
+	// service several turns per second, and the prefill time of engines changes with
+	// releases.
+	prefillHalfLife = 10 * time.Second
+	// priorTurns is how many turns DefaultPrefillRatio counts as, with prompts whose
+	// lengths vary by priorSpread tokens.
+	priorTurns  = 20
+	priorSpread = 2000
+	// minPrefillRatio and maxPrefillRatio bound the ratio of prefill time to token time.
+	minPrefillRatio = ReadShare / 4
+	maxPrefillRatio = ReadShare * 4
+	// outlierFactor and outlierTokens bound the time that one turn contributes: at most
+	// outlierFactor times the expected time plus outlierTokens token times. A longer one
+	// waited for something else.
+	outlierFactor = 2
+	outlierTokens = 20
 )
 
-// Observe takes in how long a turn waited for its first event at a replica where so many
-// tokens were missing, and a generated token takes so long.
-func (r *Reading) Observe(now time.Time, missing int, first, token time.Duration) {
-	if token <= 0 || first < 0 || missing < 0 {
+// Observe adds the time that a turn waited for its first event at a replica where the
+// given number of tokens were uncached, with the given token time.
+func (r *Reading) Observe(now time.Time, uncached int, first, token time.Duration) {
+	if token <= 0 || first < 0 || uncached < 0 {
 		return
 	}
-	base, share := r.Fit()
-	tokens := float64(missing)
-	took := min(float64(first)/float64(token), readingFar*(base+share*tokens)+readingFarFixed)
+	base, ratio := r.Fit()
+	tokens := float64(uncached)
+	observed := min(float64(first)/float64(token), outlierFactor*(base+ratio*tokens)+outlierTokens)
 	if !r.at.IsZero() {
-		kept := math.Exp2(-float64(max(0, now.Sub(r.at))) / float64(readingHalf))
-		r.turns, r.missing, r.first = r.turns*kept, r.missing*kept, r.first*kept
-		r.squares, r.products = r.squares*kept, r.products*kept
+		decay := math.Exp2(-float64(max(0, now.Sub(r.at))) / float64(prefillHalfLife))
+		r.turns, r.uncached, r.first = r.turns*decay, r.uncached*decay, r.first*decay
+		r.squares, r.products = r.squares*decay, r.products*decay
 	}
 	r.at = now
 	r.turns++
-	r.missing += tokens
-	r.first += took
+	r.uncached += tokens
+	r.first += observed
 	r.squares += tokens * tokens
-	r.products += tokens * took
+	r.products += tokens * observed
 }
 
-// Fit returns the time that each turn has, and that of each missing token, in times of a
-// generated token.
-func (r *Reading) Fit() (base, share float64) {
+// Fit returns the base time of a turn and the time of each uncached token, in units of the
+// token time.
+func (r *Reading) Fit() (base, ratio float64) {
 	if r.turns == 0 {
 		return 0, ReadShare
 	}
-	const prior = readingPrior * readingSpread * readingSpread
-	variance := r.squares - r.missing*r.missing/r.turns
-	covariance := r.products - r.missing*r.first/r.turns
-	share = min(max((covariance+prior*ReadShare)/(variance+prior), readingLeast), readingMost)
-	base = max(0, (r.first-share*r.missing)/r.turns)
-	return base, share
+	const prior = priorTurns * priorSpread * priorSpread
+	variance := r.squares - r.uncached*r.uncached/r.turns
+	covariance := r.products - r.uncached*r.first/r.turns
+	ratio = min(max((covariance+prior*ReadShare)/(variance+prior), minPrefillRatio), maxPrefillRatio)
+	base = max(0, (r.first-ratio*r.uncached)/r.turns)
+	return base, ratio
 }
--- a/dispatch/share.go
+++ b/dispatch/share.go
@@ -8,96 +8,98 @@
 )
 
 const (
-	// useKnownFor is how long what was told of a tenant's programs counts: the counting
-	// node tells it with each of the tenant's requests.
-	useKnownFor = time.Second
-	// leastPrograms is how many programs a tenant may have under way beyond its share, and
-	// what chance brings: shares of small tenants are fractions of a program.
-	leastPrograms = 2
-	// levelFor is how long a level counts: all uses are looked at for it, and few
-	// programs begin or end meanwhile.
-	levelFor = 50 * time.Millisecond
-	// mostTenants bounds the tenants that are known: some times those in use.
-	mostTenants = 4096
+	// usageTTL is how long a report of a tenant's programs is valid: the charge owner
+	// sends one with each of the tenant's requests.
+	usageTTL = time.Second
+	// minPrograms is how many programs a tenant may run in excess of its share and of
+	// chance variation: the shares of small tenants are fractions of a program.
+	minPrograms = 2
+	// levelTTL is how long a computed level is reused: computing it goes over all tenants,
+	// and few programs begin or end meanwhile.
+	levelTTL = 50 * time.Millisecond
+	// maxTenants bounds the tenants that are tracked: several times those in use.
+	maxTenants = 4096
 )
 
-// Shares divides the room of replicas among tenants while there is too little: max-min
-// fair by the programs that each has under way over all nodes, weighed by its limit. A
-// tenant that sends many times its usual gets what others leave. It is not safe for
+// Shares divides the capacity of the replicas among tenants when it is scarce: max-min
+// fair by the programs that each tenant runs on all nodes, weighted by its limit. A tenant
+// that sends many times its usual load gets what the others leave. It is not safe for
 // concurrent use.
 type Shares struct {
-	uses map[string]use
-	// level is how many programs by its weight each tenant may have, as of a time.
+	usages map[string]usage
+	// level is how many programs per unit of weight each tenant may run, as computed at
+	// levelAt.
 	level   float64
 	levelAt time.Time
 }
 
-// use is what is known of one tenant.
-type use struct {
+// usage is the last report of one tenant.
+type usage struct {
 	programs int
 	weight   float64
 	at       time.Time
 }
 
-// NewShares returns shares that know no tenant.
-func NewShares() *Shares { return &Shares{uses: make(map[string]use)} }
+// NewShares returns Shares without observations.
+func NewShares() *Shares { return &Shares{usages: make(map[string]usage)} }
 
-// Observe takes in how many programs a tenant has under way, and its weight.
+// Observe records how many programs a tenant runs, and its weight.
 func (s *Shares) Observe(now time.Time, tenant string, programs int, weight float64) {
-	if _, known := s.uses[tenant]; !known && len(s.uses) >= mostTenants {
-		s.forget(now)
-		if len(s.uses) >= mostTenants {
+	if _, known := s.usages[tenant]; !known && len(s.usages) >= maxTenants {
+		s.dropExpired(now)
+		if len(s.usages) >= maxTenants {
 			return
 		}
 	}
-	s.uses[tenant] = use{programs: programs, weight: max(weight, 1), at: now}
+	s.usages[tenant] = usage{programs: programs, weight: max(weight, 1), at: now}
 }
 
-// forget drops what is too old to count.
-func (s *Shares) forget(now time.Time) {
-	for tenant, one := range s.uses {
-		if now.Sub(one.at) > useKnownFor {
-			delete(s.uses, tenant)
+// dropExpired removes reports older than usageTTL.
+func (s *Shares) dropExpired(now time.Time) {
+	for tenant, reported := range s.usages {
+		if now.Sub(reported.at) > usageTTL {
+			delete(s.usages, tenant)
 		}
 	}
 }
 
-// Over reports whether a tenant has more than its share while the replicas are as full as
-// that: requests by places at the emptiest of them. It is never so while a place is free.
-func (s *Shares) Over(now time.Time, tenant string, full float64) bool {
-	one, known := s.uses[tenant]
-	if full < 1 || !known || now.Sub(one.at) > useKnownFor || one.programs <= leastPrograms {
+// Over reports whether a tenant runs more than its share at the given utilisation of the
+// least loaded replica, in requests per slot. It is false while that replica has a free
+// slot.
+func (s *Shares) Over(now time.Time, tenant string, utilisation float64) bool {
+	reported, known := s.usages[tenant]
+	if utilisation < 1 || !known || now.Sub(reported.at) > usageTTL || reported.programs <= minPrograms {
 		return false
 	}
-	if now.Sub(s.levelAt) >= levelFor {
-		s.level, s.levelAt = s.levelOf(now, full), now
+	if now.Sub(s.levelAt) >= levelTTL {
+		s.level, s.levelAt = s.computeLevel(now, utilisation), now
 	}
-	share := s.level * one.weight
-	return float64(one.programs) > share+math.Sqrt(share)+leastPrograms
+	share := s.level * reported.weight
+	return float64(reported.programs) > share+math.Sqrt(share)+minPrograms
 }
 
-// levelOf returns how many programs by its weight each tenant may have, so that all together
-// have as many as the replicas bear without being fuller than their places.
-func (s *Shares) levelOf(now time.Time, full float64) float64 {
-	uses := make([]use, 0, len(s.uses))
+// computeLevel returns how many programs per unit of weight each tenant may run so that
+// all together run as many as fit the slots.
+func (s *Shares) computeLevel(now time.Time, utilisation float64) float64 {
+	usages := make([]usage, 0, len(s.usages))
 	programs, weights := 0., 0.
-	for _, one := range s.uses {
-		if now.Sub(one.at) <= useKnownFor {
-			uses = append(uses, one)
-			programs += float64(one.programs)
-			weights += one.weight
+	for _, reported := range s.usages {
+		if now.Sub(reported.at) <= usageTTL {
+			usages = append(usages, reported)
+			programs += float64(reported.programs)
+			weights += reported.weight
 		}
 	}
-	slices.SortFunc(uses, func(one, other use) int {
-		return cmp.Compare(float64(one.programs)/one.weight, float64(other.programs)/other.weight)
+	slices.SortFunc(usages, func(reported, other usage) int {
+		return cmp.Compare(float64(reported.programs)/reported.weight, float64(other.programs)/other.weight)
 	})
-	room := programs / full
-	for _, one := range uses {
-		if float64(one.programs) >= one.weight*room/weights {
+	capacity := programs / utilisation
+	for _, reported := range usages {
+		if float64(reported.programs) >= reported.weight*capacity/weights {
 			break
 		}
-		room -= float64(one.programs)
-		weights -= one.weight
+		capacity -= float64(reported.programs)
+		weights -= reported.weight
 	}
-	return room / weights
+	return capacity / weights
 }
--- a/tenant/scope_test.go
+++ b/tenant/scope_test.go
@@ -19,7 +19,7 @@
 		Expect(tenant.Scope{}.Unscoped("id")).To(BeEmpty())
 	})
 
-	It("tells tenants, requests without a key and former records apart", func() {
+	It("distinguishes tenants, requests without a key and unscoped records", func() {
 		texts := map[string]bool{}
 		for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), one, two} {
 			texts[scope.Of("id")] = true
@@ -29,7 +29,7 @@
 		Expect(tenant.PublicScope().Unscoped("id")).To(Equal("id"))
 	})
 
-	It("has no text for no id", func() {
+	It("leaves the empty id empty", func() {
 		Expect(one.Of("")).To(BeEmpty())
 	})
 
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("keeps within a key of the log, whatever a client sends", func() {
+	It("fits a key of the log, whatever a client sends", func() {
 		wide := tenant.ScopeOf(&tenant.Tenant{Name: strings.Repeat("n", 300)})
 		for length := 1; length < 600; length++ {
 			id := strings.Repeat("i", length)
@@ -54,7 +54,7 @@
 	})
 })
 
-// FuzzScope holds that no two scopes and ids have one text.
+// FuzzScope checks that different ids and scopes never yield the same text.
 func FuzzScope(f *testing.F) {
 	f.Add("one", "id", "two", "id")
 	f.Add("one", "id", "", "one\x1fid")
@@ -67,14 +67,14 @@
 				t.Skip("no tenant is named so")
 			}
 		}
-		type named struct {
+		type scopedID struct {
 			scope tenant.Scope
 			id    string
 		}
-		var all []named
+		var all []scopedID
 		for _, id := range []string{firstID, secondID} {
-			all = append(all, named{tenant.Scope{}, id}, named{tenant.PublicScope(), id},
-				named{tenant.ScopeOf(&tenant.Tenant{Name: firstName}), id}, named{tenant.ScopeOf(&tenant.Tenant{Name: secondName}), id})
+			all = append(all, scopedID{tenant.Scope{}, id}, scopedID{tenant.PublicScope(), id},
+				scopedID{tenant.ScopeOf(&tenant.Tenant{Name: firstName}), id}, scopedID{tenant.ScopeOf(&tenant.Tenant{Name: secondName}), id})
 		}
 		for _, first := range all {
 			for _, second := range all {
