--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -29,7 +29,7 @@
 	Least, Mean float64
 	// CompletionRate is how many of this node's turns end per second and free their slots;
 	// 0 if unknown.
-	Pace float64
+	CompletionRate float64
 	// Ahead is how many turns queued at this node are served before this one.
 	Ahead int
 }
@@ -75,8 +75,8 @@
 		return Admission{Verdict: VerdictRun}
 	}
 	expected := defaultExpectedWait
-	if load.Pace > 0 {
-		expected = time.Duration(float64(load.Ahead+1) / load.Pace * float64(time.Second))
+	if load.CompletionRate > 0 {
+		expected = time.Duration(float64(load.Ahead+1) / load.CompletionRate * float64(time.Second))
 	}
 	bound := min(maxWait, time.Duration(float64(left)*deadlineWaitFraction))
 	if slack := state.Slack(); slack > 0 {
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -101,7 +101,7 @@
 func TestAdmit(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &Standing{HasLeft: true, Left: 3 * time.Second, Need: time.Second}
-	full := &Room{Least: 1.2, Mean: 1.5, Pace: 20}
+	full := &Room{Least: 1.2, Mean: 1.5, CompletionRate: 20}
 	g.Expect(Admit(full, &Standing{Begun: true}, time.Second).Verdict).To(Equal(VerdictRun))
 	g.Expect(Admit(&Room{Mean: 1}, fresh, time.Second).Verdict).To(Equal(VerdictRun))
 	waits := Admit(full, fresh, 3*time.Second)
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -130,7 +130,7 @@
 		sum += load
 	}
 	least := float64(slices.Min(c.knownLoads[node])) / simSlots
-	return &Room{Least: least, Mean: float64(sum) / simSlots / simReplicas, Pace: c.returns[node].served.rate(c.now)}
+	return &Room{Least: least, Mean: float64(sum) / simSlots / simReplicas, CompletionRate: c.returns[node].served.rate(c.now)}
 }
 
 func (c *simulation) state(turn *simTurn) Standing {
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -86,7 +86,7 @@
 // is sent to the returned channel, which is nil otherwise.
 func (n *Node) joinWaiting(now time.Time, r *requestState, one *dispatch.Waiting) (dispatch.Admission, chan dispatch.Verdict) {
 	room := n.replicas.room(n.choiceOf(r))
-	room.Pace = n.returns.pace(now)
+	room.CompletionRate = n.returns.pace(now)
 	w := n.waiting
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
