--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -63,7 +63,7 @@
 )
 
 // AcceptsNew reports whether a new program can start without waiting.
-func (r *Room) Free() bool { return r.Mean < maxNewUtilisation }
+func (r *Room) AcceptsNew() bool { return r.Mean < maxNewUtilisation }
 
 // Admit decides on a turn with the given time left until its deadline. Turns of started
 // programs are sent to a replica at once and wait there, in the order that replicas keep.
@@ -71,7 +71,7 @@
 // within the longest wait that the turn tolerates. Otherwise they run if a slot is free,
 // and are refused on arrival if not.
 func Admit(load *Room, state *Standing, left time.Duration) Admission {
-	if state.Begun || load.Free() && load.Ahead == 0 {
+	if state.Begun || load.AcceptsNew() && load.Ahead == 0 {
 		return Admission{Verdict: VerdictRun}
 	}
 	expected := defaultExpectedWait
@@ -94,7 +94,7 @@
 
 // AfterWait decides on a turn whose wait has timed out: it runs if a slot is free by now.
 func AfterWait(load *Room) Verdict {
-	if load.Free() || load.Least < 1 {
+	if load.AcceptsNew() || load.Least < 1 {
 		return VerdictRun
 	}
 	return VerdictRefuse
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -107,7 +107,7 @@
 			}
 			c.refuse(c.queued[expired.ID], CauseFull, 0)
 		}
-		if first := queue.First(c.now); first != nil && c.utilisation(node).Free() {
+		if first := queue.First(c.now); first != nil && c.utilisation(node).AcceptsNew() {
 			queue.Leave(first.ID)
 			c.send(c.queued[first.ID])
 		}
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -156,7 +156,7 @@
 	for _, over := range w.queue.Expire(now) {
 		w.tell(over.ID, dispatch.AfterWait(n.roomOf(over.ID)))
 	}
-	if first := w.queue.First(now); first != nil && n.roomOf(first.ID).Free() {
+	if first := w.queue.First(now); first != nil && n.roomOf(first.ID).AcceptsNew() {
 		w.queue.Leave(first.ID)
 		w.tell(first.ID, dispatch.VerdictRun)
 	}
