--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -12,8 +12,8 @@
 	Begun bool
 	// Left is the time until the program should finish, and HasFinish says whether its
 	// client gave such a time.
-	Left    time.Duration
-	HasLeft bool
+	Left      time.Duration
+	HasFinish bool
 	// ExpectedRemaining is how much longer programs of this kind usually take; 0 if
 	// unknown.
 	Need time.Duration
@@ -44,7 +44,7 @@
 // Slack returns the time that the program has beyond its expected remaining time, negative
 // if it cannot finish in time. It is defaultSlack if the client gave no finish time.
 func (s *Standing) Slack() time.Duration {
-	if !s.HasLeft {
+	if !s.HasFinish {
 		return defaultSlack
 	}
 	return s.Left - s.Need
@@ -108,7 +108,7 @@
 // the same band if turns of that priority are to be served before it.
 func (b Bands) Urgency(priority int, state *Standing) int {
 	first := min(max(0, priority), LeastUrgency)
-	if !state.HasLeft {
+	if !state.HasFinish {
 		return first
 	}
 	end := LeastUrgency + 1
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -11,7 +11,7 @@
 
 // startedWithSlack returns the state of a started program with the given slack.
 func startedWithSlack(slack time.Duration) *Standing {
-	return &Standing{Begun: true, HasLeft: true, Left: 2*time.Second + slack, Need: 2 * time.Second}
+	return &Standing{Begun: true, HasFinish: true, Left: 2*time.Second + slack, Need: 2 * time.Second}
 }
 
 // TestOrderByTier checks the order: started programs that can finish in time by slack, new
@@ -20,7 +20,7 @@
 	g := NewWithT(t)
 	ranked := []*Standing{
 		startedWithSlack(10 * time.Millisecond), startedWithSlack(400 * time.Millisecond), {Begun: true}, startedWithSlack(3 * time.Second),
-		{HasLeft: true, Left: 2100 * time.Millisecond, Need: 2 * time.Second}, {}, startedWithSlack(-time.Second), {HasLeft: true, Need: time.Second},
+		{HasFinish: true, Left: 2100 * time.Millisecond, Need: 2 * time.Second}, {}, startedWithSlack(-time.Second), {HasFinish: true, Need: time.Second},
 	}
 	tiersOf := []Tier{TierInTime, TierInTime, TierInTime, TierInTime, TierNew, TierNew, TierLate, TierNewLate}
 	for index, one := range ranked {
@@ -37,7 +37,7 @@
 // once it has waited through all tiers.
 func TestOrderStarvesNobody(t *testing.T) {
 	g := NewWithT(t)
-	waiting := &Standing{HasLeft: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAgingTime + time.Millisecond}
+	waiting := &Standing{HasFinish: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAgingTime + time.Millisecond}
 	g.Expect(Before(1, waiting, 1, startedWithSlack(0))).To(BeTrue())
 }
 
@@ -54,7 +54,7 @@
 			for _, priority := range sorted {
 				one := startedWithSlack(time.Duration(draws.Int64N(int64(8*time.Second))) - 4*time.Second)
 				one.Begun, one.Waited = draws.IntN(2) == 0, time.Duration(draws.Int64N(int64(2*time.Second)))
-				one.HasLeft = draws.IntN(4) > 0
+				one.HasFinish = draws.IntN(4) > 0
 				urgency := bands.Urgency(priority, one)
 				g.Expect(urgency).To(BeNumerically(">", end), "%v", priorities)
 				g.Expect(urgency).To(BeNumerically(">=", priority))
@@ -71,8 +71,8 @@
 func TestBandsDistinguishSlack(t *testing.T) {
 	g := NewWithT(t)
 	bands := NewBands([]int{0, 1})
-	fresh := &Standing{HasLeft: true, Left: time.Second}
-	lateAndNew := &Standing{HasLeft: true, Need: time.Second}
+	fresh := &Standing{HasFinish: true, Left: time.Second}
+	lateAndNew := &Standing{HasFinish: true, Need: time.Second}
 	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(Equal(1))
 	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(BeNumerically("<", bands.Urgency(1, fresh)))
 	g.Expect(bands.Urgency(1, fresh)).To(BeNumerically("<", bands.Urgency(1, startedWithSlack(-time.Second))))
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -56,7 +56,7 @@
 func (r *requestState) standing(now time.Time) *dispatch.Standing {
 	standing := &dispatch.Standing{Begun: r.begun(), Need: r.need}
 	if !r.finish.IsZero() {
-		standing.Left, standing.HasLeft = r.finish.Sub(now), true
+		standing.Left, standing.HasFinish = r.finish.Sub(now), true
 	}
 	return standing
 }
