--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -100,7 +100,7 @@
 // refused, and that none is refused while a slot is free.
 func TestAdmit(t *testing.T) {
 	g := NewWithT(t)
-	fresh := &Standing{HasFinish: true, Left: 3 * time.Second, Need: time.Second}
+	fresh := &Standing{HasFinish: true, Left: 3 * time.Second, ExpectedRemaining: time.Second}
 	full := &Room{Least: 1.2, Mean: 1.5, CompletionRate: 20}
 	g.Expect(Admit(full, &Standing{Begun: true}, time.Second).Verdict).To(Equal(VerdictRun))
 	g.Expect(Admit(&Room{Mean: 1}, fresh, time.Second).Verdict).To(Equal(VerdictRun))
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -16,7 +16,7 @@
 	HasFinish bool
 	// ExpectedRemaining is how much longer programs of this kind usually take; 0 if
 	// unknown.
-	Need time.Duration
+	ExpectedRemaining time.Duration
 	// Waited is how long the turn has waited for a slot.
 	Waited time.Duration
 }
@@ -47,7 +47,7 @@
 	if !s.HasFinish {
 		return defaultSlack
 	}
-	return s.Left - s.Need
+	return s.Left - s.ExpectedRemaining
 }
 
 func (s *Standing) Tier() Tier {
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -11,7 +11,7 @@
 
 // startedWithSlack returns the state of a started program with the given slack.
 func startedWithSlack(slack time.Duration) *Standing {
-	return &Standing{Begun: true, HasFinish: true, Left: 2*time.Second + slack, Need: 2 * time.Second}
+	return &Standing{Begun: true, HasFinish: true, Left: 2*time.Second + slack, ExpectedRemaining: 2 * time.Second}
 }
 
 // TestOrderByTier checks the order: started programs that can finish in time by slack, new
@@ -20,7 +20,7 @@
 	g := NewWithT(t)
 	ranked := []*Standing{
 		startedWithSlack(10 * time.Millisecond), startedWithSlack(400 * time.Millisecond), {Begun: true}, startedWithSlack(3 * time.Second),
-		{HasFinish: true, Left: 2100 * time.Millisecond, Need: 2 * time.Second}, {}, startedWithSlack(-time.Second), {HasFinish: true, Need: time.Second},
+		{HasFinish: true, Left: 2100 * time.Millisecond, ExpectedRemaining: 2 * time.Second}, {}, startedWithSlack(-time.Second), {HasFinish: true, ExpectedRemaining: time.Second},
 	}
 	tiersOf := []Tier{TierInTime, TierInTime, TierInTime, TierInTime, TierNew, TierNew, TierLate, TierNewLate}
 	for index, one := range ranked {
@@ -72,7 +72,7 @@
 	g := NewWithT(t)
 	bands := NewBands([]int{0, 1})
 	fresh := &Standing{HasFinish: true, Left: time.Second}
-	lateAndNew := &Standing{HasFinish: true, Need: time.Second}
+	lateAndNew := &Standing{HasFinish: true, ExpectedRemaining: time.Second}
 	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(Equal(1))
 	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(BeNumerically("<", bands.Urgency(1, fresh)))
 	g.Expect(bands.Urgency(1, fresh)).To(BeNumerically("<", bands.Urgency(1, startedWithSlack(-time.Second))))
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -134,7 +134,7 @@
 }
 
 func (c *simulation) state(turn *simTurn) Standing {
-	return Standing{Begun: turn.step > 0, Left: turn.finish.Sub(c.now), HasFinish: true, Need: time.Duration(simTurns-turn.step) * simTurnTime}
+	return Standing{Begun: turn.step > 0, Left: turn.finish.Sub(c.now), HasFinish: true, ExpectedRemaining: time.Duration(simTurns-turn.step) * simTurnTime}
 }
 
 // arrive decides on a turn.
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -54,7 +54,7 @@
 
 // standing returns what counts where the turn competes with others.
 func (r *requestState) standing(now time.Time) *dispatch.Standing {
-	standing := &dispatch.Standing{Begun: r.begun(), Need: r.need}
+	standing := &dispatch.Standing{Begun: r.begun(), ExpectedRemaining: r.need}
 	if !r.finish.IsZero() {
 		standing.Left, standing.HasFinish = r.finish.Sub(now), true
 	}
