--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -148,7 +148,7 @@
 		c.send(turn)
 		return
 	}
-	waiting := &Waiting{ID: turn.id, Standing: state, Since: c.now, Bytes: 100}
+	waiting := &Waiting{ID: turn.id, SchedulingState: state, Since: c.now, Bytes: 100}
 	utilisation.Ahead = c.queues[turn.node].Ahead(c.now, waiting)
 	admission := Admit(utilisation, &state, turn.deadline.Sub(c.now))
 	switch admission.Verdict {
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -66,7 +66,7 @@
 	}
 	now := time.Now()
 	one := &dispatch.Waiting{
-		Priority: r.priority(), Standing: *r.standing(now), Since: now, Bytes: waitingOverhead + len(r.exchange.Body) + held,
+		Priority: r.priority(), SchedulingState: *r.standing(now), Since: now, Bytes: waitingOverhead + len(r.exchange.Body) + held,
 	}
 	if r.tenant != nil {
 		one.Tenant = r.tenant.Name
@@ -91,7 +91,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	room.Ahead = w.queue.Ahead(now, one)
-	admission := dispatch.Admit(&room, &one.Standing, max(r.deadline.Sub(now), 0))
+	admission := dispatch.Admit(&room, &one.SchedulingState, max(r.deadline.Sub(now), 0))
 	if admission.Verdict != dispatch.VerdictWait {
 		return admission, nil
 	}
--- a/edge/waiting_test.go
+++ b/edge/waiting_test.go
@@ -45,7 +45,7 @@
 // join has a turn wait, and returns its verdict to come.
 func join(g *WithT, node *Node, r *requestState) chan dispatch.Verdict {
 	now := time.Now()
-	one := &dispatch.Waiting{Standing: *r.standing(now), Since: now, Bytes: 1}
+	one := &dispatch.Waiting{SchedulingState: *r.standing(now), Since: now, Bytes: 1}
 	admission, verdict := node.joinWaiting(now, r, one)
 	g.Expect(admission.Verdict).To(Equal(dispatch.VerdictWait))
 	return verdict
