--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -96,7 +96,7 @@
 	// Lasted is how long the cause has been present.
 	Lasted time.Duration
 	// EndsIn is the time until the cause is expected to end; 0 if unknown.
-	Ends time.Duration
+	EndsIn time.Duration
 	// RecentRefusals is how many callers were refused for the same cause recently and will
 	// retry, and ServiceRate how many of them can be served per second once the cause has
 	// ended; 0 if unknown.
@@ -130,8 +130,8 @@
 
 // expectedEnd returns the time until the cause is expected to end.
 func (r *Refusal) expectedEnd() time.Duration {
-	if r.Ends > 0 {
-		return r.Ends
+	if r.EndsIn > 0 {
+		return r.EndsIn
 	}
 	bounds := causeBounds[r.Cause]
 	return min(max(r.Lasted, bounds.minimum), bounds.maximum)
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -42,7 +42,7 @@
 	g.Expect(endless).To(BeNumerically("<=", outageBounds.maximum*5/4))
 	short := &Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 3 * time.Second}
 	g.Expect(short.ComeBack()).To(BeNumerically(">=", 900*time.Millisecond), "as late as the caller bears")
-	known := (&Refusal{Cause: CauseIsolated, Ends: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).ComeBack()
+	known := (&Refusal{Cause: CauseIsolated, EndsIn: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).ComeBack()
 	g.Expect(known).To(BeNumerically("~", 1050*time.Millisecond, 150*time.Millisecond))
 }
 
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -174,7 +174,7 @@
 		c.refused++
 		return
 	}
-	refusal := &Refusal{Cause: cause, Ends: ends, Left: turn.deadline.Sub(c.now), Begun: turn.step > 0, Draw: c.random.Float64()}
+	refusal := &Refusal{Cause: cause, EndsIn: ends, Left: turn.deadline.Sub(c.now), Begun: turn.step > 0, Draw: c.random.Float64()}
 	c.returns[turn.node].Refuse(c.now, refusal)
 	turn.at = c.now.Add(refusal.ComeBack())
 	turn.node = c.random.IntN(simNodes)
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -125,7 +125,7 @@
 	case !errors.Is(err, replica.ErrNoReplica) || len(r.excluded) > 0:
 		return dispatch.Refusal{Cause: dispatch.CauseRejected}
 	case !n.syncedReplicas.Load():
-		return dispatch.Refusal{Cause: dispatch.CauseStarting, Ends: n.comeBackAtStart()}
+		return dispatch.Refusal{Cause: dispatch.CauseStarting, EndsIn: n.comeBackAtStart()}
 	default:
 		return dispatch.Refusal{Cause: dispatch.CauseNoReplica}
 	}
--- a/edge/handle.go
+++ b/edge/handle.go
@@ -34,7 +34,7 @@
 	defer n.endRequest(request)
 	table := n.routes.Current()
 	if table == nil {
-		n.turnAway(request, dispatch.Refusal{Cause: dispatch.CauseStarting, Ends: n.comeBackAtStart()}, "no configuration is known yet")
+		n.turnAway(request, dispatch.Refusal{Cause: dispatch.CauseStarting, EndsIn: n.comeBackAtStart()}, "no configuration is known yet")
 		return
 	}
 	request.version = table.Version
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -50,7 +50,7 @@
 	defer cancel()
 	if since := n.isolatedSince.Load(); since != nil && r.needsOwner() {
 		lasted := time.Since(*since)
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseIsolated, Lasted: lasted, Ends: comeBackElsewhere(lasted)},
+		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseIsolated, Lasted: lasted, EndsIn: comeBackElsewhere(lasted)},
 			"this node reaches neither the store nor most of the zones")
 		return
 	}
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -186,7 +186,7 @@
 	case r.exchange.Cancel.Cause() != nil:
 		r.giveUp("the client has left while its turn waited")
 	default:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull, Ends: max(admission.Expected-r.waited, 0)}, reasonFull)
+		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull, EndsIn: max(admission.Expected-r.waited, 0)}, reasonFull)
 	}
 	return false
 }
