--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -114,7 +114,7 @@
 // RetryAfter returns the delay after which the caller should retry. The retry comes when
 // the cause is expected to end, in the order in which callers are to be served, spread so
 // that the replicas can take all of them.
-func (r *Refusal) ComeBack() time.Duration {
+func (r *Refusal) RetryAfter() time.Duration {
 	expectedEnd := max(r.expectedEnd(), minRetryAfter)
 	spread := r.spread(expectedEnd)
 	limit := time.Duration(float64(r.Left) * maxWaitFraction)
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -22,7 +22,7 @@
 				Cause: cause, Lasted: time.Duration(draws.Int64N(int64(9 * time.Second))), Left: time.Duration(draws.Int64N(int64(4 * time.Second))),
 				RecentRefusals: draws.Float64() * 500, ServiceRate: draws.Float64() * 50, Begun: draws.IntN(2) == 0, Urgency: draws.IntN(12), Draw: draws.Float64(),
 			}
-			after := refusal.ComeBack()
+			after := refusal.RetryAfter()
 			g.Expect(after).To(BeNumerically(">", 0), "%+v", refusal)
 			g.Expect(after).To(BeNumerically("<=", max(refusal.Left/3, time.Millisecond)), "%+v", refusal)
 		}
@@ -34,15 +34,15 @@
 // lasted, and until its end if that is known.
 func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	g := NewWithT(t)
-	early := (&Refusal{Cause: CauseStoreAway, Left: 20 * time.Second}).ComeBack()
-	late := (&Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 20 * time.Second}).ComeBack()
-	endless := (&Refusal{Cause: CauseStoreAway, Lasted: time.Hour, Left: 20 * time.Second}).ComeBack()
+	early := (&Refusal{Cause: CauseStoreAway, Left: 20 * time.Second}).RetryAfter()
+	late := (&Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 20 * time.Second}).RetryAfter()
+	endless := (&Refusal{Cause: CauseStoreAway, Lasted: time.Hour, Left: 20 * time.Second}).RetryAfter()
 	g.Expect(early).To(BeNumerically(">=", outageBounds.minimum))
 	g.Expect(late).To(BeNumerically(">=", 2*time.Second))
 	g.Expect(endless).To(BeNumerically("<=", outageBounds.maximum*5/4))
 	short := &Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 3 * time.Second}
-	g.Expect(short.ComeBack()).To(BeNumerically(">=", 900*time.Millisecond), "as late as the caller bears")
-	known := (&Refusal{Cause: CauseIsolated, EndsIn: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).ComeBack()
+	g.Expect(short.RetryAfter()).To(BeNumerically(">=", 900*time.Millisecond), "as late as the caller bears")
+	known := (&Refusal{Cause: CauseIsolated, EndsIn: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).RetryAfter()
 	g.Expect(known).To(BeNumerically("~", 1050*time.Millisecond, 150*time.Millisecond))
 }
 
@@ -57,7 +57,7 @@
 		for range 500 {
 			one := refusal
 			one.Begun, one.Urgency, one.Draw = begun, urgency, draws.Float64()
-			after := one.ComeBack()
+			after := one.RetryAfter()
 			mean += after / 500
 			first, last = min(first, after), max(last, after)
 		}
@@ -101,7 +101,7 @@
 		returns.Refuse(at, refusal)
 		g.Expect(refusal.ServiceRate).To(BeNumerically("~", 40, 1))
 		tries++
-		queue = insertTime(queue, at.Add(refusal.ComeBack()))
+		queue = insertTime(queue, at.Add(refusal.RetryAfter()))
 	}
 	peak, total := 0, 0
 	for _, count := range comes {
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -176,7 +176,7 @@
 	}
 	refusal := &Refusal{Cause: cause, EndsIn: ends, Left: turn.deadline.Sub(c.now), Begun: turn.step > 0, Draw: c.random.Float64()}
 	c.returns[turn.node].Refuse(c.now, refusal)
-	turn.at = c.now.Add(refusal.ComeBack())
+	turn.at = c.now.Add(refusal.RetryAfter())
 	turn.node = c.random.IntN(simNodes)
 	if turn.tries%2 == 0 {
 		turn.at = c.now.Add(100*time.Millisecond + time.Duration(c.random.Int64N(int64(300*time.Millisecond))))
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -21,7 +21,7 @@
 	s.mutex.Lock()
 	s.state.Refuse(now, refusal)
 	s.mutex.Unlock()
-	return refusal.ComeBack()
+	return refusal.RetryAfter()
 }
 
 // served notes that a turn was served.
@@ -58,7 +58,7 @@
 // comeBackAfter returns when the caller of a refused request is to come back.
 func (n *Node) comeBackAfter(refusal *dispatch.Refusal) time.Duration {
 	if !n.settings.uses(SpreadReturns) {
-		return refusal.ComeBack()
+		return refusal.RetryAfter()
 	}
 	refusal.Draw = n.draw()
 	return n.returns.refuse(time.Now(), refusal)
