--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -182,7 +182,7 @@
 // ObserveRefusal records a refusal and fills in what is known of its cause: for how long
 // it has been present at least, how many requests were refused for it recently, and the
 // service rate of this node before it.
-func (r *Returns) Refuse(now time.Time, refusal *Refusal) {
+func (r *Returns) ObserveRefusal(now time.Time, refusal *Refusal) {
 	state := &r.causes[refusal.Cause]
 	if state.last.IsZero() || now.Sub(state.last) > causeExpiry {
 		*state = causeState{since: now}
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		refusal := &Refusal{Cause: CauseStoreAway, Left: 6 * time.Second, Begun: draws.IntN(2) == 0, Draw: draws.Float64()}
-		returns.Refuse(at, refusal)
+		returns.ObserveRefusal(at, refusal)
 		g.Expect(refusal.ServiceRate).To(BeNumerically("~", 40, 1))
 		tries++
 		queue = insertTime(queue, at.Add(refusal.RetryAfter()))
@@ -132,7 +132,7 @@
 	var returns Returns
 	refuse := func(after time.Duration) Refusal {
 		refusal := Refusal{Cause: CauseNoOwner}
-		returns.Refuse(epoch.Add(after), &refusal)
+		returns.ObserveRefusal(epoch.Add(after), &refusal)
 		return refusal
 	}
 	g.Expect(refuse(0).Lasted).To(BeZero())
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -175,7 +175,7 @@
 		return
 	}
 	refusal := &Refusal{Cause: cause, EndsIn: ends, Left: turn.deadline.Sub(c.now), Begun: turn.step > 0, Draw: c.random.Float64()}
-	c.returns[turn.node].Refuse(c.now, refusal)
+	c.returns[turn.node].ObserveRefusal(c.now, refusal)
 	turn.at = c.now.Add(refusal.RetryAfter())
 	turn.node = c.random.IntN(simNodes)
 	if turn.tries%2 == 0 {
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -19,7 +19,7 @@
 // refuse notes a refusal and returns when the caller is to come back.
 func (s *returns) refuse(now time.Time, refusal *dispatch.Refusal) time.Duration {
 	s.mutex.Lock()
-	s.state.Refuse(now, refusal)
+	s.state.ObserveRefusal(now, refusal)
 	s.mutex.Unlock()
 	return refusal.RetryAfter()
 }
