--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -195,7 +195,7 @@
 }
 
 // ObserveServed records that a turn was served; the service rate follows from this.
-func (r *Returns) Served(now time.Time) { r.served.add(now) }
+func (r *Returns) ObserveServed(now time.Time) { r.served.add(now) }
 
 // ServiceRate returns how many turns were served per second in the last one to two
 // seconds.
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -80,7 +80,7 @@
 	var returns Returns
 	now := epoch
 	for range 40 * 3 {
-		returns.Served(now)
+		returns.ObserveServed(now)
 		now = now.Add(25 * time.Millisecond)
 	}
 	began := now
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -251,7 +251,7 @@
 
 // end ends a turn and continues its program.
 func (c *simulation) end(turn *simTurn) bool {
-	c.returns[turn.node].Served(c.now)
+	c.returns[turn.node].ObserveServed(c.now)
 	turn.step++
 	if turn.step < simTurns {
 		turn.tries, turn.at, turn.deadline = 0, c.now, c.now.Add(simDeadline)
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -28,7 +28,7 @@
 func (s *returns) served(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.state.Served(now)
+	s.state.ObserveServed(now)
 }
 
 // pace returns how many turns were served here in the last second.
