--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -199,7 +199,7 @@
 
 // ServiceRate returns how many turns were served per second in the last one to two
 // seconds.
-func (r *Returns) Pace(now time.Time) float64 { return r.served.rate(now) }
+func (r *Returns) ServiceRate(now time.Time) float64 { return r.served.rate(now) }
 
 // meterSpan is the interval over which a meter counts, and meterSpans the number of
 // intervals kept: the service rate before an outage is remembered for as long.
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -35,7 +35,7 @@
 func (s *returns) pace(now time.Time) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.state.Pace(now)
+	return s.state.ServiceRate(now)
 }
 
 // turnAway answers that the request was not run, and when to come back. The caller fills
