--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -47,7 +47,7 @@
 
 // DependsOnStore reports whether the cause may last for as long as the store is
 // unavailable.
-func (c Cause) OfStore() bool {
+func (c Cause) DependsOnStore() bool {
 	return c == CauseNoOwner || c == CauseStoreAway || c == CauseUnproven
 }
 
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -46,7 +46,7 @@
 		refusal.Left, refusal.Begun = max(r.deadline.Sub(now), 0), r.begun()
 		refusal.Urgency = r.priority()
 	}
-	if refusal.Cause.OfStore() && !n.store.reached(now) {
+	if refusal.Cause.DependsOnStore() && !n.store.reached(now) {
 		refusal.Lasted = max(refusal.Lasted, now.Sub(n.store.at()))
 	}
 	r.comeBack = n.comeBackAfter(&refusal)
