--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -7,7 +7,7 @@
 type Late struct {
 	// Utilisation is the number of requests per slot at the least loaded replica that
 	// could take the call as well.
-	Full float64
+	Utilisation float64
 	// Left is the time until the call's deadline, and TypicalDuration how long a call of
 	// its route usually takes; 0 if unknown.
 	Left, Usual time.Duration
@@ -41,7 +41,7 @@
 	switch {
 	case call.Left < max(minRepeatTime, call.Usual):
 		return RepeatNoTime
-	case call.Full >= 1:
+	case call.Utilisation >= 1:
 		return AgainFull
 	default:
 		return AgainYes
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -16,11 +16,11 @@
 		call Late
 		want RepeatVerdict
 	}{
-		{Late{Full: 0.5, Left: time.Second, Usual: 30 * time.Millisecond}, AgainYes},
-		{Late{Full: 0.99, Left: 30 * time.Millisecond, Usual: 30 * time.Millisecond}, AgainYes},
-		{Late{Full: 0.5, Left: 29 * time.Millisecond, Usual: 30 * time.Millisecond}, RepeatNoTime},
+		{Late{Utilisation: 0.5, Left: time.Second, Usual: 30 * time.Millisecond}, AgainYes},
+		{Late{Utilisation: 0.99, Left: 30 * time.Millisecond, Usual: 30 * time.Millisecond}, AgainYes},
+		{Late{Utilisation: 0.5, Left: 29 * time.Millisecond, Usual: 30 * time.Millisecond}, RepeatNoTime},
 		{Late{Left: 19 * time.Millisecond}, RepeatNoTime},
-		{Late{Full: 1, Left: time.Second}, AgainFull},
+		{Late{Utilisation: 1, Left: time.Second}, AgainFull},
 	} {
 		NewWithT(t).Expect(Repeat(&one.call)).To(Equal(one.want), "%+v", one.call)
 	}
@@ -118,7 +118,7 @@
 	}
 	heap.Push(&f.queue, toolEvent{arrived + toolLateAfter, func() {
 		other := f.leastLoaded()
-		late := Late{Full: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
+		late := Late{Utilisation: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
 		if f.budget >= 1 && (!f.guard || Repeat(&late) == AgainYes) {
 			f.budget--
 			f.repeats++
--- a/edge/call.go
+++ b/edge/call.go
@@ -169,7 +169,7 @@
 	late := &dispatch.Late{Left: c.request.left()}
 	if c.node.settings.uses(RepeatIntoRoom) {
 		late.Usual = c.node.calls.usual(c.request.route)
-		late.Full = c.node.replicas.pressure(c.node.choiceOf(c.request))
+		late.Utilisation = c.node.replicas.pressure(c.node.choiceOf(c.request))
 	}
 	return late
 }
