--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -10,7 +10,7 @@
 	Utilisation float64
 	// Left is the time until the call's deadline, and TypicalDuration how long a call of
 	// its route usually takes; 0 if unknown.
-	Left, Usual time.Duration
+	Left, TypicalDuration time.Duration
 }
 
 // minRepeatTime is the least time left with which a repeat is worthwhile: the round trip
@@ -39,7 +39,7 @@
 // first one stays open.
 func Repeat(call *Late) RepeatVerdict {
 	switch {
-	case call.Left < max(minRepeatTime, call.Usual):
+	case call.Left < max(minRepeatTime, call.TypicalDuration):
 		return RepeatNoTime
 	case call.Utilisation >= 1:
 		return AgainFull
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -16,9 +16,9 @@
 		call Late
 		want RepeatVerdict
 	}{
-		{Late{Utilisation: 0.5, Left: time.Second, Usual: 30 * time.Millisecond}, AgainYes},
-		{Late{Utilisation: 0.99, Left: 30 * time.Millisecond, Usual: 30 * time.Millisecond}, AgainYes},
-		{Late{Utilisation: 0.5, Left: 29 * time.Millisecond, Usual: 30 * time.Millisecond}, RepeatNoTime},
+		{Late{Utilisation: 0.5, Left: time.Second, TypicalDuration: 30 * time.Millisecond}, AgainYes},
+		{Late{Utilisation: 0.99, Left: 30 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, AgainYes},
+		{Late{Utilisation: 0.5, Left: 29 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, RepeatNoTime},
 		{Late{Left: 19 * time.Millisecond}, RepeatNoTime},
 		{Late{Utilisation: 1, Left: time.Second}, AgainFull},
 	} {
--- a/edge/call.go
+++ b/edge/call.go
@@ -168,7 +168,7 @@
 func (c *callRun) late() *dispatch.Late {
 	late := &dispatch.Late{Left: c.request.left()}
 	if c.node.settings.uses(RepeatIntoRoom) {
-		late.Usual = c.node.calls.usual(c.request.route)
+		late.TypicalDuration = c.node.calls.usual(c.request.route)
 		late.Utilisation = c.node.replicas.pressure(c.node.choiceOf(c.request))
 	}
 	return late
