--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -65,7 +65,7 @@
 
 // ObserveReport sets the combined measurement of the other nodes, which covers the given
 // number of turns.
-func (p *Pace) Hear(now time.Time, token time.Duration, turns int) {
+func (p *Pace) ObserveReport(now time.Time, token time.Duration, turns int) {
 	if token <= 0 || turns <= 0 {
 		return
 	}
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -65,7 +65,7 @@
 func TestTokenTimeFromReports(t *testing.T) {
 	g := NewWithT(t)
 	var pace dispatch.Pace
-	pace.Hear(begin, quick, 10)
+	pace.ObserveReport(begin, quick, 10)
 	near(g, &pace, begin, quick)
 }
 
@@ -74,10 +74,10 @@
 	for _, falseToken := range []time.Duration{time.Nanosecond, time.Hour} {
 		var pace dispatch.Pace
 		now := addSamples(&pace, begin, 4*time.Second, 100*time.Millisecond, steady)
-		pace.Hear(now, falseToken, 1_000_000)
+		pace.ObserveReport(now, falseToken, 1_000_000)
 		g.Expect(pace.Token(now, steady)).To(And(BeNumerically(">=", steady/4), BeNumerically("<=", 4*steady)))
-		pace.Hear(now, -falseToken, 5)
-		pace.Hear(now, falseToken, 0)
+		pace.ObserveReport(now, -falseToken, 5)
+		pace.ObserveReport(now, falseToken, 0)
 		g.Expect(pace.Token(now, steady)).To(And(BeNumerically(">=", steady/4), BeNumerically("<=", 4*steady)))
 	}
 }
--- a/replica/report.go
+++ b/replica/report.go
@@ -37,7 +37,7 @@
 	}
 	for id, total := range totals {
 		if known := s.byID[id]; known != nil {
-			known.tokenTime.Hear(now, total.TokenTime, total.Samples)
+			known.tokenTime.ObserveReport(now, total.TokenTime, total.Samples)
 		}
 	}
 }
