--- a/dispatch/slack.go
+++ b/dispatch/slack.go
@@ -102,7 +102,7 @@
 // service has requests of several priorities, only the most urgent may go before their
 // share and only the least urgent after it, so that no program is preferred to a more
 // urgent one.
-func (s *Slack) Haste(now time.Time, service string, priority int, progress Progress) int {
+func (s *Slack) SpeedBias(now time.Time, service string, priority int, progress Progress) int {
 	seen := s.lastSeen[service]
 	if seen == nil {
 		if len(s.lastSeen) >= maxTrackedNames {
--- a/dispatch/slack_test.go
+++ b/dispatch/slack_test.go
@@ -42,10 +42,10 @@
 func TestSpeedBiasOfOnePriorityFollowsProgress(t *testing.T) {
 	g := NewWithT(t)
 	slack := dispatch.NewSlack()
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressBehind)).To(Equal(1))
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressEven)).To(Equal(0))
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressAhead)).To(Equal(-1))
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressLost)).To(Equal(-1))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressBehind)).To(Equal(1))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressEven)).To(Equal(0))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressAhead)).To(Equal(-1))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressLost)).To(Equal(-1))
 }
 
 func TestNoProgramGoesBeforeAMoreUrgentOne(t *testing.T) {
@@ -53,16 +53,16 @@
 	slack := dispatch.NewSlack()
 	values := []dispatch.Progress{dispatch.ProgressLost, dispatch.ProgressAhead, dispatch.ProgressEven, dispatch.ProgressBehind}
 	for _, priority := range []int{-3, 2, 5, 99} {
-		slack.Haste(begin, "model", priority, dispatch.ProgressEven)
+		slack.SpeedBias(begin, "model", priority, dispatch.ProgressEven)
 	}
 	for _, urgent := range values {
 		for _, other := range values {
 			for more, less := range map[int]int{0: 5, 2: 5, 5: 9} {
-				first := slack.Haste(begin, "model", more, urgent)
-				g.Expect(first).To(BeNumerically(">=", slack.Haste(begin, "model", less, other)))
+				first := slack.SpeedBias(begin, "model", more, urgent)
+				g.Expect(first).To(BeNumerically(">=", slack.SpeedBias(begin, "model", less, other)))
 			}
 		}
 	}
 	later := begin.Add(time.Minute)
-	g.Expect(slack.Haste(later, "model", 5, dispatch.ProgressBehind)).To(Equal(1), "the others have no requests any more")
+	g.Expect(slack.SpeedBias(later, "model", 5, dispatch.ProgressBehind)).To(Equal(1), "the others have no requests any more")
 }
--- a/edge/placing.go
+++ b/edge/placing.go
@@ -33,7 +33,7 @@
 	if !r.finish.IsZero() {
 		r.progress = n.placing.slack.Observe(r.routeName(), len(r.prompt), r.finish.Sub(now))
 	}
-	r.haste = n.placing.slack.Haste(now, r.service, r.priority(), r.progress)
+	r.haste = n.placing.slack.SpeedBias(now, r.service, r.priority(), r.progress)
 }
 
 // expectedTokens returns how many tokens a turn will have, or 0 for other requests and
