--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -76,7 +76,7 @@
 // Remaining returns how much longer a program is expected to take, including the turn that
 // began last; 0 if unknown. If this node did not see the first turn of the program, the
 // result covers only the present turn.
-func (u *Usual) Need(route, program string) time.Duration {
+func (u *Usual) Remaining(route, program string) time.Duration {
 	sums := u.routes[route]
 	if sums == nil || sums.programs < minRoutePrograms {
 		return 0
--- a/dispatch/usual_test.go
+++ b/dispatch/usual_test.go
@@ -28,12 +28,12 @@
 		for left := turns; left > 0; left-- {
 			usual.Begin(now, "ask", program, time.Duration(turns)*400*time.Millisecond)
 			want := time.Duration(left) * 250 * time.Millisecond
-			g.Expect(usual.Need("ask", program)).To(BeNumerically("~", want, 20*time.Millisecond), "%d of %d left", left, turns)
+			g.Expect(usual.Remaining("ask", program)).To(BeNumerically("~", want, 20*time.Millisecond), "%d of %d left", left, turns)
 		}
 	}
 	usual.Begin(now, "ask", "from elsewhere", 0)
-	g.Expect(usual.Need("ask", "from elsewhere")).To(BeNumerically("~", 250*time.Millisecond, 20*time.Millisecond))
-	g.Expect(usual.Need("other", "1")).To(BeZero(), "a route that is not known")
+	g.Expect(usual.Remaining("ask", "from elsewhere")).To(BeNumerically("~", 250*time.Millisecond, 20*time.Millisecond))
+	g.Expect(usual.Remaining("other", "1")).To(BeZero(), "a route that is not known")
 }
 
 // TestRemainingTimeEstimatorIsBounded checks the bounds on tracked programs and routes.
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -39,7 +39,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.usual.Begin(now, r.route.Name, r.programID(), granted)
-	r.need = s.usual.Need(r.route.Name, r.programID())
+	r.need = s.usual.Remaining(r.route.Name, r.programID())
 }
 
 // end takes in that a turn of a program was served.
