--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -16,7 +16,7 @@
 	// the time to prefill one.
 	Token, PrefillTime float64
 	// UncachedTokens is how many tokens of the prompt have to be prefilled.
-	Missing float64
+	UncachedTokens float64
 	// Delay is any other time that passes before the replica starts on the turn.
 	Way float64
 }
@@ -47,13 +47,13 @@
 
 // End predicts the time from sending the turn to its last token.
 func (j *Job) End(replica *Place) float64 {
-	work := replica.Missing*replica.PrefillTime + j.Tokens*replica.Token*(1+BesideShare*replica.Load)
+	work := replica.UncachedTokens*replica.PrefillTime + j.Tokens*replica.Token*(1+BesideShare*replica.Load)
 	return replica.Way + work*(1+queueingFactor*replica.expectedQueue())
 }
 
 // AddedDelay predicts by how much the turn delays all concurrent requests together.
 func (j *Job) AddedDelay(replica *Place) float64 {
-	return replica.Load * (replica.Missing*replica.PrefillTime + BesideShare*j.Tokens*replica.Token)
+	return replica.Load * (replica.UncachedTokens*replica.PrefillTime + BesideShare*j.Tokens*replica.Token)
 }
 
 // Cost is the quantity that a placement minimizes: the turn's completion time plus the
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -187,7 +187,7 @@
 	token := e.tokenTimes.of(m)
 	return dispatch.Place{
 		Load: e.loads.steadyLoad(m), Slots: float64(max(1, m.entry.Slots)),
-		Token: token, PrefillTime: token * e.tokenTimes.prefillShare, Missing: float64(e.uncachedTokens(m)),
+		Token: token, PrefillTime: token * e.tokenTimes.prefillShare, UncachedTokens: float64(e.uncachedTokens(m)),
 		Way: e.tokenTimes.firstEventBase*token + float64(e.fixedCost(m))*e.tokenTimes.median*dispatch.ReadShare,
 	}
 }
@@ -239,7 +239,7 @@
 		if candidateCost := e.placementCost(candidate, &place); best == nil || candidateCost < cost {
 			best, cost = candidate, candidateCost
 		}
-		if place.Missing <= prompt/2 {
+		if place.UncachedTokens <= prompt/2 {
 			cachedDraws++
 		}
 	}
