--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -18,7 +18,7 @@
 	// UncachedTokens is how many tokens of the prompt have to be prefilled.
 	UncachedTokens float64
 	// Delay is any other time that passes before the replica starts on the turn.
-	Way float64
+	Delay float64
 }
 
 const (
@@ -48,7 +48,7 @@
 // End predicts the time from sending the turn to its last token.
 func (j *Job) End(replica *Place) float64 {
 	work := replica.UncachedTokens*replica.PrefillTime + j.Tokens*replica.Token*(1+BesideShare*replica.Load)
-	return replica.Way + work*(1+queueingFactor*replica.expectedQueue())
+	return replica.Delay + work*(1+queueingFactor*replica.expectedQueue())
 }
 
 // AddedDelay predicts by how much the turn delays all concurrent requests together.
