--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -145,7 +145,7 @@
 // spend decides a charge that this node counts.
 func (s *chargeState) spend(now time.Time, charge *Charge) tenant.Decision {
 	key := charge.account()
-	return s.books[key.kind].Spend(now, key.name, charge.Request)
+	return s.books[key.kind].Take(now, key.name, charge.Request)
 }
 
 // refund undoes a charge that this node granted and whose request did not run.
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -44,7 +44,7 @@
 
 // Take decides whether a request fits the tenant's limit, and counts it if so. It is
 // idempotent by the ID of the request.
-func (b *Book) Spend(now time.Time, name string, request Request) Decision {
+func (b *Book) Take(now time.Time, name string, request Request) Decision {
 	b.sweep(now)
 	acct := b.accounts[name]
 	if acct == nil {
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -51,7 +51,7 @@
 func saturate(limiter *tenant.Book, from time.Time, span time.Duration, ask func(index int) tenant.Request) (granted []time.Time) {
 	for index := range int(span / time.Millisecond) {
 		now := from.Add(time.Duration(index) * time.Millisecond)
-		if limiter.Spend(now, "t", ask(index)).Granted {
+		if limiter.Take(now, "t", ask(index)).Granted {
 			granted = append(granted, now)
 		}
 	}
@@ -76,7 +76,7 @@
 				continue
 			}
 			asked++
-			if !limiter.Spend(begun.Add(time.Duration(index)*time.Millisecond), "t", plain(index)).Granted {
+			if !limiter.Take(begun.Add(time.Duration(index)*time.Millisecond), "t", plain(index)).Granted {
 				refused++
 			}
 		}
@@ -86,25 +86,25 @@
 
 	It("counts a repeated request once, and refunds it if it did not run", func() {
 		limiter := establishedLimiter()
-		first := limiter.Spend(begun, "t", request("a"))
-		again := limiter.Spend(begun, "t", request("a"))
+		first := limiter.Take(begun, "t", request("a"))
+		again := limiter.Take(begun, "t", request("a"))
 		Expect(again).To(Equal(first))
-		Expect(limiter.Spend(begun, "t", request("b")).Balance).To(Equal(first.Balance - 1))
+		Expect(limiter.Take(begun, "t", request("b")).Balance).To(Equal(first.Balance - 1))
 		limiter.Return("t", request("a"))
 		limiter.Return("t", request("a"))
 		limiter.Return("t", request("never"))
-		Expect(limiter.Spend(begun, "t", request("c")).Balance).To(Equal(first.Balance - 1))
+		Expect(limiter.Take(begun, "t", request("c")).Balance).To(Equal(first.Balance - 1))
 	})
 
 	It("returns a retry delay, and grants a retry after it", func() {
 		limiter := establishedLimiter()
 		now := begun.Add(time.Second)
 		saturate(limiter, begun, time.Second, plain)
-		limiter.Spend(now, "t", request("one more"))
-		refused := limiter.Spend(now, "t", request("later"))
+		limiter.Take(now, "t", request("one more"))
+		refused := limiter.Take(now, "t", request("later"))
 		Expect(refused.Granted).To(BeFalse())
 		Expect(refused.RetryAfter).To(And(BeNumerically(">=", 50*time.Millisecond), BeNumerically("<=", 5*time.Second)))
-		Expect(limiter.Spend(now.Add(refused.RetryAfter), "t", request("later")).Granted).To(BeTrue())
+		Expect(limiter.Take(now.Add(refused.RetryAfter), "t", request("later")).Granted).To(BeTrue())
 	})
 
 	It("follows a newer limit, lower or higher, and no older one", func() {
@@ -141,10 +141,10 @@
 					now := begun.Add(time.Duration(tick) * time.Millisecond)
 					asked := request(fmt.Sprint(tick))
 					asked.Limit = limit
-					if now.Before(lost) && first.Spend(now, "t", asked).Granted {
+					if now.Before(lost) && first.Take(now, "t", asked).Granted {
 						granted = append(granted, now)
 					}
-					if !now.Before(lost.Add(-overlap)) && next.Spend(now, "t", asked).Granted {
+					if !now.Before(lost.Add(-overlap)) && next.Take(now, "t", asked).Granted {
 						granted = append(granted, now)
 					}
 				}
@@ -166,8 +166,8 @@
 
 	It("drops the tenants that another node counts for", func() {
 		limiter := establishedLimiter()
-		limiter.Spend(begun, "t", request("a"))
-		limiter.Spend(begun, "u", request("b"))
+		limiter.Take(begun, "t", request("a"))
+		limiter.Take(begun, "u", request("b"))
 		limiter.Keep(func(name string) bool { return name == "u" })
 		Expect(limiter.Count()).To(Equal(1))
 	})
@@ -194,7 +194,7 @@
 			if one.made == requestsPerProgram || one.failed > 2 {
 				continue
 			}
-			if limiter.Spend(now, "t", turn(fmt.Sprint(index, "/", one.made), fmt.Sprint("p-", index))).Granted {
+			if limiter.Take(now, "t", turn(fmt.Sprint(index, "/", one.made), fmt.Sprint("p-", index))).Granted {
 				one.made++
 			} else {
 				one.failed++
@@ -226,7 +226,7 @@
 		saturate(limiter, begun, 3*time.Second, func(index int) tenant.Request { return turn(fmt.Sprint(index), fmt.Sprint("p-", index%50)) })
 		var waits []time.Duration
 		for index := range 5 {
-			waits = append(waits, limiter.Spend(begun.Add(3*time.Second), "t", turn(fmt.Sprint("n", index), fmt.Sprint("new-", index))).RetryAfter)
+			waits = append(waits, limiter.Take(begun.Add(3*time.Second), "t", turn(fmt.Sprint("n", index), fmt.Sprint("new-", index))).RetryAfter)
 		}
 		for index := 1; index < len(waits); index++ {
 			Expect(waits[index]).To(Or(BeNumerically(">", waits[index-1]), BeNumerically("==", 5*time.Second)))
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -93,7 +93,7 @@
 		return
 	}
 	a.number++
-	decision := a.limiter.Spend(a.now, "t", tenant.Request{ID: fmt.Sprint(a.number), Program: one.name, Route: route, Limit: a.limit, Version: 1})
+	decision := a.limiter.Take(a.now, "t", tenant.Request{ID: fmt.Sprint(a.number), Program: one.name, Route: route, Limit: a.limit, Version: 1})
 	switch {
 	case decision.Granted:
 		a.granted++
