--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -151,7 +151,7 @@
 // refund undoes a charge that this node granted and whose request did not run.
 func (s *chargeState) refund(charge *Charge) {
 	key := charge.account()
-	s.books[key.kind].Return(key.name, charge.Request)
+	s.books[key.kind].Refund(key.name, charge.Request)
 }
 
 // countingNode returns the counting node of an account: the live node that ranks first for
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -190,7 +190,7 @@
 }
 
 // Refund undoes the grant of a request that did not run.
-func (b *Book) Return(name string, request Request) {
+func (b *Book) Refund(name string, request Request) {
 	if acct := b.accounts[name]; acct != nil {
 		acct.refund(request.ID, request.Program)
 	}
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -90,9 +90,9 @@
 		again := limiter.Take(begun, "t", request("a"))
 		Expect(again).To(Equal(first))
 		Expect(limiter.Take(begun, "t", request("b")).Balance).To(Equal(first.Balance - 1))
-		limiter.Return("t", request("a"))
-		limiter.Return("t", request("a"))
-		limiter.Return("t", request("never"))
+		limiter.Refund("t", request("a"))
+		limiter.Refund("t", request("a"))
+		limiter.Refund("t", request("never"))
 		Expect(limiter.Take(begun, "t", request("c")).Balance).To(Equal(first.Balance - 1))
 	})
 
