--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -203,7 +203,7 @@
 	}
 	for kind, book := range state.books {
 		if lost {
-			book.Inherit(now)
+			book.NodeLost(now)
 		}
 		if changed {
 			book.Keep(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -31,7 +31,7 @@
 
 // NodeLost records that a node was lost that counted for tenants which this node counts
 // for from now on. It may have granted all that their accounts held.
-func (b *Book) Inherit(now time.Time) { b.countingSince = now }
+func (b *Book) NodeLost(now time.Time) { b.countingSince = now }
 
 // Retain drops the accounts that another node counts for by now.
 func (b *Book) Keep(owned func(tenant string) bool) {
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -135,7 +135,7 @@
 				first := establishedLimiter()
 				lost := begun.Add(lostAfter)
 				next := tenant.NewBook(begun.Add(-time.Minute), config)
-				next.Inherit(lost.Add(-overlap))
+				next.NodeLost(lost.Add(-overlap))
 				var granted []time.Time
 				for tick := range 15_000 {
 					now := begun.Add(time.Duration(tick) * time.Millisecond)
