--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -206,7 +206,7 @@
 			book.NodeLost(now)
 		}
 		if changed {
-			book.Keep(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
+			book.Retain(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
 		}
 		book.SetShare(c.grantableShare())
 	}
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -34,7 +34,7 @@
 func (b *Book) NodeLost(now time.Time) { b.countingSince = now }
 
 // Retain drops the accounts that another node counts for by now.
-func (b *Book) Keep(owned func(tenant string) bool) {
+func (b *Book) Retain(owned func(tenant string) bool) {
 	for name := range b.accounts {
 		if !owned(name) {
 			delete(b.accounts, name)
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -168,7 +168,7 @@
 		limiter := establishedLimiter()
 		limiter.Take(begun, "t", request("a"))
 		limiter.Take(begun, "u", request("b"))
-		limiter.Keep(func(name string) bool { return name == "u" })
+		limiter.Retain(func(name string) bool { return name == "u" })
 		Expect(limiter.Count()).To(Equal(1))
 	})
 })
