--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -74,7 +74,7 @@
 	without := coreConfig(Settings{Partitions: 1, Without: []Mechanism{CountTogether, RedirectCharges, FinishPrograms, RankPrograms, BeginAgain}}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
 	g.Expect(without.CountAlone).To(BeTrue())
 	g.Expect(without.AskOwnView).To(BeTrue())
-	g.Expect(without.Tenants.FirstCome).To(BeTrue())
+	g.Expect(without.Tenants.ArrivalOrder).To(BeTrue())
 	g.Expect(without.Tenants.InTurn).To(BeTrue())
 	g.Expect(without.Ledger.AgainShare).To(BeZero())
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -227,7 +227,7 @@
 	if settings.ColdReplicas.Window > 0 {
 		config.ColdReplicas = settings.ColdReplicas
 	}
-	config.Tenants.FirstCome = !settings.uses(FinishPrograms)
+	config.Tenants.ArrivalOrder = !settings.uses(FinishPrograms)
 	config.Tenants.InTurn = !settings.uses(RankPrograms)
 	config.CountAlone = !settings.uses(CountTogether)
 	config.AskOwnView = !settings.uses(RedirectCharges)
--- a/tenant/account.go
+++ b/tenant/account.go
@@ -18,7 +18,7 @@
 	IdleAfter time.Duration
 	// ArrivalOrder grants requests in order of arrival, without precedence of started
 	// programs. It exists to measure the benefit of that precedence.
-	FirstCome bool
+	ArrivalOrder bool
 	// RetriesAsNew treats refused programs that retry like programs that arrive for the
 	// first time. It exists to measure the benefit of preferring the latter.
 	InTurn bool
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -86,7 +86,7 @@
 // retryAfter returns the retry delay of a request that has to be refused, or 0 if it can
 // be granted.
 func (b *Book) retryAfter(now time.Time, acct *account, request *Request) time.Duration {
-	if request.Program == "" || b.config.FirstCome {
+	if request.Program == "" || b.config.ArrivalOrder {
 		return b.retryAfterPlain(now, acct)
 	}
 	if b.available(acct) < 1 {
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -214,7 +214,7 @@
 	It("finishes more programs if started ones have precedence", func() {
 		config := tenant.DefaultConfig()
 		ended, granted := simulateOverload(config)
-		config.FirstCome = true
+		config.ArrivalOrder = true
 		endedFirstCome, grantedFirstCome := simulateOverload(config)
 		Expect(grantedFirstCome).To(BeNumerically("~", granted, 60))
 		Expect(ended).To(BeNumerically(">=", 10*endedFirstCome))
