--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -75,6 +75,6 @@
 	g.Expect(without.CountAlone).To(BeTrue())
 	g.Expect(without.AskOwnView).To(BeTrue())
 	g.Expect(without.Tenants.ArrivalOrder).To(BeTrue())
-	g.Expect(without.Tenants.InTurn).To(BeTrue())
+	g.Expect(without.Tenants.RetriesAsNew).To(BeTrue())
 	g.Expect(without.Ledger.AgainShare).To(BeZero())
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -228,7 +228,7 @@
 		config.ColdReplicas = settings.ColdReplicas
 	}
 	config.Tenants.ArrivalOrder = !settings.uses(FinishPrograms)
-	config.Tenants.InTurn = !settings.uses(RankPrograms)
+	config.Tenants.RetriesAsNew = !settings.uses(RankPrograms)
 	config.CountAlone = !settings.uses(CountTogether)
 	config.AskOwnView = !settings.uses(RedirectCharges)
 	config.GatherNothing = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
--- a/tenant/account.go
+++ b/tenant/account.go
@@ -21,7 +21,7 @@
 	ArrivalOrder bool
 	// RetriesAsNew treats refused programs that retry like programs that arrive for the
 	// first time. It exists to measure the benefit of preferring the latter.
-	InTurn bool
+	RetriesAsNew bool
 }
 
 // DefaultConfig returns the settings used where the operator sets none. They are those of
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -161,7 +161,7 @@
 func (b *Book) mayStart(acct *account, request *Request, deficit float64) bool {
 	_, retrying := acct.refused[request.Program]
 	switch {
-	case b.config.InTurn:
+	case b.config.RetriesAsNew:
 		return deficit <= 0
 	case retrying:
 		capacity := acct.capacity(&b.config, b.share)
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -214,7 +214,7 @@
 	It("finish in time less often if refused programs that retry start like new ones", func() {
 		config := tenant.DefaultConfig()
 		first := simulateBurst(config, 134, 7, 10)
-		config.InTurn = true
+		config.RetriesAsNew = true
 		inTurn := simulateBurst(config, 134, 7, 10)
 		Expect(first.inTime).To(BeNumerically(">", inTurn.inTime*12/10))
 	})
