--- a/edge/request.go
+++ b/edge/request.go
@@ -95,13 +95,13 @@
 }
 
 // turnID is what all nodes know the turn by.
-func (r *requestState) turnID() string { return r.scope.Of(r.id) }
+func (r *requestState) turnID() string { return r.scope.Qualify(r.id) }
 
 // programID is what all nodes know the turn's program by.
-func (r *requestState) programID() string { return r.scope.Of(r.program) }
+func (r *requestState) programID() string { return r.scope.Qualify(r.program) }
 
 // previousID is what all nodes know the kept turn by that this one goes on from, or "".
-func (r *requestState) previousID() string { return r.scope.Of(r.previous) }
+func (r *requestState) previousID() string { return r.scope.Qualify(r.previous) }
 
 // formerID is what the previous turn is known by if it was kept before ids had a
 // scope, or "".
--- a/tenant/scope.go
+++ b/tenant/scope.go
@@ -39,7 +39,7 @@
 //
 // An id that is too long for a key, or contains the separator itself, is replaced by its
 // digest after two separators, with which no other text begins.
-func (s Scope) Of(id string) string {
+func (s Scope) Qualify(id string) string {
 	if id == "" {
 		return ""
 	}
@@ -60,5 +60,5 @@
 	if !s.scoped {
 		return ""
 	}
-	return Scope{}.Of(id)
+	return Scope{}.Qualify(id)
 }
--- a/tenant/scope_test.go
+++ b/tenant/scope_test.go
@@ -15,14 +15,14 @@
 	two := tenant.ScopeOf(&tenant.Tenant{Name: "two"})
 
 	It("leaves ids as they are where there are no tenants", func() {
-		Expect(tenant.Scope{}.Of("id")).To(Equal("id"))
+		Expect(tenant.Scope{}.Qualify("id")).To(Equal("id"))
 		Expect(tenant.Scope{}.Unscoped("id")).To(BeEmpty())
 	})
 
 	It("distinguishes tenants, requests without a key and unscoped records", func() {
 		texts := map[string]bool{}
 		for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), one, two} {
-			texts[scope.Of("id")] = true
+			texts[scope.Qualify("id")] = true
 		}
 		Expect(texts).To(HaveLen(4))
 		Expect(one.Unscoped("id")).To(Equal("id"))
@@ -30,15 +30,15 @@
 	})
 
 	It("leaves the empty id empty", func() {
-		Expect(one.Of("")).To(BeEmpty())
+		Expect(one.Qualify("")).To(BeEmpty())
 	})
 
 	It("gives no client a way to spell another scope's id", func() {
-		victim := one.Of("id")
-		long := one.Of(strings.Repeat("x", 300))
+		victim := one.Qualify("id")
+		long := one.Qualify(strings.Repeat("x", 300))
 		for _, spelled := range []string{victim, long, strings.TrimPrefix(long, "\x1f"), strings.TrimLeft(long, "\x1f")} {
 			for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), two} {
-				Expect(scope.Of(spelled)).NotTo(BeElementOf(victim, long), "%q", spelled)
+				Expect(scope.Qualify(spelled)).NotTo(BeElementOf(victim, long), "%q", spelled)
 			}
 		}
 	})
@@ -48,7 +48,7 @@
 		for length := 1; length < 600; length++ {
 			id := strings.Repeat("i", length)
 			for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), one, wide} {
-				Expect(len(scope.Of(id))).To(BeNumerically("<=", 230))
+				Expect(len(scope.Qualify(id))).To(BeNumerically("<=", 230))
 			}
 		}
 	})
@@ -80,7 +80,7 @@
 			for _, second := range all {
 				same := first.id == second.id && (first.id == "" || first.scope == second.scope)
 				bothEmpty := first.id == "" && second.id == ""
-				if (first.scope.Of(first.id) == second.scope.Of(second.id)) != (same || bothEmpty) {
+				if (first.scope.Qualify(first.id) == second.scope.Qualify(second.id)) != (same || bothEmpty) {
 					t.Fatalf("%+v and %+v", first, second)
 				}
 			}
