--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -58,7 +58,7 @@
 			word.Totals[id] = replica.Total{Requests: float64(totals.Counts[key]), TokenTime: pace.TokenTime, Samples: pace.Samples}
 		}
 	}
-	r.set.TakeWord(now, word)
+	r.set.ApplyLoadSummary(now, word)
 }
 
 // key notes under which key messages name a replica. Two that share one are not heard of.
--- a/replica/word.go
+++ b/replica/word.go
@@ -38,7 +38,7 @@
 
 // ApplyLoadSummary applies the load of all other nodes. A replica that is not in a complete
 // summary has no requests of other nodes.
-func (s *Set) TakeWord(now time.Time, summary Word) {
+func (s *Set) ApplyLoadSummary(now time.Time, summary Word) {
 	if s.config.Without.PeerLoads {
 		return
 	}
--- a/replica/word_scale_test.go
+++ b/replica/word_scale_test.go
@@ -22,11 +22,11 @@
 	summary := replica.Word{Nodes: 983, At: now.Add(-300 * time.Millisecond), Totals: totals}
 	b.Run("take", func(b *testing.B) {
 		for b.Loop() {
-			set.TakeWord(now, summary)
+			set.ApplyLoadSummary(now, summary)
 		}
 	})
 	b.Run("select", func(b *testing.B) {
-		set.TakeWord(now, summary)
+		set.ApplyLoadSummary(now, summary)
 		for index := 0; b.Loop(); index++ {
 			if _, err := set.Select(now, scaleRequest(index)); err != nil {
 				b.Fatal(err)
