--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -24,7 +24,7 @@
 	node.replicas.configure(table)
 	for _, id := range ids {
 		node.replicas.put(replica.Entry{
-			ID: id, Service: "s", Zone: "z", Status: replica.StatusReady, Slots: 4, Cold: replica.ColdWord{Left: time.Hour, Sequence: 1},
+			ID: id, Service: "s", Zone: "z", Status: replica.StatusReady, Slots: 4, Cold: replica.ColdWord{Remaining: time.Hour, Sequence: 1},
 		})
 	}
 	return node
@@ -134,7 +134,7 @@
 	defer node.Kill()
 	node.replicas.put(replica.Entry{ID: "r0", Service: "s", Status: replica.StatusReady, Slots: 4})
 	before, _, _ := node.replicas.since(&relayQuestion{}, false)
-	g.Expect(before[0].Entry.Cold.Left).To(BeZero())
+	g.Expect(before[0].Entry.Cold.Remaining).To(BeZero())
 	for _, value := range []string{"", "soon", "0"} {
 		node.hearCold("r0", answerWith(value))
 		g.Expect(node.ColdReplicas()).To(BeZero(), value)
@@ -143,7 +143,7 @@
 	g.Expect(node.ColdReplicas()).To(Equal(1))
 	changes, _, _ := node.replicas.since(&relayQuestion{since: 1}, true)
 	g.Expect(changes).To(HaveLen(1))
-	g.Expect(changes[0].Entry.Cold.Left).To(BeNumerically("~", time.Hour, time.Minute))
+	g.Expect(changes[0].Entry.Cold.Remaining).To(BeNumerically("~", time.Hour, time.Minute))
 }
 
 func answerWith(left string) *upstream.Response {
--- a/replica/cold.go
+++ b/replica/cold.go
@@ -7,7 +7,7 @@
 type ColdWord struct {
 	// Remaining is how much longer the replica stays cold, as of when the status was sent; 0 if
 	// it is warm.
-	Left time.Duration `json:"left,omitempty"`
+	Remaining time.Duration `json:"left,omitempty"`
 	// Sequence is the sequence number of the replica's entry, or 0 if its entries are not
 	// numbered.
 	Sequence uint64 `json:"sequence,omitempty"`
@@ -61,9 +61,9 @@
 	}
 	switch {
 	case status.Passed:
-		return c.extend(now, status.Left, coldFromPeer)
+		return c.extend(now, status.Remaining, coldFromPeer)
 	case isNew:
-		return c.extend(now, status.Left, coldFromEntry)
+		return c.extend(now, status.Remaining, coldFromEntry)
 	default:
 		return false
 	}
@@ -75,7 +75,7 @@
 	if !c.received || status.Sequence > c.status.Sequence {
 		return true
 	}
-	repeated := status.Passed || c.status.Passed || status.Left == c.status.Left
+	repeated := status.Passed || c.status.Passed || status.Remaining == c.status.Remaining
 	return status.Sequence == c.status.Sequence && !repeated
 }
 
@@ -99,7 +99,7 @@
 // of now.
 func (m *member) entryAt(now time.Time) Entry {
 	entry := m.entry
-	entry.Cold = ColdWord{Left: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Passed: true}
+	entry.Cold = ColdWord{Remaining: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Passed: true}
 	return entry
 }
 
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -74,7 +74,7 @@
 	request := scaleRequest(0)
 	set.Began(now, former.ID, request)
 	again := former
-	again.Incarnation, again.Cold = 2_000, replica.ColdWord{Left: 3 * time.Second, Sequence: 1}
+	again.Incarnation, again.Cold = 2_000, replica.ColdWord{Remaining: 3 * time.Second, Sequence: 1}
 	g.Expect(set.Put(now, again)).To(BeTrue())
 	choice, err := set.Select(now, request)
 	g.Expect(err).NotTo(HaveOccurred())
