--- a/replica/cold.go
+++ b/replica/cold.go
@@ -12,7 +12,7 @@
 	// numbered.
 	Sequence uint64 `json:"sequence,omitempty"`
 	// Forwarded reports that another node sent the status, from its own state at that time.
-	Passed bool `json:"passed,omitempty"`
+	Forwarded bool `json:"passed,omitempty"`
 }
 
 // The sources of the information that a replica is cold.
@@ -60,7 +60,7 @@
 		c.status, c.received = status, true
 	}
 	switch {
-	case status.Passed:
+	case status.Forwarded:
 		return c.extend(now, status.Remaining, coldFromPeer)
 	case isNew:
 		return c.extend(now, status.Remaining, coldFromEntry)
@@ -75,7 +75,7 @@
 	if !c.received || status.Sequence > c.status.Sequence {
 		return true
 	}
-	repeated := status.Passed || c.status.Passed || status.Remaining == c.status.Remaining
+	repeated := status.Forwarded || c.status.Forwarded || status.Remaining == c.status.Remaining
 	return status.Sequence == c.status.Sequence && !repeated
 }
 
@@ -99,7 +99,7 @@
 // of now.
 func (m *member) entryAt(now time.Time) Entry {
 	entry := m.entry
-	entry.Cold = ColdWord{Remaining: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Passed: true}
+	entry.Cold = ColdWord{Remaining: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Forwarded: true}
 	return entry
 }
 
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -21,7 +21,7 @@
 	}
 	passed := func(left time.Duration, sequence uint64) replica.Entry {
 		forwarded := entry(left, sequence)
-		forwarded.Cold.Passed = true
+		forwarded.Cold.Forwarded = true
 		return forwarded
 	}
 	at := func(after time.Duration) time.Time { return start.Add(after) }
@@ -79,7 +79,7 @@
 		set.Put(start, entry(3*time.Second, 5))
 		forwarded, known := set.EntryAt(at(2*time.Second), id)
 		Expect(known).To(BeTrue())
-		Expect(forwarded.Cold).To(Equal(replica.ColdWord{Remaining: time.Second, Sequence: 5, Passed: true}))
+		Expect(forwarded.Cold).To(Equal(replica.ColdWord{Remaining: time.Second, Sequence: 5, Forwarded: true}))
 		Expect(set.Entries(at(5 * time.Second))[0].Cold.Remaining).To(BeZero())
 		set.Put(at(2*time.Second), forwarded)
 		Expect(rateAt(at(3 * time.Second))).To(BeZero())
