--- a/edge/cold.go
+++ b/edge/cold.go
@@ -213,7 +213,7 @@
 func (r *replicas) coldTurns(now time.Time) ([]replica.ColdTurn, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.ColdTurns(now)
+	return r.set.ColdTransitions(now)
 }
 
 // ColdReplicas returns how many replicas this node holds cold.
--- a/replica/cold.go
+++ b/replica/cold.go
@@ -159,7 +159,7 @@
 }
 
 // ColdTransitions returns the transitions since the last call, and the number of cold replicas.
-func (s *Set) ColdTurns(now time.Time) (transitions []ColdTurn, count int) {
+func (s *Set) ColdTransitions(now time.Time) (transitions []ColdTurn, count int) {
 	for id, known := range s.coldTracked {
 		cold := known.cold.cold(now)
 		if cold {
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -130,12 +130,12 @@
 
 	It("is reported once when it turns cold, and once when it turns warm", func() {
 		set.Put(start, entry(3*time.Second, 1))
-		turns, count := set.ColdTurns(start)
+		turns, count := set.ColdTransitions(start)
 		Expect(turns).To(Equal([]replica.ColdTurn{{ID: id, Cold: true, Until: at(3 * time.Second), Source: "entry"}}))
 		Expect(count).To(Equal(1))
-		turns, _ = set.ColdTurns(at(time.Second))
+		turns, _ = set.ColdTransitions(at(time.Second))
 		Expect(turns).To(BeEmpty())
-		turns, count = set.ColdTurns(at(3 * time.Second))
+		turns, count = set.ColdTransitions(at(3 * time.Second))
 		Expect(turns).To(HaveLen(1))
 		Expect(turns[0].Cold).To(BeFalse())
 		Expect(count).To(BeZero())
