--- a/edge/cold.go
+++ b/edge/cold.go
@@ -184,7 +184,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
-	if !r.set.HearCold(now, id, left) {
+	if !r.set.ExtendCold(now, id, left) {
 		return
 	}
 	if entry, known := r.set.EntryAt(now, id); known {
--- a/replica/cold.go
+++ b/replica/cold.go
@@ -119,7 +119,7 @@
 
 // ExtendCold marks a replica as cold for the time that one of its answers gave. It reports
 // whether to announce the change to other nodes.
-func (s *Set) HearCold(now time.Time, id ID, left time.Duration) (announce bool) {
+func (s *Set) ExtendCold(now time.Time, id ID, left time.Duration) (announce bool) {
 	known := s.byID[id]
 	if known == nil {
 		return false
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -70,7 +70,7 @@
 
 	It("stays cold when an older status arrives late", func() {
 		set.Put(start, entry(0, 1))
-		Expect(set.HearCold(at(time.Second), id, 3*time.Second)).To(BeTrue())
+		Expect(set.ExtendCold(at(time.Second), id, 3*time.Second)).To(BeTrue())
 		set.Put(at(1100*time.Millisecond), entry(0, 2))
 		Expect(rateAt(at(3900 * time.Millisecond))).To(Equal(28.0))
 	})
