--- a/edge/cold.go
+++ b/edge/cold.go
@@ -161,7 +161,7 @@
 func (r *replicas) confirm(id replica.ID, request *replica.Request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.set.Withdraw(id)
+	r.set.Release(id)
 	r.set.Began(time.Now(), id, request)
 }
 
@@ -169,7 +169,7 @@
 func (r *replicas) withdraw(id replica.ID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.set.Withdraw(id)
+	r.set.Release(id)
 }
 
 // pauseCold has a cold replica passed over that is at its rate.
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -146,7 +146,7 @@
 		set.SetCacheTokens("s", 1000)
 		request := &replica.Request{Service: "s", Program: "p", Prompt: []replica.Part{{ID: "a", Tokens: 100}}}
 		set.Reserve(id)
-		set.Withdraw(id)
+		set.Release(id)
 		Expect(set.Own()).To(BeEmpty())
 		choice, err := set.Select(start, request)
 		Expect(err).NotTo(HaveOccurred())
--- a/replica/set.go
+++ b/replica/set.go
@@ -346,7 +346,7 @@
 }
 
 // Release undoes Reserve.
-func (s *Set) Withdraw(id ID) {
+func (s *Set) Release(id ID) {
 	if known := s.byID[id]; known != nil {
 		s.removeOwnRequest(known)
 	}
