--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -253,7 +253,7 @@
 func (r *replicas) doubt(id replica.ID, until time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Doubt(id, until)
+	return r.set.DeferRemoval(id, until)
 }
 
 // doubted returns the replicas whose doubt is over.
--- a/replica/doubt.go
+++ b/replica/doubt.go
@@ -6,7 +6,7 @@
 // lack it although it is alive. If the replica is listed again it stays. The first deadline
 // stands if DeferRemoval is called again. It reports whether the removal is deferred; it is not
 // for a draining or unknown replica.
-func (s *Set) Doubt(id ID, until time.Time) bool {
+func (s *Set) DeferRemoval(id ID, until time.Time) bool {
 	known := s.byID[id]
 	if known == nil || known.entry.Status != StatusReady {
 		return false
--- a/replica/doubt_test.go
+++ b/replica/doubt_test.go
@@ -14,8 +14,8 @@
 
 	It("is still selected, and is due for removal at its deadline", func() {
 		set := newSet(1)
-		Expect(set.Doubt("r0", until)).To(BeTrue())
-		Expect(set.Doubt("r0", until.Add(time.Hour))).To(BeTrue())
+		Expect(set.DeferRemoval("r0", until)).To(BeTrue())
+		Expect(set.DeferRemoval("r0", until.Add(time.Hour))).To(BeTrue())
 		choice, err := set.Select(start, &replica.Request{Service: "s"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r0")))
@@ -25,7 +25,7 @@
 
 	It("gets nothing after its deadline, even if the list was not read since", func() {
 		set := newSet(2)
-		set.Doubt("r0", until)
+		set.DeferRemoval("r0", until)
 		for draw := range 10 {
 			choice, err := set.Select(until, &replica.Request{Service: "s", Draw: float64(draw) / 10})
 			Expect(err).NotTo(HaveOccurred())
@@ -39,7 +39,7 @@
 
 	It("stays once it is listed again", func() {
 		set := newSet(1)
-		set.Doubt("r0", until)
+		set.DeferRemoval("r0", until)
 		set.Put(start, replica.Entry{ID: "r0", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
 		Expect(set.Doubted(until)).To(BeEmpty())
 	})
@@ -47,7 +47,7 @@
 	It("is not kept if it drains or is unknown", func() {
 		set := newSet(1)
 		set.Put(start, replica.Entry{ID: "r0", Service: "s", Zone: "here", Status: replica.StatusDraining, Slots: 4})
-		Expect(set.Doubt("r0", until)).To(BeFalse())
-		Expect(set.Doubt("other", until)).To(BeFalse())
+		Expect(set.DeferRemoval("r0", until)).To(BeFalse())
+		Expect(set.DeferRemoval("other", until)).To(BeFalse())
 	})
 })
