--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -260,7 +260,7 @@
 func (r *replicas) doubted() []replica.ID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Doubted(time.Now())
+	return r.set.DueRemovals(time.Now())
 }
 
 // count returns how many replicas are listed.
--- a/replica/doubt.go
+++ b/replica/doubt.go
@@ -19,7 +19,7 @@
 }
 
 // DueRemovals returns the unlisted replicas whose deadline has passed.
-func (s *Set) Doubted(now time.Time) (gone []ID) {
+func (s *Set) DueRemovals(now time.Time) (gone []ID) {
 	for id, known := range s.unlisted {
 		if !now.Before(known.removeAt) {
 			gone = append(gone, id)
--- a/replica/doubt_test.go
+++ b/replica/doubt_test.go
@@ -19,8 +19,8 @@
 		choice, err := set.Select(start, &replica.Request{Service: "s"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r0")))
-		Expect(set.Doubted(until.Add(-time.Millisecond))).To(BeEmpty())
-		Expect(set.Doubted(until)).To(Equal([]replica.ID{"r0"}))
+		Expect(set.DueRemovals(until.Add(-time.Millisecond))).To(BeEmpty())
+		Expect(set.DueRemovals(until)).To(Equal([]replica.ID{"r0"}))
 	})
 
 	It("gets nothing after its deadline, even if the list was not read since", func() {
@@ -41,7 +41,7 @@
 		set := newSet(1)
 		set.DeferRemoval("r0", until)
 		set.Put(start, replica.Entry{ID: "r0", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
-		Expect(set.Doubted(until)).To(BeEmpty())
+		Expect(set.DueRemovals(until)).To(BeEmpty())
 	})
 
 	It("is not kept if it drains or is unknown", func() {
