--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -57,19 +57,19 @@
 // partsWithout returns the parts of the choice that are switched off.
 func partsWithout(settings *Settings) replica.Parts {
 	return replica.Parts{
-		KeptPrompts: !settings.uses(FollowPrompts),
-		SharedParts: !settings.uses(AssumeShared),
-		LastReplica: !settings.uses(FollowLines),
-		PeerLoads:   !settings.uses(CountPeers),
-		Estimates:   !settings.uses(EstimateLoads),
-		Zones:       !settings.uses(PreferZone),
-		Regions:     !settings.uses(PreferRegion),
-		Connections: !settings.uses(PreferConnections),
-		Faults:      !settings.uses(RememberFaults),
-		Suspicion:   !settings.uses(SuspectSilent),
-		Cold:        !settings.uses(LimitCold),
-		Pace:        !settings.uses(WeighPace),
-		Slack:       !settings.uses(WeighSlack),
+		CachedPrompts: !settings.uses(FollowPrompts),
+		SharedParts:   !settings.uses(AssumeShared),
+		LastReplica:   !settings.uses(FollowLines),
+		PeerLoads:     !settings.uses(CountPeers),
+		Estimates:     !settings.uses(EstimateLoads),
+		Zones:         !settings.uses(PreferZone),
+		Regions:       !settings.uses(PreferRegion),
+		Connections:   !settings.uses(PreferConnections),
+		Faults:        !settings.uses(RememberFaults),
+		Suspicion:     !settings.uses(SuspectSilent),
+		Cold:          !settings.uses(LimitCold),
+		Pace:          !settings.uses(WeighPace),
+		Slack:         !settings.uses(WeighSlack),
 	}
 }
 
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -45,7 +45,7 @@
 func TestSwitchesOfTheChoice(t *testing.T) {
 	g := NewWithT(t)
 	for mechanism, parts := range map[Mechanism]replica.Parts{
-		FollowPrompts: {KeptPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
+		FollowPrompts: {CachedPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
 		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, RememberFaults: {Faults: true},
 		SuspectSilent: {Suspicion: true}, WeighPace: {Pace: true}, WeighSlack: {Slack: true},
 	} {
--- a/replica/parts_test.go
+++ b/replica/parts_test.go
@@ -40,7 +40,7 @@
 				Expect(choice.Entry.ID).To(Equal(want))
 			}
 		},
-		Entry("kept prompts", replica.Parts{KeptPrompts: true}, func(set *replica.Set, request *replica.Request) {
+		Entry("kept prompts", replica.Parts{CachedPrompts: true}, func(set *replica.Set, request *replica.Request) {
 			set.Began(start, "r1", &replica.Request{Prompt: prompt})
 			set.Ended(start, "r1", replica.ResultAnswered)
 			request.Prompt = prompt
--- a/replica/select.go
+++ b/replica/select.go
@@ -331,7 +331,7 @@
 func (e *evaluation) uncachedTokens(m *member) int {
 	prompt, disabled := e.request.Prompt, &e.set.config.Without
 	uncachedTokens := Tokens(prompt)
-	if !disabled.KeptPrompts {
+	if !disabled.CachedPrompts {
 		uncachedTokens = m.cache.uncachedTokens(prompt, e.cachedProbabilityAt(m))
 	}
 	last := len(prompt) - 1
--- a/replica/set.go
+++ b/replica/set.go
@@ -64,8 +64,8 @@
 	// CachedPrompts is the estimate of what each engine has cached. LastReplica is the
 	// assumption that the replica that served the previous turn of a session still has the
 	// session's prompt cached.
-	KeptPrompts bool
-	LastReplica bool
+	CachedPrompts bool
+	LastReplica   bool
 	// SharedParts is the estimate of the prompt parts that engines cached for other nodes.
 	SharedParts bool
 	// PeerLoads counts the requests in flight of other nodes. Estimates extrapolates those of
