--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -68,7 +68,7 @@
 		Faults:        !settings.uses(RememberFaults),
 		Suspicion:     !settings.uses(SuspectSilent),
 		Cold:          !settings.uses(LimitCold),
-		Pace:          !settings.uses(WeighPace),
+		TokenTimes:    !settings.uses(WeighPace),
 		Slack:         !settings.uses(WeighSlack),
 	}
 }
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -47,7 +47,7 @@
 	for mechanism, parts := range map[Mechanism]replica.Parts{
 		FollowPrompts: {CachedPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
 		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, RememberFaults: {Faults: true},
-		SuspectSilent: {Suspicion: true}, WeighPace: {Pace: true}, WeighSlack: {Slack: true},
+		SuspectSilent: {Suspicion: true}, WeighPace: {TokenTimes: true}, WeighSlack: {Slack: true},
 	} {
 		settings := without(mechanism)
 		g.Expect(partsWithout(&settings)).To(Equal(parts), string(mechanism))
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -217,7 +217,7 @@
 	for _, load := range []float64{0.4, 0.7, 1.2} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			g := NewWithT(t)
-			baseline := newReplay(replica.Parts{Pace: true})
+			baseline := newReplay(replica.Parts{TokenTimes: true})
 			before := baseline.run(load, 12*time.Second, even)
 			paced := newReplay(replica.Parts{})
 			after := paced.run(load, 12*time.Second, even)
@@ -251,7 +251,7 @@
 func expectFaster(t *testing.T, load float64, speed func(engine int, at time.Duration) float64) {
 	t.Helper()
 	g := NewWithT(t)
-	baseline := newReplay(replica.Parts{Pace: true}).run(load, 12*time.Second, speed)
+	baseline := newReplay(replica.Parts{TokenTimes: true}).run(load, 12*time.Second, speed)
 	paced := newReplay(replica.Parts{}).run(load, 12*time.Second, speed)
 	t.Logf("former %v %v, paced %v %v", quantile(baseline, .5), quantile(baseline, .9), quantile(paced, .5), quantile(paced, .9))
 	g.Expect(quantile(paced, .9)).To(BeNumerically("<", quantile(baseline, .9)))
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -84,7 +84,7 @@
 // Observe applies the measurements of one of this node's turns.
 func (s *Set) Observe(now time.Time, id ID, sample Sample) {
 	known := s.byID[id]
-	if known == nil || sample.Token <= 0 || s.config.Without.Pace {
+	if known == nil || sample.Token <= 0 || s.config.Without.TokenTimes {
 		return
 	}
 	unloaded := float64(sample.Token) / (1 + dispatch.BesideShare*float64(max(0, sample.Load)))
@@ -114,7 +114,7 @@
 // unevenTokenTimes returns the token times of a service if they differ materially among the
 // candidates, else nil.
 func (s *Set) unevenTokenTimes(now time.Time, service string, candidates []*member) *tokenTimes {
-	if s.config.Without.Pace {
+	if s.config.Without.TokenTimes {
 		return nil
 	}
 	found := s.serviceTokenTimes[service]
--- a/replica/set.go
+++ b/replica/set.go
@@ -83,8 +83,8 @@
 	Suspicion bool
 	// TokenTimes takes the replicas' token times into account, and Slack whether a program is
 	// ahead of or behind its schedule.
-	Pace  bool
-	Slack bool
+	TokenTimes bool
+	Slack      bool
 	// Cold adds the cost of a cold replica, and excludes one that has reached its cold rate.
 	Cold bool
 }
