--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -49,7 +49,7 @@
 func newReplicas(settings *Settings) *replicas {
 	config := replica.DefaultConfig(settings.Zone)
 	config.Regions, config.LeaveWithin = settings.Regions, settings.LeaveWithin
-	config.Without = partsWithout(settings)
+	config.Disabled = partsWithout(settings)
 	return &replicas{set: replica.NewSet(config), views: make(map[replica.Group]*view), changed: make(chan struct{}),
 		keyed: make(map[gather.Key]replica.ID)}
 }
--- a/replica/cold.go
+++ b/replica/cold.go
@@ -139,7 +139,7 @@
 // coldRate returns the maximum request rate of a replica in requests per second, or 0 unless it
 // is cold and its service has such a rate.
 func (s *Set) coldRate(now time.Time, m *member) float64 {
-	if s.config.Without.Cold || !m.cold.cold(now) {
+	if s.config.Disabled.Cold || !m.cold.cold(now) {
 		return 0
 	}
 	return s.coldRates[m.entry.Service]
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -82,7 +82,7 @@
 func newReplay(without replica.Parts) *replay {
 	r := &replay{random: rand.New(rand.NewPCG(1, 2)), last: map[int]replica.ID{}, loads: map[replica.ID]int{}}
 	config := replica.DefaultConfig("a")
-	config.Without = without
+	config.Disabled = without
 	for node := range replayNodes {
 		r.sets = append(r.sets, replica.NewSet(config))
 		r.sets[node].SetNodes(replayNodes)
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -84,7 +84,7 @@
 // Observe applies the measurements of one of this node's turns.
 func (s *Set) Observe(now time.Time, id ID, sample Sample) {
 	known := s.byID[id]
-	if known == nil || sample.Token <= 0 || s.config.Without.TokenTimes {
+	if known == nil || sample.Token <= 0 || s.config.Disabled.TokenTimes {
 		return
 	}
 	unloaded := float64(sample.Token) / (1 + dispatch.BesideShare*float64(max(0, sample.Load)))
@@ -114,7 +114,7 @@
 // unevenTokenTimes returns the token times of a service if they differ materially among the
 // candidates, else nil.
 func (s *Set) unevenTokenTimes(now time.Time, service string, candidates []*member) *tokenTimes {
-	if s.config.Without.TokenTimes {
+	if s.config.Disabled.TokenTimes {
 		return nil
 	}
 	found := s.serviceTokenTimes[service]
@@ -248,7 +248,7 @@
 
 // speedBias is the request's speed bias, or 0 if the factor is disabled.
 func (e *evaluation) speedBias() int {
-	if e.set.config.Without.Slack {
+	if e.set.config.Disabled.Slack {
 		return 0
 	}
 	return e.request.Haste
@@ -261,7 +261,7 @@
 	if m.entry.Zone == e.set.config.Zone {
 		weight *= ownZoneWeight
 	}
-	if !e.set.config.Without.Faults {
+	if !e.set.config.Disabled.Faults {
 		weight *= math.Exp2(-m.decayedFaults(e.now))
 	}
 	if e.set.coldRate(e.now, m) > 0 {
--- a/replica/parts_test.go
+++ b/replica/parts_test.go
@@ -15,7 +15,7 @@
 	// newSetWithout returns a set of two equal replicas in this node's zone.
 	newSetWithout := func(without replica.Parts) *replica.Set {
 		config := replica.DefaultConfig("here")
-		config.Without = without
+		config.Disabled = without
 		set := replica.NewSet(config)
 		set.SetCacheTokens("s", 10000)
 		set.Put(start.Add(-time.Minute), replica.Entry{ID: "r0", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
--- a/replica/peerloads.go
+++ b/replica/peerloads.go
@@ -10,7 +10,7 @@
 
 // SetPeer replaces the reported requests in flight of a peer.
 func (s *Set) SetPeer(now time.Time, peer string, counts map[ID]int) {
-	if s.config.Without.PeerLoads {
+	if s.config.Disabled.PeerLoads {
 		return
 	}
 	s.dropPeerReport(peer)
@@ -84,7 +84,7 @@
 // estimateFromReports estimates the loads of the candidates from the reports of peers.
 func (s *Set) estimateFromReports(candidates []*member) loadEstimate {
 	estimate := loadEstimate{coverage: 1}
-	if others := s.nodeCount - 1; others > 0 && !s.config.Without.Estimates {
+	if others := s.nodeCount - 1; others > 0 && !s.config.Disabled.Estimates {
 		estimate.coverage = min(1, float64(len(s.peerRequests))/float64(others))
 	}
 	if estimate.coverage == 0 || len(candidates) == 0 {
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -21,7 +21,7 @@
 	config := replica.DefaultConfig("here")
 	config.Regions = zone.Topology{"here": "home", "near": "home", "far": "away"}
 	config.LeaveWithin = leaveWithin
-	config.Without = without
+	config.Disabled = without
 	set := replica.NewSet(config)
 	set.SetCacheTokens("s", 100000)
 	for _, place := range []string{"here", "near", "far"} {
--- a/replica/select.go
+++ b/replica/select.go
@@ -166,7 +166,7 @@
 			reason = ErrColdRate
 			continue
 		}
-		if now.Before(m.suspectUntil) && !s.config.Without.Suspicion {
+		if now.Before(m.suspectUntil) && !s.config.Disabled.Suspicion {
 			suspects = append(suspects, m)
 			continue
 		}
@@ -263,7 +263,7 @@
 // fixedCost is the part of the cost that depends on neither the load nor the prompt: faults,
 // cold start, zone, region and connection.
 func (e *evaluation) fixedCost(m *member) (cost int) {
-	disabled := &e.set.config.Without
+	disabled := &e.set.config.Disabled
 	if !disabled.Faults {
 		cost += int(faultTokens * min(m.decayedFaults(e.now), maximumFaults))
 	}
@@ -329,7 +329,7 @@
 // session's previous turn has that turn's prompt and output cached, even if another node sent
 // the turn.
 func (e *evaluation) uncachedTokens(m *member) int {
-	prompt, disabled := e.request.Prompt, &e.set.config.Without
+	prompt, disabled := e.request.Prompt, &e.set.config.Disabled
 	uncachedTokens := Tokens(prompt)
 	if !disabled.CachedPrompts {
 		uncachedTokens = m.cache.uncachedTokens(prompt, e.cachedProbabilityAt(m))
@@ -347,7 +347,7 @@
 // cachedProbabilityAt returns a function that estimates the probability that a replica has a
 // part cached that this node did not send there.
 func (e *evaluation) cachedProbabilityAt(m *member) func(part string) float64 {
-	if e.sharedCacheShare == 0 || e.set.config.Without.SharedParts {
+	if e.sharedCacheShare == 0 || e.set.config.Disabled.SharedParts {
 		return func(string) float64 { return 0 }
 	}
 	programScale := programScale(e.choosingNodes, e.candidateCount, e.now.Sub(m.listedAt))
--- a/replica/set.go
+++ b/replica/set.go
@@ -56,7 +56,7 @@
 	// PeerLoadLifetime is how long a peer's report remains valid.
 	PeerLoadLifetime time.Duration
 	// Disabled switches off parts of the selection, to measure their effect.
-	Without Parts
+	Disabled Parts
 }
 
 // SelectionFactors names the parts of the selection that can be switched off.
--- a/replica/word.go
+++ b/replica/word.go
@@ -39,7 +39,7 @@
 // ApplyLoadSummary applies the load of all other nodes. A replica that is not in a complete
 // summary has no requests of other nodes.
 func (s *Set) ApplyLoadSummary(now time.Time, summary Word) {
-	if s.config.Without.PeerLoads {
+	if s.config.Disabled.PeerLoads {
 		return
 	}
 	s.summary = receivedSummary{asOf: summary.At, receivedAt: now, nodeCount: summary.Nodes, partial: summary.Partial, number: s.summary.number + 1}
