--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -148,7 +148,7 @@
 				totals[id] = total
 			}
 		}
-		set.TakePaces(now, totals)
+		set.ApplyTokenTimes(now, totals)
 	}
 }
 
@@ -379,7 +379,7 @@
 		entries[index] = replica.Entry{ID: replica.ID(fmt.Sprintf("r%02d", index)), Service: "model", Zone: "a", Status: replica.StatusReady, Slots: replaySlots, Incarnation: 1}
 		set.Put(replayStart, entries[index])
 	}
-	set.TakePaces(replayStart, totals)
+	set.ApplyTokenTimes(replayStart, totals)
 	request := &replica.Request{Service: "model", Expected: 200, Only: "r00"}
 	choice, err := set.Select(replayStart, request)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/replica/report.go
+++ b/replica/report.go
@@ -31,7 +31,7 @@
 }
 
 // ApplyTokenTimes applies the token times that all other nodes measured.
-func (s *Set) TakePaces(now time.Time, totals map[ID]Total) {
+func (s *Set) ApplyTokenTimes(now time.Time, totals map[ID]Total) {
 	if s.config.Disabled.TokenTimes {
 		return
 	}
--- a/replica/word.go
+++ b/replica/word.go
@@ -49,7 +49,7 @@
 			known.summaryRequests, known.summary = min(max(0, total.Requests), limit), s.summary.number
 		}
 	}
-	s.TakePaces(now, summary.Totals)
+	s.ApplyTokenTimes(now, summary.Totals)
 }
 
 // receivedSummary describes the last load summary received.
