--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -100,7 +100,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.Observe(time.Now(), entry.ID, sample)
-	return r.set.PaceRange(entry.Service)
+	return r.set.TokenTimeRange(entry.Service)
 }
 
 func (r *replicas) pressure(request *replica.Request) float64 {
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -138,7 +138,7 @@
 }
 
 // TokenTimeRange returns the range of a service's token times, or false if it is unknown.
-func (s *Set) PaceRange(service string) (PaceRange, bool) {
+func (s *Set) TokenTimeRange(service string) (PaceRange, bool) {
 	found := s.serviceTokenTimes[service]
 	if found == nil || found.median == 0 {
 		return PaceRange{}, false
