--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -383,12 +383,12 @@
 	request := &replica.Request{Service: "model", Expected: 200, Only: "r00"}
 	choice, err := set.Select(replayStart, request)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(choice.Pace).To(BeNumerically("~", 750*time.Microsecond, 100*time.Microsecond))
+	g.Expect(choice.UnloadedTokenTime).To(BeNumerically("~", 750*time.Microsecond, 100*time.Microsecond))
 	entries[0].Incarnation = 2
 	set.Put(replayStart, entries[0])
 	choice, err = set.Select(replayStart.Add(time.Second), request)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(choice.Pace).To(BeNumerically(">", 1200*time.Microsecond), "the middle of the service")
+	g.Expect(choice.UnloadedTokenTime).To(BeNumerically(">", 1200*time.Microsecond), "the middle of the service")
 }
 
 // TestOlderLoadSummaryKeepsUnevenLoads has a load summary of some age report more load at the
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -292,7 +292,7 @@
 	}
 	place := e.placement(m)
 	choice.Predicted = time.Duration(e.job.End(&place))
-	choice.Pace = time.Duration(place.Token)
+	choice.UnloadedTokenTime = time.Duration(place.Token)
 	choice.Load = int(math.Round(place.Load))
 	if m.tokenTime.Known() {
 		choice.PaceAge = m.tokenTime.Age(e.now)
--- a/replica/select.go
+++ b/replica/select.go
@@ -73,9 +73,9 @@
 	// Predicted is the predicted duration until the answer is complete. UnloadedTokenTime is
 	// the replica's time per generated token without concurrent requests, as measured
 	// TokenTimeAge ago. All are 0 if token times were not used in the selection.
-	Predicted time.Duration
-	Pace      time.Duration
-	PaceAge   time.Duration
+	Predicted         time.Duration
+	UnloadedTokenTime time.Duration
+	PaceAge           time.Duration
 	// Feasible is the number of replicas that could have been selected.
 	Feasible int
 	// LeftEvacuatedZone reports that the request was moved because the replica that served the
