--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -82,7 +82,7 @@
 func (r *requestState) logChoice(entry *log.Entry) *log.Entry {
 	choice := &r.choice
 	return entry.Int("missing", choice.Missing).Int("load", choice.Load).Dur("predicted", choice.Predicted).
-		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.PaceAge).Str("progress", r.progress.String()).Int("haste", r.haste).
+		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.haste).
 		Bool("left", choice.Left)
 }
 
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -295,7 +295,7 @@
 	choice.UnloadedTokenTime = time.Duration(place.Token)
 	choice.Load = int(math.Round(place.Load))
 	if m.tokenTime.Known() {
-		choice.PaceAge = m.tokenTime.Age(e.now)
+		choice.TokenTimeAge = m.tokenTime.Age(e.now)
 	}
 }
 
--- a/replica/select.go
+++ b/replica/select.go
@@ -75,7 +75,7 @@
 	// TokenTimeAge ago. All are 0 if token times were not used in the selection.
 	Predicted         time.Duration
 	UnloadedTokenTime time.Duration
-	PaceAge           time.Duration
+	TokenTimeAge      time.Duration
 	// Feasible is the number of replicas that could have been selected.
 	Feasible int
 	// LeftEvacuatedZone reports that the request was moved because the replica that served the
