--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -81,7 +81,7 @@
 // logChoice adds what the choice of the replica rested on.
 func (r *requestState) logChoice(entry *log.Entry) *log.Entry {
 	choice := &r.choice
-	return entry.Int("missing", choice.Missing).Int("load", choice.Load).Dur("predicted", choice.Predicted).
+	return entry.Int("missing", choice.UncachedTokens).Int("load", choice.Load).Dur("predicted", choice.Predicted).
 		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.haste).
 		Bool("left", choice.Left)
 }
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -150,6 +150,6 @@
 		Expect(set.Own()).To(BeEmpty())
 		choice, err := set.Select(start, request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(choice.Missing).To(Equal(100))
+		Expect(choice.UncachedTokens).To(Equal(100))
 	})
 })
--- a/replica/kept_test.go
+++ b/replica/kept_test.go
@@ -25,7 +25,7 @@
 			})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(choice.Entry.ID).To(Equal(replica.ID("r1")))
-			Expect(choice.Missing).To(Equal(200))
+			Expect(choice.UncachedTokens).To(Equal(200))
 		}
 	})
 
@@ -34,9 +34,9 @@
 		set.Began(start, "r0", &replica.Request{Prompt: prompt(500)})
 		choice, err := set.Select(start, &replica.Request{Service: "s", Prompt: append(prompt(800), replica.Part{ID: "helper", Tokens: 50})})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(choice.Missing).To(Equal(350))
+		Expect(choice.UncachedTokens).To(Equal(350))
 		choice, err = set.Select(start, &replica.Request{Service: "s", Prompt: append(prompt(400), replica.Part{ID: "helper", Tokens: 50})})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(choice.Missing).To(Equal(50))
+		Expect(choice.UncachedTokens).To(Equal(50))
 	})
 })
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -118,7 +118,7 @@
 	set.Began(now, choice.Entry.ID, request)
 	r.last[turn.session] = choice.Entry.ID
 	engine := r.engine(choice.Entry.ID)
-	turn.sent, turn.load, turn.expected, turn.tokens = now, choice.Load, choice.Missing, replayTokens
+	turn.sent, turn.load, turn.expected, turn.tokens = now, choice.Load, choice.UncachedTokens, replayTokens
 	for _, part := range parts {
 		turn.missing += float64(max(0, part.Tokens-engine.cached[part.ID]))
 		engine.cached[part.ID] = part.Tokens
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -79,7 +79,7 @@
 		set.Ended(start, "r1", replica.ResultAnswered)
 		choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: prompt})
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r1")))
-		Expect(choice.Missing).To(BeZero())
+		Expect(choice.UncachedTokens).To(BeZero())
 		for range 5 {
 			set.Began(start, "r1", &replica.Request{Prompt: nil})
 		}
@@ -109,7 +109,7 @@
 		for draw := range 10 {
 			choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: prompt, Preferred: "r1", Draw: float64(draw) / 10})
 			Expect(choice.Entry.ID).To(Equal(replica.ID("r1")))
-			Expect(choice.Missing).To(Equal(100))
+			Expect(choice.UncachedTokens).To(Equal(100))
 		}
 	})
 
@@ -117,7 +117,7 @@
 		set := newSet(1)
 		set.Began(start, "r0", &replica.Request{Prompt: []replica.Part{{ID: "b", Tokens: 10}}})
 		choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: []replica.Part{{ID: "a", Tokens: 5}, {ID: "b", Tokens: 10}}})
-		Expect(choice.Missing).To(Equal(15))
+		Expect(choice.UncachedTokens).To(Equal(15))
 	})
 
 	It("evicts the least recently used part when the cache is full", func() {
@@ -125,9 +125,9 @@
 		set.Began(start, "r0", &replica.Request{Prompt: []replica.Part{{ID: "old", Tokens: 6000}}})
 		set.Began(start.Add(time.Second), "r0", &replica.Request{Prompt: []replica.Part{{ID: "new", Tokens: 6000}}})
 		choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: []replica.Part{{ID: "old", Tokens: 6000}}})
-		Expect(choice.Missing).To(Equal(6000))
+		Expect(choice.UncachedTokens).To(Equal(6000))
 		choice, _ = set.Select(start, &replica.Request{Service: "s", Prompt: []replica.Part{{ID: "new", Tokens: 6000}}})
-		Expect(choice.Missing).To(BeZero())
+		Expect(choice.UncachedTokens).To(BeZero())
 	})
 
 	It("passes over a replica that failed, for longer each time, but not where it is the only one", func() {
--- a/replica/select.go
+++ b/replica/select.go
@@ -67,7 +67,7 @@
 type Choice struct {
 	Entry Entry
 	// UncachedTokens is the expected prefill at the replica, in tokens.
-	Missing int
+	UncachedTokens int
 	// Load is the estimated number of requests of all nodes in flight at the replica.
 	Load int
 	// Predicted is the predicted duration until the answer is complete. UnloadedTokenTime is
@@ -128,12 +128,12 @@
 // choice describes the selected replica. feasible is the number of feasible replicas.
 func (e *evaluation) choice(best *member, feasible int) Choice {
 	choice := Choice{
-		Entry:    best.entry,
-		Missing:  e.uncachedTokens(best),
-		Load:     int(math.Round(e.loads.load(best))),
-		Feasible: feasible,
-		Left:     e.set.leftEvacuatedZone(e.now, e.request),
-		ColdRate: e.set.coldRate(e.now, best),
+		Entry:          best.entry,
+		UncachedTokens: e.uncachedTokens(best),
+		Load:           int(math.Round(e.loads.load(best))),
+		Feasible:       feasible,
+		Left:           e.set.leftEvacuatedZone(e.now, e.request),
+		ColdRate:       e.set.coldRate(e.now, best),
 	}
 	e.addPrediction(best, &choice)
 	return choice
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -78,7 +78,7 @@
 	g.Expect(set.Put(now, again)).To(BeTrue())
 	choice, err := set.Select(now, request)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(choice.Missing).To(Equal(replica.Tokens(request.Prompt)))
+	g.Expect(choice.UncachedTokens).To(Equal(replica.Tokens(request.Prompt)))
 	g.Expect(choice.Load).To(BeZero())
 	g.Expect(set.Own()).To(BeEmpty())
 	g.Expect(set.ColdCount(now)).To(Equal(1))
