--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -57,7 +57,7 @@
 		return replica.Entry{}, err
 	}
 	r.choice = choice
-	if choice.Left {
+	if choice.LeftEvacuatedZone {
 		n.metrics.lineMoved()
 	}
 	r.attempts++
--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -83,7 +83,7 @@
 	choice := &r.choice
 	return entry.Int("missing", choice.UncachedTokens).Int("load", choice.Load).Dur("predicted", choice.Predicted).
 		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.haste).
-		Bool("left", choice.Left)
+		Bool("left", choice.LeftEvacuatedZone)
 }
 
 // failedStatus is the least status that tells of a failure.
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -79,7 +79,7 @@
 		Expect(chosen(set, until, request)).NotTo(HaveKey(replica.ID("here")))
 		choice, err := set.Select(until, &request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(choice.Left).To(BeTrue())
+		Expect(choice.LeftEvacuatedZone).To(BeTrue())
 	})
 
 	It("is left at once by all where no time is given", func() {
--- a/replica/select.go
+++ b/replica/select.go
@@ -80,7 +80,7 @@
 	Feasible int
 	// LeftEvacuatedZone reports that the request was moved because the replica that served the
 	// session's previous turn is in an evacuated zone.
-	Left bool
+	LeftEvacuatedZone bool
 	// ColdRate is the maximum request rate of the replica, in requests per second. It is 0
 	// unless the replica is cold and its service has such a rate.
 	ColdRate float64
@@ -128,12 +128,12 @@
 // choice describes the selected replica. feasible is the number of feasible replicas.
 func (e *evaluation) choice(best *member, feasible int) Choice {
 	choice := Choice{
-		Entry:          best.entry,
-		UncachedTokens: e.uncachedTokens(best),
-		Load:           int(math.Round(e.loads.load(best))),
-		Feasible:       feasible,
-		Left:           e.set.leftEvacuatedZone(e.now, e.request),
-		ColdRate:       e.set.coldRate(e.now, best),
+		Entry:             best.entry,
+		UncachedTokens:    e.uncachedTokens(best),
+		Load:              int(math.Round(e.loads.load(best))),
+		Feasible:          feasible,
+		LeftEvacuatedZone: e.set.leftEvacuatedZone(e.now, e.request),
+		ColdRate:          e.set.coldRate(e.now, best),
 	}
 	e.addPrediction(best, &choice)
 	return choice
