--- a/replica/kept_test.go
+++ b/replica/kept_test.go
@@ -21,7 +21,7 @@
 		// generated ones.
 		for draw := range 10 {
 			choice, err := set.Select(start, &replica.Request{
-				Service: "s", Prompt: prompt(1200), Preferred: "r1", PreferredKept: 2000, Draw: float64(draw) / 10,
+				Service: "s", Prompt: prompt(1200), Preferred: "r1", PreferredCached: 2000, Draw: float64(draw) / 10,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(choice.Entry.ID).To(Equal(replica.ID("r1")))
--- a/replica/select.go
+++ b/replica/select.go
@@ -22,7 +22,7 @@
 	Preferred ID
 	// PreferredCached is the number of prompt tokens that this replica has cached. With 0, all
 	// parts but the last are assumed to be cached.
-	PreferredKept int
+	PreferredCached int
 	// Only is the one replica that may run the request again, or "". It has no effect if the
 	// replica is no longer known.
 	Only ID
@@ -338,8 +338,8 @@
 	if last < 0 || m.entry.ID != e.request.Preferred || disabled.LastReplica {
 		return uncachedTokens
 	}
-	if e.request.PreferredKept > 0 {
-		return min(uncachedTokens, max(0, Tokens(prompt)-e.request.PreferredKept))
+	if e.request.PreferredCached > 0 {
+		return min(uncachedTokens, max(0, Tokens(prompt)-e.request.PreferredCached))
 	}
 	return min(uncachedTokens, prompt[last].Tokens)
 }
