--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -343,7 +343,7 @@
 	set.SetPeer(replayStart, "other", loads)
 	for _, haste := range []int{-1, 0, 1} {
 		for range 400 {
-			choice, err := set.Select(replayStart, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64(), Haste: haste})
+			choice, err := set.Select(replayStart, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64(), SpeedBias: haste})
 			g.Expect(err).NotTo(HaveOccurred())
 			if choice.Entry.ID < "r04" {
 				fast[haste]++
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -251,7 +251,7 @@
 	if e.set.config.Disabled.Slack {
 		return 0
 	}
-	return e.request.Haste
+	return e.request.SpeedBias
 }
 
 // drawWeight returns a replica's weight in the draws of this request. A positive speed bias
--- a/replica/select.go
+++ b/replica/select.go
@@ -32,7 +32,7 @@
 	Expected int
 	// SpeedBias shifts the request's chance of a fast replica: 1 raises it, 0 leaves it at the
 	// normal weights, -1 lowers it.
-	Haste int
+	SpeedBias int
 	// Excluded lists the replicas that were already tried.
 	Excluded []ID
 	// WarmOnly excludes cold replicas.
