--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -109,7 +109,7 @@
 	parts := []replica.Part{{ID: fmt.Sprintf("shared-%d", turn.session%3), Tokens: 12_600}, {ID: fmt.Sprintf("own-%d", turn.session), Tokens: 1_000 * turn.number}}
 	request := &replica.Request{
 		Service: "model", Program: fmt.Sprint(turn.session), Prompt: parts, Preferred: r.last[turn.session],
-		Draw: r.random.Float64(), Expected: replayTokens,
+		Draw: r.random.Float64(), ExpectedTokens: replayTokens,
 	}
 	choice, err := set.Select(now, request)
 	if err != nil {
@@ -294,7 +294,7 @@
 	chosen := map[replica.ID]int{}
 	set := unevenSet(16, 4)
 	for range 200 {
-		choice, err := set.Select(replayStart, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64()})
+		choice, err := set.Select(replayStart, &replica.Request{Service: "model", ExpectedTokens: 200, Draw: random.Float64()})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(choice.Predicted).To(BeNumerically(">", 0))
 		chosen[choice.Entry.ID]++
@@ -314,7 +314,7 @@
 	set := unevenSet(16, 4)
 	for range 240 {
 		choice, err := set.Select(replayStart, &replica.Request{
-			Service: "model", Expected: 200, Draw: random.Float64(), Excluded: []replica.ID{"r00", "r01", "r02", "r03"},
+			Service: "model", ExpectedTokens: 200, Draw: random.Float64(), Excluded: []replica.ID{"r00", "r01", "r02", "r03"},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		chosen[choice.Entry.ID]++
@@ -343,7 +343,7 @@
 	set.SetPeer(replayStart, "other", loads)
 	for _, haste := range []int{-1, 0, 1} {
 		for range 400 {
-			choice, err := set.Select(replayStart, &replica.Request{Service: "model", Expected: 200, Draw: random.Float64(), SpeedBias: haste})
+			choice, err := set.Select(replayStart, &replica.Request{Service: "model", ExpectedTokens: 200, Draw: random.Float64(), SpeedBias: haste})
 			g.Expect(err).NotTo(HaveOccurred())
 			if choice.Entry.ID < "r04" {
 				fast[haste]++
@@ -359,7 +359,7 @@
 // in the selection.
 func TestTokenTimesUnusedForEvenReplicas(t *testing.T) {
 	g := NewWithT(t)
-	choice, err := unevenSet(16, 0).Select(replayStart, &replica.Request{Service: "model", Expected: 200})
+	choice, err := unevenSet(16, 0).Select(replayStart, &replica.Request{Service: "model", ExpectedTokens: 200})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Predicted).To(BeZero())
 }
@@ -380,7 +380,7 @@
 		set.Put(replayStart, entries[index])
 	}
 	set.ApplyTokenTimes(replayStart, totals)
-	request := &replica.Request{Service: "model", Expected: 200, Only: "r00"}
+	request := &replica.Request{Service: "model", ExpectedTokens: 200, Only: "r00"}
 	choice, err := set.Select(replayStart, request)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.UnloadedTokenTime).To(BeNumerically("~", 750*time.Microsecond, 100*time.Microsecond))
@@ -406,7 +406,7 @@
 	}
 	set.ApplyLoadSummary(replayStart, replica.Word{Nodes: 7, At: replayStart, Totals: totals})
 	at := func(id replica.ID) time.Duration {
-		choice, err := set.Select(replayStart.Add(400*time.Millisecond), &replica.Request{Service: "model", Expected: 200, Only: id})
+		choice, err := set.Select(replayStart.Add(400*time.Millisecond), &replica.Request{Service: "model", ExpectedTokens: 200, Only: id})
 		g.Expect(err).NotTo(HaveOccurred())
 		return choice.Predicted
 	}
--- a/replica/scale_test.go
+++ b/replica/scale_test.go
@@ -82,7 +82,7 @@
 			b.ReportAllocs()
 			for index := 0; b.Loop(); index++ {
 				request := scaleRequest(index)
-				request.Expected = 200
+				request.ExpectedTokens = 200
 				choice, err := set.Select(now.Add(time.Duration(index%5_000)*time.Millisecond), request)
 				if err != nil {
 					b.Fatal(err)
--- a/replica/select.go
+++ b/replica/select.go
@@ -29,7 +29,7 @@
 	// Constraint limits the zones whose replicas may receive the request.
 	Homes zone.Homes
 	// ExpectedTokens is the expected number of tokens in the answer, or 0 if unknown.
-	Expected int
+	ExpectedTokens int
 	// SpeedBias shifts the request's chance of a fast replica: 1 raises it, 0 leaves it at the
 	// normal weights, -1 lowers it.
 	SpeedBias int
@@ -241,9 +241,9 @@
 	if tokens := s.shared.tokens(now); tokens > 0 {
 		e.sharedCacheShare = min(1, sharedCacheLimit*float64(s.cacheTokens[request.Service])/float64(tokens))
 	}
-	if request.Expected > 0 {
+	if request.ExpectedTokens > 0 {
 		e.tokenTimes = s.unevenTokenTimes(now, request.Service, candidates)
-		e.job = dispatch.Job{Tokens: float64(request.Expected)}
+		e.job = dispatch.Job{Tokens: float64(request.ExpectedTokens)}
 	}
 	return e
 }
