--- a/edge/cold.go
+++ b/edge/cold.go
@@ -46,7 +46,7 @@
 		waitUntil = waitUntil.Add(min(coldWait, r.left()/2))
 	}
 	for asked := 0; ; {
-		request.Warm = asked >= maximumColdAsks
+		request.WarmOnly = asked >= maximumColdAsks
 		choice, err := n.replicas.choose(request)
 		switch {
 		case errors.Is(err, replica.ErrColdRate) && time.Now().Add(coldWaitStep).Before(waitUntil):
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -101,7 +101,7 @@
 		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(BeNumerically(">", 1.6))
 		Expect(rateAt(at(50 * time.Millisecond))).To(Equal(28.0))
 		Expect(set.Pressure(at(50*time.Millisecond), &replica.Request{Service: "s"})).To(BeZero())
-		_, err = set.Select(at(time.Second), &replica.Request{Service: "s", Warm: true})
+		_, err = set.Select(at(time.Second), &replica.Request{Service: "s", WarmOnly: true})
 		Expect(err).To(MatchError(replica.ErrColdRate))
 	})
 
--- a/replica/select.go
+++ b/replica/select.go
@@ -36,7 +36,7 @@
 	// Excluded lists the replicas that were already tried.
 	Excluded []ID
 	// WarmOnly excludes cold replicas.
-	Warm bool
+	WarmOnly bool
 	// MaxPerNode limits the requests in flight of this node at one replica; 0 means no limit.
 	PerNode int
 	// Connected reports whether an idle connection to the replica exists. It is nil if
@@ -162,7 +162,7 @@
 			reason = ErrSaturated
 			continue
 		}
-		if s.atColdRate(now, m) || (request.Warm && s.coldRate(now, m) > 0) {
+		if s.atColdRate(now, m) || (request.WarmOnly && s.coldRate(now, m) > 0) {
 			reason = ErrColdRate
 			continue
 		}
