--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -49,7 +49,7 @@
 func (n *Node) chooseReplica(r *requestState, table *routing.Table) (replica.Entry, error) {
 	n.noteProgress(r)
 	asked := n.choiceOf(r)
-	asked.PerNode, asked.Draw = n.perNode(table, r.service), n.draw()
+	asked.MaxPerNode, asked.Draw = n.perNode(table, r.service), n.draw()
 	asked.Connected = func(entry replica.Entry) bool { return n.pool.Free(targetOf(entry)) }
 	choice, err := n.chooseWithin(r, asked)
 	if err != nil {
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -42,7 +42,7 @@
 		_, err := set.Select(start, &replica.Request{Service: "none"})
 		Expect(err).To(MatchError(replica.ErrNoReplica))
 		set.Began(start, "r0", &replica.Request{Prompt: nil})
-		_, err = set.Select(start, &replica.Request{Service: "s", PerNode: 1})
+		_, err = set.Select(start, &replica.Request{Service: "s", MaxPerNode: 1})
 		Expect(err).To(MatchError(replica.ErrSaturated))
 	})
 
--- a/replica/select.go
+++ b/replica/select.go
@@ -38,7 +38,7 @@
 	// WarmOnly excludes cold replicas.
 	WarmOnly bool
 	// MaxPerNode limits the requests in flight of this node at one replica; 0 means no limit.
-	PerNode int
+	MaxPerNode int
 	// Connected reports whether an idle connection to the replica exists. It is nil if
 	// connections do not matter.
 	Connected func(Entry) bool
@@ -158,7 +158,7 @@
 		if s.checkPlacement(now, request, m) != nil || slices.Contains(request.Excluded, m.entry.ID) {
 			continue
 		}
-		if request.PerNode > 0 && m.ownRequests >= request.PerNode {
+		if request.MaxPerNode > 0 && m.ownRequests >= request.MaxPerNode {
 			reason = ErrSaturated
 			continue
 		}
