--- a/replica/paces.go
+++ b/replica/paces.go
@@ -62,8 +62,8 @@
 	// UncachedTokens is the number of prompt tokens that were expected to need prefill.
 	// TimeToFirstEvent is the time from sending the request to the first event, or 0 if
 	// unknown.
-	Missing int
-	First   time.Duration
+	Missing          int
+	TimeToFirstEvent time.Duration
 }
 
 // tokenTimes holds the token times of the replicas of one service, in nanoseconds.
@@ -91,10 +91,10 @@
 	known.tokenTime.Observe(now, time.Duration(unloaded))
 	s.measured[id] = known
 	service := s.serviceTokenTimes[known.entry.Service]
-	if service == nil || sample.First <= 0 || float64(sample.Load) > maximumPrefillLoad*float64(known.entry.Slots) {
+	if service == nil || sample.TimeToFirstEvent <= 0 || float64(sample.Load) > maximumPrefillLoad*float64(known.entry.Slots) {
 		return
 	}
-	service.firstEvent.Observe(now, sample.Missing, sample.First, known.tokenTime.Token(now, time.Duration(service.median)))
+	service.firstEvent.Observe(now, sample.Missing, sample.TimeToFirstEvent, known.tokenTime.Token(now, time.Duration(service.median)))
 }
 
 // addTokenTimes adds this node's recent token times to the reports.
