--- a/edge/placing.go
+++ b/edge/placing.go
@@ -94,7 +94,7 @@
 	if token <= 0 || t.runs > 1 {
 		return
 	}
-	sample := replica.Sample{Load: r.choice.Load, Token: token, Missing: r.choice.UncachedTokens, TimeToFirstEvent: t.times.first.Sub(r.sentAt)}
+	sample := replica.Sample{Load: r.choice.Load, Token: token, UncachedTokens: r.choice.UncachedTokens, TimeToFirstEvent: t.times.first.Sub(r.sentAt)}
 	if paces, known := n.replicas.observe(entry, sample); known {
 		n.metrics.paced(entry.Service, paces)
 	}
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -197,7 +197,7 @@
 	set := r.sets[turn.node]
 	set.Ended(now, engine.id, replica.ResultAnswered)
 	set.Observe(now, engine.id, replica.Sample{
-		Load: turn.load, Token: now.Sub(turn.first) / replayTokens, Missing: turn.expected, TimeToFirstEvent: turn.first.Sub(turn.sent),
+		Load: turn.load, Token: now.Sub(turn.first) / replayTokens, UncachedTokens: turn.expected, TimeToFirstEvent: turn.first.Sub(turn.sent),
 	})
 	r.latencies = append(r.latencies, now.Sub(turn.arrived))
 }
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -62,7 +62,7 @@
 	// UncachedTokens is the number of prompt tokens that were expected to need prefill.
 	// TimeToFirstEvent is the time from sending the request to the first event, or 0 if
 	// unknown.
-	Missing          int
+	UncachedTokens   int
 	TimeToFirstEvent time.Duration
 }
 
@@ -94,7 +94,7 @@
 	if service == nil || sample.TimeToFirstEvent <= 0 || float64(sample.Load) > maximumPrefillLoad*float64(known.entry.Slots) {
 		return
 	}
-	service.firstEvent.Observe(now, sample.Missing, sample.TimeToFirstEvent, known.tokenTime.Token(now, time.Duration(service.median)))
+	service.firstEvent.Observe(now, sample.UncachedTokens, sample.TimeToFirstEvent, known.tokenTime.Token(now, time.Duration(service.median)))
 }
 
 // addTokenTimes adds this node's recent token times to the reports.
