--- a/edge/calls.go
+++ b/edge/calls.go
@@ -80,5 +80,5 @@
 	}
 	n.calls.mutex.Lock()
 	defer n.calls.mutex.Unlock()
-	return n.calls.lateness.After(route.Name, otherwise)
+	return n.calls.lateness.LateAfter(route.Name, otherwise)
 }
--- a/replica/lateness.go
+++ b/replica/lateness.go
@@ -74,7 +74,7 @@
 
 // LateAfter returns the time after which a call of the route is late, or the fallback while too
 // few latencies are known.
-func (l *Lateness) After(route string, fallback time.Duration) time.Duration {
+func (l *Lateness) LateAfter(route string, fallback time.Duration) time.Duration {
 	known := l.routes[route]
 	if known == nil || known.lateAfter == 0 {
 		return fallback
--- a/replica/lateness_test.go
+++ b/replica/lateness_test.go
@@ -23,9 +23,9 @@
 
 	It("returns the fallback while too little is known", func() {
 		lateness := replica.NewLateness()
-		Expect(lateness.After("a", otherwise)).To(Equal(otherwise))
+		Expect(lateness.LateAfter("a", otherwise)).To(Equal(otherwise))
 		observe(lateness, start, "a", 10, 1)
-		Expect(lateness.After("a", otherwise)).To(Equal(otherwise))
+		Expect(lateness.LateAfter("a", otherwise)).To(Equal(otherwise))
 	})
 
 	It("learns the median of each route", func() {
@@ -39,15 +39,15 @@
 		lateness := replica.NewLateness()
 		observe(lateness, start, "a", 1000, 1)
 		observe(lateness, start, "b", 1000, 10)
-		Expect(lateness.After("a", otherwise)).To(BeNumerically("~", 125*time.Millisecond, 15*time.Millisecond))
-		Expect(lateness.After("b", otherwise)).To(BeNumerically("~", 1250*time.Millisecond, 150*time.Millisecond))
+		Expect(lateness.LateAfter("a", otherwise)).To(BeNumerically("~", 125*time.Millisecond, 15*time.Millisecond))
+		Expect(lateness.LateAfter("b", otherwise)).To(BeNumerically("~", 1250*time.Millisecond, 150*time.Millisecond))
 	})
 
 	It("follows a service that becomes slower, and forgets the time before", func() {
 		lateness := replica.NewLateness()
 		observe(lateness, start, "a", 1000, 10)
 		observe(lateness, start.Add(10*time.Second), "a", 4000, 1)
-		Expect(lateness.After("a", otherwise)).To(BeNumerically("~", 125*time.Millisecond, 15*time.Millisecond))
+		Expect(lateness.LateAfter("a", otherwise)).To(BeNumerically("~", 125*time.Millisecond, 15*time.Millisecond))
 	})
 
 	It("leaves room for pauses of this process", func() {
@@ -55,7 +55,7 @@
 		for index := range 100 {
 			lateness.Observe(start.Add(time.Duration(index)*time.Millisecond), "a", 100*time.Microsecond)
 		}
-		Expect(lateness.After("a", otherwise)).To(Equal(20 * time.Millisecond))
+		Expect(lateness.LateAfter("a", otherwise)).To(Equal(20 * time.Millisecond))
 	})
 
 	It("bounds the routes that it knows", func() {
@@ -64,7 +64,7 @@
 		for index := range 300 {
 			observe(lateness, start.Add(time.Minute+time.Duration(index)*time.Second), fmt.Sprint(index), 50, 1)
 		}
-		Expect(lateness.After("first", otherwise)).To(Equal(otherwise))
-		Expect(lateness.After("299", otherwise)).NotTo(Equal(otherwise))
+		Expect(lateness.LateAfter("first", otherwise)).To(Equal(otherwise))
+		Expect(lateness.LateAfter("299", otherwise)).NotTo(Equal(otherwise))
 	})
 })
