--- a/edge/calls.go
+++ b/edge/calls.go
@@ -69,7 +69,7 @@
 func (c *calls) usual(route *routing.Route) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lateness.Usual(route.Name)
+	return c.lateness.Median(route.Name)
 }
 
 // lateAfter returns how long after its start a call of the route is late.
--- a/replica/lateness.go
+++ b/replica/lateness.go
@@ -83,7 +83,7 @@
 }
 
 // Median returns the median latency of the route, or 0 while too few latencies are known.
-func (l *Lateness) Usual(route string) time.Duration {
+func (l *Lateness) Median(route string) time.Duration {
 	if known := l.routes[route]; known != nil {
 		return known.median
 	}
--- a/replica/lateness_test.go
+++ b/replica/lateness_test.go
@@ -30,9 +30,9 @@
 
 	It("learns the median of each route", func() {
 		lateness := replica.NewLateness()
-		Expect(lateness.Usual("a")).To(BeZero())
+		Expect(lateness.Median("a")).To(BeZero())
 		observe(lateness, start, "a", 1000, 1)
-		Expect(lateness.Usual("a")).To(BeNumerically("~", 50*time.Millisecond, 6*time.Millisecond))
+		Expect(lateness.Median("a")).To(BeNumerically("~", 50*time.Millisecond, 6*time.Millisecond))
 	})
 
 	It("learns the tail of each route", func() {
