--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -106,7 +106,7 @@
 func (r *replicas) pressure(request *replica.Request) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Pressure(time.Now(), request)
+	return r.set.MinUtilisation(time.Now(), request)
 }
 
 // setEvacuated tells which zones are to get no requests, and since when.
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -121,9 +121,9 @@
 			set.Began(start, "near", &replica.Request{})
 			set.Began(start, "far", &replica.Request{})
 		}
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(BeZero())
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(BeZero())
 		set.SetEvacuated(map[zone.Name]time.Time{"here": start, "nowhere": start})
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(Equal(1.5))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(Equal(1.5))
 	})
 })
 
@@ -142,7 +142,7 @@
 		request.Only = "here"
 		_, err := set.Select(start, &request)
 		Expect(err).To(MatchError(replica.ErrOutside))
-		Expect(set.Pressure(start, &replica.Request{Service: "s", Homes: homes("away")})).To(Equal(25.0))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s", Homes: homes("away")})).To(Equal(25.0))
 	})
 
 	It("without a ready replica have an error of their own", func() {
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -184,15 +184,15 @@
 
 	It("returns the utilisation of the least loaded ready replica", func() {
 		set := newSet(2)
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(BeZero())
-		Expect(set.Pressure(start, &replica.Request{Service: "none"})).To(BeZero())
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(BeZero())
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "none"})).To(BeZero())
 		for range 6 {
 			set.Began(start, "r0", &replica.Request{Prompt: nil})
 		}
 		set.SetPeer(start, "peer", map[replica.ID]int{"r1": 3})
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(Equal(0.75))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(Equal(0.75))
 		set.Put(start, replica.Entry{ID: "r1", Service: "s", Zone: "here", Status: replica.StatusDraining, Slots: 4})
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(Equal(1.5))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(Equal(1.5))
 	})
 
 	It("returns the minimum and the mean utilisation", func() {
--- a/replica/room.go
+++ b/replica/room.go
@@ -12,7 +12,7 @@
 // replica's number of slots is unknown. For a large service a window of replicas is evaluated,
 // and grown while every replica in it is full.
 func (s *Set) Room(now time.Time, request *Request) dispatch.Room {
-	least := s.Pressure(now, request)
+	least := s.MinUtilisation(now, request)
 	candidates := s.selectCandidates(now, request)
 	loads := s.estimateFromReports(candidates)
 	load, slots := 0., 0.
--- a/replica/select.go
+++ b/replica/select.go
@@ -286,7 +286,7 @@
 // replica that may take the request, or 0 if none may. A cold replica that has reached its cold
 // rate counts as full. For a large service a window of replicas is evaluated, and grown while
 // every replica in it is full.
-func (s *Set) Pressure(now time.Time, request *Request) float64 {
+func (s *Set) MinUtilisation(now time.Time, request *Request) float64 {
 	for {
 		candidates := s.selectCandidates(now, request)
 		least := s.leastUtilisation(now, request, candidates)
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -54,11 +54,11 @@
 		set.Began(now, choice.Entry.ID, request)
 		loads[choice.Entry.ID]++
 		if index < count {
-			g.Expect(set.Pressure(now, request)).To(BeNumerically("<", 1), fmt.Sprint(index))
+			g.Expect(set.MinUtilisation(now, request)).To(BeNumerically("<", 1), fmt.Sprint(index))
 		}
 	}
 	g.Expect(loads).To(HaveLen(count))
-	g.Expect(set.Pressure(now, scaleRequest(0))).To(BeNumerically(">=", 1))
+	g.Expect(set.MinUtilisation(now, scaleRequest(0))).To(BeNumerically(">=", 1))
 }
 
 // TestRestartedReplica checks that a replica that restarts under the same ID starts without the
