--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -316,7 +316,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts := make(map[string]int)
-	for id, count := range r.set.Own() {
+	for id, count := range r.set.OwnRequests() {
 		counts[string(id)] = count
 	}
 	return counts
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -147,7 +147,7 @@
 		request := &replica.Request{Service: "s", Program: "p", Prompt: []replica.Part{{ID: "a", Tokens: 100}}}
 		set.Reserve(id)
 		set.Release(id)
-		Expect(set.Own()).To(BeEmpty())
+		Expect(set.OwnRequests()).To(BeEmpty())
 		choice, err := set.Select(start, request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(choice.UncachedTokens).To(Equal(100))
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -138,7 +138,7 @@
 			if other == node {
 				continue
 			}
-			set.SetPeer(now, fmt.Sprint(other), peer.Own())
+			set.SetPeer(now, fmt.Sprint(other), peer.OwnRequests())
 			for id, report := range peer.Report(now) {
 				total := totals[id]
 				sum := float64(total.TokenTime)*float64(total.Samples) + float64(report.TokenTime)*float64(report.Samples)
--- a/replica/set.go
+++ b/replica/set.go
@@ -421,7 +421,7 @@
 )
 
 // OwnRequests returns the number of this node's requests in flight, by replica.
-func (s *Set) Own() map[ID]int {
+func (s *Set) OwnRequests() map[ID]int {
 	counts := make(map[ID]int, len(s.busy))
 	for id, known := range s.busy {
 		counts[id] = known.ownRequests
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -80,7 +80,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.UncachedTokens).To(Equal(replica.Tokens(request.Prompt)))
 	g.Expect(choice.Load).To(BeZero())
-	g.Expect(set.Own()).To(BeEmpty())
+	g.Expect(set.OwnRequests()).To(BeEmpty())
 	g.Expect(set.ColdCount(now)).To(Equal(1))
 	former.Status = replica.StatusDraining
 	g.Expect(set.Put(now, former)).To(BeFalse())
