--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -195,5 +195,5 @@
 func (r *replicas) room(request *replica.Request) dispatch.Room {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Room(time.Now(), request)
+	return r.set.Utilisation(time.Now(), request)
 }
