--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -69,7 +69,7 @@
 func (n *Node) choiceOf(r *requestState) *replica.Request {
 	return &replica.Request{
 		Service: r.service, Program: r.program, Prompt: r.prompt, Preferred: r.preferred, PreferredCached: r.preferredKept,
-		Only: r.only, Homes: r.homes, Excluded: r.excluded, ExpectedTokens: n.expectedTokens(r), SpeedBias: r.haste,
+		Only: r.only, Constraint: r.homes, Excluded: r.excluded, ExpectedTokens: n.expectedTokens(r), SpeedBias: r.haste,
 	}
 }
 
--- a/edge/evacuations_test.go
+++ b/edge/evacuations_test.go
@@ -100,7 +100,7 @@
 	}
 	g.Expect(node.bindHomes(request)).To(BeTrue())
 	g.Expect(request.homes.Placement()).To(Equal(zone.NewPlacement("far")))
-	g.Expect(node.choiceOf(request).Homes).To(Equal(request.homes))
+	g.Expect(node.choiceOf(request).Constraint).To(Equal(request.homes))
 }
 
 // TestHistoriesOutside of a request's homes are not remembered.
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -137,18 +137,18 @@
 		for range 100 {
 			set.Began(start, "far", &replica.Request{})
 		}
-		request := replica.Request{Service: "s", Preferred: "here", Homes: homes("away")}
+		request := replica.Request{Service: "s", Preferred: "here", Constraint: homes("away")}
 		Expect(chosen(set, start, request)).To(Equal(map[replica.ID]bool{"far": true}))
 		request.Only = "here"
 		_, err := set.Select(start, &request)
 		Expect(err).To(MatchError(replica.ErrOutside))
-		Expect(set.MinUtilisation(start, &replica.Request{Service: "s", Homes: homes("away")})).To(Equal(25.0))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s", Constraint: homes("away")})).To(Equal(25.0))
 	})
 
 	It("without a ready replica have an error of their own", func() {
 		set := newZones(replica.Parts{})
 		set.Remove("far")
-		_, err := set.Select(start, &replica.Request{Service: "s", Homes: homes("away")})
+		_, err := set.Select(start, &replica.Request{Service: "s", Constraint: homes("away")})
 		Expect(err).To(MatchError(replica.ErrOutside))
 	})
 })
