--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -140,7 +140,7 @@
 func (r *replicas) tell(change replica.Change) {
 	r.feed.Add(change)
 	for _, one := range r.views {
-		one.Note(change)
+		one.Apply(change)
 	}
 	r.wakeFollowers()
 }
--- a/replica/view.go
+++ b/replica/view.go
@@ -20,7 +20,7 @@
 }
 
 // Apply applies a change of the list.
-func (v *View) Note(change Change) {
+func (v *View) Apply(change Change) {
 	switch {
 	case change.Entry == nil:
 		if v.held[change.Gone] {
--- a/replica/view_test.go
+++ b/replica/view_test.go
@@ -73,10 +73,10 @@
 		}
 		if step%4 == 3 {
 			if _, known := set.Remove(entry.ID); known {
-				view.Note(replica.Change{Gone: entry.ID})
+				view.Apply(replica.Change{Gone: entry.ID})
 			}
 		} else if set.Put(now, entry) {
-			view.Note(replica.Change{Entry: &entry})
+			view.Apply(replica.Change{Entry: &entry})
 		}
 		if step%7 != 0 {
 			continue
@@ -106,7 +106,7 @@
 	view := replica.NewView(set, replica.Group{Zone: "a"}, 1_000)
 	gone := scaleEntry(0).ID
 	set.Remove(gone)
-	view.Note(replica.Change{Gone: gone})
+	view.Apply(replica.Change{Gone: gone})
 	for _, number := range []uint64{0, 999, 1_002} {
 		_, _, whole := view.Since(now, set, number, true)
 		g.Expect(whole).To(BeTrue(), fmt.Sprint(number))
