--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -258,8 +258,8 @@
 	Totals     *gather.Totals
 	Collectors []gather.Change
 	// Rejected are messages that could not be processed.
-	Unread  []Unread
-	Charged []Charged
+	Rejected []Unread
+	Charged  []Charged
 	// NewerPeers are peers that hold a newer configuration than this node.
 	Newer []PeerVersion
 	// FreshAsOf is a time at which this node's configuration was the newest, as proven by a
--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -18,7 +18,7 @@
 		}
 		n.logger.Info().Str("collector", string(change.Collector)).Msg("loads: collector taken")
 	}
-	for _, unread := range ready.Unread {
+	for _, unread := range ready.Rejected {
 		n.logger.Warn().Str("from", string(unread.From)).Err(unread.Err).Msg("loads: message not understood")
 	}
 	for _, outbound := range ready.Messages {
