--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -261,7 +261,7 @@
 	Rejected []Unread
 	Charged  []Charged
 	// NewerPeers are peers that hold a newer configuration than this node.
-	Newer []PeerVersion
+	NewerPeers []PeerVersion
 	// FreshAsOf is a time at which this node's configuration was the newest, as proven by a
 	// peer; zero if there is no new proof.
 	Proven time.Time
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -283,7 +283,7 @@
 		}
 	}
 	node.charged = append(node.charged, ready.Charged...)
-	node.newer = append(node.newer, ready.Newer...)
+	node.newer = append(node.newer, ready.NewerPeers...)
 	if ready.Proven.After(node.proven) {
 		node.proven = ready.Proven
 	}
--- a/coordinator/proof.go
+++ b/coordinator/proof.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if claim.Version > max(c.freshness.version, c.loads.Version) {
-		c.ready.Newer = append(c.ready.Newer, PeerVersion{From: from, Version: claim.Version})
+		c.ready.NewerPeers = append(c.ready.NewerPeers, PeerVersion{From: from, Version: claim.Version})
 		return
 	}
 	if provenAt := requestedAt.Add(-claim.Age); provenAt.After(c.freshness.provenAt) {
--- a/edge/control.go
+++ b/edge/control.go
@@ -313,7 +313,7 @@
 		c.node.hearVersion(load.From, load.Version, load.Evacuations)
 	}
 	c.node.hearTotals(&ready)
-	for _, newer := range ready.Newer {
+	for _, newer := range ready.NewerPeers {
 		c.node.hearVersion(newer.From, newer.Version, 0)
 	}
 	if !ready.Proven.IsZero() && c.node.settings.uses(ProvePeers) {
