--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -264,7 +264,7 @@
 	NewerPeers []PeerVersion
 	// FreshAsOf is a time at which this node's configuration was the newest, as proven by a
 	// peer; zero if there is no new proof.
-	Proven time.Time
+	FreshAsOf time.Time
 	// Changes are the partitions gained or lost, for logging.
 	Changes []Change
 }
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -284,8 +284,8 @@
 	}
 	node.charged = append(node.charged, ready.Charged...)
 	node.newer = append(node.newer, ready.NewerPeers...)
-	if ready.Proven.After(node.proven) {
-		node.proven = ready.Proven
+	if ready.FreshAsOf.After(node.proven) {
+		node.proven = ready.FreshAsOf
 	}
 }
 
--- a/coordinator/proof.go
+++ b/coordinator/proof.go
@@ -118,6 +118,6 @@
 	if provenAt := requestedAt.Add(-claim.Age); provenAt.After(c.freshness.provenAt) {
 		c.freshness.provenAt = provenAt
 		c.freshness.version = max(c.freshness.version, claim.Version)
-		c.ready.Proven = provenAt
+		c.ready.FreshAsOf = provenAt
 	}
 }
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -174,12 +174,12 @@
 		word := &coordinator.FreshnessMessage{Number: question.Number, Version: 1, Age: 100 * time.Millisecond}
 		answer := coordinator.PeerReceived{Message: coordinator.PeerMessage{From: asked.self, Proof: word}}
 		asking.core.Step(world.now.Add(4*time.Second), answer)
-		Expect(asking.core.Ready().Proven).To(Equal(world.now.Add(-100 * time.Millisecond)))
+		Expect(asking.core.Ready().FreshAsOf).To(Equal(world.now.Add(-100 * time.Millisecond)))
 		unasked := *word
 		unasked.Number++
 		answer.Message.Proof = &unasked
 		asking.core.Step(world.now.Add(5*time.Second), answer)
-		Expect(asking.core.Ready().Proven).To(BeZero())
+		Expect(asking.core.Ready().FreshAsOf).To(BeZero())
 	})
 
 	It("uses request numbers that differ from those of earlier processes", func() {
--- a/edge/control.go
+++ b/edge/control.go
@@ -316,8 +316,8 @@
 	for _, newer := range ready.NewerPeers {
 		c.node.hearVersion(newer.From, newer.Version, 0)
 	}
-	if !ready.Proven.IsZero() && c.node.settings.uses(ProvePeers) {
-		c.node.proof.note(ready.Proven)
+	if !ready.FreshAsOf.IsZero() && c.node.settings.uses(ProvePeers) {
+		c.node.proof.note(ready.FreshAsOf)
 	}
 	for _, change := range ready.Changes {
 		c.node.logChange(change)
