--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -209,8 +209,8 @@
 	// Contested claims may be made only if the log still ends at ExpectedEnd. They are used
 	// after this node was fenced by an owner that it does not know, or while it may be in
 	// the minority of a network partition.
-	Contested bool
-	Unmoved   uint64
+	Contested   bool
+	ExpectedEnd uint64
 }
 
 // Stopped instructs the driver to stop reading for a takeover.
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -339,7 +339,7 @@
 		f.send(id, appendDelay/2, taken)
 		return
 	}
-	if takeover.Contested && stream.end != takeover.Unmoved {
+	if takeover.Contested && stream.end != takeover.ExpectedEnd {
 		taken.Outcome, taken.End = coordinator.OutcomeMoved, stream.end
 		f.send(id, appendDelay/2, taken)
 		return
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -74,7 +74,7 @@
 		c.enterContested(p)
 	}
 	c.ready.Takeovers = append(c.ready.Takeovers, Takeover{
-		Partition: p.index, Epoch: p.epoch, Contested: p.contested.active, Unmoved: p.contested.logEnd,
+		Partition: p.index, Epoch: p.epoch, Contested: p.contested.active, ExpectedEnd: p.contested.logEnd,
 	})
 }
 
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return true
 	}
-	if end == takeover.Unmoved {
+	if end == takeover.ExpectedEnd {
 		return false
 	}
 	taken.Outcome, taken.End = coordinator.OutcomeMoved, end
