--- a/coordinator/asking_test.go
+++ b/coordinator/asking_test.go
@@ -14,7 +14,7 @@
 	// them over cleanly, and how many it took in all.
 	inherited := func(withoutAsking bool) (inherited, taken int) {
 		world := newFleetWith(5, 4, 12, func(config *coordinator.Config) {
-			config.ClaimWithoutAsking = withoutAsking
+			config.SkipHandover = withoutAsking
 			config.Ledger.UnrecordedShare = 1.0 / 3
 			config.Ledger.UnrecordedFor = 8 * time.Second
 		})
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -47,7 +47,7 @@
 	AbsenceProofDelay time.Duration
 	// SkipHandover claims partitions without requesting a handover from their owner, to
 	// measure what clean handovers gain.
-	ClaimWithoutAsking bool
+	SkipHandover bool
 	// Tenants sets up the accounts that enforce the limits of tenants.
 	Tenants tenant.Config
 	// ColdReplicas sets up the accounts that limit the requests to cold replicas.
--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -53,7 +53,7 @@
 // requestHandover requests the partition from the nodes that may be serving it or taking it
 // over. It reports whether this node may claim it.
 func (c *Core) requestHandover(now time.Time, p *partition) bool {
-	if p.handover.released || c.config.ClaimWithoutAsking {
+	if p.handover.released || c.config.SkipHandover {
 		return true
 	}
 	if !p.handover.requestedAt.IsZero() {
--- a/edge/node.go
+++ b/edge/node.go
@@ -220,7 +220,7 @@
 		config.Ledger.AheadShare, config.Ledger.AheadTurns = 0, 0
 	}
 	config.Ledger.TurnAfterLoss = settings.uses(GrantTurnAfterLoss)
-	config.ClaimWithoutAsking = !settings.uses(HandOver)
+	config.SkipHandover = !settings.uses(HandOver)
 	if settings.Quota.Window > 0 {
 		config.Tenants = settings.Quota
 	}
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -34,11 +34,11 @@
 	g.Expect(all.Ledger.UnrecordedShare).To(BeNumerically(">", 0))
 	g.Expect(all.Ledger.AheadTurns).To(BeNumerically(">", 0))
 	g.Expect(all.Ledger.TurnAfterLoss).To(BeTrue())
-	g.Expect(all.ClaimWithoutAsking).To(BeFalse())
+	g.Expect(all.SkipHandover).To(BeFalse())
 	g.Expect(configOf(without(BeginUnrecorded)).Ledger.UnrecordedShare).To(BeZero())
 	g.Expect(configOf(without(MarkAhead)).Ledger.AheadTurns).To(BeZero())
 	g.Expect(configOf(without(GrantTurnAfterLoss)).Ledger.TurnAfterLoss).To(BeFalse())
-	g.Expect(configOf(without(HandOver)).ClaimWithoutAsking).To(BeTrue())
+	g.Expect(configOf(without(HandOver)).SkipHandover).To(BeTrue())
 }
 
 // TestSwitchesOfTheChoice pass on to the choice of a replica.
