--- a/coordinator/charge_test.go
+++ b/coordinator/charge_test.go
@@ -266,13 +266,13 @@
 			load.world.partitionInHalves()
 			load.run(10 * time.Second)
 		}),
-		Entry("one counting node for the fleet", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*chargeLoad) {}),
+		Entry("one counting node for the fleet", func(config *coordinator.Config) { config.CountLocally, config.GrantFullLimits = true, true }, func(*chargeLoad) {}),
 	)
 
 	It("refuse far more if each node counts against its own share", func() {
 		together, alone := moderate(), moderate()
 		newChargeLoad(countingFleet(65, nil), together).run(6 * time.Second)
-		newChargeLoad(countingFleet(65, func(config *coordinator.Config) { config.CountAlone = true }), alone).run(6 * time.Second)
+		newChargeLoad(countingFleet(65, func(config *coordinator.Config) { config.CountLocally = true }), alone).run(6 * time.Second)
 		Expect(together.refused * 200).To(BeNumerically("<", together.requested))
 		Expect(alone.refused).To(BeNumerically(">", 10*together.refused+1))
 	})
--- a/coordinator/cold_test.go
+++ b/coordinator/cold_test.go
@@ -184,7 +184,7 @@
 
 	It("is hardly used where each node has an equal share", func() {
 		for _, nodes := range []int{11, 74, 295} {
-			load := newColdLoad(countingFleet(nodes, func(config *coordinator.Config) { config.CountAlone = true }), 200, 1)
+			load := newColdLoad(countingFleet(nodes, func(config *coordinator.Config) { config.CountLocally = true }), 200, 1)
 			load.run(4 * time.Second)
 			Expect(load.overLimit()).To(BeEmpty(), "%d nodes", nodes)
 			if nodes > coldReplicaRate {
@@ -233,7 +233,7 @@
 			Expect(load.overLimit()).NotTo(BeEmpty())
 		},
 		Entry("a charge before each request", nil, func(load *coldLoad) { load.withoutCharge = true }),
-		Entry("one counting node for the fleet", func(config *coordinator.Config) { config.CountAlone, config.GrantFullLimits = true, true }, func(*coldLoad) {}),
+		Entry("one counting node for the fleet", func(config *coordinator.Config) { config.CountLocally, config.GrantFullLimits = true, true }, func(*coldLoad) {}),
 		Entry("the share left to nodes in another network partition", func(config *coordinator.Config) { config.GrantFullLimits = true },
 			func(load *coldLoad) { load.world.partitionInHalves() }),
 	)
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -54,7 +54,7 @@
 	ColdReplicas tenant.Config
 	// CountLocally has each node count against an equal share of the limits, to measure
 	// what one fleet-wide account gains.
-	CountAlone bool
+	CountLocally bool
 	// IgnoreRedirects has nodes select the counting node only by their own view, to measure
 	// what following the redirects of other nodes gains.
 	AskOwnView bool
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -157,7 +157,7 @@
 // countingNode returns the counting node of an account: the live node that ranks first for
 // its name, whether or not it reaches the store.
 func (c *Core) countingNode(key account) machine.ID {
-	if c.config.CountAlone {
+	if c.config.CountLocally {
 		return c.self().ID
 	}
 	if node, known := c.chargeState.countingNodes[key]; known {
@@ -218,7 +218,7 @@
 	if c.config.GrantFullLimits {
 		return 1
 	}
-	if c.config.CountAlone {
+	if c.config.CountLocally {
 		return 1 / float64(max(1, len(c.sortedNodes)))
 	}
 	live := float64(c.LiveCount())
--- a/edge/node.go
+++ b/edge/node.go
@@ -229,7 +229,7 @@
 	}
 	config.Tenants.ArrivalOrder = !settings.uses(FinishPrograms)
 	config.Tenants.RetriesAsNew = !settings.uses(RankPrograms)
-	config.CountAlone = !settings.uses(CountTogether)
+	config.CountLocally = !settings.uses(CountTogether)
 	config.AskOwnView = !settings.uses(RedirectCharges)
 	config.GatherNothing = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
 	if settings.RecordBytes > 0 {
