--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -57,7 +57,7 @@
 	CountLocally bool
 	// IgnoreRedirects has nodes select the counting node only by their own view, to measure
 	// what following the redirects of other nodes gains.
-	AskOwnView bool
+	IgnoreRedirects bool
 	// GrantFullLimits has nodes grant the full limits even if known but unreachable nodes
 	// may be counting in another network partition, to show which guarantees that breaks.
 	GrantFullLimits bool
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -244,7 +244,7 @@
 	waiting.resendAt = now.Add(chargeResendInterval)
 	waiting.redirects = 0
 	node := c.countingNode(waiting.charge.account())
-	if !c.config.AskOwnView && waiting.unanswered%attemptsPerFallback == attemptsPerFallback-1 {
+	if !c.config.IgnoreRedirects && waiting.unanswered%attemptsPerFallback == attemptsPerFallback-1 {
 		// The node may be gone, and others may have noticed it, so that the next one
 		// counts.
 		node = c.countingNodeExcluding(waiting.charge.account(), node)
@@ -314,7 +314,7 @@
 // joins or leaves, the views of nodes differ for a while, and the requested node may be
 // ahead. If the redirect fails, the charge is resent when that is due.
 func (c *Core) redirectCharge(now time.Time, from machine.Machine, message ChargeMessage, waiting *pendingCharge) {
-	if c.config.AskOwnView || from.ID != waiting.target || message.Owner == "" || message.Owner == c.self().ID || waiting.redirects >= maxRedirects {
+	if c.config.IgnoreRedirects || from.ID != waiting.target || message.Owner == "" || message.Owner == c.self().ID || waiting.redirects >= maxRedirects {
 		return
 	}
 	waiting.redirects++
--- a/coordinator/redirect_test.go
+++ b/coordinator/redirect_test.go
@@ -83,6 +83,6 @@
 	})
 
 	It("are lost more often if nodes use only their own view", func() {
-		Expect(unanswered(func(config *coordinator.Config) { config.AskOwnView = true })).To(BeNumerically(">", 0.005))
+		Expect(unanswered(func(config *coordinator.Config) { config.IgnoreRedirects = true })).To(BeNumerically(">", 0.005))
 	})
 })
--- a/edge/node.go
+++ b/edge/node.go
@@ -230,7 +230,7 @@
 	config.Tenants.ArrivalOrder = !settings.uses(FinishPrograms)
 	config.Tenants.RetriesAsNew = !settings.uses(RankPrograms)
 	config.CountLocally = !settings.uses(CountTogether)
-	config.AskOwnView = !settings.uses(RedirectCharges)
+	config.IgnoreRedirects = !settings.uses(RedirectCharges)
 	config.GatherNothing = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
 	if settings.RecordBytes > 0 {
 		config.Ledger.RecordBytes = min(config.Ledger.RecordBytes, settings.RecordBytes/2)
