--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -63,7 +63,7 @@
 	GrantFullLimits bool
 	// DisableGathering has nodes of a large fleet learn loads from statuses only, to
 	// measure what collectors gain.
-	GatherNothing bool
+	DisableGathering bool
 	// Random selects the recipients of statuses, and makes all other random choices.
 	Random *rand.Rand
 }
--- a/coordinator/gathering_test.go
+++ b/coordinator/gathering_test.go
@@ -69,7 +69,7 @@
 	})
 
 	It("sends nothing in a small fleet, or if it is disabled", func() {
-		off := func(config *coordinator.Config) { config.GatherNothing = true }
+		off := func(config *coordinator.Config) { config.DisableGathering = true }
 		for _, world := range []*fleet{gatherFleet(12, nil), gatherFleet(gatherNodes, off)} {
 			runLoads(world, 3*time.Second)
 			Expect(reportedRequests(world)).To(BeEmpty())
@@ -82,7 +82,7 @@
 	It("continues if the first collector does not support gathering", func() {
 		collector := gatherFleet(gatherNodes, nil).nodes["node-00"].core.Roles().Collectors[0].ID
 		world := gatherFleet(gatherNodes, func(config *coordinator.Config) {
-			config.GatherNothing = config.Membership.Self.ID == collector
+			config.DisableGathering = config.Membership.Self.ID == collector
 		})
 		runLoads(world, 3*time.Second)
 		Expect(world.nodes[collector].gatherMessages).To(BeZero())
--- a/edge/gathered_test.go
+++ b/edge/gathered_test.go
@@ -19,9 +19,9 @@
 	configOf := func(settings Settings) coordinator.Config {
 		return coreConfig(settings, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
 	}
-	g.Expect(configOf(Settings{}).GatherNothing).To(BeFalse())
-	g.Expect(configOf(without(GatherLoads)).GatherNothing).To(BeTrue())
-	g.Expect(configOf(without(CountPeers)).GatherNothing).To(BeTrue())
+	g.Expect(configOf(Settings{}).DisableGathering).To(BeFalse())
+	g.Expect(configOf(without(GatherLoads)).DisableGathering).To(BeTrue())
+	g.Expect(configOf(without(CountPeers)).DisableGathering).To(BeTrue())
 }
 
 // TestTotalsOfOtherLists are taken in for the replicas that this node knows alone.
--- a/edge/node.go
+++ b/edge/node.go
@@ -231,7 +231,7 @@
 	config.Tenants.RetriesAsNew = !settings.uses(RankPrograms)
 	config.CountLocally = !settings.uses(CountTogether)
 	config.IgnoreRedirects = !settings.uses(RedirectCharges)
-	config.GatherNothing = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
+	config.DisableGathering = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
 	if settings.RecordBytes > 0 {
 		config.Ledger.RecordBytes = min(config.Ledger.RecordBytes, settings.RecordBytes/2)
 	}
