--- a/coordinator/request.go
+++ b/coordinator/request.go
@@ -38,8 +38,8 @@
 	HasBase bool `json:"has_base,omitempty"`
 	// RefuseWhenStalled has the owner refuse the turn while appends are stalled, instead of
 	// settling it now and storing it at some later time.
-	AtOnce     bool              `json:"at_once,omitempty"`
-	Settlement ledger.Settlement `json:"settlement"`
+	RefuseWhenStalled bool              `json:"at_once,omitempty"`
+	Settlement        ledger.Settlement `json:"settlement"`
 }
 
 // FindRequest asks for the chain of a stored turn.
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -87,7 +87,7 @@
 		c.reply(Reply{ID: id, Status: ReplyAbsent, Epoch: p.epoch})
 		return
 	}
-	if request.AtOnce && c.stalled(now, p) {
+	if request.RefuseWhenStalled && c.stalled(now, p) {
 		c.reply(Reply{ID: id, Status: p.refusalStatus(), Epoch: p.epoch})
 		return
 	}
--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -38,7 +38,7 @@
 	defer cancel()
 	settlement := *t.node.settlementOf(t.request)
 	home, aside := make(chan bool, 1), make(chan bool, 1)
-	ask := coordinator.KeepRequest{Turn: t.keptTurn(), Settlement: settlement, AtOnce: t.holdsBack()}
+	ask := coordinator.KeepRequest{Turn: t.keptTurn(), Settlement: settlement, RefuseWhenStalled: t.holdsBack()}
 	go func() { home <- t.keepAtHome(ctx, t.search(), ask) }()
 	go func() { aside <- t.keepAside(ctx, t.search(), ask) }()
 	var kept bool
@@ -91,7 +91,7 @@
 	if !n.settings.uses(KeepAside) || !wait.For(ctx, asideAfter) {
 		return false
 	}
-	ask.Turn.Base, ask.HasBase, ask.AtOnce = t.grant.chain, true, true
+	ask.Turn.Base, ask.HasBase, ask.RefuseWhenStalled = t.grant.chain, true, true
 	for try := range min(asideTries, partitions-1) {
 		if ctx.Err() != nil || search.exchange.Cancel.Cause() != nil || !n.reachesStore() {
 			return false
