--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -123,9 +123,9 @@
 // Timeout.
 type ChargeRequested struct {
 	// ID correlates the Charged; the driver allocates it.
-	ID       uint64
-	Charge   Charge
-	Patience time.Duration
+	ID      uint64
+	Charge  Charge
+	Timeout time.Duration
 }
 
 // FreshnessProven reports that the configuration this node holds, which has the given
--- a/coordinator/flow_test.go
+++ b/coordinator/flow_test.go
@@ -57,7 +57,7 @@
 	q.next++
 	q.open[q.next] = pendingCharge[T]{source: source, node: node}
 	charge.Request.ID = fmt.Sprint(q.next)
-	q.world.send(node, 0, coordinator.ChargeRequested{ID: q.next, Patience: patience, Charge: charge})
+	q.world.send(node, 0, coordinator.ChargeRequested{ID: q.next, Timeout: patience, Charge: charge})
 }
 
 // collect passes the answers to take.
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -234,7 +234,7 @@
 func (c *Core) stepCharge(now time.Time, event ChargeRequested) {
 	c.updateCountingNodes(now)
 	c.chargeState.nextNumber++
-	waiting := &pendingCharge{id: event.ID, charge: event.Charge, requestedAt: now, deadline: now.Add(event.Patience)}
+	waiting := &pendingCharge{id: event.ID, charge: event.Charge, requestedAt: now, deadline: now.Add(event.Timeout)}
 	c.chargeState.pending[c.chargeState.nextNumber] = waiting
 	c.requestCharge(now, c.chargeState.nextNumber, waiting)
 }
--- a/edge/control.go
+++ b/edge/control.go
@@ -269,7 +269,7 @@
 	case chargeQuestion:
 		c.nextID++
 		c.charges[c.nextID] = input.answer
-		c.core.Step(now, coordinator.ChargeRequested{ID: c.nextID, Charge: input.charge, Patience: input.patience})
+		c.core.Step(now, coordinator.ChargeRequested{ID: c.nextID, Charge: input.charge, Timeout: input.patience})
 	case lookup:
 		owner, _ := c.core.Owner(now, input.partition)
 		input.answer <- owner
