--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -334,7 +334,7 @@
 func (c *Core) LiveCount() int { return max(1, len(c.membership.Nodes())) }
 
 // IsLive reports whether a node is considered live.
-func (c *Core) Lives(id machine.ID) bool {
+func (c *Core) IsLive(id machine.ID) bool {
 	_, found := slices.BinarySearchFunc(c.membership.Nodes(), id, func(node machine.Machine, id machine.ID) int {
 		return cmp.Compare(node.ID, id)
 	})
--- a/edge/control.go
+++ b/edge/control.go
@@ -203,7 +203,7 @@
 
 // endWaitForLostReader ends the wait for the first answer of a reader that is not live.
 func (c *control) endWaitForLostReader() {
-	if asked := c.node.askedReader.Load(); asked != nil && !c.core.Lives(asked.id) {
+	if asked := c.node.askedReader.Load(); asked != nil && !c.core.IsLive(asked.id) {
 		asked.end()
 	}
 }
