--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -27,7 +27,7 @@
 	Near int
 	// MayOwnPartition says that this node is in the preference list of a partition, and so
 	// has to notice quickly when it can no longer reach the store.
-	Heir bool
+	MayOwnPartition bool
 }
 
 const (
@@ -74,7 +74,7 @@
 	}
 	slices.SortFunc(roles.Remote, machine.CompareID)
 	slices.SortFunc(roles.RemoteCollectors, machine.CompareID)
-	roles.Heir = slices.ContainsFunc(selfRanks, func(rank int) bool { return rank >= 0 })
+	roles.MayOwnPartition = slices.ContainsFunc(selfRanks, func(rank int) bool { return rank >= 0 })
 	return roles
 }
 
--- a/edge/control.go
+++ b/edge/control.go
@@ -193,7 +193,7 @@
 // over from now on looks at once whether it reaches the store.
 func (c *control) noteRoles(roles coordinator.Roles) {
 	before := c.node.roles.Swap(&roles)
-	if !roles.Heir || (before != nil && before.Heir) {
+	if !roles.MayOwnPartition || (before != nil && before.MayOwnPartition) {
 		return
 	}
 	if end := c.node.watching.Load(); end != nil {
--- a/edge/storewatch.go
+++ b/edge/storewatch.go
@@ -117,7 +117,7 @@
 // heir reports whether this node may have to take a partition over.
 func (n *Node) heir() bool {
 	roles := n.roles.Load()
-	return roles != nil && roles.Heir
+	return roles != nil && roles.MayOwnPartition
 }
 
 // reachesStore reports whether the store answered lately, or a read of it still waits
--- a/edge/storewatch_test.go
+++ b/edge/storewatch_test.go
@@ -40,7 +40,7 @@
 	}
 	go look()
 	g.Expect(<-store.asked).To(Equal(watchWait))
-	node.control.noteRoles(coordinator.Roles{Heir: true})
+	node.control.noteRoles(coordinator.Roles{MayOwnPartition: true})
 	g.Expect(<-ended).To(MatchError(context.Canceled))
 	go look()
 	g.Expect(<-store.asked).To(Equal(heirWait))
