--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -17,8 +17,8 @@
 	Sources []machine.Machine
 	// Readers are the readers of this node's zone, and RemoteReaders those of the other
 	// zones.
-	Readers []machine.Machine
-	Remote  []machine.Machine
+	Readers       []machine.Machine
+	RemoteReaders []machine.Machine
 	// Collectors gather the loads of this node's zone; the first one that answers is used.
 	// RemoteCollectors are the first collectors of the other zones.
 	Collectors       []machine.Machine
@@ -69,10 +69,10 @@
 			roles.Readers, roles.Near, roles.Collectors = readers, len(zoneNodes), collectors
 			continue
 		}
-		roles.Remote = append(roles.Remote, readers...)
+		roles.RemoteReaders = append(roles.RemoteReaders, readers...)
 		roles.RemoteCollectors = append(roles.RemoteCollectors, collectors[:min(len(collectors), 1)]...)
 	}
-	slices.SortFunc(roles.Remote, machine.CompareID)
+	slices.SortFunc(roles.RemoteReaders, machine.CompareID)
 	slices.SortFunc(roles.RemoteCollectors, machine.CompareID)
 	roles.MayOwnPartition = slices.ContainsFunc(selfRanks, func(rank int) bool { return rank >= 0 })
 	return roles
--- a/coordinator/roles_test.go
+++ b/coordinator/roles_test.go
@@ -43,12 +43,12 @@
 			core.Step(now, coordinator.Listed{Nodes: nodes})
 			roles := core.Roles()
 			g.Expect(roles.Near).To(BeNumerically("~", count/5, 1))
-			g.Expect(roles.Remote).To(HaveLen(8))
+			g.Expect(roles.RemoteReaders).To(HaveLen(8))
 			for _, source := range roles.Sources {
 				sources[source.ID] = true
 				g.Expect(source.Weight).To(BeNumerically(">", 100))
 			}
-			for _, reader := range append(roles.Readers, roles.Remote...) {
+			for _, reader := range append(roles.Readers, roles.RemoteReaders...) {
 				readers[reader.ID] = true
 				g.Expect(reader.Weight).To(BeNumerically(">", 100))
 			}
@@ -73,7 +73,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		core.Step(now, coordinator.Listed{Nodes: nodes})
 		roles := core.Roles()
-		for _, node := range append(append(roles.Sources, roles.Readers...), roles.Remote...) {
+		for _, node := range append(append(roles.Sources, roles.Readers...), roles.RemoteReaders...) {
 			g.Expect(node.Weight).To(BeNumerically(">", 100), string(node.ID))
 		}
 	}
--- a/edge/role.go
+++ b/edge/role.go
@@ -90,7 +90,7 @@
 func (n *Node) spread(roles coordinator.Roles) []machine.Machine {
 	place := int(xxhash.Sum64String(n.settings.Node) & 0xffff)
 	ordered := rotate(roles.Readers, place)
-	return append(ordered, rotate(roles.Remote, place/2)...)
+	return append(ordered, rotate(roles.RemoteReaders, place/2)...)
 }
 
 // rotate returns the nodes beginning with the one at a place, counted around.
--- a/edge/role_test.go
+++ b/edge/role_test.go
@@ -34,7 +34,7 @@
 // often first, and those of other zones after all of its own.
 func TestFollowersDivideAmongReaders(t *testing.T) {
 	g := NewWithT(t)
-	roles := coordinator.Roles{Readers: []machine.Machine{{ID: "r1"}, {ID: "r2"}}, Remote: []machine.Machine{{ID: "far1"}, {ID: "far2"}}}
+	roles := coordinator.Roles{Readers: []machine.Machine{{ID: "r1"}, {ID: "r2"}}, RemoteReaders: []machine.Machine{{ID: "far1"}, {ID: "far2"}}}
 	first := make(map[machine.ID]int)
 	for index := range 200 {
 		settings := Settings{Node: fmt.Sprintf("front-%d", index), Zone: "a"}
