--- a/ledger/account.go
+++ b/ledger/account.go
@@ -315,7 +315,7 @@
 		return turn.Most
 	}
 	rest := turn.Budget - need
-	share := int(float64(rest) * l.config.AheadShare)
+	share := int(float64(rest) * l.config.MarkAheadShare)
 	return max(0, min(share, l.config.AheadTurns*turn.Most, rest-turn.Most))
 }
 
--- a/ledger/cover.go
+++ b/ledger/cover.go
@@ -60,7 +60,7 @@
 	if acct.maxTokens <= 0 || rest < acct.maxTokens {
 		return 0
 	}
-	share := int(float64(rest)*l.config.AheadShare) / acct.maxTokens
+	share := int(float64(rest)*l.config.MarkAheadShare) / acct.maxTokens
 	return min(max(1, share), l.config.AheadTurns)
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -11,8 +11,8 @@
 	// this share of the remaining budget, and by this many turns. Larger values cost
 	// fewer writes and let programs run longer while the log is down; smaller values lose
 	// less of a budget when an owner fails.
-	AheadShare float64
-	AheadTurns int
+	MarkAheadShare float64
+	AheadTurns     int
 	// UnrecordedShare is the share of its budget that a program may use, in addition to
 	// one turn, before its first record is durable, so that programs can begin while the
 	// log accepts no appends. A new owner assumes that programs without a record have
@@ -47,7 +47,7 @@
 
 // DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
-	return Config{AheadShare: 1.0 / 3, AheadTurns: 2, RecordBytes: 128 << 10, BatchRecords: 256, BatchBytes: 1 << 20, Slack: 15 * time.Second, SweepPeriod: 2 * time.Second}
+	return Config{MarkAheadShare: 1.0 / 3, AheadTurns: 2, RecordBytes: 128 << 10, BatchRecords: 256, BatchBytes: 1 << 20, Slack: 15 * time.Second, SweepPeriod: 2 * time.Second}
 }
 
 // Ledger holds the accounts and stored turns of one partition. It is not safe for
