--- a/edge/node.go
+++ b/edge/node.go
@@ -217,7 +217,7 @@
 		}
 	}
 	if !settings.uses(MarkAhead) {
-		config.Ledger.MarkAheadShare, config.Ledger.AheadTurns = 0, 0
+		config.Ledger.MarkAheadShare, config.Ledger.MarkAheadTurns = 0, 0
 	}
 	config.Ledger.TurnAfterLoss = settings.uses(GrantTurnAfterLoss)
 	config.SkipHandover = !settings.uses(HandOver)
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -316,7 +316,7 @@
 	}
 	rest := turn.Budget - need
 	share := int(float64(rest) * l.config.MarkAheadShare)
-	return max(0, min(share, l.config.AheadTurns*turn.Most, rest-turn.Most))
+	return max(0, min(share, l.config.MarkAheadTurns*turn.Most, rest-turn.Most))
 }
 
 // Settlement reports how a turn ended.
--- a/ledger/cover.go
+++ b/ledger/cover.go
@@ -61,7 +61,7 @@
 		return 0
 	}
 	share := int(float64(rest)*l.config.MarkAheadShare) / acct.maxTokens
-	return min(max(1, share), l.config.AheadTurns)
+	return min(max(1, share), l.config.MarkAheadTurns)
 }
 
 // proposeExact proposes an exact record of the account, with slots for turns that may be
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -12,7 +12,7 @@
 	// fewer writes and let programs run longer while the log is down; smaller values lose
 	// less of a budget when an owner fails.
 	MarkAheadShare float64
-	AheadTurns     int
+	MarkAheadTurns int
 	// UnrecordedShare is the share of its budget that a program may use, in addition to
 	// one turn, before its first record is durable, so that programs can begin while the
 	// log accepts no appends. A new owner assumes that programs without a record have
@@ -47,7 +47,7 @@
 
 // DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
-	return Config{MarkAheadShare: 1.0 / 3, AheadTurns: 2, RecordBytes: 128 << 10, BatchRecords: 256, BatchBytes: 1 << 20, Slack: 15 * time.Second, SweepPeriod: 2 * time.Second}
+	return Config{MarkAheadShare: 1.0 / 3, MarkAheadTurns: 2, RecordBytes: 128 << 10, BatchRecords: 256, BatchBytes: 1 << 20, Slack: 15 * time.Second, SweepPeriod: 2 * time.Second}
 }
 
 // Ledger holds the accounts and stored turns of one partition. It is not safe for
