--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -70,11 +70,11 @@
 	g.Expect(all.CountLocally).To(BeFalse())
 	g.Expect(all.IgnoreRedirects).To(BeFalse())
 	g.Expect(all.Tenants).To(Equal(tenant.DefaultConfig()))
-	g.Expect(all.Ledger.AgainShare).To(BeNumerically(">", 0))
+	g.Expect(all.Ledger.AfterFailureShare).To(BeNumerically(">", 0))
 	without := coreConfig(Settings{Partitions: 1, Without: []Mechanism{CountTogether, RedirectCharges, FinishPrograms, RankPrograms, BeginAgain}}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
 	g.Expect(without.CountLocally).To(BeTrue())
 	g.Expect(without.IgnoreRedirects).To(BeTrue())
 	g.Expect(without.Tenants.ArrivalOrder).To(BeTrue())
 	g.Expect(without.Tenants.RetriesAsNew).To(BeTrue())
-	g.Expect(without.Ledger.AgainShare).To(BeZero())
+	g.Expect(without.Ledger.AfterFailureShare).To(BeZero())
 }
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -58,7 +58,7 @@
 	switch {
 	case !l.ownership.inheritedOpen:
 		l.ownership.openPosition = l.propose(openKey, []byte(openValue))
-	case !l.ownership.inheritedTwice && l.config.AgainShare > 0:
+	case !l.ownership.inheritedTwice && l.config.AfterFailureShare > 0:
 		l.ownership.openPosition = l.propose(openKey, []byte(openAfterFailureValue))
 	}
 }
@@ -155,7 +155,7 @@
 	if turn.Budget < l.config.AgainBudget {
 		return 0
 	}
-	return budgetShare(turn, l.config.AgainShare)
+	return budgetShare(turn, l.config.AfterFailureShare)
 }
 
 // unrecordedTokens returns how many tokens a program may use before its first record is
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -17,7 +17,7 @@
 	config.UnrecordedShare = 1.0 / 3
 	config.UnrecordedFor = 8 * time.Second
 	config.TurnAfterLoss = true
-	config.AgainShare = 1.0 / 4
+	config.AfterFailureShare = 1.0 / 4
 	config.AgainBudget = 700
 	return config
 }
