--- a/edge/node.go
+++ b/edge/node.go
@@ -213,7 +213,7 @@
 		config.Ledger.UnrecordedShare = unrecordedShare
 		config.Ledger.UnrecordedFor = unrecordedFor
 		if settings.uses(BeginAgain) {
-			config.Ledger.AfterFailureShare, config.Ledger.AgainBudget = againShare, againBudget
+			config.Ledger.AfterFailureShare, config.Ledger.AfterFailureMinBudget = againShare, againBudget
 		}
 	}
 	if !settings.uses(MarkAhead) {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -25,8 +25,8 @@
 	// assumes both shares as used. It applies to budgets of AfterFailureMinBudget tokens
 	// or more, since smaller ones would not hold a whole program then. 0 makes all
 	// programs wait.
-	AfterFailureShare float64
-	AgainBudget       int
+	AfterFailureShare     float64
+	AfterFailureMinBudget int
 	// OwnershipProofTTL is how long after the log last confirmed the ownership programs
 	// may run without a record. It is shorter than RetentionSlack by more than the
 	// duration of a turn, so that a new owner assumes their use for longer than that.
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -152,7 +152,7 @@
 // afterFailureTokens returns how many tokens a program may use without a record at an
 // owner that replaced a failed one.
 func (l *Ledger) afterFailureTokens(turn Turn) int {
-	if turn.Budget < l.config.AgainBudget {
+	if turn.Budget < l.config.AfterFailureMinBudget {
 		return 0
 	}
 	return budgetShare(turn, l.config.AfterFailureShare)
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -18,7 +18,7 @@
 	config.UnrecordedFor = 8 * time.Second
 	config.TurnAfterLoss = true
 	config.AfterFailureShare = 1.0 / 4
-	config.AgainBudget = 700
+	config.AfterFailureMinBudget = 700
 	return config
 }
 
