--- a/coordinator/asking_test.go
+++ b/coordinator/asking_test.go
@@ -16,7 +16,7 @@
 		world := newFleetWith(5, 4, 12, func(config *coordinator.Config) {
 			config.SkipHandover = withoutAsking
 			config.Ledger.UnrecordedShare = 1.0 / 3
-			config.Ledger.UnrecordedFor = 8 * time.Second
+			config.Ledger.OwnershipProofTTL = 8 * time.Second
 		})
 		world.run(settled)
 		serveAll(world)
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -95,7 +95,7 @@
 		for seed := range uint64(8) {
 			world := newFleetWith(seed, 7, 6, func(config *coordinator.Config) {
 				config.Ledger.UnrecordedShare = 0.5
-				config.Ledger.UnrecordedFor = 8 * time.Second
+				config.Ledger.OwnershipProofTTL = 8 * time.Second
 			})
 			world.run(settled)
 			serveAll(world)
@@ -413,7 +413,7 @@
 	unrecorded := func(seed uint64, nodes int) *fleet {
 		world := newFleetWith(seed, nodes, 1, func(config *coordinator.Config) {
 			config.Ledger.UnrecordedShare = 0.5
-			config.Ledger.UnrecordedFor = 8 * time.Second
+			config.Ledger.OwnershipProofTTL = 8 * time.Second
 		})
 		world.run(settled)
 		// Once one program was admitted, the log says that programs may start unrecorded.
--- a/edge/node.go
+++ b/edge/node.go
@@ -211,7 +211,7 @@
 	config := coordinator.DefaultConfig(self, settings.Partitions, random)
 	if settings.uses(BeginUnrecorded) {
 		config.Ledger.UnrecordedShare = unrecordedShare
-		config.Ledger.UnrecordedFor = unrecordedFor
+		config.Ledger.OwnershipProofTTL = unrecordedFor
 		if settings.uses(BeginAgain) {
 			config.Ledger.AfterFailureShare, config.Ledger.AfterFailureMinBudget = againShare, againBudget
 		}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -30,7 +30,7 @@
 	// OwnershipProofTTL is how long after the log last confirmed the ownership programs
 	// may run without a record. It is shorter than RetentionSlack by more than the
 	// duration of a turn, so that a new owner assumes their use for longer than that.
-	UnrecordedFor time.Duration
+	OwnershipProofTTL time.Duration
 	// ExtraTurnAfterFailure lets a program use one turn more than its budget if its whole
 	// mark counts as used because its owner failed.
 	TurnAfterLoss bool
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -212,7 +212,7 @@
 		return false
 	}
 	state := l.ownership
-	if state.since.IsZero() || state.released || now.Sub(state.confirmedAt) > l.config.UnrecordedFor {
+	if state.since.IsZero() || state.released || now.Sub(state.confirmedAt) > l.config.OwnershipProofTTL {
 		return false
 	}
 	if state.inheritedOpen && !acct.mayHaveBegunBefore {
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -15,7 +15,7 @@
 func unrecordedConfig() ledger.Config {
 	config := ledger.DefaultConfig()
 	config.UnrecordedShare = 1.0 / 3
-	config.UnrecordedFor = 8 * time.Second
+	config.OwnershipProofTTL = 8 * time.Second
 	config.TurnAfterLoss = true
 	config.AfterFailureShare = 1.0 / 4
 	config.AfterFailureMinBudget = 700
