--- a/edge/node.go
+++ b/edge/node.go
@@ -219,7 +219,7 @@
 	if !settings.uses(MarkAhead) {
 		config.Ledger.MarkAheadShare, config.Ledger.MarkAheadTurns = 0, 0
 	}
-	config.Ledger.TurnAfterLoss = settings.uses(GrantTurnAfterLoss)
+	config.Ledger.ExtraTurnAfterFailure = settings.uses(GrantTurnAfterLoss)
 	config.SkipHandover = !settings.uses(HandOver)
 	if settings.Quota.Window > 0 {
 		config.Tenants = settings.Quota
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -33,11 +33,11 @@
 	all := configOf(Settings{Partitions: 2})
 	g.Expect(all.Ledger.UnrecordedShare).To(BeNumerically(">", 0))
 	g.Expect(all.Ledger.MarkAheadTurns).To(BeNumerically(">", 0))
-	g.Expect(all.Ledger.TurnAfterLoss).To(BeTrue())
+	g.Expect(all.Ledger.ExtraTurnAfterFailure).To(BeTrue())
 	g.Expect(all.SkipHandover).To(BeFalse())
 	g.Expect(configOf(without(BeginUnrecorded)).Ledger.UnrecordedShare).To(BeZero())
 	g.Expect(configOf(without(MarkAhead)).Ledger.MarkAheadTurns).To(BeZero())
-	g.Expect(configOf(without(GrantTurnAfterLoss)).Ledger.TurnAfterLoss).To(BeFalse())
+	g.Expect(configOf(without(GrantTurnAfterLoss)).Ledger.ExtraTurnAfterFailure).To(BeFalse())
 	g.Expect(configOf(without(HandOver)).SkipHandover).To(BeTrue())
 }
 
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -189,7 +189,7 @@
 // may run one more turn if the mark leaves any of the budget. If use under a previous
 // owner is assumed, that extra turn is already counted there.
 func (l *Ledger) tokenLimit(turn Turn, acct *account) int {
-	if l.config.TurnAfterLoss && acct.restored && !acct.mayHaveBegunBefore {
+	if l.config.ExtraTurnAfterFailure && acct.restored && !acct.mayHaveBegunBefore {
 		return turn.Budget + turn.Most - 1
 	}
 	return turn.Budget
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -33,7 +33,7 @@
 	OwnershipProofTTL time.Duration
 	// ExtraTurnAfterFailure lets a program use one turn more than its budget if its whole
 	// mark counts as used because its owner failed.
-	TurnAfterLoss bool
+	ExtraTurnAfterFailure bool
 	// RecordBytes limits the value of one record.
 	RecordBytes int
 	// BatchRecords and BatchBytes limit one batch.
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -16,7 +16,7 @@
 	config := ledger.DefaultConfig()
 	config.UnrecordedShare = 1.0 / 3
 	config.OwnershipProofTTL = 8 * time.Second
-	config.TurnAfterLoss = true
+	config.ExtraTurnAfterFailure = true
 	config.AfterFailureShare = 1.0 / 4
 	config.AfterFailureMinBudget = 700
 	return config
