--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -40,14 +40,14 @@
 	BatchRecords int
 	BatchBytes   int
 	// RetentionSlack is added to the retention time of every entry.
-	Slack time.Duration
+	RetentionSlack time.Duration
 	// SweepPeriod is the time between two removals of expired entries.
 	SweepPeriod time.Duration
 }
 
 // DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
-	return Config{MarkAheadShare: 1.0 / 3, MarkAheadTurns: 2, RecordBytes: 128 << 10, BatchRecords: 256, BatchBytes: 1 << 20, Slack: 15 * time.Second, SweepPeriod: 2 * time.Second}
+	return Config{MarkAheadShare: 1.0 / 3, MarkAheadTurns: 2, RecordBytes: 128 << 10, BatchRecords: 256, BatchBytes: 1 << 20, RetentionSlack: 15 * time.Second, SweepPeriod: 2 * time.Second}
 }
 
 // Ledger holds the accounts and stored turns of one partition. It is not safe for
@@ -158,7 +158,7 @@
 	l.nextSweep = now.Add(l.config.SweepPeriod)
 	for id, acct := range l.accounts {
 		acct.expire(now)
-		if acct.openCount() == 0 && now.Sub(acct.lastActive) > acct.retention+l.config.Slack {
+		if acct.openCount() == 0 && now.Sub(acct.lastActive) > acct.retention+l.config.RetentionSlack {
 			delete(l.accounts, id)
 			if acct.newest.mark > 0 {
 				l.propose(accountPrefix+id, nil)
@@ -166,7 +166,7 @@
 		}
 	}
 	for id, kept := range l.turns {
-		if now.Sub(kept.expires) > l.config.Slack {
+		if now.Sub(kept.expires) > l.config.RetentionSlack {
 			l.removeTurn(id, kept)
 		}
 	}
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -127,7 +127,7 @@
 // returnWindow returns how long after a takeover a program may still return that began
 // under a previous owner.
 func (l *Ledger) returnWindow(retention time.Duration) time.Duration {
-	return max(retention, l.ownership.retention) + l.config.Slack
+	return max(retention, l.ownership.retention) + l.config.RetentionSlack
 }
 
 // assumedTokens returns what a program without a record may have used under a previous
