--- a/coordinator/find_test.go
+++ b/coordinator/find_test.go
@@ -45,7 +45,7 @@
 		lost := world.owners(0)[0]
 		world.kill(lost)
 		asked := turn("given up")
-		asked.Turn.Budget = asked.Turn.Most
+		asked.Turn.Budget = asked.Turn.MaxTokens
 		end := ledger.Settlement{Turn: "given up", Program: "p", Session: "s"}
 		for len(world.owners(0)) == 0 {
 			// Send the turn and its end to every node, so that the one that takes over gets
@@ -58,7 +58,7 @@
 		}
 		world.run(time.Second)
 		next := turn("next")
-		next.Turn.Budget = next.Turn.Most
+		next.Turn.Budget = next.Turn.MaxTokens
 		owner := world.owners(0)[0]
 		admitted := reply(world, owner, world.ask(owner, 0, coordinator.Request{Admit: next}))
 		Expect(admitted.Admission.Verdict).To(Equal(ledger.VerdictGranted))
--- a/coordinator/stalled_test.go
+++ b/coordinator/stalled_test.go
@@ -17,7 +17,7 @@
 		owner := world.owners(0)[0]
 		world.storeDown = true
 		waiting := turn("a")
-		waiting.Turn.Budget = 3 * waiting.Turn.Most / 2
+		waiting.Turn.Budget = 3 * waiting.Turn.MaxTokens / 2
 		first := reply(world, owner, world.ask(owner, 0, coordinator.Request{Admit: waiting}))
 		Expect(first.Admission.Position).To(BeNumerically(">", 0))
 		world.run(time.Second)
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -27,8 +27,8 @@
 	Session string `json:"session,omitempty"`
 	// MaxTokens limits the tokens that the turn generates, and Budget those of all turns
 	// of the program. A Budget of 0 means no limit.
-	Most   int `json:"most"`
-	Budget int `json:"budget"`
+	MaxTokens int `json:"most"`
+	Budget    int `json:"budget"`
 	// Timeout is how long from now the turn takes at most.
 	Within time.Duration `json:"within"`
 	// Retain is how long the program's account is retained after its last turn.
@@ -190,7 +190,7 @@
 // owner is assumed, that extra turn is already counted there.
 func (l *Ledger) tokenLimit(turn Turn, acct *account) int {
 	if l.config.ExtraTurnAfterFailure && acct.restored && !acct.mayHaveBegunBefore {
-		return turn.Budget + turn.Most - 1
+		return turn.Budget + turn.MaxTokens - 1
 	}
 	return turn.Budget
 }
@@ -221,8 +221,8 @@
 		return admission
 	}
 	acct.lastGrant++
-	acct.open[turn.ID] = reservation{grant: acct.lastGrant, maxTokens: turn.Most, expires: now.Add(turn.Within + settlementSlack)}
-	need := acct.settledTokens + open + turn.Most
+	acct.open[turn.ID] = reservation{grant: acct.lastGrant, maxTokens: turn.MaxTokens, expires: now.Add(turn.Within + settlementSlack)}
+	need := acct.settledTokens + open + turn.MaxTokens
 	l.proposeOpenRecord()
 	l.ensureRecorded(turn, acct, need)
 	admission.Grant = acct.lastGrant
@@ -247,7 +247,7 @@
 	a.lastActive = now
 	a.retention = max(a.retention, turn.Retain)
 	a.maxDuration = max(a.maxDuration, turn.Within)
-	a.budget, a.maxTokens = turn.Budget, turn.Most
+	a.budget, a.maxTokens = turn.Budget, turn.MaxTokens
 }
 
 // decide returns the verdict on one more turn. The budget is exhausted only if that is
@@ -259,9 +259,9 @@
 	switch {
 	case turn.Budget <= 0:
 		return VerdictGranted
-	case certain+turn.Most > turn.Budget || acct.settledTokens+turn.Most > tokenLimit:
+	case certain+turn.MaxTokens > turn.Budget || acct.settledTokens+turn.MaxTokens > tokenLimit:
 		return VerdictExhausted
-	case acct.settledTokens+open+l.unscopedTokens(now, turn)+turn.Most > tokenLimit:
+	case acct.settledTokens+open+l.unscopedTokens(now, turn)+turn.MaxTokens > tokenLimit:
 		return VerdictBusy
 	default:
 		return VerdictGranted
@@ -284,7 +284,7 @@
 // may reach the client, or 0. need is the most tokens that the program can have used once
 // the turn has ended.
 func (l *Ledger) requiredPosition(now time.Time, turn Turn, acct *account, grant uint64, need int) uint64 {
-	if acct.recordPosition <= l.durable || acct.durable.permits(grant, turn.Most, need) || l.mayRunUnrecorded(now, turn, acct, grant, need) {
+	if acct.recordPosition <= l.durable || acct.durable.permits(grant, turn.MaxTokens, need) || l.mayRunUnrecorded(now, turn, acct, grant, need) {
 		return 0
 	}
 	return acct.recordPosition
@@ -292,7 +292,7 @@
 
 // ensureRecorded proposes a record that covers the turn if the newest one does not.
 func (l *Ledger) ensureRecorded(turn Turn, acct *account, need int) {
-	if acct.newest.permits(acct.lastGrant, turn.Most, need) {
+	if acct.newest.permits(acct.lastGrant, turn.MaxTokens, need) {
 		return
 	}
 	if l.needsExactRecord(turn, acct, need) {
@@ -312,11 +312,11 @@
 // budget if the whole mark counts as used.
 func (l *Ledger) markHeadroom(turn Turn, need int) int {
 	if turn.Budget == 0 {
-		return turn.Most
+		return turn.MaxTokens
 	}
 	rest := turn.Budget - need
 	share := int(float64(rest) * l.config.MarkAheadShare)
-	return max(0, min(share, l.config.MarkAheadTurns*turn.Most, rest-turn.Most))
+	return max(0, min(share, l.config.MarkAheadTurns*turn.MaxTokens, rest-turn.MaxTokens))
 }
 
 // Settlement reports how a turn ended.
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -180,7 +180,7 @@
 		m.append()
 	}
 	if m.random.IntN(6) > 0 {
-		end.Tokens = requested.Most - m.random.IntN(2)*m.random.IntN(requested.Most)
+		end.Tokens = requested.MaxTokens - m.random.IntN(2)*m.random.IntN(requested.MaxTokens)
 	}
 	m.used += end.Tokens
 	if requested.Keeps && m.random.IntN(3) > 0 {
@@ -203,7 +203,7 @@
 		maxTokens = 20 + m.random.IntN(m.maxTokens-19)
 	}
 	return ledger.Turn{
-		ID: strconv.Itoa(m.turns), Program: "p", Most: maxTokens, Budget: m.budget, Within: time.Second, Retain: time.Minute,
+		ID: strconv.Itoa(m.turns), Program: "p", MaxTokens: maxTokens, Budget: m.budget, Within: time.Second, Retain: time.Minute,
 		Keeps: m.random.Float64() < m.storeShare,
 	}
 }
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -166,7 +166,7 @@
 // counted as used, it would leave a small budget no room for a turn.
 func budgetShare(turn Turn, share float64) int {
 	tokens := int(share * float64(turn.Budget))
-	if tokens < turn.Most {
+	if tokens < turn.MaxTokens {
 		return 0
 	}
 	return tokens
@@ -180,9 +180,9 @@
 		return 0
 	}
 	if l.ownership.inheritedOpen {
-		return min(turn.Budget-1, l.unrecordedTokens(turn)+max(turn.Most, l.afterFailureTokens(turn)))
+		return min(turn.Budget-1, l.unrecordedTokens(turn)+max(turn.MaxTokens, l.afterFailureTokens(turn)))
 	}
-	return min(turn.Budget-1, l.unrecordedTokens(turn)+turn.Most)
+	return min(turn.Budget-1, l.unrecordedTokens(turn)+turn.MaxTokens)
 }
 
 // unrecordedLimit returns the total of tokens up to which a program may run without a
@@ -190,7 +190,7 @@
 func (l *Ledger) unrecordedLimit(turn Turn, acct *account) int {
 	switch {
 	case !acct.mayHaveBegunBefore:
-		return l.unrecordedTokens(turn) + turn.Most
+		return l.unrecordedTokens(turn) + turn.MaxTokens
 	case l.ownership.inheritedTwice:
 		return 0
 	default:
@@ -208,7 +208,7 @@
 // A turn that is not covered by each of this owner's records waits, since any of them may
 // be the last one that becomes durable.
 func (l *Ledger) mayRunUnrecorded(now time.Time, turn Turn, acct *account, grant uint64, need int) bool {
-	if turn.Budget <= 0 || acct.restored || need > l.unrecordedLimit(turn, acct) || !acct.common.permits(grant, turn.Most, need) {
+	if turn.Budget <= 0 || acct.restored || need > l.unrecordedLimit(turn, acct) || !acct.common.permits(grant, turn.MaxTokens, need) {
 		return false
 	}
 	state := l.ownership
