--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -419,6 +419,6 @@
 // turn returns a request for a turn of at most 100 tokens from a budget of 300.
 func turn(id string) *coordinator.AdmitRequest {
 	return &coordinator.AdmitRequest{Turn: ledger.Turn{
-		ID: id, Program: "p", Session: "s", MaxTokens: 100, Budget: 300, Within: time.Second, Retain: time.Minute,
+		ID: id, Program: "p", Session: "s", MaxTokens: 100, Budget: 300, Timeout: time.Second, Retain: time.Minute,
 	}}
 }
--- a/edge/tenancy_test.go
+++ b/edge/tenancy_test.go
@@ -74,7 +74,7 @@
 	switch draw % 4 {
 	case 0:
 		turn := w.node.turnOf(r)
-		turn.Within = time.Second
+		turn.Timeout = time.Second
 		admission := w.books.Admit(w.now, turn)
 		admission.Position = 0
 		return answer{admission: admission}
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -30,7 +30,7 @@
 	MaxTokens int `json:"most"`
 	Budget    int `json:"budget"`
 	// Timeout is how long from now the turn takes at most.
-	Within time.Duration `json:"within"`
+	Timeout time.Duration `json:"within"`
 	// Retain is how long the program's account is retained after its last turn.
 	Retain time.Duration `json:"retain"`
 	// StoreOnSuccess says that the turn is stored if it succeeds. The account's record is
@@ -221,7 +221,7 @@
 		return admission
 	}
 	acct.lastGrant++
-	acct.open[turn.ID] = reservation{grant: acct.lastGrant, maxTokens: turn.MaxTokens, expires: now.Add(turn.Within + settlementSlack)}
+	acct.open[turn.ID] = reservation{grant: acct.lastGrant, maxTokens: turn.MaxTokens, expires: now.Add(turn.Timeout + settlementSlack)}
 	need := acct.settledTokens + open + turn.MaxTokens
 	l.proposeOpenRecord()
 	l.ensureRecorded(turn, acct, need)
@@ -246,7 +246,7 @@
 func (a *account) updateFrom(now time.Time, turn Turn) {
 	a.lastActive = now
 	a.retention = max(a.retention, turn.Retain)
-	a.maxDuration = max(a.maxDuration, turn.Within)
+	a.maxDuration = max(a.maxDuration, turn.Timeout)
 	a.budget, a.maxTokens = turn.Budget, turn.MaxTokens
 }
 
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -21,7 +21,7 @@
 // smallTurn returns a turn of a small program whose turns are stored.
 func smallTurn(id string) ledger.Turn {
 	return ledger.Turn{
-		ID: id, Program: "p", Session: "s", MaxTokens: smallMaxTokens, Budget: smallBudget, Within: time.Second, Retain: time.Minute, Keeps: true,
+		ID: id, Program: "p", Session: "s", MaxTokens: smallMaxTokens, Budget: smallBudget, Timeout: time.Second, Retain: time.Minute, Keeps: true,
 	}
 }
 
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -54,7 +54,7 @@
 
 // turnRequest returns a request for a turn of at most 100 tokens.
 func turnRequest(id string, budget int) ledger.Turn {
-	return ledger.Turn{ID: id, Program: "p", Session: "s", MaxTokens: 100, Budget: budget, Within: time.Second, Retain: time.Minute}
+	return ledger.Turn{ID: id, Program: "p", Session: "s", MaxTokens: 100, Budget: budget, Timeout: time.Second, Retain: time.Minute}
 }
 
 var _ = Describe("A budget", func() {
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -203,7 +203,7 @@
 		maxTokens = 20 + m.random.IntN(m.maxTokens-19)
 	}
 	return ledger.Turn{
-		ID: strconv.Itoa(m.turns), Program: "p", MaxTokens: maxTokens, Budget: m.budget, Within: time.Second, Retain: time.Minute,
+		ID: strconv.Itoa(m.turns), Program: "p", MaxTokens: maxTokens, Budget: m.budget, Timeout: time.Second, Retain: time.Minute,
 		Keeps: m.random.Float64() < m.storeShare,
 	}
 }
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -70,7 +70,7 @@
 				if turns%turnsPerProgram != 0 {
 					kept.Previous, kept.Input = fmt.Sprintf("turn-%d", turns-1), body[:laterInputBytes]
 				}
-				l.Admit(now, ledger.Turn{ID: kept.ID, Program: kept.Program, MaxTokens: 500, Budget: 4000, Within: time.Second, Retain: time.Minute})
+				l.Admit(now, ledger.Turn{ID: kept.ID, Program: kept.Program, MaxTokens: 500, Budget: 4000, Timeout: time.Second, Retain: time.Minute})
 				l.Settle(now, ledger.Settlement{Turn: kept.ID, Program: kept.Program, Tokens: 100})
 				l.Keep(now, kept)
 			}
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -99,7 +99,7 @@
 		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
-		second.Admit(start, ledger.Turn{ID: "x", Program: "x", MaxTokens: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
+		second.Admit(start, ledger.Turn{ID: "x", Program: "x", MaxTokens: 100, Budget: 100, Timeout: time.Second, Retain: time.Minute})
 		Expect(second.Admit(start, turnRequest("a", 800)).Position).NotTo(BeZero(), "before the log says so")
 		stored.store(second)
 		small := turnRequest("b", 600)
@@ -170,9 +170,9 @@
 		former := stored.serving(start)
 		former.Admit(start, turnRequest("a", 110))
 		stored.store(former)
-		former.Admit(start, ledger.Turn{ID: "a", Program: "spent", MaxTokens: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
+		former.Admit(start, ledger.Turn{ID: "a", Program: "spent", MaxTokens: 100, Budget: 100, Timeout: time.Second, Retain: time.Minute})
 		stored.store(former)
-		repeated := ledger.Turn{ID: "b", Program: "spent", MaxTokens: 100, Budget: 100, Within: time.Second, Retain: time.Minute}
+		repeated := ledger.Turn{ID: "b", Program: "spent", MaxTokens: 100, Budget: 100, Timeout: time.Second, Retain: time.Minute}
 		for at, verdict := range map[time.Duration]ledger.Verdict{0: ledger.VerdictBusy, 8 * time.Second: ledger.VerdictExhausted} {
 			// The turn that was open at the failed owner may be settled until then.
 			l := stored.open(start)
