--- a/edge/turn.go
+++ b/edge/turn.go
@@ -133,7 +133,7 @@
 func (n *Node) turnOf(r *requestState) ledger.Turn {
 	return ledger.Turn{
 		ID: r.turnID(), Program: r.programID(), Unscoped: r.scope.Unscoped(r.program), Session: r.session,
-		MaxTokens: r.most, Budget: r.budget, Timeout: max(0, r.left()), Retain: r.route.RetainFor, Keeps: r.route.Retain,
+		MaxTokens: r.most, Budget: r.budget, Timeout: max(0, r.left()), Retain: r.route.RetainFor, StoreOnSuccess: r.route.Retain,
 	}
 }
 
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -35,7 +35,7 @@
 	Retain time.Duration `json:"retain"`
 	// StoreOnSuccess says that the turn is stored if it succeeds. The account's record is
 	// then appended together with it.
-	Keeps bool `json:"keeps,omitempty"`
+	StoreOnSuccess bool `json:"keeps,omitempty"`
 }
 
 // Admission is the verdict on a turn and the figures behind it.
--- a/ledger/cover.go
+++ b/ledger/cover.go
@@ -50,7 +50,7 @@
 // ahead of need.
 func (l *Ledger) needsExactRecord(turn Turn, acct *account, need int) bool {
 	listed := len(acct.open) + len(acct.uncertain)
-	return turn.Budget > 0 && listed <= maxListedTurns && (turn.Keeps || l.markHeadroom(turn, need) == 0)
+	return turn.Budget > 0 && listed <= maxListedTurns && (turn.StoreOnSuccess || l.markHeadroom(turn, need) == 0)
 }
 
 // slotCount returns how many turns besides the open ones may be granted without a newer
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -21,7 +21,7 @@
 // smallTurn returns a turn of a small program whose turns are stored.
 func smallTurn(id string) ledger.Turn {
 	return ledger.Turn{
-		ID: id, Program: "p", Session: "s", MaxTokens: smallMaxTokens, Budget: smallBudget, Timeout: time.Second, Retain: time.Minute, Keeps: true,
+		ID: id, Program: "p", Session: "s", MaxTokens: smallMaxTokens, Budget: smallBudget, Timeout: time.Second, Retain: time.Minute, StoreOnSuccess: true,
 	}
 }
 
@@ -220,7 +220,7 @@
 var _ = Describe("A small budget whose turns are not stored", func() {
 	unkept := func(id string) ledger.Turn {
 		request := smallTurn(id)
-		request.Keeps = false
+		request.StoreOnSuccess = false
 		return request
 	}
 
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -183,7 +183,7 @@
 		end.Tokens = requested.MaxTokens - m.random.IntN(2)*m.random.IntN(requested.MaxTokens)
 	}
 	m.used += end.Tokens
-	if requested.Keeps && m.random.IntN(3) > 0 {
+	if requested.StoreOnSuccess && m.random.IntN(3) > 0 {
 		m.storeTurn(end)
 		return
 	}
@@ -204,7 +204,7 @@
 	}
 	return ledger.Turn{
 		ID: strconv.Itoa(m.turns), Program: "p", MaxTokens: maxTokens, Budget: m.budget, Timeout: time.Second, Retain: time.Minute,
-		Keeps: m.random.Float64() < m.storeShare,
+		StoreOnSuccess: m.random.Float64() < m.storeShare,
 	}
 }
 
