--- a/edge/returns.go
+++ b/edge/returns.go
@@ -66,5 +66,5 @@
 
 // begun reports whether the request's program is known to be under way.
 func (r *requestState) begun() bool {
-	return r.previous != "" || r.admission.Verdict != "" && !r.admission.Fresh
+	return r.previous != "" || r.admission.Verdict != "" && !r.admission.NewProgram
 }
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -66,7 +66,7 @@
 		return
 	}
 	n.standings.begin(time.Now(), r)
-	if r.admission.Fresh && n.overShare(r) {
+	if r.admission.NewProgram && n.overShare(r) {
 		n.settle(r)
 		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull}, "the replicas are full, and the tenant has more than its share of them")
 		return
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -55,13 +55,13 @@
 // the request was answered: it has not run.
 func (n *Node) awaitRoom(ctx context.Context, r *requestState, held int) bool {
 	if !n.settings.uses(WaitForRoom) {
-		if r.admission.Fresh && n.overloaded(r) {
+		if r.admission.NewProgram && n.overloaded(r) {
 			n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull}, reasonFull)
 			return false
 		}
 		return true
 	}
-	if !r.admission.Fresh || !n.settings.uses(RefuseWhenFull) {
+	if !r.admission.NewProgram || !n.settings.uses(RefuseWhenFull) {
 		return true
 	}
 	now := time.Now()
--- a/edge/waiting_test.go
+++ b/edge/waiting_test.go
@@ -38,7 +38,7 @@
 func freshTurn() *requestState {
 	return &requestState{
 		service: "s", route: &routing.Route{}, exchange: &ingress.Exchange{Cancel: &upstream.Cancel{}}, deadline: time.Now().Add(time.Hour),
-		admission: ledger.Admission{Verdict: ledger.VerdictGranted, Fresh: true},
+		admission: ledger.Admission{Verdict: ledger.VerdictGranted, NewProgram: true},
 	}
 }
 
@@ -93,7 +93,7 @@
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
 	begun := freshTurn()
-	begun.admission.Fresh = false
+	begun.admission.NewProgram = false
 	g.Expect(node.awaitRoom(context.Background(), begun, 0)).To(BeTrue())
 	node = fullNode(g, without(RefuseWhenFull))
 	g.Expect(node.awaitRoom(context.Background(), freshTurn(), 0)).To(BeTrue())
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -56,7 +56,7 @@
 	Open    int `json:"open"`
 	// NewProgram says that, as far as this owner knows, no turn of the program has been
 	// served yet.
-	Fresh bool `json:"fresh,omitempty"`
+	NewProgram bool `json:"fresh,omitempty"`
 	// Repeated says that the same turn was already open.
 	Again bool `json:"-"`
 }
@@ -210,7 +210,7 @@
 	open := acct.openTokens()
 	served := acct.replicas[turn.Session]
 	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, Kept: served.cachedTokens, Settled: acct.settledTokens, Open: open}
-	admission.Fresh = len(acct.replicas) == 0 && open == 0 && acct.settledTokens == acct.assumedTokens && !acct.restored
+	admission.NewProgram = len(acct.replicas) == 0 && open == 0 && acct.settledTokens == acct.assumedTokens && !acct.restored
 	if repeated, found := acct.open[turn.ID]; found && !repeated.presumed {
 		admission.Again, admission.Grant = true, repeated.grant
 		admission.Position = l.requiredPosition(now, turn, acct, repeated.grant, acct.settledTokens+open)
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -81,12 +81,12 @@
 
 	It("distinguishes a program without a served turn from one that has been served", func() {
 		l := ledger.New(ledger.DefaultConfig())
-		Expect(l.Admit(start, turnRequest("a", 300)).Fresh).To(BeTrue())
+		Expect(l.Admit(start, turnRequest("a", 300)).NewProgram).To(BeTrue())
 		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p"})
-		Expect(l.Admit(start, turnRequest("b", 300)).Fresh).To(BeTrue())
-		Expect(l.Admit(start, turnRequest("c", 300)).Fresh).To(BeFalse())
+		Expect(l.Admit(start, turnRequest("b", 300)).NewProgram).To(BeTrue())
+		Expect(l.Admit(start, turnRequest("c", 300)).NewProgram).To(BeFalse())
 		l.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Session: "s", Tokens: 10, Replica: "r"})
-		Expect(l.Admit(start, turnRequest("d", 300)).Fresh).To(BeFalse())
+		Expect(l.Admit(start, turnRequest("d", 300)).NewProgram).To(BeFalse())
 	})
 
 	It("grants the same turn once, however often it is requested", func() {
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -91,7 +91,7 @@
 		stored.serving(start)
 		admission := stored.open(start).Admit(start, turnRequest("a", 600))
 		Expect(admission.Settled).To(Equal(200))
-		Expect(admission.Fresh).To(BeTrue())
+		Expect(admission.NewProgram).To(BeTrue())
 		Expect(admission.Position).NotTo(BeZero())
 	})
 
