--- a/edge/turn.go
+++ b/edge/turn.go
@@ -154,7 +154,7 @@
 	}
 	found.epoch, found.stalled = reply.Epoch, reply.Stalled
 	r.preferred = replica.ID(r.admission.Replica)
-	r.preferredKept = r.admission.Kept
+	r.preferredKept = r.admission.CachedTokens
 	if r.admission.Position > 0 {
 		found.recorded = n.awaitRecorded(ctx, r, reply.Epoch, r.admission.Position)
 	}
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -48,8 +48,8 @@
 	Grant uint64 `json:"grant,omitempty"`
 	// Replica served the session's last turn, or "". CachedTokens is how many tokens of
 	// the session it then had in its KV cache; 0 if unknown.
-	Replica string `json:"replica,omitempty"`
-	Kept    int    `json:"kept,omitempty"`
+	Replica      string `json:"replica,omitempty"`
+	CachedTokens int    `json:"kept,omitempty"`
 	// SettledTokens are those of settled turns, and OpenTokens the maximum of the open
 	// turns, both without this turn.
 	Settled int `json:"settled"`
@@ -209,7 +209,7 @@
 	acct.expire(now)
 	open := acct.openTokens()
 	served := acct.replicas[turn.Session]
-	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, Kept: served.cachedTokens, Settled: acct.settledTokens, Open: open}
+	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, CachedTokens: served.cachedTokens, Settled: acct.settledTokens, Open: open}
 	admission.NewProgram = len(acct.replicas) == 0 && open == 0 && acct.settledTokens == acct.assumedTokens && !acct.restored
 	if repeated, found := acct.open[turn.ID]; found && !repeated.presumed {
 		admission.Again, admission.Grant = true, repeated.grant
