--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -77,7 +77,7 @@
 			heir := world.owners(0)[0]
 			Expect(heir).NotTo(Equal(owner))
 			again := reply(world, heir, world.ask(heir, 0, coordinator.Request{Admit: turn("b")}))
-			Expect(again.Admission.Settled).To(BeNumerically(">=", 100))
+			Expect(again.Admission.SettledTokens).To(BeNumerically(">=", 100))
 		}
 	})
 
@@ -452,7 +452,7 @@
 			world.run(2 * time.Second)
 			heir := world.owners(0)[0]
 			again := reply(world, heir, world.ask(heir, 0, coordinator.Request{Admit: turn("b")}))
-			Expect(again.Admission.Settled).To(BeNumerically(">=", 100))
+			Expect(again.Admission.SettledTokens).To(BeNumerically(">=", 100))
 		}
 	})
 
@@ -465,7 +465,7 @@
 			heir := world.owners(0)[0]
 			Expect(heir).NotTo(Equal(owner))
 			admitted := reply(world, heir, world.ask(heir, 0, coordinator.Request{Admit: turn("a")}))
-			Expect(admitted.Admission.Settled).To(BeZero())
+			Expect(admitted.Admission.SettledTokens).To(BeZero())
 		}
 	})
 })
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -128,7 +128,7 @@
 			l.Settle(start, settlementOf("a", first, 100))
 			l.Settle(start, settlementOf("b", slot, 70))
 			admission := l.Admit(start, smallTurn("c"))
-			Expect(admission.Settled).To(Equal(170))
+			Expect(admission.SettledTokens).To(Equal(170))
 			Expect(admission.Open).To(BeZero())
 			l.Settle(start, settlementOf("c", admission, 0))
 		}
@@ -161,7 +161,7 @@
 		l.Settle(late, settlementOf("a", admission, 20))
 		granted := l.Admit(late, smallTurn("b"))
 		Expect(granted.Verdict).To(Equal(ledger.VerdictGranted))
-		Expect(granted.Settled).To(Equal(20))
+		Expect(granted.SettledTokens).To(Equal(20))
 	})
 
 	It("knows the use of each turn in the log although the owner fails between two records", func() {
@@ -178,7 +178,7 @@
 			l.Stored()
 			owner := stored.restoreWith(start, config)
 			if owner.Holds("a") {
-				Expect(owner.Admit(start, smallTurn("b")).Settled).To(Equal(30))
+				Expect(owner.Admit(start, smallTurn("b")).SettledTokens).To(Equal(30))
 			}
 		}
 	})
@@ -209,7 +209,7 @@
 		for range 3 {
 			l := stored.open(start)
 			admission := l.Admit(start, smallTurn("a"))
-			Expect(admission.Settled).To(BeZero())
+			Expect(admission.SettledTokens).To(BeZero())
 			Expect(admission.Verdict).To(Equal(ledger.VerdictGranted))
 			l.Settle(start, settlementOf("a", admission, 100))
 			Expect(l.Admit(start, smallTurn("b")).Verdict).To(Equal(ledger.VerdictGranted))
@@ -279,7 +279,7 @@
 	It("of the former format counts as used", func() {
 		stored := storedLog{"account/p": []byte(`{"mark":300,"retain_ms":60000}`)}
 		admission := stored.open(start).Admit(start, turnRequest("a", 600))
-		Expect(admission.Settled).To(Equal(300))
+		Expect(admission.SettledTokens).To(Equal(300))
 		Expect(admission.Open).To(BeZero())
 	})
 })
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -95,7 +95,7 @@
 			Expect(l.Admit(start, turnRequest("a", 150)).Verdict).To(Equal(ledger.VerdictGranted))
 		}
 		l.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 30})
-		Expect(l.Admit(start, turnRequest("b", 150)).Settled).To(Equal(30))
+		Expect(l.Admit(start, turnRequest("b", 150)).SettledTokens).To(Equal(30))
 	})
 
 	It("never lets a program use more than the budget and one turn, whenever its owner fails", func() {
@@ -185,7 +185,7 @@
 		late := start.Add(10 * time.Second)
 		admission := l.Admit(late, turnRequest("b", 150))
 		Expect(admission.Verdict).To(Equal(ledger.VerdictExhausted))
-		Expect(admission.Settled).To(Equal(100))
+		Expect(admission.SettledTokens).To(Equal(100))
 	})
 })
 
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -60,7 +60,7 @@
 	It("has used nothing if the previous owner served no program", func() {
 		stored := storedLog{}
 		stored.store(stored.open(start))
-		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(BeZero())
+		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).SettledTokens).To(BeZero())
 	})
 
 	It("waits until the open record is in the log", func() {
@@ -90,7 +90,7 @@
 		stored := storedLog{}
 		stored.serving(start)
 		admission := stored.open(start).Admit(start, turnRequest("a", 600))
-		Expect(admission.Settled).To(Equal(200))
+		Expect(admission.SettledTokens).To(Equal(200))
 		Expect(admission.NewProgram).To(BeTrue())
 		Expect(admission.Position).NotTo(BeZero())
 	})
@@ -108,7 +108,7 @@
 		other := turnRequest("c", 800)
 		other.Program = "q"
 		admission := second.Admit(start, other)
-		Expect(admission.Settled).To(Equal(266))
+		Expect(admission.SettledTokens).To(Equal(266))
 		Expect(admission.Position).To(BeZero())
 		other.ID = "d"
 		Expect(second.Admit(start, other).Position).To(BeZero())
@@ -117,7 +117,7 @@
 		third := stored.open(start)
 		other.Program = "r"
 		admission = third.Admit(start, other)
-		Expect(admission.Settled).To(Equal(466))
+		Expect(admission.SettledTokens).To(Equal(466))
 		Expect(admission.Position).NotTo(BeZero())
 	})
 
@@ -128,7 +128,7 @@
 		late := start.Add(76 * time.Second)
 		l.Prove(late)
 		admission := l.Admit(late, turnRequest("a", 600))
-		Expect(admission.Settled).To(BeZero())
+		Expect(admission.SettledTokens).To(BeZero())
 		Expect(admission.Position).To(BeZero())
 	})
 
@@ -142,7 +142,7 @@
 		other := turnRequest("b", 600)
 		other.Program = "another"
 		admission := l.Admit(start, other)
-		Expect(admission.Settled).To(BeZero())
+		Expect(admission.SettledTokens).To(BeZero())
 		Expect(admission.Position).To(BeZero())
 	})
 
@@ -189,7 +189,7 @@
 		second := stored.open(start)
 		// A third of this budget is smaller than a turn, so only the extra turn is
 		// assumed.
-		Expect(second.Admit(start, turnRequest("a", 160)).Settled).To(BeZero())
+		Expect(second.Admit(start, turnRequest("a", 160)).SettledTokens).To(BeZero())
 		stored.store(second)
 		third := stored.open(start)
 		Expect(third.Admit(start, turnRequest("b", 160)).Verdict).To(Equal(ledger.VerdictBusy))
@@ -206,7 +206,7 @@
 		successor := stored.open(start)
 		successor.Close(start)
 		stored.store(successor)
-		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).Settled).To(Equal(200))
+		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).SettledTokens).To(Equal(200))
 	})
 
 	It("is charged only what it used after an owner that released the partition", func() {
@@ -218,6 +218,6 @@
 		former.Admit(start, turnRequest("b", 600))
 		former.Close(start)
 		stored.store(former)
-		Expect(stored.open(start).Admit(start, turnRequest("c", 600)).Settled).To(Equal(130))
+		Expect(stored.open(start).Admit(start, turnRequest("c", 600)).SettledTokens).To(Equal(130))
 	})
 })
