--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -62,7 +62,7 @@
 	default:
 		return entry.Str("program", r.program).Str("session", r.session).Int("partition", r.partition).
 			Str("owner", r.owner).Str("verdict", string(r.admission.Verdict)).Int("settled", r.admission.SettledTokens).
-			Int("open", r.admission.Open).Int("most", r.most).Int("budget", r.budget).Int("tokens", r.tokens).
+			Int("open", r.admission.OpenTokens).Int("most", r.most).Int("budget", r.budget).Int("tokens", r.tokens).
 			Dur("need", r.need).Int("urgency", r.urgency)
 	}
 }
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -53,7 +53,7 @@
 	// SettledTokens are those of settled turns, and OpenTokens the maximum of the open
 	// turns, both without this turn.
 	SettledTokens int `json:"settled"`
-	Open          int `json:"open"`
+	OpenTokens    int `json:"open"`
 	// NewProgram says that, as far as this owner knows, no turn of the program has been
 	// served yet.
 	NewProgram bool `json:"fresh,omitempty"`
@@ -209,7 +209,7 @@
 	acct.expire(now)
 	open := acct.openTokens()
 	served := acct.replicas[turn.Session]
-	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, CachedTokens: served.cachedTokens, SettledTokens: acct.settledTokens, Open: open}
+	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, CachedTokens: served.cachedTokens, SettledTokens: acct.settledTokens, OpenTokens: open}
 	admission.NewProgram = len(acct.replicas) == 0 && open == 0 && acct.settledTokens == acct.assumedTokens && !acct.restored
 	if repeated, found := acct.open[turn.ID]; found && !repeated.presumed {
 		admission.Again, admission.Grant = true, repeated.grant
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -122,14 +122,14 @@
 		slot := l.Admit(start, smallTurn("b"))
 		Expect(slot.Position).To(BeZero())
 		l = stored.open(start)
-		Expect(l.Admit(start, smallTurn("b2")).Open).To(Equal(smallMaxTokens))
+		Expect(l.Admit(start, smallTurn("b2")).OpenTokens).To(Equal(smallMaxTokens))
 		l.Settle(start, settlementOf("b2", ledger.Admission{}, 0))
 		for range 3 {
 			l.Settle(start, settlementOf("a", first, 100))
 			l.Settle(start, settlementOf("b", slot, 70))
 			admission := l.Admit(start, smallTurn("c"))
 			Expect(admission.SettledTokens).To(Equal(170))
-			Expect(admission.Open).To(BeZero())
+			Expect(admission.OpenTokens).To(BeZero())
 			l.Settle(start, settlementOf("c", admission, 0))
 		}
 	})
@@ -280,6 +280,6 @@
 		stored := storedLog{"account/p": []byte(`{"mark":300,"retain_ms":60000}`)}
 		admission := stored.open(start).Admit(start, turnRequest("a", 600))
 		Expect(admission.SettledTokens).To(Equal(300))
-		Expect(admission.Open).To(BeZero())
+		Expect(admission.OpenTokens).To(BeZero())
 	})
 })
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -160,7 +160,7 @@
 	admission := owner.Admit(m.now, requested)
 	if owner == m.current && m.restoredAccount {
 		// The first mark leaves one token of the budget.
-		Expect(m.used).To(BeNumerically("<=", admission.SettledTokens+admission.Open+1), "what the owner counts")
+		Expect(m.used).To(BeNumerically("<=", admission.SettledTokens+admission.OpenTokens+1), "what the owner counts")
 	}
 	if admission.Verdict != ledger.VerdictGranted {
 		return
