--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -66,7 +66,7 @@
 	}
 	admission := p.ledger.Admit(now, request.Turn)
 	if admission.Position > 0 && c.stalled(now, p) {
-		if !admission.Again {
+		if !admission.Repeated {
 			// A turn that was granted before may be running and waiting for its record.
 			p.ledger.Settle(now, ledger.Settlement{Turn: request.Turn.ID, Program: request.Turn.Program})
 		}
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -58,7 +58,7 @@
 	// served yet.
 	NewProgram bool `json:"fresh,omitempty"`
 	// Repeated says that the same turn was already open.
-	Again bool `json:"-"`
+	Repeated bool `json:"-"`
 }
 
 // account is the state of one program.
@@ -212,7 +212,7 @@
 	admission := Admission{Verdict: VerdictGranted, Replica: served.replica, CachedTokens: served.cachedTokens, SettledTokens: acct.settledTokens, OpenTokens: open}
 	admission.NewProgram = len(acct.replicas) == 0 && open == 0 && acct.settledTokens == acct.assumedTokens && !acct.restored
 	if repeated, found := acct.open[turn.ID]; found && !repeated.presumed {
-		admission.Again, admission.Grant = true, repeated.grant
+		admission.Repeated, admission.Grant = true, repeated.grant
 		admission.Position = l.requiredPosition(now, turn, acct, repeated.grant, acct.settledTokens+open)
 		return admission
 	}
