--- a/edge/turn.go
+++ b/edge/turn.go
@@ -340,7 +340,7 @@
 	if r.status == fasthttp.StatusOK {
 		settlement.Replica = string(r.choice.Entry.ID)
 		if n.settings.uses(CountKept) {
-			settlement.Kept = replica.Tokens(r.prompt) + r.tokens
+			settlement.CachedTokens = replica.Tokens(r.prompt) + r.tokens
 		}
 	}
 	return settlement
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -330,8 +330,8 @@
 	Tokens int `json:"tokens"`
 	// Replica served the turn, or "" if none has it in its KV cache. CachedTokens is how
 	// many tokens of the prompt and of the answer the replica has cached.
-	Replica string `json:"replica,omitempty"`
-	Kept    int    `json:"kept,omitempty"`
+	Replica      string `json:"replica,omitempty"`
+	CachedTokens int    `json:"kept,omitempty"`
 }
 
 // Settle records what a turn used. A turn that this ledger did not admit is already
@@ -346,7 +346,7 @@
 		if acct.replicas == nil {
 			acct.replicas = make(map[string]servedBy)
 		}
-		acct.replicas[settlement.Session] = servedBy{replica: settlement.Replica, cachedTokens: settlement.Kept}
+		acct.replicas[settlement.Session] = servedBy{replica: settlement.Replica, cachedTokens: settlement.CachedTokens}
 	}
 	l.settleTurn(now, acct, settlement)
 }
