--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -92,7 +92,7 @@
 		return
 	}
 	p.ledger.Settle(now, request.Settlement)
-	position := p.ledger.Keep(now, request.Turn)
+	position := p.ledger.StoreTurn(now, request.Turn)
 	p.waiters = append(p.waiters, waiter{id: id, position: position})
 }
 
--- a/edge/tenancy_test.go
+++ b/edge/tenancy_test.go
@@ -82,7 +82,7 @@
 		w.books.Settle(w.now, *w.node.settlementOf(r))
 		return answer{}
 	case 2:
-		w.books.Keep(w.now, run.keptTurn())
+		w.books.StoreTurn(w.now, run.keptTurn())
 		w.node.chains.put(w.now, r.turnID(), run.chain())
 		return answer{}
 	default:
--- a/ledger/restore_test.go
+++ b/ledger/restore_test.go
@@ -17,7 +17,7 @@
 	// logOf returns the records of a ledger that stores a turn.
 	logOf := func(config ledger.Config, turn ledger.KeptTurn) []ledger.Record {
 		previous := ledger.New(config)
-		previous.Keep(now, turn)
+		previous.StoreTurn(now, turn)
 		return previous.Ready()
 	}
 
@@ -30,7 +30,7 @@
 
 	It("does not overwrite a turn that was stored again", func() {
 		l := ledger.New(ledger.DefaultConfig())
-		l.Keep(now, kept("t", "new"))
+		l.StoreTurn(now, kept("t", "new"))
 		for _, record := range logOf(ledger.DefaultConfig(), kept("t", "old")) {
 			Expect(l.Restore(now, record)).To(Succeed())
 		}
@@ -44,7 +44,7 @@
 		config.RecordBytes = 40
 		long := "a body that takes more than one record, since a record holds little here"
 		l := ledger.New(config)
-		l.Keep(now, kept("t", long))
+		l.StoreTurn(now, kept("t", long))
 		for _, record := range logOf(config, kept("t", long)) {
 			Expect(l.Restore(now, record)).To(Succeed())
 		}
@@ -56,10 +56,10 @@
 
 	It("holds a chain only with all turns before it", func() {
 		previous := ledger.New(ledger.DefaultConfig())
-		previous.Keep(now, kept("a", "1"))
+		previous.StoreTurn(now, kept("a", "1"))
 		next := kept("b", "2")
 		next.Previous = "a"
-		previous.Keep(now, next)
+		previous.StoreTurn(now, next)
 		records := previous.Ready()
 		l := ledger.New(ledger.DefaultConfig())
 		Expect(l.Restore(now, records[1])).To(Succeed())
--- a/ledger/turn.go
+++ b/ledger/turn.go
@@ -29,7 +29,7 @@
 }
 
 // StoreTurn stores a completed turn. It is durable once the returned position is.
-func (l *Ledger) Keep(now time.Time, kept KeptTurn) (position uint64) {
+func (l *Ledger) StoreTurn(now time.Time, kept KeptTurn) (position uint64) {
 	value := turnValue{
 		Program:     kept.Program,
 		Previous:    kept.Previous,
