--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -83,7 +83,7 @@
 // storeTurn stores a complete turn, and answers once it is durable.
 func (c *Core) storeTurn(now time.Time, p *partition, id uint64, request *KeepRequest) {
 	previous := request.Turn.Previous
-	if previous != "" && !request.HasBase && !p.ledger.Holds(previous) {
+	if previous != "" && !request.HasBase && !p.ledger.HoldsTurn(previous) {
 		c.reply(Reply{ID: id, Status: ReplyAbsent, Epoch: p.epoch})
 		return
 	}
@@ -116,7 +116,7 @@
 		c.reply(Reply{ID: id, Status: ReplyDone, Epoch: p.epoch, Chain: chain})
 		return
 	}
-	if request.Unscoped != "" && p.ledger.Holds(request.Unscoped) {
+	if request.Unscoped != "" && p.ledger.HoldsTurn(request.Unscoped) {
 		c.reply(Reply{ID: id, Status: ReplyUnscoped, Epoch: p.epoch})
 		return
 	}
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -177,7 +177,7 @@
 			stored.put(batch)
 			l.Stored()
 			owner := stored.restoreWith(start, config)
-			if owner.Holds("a") {
+			if owner.HoldsTurn("a") {
 				Expect(owner.Admit(start, smallTurn("b")).SettledTokens).To(Equal(30))
 			}
 		}
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -134,9 +134,9 @@
 		}
 		l.Restored()
 		l.Tick(now.Add(80 * time.Second))
-		Expect(l.Holds("alone")).To(BeFalse())
+		Expect(l.HoldsTurn("alone")).To(BeFalse())
 		Expect(l.HoldsChain("b")).To(BeTrue())
 		l.Tick(now.Add(120 * time.Second))
-		Expect(l.Holds("a")).To(BeFalse())
+		Expect(l.HoldsTurn("a")).To(BeFalse())
 	})
 })
--- a/ledger/turn.go
+++ b/ledger/turn.go
@@ -60,7 +60,7 @@
 }
 
 // HoldsTurn reports whether the ledger holds a stored turn.
-func (l *Ledger) Holds(id string) bool { return l.turns[id] != nil }
+func (l *Ledger) HoldsTurn(id string) bool { return l.turns[id] != nil }
 
 // ServedBy returns the replica that served a stored turn, or "" if unknown. It is part of
 // the turn's record, so a new owner has it too.
