--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -150,7 +150,7 @@
 	p.appendInFlight = false
 	p.logFull = false
 	p.ledger.Prove(p.appendSentAt)
-	p.ledger.Stored()
+	p.ledger.BatchCommitted()
 	c.answerWaiters(p)
 	c.answerEpochChecks(p)
 	c.completeHandover(now, p)
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -98,7 +98,7 @@
 		store := func() {
 			for l.Ready() != nil {
 				appends++
-				l.Stored()
+				l.BatchCommitted()
 			}
 		}
 		for index := range 8 {
@@ -175,7 +175,7 @@
 		l.StoreTurn(start, ledger.KeptTurn{ID: "a", Program: "p", Input: []byte("x"), Retain: time.Minute})
 		for batch := l.Ready(); batch != nil; batch = l.Ready() {
 			stored.put(batch)
-			l.Stored()
+			l.BatchCommitted()
 			owner := stored.restoreWith(start, config)
 			if owner.HoldsTurn("a") {
 				Expect(owner.Admit(start, smallTurn("b")).SettledTokens).To(Equal(30))
@@ -190,7 +190,7 @@
 		Expect(l.Ready()).NotTo(BeEmpty())
 		refused := l.Admit(start, smallTurn("refused"))
 		l.Settle(start, settlementOf("refused", refused, 0))
-		l.Stored()
+		l.BatchCommitted()
 		stored.store(l)
 		Expect(l.Admit(start, smallTurn("a")).Position).To(BeZero())
 		Expect(l.Ready()).To(BeEmpty())
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -145,7 +145,7 @@
 }
 
 // BatchCommitted reports that the batch returned by the last Ready is in the log.
-func (l *Ledger) Stored() {
+func (l *Ledger) BatchCommitted() {
 	l.inFlight = false
 	l.durable = max(l.durable, l.batched)
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 func (s storedLog) store(from *ledger.Ledger) {
 	for batch := from.Ready(); batch != nil; batch = from.Ready() {
 		s.put(batch)
-		from.Stored()
+		from.BatchCommitted()
 	}
 }
 
@@ -280,7 +280,7 @@
 		for round := range 3 {
 			Expect(l.Ready()).NotTo(BeEmpty())
 			Expect(l.Durable()).To(BeNumerically("<", positions[min(4, round*2+1)]))
-			l.Stored()
+			l.BatchCommitted()
 		}
 		Expect(l.Durable()).To(Equal(positions[4]))
 	})
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -141,7 +141,7 @@
 func (m *ownerModel) deliverAnswer() {
 	if m.batchUnanswered {
 		m.batchUnanswered = false
-		m.current.Stored()
+		m.current.BatchCommitted()
 	}
 }
 
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -77,7 +77,7 @@
 			l.Tick(now)
 			for records := l.Ready(); records != nil; records = l.Ready() {
 				store.append(records)
-				l.Stored()
+				l.BatchCommitted()
 			}
 			maxBytes = max(maxBytes, store.bytes+store.replaced)
 		}
