--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -256,7 +256,7 @@
 		p.ledger = ledger.New(c.config.Ledger)
 	}
 	c.restoreRecords(now, p, records)
-	p.ledger.Restored()
+	p.ledger.FinishRestore()
 	if p.state == stateTakingOver {
 		c.startServing(now, p, false)
 		return
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -48,7 +48,7 @@
 	for _, key := range slices.Sorted(maps.Keys(s)) {
 		Expect(restored.Restore(now, ledger.Record{Key: key, Value: s[key]})).To(Succeed())
 	}
-	restored.Restored()
+	restored.FinishRestore()
 	return restored
 }
 
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -162,7 +162,7 @@
 
 // FinishRestore ends the restore. It removes parts without a turn, which a previous owner
 // did not finish writing or removing.
-func (l *Ledger) Restored() {
+func (l *Ledger) FinishRestore() {
 	for _, key := range slices.Sorted(maps.Keys(l.parts)) {
 		if !l.partInUse(key) {
 			l.propose(key, nil)
--- a/ledger/restore_test.go
+++ b/ledger/restore_test.go
@@ -48,7 +48,7 @@
 		for _, record := range logOf(config, kept("t", long)) {
 			Expect(l.Restore(now, record)).To(Succeed())
 		}
-		l.Restored()
+		l.FinishRestore()
 		for _, record := range l.Ready() {
 			Expect(record.Value).NotTo(BeEmpty(), record.Key)
 		}
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -132,7 +132,7 @@
 		for _, record := range previous.Ready() {
 			Expect(l.Restore(taken, record)).To(Succeed())
 		}
-		l.Restored()
+		l.FinishRestore()
 		l.Tick(now.Add(80 * time.Second))
 		Expect(l.HoldsTurn("alone")).To(BeFalse())
 		Expect(l.HoldsChain("b")).To(BeTrue())
