--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -149,7 +149,7 @@
 	}
 	p.appendInFlight = false
 	p.logFull = false
-	p.ledger.Prove(p.appendSentAt)
+	p.ledger.ConfirmOwnership(p.appendSentAt)
 	p.ledger.BatchCommitted()
 	c.answerWaiters(p)
 	c.answerEpochChecks(p)
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -270,7 +270,7 @@
 func (c *Core) startServing(now time.Time, p *partition, turnsPending bool) {
 	p.contested = contested{}
 	p.ledger.RetainFor(c.loads.RetainFor)
-	p.ledger.Prove(p.takeoverStartedAt)
+	p.ledger.ConfirmOwnership(p.takeoverStartedAt)
 	p.ledger.Open(now)
 	if c.leaving {
 		p.ledger.Close(now)
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -80,7 +80,7 @@
 		config.BatchRecords = 1
 	}
 	l := m.stored.restoreWith(m.now, config)
-	l.Prove(m.now)
+	l.ConfirmOwnership(m.now)
 	l.Open(m.now)
 	return l
 }
@@ -125,7 +125,7 @@
 // the append.
 func (m *ownerModel) append() {
 	m.deliverAnswer()
-	m.current.Prove(m.now)
+	m.current.ConfirmOwnership(m.now)
 	m.stored.store(m.current)
 }
 
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -65,7 +65,7 @@
 
 // ConfirmOwnership records that the ownership was in force at the given time, which is
 // when an append was sent that the log then accepted.
-func (l *Ledger) Prove(at time.Time) {
+func (l *Ledger) ConfirmOwnership(at time.Time) {
 	if at.After(l.ownership.confirmedAt) {
 		l.ownership.confirmedAt = at
 	}
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -25,7 +25,7 @@
 // open returns the ledger of a new owner that may let programs begin without a record.
 func (s storedLog) open(now time.Time) *ledger.Ledger {
 	l := s.restoreWith(now, unrecordedConfig())
-	l.Prove(now)
+	l.ConfirmOwnership(now)
 	l.Open(now)
 	return l
 }
@@ -126,7 +126,7 @@
 		stored.serving(start)
 		l := stored.open(start)
 		late := start.Add(76 * time.Second)
-		l.Prove(late)
+		l.ConfirmOwnership(late)
 		admission := l.Admit(late, turnRequest("a", 600))
 		Expect(admission.SettledTokens).To(BeZero())
 		Expect(admission.Position).To(BeZero())
