--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -170,7 +170,7 @@
 func SaltOf(random uint64) Salt { return Salt(random & (1<<saltBits - 1)) }
 
 // NextEpoch returns the process's epoch that follows the given one.
-func (s Salt) After(epoch Epoch) Epoch {
+func (s Salt) NextEpoch(epoch Epoch) Epoch {
 	return (epoch>>saltBits+1)<<saltBits | Epoch(s)
 }
 
@@ -180,5 +180,5 @@
 // cause a claim that the log refuses.
 func (s Salt) Claim(highest Epoch, at time.Time) Epoch {
 	seconds := Epoch(max(0, at.Unix()))
-	return s.After(max(highest, (seconds-1)<<saltBits))
+	return s.NextEpoch(max(highest, (seconds-1)<<saltBits))
 }
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -55,10 +55,10 @@
 var _ = Describe("Epochs", func() {
 	It("of two processes that claim after the same epoch are both higher and differ", func() {
 		one, other := ownership.SaltOf(7), ownership.SaltOf(1<<40|9)
-		known := one.After(other.After(0))
-		Expect(one.After(known)).To(BeNumerically(">", known))
-		Expect(other.After(known)).To(BeNumerically(">", known))
-		Expect(one.After(known)).NotTo(Equal(other.After(known)))
+		known := one.NextEpoch(other.NextEpoch(0))
+		Expect(one.NextEpoch(known)).To(BeNumerically(">", known))
+		Expect(other.NextEpoch(known)).To(BeNumerically(">", known))
+		Expect(one.NextEpoch(known)).NotTo(Equal(other.NextEpoch(known)))
 	})
 
 	It("of a claim is higher than all of earlier seconds, known or not", func() {
