--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -67,7 +67,7 @@
 	if p.contested.refusals > 0 {
 		leap = time.Second << min(p.contested.refusals, maxEpochLeapExponent)
 	}
-	p.epoch = c.config.Salt.Claim(p.highestEpoch, now.Add(leap))
+	p.epoch = c.config.Salt.ClaimEpoch(p.highestEpoch, now.Add(leap))
 	p.takeoverStartedAt = now
 	p.takeover = takeover{progressAt: now, forced: !p.handover.clean}
 	if p.takeover.forced && c.likelyMinority(now) {
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -178,7 +178,7 @@
 // epoch. It is higher than those of claims made in earlier seconds even if the process
 // knows none of them, as after the loss of all nodes. Differences between clocks only
 // cause a claim that the log refuses.
-func (s Salt) Claim(highest Epoch, at time.Time) Epoch {
+func (s Salt) ClaimEpoch(highest Epoch, at time.Time) Epoch {
 	seconds := Epoch(max(0, at.Unix()))
 	return s.NextEpoch(max(highest, (seconds-1)<<saltBits))
 }
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -64,9 +64,9 @@
 	It("of a claim is higher than all of earlier seconds, known or not", func() {
 		one, other := ownership.SaltOf(7), ownership.SaltOf(9)
 		at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-		before := other.Claim(0, at)
-		Expect(one.Claim(0, at.Add(time.Second))).To(BeNumerically(">", before))
-		Expect(one.Claim(before, at.Add(-time.Hour))).To(BeNumerically(">", before))
+		before := other.ClaimEpoch(0, at)
+		Expect(one.ClaimEpoch(0, at.Add(time.Second))).To(BeNumerically(">", before))
+		Expect(one.ClaimEpoch(before, at.Add(-time.Hour))).To(BeNumerically(">", before))
 		Expect(before).To(BeNumerically("<", ownership.Epoch(1)<<53))
 	})
 })
