--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -57,7 +57,7 @@
 			state.Advance(record.Offset + 1)
 			return nil
 		}
-		return state.Note(now, record.Offset+1, name, evacuated)
+		return state.Apply(now, record.Offset+1, name, evacuated)
 	})
 }
 
--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -76,7 +76,7 @@
 
 // Apply applies one record of the stream. The version is that of the stream after the
 // record.
-func (s *State) Note(now time.Time, version uint64, name zone.Name, evacuated bool) []Change {
+func (s *State) Apply(now time.Time, version uint64, name zone.Name, evacuated bool) []Change {
 	if version <= s.version {
 		return nil
 	}
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -26,14 +26,14 @@
 func TestApplyInStreamOrder(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
-	g.Expect(state.Note(start, 5, "a", true)).To(Equal([]evacuation.Change{{Zone: "a", Evacuated: true, Since: start}}))
-	g.Expect(state.Note(start, 5, "a", true)).To(BeEmpty(), "the same record again")
+	g.Expect(state.Apply(start, 5, "a", true)).To(Equal([]evacuation.Change{{Zone: "a", Evacuated: true, Since: start}}))
+	g.Expect(state.Apply(start, 5, "a", true)).To(BeEmpty(), "the same record again")
 	later := start.Add(time.Second)
-	g.Expect(state.Note(later, 6, "a", true)).To(BeEmpty(), "asked for twice")
-	g.Expect(state.Note(later, 7, "b", true)).To(HaveLen(1))
-	g.Expect(state.Note(later, 8, "a", false)).To(Equal([]evacuation.Change{{Zone: "a", Since: start}}))
-	g.Expect(state.Note(later, 9, "c", false)).To(BeEmpty(), "never evacuated")
-	g.Expect(state.Note(later, 3, "b", false)).To(BeEmpty(), "an older record")
+	g.Expect(state.Apply(later, 6, "a", true)).To(BeEmpty(), "asked for twice")
+	g.Expect(state.Apply(later, 7, "b", true)).To(HaveLen(1))
+	g.Expect(state.Apply(later, 8, "a", false)).To(Equal([]evacuation.Change{{Zone: "a", Since: start}}))
+	g.Expect(state.Apply(later, 9, "c", false)).To(BeEmpty(), "never evacuated")
+	g.Expect(state.Apply(later, 3, "b", false)).To(BeEmpty(), "an older record")
 	g.Expect(state.Zones()).To(Equal(map[zone.Name]time.Time{"b": later}))
 	g.Expect(state.Version()).To(Equal(uint64(9)))
 }
@@ -43,7 +43,7 @@
 func TestReset(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
-	state.Note(start, 5, "a", true)
+	state.Apply(start, 5, "a", true)
 	g.Expect(state.Reset(start, 4, nil)).To(BeEmpty(), "a read that was overtaken")
 	g.Expect(state.Reset(start, 5, []zone.Name{"a"})).To(BeEmpty())
 	changes := state.Reset(start.Add(time.Second), 6, []zone.Name{"c", "b"})
@@ -61,10 +61,10 @@
 	fresh.Reset(start, 5, []zone.Name{"a"})
 	g.Expect(fresh.Zones()["a"]).To(BeTemporally("<", start.Add(-time.Hour)), "a first read")
 	late := newCurrentState()
-	late.Note(start.Add(10*time.Second), 5, "a", true)
+	late.Apply(start.Add(10*time.Second), 5, "a", true)
 	g.Expect(late.Zones()["a"]).To(Equal(start), "after a silence")
 	usual := newCurrentState()
-	usual.Note(start.Add(2*time.Second), 5, "a", true)
+	usual.Apply(start.Add(2*time.Second), 5, "a", true)
 	g.Expect(usual.Zones()["a"]).To(Equal(start.Add(2 * time.Second)))
 }
 
@@ -73,17 +73,17 @@
 func TestAdopt(t *testing.T) {
 	g := NewWithT(t)
 	peer := newCurrentState()
-	peer.Note(start, 6, "b", true)
+	peer.Apply(start, 6, "b", true)
 	snapshot := peer.Snapshot(start.Add(3 * time.Second))
 	requestedAt := start.Add(2900 * time.Millisecond)
 
 	state := newCurrentState()
-	state.Note(start, 5, "a", true)
+	state.Apply(start, 5, "a", true)
 	changes := state.Adopt(requestedAt, snapshot)
 	g.Expect(changes).To(HaveLen(2))
 	g.Expect(state.Zones()).To(Equal(map[zone.Name]time.Time{"b": start.Add(-100 * time.Millisecond)}))
 	g.Expect(state.Adopt(requestedAt, snapshot)).To(BeEmpty(), "the same state again")
-	state.Note(requestedAt, 7, "b", false)
+	state.Apply(requestedAt, 7, "b", false)
 	g.Expect(state.Adopt(requestedAt, snapshot)).To(BeEmpty(), "an older state")
 	g.Expect(state.Zones()).To(BeEmpty())
 	never := &evacuation.State{}
@@ -95,7 +95,7 @@
 func TestAdvanceKeepsZones(t *testing.T) {
 	g := NewWithT(t)
 	state := newCurrentState()
-	state.Note(start, 5, "a", true)
+	state.Apply(start, 5, "a", true)
 	state.Advance(9)
 	state.Advance(7)
 	g.Expect(state.Version()).To(Equal(uint64(9)))
