--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -26,7 +26,7 @@
 func (e *evacuations) current(at time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.state.Current(at)
+	e.state.MarkCurrent(at)
 }
 
 func (e *evacuations) snapshot(now time.Time) evacuation.Snapshot {
--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -95,7 +95,7 @@
 
 // MarkCurrent records that everything in the operator's stream at the given time was
 // applied.
-func (s *State) Current(at time.Time) {
+func (s *State) MarkCurrent(at time.Time) {
 	if at.After(s.currentAt) {
 		s.currentAt = at
 	}
@@ -129,7 +129,7 @@
 	for name, age := range peer.Zones {
 		changes = append(changes, s.beginEvacuation(name, requestedAt.Add(-time.Duration(age)*time.Millisecond))...)
 	}
-	s.Current(requestedAt.Add(-time.Duration(peer.CurrentAge) * time.Millisecond))
+	s.MarkCurrent(requestedAt.Add(-time.Duration(peer.CurrentAge) * time.Millisecond))
 	return sortChanges(changes)
 }
 
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -17,7 +17,7 @@
 func newCurrentState() *evacuation.State {
 	state := &evacuation.State{}
 	state.Reset(start.Add(-time.Second), 4, nil)
-	state.Current(start)
+	state.MarkCurrent(start)
 	return state
 }
 
