--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -38,8 +38,8 @@
 	// CurrentAgeMS is how long ago the state was last known to match the operator's, and
 	// EvacuatedForMS how long ago the operator's time limit began to count for each
 	// evacuated zone; both in milliseconds.
-	CurrentAge int64               `json:"current_age_ms"`
-	Zones      map[zone.Name]int64 `json:"zones,omitempty"`
+	CurrentAgeMS int64               `json:"current_age_ms"`
+	Zones        map[zone.Name]int64 `json:"zones,omitempty"`
 }
 
 // Version returns the version of the operator's stream that the state reflects.
@@ -103,7 +103,7 @@
 
 // Snapshot returns the state for a peer.
 func (s *State) Snapshot(now time.Time) Snapshot {
-	snapshot := Snapshot{Version: s.version, CurrentAge: now.Sub(s.currentAt).Milliseconds()}
+	snapshot := Snapshot{Version: s.version, CurrentAgeMS: now.Sub(s.currentAt).Milliseconds()}
 	if len(s.zones) > 0 {
 		snapshot.Zones = make(map[zone.Name]int64, len(s.zones))
 	}
@@ -129,7 +129,7 @@
 	for name, age := range peer.Zones {
 		changes = append(changes, s.beginEvacuation(name, requestedAt.Add(-time.Duration(age)*time.Millisecond))...)
 	}
-	s.MarkCurrent(requestedAt.Add(-time.Duration(peer.CurrentAge) * time.Millisecond))
+	s.MarkCurrent(requestedAt.Add(-time.Duration(peer.CurrentAgeMS) * time.Millisecond))
 	return sortChanges(changes)
 }
 
