--- a/edge/evacuations_test.go
+++ b/edge/evacuations_test.go
@@ -81,7 +81,7 @@
 	defer node.Kill()
 	peer := machine.Machine{ID: "peer"}
 	asked := time.Now()
-	node.adoptEvacuations(peer, asked, evacuation.Snapshot{Version: 7, Zones: map[zone.Name]int64{"here": 900}})
+	node.adoptEvacuations(peer, asked, evacuation.Snapshot{Version: 7, EvacuatedForMS: map[zone.Name]int64{"here": 900}})
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("far")))
 	node.adoptEvacuations(peer, asked, evacuation.Snapshot{Version: 6})
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("far")), "an older state")
--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -38,8 +38,8 @@
 	// CurrentAgeMS is how long ago the state was last known to match the operator's, and
 	// EvacuatedForMS how long ago the operator's time limit began to count for each
 	// evacuated zone; both in milliseconds.
-	CurrentAgeMS int64               `json:"current_age_ms"`
-	Zones        map[zone.Name]int64 `json:"zones,omitempty"`
+	CurrentAgeMS   int64               `json:"current_age_ms"`
+	EvacuatedForMS map[zone.Name]int64 `json:"zones,omitempty"`
 }
 
 // Version returns the version of the operator's stream that the state reflects.
@@ -105,10 +105,10 @@
 func (s *State) Snapshot(now time.Time) Snapshot {
 	snapshot := Snapshot{Version: s.version, CurrentAgeMS: now.Sub(s.currentAt).Milliseconds()}
 	if len(s.zones) > 0 {
-		snapshot.Zones = make(map[zone.Name]int64, len(s.zones))
+		snapshot.EvacuatedForMS = make(map[zone.Name]int64, len(s.zones))
 	}
 	for name, since := range s.zones {
-		snapshot.Zones[name] = now.Sub(since).Milliseconds()
+		snapshot.EvacuatedForMS[name] = now.Sub(since).Milliseconds()
 	}
 	return snapshot
 }
@@ -122,11 +122,11 @@
 	s.version = peer.Version
 	var changes []Change
 	for name := range s.zones {
-		if _, present := peer.Zones[name]; !present {
+		if _, present := peer.EvacuatedForMS[name]; !present {
 			changes = append(changes, s.endEvacuation(name))
 		}
 	}
-	for name, age := range peer.Zones {
+	for name, age := range peer.EvacuatedForMS {
 		changes = append(changes, s.beginEvacuation(name, requestedAt.Add(-time.Duration(age)*time.Millisecond))...)
 	}
 	s.MarkCurrent(requestedAt.Add(-time.Duration(peer.CurrentAgeMS) * time.Millisecond))
