--- a/edge/follow.go
+++ b/edge/follow.go
@@ -90,7 +90,7 @@
 		n.logger.Error().Str("source", source).Err(err).Msg("config: not understood")
 		return
 	}
-	if table == nil || !n.routes.Offer(table) {
+	if table == nil || !n.routes.Update(table) {
 		return
 	}
 	n.config.mutex.Lock()
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -23,7 +23,7 @@
 		table.Tenants, err = tenant.NewDirectory([]tenant.Tenant{{Name: "a", Keys: []string{"k"}}})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(node.routes.Offer(table)).To(BeTrue())
+	g.Expect(node.routes.Update(table)).To(BeTrue())
 	return node
 }
 
--- a/routing/follower.go
+++ b/routing/follower.go
@@ -13,7 +13,7 @@
 
 // Update replaces the current table if the given one is newer, and reports whether it
 // did.
-func (f *Follower) Offer(table *Table) bool {
+func (f *Follower) Update(table *Table) bool {
 	for {
 		previous := f.current.Load()
 		if previous != nil && table.Version <= previous.Version {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -58,7 +58,7 @@
 		versions := []uint64{4, 9, 7, 9, 12, 11}
 		var taken []uint64
 		for _, version := range versions {
-			if follower.Offer(routing.NewTable(version, nil, nil, routing.Limits{})) {
+			if follower.Update(routing.NewTable(version, nil, nil, routing.Limits{})) {
 				taken = append(taken, version)
 			}
 		}
