--- a/routing/table.go
+++ b/routing/table.go
@@ -57,7 +57,7 @@
 	Retain    bool
 	RetainFor time.Duration
 	// MaxEventGap is the longest pause between two events that still counts as in time.
-	EventGap time.Duration
+	MaxEventGap time.Duration
 	// Public routes accept requests without a tenant's key.
 	Public bool
 	// Regions are the only regions in which requests of the route may be served and their
