--- a/edge/calls.go
+++ b/edge/calls.go
@@ -74,7 +74,7 @@
 
 // lateAfter returns how long after its start a call of the route is late.
 func (n *Node) lateAfter(route *routing.Route) time.Duration {
-	otherwise := route.Objective
+	otherwise := route.LatencyObjective
 	if otherwise <= 0 {
 		otherwise = route.Timeout / lateUnknown
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -41,7 +41,7 @@
 	// Timeout limits how long a request may be held.
 	Timeout time.Duration
 	// LatencyObjective is the latency up to which an answer counts in full.
-	Objective time.Duration
+	LatencyObjective time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Shares are the services that serve the route.
