--- a/edge/control.go
+++ b/edge/control.go
@@ -175,7 +175,7 @@
 	loads.Evacuations = c.node.evacuations.version()
 	if table := c.node.routes.Current(); table != nil {
 		loads.Version = table.Version
-		loads.RetainFor = table.LongestRetain()
+		loads.RetainFor = table.MaxRetention()
 	}
 	c.core.Step(now, loads)
 	c.node.liveNodes.Store(int32(c.core.LiveCount()))
--- a/routing/table.go
+++ b/routing/table.go
@@ -138,7 +138,7 @@
 }
 
 // MaxRetention returns the longest RetainFor of any route.
-func (t *Table) LongestRetain() time.Duration { return t.maxRetention }
+func (t *Table) MaxRetention() time.Duration { return t.maxRetention }
 
 // Match returns the route of the host with the longest prefix of the path, or nil. The
 // host may include a port; the path must not include a query.
