--- a/edge/homes.go
+++ b/edge/homes.go
@@ -14,9 +14,9 @@
 // bindHomes finds where the request may be served: where its route and its tenant both
 // permit it. If it returns false, no place there is may serve it, and it was answered.
 func (n *Node) bindHomes(r *requestState) bool {
-	r.homes = r.homes.Bind(n.settings.Regions, r.route.Regions)
+	r.homes = r.homes.Restrict(n.settings.Regions, r.route.Regions)
 	if r.tenant != nil {
-		r.homes = r.homes.Bind(n.settings.Regions, r.tenant.Regions)
+		r.homes = r.homes.Restrict(n.settings.Regions, r.tenant.Regions)
 	}
 	if !r.homes.Empty() {
 		return true
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -129,7 +129,7 @@
 
 var _ = Describe("Homes of a request", func() {
 	homes := func(regions ...zone.Region) zone.Homes {
-		return zone.Homes{}.Bind(zone.Topology{"here": "home", "near": "home", "far": "away"}, regions)
+		return zone.Homes{}.Restrict(zone.Topology{"here": "home", "near": "home", "far": "away"}, regions)
 	}
 
 	It("bound the choice, whatever the load there", func() {
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -9,7 +9,7 @@
 
 // Restrict returns the constraint narrowed to the zones of the given regions. An empty
 // list adds no restriction; regions that do not exist permit no zone.
-func (c Homes) Bind(topology Topology, regions []Region) Homes {
+func (c Homes) Restrict(topology Topology, regions []Region) Homes {
 	if len(regions) == 0 {
 		return c
 	}
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -17,20 +17,20 @@
 	var unrestricted zone.Homes
 	g.Expect(unrestricted.Permit("anywhere")).To(BeTrue())
 	g.Expect(unrestricted.Empty()).To(BeFalse())
-	g.Expect(unrestricted.Bind(topology, nil)).To(Equal(unrestricted))
-	g.Expect(unrestricted.Bind(topology, []zone.Region{})).To(Equal(unrestricted))
+	g.Expect(unrestricted.Restrict(topology, nil)).To(Equal(unrestricted))
+	g.Expect(unrestricted.Restrict(topology, []zone.Region{})).To(Equal(unrestricted))
 
-	east := unrestricted.Bind(topology, []zone.Region{"east", "west"})
+	east := unrestricted.Restrict(topology, []zone.Region{"east", "west"})
 	g.Expect(east.Placement()).To(Equal(zone.NewPlacement("east-a", "east-b", "west-a")))
 	g.Expect(east.Permit("north-a")).To(BeFalse())
 	g.Expect(east.Permit("")).To(BeFalse(), "a place that is not known")
 
-	both := east.Bind(topology, []zone.Region{"west", "north"})
+	both := east.Restrict(topology, []zone.Region{"west", "north"})
 	g.Expect(both.Placement()).To(Equal(zone.NewPlacement("west-a")))
 	g.Expect(both.Empty()).To(BeFalse())
-	g.Expect(both.Bind(topology, []zone.Region{"east"}).Empty()).To(BeTrue(), "nothing in common")
-	g.Expect(unrestricted.Bind(topology, []zone.Region{"south"}).Empty()).To(BeTrue(), "no such region")
-	g.Expect(unrestricted.Bind(nil, []zone.Region{"east"}).Empty()).To(BeTrue(), "no regions known")
+	g.Expect(both.Restrict(topology, []zone.Region{"east"}).Empty()).To(BeTrue(), "nothing in common")
+	g.Expect(unrestricted.Restrict(topology, []zone.Region{"south"}).Empty()).To(BeTrue(), "no such region")
+	g.Expect(unrestricted.Restrict(nil, []zone.Region{"east"}).Empty()).To(BeTrue(), "no regions known")
 }
 
 // TestSameRegion checks that a zone of unknown region counts as being in the same region.
