--- a/edge/homes.go
+++ b/edge/homes.go
@@ -29,13 +29,13 @@
 // mayHold reports whether a node may be sent what the request and its answer say. The
 // node that the client reached has them anyway.
 func (n *Node) mayHold(r *requestState, node machine.Machine) bool {
-	return node.ID == n.self.ID || r.homes.Permit(node.Zone)
+	return node.ID == n.self.ID || r.homes.Permits(node.Zone)
 }
 
 // remember keeps what a turn that goes on from this one has to be sent with, unless this
 // node stands outside of the request's homes.
 func (n *Node) remember(r *requestState, chain []byte) {
-	if r.homes.Permit(zone.Name(n.settings.Zone)) {
+	if r.homes.Permits(zone.Name(n.settings.Zone)) {
 		n.chains.put(time.Now(), r.turnID(), chain)
 	}
 }
--- a/replica/places.go
+++ b/replica/places.go
@@ -19,7 +19,7 @@
 		return ErrNoReplica
 	}
 	zoneName := zone.Name(m.entry.Zone)
-	if !request.Constraint.Permit(zoneName) {
+	if !request.Constraint.Permits(zoneName) {
 		return ErrOutside
 	}
 	since, evacuated := s.evacuated[zoneName]
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -21,7 +21,7 @@
 }
 
 // Permits reports whether the zone is permitted. It does not allocate.
-func (c Homes) Permit(name Name) bool { return !c.restricted || c.permitted.Contains(name) }
+func (c Homes) Permits(name Name) bool { return !c.restricted || c.permitted.Contains(name) }
 
 // Empty reports whether no zone is permitted.
 func (c Homes) Empty() bool { return c.restricted && c.permitted == "" }
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -15,15 +15,15 @@
 func TestConstraint(t *testing.T) {
 	g := NewWithT(t)
 	var unrestricted zone.Homes
-	g.Expect(unrestricted.Permit("anywhere")).To(BeTrue())
+	g.Expect(unrestricted.Permits("anywhere")).To(BeTrue())
 	g.Expect(unrestricted.Empty()).To(BeFalse())
 	g.Expect(unrestricted.Restrict(topology, nil)).To(Equal(unrestricted))
 	g.Expect(unrestricted.Restrict(topology, []zone.Region{})).To(Equal(unrestricted))
 
 	east := unrestricted.Restrict(topology, []zone.Region{"east", "west"})
 	g.Expect(east.Placement()).To(Equal(zone.NewPlacement("east-a", "east-b", "west-a")))
-	g.Expect(east.Permit("north-a")).To(BeFalse())
-	g.Expect(east.Permit("")).To(BeFalse(), "a place that is not known")
+	g.Expect(east.Permits("north-a")).To(BeFalse())
+	g.Expect(east.Permits("")).To(BeFalse(), "a place that is not known")
 
 	both := east.Restrict(topology, []zone.Region{"west", "north"})
 	g.Expect(both.Placement()).To(Equal(zone.NewPlacement("west-a")))
