--- a/zone/homes.go
+++ b/zone/homes.go
@@ -27,7 +27,7 @@
 func (c Homes) Empty() bool { return c.restricted && c.permitted == "" }
 
 // Restricted reports whether there is any restriction.
-func (c Homes) Bound() bool { return c.restricted }
+func (c Homes) Restricted() bool { return c.restricted }
 
 // Placement returns the permitted zones. It is meaningful only if Restricted is true.
 func (c Homes) Placement() Placement { return c.permitted }
