--- a/replica/places.go
+++ b/replica/places.go
@@ -58,7 +58,7 @@
 // sameRegion reports whether a replica is in this node's region, as far as the topology is
 // known.
 func (s *Set) sameRegion(m *member) bool {
-	return s.config.Regions.Together(zone.Name(s.config.Zone), zone.Name(m.entry.Zone))
+	return s.config.Regions.SameRegion(zone.Name(s.config.Zone), zone.Name(m.entry.Zone))
 }
 
 // leftEvacuatedZone reports whether a request may no longer go to its session's previous
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -36,8 +36,8 @@
 // TestSameRegion checks that a zone of unknown region counts as being in the same region.
 func TestSameRegion(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(topology.Together("east-a", "east-b")).To(BeTrue())
-	g.Expect(topology.Together("east-a", "west-a")).To(BeFalse())
-	g.Expect(topology.Together("east-a", "new")).To(BeTrue())
-	g.Expect(zone.Topology(nil).Together("a", "b")).To(BeTrue())
+	g.Expect(topology.SameRegion("east-a", "east-b")).To(BeTrue())
+	g.Expect(topology.SameRegion("east-a", "west-a")).To(BeFalse())
+	g.Expect(topology.SameRegion("east-a", "new")).To(BeTrue())
+	g.Expect(zone.Topology(nil).SameRegion("a", "b")).To(BeTrue())
 }
--- a/zone/topology.go
+++ b/zone/topology.go
@@ -19,7 +19,7 @@
 
 // SameRegion reports whether two zones are in the same region. A zone of unknown region
 // counts as being in the same region as any other.
-func (t Topology) Together(left, right Name) bool {
+func (t Topology) SameRegion(left, right Name) bool {
 	first, second := t[left], t[right]
 	return first == second || first == "" || second == ""
 }
