--- a/zone/homes.go
+++ b/zone/homes.go
@@ -13,7 +13,7 @@
 	if len(regions) == 0 {
 		return c
 	}
-	zones := topology.Within(regions)
+	zones := topology.ZonesIn(regions)
 	if c.restricted {
 		zones = zones.Intersect(c.permitted)
 	}
--- a/zone/topology.go
+++ b/zone/topology.go
@@ -7,7 +7,7 @@
 type Topology map[Name]Region
 
 // ZonesIn returns the zones of the given regions. A region that does not exist has none.
-func (t Topology) Within(regions []Region) Placement {
+func (t Topology) ZonesIn(regions []Region) Placement {
 	var names []Name
 	for name, region := range t {
 		if slices.Contains(regions, region) {
