--- a/edge/ledgers.go
+++ b/edge/ledgers.go
@@ -104,7 +104,7 @@
 		outcome := coordinator.OutcomeDone
 		var fenced *recordstore.FencedError
 		switch {
-		case errors.As(err, &fenced) && fenced.Disordered:
+		case errors.As(err, &fenced) && fenced.SequenceMismatch:
 			outcome = coordinator.OutcomeFailed
 		case err != nil:
 			outcome = coordinator.OutcomeFenced
--- a/recordstore/recordstore.go
+++ b/recordstore/recordstore.go
@@ -92,8 +92,8 @@
 // FencedError says that a writer of a higher epoch has taken over the stream, or, if
 // SequenceMismatch is set, that the store expects another sequence number of this writer.
 type FencedError struct {
-	Reason     string
-	Disordered bool
+	Reason           string
+	SequenceMismatch bool
 }
 
 // Error returns the reason of the refusal.
