--- a/control/apply.go
+++ b/control/apply.go
@@ -126,21 +126,21 @@
 	call := effect.Call
 	owned.queued[effect.Attempt.CallRef] = queuedCall{effect: effect, since: now}
 	c.config.Policy.Enqueue(now, schedule.Request{
-		Call:         effect.Attempt.CallRef,
-		Kind:         call.Kind,
-		Model:        call.Model,
-		Tool:         call.Tool,
-		Tenant:       tenantOf(effect.Branch),
-		Placement:    effect.Terms.Placement,
-		Priority:     effect.Terms.Priority,
-		PromptTokens: effect.PromptTokens,
-		OutputCap:    cmp.Or(call.MaxOutputTokens, effect.Terms.MaxOutputTokens),
-		Attained:     effect.Attained,
-		Arrived:      owned.arrived(effect.Attempt.Program),
-		Enqueued:     now,
-		Deadline:     effect.Deadline,
-		Avoid:        effect.Avoid,
-		Excluded:     effect.Terms.Drained,
+		Call:           effect.Attempt.CallRef,
+		Kind:           call.Kind,
+		Model:          call.Model,
+		Tool:           call.Tool,
+		Tenant:         tenantOf(effect.Branch),
+		Placement:      effect.Terms.Placement,
+		Priority:       effect.Terms.Priority,
+		PromptTokens:   effect.PromptTokens,
+		OutputCap:      cmp.Or(call.MaxOutputTokens, effect.Terms.MaxOutputTokens),
+		AttainedTokens: effect.Attained,
+		Arrived:        owned.arrived(effect.Attempt.Program),
+		Enqueued:       now,
+		Deadline:       effect.Deadline,
+		Avoid:          effect.Avoid,
+		Excluded:       effect.Terms.Drained,
 	})
 }
 
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -138,19 +138,19 @@
 func (n *node) enqueue(queued *call) {
 	owner := queued.agent
 	request := schedule.Request{
-		Call:         queued.ref(),
-		Kind:         api.CallModel,
-		Model:        queued.step.Model,
-		Tenant:       string(owner.program.Branch),
-		Placement:    owner.placement,
-		Priority:     owner.program.Priority,
-		PromptTokens: queued.prompt,
-		OutputCap:    queued.step.OutputCap,
-		Attained:     owner.attained,
-		Arrived:      owner.start,
-		Enqueued:     n.run.clock.now,
-		Deadline:     owner.deadline(),
-		Avoid:        queued.avoid,
+		Call:           queued.ref(),
+		Kind:           api.CallModel,
+		Model:          queued.step.Model,
+		Tenant:         string(owner.program.Branch),
+		Placement:      owner.placement,
+		Priority:       owner.program.Priority,
+		PromptTokens:   queued.prompt,
+		OutputCap:      queued.step.OutputCap,
+		AttainedTokens: owner.attained,
+		Arrived:        owner.start,
+		Enqueued:       n.run.clock.now,
+		Deadline:       owner.deadline(),
+		Avoid:          queued.avoid,
 	}
 	if queued.step.Kind == workload.StepTool {
 		request.Kind = api.CallTool
--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -75,7 +75,7 @@
 // isUnstarted reports whether no work has been spent on the program yet, so
 // that refusing the call wastes none.
 func isUnstarted(request *Request) bool {
-	return request.Kind == api.CallModel && request.Attained == 0 && len(request.Avoid) == 0
+	return request.Kind == api.CallModel && request.AttainedTokens == 0 && len(request.Avoid) == 0
 }
 
 // checkAdmission returns nil if the call may be held, and the refusal if not.
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -81,7 +81,7 @@
 }
 
 func withAttained(tokens int64) func(*schedule.Request) {
-	return func(request *schedule.Request) { request.Attained = tokens }
+	return func(request *schedule.Request) { request.AttainedTokens = tokens }
 }
 
 func withPrompt(tokens int) func(*schedule.Request) {
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -255,7 +255,7 @@
 // plus a share of the time until the deadline. Both are bounded, so that no
 // call starves.
 func effectiveArrivalOf(request *Request, order OrderConfig) time.Time {
-	attained := time.Duration(request.Attained) * order.AttainedPerToken
+	attained := time.Duration(request.AttainedTokens) * order.AttainedPerToken
 	arrival := request.Arrived.Add(min(attained, order.AttainedMaximum))
 	if request.Deadline.IsZero() {
 		return arrival
--- a/schedule/request.go
+++ b/schedule/request.go
@@ -26,7 +26,7 @@
 	PromptTokens int
 	OutputCap    int
 	// AttainedTokens is the service that the program has received so far.
-	Attained int64
+	AttainedTokens int64
 	// Arrived is when the program arrived; held calls are ordered by it. Zero
 	// means the time in Enqueued. Deadline is when the call must end; zero
 	// means no limit.
--- a/schedule/rules_test.go
+++ b/schedule/rules_test.go
@@ -90,13 +90,13 @@
 		Tenant: rapid.SampledFrom([]string{"triage", "audit"}).Draw(t, "tenant"),
 		Placement: zone.NewPlacement(rapid.SliceOfNDistinct(
 			rapid.SampledFrom([]zone.Name{"a", "b", "c"}), 1, 3, rapid.ID).Draw(t, "placement")...),
-		Priority:     rapid.IntRange(0, 3).Draw(t, "priority"),
-		PromptTokens: rapid.IntRange(1, 5000).Draw(t, "prompt"),
-		OutputCap:    200,
-		Attained:     int64(rapid.IntRange(0, 50000).Draw(t, "attained")),
-		Arrived:      o.now,
-		Enqueued:     o.now,
-		Deadline:     o.now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "deadline")) * time.Second),
+		Priority:       rapid.IntRange(0, 3).Draw(t, "priority"),
+		PromptTokens:   rapid.IntRange(1, 5000).Draw(t, "prompt"),
+		OutputCap:      200,
+		AttainedTokens: int64(rapid.IntRange(0, 50000).Draw(t, "attained")),
+		Arrived:        o.now,
+		Enqueued:       o.now,
+		Deadline:       o.now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "deadline")) * time.Second),
 	}
 	if rapid.Bool().Draw(t, "tool") {
 		request.Kind, request.Model, request.Tool = api.CallTool, "", "notify"
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -283,7 +283,7 @@
 // enginePriority returns the call's rank in the engine's queue, lower first.
 func (s *Scheduler) enginePriority(request *Request) int {
 	level := 0
-	for limit := int64(firstLevelTokens); request.Attained > limit && level < attainedLevels-1; limit *= 2 {
+	for limit := int64(firstLevelTokens); request.AttainedTokens > limit && level < attainedLevels-1; limit *= 2 {
 		level++
 	}
 	return (highestPriority-min(max(request.Priority, 0), highestPriority))*attainedLevels + level
