--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -131,7 +131,7 @@
 	config.Self = in
 	config.LinkDelay = func(to zone.Name) time.Duration { return s.config.Deployment.Delay(in, to) }
 	config.Random = rand.New(rand.NewPCG(s.config.Seed, 1000+uint64(index)))
-	config.Commands = func(id machine.ID) bool { return s.commander(id) == added }
+	config.ManagesEngine = func(id machine.ID) bool { return s.commander(id) == added }
 	if s.config.Tune != nil {
 		s.config.Tune(&config)
 	}
--- a/node/wire.go
+++ b/node/wire.go
@@ -117,7 +117,7 @@
 
 func newPolicy(file *config.File, random *rand.Rand, commands *commander) (schedule.Policy, error) {
 	settings := schedule.DefaultConfig()
-	settings.Commands = commands.commands
+	settings.ManagesEngine = commands.commands
 	settings.Self = file.Node.Zone
 	settings.Random = random
 	settings.LinkDelay = func(to zone.Name) time.Duration { return file.Links.Delay(file.Node.Zone, to) }
--- a/schedule/config.go
+++ b/schedule/config.go
@@ -24,7 +24,7 @@
 	// ManagesEngine reports whether this node issues the load and unload orders
 	// of an engine. For each engine exactly one live node should. Nil means
 	// that this node manages no engine.
-	Commands func(machine.ID) bool
+	ManagesEngine func(machine.ID) bool
 
 	// Choices is the number of cold candidates that are sampled and ranked for
 	// one call. A small number keeps nodes that read the same late load reports
--- a/schedule/models.go
+++ b/schedule/models.go
@@ -43,7 +43,7 @@
 // reviewModels issues at most one load order, with an unload order before it if
 // the engine has no room.
 func (s *Scheduler) reviewModels(now time.Time) {
-	if s.config.Commands == nil || now.Before(s.nextModelReview) {
+	if s.config.ManagesEngine == nil || now.Before(s.nextModelReview) {
 		return
 	}
 	s.nextModelReview = now.Add(s.config.Models.ReviewInterval)
@@ -56,7 +56,7 @@
 		return
 	}
 	engine := s.loadTarget(now, overloaded)
-	if engine == nil || !s.config.Commands(engine.machine.ID) {
+	if engine == nil || !s.config.ManagesEngine(engine.machine.ID) {
 		return
 	}
 	s.lastModelOrder = modelOrder{engine: engine.machine.ID, model: overloaded.model, issuedAt: now}
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -261,7 +261,7 @@
 	if s.tracker.paused.Len() > 0 {
 		s.wakeBy(s.nextPauseReview)
 	}
-	if s.config.Commands != nil {
+	if s.config.ManagesEngine != nil {
 		s.wakeBy(s.nextModelReview)
 	}
 }
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -263,7 +263,7 @@
 	// fifth, idle one that has only the model "large".
 	busy := func(commands bool) *policyDriver {
 		config := testConfig(1)
-		config.Commands = func(machine.ID) bool { return commands }
+		config.ManagesEngine = func(machine.ID) bool { return commands }
 		b := newPolicyDriver(newPolicy("birchwood", config), 4)
 		spare := machine.Machine{
 			ID: "spare", Kind: machine.KindEngine, Zone: "a", Status: machine.StatusLive,
