--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -22,7 +22,7 @@
 
 // Utilisation describes the load that a turn meets: that of the replicas that may serve
 // it, and of this node's queue.
-type Room struct {
+type Utilisation struct {
 	// Least is the number of requests per slot at the least loaded replica that may serve
 	// the turn, below 1 if it has a free slot, and Mean that of all these replicas. Both
 	// count the requests of started programs as well as new ones.
@@ -63,14 +63,14 @@
 )
 
 // AcceptsNew reports whether a new program can start without waiting.
-func (r *Room) AcceptsNew() bool { return r.Mean < maxNewUtilisation }
+func (r *Utilisation) AcceptsNew() bool { return r.Mean < maxNewUtilisation }
 
 // Admit decides on a turn with the given time left until its deadline. Turns of started
 // programs are sent to a replica at once and wait there, in the order that replicas keep.
 // Turns of new programs wait at the node if the replicas are full and a slot is expected
 // within the longest wait that the turn tolerates. Otherwise they run if a slot is free,
 // and are refused on arrival if not.
-func Admit(load *Room, state *Standing, left time.Duration) Admission {
+func Admit(load *Utilisation, state *Standing, left time.Duration) Admission {
 	if state.Begun || load.AcceptsNew() && load.Ahead == 0 {
 		return Admission{Verdict: VerdictRun}
 	}
@@ -93,7 +93,7 @@
 }
 
 // AfterWait decides on a turn whose wait has timed out: it runs if a slot is free by now.
-func AfterWait(load *Room) Verdict {
+func AfterWait(load *Utilisation) Verdict {
 	if load.AcceptsNew() || load.Least < 1 {
 		return VerdictRun
 	}
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -101,9 +101,9 @@
 func TestAdmit(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &Standing{HasFinish: true, Left: 3 * time.Second, ExpectedRemaining: time.Second}
-	full := &Room{Least: 1.2, Mean: 1.5, CompletionRate: 20}
+	full := &Utilisation{Least: 1.2, Mean: 1.5, CompletionRate: 20}
 	g.Expect(Admit(full, &Standing{Begun: true}, time.Second).Verdict).To(Equal(VerdictRun))
-	g.Expect(Admit(&Room{Mean: 1}, fresh, time.Second).Verdict).To(Equal(VerdictRun))
+	g.Expect(Admit(&Utilisation{Mean: 1}, fresh, time.Second).Verdict).To(Equal(VerdictRun))
 	waits := Admit(full, fresh, 3*time.Second)
 	g.Expect(waits).To(Equal(Admission{Verdict: VerdictWait, Expected: 50 * time.Millisecond, Bound: 250 * time.Millisecond}))
 	crowded := *full
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -124,13 +124,13 @@
 }
 
 // utilisation returns the utilisation as known at a node.
-func (c *simulation) utilisation(node int) *Room {
+func (c *simulation) utilisation(node int) *Utilisation {
 	sum := 0
 	for _, load := range c.knownLoads[node] {
 		sum += load
 	}
 	least := float64(slices.Min(c.knownLoads[node])) / simSlots
-	return &Room{Least: least, Mean: float64(sum) / simSlots / simReplicas, CompletionRate: c.returns[node].served.rate(c.now)}
+	return &Utilisation{Least: least, Mean: float64(sum) / simSlots / simReplicas, CompletionRate: c.returns[node].served.rate(c.now)}
 }
 
 func (c *simulation) state(turn *simTurn) Standing {
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -166,7 +166,7 @@
 }
 
 // roomOf returns the room for a request that waits.
-func (n *Node) roomOf(id uint64) *dispatch.Room {
+func (n *Node) roomOf(id uint64) *dispatch.Utilisation {
 	room := n.replicas.room(n.choiceOf(n.waiting.held[id].request))
 	return &room
 }
@@ -192,7 +192,7 @@
 }
 
 // room returns how full the replicas are for a request.
-func (r *replicas) room(request *replica.Request) dispatch.Room {
+func (r *replicas) room(request *replica.Request) dispatch.Utilisation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.Utilisation(time.Now(), request)
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -197,14 +197,14 @@
 
 	It("returns the minimum and the mean utilisation", func() {
 		set := newSet(2)
-		Expect(set.Utilisation(start, &replica.Request{Service: "none"})).To(Equal(dispatch.Room{}))
+		Expect(set.Utilisation(start, &replica.Request{Service: "none"})).To(Equal(dispatch.Utilisation{}))
 		for range 6 {
 			set.Began(start, "r0", &replica.Request{Prompt: nil})
 		}
 		set.SetPeer(start, "peer", map[replica.ID]int{"r1": 3})
-		Expect(set.Utilisation(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Room{Least: 0.75, Mean: 9. / 8}))
+		Expect(set.Utilisation(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Utilisation{Least: 0.75, Mean: 9. / 8}))
 		set.Put(start, replica.Entry{ID: "r1", Service: "s", Zone: "here", Status: replica.StatusReady})
-		Expect(set.Utilisation(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Room{}), "its places are not known")
+		Expect(set.Utilisation(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Utilisation{}), "its places are not known")
 	})
 
 	It("knows nothing of a replica that was removed", func() {
--- a/replica/room.go
+++ b/replica/room.go
@@ -11,7 +11,7 @@
 // its cold rate counts as full. Both are 0 if no replica may take the request or if any such
 // replica's number of slots is unknown. For a large service a window of replicas is evaluated,
 // and grown while every replica in it is full.
-func (s *Set) Utilisation(now time.Time, request *Request) dispatch.Room {
+func (s *Set) Utilisation(now time.Time, request *Request) dispatch.Utilisation {
 	least := s.MinUtilisation(now, request)
 	candidates := s.selectCandidates(now, request)
 	loads := s.estimateFromReports(candidates)
@@ -21,13 +21,13 @@
 			continue
 		}
 		if m.entry.Slots <= 0 {
-			return dispatch.Room{}
+			return dispatch.Utilisation{}
 		}
 		load += s.effectiveLoad(now, &loads, m)
 		slots += float64(m.entry.Slots)
 	}
 	if slots == 0 {
-		return dispatch.Room{}
+		return dispatch.Utilisation{}
 	}
-	return dispatch.Room{Least: least, Mean: load / slots}
+	return dispatch.Utilisation{Least: least, Mean: load / slots}
 }
