--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -70,7 +70,7 @@
 // Turns of new programs wait at the node if the replicas are full and a slot is expected
 // within the longest wait that the turn tolerates. Otherwise they run if a slot is free,
 // and are refused on arrival if not.
-func Admit(load *Utilisation, state *Standing, left time.Duration) Admission {
+func Admit(load *Utilisation, state *SchedulingState, left time.Duration) Admission {
 	if state.Begun || load.AcceptsNew() && load.Ahead == 0 {
 		return Admission{Verdict: VerdictRun}
 	}
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -100,9 +100,9 @@
 // refused, and that none is refused while a slot is free.
 func TestAdmit(t *testing.T) {
 	g := NewWithT(t)
-	fresh := &Standing{HasFinish: true, Left: 3 * time.Second, ExpectedRemaining: time.Second}
+	fresh := &SchedulingState{HasFinish: true, Left: 3 * time.Second, ExpectedRemaining: time.Second}
 	full := &Utilisation{Least: 1.2, Mean: 1.5, CompletionRate: 20}
-	g.Expect(Admit(full, &Standing{Begun: true}, time.Second).Verdict).To(Equal(VerdictRun))
+	g.Expect(Admit(full, &SchedulingState{Begun: true}, time.Second).Verdict).To(Equal(VerdictRun))
 	g.Expect(Admit(&Utilisation{Mean: 1}, fresh, time.Second).Verdict).To(Equal(VerdictRun))
 	waits := Admit(full, fresh, 3*time.Second)
 	g.Expect(waits).To(Equal(Admission{Verdict: VerdictWait, Expected: 50 * time.Millisecond, Bound: 250 * time.Millisecond}))
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -7,7 +7,7 @@
 
 // SchedulingState is what decides the order of competing turns: what the turn's program
 // has done and still needs.
-type Standing struct {
+type SchedulingState struct {
 	// Begun says that the program has started.
 	Begun bool
 	// Left is the time until the program should finish, and HasFinish says whether its
@@ -43,14 +43,14 @@
 
 // Slack returns the time that the program has beyond its expected remaining time, negative
 // if it cannot finish in time. It is defaultSlack if the client gave no finish time.
-func (s *Standing) Slack() time.Duration {
+func (s *SchedulingState) Slack() time.Duration {
 	if !s.HasFinish {
 		return defaultSlack
 	}
 	return s.Left - s.ExpectedRemaining
 }
 
-func (s *Standing) Tier() Tier {
+func (s *SchedulingState) Tier() Tier {
 	inTime := s.Slack() >= 0
 	switch {
 	case s.Begun && inTime:
@@ -78,13 +78,13 @@
 
 // SortKey returns the turn's rank in the order; the lowest is served first. Turns of one
 // tier are ordered by slack. Waiting moves a turn up, finally past every tier.
-func (s *Standing) SortKey() float64 {
+func (s *SchedulingState) SortKey() float64 {
 	within := float64(min(max(s.Slack(), 0), maxSlack)) / float64(maxSlack+1)
 	return float64(s.Tier()) + within - float64(s.Waited)/float64(tierAgingTime)
 }
 
 // Before reports whether a turn is served before another: by priority, then by sort key.
-func Before(priority int, state *Standing, otherPriority int, other *Standing) bool {
+func Before(priority int, state *SchedulingState, otherPriority int, other *SchedulingState) bool {
 	if priority != otherPriority {
 		return priority < otherPriority
 	}
@@ -106,7 +106,7 @@
 
 // Urgency returns the rank of a turn at engines: its priority, or a less urgent rank of
 // the same band if turns of that priority are to be served before it.
-func (b Bands) Urgency(priority int, state *Standing) int {
+func (b Bands) Urgency(priority int, state *SchedulingState) int {
 	first := min(max(0, priority), LeastUrgency)
 	if !state.HasFinish {
 		return first
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -10,15 +10,15 @@
 )
 
 // startedWithSlack returns the state of a started program with the given slack.
-func startedWithSlack(slack time.Duration) *Standing {
-	return &Standing{Begun: true, HasFinish: true, Left: 2*time.Second + slack, ExpectedRemaining: 2 * time.Second}
+func startedWithSlack(slack time.Duration) *SchedulingState {
+	return &SchedulingState{Begun: true, HasFinish: true, Left: 2*time.Second + slack, ExpectedRemaining: 2 * time.Second}
 }
 
 // TestOrderByTier checks the order: started programs that can finish in time by slack, new
 // ones that can, late started ones, and new ones that are late already.
 func TestOrderByTier(t *testing.T) {
 	g := NewWithT(t)
-	ranked := []*Standing{
+	ranked := []*SchedulingState{
 		startedWithSlack(10 * time.Millisecond), startedWithSlack(400 * time.Millisecond), {Begun: true}, startedWithSlack(3 * time.Second),
 		{HasFinish: true, Left: 2100 * time.Millisecond, ExpectedRemaining: 2 * time.Second}, {}, startedWithSlack(-time.Second), {HasFinish: true, ExpectedRemaining: time.Second},
 	}
@@ -37,7 +37,7 @@
 // once it has waited through all tiers.
 func TestOrderStarvesNobody(t *testing.T) {
 	g := NewWithT(t)
-	waiting := &Standing{HasFinish: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAgingTime + time.Millisecond}
+	waiting := &SchedulingState{HasFinish: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAgingTime + time.Millisecond}
 	g.Expect(Before(1, waiting, 1, startedWithSlack(0))).To(BeTrue())
 }
 
@@ -71,13 +71,13 @@
 func TestBandsDistinguishSlack(t *testing.T) {
 	g := NewWithT(t)
 	bands := NewBands([]int{0, 1})
-	fresh := &Standing{HasFinish: true, Left: time.Second}
-	lateAndNew := &Standing{HasFinish: true, ExpectedRemaining: time.Second}
+	fresh := &SchedulingState{HasFinish: true, Left: time.Second}
+	lateAndNew := &SchedulingState{HasFinish: true, ExpectedRemaining: time.Second}
 	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(Equal(1))
 	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(BeNumerically("<", bands.Urgency(1, fresh)))
 	g.Expect(bands.Urgency(1, fresh)).To(BeNumerically("<", bands.Urgency(1, startedWithSlack(-time.Second))))
 	g.Expect(bands.Urgency(1, startedWithSlack(-time.Second))).To(BeNumerically("<", bands.Urgency(1, lateAndNew)))
 	g.Expect(bands.Urgency(0, lateAndNew)).To(BeZero(), "there is no rank between the two priorities")
-	g.Expect(bands.Urgency(1, &Standing{})).To(Equal(1))
-	g.Expect(bands.Urgency(12, &Standing{})).To(Equal(LeastUrgency))
+	g.Expect(bands.Urgency(1, &SchedulingState{})).To(Equal(1))
+	g.Expect(bands.Urgency(12, &SchedulingState{})).To(Equal(LeastUrgency))
 }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -10,7 +10,7 @@
 	Tenant   string
 	Priority int
 	// SchedulingState is the state of the turn on arrival.
-	SchedulingState Standing
+	SchedulingState SchedulingState
 	// Since is the time of arrival, and Until the time at which the wait ends.
 	Since, Until time.Time
 	// Bytes is the memory that the turn occupies.
@@ -18,7 +18,7 @@
 }
 
 // stateAt returns the scheduling state of the turn at the given time.
-func (w *Waiting) stateAt(now time.Time) *Standing {
+func (w *Waiting) stateAt(now time.Time) *SchedulingState {
 	state := w.SchedulingState
 	state.Waited = now.Sub(w.Since)
 	state.Left -= state.Waited
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -11,7 +11,7 @@
 func newWaiting(id uint64, priority int, waited, slack time.Duration) *Waiting {
 	return &Waiting{
 		ID: id, Priority: priority, Since: epoch.Add(-waited), Until: epoch.Add(time.Second), Bytes: 10,
-		SchedulingState: Standing{HasFinish: true, Left: time.Second + slack, ExpectedRemaining: time.Second},
+		SchedulingState: SchedulingState{HasFinish: true, Left: time.Second + slack, ExpectedRemaining: time.Second},
 	}
 }
 
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -133,8 +133,8 @@
 	return &Utilisation{Least: least, Mean: float64(sum) / simSlots / simReplicas, CompletionRate: c.returns[node].served.rate(c.now)}
 }
 
-func (c *simulation) state(turn *simTurn) Standing {
-	return Standing{Begun: turn.step > 0, Left: turn.finish.Sub(c.now), HasFinish: true, ExpectedRemaining: time.Duration(simTurns-turn.step) * simTurnTime}
+func (c *simulation) state(turn *simTurn) SchedulingState {
+	return SchedulingState{Begun: turn.step > 0, Left: turn.finish.Sub(c.now), HasFinish: true, ExpectedRemaining: time.Duration(simTurns-turn.step) * simTurnTime}
 }
 
 // arrive decides on a turn.
@@ -237,7 +237,7 @@
 		if turn.began {
 			continue
 		}
-		left, right := c.state(turn), Standing{}
+		left, right := c.state(turn), SchedulingState{}
 		if next != nil {
 			right = c.state(next)
 			left.Waited, right.Waited = c.now.Sub(turn.at), c.now.Sub(next.at)
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -53,8 +53,8 @@
 }
 
 // standing returns what counts where the turn competes with others.
-func (r *requestState) standing(now time.Time) *dispatch.Standing {
-	standing := &dispatch.Standing{Begun: r.begun(), ExpectedRemaining: r.need}
+func (r *requestState) standing(now time.Time) *dispatch.SchedulingState {
+	standing := &dispatch.SchedulingState{Begun: r.begun(), ExpectedRemaining: r.need}
 	if !r.finish.IsZero() {
 		standing.Left, standing.HasFinish = r.finish.Sub(now), true
 	}
