--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -164,7 +164,7 @@
 
 // RefusalTracker tracks the refusals of one node by cause: since when each cause has been
 // present, and how many callers will retry. It is not safe for concurrent use.
-type Returns struct {
+type RefusalTracker struct {
 	causes [causes]causeState
 	served meter
 }
@@ -182,7 +182,7 @@
 // ObserveRefusal records a refusal and fills in what is known of its cause: for how long
 // it has been present at least, how many requests were refused for it recently, and the
 // service rate of this node before it.
-func (r *Returns) ObserveRefusal(now time.Time, refusal *Refusal) {
+func (r *RefusalTracker) ObserveRefusal(now time.Time, refusal *Refusal) {
 	state := &r.causes[refusal.Cause]
 	if state.last.IsZero() || now.Sub(state.last) > causeExpiry {
 		*state = causeState{since: now}
@@ -195,11 +195,11 @@
 }
 
 // ObserveServed records that a turn was served; the service rate follows from this.
-func (r *Returns) ObserveServed(now time.Time) { r.served.add(now) }
+func (r *RefusalTracker) ObserveServed(now time.Time) { r.served.add(now) }
 
 // ServiceRate returns how many turns were served per second in the last one to two
 // seconds.
-func (r *Returns) ServiceRate(now time.Time) float64 { return r.served.rate(now) }
+func (r *RefusalTracker) ServiceRate(now time.Time) float64 { return r.served.rate(now) }
 
 // meterSpan is the interval over which a meter counts, and meterSpans the number of
 // intervals kept: the service rate before an outage is remembered for as long.
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -77,7 +77,7 @@
 func TestRetriesAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(5, 6))
-	var returns Returns
+	var returns RefusalTracker
 	now := epoch
 	for range 40 * 3 {
 		returns.ObserveServed(now)
@@ -129,7 +129,7 @@
 // ended.
 func TestRefusalTrackerExpiry(t *testing.T) {
 	g := NewWithT(t)
-	var returns Returns
+	var returns RefusalTracker
 	refuse := func(after time.Duration) Refusal {
 		refusal := Refusal{Cause: CauseNoOwner}
 		returns.ObserveRefusal(epoch.Add(after), &refusal)
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -16,7 +16,7 @@
 	queues     []*Queue
 	arrivals   []*simTurn
 	queued     map[uint64]*simTurn
-	returns    []Returns
+	returns    []RefusalTracker
 	policy     simPolicy
 
 	inTime, late, refused, failed int
@@ -59,7 +59,7 @@
 func newSimulation(policy simPolicy, seed uint64) *simulation {
 	c := &simulation{
 		random: rand.New(rand.NewPCG(seed, seed)), now: epoch, policy: policy, replicas: make([][]*simTurn, simReplicas),
-		knownLoads: make([][]int, simNodes), returns: make([]Returns, simNodes), queued: map[uint64]*simTurn{},
+		knownLoads: make([][]int, simNodes), returns: make([]RefusalTracker, simNodes), queued: map[uint64]*simTurn{},
 	}
 	for node := range simNodes {
 		c.knownLoads[node] = make([]int, simReplicas)
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -13,7 +13,7 @@
 // come back together. It is safe for concurrent use.
 type returns struct {
 	mutex sync.Mutex
-	state dispatch.Returns
+	state dispatch.RefusalTracker
 }
 
 // refuse notes a refusal and returns when the caller is to come back.
