--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -15,7 +15,7 @@
 	CauseNoOwner
 	// CauseStoreUnavailable: a record that must be durable before the turn runs cannot be
 	// written.
-	CauseStoreAway
+	CauseStoreUnavailable
 	// CauseStoreFull: the store accepts no further records.
 	CauseStoreFull
 	// CauseUnproven: it is uncertain whether the caller is authorized, or whether the turn
@@ -48,7 +48,7 @@
 // DependsOnStore reports whether the cause may last for as long as the store is
 // unavailable.
 func (c Cause) DependsOnStore() bool {
-	return c == CauseNoOwner || c == CauseStoreAway || c == CauseUnproven
+	return c == CauseNoOwner || c == CauseStoreUnavailable || c == CauseUnproven
 }
 
 // durationBounds bounds how much longer a cause is assumed to last if its end is unknown.
@@ -66,7 +66,7 @@
 
 // causeBounds holds the bounds of each cause.
 var causeBounds = [causes]durationBounds{
-	CauseStarting: transientBounds, CauseIsolated: outageBounds, CauseNoOwner: takeoverBounds, CauseStoreAway: outageBounds, CauseStoreFull: outageBounds,
+	CauseStarting: transientBounds, CauseIsolated: outageBounds, CauseNoOwner: takeoverBounds, CauseStoreUnavailable: outageBounds, CauseStoreFull: outageBounds,
 	CauseUnproven: outageBounds, CauseBudgetHeld: transientBounds, CauseLimit: transientBounds, CauseFull: takeoverBounds,
 	CauseNoReplica: takeoverBounds, CauseEvacuated: outageBounds, CauseRejected: transientBounds,
 }
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -34,13 +34,13 @@
 // lasted, and until its end if that is known.
 func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	g := NewWithT(t)
-	early := (&Refusal{Cause: CauseStoreAway, Left: 20 * time.Second}).RetryAfter()
-	late := (&Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 20 * time.Second}).RetryAfter()
-	endless := (&Refusal{Cause: CauseStoreAway, Lasted: time.Hour, Left: 20 * time.Second}).RetryAfter()
+	early := (&Refusal{Cause: CauseStoreUnavailable, Left: 20 * time.Second}).RetryAfter()
+	late := (&Refusal{Cause: CauseStoreUnavailable, Lasted: 2 * time.Second, Left: 20 * time.Second}).RetryAfter()
+	endless := (&Refusal{Cause: CauseStoreUnavailable, Lasted: time.Hour, Left: 20 * time.Second}).RetryAfter()
 	g.Expect(early).To(BeNumerically(">=", outageBounds.minimum))
 	g.Expect(late).To(BeNumerically(">=", 2*time.Second))
 	g.Expect(endless).To(BeNumerically("<=", outageBounds.maximum*5/4))
-	short := &Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 3 * time.Second}
+	short := &Refusal{Cause: CauseStoreUnavailable, Lasted: 2 * time.Second, Left: 3 * time.Second}
 	g.Expect(short.RetryAfter()).To(BeNumerically(">=", 900*time.Millisecond), "as late as the caller bears")
 	known := (&Refusal{Cause: CauseIsolated, EndsIn: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).RetryAfter()
 	g.Expect(known).To(BeNumerically("~", 1050*time.Millisecond, 150*time.Millisecond))
@@ -97,7 +97,7 @@
 			comes[at.Sub(began).Milliseconds()/100]++
 			continue
 		}
-		refusal := &Refusal{Cause: CauseStoreAway, Left: 6 * time.Second, Begun: draws.IntN(2) == 0, Draw: draws.Float64()}
+		refusal := &Refusal{Cause: CauseStoreUnavailable, Left: 6 * time.Second, Begun: draws.IntN(2) == 0, Draw: draws.Float64()}
 		returns.ObserveRefusal(at, refusal)
 		g.Expect(refusal.ServiceRate).To(BeNumerically("~", 40, 1))
 		tries++
--- a/edge/returns_test.go
+++ b/edge/returns_test.go
@@ -18,7 +18,7 @@
 		node := &Node{settings: settings, random: rand.New(rand.NewPCG(7, 8))}
 		told := map[time.Duration]bool{}
 		for range 10 {
-			told[node.comeBackAfter(&dispatch.Refusal{Cause: dispatch.CauseStoreAway, Left: time.Minute})] = true
+			told[node.comeBackAfter(&dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable, Left: time.Minute})] = true
 		}
 		g.Expect(len(told)).To(Equal(map[bool]int{true: 10, false: 1}[settings.uses(SpreadReturns)]))
 	}
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -167,7 +167,7 @@
 	case coordinator.ReplyFull:
 		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreFull}, "the store is full and takes no record of the turn")
 	case coordinator.ReplyStalled:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreAway}, "the program's partition answered "+string(status))
+		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable}, "the program's partition answered "+string(status))
 	default:
 		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseNoOwner}, "the program's partition answered "+string(status))
 	}
