--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -4,7 +4,7 @@
 
 // LateCall is a call that is still unanswered after the time that calls of its route take,
 // and that may run more than once.
-type Late struct {
+type LateCall struct {
 	// Utilisation is the number of requests per slot at the least loaded replica that
 	// could take the call as well.
 	Utilisation float64
@@ -37,7 +37,7 @@
 
 // DecideRepeat decides whether a late call is sent a second time, as a hedged request: the
 // first one stays open.
-func Repeat(call *Late) RepeatVerdict {
+func Repeat(call *LateCall) RepeatVerdict {
 	switch {
 	case call.Left < max(minRepeatTime, call.TypicalDuration):
 		return RepeatNoTime
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -13,14 +13,14 @@
 // TestRepeat checks that a late call is repeated only if the repeat can bring an answer.
 func TestRepeat(t *testing.T) {
 	for _, one := range []struct {
-		call Late
+		call LateCall
 		want RepeatVerdict
 	}{
-		{Late{Utilisation: 0.5, Left: time.Second, TypicalDuration: 30 * time.Millisecond}, AgainYes},
-		{Late{Utilisation: 0.99, Left: 30 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, AgainYes},
-		{Late{Utilisation: 0.5, Left: 29 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, RepeatNoTime},
-		{Late{Left: 19 * time.Millisecond}, RepeatNoTime},
-		{Late{Utilisation: 1, Left: time.Second}, AgainFull},
+		{LateCall{Utilisation: 0.5, Left: time.Second, TypicalDuration: 30 * time.Millisecond}, AgainYes},
+		{LateCall{Utilisation: 0.99, Left: 30 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, AgainYes},
+		{LateCall{Utilisation: 0.5, Left: 29 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, RepeatNoTime},
+		{LateCall{Left: 19 * time.Millisecond}, RepeatNoTime},
+		{LateCall{Utilisation: 1, Left: time.Second}, AgainFull},
 	} {
 		NewWithT(t).Expect(Repeat(&one.call)).To(Equal(one.want), "%+v", one.call)
 	}
@@ -118,7 +118,7 @@
 	}
 	heap.Push(&f.queue, toolEvent{arrived + toolLateAfter, func() {
 		other := f.leastLoaded()
-		late := Late{Utilisation: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
+		late := LateCall{Utilisation: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
 		if f.budget >= 1 && (!f.guard || Repeat(&late) == AgainYes) {
 			f.budget--
 			f.repeats++
--- a/edge/call.go
+++ b/edge/call.go
@@ -165,8 +165,8 @@
 }
 
 // late returns what the decision to send the call again rests on.
-func (c *callRun) late() *dispatch.Late {
-	late := &dispatch.Late{Left: c.request.left()}
+func (c *callRun) late() *dispatch.LateCall {
+	late := &dispatch.LateCall{Left: c.request.left()}
 	if c.node.settings.uses(RepeatIntoRoom) {
 		late.TypicalDuration = c.node.calls.usual(c.request.route)
 		late.Utilisation = c.node.replicas.pressure(c.node.choiceOf(c.request))
