--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -23,7 +23,7 @@
 // The verdicts on a late call.
 const (
 	// RepeatSent: the answer is likely lost, and that of a repeat can come in time.
-	AgainYes RepeatVerdict = iota
+	RepeatSent RepeatVerdict = iota
 	// RepeatNoTime: the answer of a repeat would not come in time.
 	RepeatNoTime
 	// RepeatFull: every replica is full. The call is late because of the load; a repeat
@@ -44,6 +44,6 @@
 	case call.Utilisation >= 1:
 		return AgainFull
 	default:
-		return AgainYes
+		return RepeatSent
 	}
 }
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -16,8 +16,8 @@
 		call LateCall
 		want RepeatVerdict
 	}{
-		{LateCall{Utilisation: 0.5, Left: time.Second, TypicalDuration: 30 * time.Millisecond}, AgainYes},
-		{LateCall{Utilisation: 0.99, Left: 30 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, AgainYes},
+		{LateCall{Utilisation: 0.5, Left: time.Second, TypicalDuration: 30 * time.Millisecond}, RepeatSent},
+		{LateCall{Utilisation: 0.99, Left: 30 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, RepeatSent},
 		{LateCall{Utilisation: 0.5, Left: 29 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, RepeatNoTime},
 		{LateCall{Left: 19 * time.Millisecond}, RepeatNoTime},
 		{LateCall{Utilisation: 1, Left: time.Second}, AgainFull},
@@ -119,7 +119,7 @@
 	heap.Push(&f.queue, toolEvent{arrived + toolLateAfter, func() {
 		other := f.leastLoaded()
 		late := LateCall{Utilisation: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
-		if f.budget >= 1 && (!f.guard || Repeat(&late) == AgainYes) {
+		if f.budget >= 1 && (!f.guard || Repeat(&late) == RepeatSent) {
 			f.budget--
 			f.repeats++
 			ends = min(ends, f.send(other, work))
--- a/edge/call.go
+++ b/edge/call.go
@@ -153,7 +153,7 @@
 	r := c.request
 	again := dispatch.Repeat(c.late())
 	c.node.metrics.callLate(again.String())
-	if again != dispatch.AgainYes || !c.node.calls.mayRepeat() {
+	if again != dispatch.RepeatSent || !c.node.calls.mayRepeat() {
 		return
 	}
 	newest := c.flying[len(c.flying)-1]
