--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -28,7 +28,7 @@
 	RepeatNoTime
 	// RepeatFull: every replica is full. The call is late because of the load; a repeat
 	// would wait in a queue and make it longer.
-	AgainFull
+	RepeatFull
 	repeatVerdicts
 )
 
@@ -42,7 +42,7 @@
 	case call.Left < max(minRepeatTime, call.TypicalDuration):
 		return RepeatNoTime
 	case call.Utilisation >= 1:
-		return AgainFull
+		return RepeatFull
 	default:
 		return RepeatSent
 	}
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -20,7 +20,7 @@
 		{LateCall{Utilisation: 0.99, Left: 30 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, RepeatSent},
 		{LateCall{Utilisation: 0.5, Left: 29 * time.Millisecond, TypicalDuration: 30 * time.Millisecond}, RepeatNoTime},
 		{LateCall{Left: 19 * time.Millisecond}, RepeatNoTime},
-		{LateCall{Utilisation: 1, Left: time.Second}, AgainFull},
+		{LateCall{Utilisation: 1, Left: time.Second}, RepeatFull},
 	} {
 		NewWithT(t).Expect(Repeat(&one.call)).To(Equal(one.want), "%+v", one.call)
 	}
--- a/edge/share_test.go
+++ b/edge/share_test.go
@@ -55,7 +55,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		want := dispatch.RepeatSent
 		if settings.uses(RepeatIntoRoom) {
-			want = dispatch.AgainFull
+			want = dispatch.RepeatFull
 		}
 		g.Expect(dispatch.Repeat(run.late())).To(Equal(want))
 	}
