--- a/dispatch/late.go
+++ b/dispatch/late.go
@@ -37,7 +37,7 @@
 
 // DecideRepeat decides whether a late call is sent a second time, as a hedged request: the
 // first one stays open.
-func Repeat(call *LateCall) RepeatVerdict {
+func DecideRepeat(call *LateCall) RepeatVerdict {
 	switch {
 	case call.Left < max(minRepeatTime, call.TypicalDuration):
 		return RepeatNoTime
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -22,7 +22,7 @@
 		{LateCall{Left: 19 * time.Millisecond}, RepeatNoTime},
 		{LateCall{Utilisation: 1, Left: time.Second}, RepeatFull},
 	} {
-		NewWithT(t).Expect(Repeat(&one.call)).To(Equal(one.want), "%+v", one.call)
+		NewWithT(t).Expect(DecideRepeat(&one.call)).To(Equal(one.want), "%+v", one.call)
 	}
 }
 
@@ -119,7 +119,7 @@
 	heap.Push(&f.queue, toolEvent{arrived + toolLateAfter, func() {
 		other := f.leastLoaded()
 		late := LateCall{Utilisation: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
-		if f.budget >= 1 && (!f.guard || Repeat(&late) == RepeatSent) {
+		if f.budget >= 1 && (!f.guard || DecideRepeat(&late) == RepeatSent) {
 			f.budget--
 			f.repeats++
 			ends = min(ends, f.send(other, work))
--- a/edge/call.go
+++ b/edge/call.go
@@ -151,7 +151,7 @@
 func (c *callRun) repeat() {
 	c.repeats++
 	r := c.request
-	again := dispatch.Repeat(c.late())
+	again := dispatch.DecideRepeat(c.late())
 	c.node.metrics.callLate(again.String())
 	if again != dispatch.RepeatSent || !c.node.calls.mayRepeat() {
 		return
--- a/edge/share_test.go
+++ b/edge/share_test.go
@@ -50,13 +50,13 @@
 		node := &Node{settings: settings, replicas: newReplicas(&settings), calls: repeats}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
 		run := &callRun{node: node, request: &requestState{service: "s", route: &routing.Route{}, deadline: time.Now().Add(time.Hour)}}
-		g.Expect(dispatch.Repeat(run.late())).To(Equal(dispatch.RepeatSent))
+		g.Expect(dispatch.DecideRepeat(run.late())).To(Equal(dispatch.RepeatSent))
 		_, err = node.replicas.choose(&replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 		want := dispatch.RepeatSent
 		if settings.uses(RepeatIntoRoom) {
 			want = dispatch.RepeatFull
 		}
-		g.Expect(dispatch.Repeat(run.late())).To(Equal(want))
+		g.Expect(dispatch.DecideRepeat(run.late())).To(Equal(want))
 	}
 }
