--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -11,7 +11,7 @@
 // concurrent requests. The zero value has no observations. A short slowdown that affects
 // fewer than half of the recent turns does not change the estimate; a lasting change does
 // once most of the recent turns came after it. It is not safe for concurrent use.
-type Pace struct {
+type TokenTimeEstimator struct {
 	// samples are this node's newest measurements, and next the index that is overwritten
 	// next.
 	samples [keptSamples]tokenTimeSample
@@ -53,7 +53,7 @@
 )
 
 // Observe adds the token time that a turn of this node measured.
-func (p *Pace) Observe(now time.Time, token time.Duration) {
+func (p *TokenTimeEstimator) Observe(now time.Time, token time.Duration) {
 	if token <= 0 {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // ObserveReport sets the combined measurement of the other nodes, which covers the given
 // number of turns.
-func (p *Pace) ObserveReport(now time.Time, token time.Duration, turns int) {
+func (p *TokenTimeEstimator) ObserveReport(now time.Time, token time.Duration, turns int) {
 	if token <= 0 || turns <= 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 
 // weightedMedian returns the median of this node's samples, weighted by age, and how many
 // new turns they count as.
-func (p *Pace) weightedMedian(now time.Time) (token, weight float64) {
+func (p *TokenTimeEstimator) weightedMedian(now time.Time) (token, weight float64) {
 	var buffer [keptSamples]tokenTimeSample
 	turns := append(buffer[:0], p.samples[:]...)
 	slices.SortFunc(turns, func(left, right tokenTimeSample) int { return cmp.Compare(left.token, right.token) })
@@ -104,7 +104,7 @@
 
 // Lately returns the median token time of this node's turns within the given time, and
 // their number.
-func (p *Pace) Lately(now time.Time, period time.Duration) (token time.Duration, turns int) {
+func (p *TokenTimeEstimator) Lately(now time.Time, period time.Duration) (token time.Duration, turns int) {
 	var buffer [keptSamples]float64
 	recent := buffer[:0]
 	for _, one := range p.samples {
@@ -121,7 +121,7 @@
 
 // Token returns the estimated token time, given the median of the service's replicas,
 // which counts the more the fewer and older the measurements are; 0 if neither is known.
-func (p *Pace) Token(now time.Time, median time.Duration) time.Duration {
+func (p *TokenTimeEstimator) Token(now time.Time, median time.Duration) time.Duration {
 	own := p.weight * math.Exp2(-float64(now.Sub(p.at))/float64(sampleHalfLife))
 	peerWeight := p.peerWeight * p.peers.weight(now, sampleHalfLife)
 	if median <= 0 {
@@ -143,10 +143,10 @@
 }
 
 // Known reports whether the replica was measured by this node or others.
-func (p *Pace) Known() bool { return p.weight > 0 || p.peerWeight > 0 }
+func (p *TokenTimeEstimator) Known() bool { return p.weight > 0 || p.peerWeight > 0 }
 
 // Age returns the time since the newest measurement or report.
-func (p *Pace) Age(now time.Time) time.Duration {
+func (p *TokenTimeEstimator) Age(now time.Time) time.Duration {
 	newest := p.at
 	if p.peers.at.After(newest) {
 		newest = p.peers.at
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -17,7 +17,7 @@
 var begin = time.Unix(1000, 0)
 
 // addSamples adds one measurement per period, and returns the time after the last.
-func addSamples(pace *dispatch.Pace, from time.Time, lasting, period time.Duration, token time.Duration) time.Time {
+func addSamples(pace *dispatch.TokenTimeEstimator, from time.Time, lasting, period time.Duration, token time.Duration) time.Time {
 	for at := time.Duration(0); at < lasting; at += period {
 		pace.Observe(from.Add(at), token)
 	}
@@ -25,20 +25,20 @@
 }
 
 // near expects an estimate within a tenth of the given token time.
-func near(g *WithT, pace *dispatch.Pace, now time.Time, want time.Duration) {
+func near(g *WithT, pace *dispatch.TokenTimeEstimator, now time.Time, want time.Duration) {
 	g.Expect(float64(pace.Token(now, steady))).To(BeNumerically("~", float64(want), 0.1*float64(want)))
 }
 
 func TestTokenTimeWithoutSamplesIsTheMedian(t *testing.T) {
 	g := NewWithT(t)
-	var pace dispatch.Pace
+	var pace dispatch.TokenTimeEstimator
 	g.Expect(pace.Known()).To(BeFalse())
 	near(g, &pace, begin, steady)
 }
 
 func TestTokenTimeFollowsAChangeWithinTwoSeconds(t *testing.T) {
 	g := NewWithT(t)
-	var pace dispatch.Pace
+	var pace dispatch.TokenTimeEstimator
 	now := addSamples(&pace, begin, 10*time.Second, 250*time.Millisecond, quick)
 	near(g, &pace, now, quick)
 	now = addSamples(&pace, now, 2*time.Second, 250*time.Millisecond, 3*quick)
@@ -47,7 +47,7 @@
 
 func TestTokenTimeIgnoresAShortSlowdown(t *testing.T) {
 	g := NewWithT(t)
-	var pace dispatch.Pace
+	var pace dispatch.TokenTimeEstimator
 	now := addSamples(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
 	now = addSamples(&pace, now, 600*time.Millisecond, 200*time.Millisecond, quick*5/2)
 	now = addSamples(&pace, now, 200*time.Millisecond, 200*time.Millisecond, quick)
@@ -56,7 +56,7 @@
 
 func TestTokenTimeForgetsOldSamples(t *testing.T) {
 	g := NewWithT(t)
-	var pace dispatch.Pace
+	var pace dispatch.TokenTimeEstimator
 	now := addSamples(&pace, begin, 4*time.Second, 200*time.Millisecond, quick)
 	near(g, &pace, now.Add(5*time.Second), quick)
 	near(g, &pace, now.Add(2*time.Minute), steady)
@@ -64,7 +64,7 @@
 
 func TestTokenTimeFromReports(t *testing.T) {
 	g := NewWithT(t)
-	var pace dispatch.Pace
+	var pace dispatch.TokenTimeEstimator
 	pace.ObserveReport(begin, quick, 10)
 	near(g, &pace, begin, quick)
 }
@@ -72,7 +72,7 @@
 func TestFalseReportMovesTokenTimeByABoundedFactor(t *testing.T) {
 	g := NewWithT(t)
 	for _, falseToken := range []time.Duration{time.Nanosecond, time.Hour} {
-		var pace dispatch.Pace
+		var pace dispatch.TokenTimeEstimator
 		now := addSamples(&pace, begin, 4*time.Second, 100*time.Millisecond, steady)
 		pace.ObserveReport(now, falseToken, 1_000_000)
 		g.Expect(pace.Token(now, steady)).To(And(BeNumerically(">=", steady/4), BeNumerically("<=", 4*steady)))
--- a/replica/set.go
+++ b/replica/set.go
@@ -168,7 +168,7 @@
 	removeAt time.Time
 	cold     coldState
 	// tokenTime estimates the time per generated token.
-	tokenTime dispatch.Pace
+	tokenTime dispatch.TokenTimeEstimator
 	// tokenNanoseconds is that estimate as of the last update of the service's token times, in
 	// nanoseconds; 0 if nothing is known.
 	tokenNanoseconds float64
