--- a/dispatch/reading.go
+++ b/dispatch/reading.go
@@ -9,7 +9,7 @@
 // its first event: a base time of each turn, plus a time for each uncached token of its
 // prompt. Both are in units of the replica's token time. The zero value has no
 // observations. It is not safe for concurrent use.
-type Reading struct {
+type PrefillEstimator struct {
 	// The sums of a linear regression of the first-event time on the uncached tokens, with
 	// exponential decay.
 	turns, uncached, first, squares, products float64
@@ -37,7 +37,7 @@
 
 // Observe adds the time that a turn waited for its first event at a replica where the
 // given number of tokens were uncached, with the given token time.
-func (r *Reading) Observe(now time.Time, uncached int, first, token time.Duration) {
+func (r *PrefillEstimator) Observe(now time.Time, uncached int, first, token time.Duration) {
 	if token <= 0 || first < 0 || uncached < 0 {
 		return
 	}
@@ -59,7 +59,7 @@
 
 // Fit returns the base time of a turn and the time of each uncached token, in units of the
 // token time.
-func (r *Reading) Fit() (base, ratio float64) {
+func (r *PrefillEstimator) Fit() (base, ratio float64) {
 	if r.turns == 0 {
 		return 0, ReadShare
 	}
--- a/dispatch/reading_test.go
+++ b/dispatch/reading_test.go
@@ -11,7 +11,7 @@
 
 // addTurns adds turns whose first event takes a base time plus a time per uncached token,
 // both in units of the token time.
-func addTurns(reading *dispatch.Reading, from time.Time, turns int, base, ratio float64) time.Time {
+func addTurns(reading *dispatch.PrefillEstimator, from time.Time, turns int, base, ratio float64) time.Time {
 	for index := range turns {
 		uncached := 500 + 700*(index%19)
 		first := time.Duration((base + ratio*float64(uncached)) * float64(steady))
@@ -23,7 +23,7 @@
 
 func TestPrefillLearnsBaseAndRatio(t *testing.T) {
 	g := NewWithT(t)
-	var reading dispatch.Reading
+	var reading dispatch.PrefillEstimator
 	_, ratio := reading.Fit()
 	g.Expect(ratio).To(Equal(dispatch.ReadShare))
 	addTurns(&reading, begin, 300, 12, 1.0/80)
@@ -34,7 +34,7 @@
 
 func TestPrefillFollowsAChange(t *testing.T) {
 	g := NewWithT(t)
-	var reading dispatch.Reading
+	var reading dispatch.PrefillEstimator
 	now := addTurns(&reading, begin, 300, 12, 1.0/80)
 	addTurns(&reading, now, 600, 12, 1.0/300)
 	_, ratio := reading.Fit()
@@ -43,7 +43,7 @@
 
 func TestOutlierChangesPrefillLittle(t *testing.T) {
 	g := NewWithT(t)
-	var reading dispatch.Reading
+	var reading dispatch.PrefillEstimator
 	now := addTurns(&reading, begin, 300, 12, 1.0/200)
 	base, ratio := reading.Fit()
 	reading.Observe(now, 10, time.Hour, steady)
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -77,7 +77,7 @@
 	load float64
 	// firstEvent estimates the time to the first event. firstEventBase and prefillShare are its
 	// fit as of the last update, in units of the replica's token time.
-	firstEvent                   dispatch.Reading
+	firstEvent                   dispatch.PrefillEstimator
 	firstEventBase, prefillShare float64
 }
 
