--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -6,7 +6,7 @@
 // this node saw. The time that a client grants its program at the first turn indicates the
 // program's size; the time per turn is learned by route. It is not safe for concurrent
 // use.
-type Usual struct {
+type RemainingTimeEstimator struct {
 	programs map[string]*trackedProgram
 	routes   map[string]*routeSums
 	sweptAt  time.Time
@@ -46,13 +46,13 @@
 )
 
 // NewRemainingTimeEstimator returns an estimator without observations.
-func NewUsual() *Usual {
-	return &Usual{programs: make(map[string]*trackedProgram), routes: make(map[string]*routeSums)}
+func NewUsual() *RemainingTimeEstimator {
+	return &RemainingTimeEstimator{programs: make(map[string]*trackedProgram), routes: make(map[string]*routeSums)}
 }
 
 // Begin records the arrival of a program's turn. Granted is the time that the client
 // grants the whole program if this is its first turn, else 0.
-func (u *Usual) Begin(now time.Time, route, program string, granted time.Duration) {
+func (u *RemainingTimeEstimator) Begin(now time.Time, route, program string, granted time.Duration) {
 	u.sweep(now)
 	tracked := u.programs[program]
 	if tracked == nil {
@@ -67,7 +67,7 @@
 }
 
 // End records that a turn of a program was served.
-func (u *Usual) End(now time.Time, program string) {
+func (u *RemainingTimeEstimator) End(now time.Time, program string) {
 	if tracked := u.programs[program]; tracked != nil {
 		tracked.last = now
 	}
@@ -76,7 +76,7 @@
 // Remaining returns how much longer a program is expected to take, including the turn that
 // began last; 0 if unknown. If this node did not see the first turn of the program, the
 // result covers only the present turn.
-func (u *Usual) Remaining(route, program string) time.Duration {
+func (u *RemainingTimeEstimator) Remaining(route, program string) time.Duration {
 	sums := u.routes[route]
 	if sums == nil || sums.programs < minRoutePrograms {
 		return 0
@@ -90,7 +90,7 @@
 }
 
 // sweep removes the programs that have ended and learns from them.
-func (u *Usual) sweep(now time.Time) {
+func (u *RemainingTimeEstimator) sweep(now time.Time) {
 	if now.Sub(u.sweptAt) < sweepInterval {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // learn adds an ended program that this node saw from its first turn.
-func (u *Usual) learn(now time.Time, tracked *trackedProgram) {
+func (u *RemainingTimeEstimator) learn(now time.Time, tracked *trackedProgram) {
 	sums := u.routes[tracked.route]
 	if sums == nil {
 		if len(u.routes) >= maxTrackedRoutes {
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -14,7 +14,7 @@
 // turns that compete are served. They are safe for concurrent use.
 type standings struct {
 	mutex sync.Mutex
-	usual *dispatch.Usual
+	usual *dispatch.RemainingTimeEstimator
 	// bands are those of the newest configuration that was used.
 	bands atomic.Pointer[bandsOf]
 }
