--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -46,7 +46,7 @@
 )
 
 // NewRemainingTimeEstimator returns an estimator without observations.
-func NewUsual() *RemainingTimeEstimator {
+func NewRemainingTimeEstimator() *RemainingTimeEstimator {
 	return &RemainingTimeEstimator{programs: make(map[string]*trackedProgram), routes: make(map[string]*routeSums)}
 }
 
--- a/dispatch/usual_test.go
+++ b/dispatch/usual_test.go
@@ -12,7 +12,7 @@
 // clients grant 400 ms per turn.
 func TestRemainingTimeIsLearned(t *testing.T) {
 	g := NewWithT(t)
-	usual := NewUsual()
+	usual := NewRemainingTimeEstimator()
 	now := epoch
 	for number := range 40 {
 		turns := 2 + number%5
@@ -39,7 +39,7 @@
 // TestRemainingTimeEstimatorIsBounded checks the bounds on tracked programs and routes.
 func TestRemainingTimeEstimatorIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	usual := NewUsual()
+	usual := NewRemainingTimeEstimator()
 	now := epoch
 	for number := range 5000 {
 		now = now.Add(time.Millisecond)
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -25,7 +25,7 @@
 	services map[string]dispatch.Bands
 }
 
-func newStandings() *standings { return &standings{usual: dispatch.NewUsual()} }
+func newStandings() *standings { return &standings{usual: dispatch.NewRemainingTimeEstimator()} }
 
 // begin takes in that a turn of a program came.
 func (s *standings) begin(now time.Time, r *requestState) {
