--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -101,7 +101,7 @@
 	job := dispatch.Job{Tokens: 200}
 	before := 0.0
 	for load := range 24 {
-		room := dispatch.Place{Load: float64(load), Slots: 16, Token: 1e6, PrefillTime: 5e3, UncachedTokens: 1000}
+		room := dispatch.ReplicaState{Load: float64(load), Slots: 16, Token: 1e6, PrefillTime: 5e3, UncachedTokens: 1000}
 		cost := job.Cost(&room)
 		g.Expect(cost).To(BeNumerically(">", before))
 		g.Expect(cost).To(BeNumerically(">", job.End(&room)-1))
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -8,7 +8,7 @@
 
 // ReplicaState is the state of one replica that a turn could be sent to. Times are in
 // nanoseconds.
-type Place struct {
+type ReplicaState struct {
 	// Load is the number of concurrent requests, and Slots how many the replica runs at
 	// once.
 	Load, Slots float64
@@ -46,25 +46,25 @@
 )
 
 // End predicts the time from sending the turn to its last token.
-func (j *Job) End(replica *Place) float64 {
+func (j *Job) End(replica *ReplicaState) float64 {
 	work := replica.UncachedTokens*replica.PrefillTime + j.Tokens*replica.Token*(1+BesideShare*replica.Load)
 	return replica.Delay + work*(1+queueingFactor*replica.expectedQueue())
 }
 
 // AddedDelay predicts by how much the turn delays all concurrent requests together.
-func (j *Job) AddedDelay(replica *Place) float64 {
+func (j *Job) AddedDelay(replica *ReplicaState) float64 {
 	return replica.Load * (replica.UncachedTokens*replica.PrefillTime + BesideShare*j.Tokens*replica.Token)
 }
 
 // Cost is the quantity that a placement minimizes: the turn's completion time plus the
 // delay that it adds to others.
-func (j *Job) Cost(replica *Place) float64 {
+func (j *Job) Cost(replica *ReplicaState) float64 {
 	return j.End(replica) + j.AddedDelay(replica)
 }
 
 // expectedQueue returns the expected number of requests in excess of the slots once the
 // turn has arrived. The load is taken as uniformly distributed within loadUncertainty.
-func (p *Place) expectedQueue() float64 {
+func (p *ReplicaState) expectedQueue() float64 {
 	excess, margin := p.Load-p.Slots+1, loadUncertainty*p.Slots
 	switch {
 	case excess <= -margin:
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -183,9 +183,9 @@
 }
 
 // placement describes a replica for the prediction of a request there.
-func (e *evaluation) placement(m *member) dispatch.Place {
+func (e *evaluation) placement(m *member) dispatch.ReplicaState {
 	token := e.tokenTimes.of(m)
-	return dispatch.Place{
+	return dispatch.ReplicaState{
 		Load: e.loads.steadyLoad(m), Slots: float64(max(1, m.entry.Slots)),
 		Token: token, PrefillTime: token * e.tokenTimes.prefillShare, UncachedTokens: float64(e.uncachedTokens(m)),
 		Delay: e.tokenTimes.firstEventBase*token + float64(e.fixedCost(m))*e.tokenTimes.median*dispatch.ReadShare,
@@ -193,7 +193,7 @@
 }
 
 // placementCost is the cost of a replica in nanoseconds.
-func (e *evaluation) placementCost(m *member, place *dispatch.Place) float64 {
+func (e *evaluation) placementCost(m *member, place *dispatch.ReplicaState) float64 {
 	cost := e.job.Cost(place)
 	switch {
 	case m.entry.ID != e.request.Preferred:
