--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -25,7 +25,7 @@
 	// SlowdownPerRequest is the fraction by which one concurrent request lengthens the
 	// time of each token: the batch's step grows a little, and its prompt is prefilled
 	// between the tokens.
-	BesideShare = 0.05
+	SlowdownPerRequest = 0.05
 	// DefaultPrefillRatio is the time to prefill one token in units of the time to
 	// generate one, used until a service's own ratio is learned.
 	ReadShare = 1.0 / 200
@@ -47,13 +47,13 @@
 
 // End predicts the time from sending the turn to its last token.
 func (j *Job) End(replica *ReplicaState) float64 {
-	work := replica.UncachedTokens*replica.PrefillTime + j.Tokens*replica.Token*(1+BesideShare*replica.Load)
+	work := replica.UncachedTokens*replica.PrefillTime + j.Tokens*replica.Token*(1+SlowdownPerRequest*replica.Load)
 	return replica.Delay + work*(1+queueingFactor*replica.expectedQueue())
 }
 
 // AddedDelay predicts by how much the turn delays all concurrent requests together.
 func (j *Job) AddedDelay(replica *ReplicaState) float64 {
-	return replica.Load * (replica.UncachedTokens*replica.PrefillTime + BesideShare*j.Tokens*replica.Token)
+	return replica.Load * (replica.UncachedTokens*replica.PrefillTime + SlowdownPerRequest*j.Tokens*replica.Token)
 }
 
 // Cost is the quantity that a placement minimizes: the turn's completion time plus the
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -87,7 +87,7 @@
 	if known == nil || sample.Token <= 0 || s.config.Disabled.TokenTimes {
 		return
 	}
-	unloaded := float64(sample.Token) / (1 + dispatch.BesideShare*float64(max(0, sample.Load)))
+	unloaded := float64(sample.Token) / (1 + dispatch.SlowdownPerRequest*float64(max(0, sample.Load)))
 	known.tokenTime.Observe(now, time.Duration(unloaded))
 	s.measured[id] = known
 	service := s.serviceTokenTimes[known.entry.Service]
@@ -340,6 +340,6 @@
 	for _, m := range members {
 		token := t.of(m)
 		fill := max(minimumFill, dispatch.Fill(high, token, float64(m.entry.Slots)))
-		m.weight = fill / (token * (1 + dispatch.BesideShare*fill))
+		m.weight = fill / (token * (1 + dispatch.SlowdownPerRequest*fill))
 	}
 }
