--- a/dispatch/reading.go
+++ b/dispatch/reading.go
@@ -26,8 +26,8 @@
 	priorTurns  = 20
 	priorSpread = 2000
 	// minPrefillRatio and maxPrefillRatio bound the ratio of prefill time to token time.
-	minPrefillRatio = ReadShare / 4
-	maxPrefillRatio = ReadShare * 4
+	minPrefillRatio = DefaultPrefillRatio / 4
+	maxPrefillRatio = DefaultPrefillRatio * 4
 	// outlierFactor and outlierTokens bound the time that one turn contributes: at most
 	// outlierFactor times the expected time plus outlierTokens token times. A longer one
 	// waited for something else.
@@ -61,12 +61,12 @@
 // token time.
 func (r *PrefillEstimator) Fit() (base, ratio float64) {
 	if r.turns == 0 {
-		return 0, ReadShare
+		return 0, DefaultPrefillRatio
 	}
 	const prior = priorTurns * priorSpread * priorSpread
 	variance := r.squares - r.uncached*r.uncached/r.turns
 	covariance := r.products - r.uncached*r.first/r.turns
-	ratio = min(max((covariance+prior*ReadShare)/(variance+prior), minPrefillRatio), maxPrefillRatio)
+	ratio = min(max((covariance+prior*DefaultPrefillRatio)/(variance+prior), minPrefillRatio), maxPrefillRatio)
 	base = max(0, (r.first-ratio*r.uncached)/r.turns)
 	return base, ratio
 }
--- a/dispatch/reading_test.go
+++ b/dispatch/reading_test.go
@@ -25,7 +25,7 @@
 	g := NewWithT(t)
 	var reading dispatch.PrefillEstimator
 	_, ratio := reading.Fit()
-	g.Expect(ratio).To(Equal(dispatch.ReadShare))
+	g.Expect(ratio).To(Equal(dispatch.DefaultPrefillRatio))
 	addTurns(&reading, begin, 300, 12, 1.0/80)
 	base, ratio := reading.Fit()
 	g.Expect(ratio).To(BeNumerically("~", 1.0/80, 1.0/800))
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -188,7 +188,7 @@
 	return dispatch.ReplicaState{
 		Load: e.loads.steadyLoad(m), Slots: float64(max(1, m.entry.Slots)),
 		Token: token, PrefillTime: token * e.tokenTimes.prefillShare, UncachedTokens: float64(e.uncachedTokens(m)),
-		Delay: e.tokenTimes.firstEventBase*token + float64(e.fixedCost(m))*e.tokenTimes.median*dispatch.ReadShare,
+		Delay: e.tokenTimes.firstEventBase*token + float64(e.fixedCost(m))*e.tokenTimes.median*dispatch.DefaultPrefillRatio,
 	}
 }
 
