--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -78,6 +78,6 @@
 
 // LoadAtCost returns the number of concurrent requests at which one more costs the given
 // level per token in total, up to maxFillFraction of the slots.
-func Fill(level, token, slots float64) float64 {
+func LoadAtCost(level, token, slots float64) float64 {
 	return min(max(0, (level/token-1)/marginalSlowdown), maxFillFraction*slots)
 }
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -329,7 +329,7 @@
 		level := math.Sqrt(low * high)
 		total := 0.0
 		for _, m := range members {
-			total += dispatch.Fill(level, t.of(m), float64(m.entry.Slots))
+			total += dispatch.LoadAtCost(level, t.of(m), float64(m.entry.Slots))
 		}
 		if total < t.load+float64(len(members))*spareRequests {
 			low = level
@@ -339,7 +339,7 @@
 	}
 	for _, m := range members {
 		token := t.of(m)
-		fill := max(minimumFill, dispatch.Fill(high, token, float64(m.entry.Slots)))
+		fill := max(minimumFill, dispatch.LoadAtCost(high, token, float64(m.entry.Slots)))
 		m.weight = fill / (token * (1 + dispatch.SlowdownPerRequest*fill))
 	}
 }
