--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -95,7 +95,7 @@
 
 // chargeState is this node's state for enforcing the limits of tenants and cold replicas.
 type chargeState struct {
-	books map[accountKind]*tenant.Book
+	books map[accountKind]*tenant.Limiter
 	// countingNodes caches the counting nodes of accounts for the live nodes of
 	// membershipVersion.
 	countingNodes     map[account]machine.ID
@@ -129,7 +129,7 @@
 
 func newChargeState(now time.Time, config *Config) chargeState {
 	return chargeState{
-		books: map[accountKind]*tenant.Book{
+		books: map[accountKind]*tenant.Limiter{
 			tenantAccount:  tenant.NewBook(now.Add(config.StartupDelay), config.Tenants),
 			replicaAccount: tenant.NewBook(now.Add(config.StartupDelay), config.ColdReplicas),
 		},
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -7,7 +7,7 @@
 
 // Limiter holds the accounts of the tenants for which a node is the charge owner. It is
 // not safe for concurrent use.
-type Book struct {
+type Limiter struct {
 	config   Config
 	accounts map[string]*account
 	costs    map[string]*cost
@@ -21,20 +21,20 @@
 }
 
 // NewLimiter returns a Limiter without accounts.
-func NewBook(now time.Time, config Config) *Book {
-	return &Book{config: config, accounts: make(map[string]*account), costs: make(map[string]*cost), countingSince: now, share: 1}
+func NewBook(now time.Time, config Config) *Limiter {
+	return &Limiter{config: config, accounts: make(map[string]*account), costs: make(map[string]*cost), countingSince: now, share: 1}
 }
 
 // SetShare sets the fraction of each limit that this node may grant. The rest is for
 // unreachable nodes, which may count separately.
-func (b *Book) SetShare(share float64) { b.share = min(max(share, 0), 1) }
+func (b *Limiter) SetShare(share float64) { b.share = min(max(share, 0), 1) }
 
 // NodeLost records that a node was lost that counted for tenants which this node counts
 // for from now on. It may have granted all that their accounts held.
-func (b *Book) NodeLost(now time.Time) { b.countingSince = now }
+func (b *Limiter) NodeLost(now time.Time) { b.countingSince = now }
 
 // Retain drops the accounts that another node counts for by now.
-func (b *Book) Retain(owned func(tenant string) bool) {
+func (b *Limiter) Retain(owned func(tenant string) bool) {
 	for name := range b.accounts {
 		if !owned(name) {
 			delete(b.accounts, name)
@@ -44,7 +44,7 @@
 
 // Take decides whether a request fits the tenant's limit, and counts it if so. It is
 // idempotent by the ID of the request.
-func (b *Book) Take(now time.Time, name string, request Request) Decision {
+func (b *Limiter) Take(now time.Time, name string, request Request) Decision {
 	b.sweep(now)
 	acct := b.accounts[name]
 	if acct == nil {
@@ -62,7 +62,7 @@
 }
 
 // decide grants a request, or returns when to retry it.
-func (b *Book) decide(now time.Time, acct *account, request *Request) Decision {
+func (b *Limiter) decide(now time.Time, acct *account, request *Request) Decision {
 	if _, again := acct.granted[request.ID]; again {
 		return Decision{Granted: true}
 	}
@@ -75,17 +75,17 @@
 }
 
 // recordUse adds a granted request to what programs of its route need.
-func (b *Book) recordUse(acct *account, request *Request) {
+func (b *Limiter) recordUse(acct *account, request *Request) {
 	if known := acct.programs[request.Program]; known != nil && !known.inherited {
 		b.costOf(known.route).recordUse()
 	}
 }
 
-func (b *Book) available(acct *account) float64 { return acct.available(&b.config, b.share) }
+func (b *Limiter) available(acct *account) float64 { return acct.available(&b.config, b.share) }
 
 // retryAfter returns the retry delay of a request that has to be refused, or 0 if it can
 // be granted.
-func (b *Book) retryAfter(now time.Time, acct *account, request *Request) time.Duration {
+func (b *Limiter) retryAfter(now time.Time, acct *account, request *Request) time.Duration {
 	if request.Program == "" || b.config.ArrivalOrder {
 		return b.retryAfterPlain(now, acct)
 	}
@@ -105,7 +105,7 @@
 
 // retryAfterPlain is retryAfter for a request that is granted without regard to its
 // program.
-func (b *Book) retryAfterPlain(now time.Time, acct *account) time.Duration {
+func (b *Limiter) retryAfterPlain(now time.Time, acct *account) time.Duration {
 	deficit := 1 - b.available(acct)
 	if deficit <= 0 {
 		return 0
@@ -115,7 +115,7 @@
 
 // retryAfterStarted is retryAfter for a started program, whose requests are refused only
 // if the overdraft is used up.
-func (b *Book) retryAfterStarted(now time.Time, acct *account, known *program) time.Duration {
+func (b *Limiter) retryAfterStarted(now time.Time, acct *account, known *program) time.Duration {
 	known.lastAt = now
 	deficit := 1 - b.available(acct) - acct.overdraft(&b.config)
 	if deficit <= 0 {
@@ -131,7 +131,7 @@
 // account earns more requests. Unless the account was empty recently, the needs are
 // ignored: most programs finish within the limit, and making one wait for nothing makes it
 // late.
-func (b *Book) retryAfterNew(now time.Time, acct *account, request *Request) time.Duration {
+func (b *Limiter) retryAfterNew(now time.Time, acct *account, request *Request) time.Duration {
 	needs := b.costOf(request.Route)
 	earned := needs.span.Seconds() / 2 * acct.rate(now, &b.config, b.share)
 	deficit := b.committed(now, acct) + needs.mean() - b.available(acct) - acct.overdraft(&b.config) - earned
@@ -158,7 +158,7 @@
 // time left, and a limit that holds half of the programs serves half of them in time or
 // all of them late. A program that arrives for the first time may start if the account
 // holds most of what it needs. Any program may start if the bucket is almost full.
-func (b *Book) mayStart(acct *account, request *Request, deficit float64) bool {
+func (b *Limiter) mayStart(acct *account, request *Request, deficit float64) bool {
 	_, retrying := acct.refused[request.Program]
 	switch {
 	case b.config.RetriesAsNew:
@@ -172,7 +172,7 @@
 }
 
 // committed returns how many requests the started programs are expected to need yet.
-func (b *Book) committed(now time.Time, acct *account) float64 {
+func (b *Limiter) committed(now time.Time, acct *account) float64 {
 	total := 0.0
 	for _, known := range acct.programs {
 		total += b.costOf(known.route).remaining(now, known)
@@ -180,7 +180,7 @@
 	return total
 }
 
-func (b *Book) costOf(route string) *cost {
+func (b *Limiter) costOf(route string) *cost {
 	known := b.costs[route]
 	if known == nil {
 		known = newCost()
@@ -190,13 +190,13 @@
 }
 
 // Refund undoes the grant of a request that did not run.
-func (b *Book) Refund(name string, request Request) {
+func (b *Limiter) Refund(name string, request Request) {
 	if acct := b.accounts[name]; acct != nil {
 		acct.refund(request.ID, request.Program)
 	}
 }
 
-func (b *Book) sweep(now time.Time) {
+func (b *Limiter) sweep(now time.Time) {
 	if now.Before(b.nextSweep) {
 		return
 	}
@@ -211,4 +211,4 @@
 }
 
 // Count returns the number of accounts.
-func (b *Book) Count() int { return len(b.accounts) }
+func (b *Limiter) Count() int { return len(b.accounts) }
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -20,7 +20,7 @@
 
 // establishedLimiter returns a Limiter whose node has been the only charge owner for
 // longer than a window.
-func establishedLimiter() *tenant.Book {
+func establishedLimiter() *tenant.Limiter {
 	return tenant.NewBook(begun.Add(-time.Minute), tenant.DefaultConfig())
 }
 
@@ -48,7 +48,7 @@
 
 // saturate sends a request every millisecond for a time, and returns when requests were
 // granted.
-func saturate(limiter *tenant.Book, from time.Time, span time.Duration, ask func(index int) tenant.Request) (granted []time.Time) {
+func saturate(limiter *tenant.Limiter, from time.Time, span time.Duration, ask func(index int) tenant.Request) (granted []time.Time) {
 	for index := range int(span / time.Millisecond) {
 		now := from.Add(time.Duration(index) * time.Millisecond)
 		if limiter.Take(now, "t", ask(index)).Granted {
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -18,7 +18,7 @@
 // new request up to twice; a refused call is retried once. A program ends with the first
 // request that is given up.
 type simulation struct {
-	limiter *tenant.Book
+	limiter *tenant.Limiter
 	limit   tenant.Limit
 	random  *rand.Rand
 	now     time.Time
