--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -130,8 +130,8 @@
 func newChargeState(now time.Time, config *Config) chargeState {
 	return chargeState{
 		books: map[accountKind]*tenant.Limiter{
-			tenantAccount:  tenant.NewBook(now.Add(config.StartupDelay), config.Tenants),
-			replicaAccount: tenant.NewBook(now.Add(config.StartupDelay), config.ColdReplicas),
+			tenantAccount:  tenant.NewLimiter(now.Add(config.StartupDelay), config.Tenants),
+			replicaAccount: tenant.NewLimiter(now.Add(config.StartupDelay), config.ColdReplicas),
 		},
 		countingNodes: make(map[account]machine.ID), pending: make(map[uint64]*pendingCharge), nextNumber: firstNumber(config.Random),
 	}
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -21,7 +21,7 @@
 }
 
 // NewLimiter returns a Limiter without accounts.
-func NewBook(now time.Time, config Config) *Limiter {
+func NewLimiter(now time.Time, config Config) *Limiter {
 	return &Limiter{config: config, accounts: make(map[string]*account), costs: make(map[string]*cost), countingSince: now, share: 1}
 }
 
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -21,7 +21,7 @@
 // establishedLimiter returns a Limiter whose node has been the only charge owner for
 // longer than a window.
 func establishedLimiter() *tenant.Limiter {
-	return tenant.NewBook(begun.Add(-time.Minute), tenant.DefaultConfig())
+	return tenant.NewLimiter(begun.Add(-time.Minute), tenant.DefaultConfig())
 }
 
 func request(id string) tenant.Request {
@@ -134,7 +134,7 @@
 			for lostAfter := 500 * time.Millisecond; lostAfter < 10*time.Second; lostAfter += 500 * time.Millisecond {
 				first := establishedLimiter()
 				lost := begun.Add(lostAfter)
-				next := tenant.NewBook(begun.Add(-time.Minute), config)
+				next := tenant.NewLimiter(begun.Add(-time.Minute), config)
 				next.NodeLost(lost.Add(-overlap))
 				var granted []time.Time
 				for tick := range 15_000 {
@@ -180,7 +180,7 @@
 // requests per second allows, and returns how many programs had all their requests granted
 // and how many requests were granted.
 func simulateOverload(config tenant.Config) (ended, asked int) {
-	limiter := tenant.NewBook(begun.Add(-time.Minute), config)
+	limiter := tenant.NewLimiter(begun.Add(-time.Minute), config)
 	type run struct{ made, failed int }
 	runs := map[int]*run{}
 	random := rand.New(rand.NewPCG(3, 4))
--- a/tenant/programs_test.go
+++ b/tenant/programs_test.go
@@ -177,7 +177,7 @@
 func simulateBurst(config tenant.Config, rate, usual, times float64) (sum simulation) {
 	for seed := range uint64(20) {
 		played := &simulation{
-			limiter: tenant.NewBook(begun.Add(-time.Minute), config), limit: tenant.Limit{Rate: rate, Burst: rate},
+			limiter: tenant.NewLimiter(begun.Add(-time.Minute), config), limit: tenant.Limit{Rate: rate, Burst: rate},
 			random: rand.New(rand.NewPCG(seed, 7)), now: begun,
 		}
 		played.arrive(begun.Add(16*time.Second), func(now time.Time) float64 {
