--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -45,7 +45,7 @@
 func (r *replicas) takeTotals(now time.Time, totals *gather.Totals) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	word := replica.Word{Nodes: totals.Nodes, At: totals.At, Partial: totals.Partial}
+	word := replica.LoadSummary{Nodes: totals.Nodes, At: totals.At, Partial: totals.Partial}
 	word.Totals = make(map[replica.ID]replica.Total, len(totals.Counts))
 	for key, count := range totals.Counts {
 		if id := r.keyed[key]; id != "" {
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -404,7 +404,7 @@
 			totals[replica.ID(fmt.Sprintf("r%02d", index))] = replica.Total{Requests: 14}
 		}
 	}
-	set.ApplyLoadSummary(replayStart, replica.Word{Nodes: 7, At: replayStart, Totals: totals})
+	set.ApplyLoadSummary(replayStart, replica.LoadSummary{Nodes: 7, At: replayStart, Totals: totals})
 	at := func(id replica.ID) time.Duration {
 		choice, err := set.Select(replayStart.Add(400*time.Millisecond), &replica.Request{Service: "model", ExpectedTokens: 200, Only: id})
 		g.Expect(err).NotTo(HaveOccurred())
--- a/replica/spread_test.go
+++ b/replica/spread_test.go
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	s.sets[node].ApplyLoadSummary(s.now, Word{Nodes: spreadNodes - 1, At: s.now.Add(-summaryDelay), Totals: totals})
+	s.sets[node].ApplyLoadSummary(s.now, LoadSummary{Nodes: spreadNodes - 1, At: s.now.Add(-summaryDelay), Totals: totals})
 }
 
 // sendReport sends a node the report of a peer.
--- a/replica/word.go
+++ b/replica/word.go
@@ -6,7 +6,7 @@
 )
 
 // LoadSummary is the load of all other nodes as summed up by a collector.
-type Word struct {
+type LoadSummary struct {
 	// Nodes is the number of other nodes included, and At the time at which their counts were
 	// valid.
 	Nodes int
@@ -38,7 +38,7 @@
 
 // ApplyLoadSummary applies the load of all other nodes. A replica that is not in a complete
 // summary has no requests of other nodes.
-func (s *Set) ApplyLoadSummary(now time.Time, summary Word) {
+func (s *Set) ApplyLoadSummary(now time.Time, summary LoadSummary) {
 	if s.config.Disabled.PeerLoads {
 		return
 	}
--- a/replica/word_scale_test.go
+++ b/replica/word_scale_test.go
@@ -19,7 +19,7 @@
 	for index := range replicas {
 		totals[scaleEntry(index).ID] = replica.Total{Requests: float64(index % 5)}
 	}
-	summary := replica.Word{Nodes: 983, At: now.Add(-300 * time.Millisecond), Totals: totals}
+	summary := replica.LoadSummary{Nodes: 983, At: now.Add(-300 * time.Millisecond), Totals: totals}
 	b.Run("take", func(b *testing.B) {
 		for b.Loop() {
 			set.ApplyLoadSummary(now, summary)
--- a/replica/word_test.go
+++ b/replica/word_test.go
@@ -34,7 +34,7 @@
 	set := summarySet(2, 21)
 	set.SetPeer(virtualStart, "peer", map[ID]int{"r0": 1})
 	reported := estimatedLoad(set, virtualStart, "r0")
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 20, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 6}}})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 20, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 6}}})
 	set.Began(virtualStart, "r0", &Request{})
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(Equal(7.0))
 	g.Expect(estimatedLoad(set, virtualStart, "r1")).To(BeZero())
@@ -42,7 +42,7 @@
 	later := virtualStart.Add(summaryLifetime + time.Millisecond)
 	g.Expect(estimatedLoad(set, later, "r0")).To(BeNumerically("~", reported+1, 0.001))
 	// A load summary that covers fewer nodes than the reports is not used.
-	set.ApplyLoadSummary(later, Word{Nodes: 1, At: later, Totals: map[ID]Total{"r0": {Requests: 6}}})
+	set.ApplyLoadSummary(later, LoadSummary{Nodes: 1, At: later, Totals: map[ID]Total{"r0": {Requests: 6}}})
 	g.Expect(estimatedLoad(set, later, "r0")).To(BeNumerically("~", reported+1, 0.001))
 }
 
@@ -51,7 +51,7 @@
 func TestLoadSummaryAges(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(2, 21)
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 20, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 8}}})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 20, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 8}}})
 	difference := func(age time.Duration) float64 {
 		return estimatedLoad(set, virtualStart.Add(age), "r0") - estimatedLoad(set, virtualStart.Add(age), "r1")
 	}
@@ -68,7 +68,7 @@
 		set.Ended(now, "r0", ResultAnswered)
 	}
 	g.Expect(set.meanDuration("s")).To(Equal(2 * time.Second))
-	set.ApplyLoadSummary(now, Word{Nodes: 20, At: now.Add(-300 * time.Millisecond), Totals: map[ID]Total{"r0": {Requests: 8}}})
+	set.ApplyLoadSummary(now, LoadSummary{Nodes: 20, At: now.Add(-300 * time.Millisecond), Totals: map[ID]Total{"r0": {Requests: 8}}})
 	g.Expect(estimatedLoad(set, now, "r0") - estimatedLoad(set, now, "r1")).To(And(BeNumerically(">", 4), BeNumerically("<", 8)))
 }
 
@@ -77,7 +77,7 @@
 func TestLoadSummaryOfSomeNodes(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(2, 21)
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 10, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 4}, "r1": {Requests: 4}}})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 10, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 4}, "r1": {Requests: 4}}})
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(BeNumerically("~", 8, 1))
 }
 
@@ -90,7 +90,7 @@
 	for peer := range 7 {
 		set.SetPeer(virtualStart, fmt.Sprint("peer-", peer), map[ID]int{"r0": 5})
 	}
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 5, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 5}}})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 5, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 5}}})
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(BeNumerically("~", 10, 1))
 	set.SetNodes(21)
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(BeNumerically(">", 35))
@@ -102,12 +102,12 @@
 	g := NewWithT(t)
 	set := summarySet(3, 21)
 	totals := map[ID]Total{"r0": {Requests: 4}, "r1": {Requests: 8}}
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 20, At: virtualStart, Totals: totals, Partial: true})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 20, At: virtualStart, Totals: totals, Partial: true})
 	g.Expect(estimatedLoad(set, virtualStart, "r2")).To(Equal(6.0))
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 20, At: virtualStart, Totals: totals})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 20, At: virtualStart, Totals: totals})
 	g.Expect(estimatedLoad(set, virtualStart, "r2")).To(BeZero())
 	// The loads of the previous summary no longer apply.
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 20, At: virtualStart})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 20, At: virtualStart})
 	g.Expect(estimatedLoad(set, virtualStart, "r1")).To(BeZero())
 }
 
@@ -115,7 +115,7 @@
 func TestWrongLoadSummaryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	set := summarySet(2, 21)
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 20, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 1e12}, "r1": {Requests: -1e12}, "gone": {Requests: 3}}})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 20, At: virtualStart, Totals: map[ID]Total{"r0": {Requests: 1e12}, "r1": {Requests: -1e12}, "gone": {Requests: 3}}})
 	g.Expect(estimatedLoad(set, virtualStart, "r0")).To(BeNumerically("<=", maximumLoadFactor*8))
 	g.Expect(estimatedLoad(set, virtualStart, "r1")).To(BeZero())
 }
@@ -146,7 +146,7 @@
 			totals[ID(fmt.Sprint("r", index))] = Total{Requests: 30}
 		}
 	}
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 72, At: virtualStart.Add(-10 * time.Millisecond), Totals: totals})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 72, At: virtualStart.Add(-10 * time.Millisecond), Totals: totals})
 	chosen := make(map[ID]int)
 	for draw := range 400 {
 		choice, err := set.Select(virtualStart, &Request{Service: "s", Draw: float64(draw) / 400})
@@ -167,7 +167,7 @@
 	for id := range set.byID {
 		totals[id] = Total{Requests: 10}
 	}
-	set.ApplyLoadSummary(virtualStart, Word{Nodes: 72, At: virtualStart.Add(-100 * time.Millisecond), Totals: totals})
+	set.ApplyLoadSummary(virtualStart, LoadSummary{Nodes: 72, At: virtualStart.Add(-100 * time.Millisecond), Totals: totals})
 	prompt := []Part{{ID: "history", Tokens: 2000}, {ID: "turn", Tokens: 50}}
 	for draw := range 100 {
 		choice, err := set.Select(virtualStart, &Request{Service: "s", Preferred: "r3", Prompt: prompt, Draw: float64(draw) / 100})
