--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -24,7 +24,7 @@
 	node.replicas.configure(table)
 	for _, id := range ids {
 		node.replicas.put(replica.Entry{
-			ID: id, Service: "s", Zone: "z", Status: replica.StatusReady, Slots: 4, Cold: replica.ColdWord{Remaining: time.Hour, Sequence: 1},
+			ID: id, Service: "s", Zone: "z", Status: replica.StatusReady, Slots: 4, Cold: replica.ColdStatus{Remaining: time.Hour, Sequence: 1},
 		})
 	}
 	return node
--- a/replica/cold.go
+++ b/replica/cold.go
@@ -4,7 +4,7 @@
 
 // ColdStatus is how much longer a replica stays cold. For some seconds after its start, and
 // possibly again later, a cold replica accepts only a limited rate of requests.
-type ColdWord struct {
+type ColdStatus struct {
 	// Remaining is how much longer the replica stays cold, as of when the status was sent; 0 if
 	// it is warm.
 	Remaining time.Duration `json:"left,omitempty"`
@@ -42,7 +42,7 @@
 	source string
 	// status is the newest status received from an entry, and received reports that there was
 	// one.
-	status   ColdWord
+	status   ColdStatus
 	received bool
 	// reportedCold is the state that ColdTransitions last reported.
 	reportedCold bool
@@ -54,7 +54,7 @@
 func (c *coldState) cold(now time.Time) bool { return now.Before(c.until) }
 
 // update applies the cold status of an entry. It reports whether to announce it to other nodes.
-func (c *coldState) update(now time.Time, status ColdWord) (announce bool) {
+func (c *coldState) update(now time.Time, status ColdStatus) (announce bool) {
 	isNew := c.isNew(status)
 	if isNew {
 		c.status, c.received = status, true
@@ -71,7 +71,7 @@
 
 // isNew reports whether the cold status of an entry has not been applied before. The same entry
 // is read repeatedly, possibly long after it was written or after a peer forwarded it.
-func (c *coldState) isNew(status ColdWord) bool {
+func (c *coldState) isNew(status ColdStatus) bool {
 	if !c.received || status.Sequence > c.status.Sequence {
 		return true
 	}
@@ -99,7 +99,7 @@
 // of now.
 func (m *member) entryAt(now time.Time) Entry {
 	entry := m.entry
-	entry.Cold = ColdWord{Remaining: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Forwarded: true}
+	entry.Cold = ColdStatus{Remaining: max(0, m.cold.until.Sub(now)), Sequence: m.cold.status.Sequence, Forwarded: true}
 	return entry
 }
 
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -16,7 +16,7 @@
 	entry := func(left time.Duration, sequence uint64) replica.Entry {
 		return replica.Entry{
 			ID: id, Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4,
-			Cold: replica.ColdWord{Remaining: left, Sequence: sequence},
+			Cold: replica.ColdStatus{Remaining: left, Sequence: sequence},
 		}
 	}
 	passed := func(left time.Duration, sequence uint64) replica.Entry {
@@ -79,7 +79,7 @@
 		set.Put(start, entry(3*time.Second, 5))
 		forwarded, known := set.EntryAt(at(2*time.Second), id)
 		Expect(known).To(BeTrue())
-		Expect(forwarded.Cold).To(Equal(replica.ColdWord{Remaining: time.Second, Sequence: 5, Forwarded: true}))
+		Expect(forwarded.Cold).To(Equal(replica.ColdStatus{Remaining: time.Second, Sequence: 5, Forwarded: true}))
 		Expect(set.Entries(at(5 * time.Second))[0].Cold.Remaining).To(BeZero())
 		set.Put(at(2*time.Second), forwarded)
 		Expect(rateAt(at(3 * time.Second))).To(BeZero())
--- a/replica/set.go
+++ b/replica/set.go
@@ -37,7 +37,7 @@
 	// replica does not report it. A replica that restarts under the same ID has lost its state.
 	Incarnation uint64 `json:",omitempty"`
 	// Cold is how long the replica stays cold according to this entry.
-	Cold ColdWord
+	Cold ColdStatus
 }
 
 // Config configures a Set.
@@ -216,7 +216,7 @@
 // without the state of its predecessor.
 func (s *Set) Put(now time.Time, entry Entry) (changed bool) {
 	status := entry.Cold
-	entry.Cold = ColdWord{}
+	entry.Cold = ColdStatus{}
 	known := s.byID[entry.ID]
 	if known != nil && entry.Incarnation != 0 && entry.Incarnation < known.entry.Incarnation {
 		return false
@@ -263,7 +263,7 @@
 
 // updateCold applies the cold status of an entry. It reports whether to announce it to other
 // nodes.
-func (s *Set) updateCold(now time.Time, known *member, status ColdWord) (announce bool) {
+func (s *Set) updateCold(now time.Time, known *member, status ColdStatus) (announce bool) {
 	announce = known.cold.update(now, status)
 	s.trackCold(now, known)
 	return announce
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -68,13 +68,13 @@
 	now := time.Unix(1000, 0)
 	set := replica.NewSet(replica.DefaultConfig("a"))
 	former := scaleEntry(0)
-	former.Incarnation, former.Cold = 1_000, replica.ColdWord{Sequence: 40}
+	former.Incarnation, former.Cold = 1_000, replica.ColdStatus{Sequence: 40}
 	g.Expect(set.Put(now, former)).To(BeTrue())
 	set.SetCacheTokens("model", 100_000)
 	request := scaleRequest(0)
 	set.Began(now, former.ID, request)
 	again := former
-	again.Incarnation, again.Cold = 2_000, replica.ColdWord{Remaining: 3 * time.Second, Sequence: 1}
+	again.Incarnation, again.Cold = 2_000, replica.ColdStatus{Remaining: 3 * time.Second, Sequence: 1}
 	g.Expect(set.Put(now, again)).To(BeTrue())
 	choice, err := set.Select(now, request)
 	g.Expect(err).NotTo(HaveOccurred())
