--- a/edge/cold.go
+++ b/edge/cold.go
@@ -210,7 +210,7 @@
 }
 
 // coldTurns returns the replicas that turned cold or warm, and how many are cold.
-func (r *replicas) coldTurns(now time.Time) ([]replica.ColdTurn, int) {
+func (r *replicas) coldTurns(now time.Time) ([]replica.ColdTransition, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.ColdTransitions(now)
--- a/replica/cold.go
+++ b/replica/cold.go
@@ -151,7 +151,7 @@
 }
 
 // ColdTransition is a replica's transition from warm to cold or back.
-type ColdTurn struct {
+type ColdTransition struct {
 	ID     ID
 	Cold   bool
 	Until  time.Time
@@ -159,7 +159,7 @@
 }
 
 // ColdTransitions returns the transitions since the last call, and the number of cold replicas.
-func (s *Set) ColdTransitions(now time.Time) (transitions []ColdTurn, count int) {
+func (s *Set) ColdTransitions(now time.Time) (transitions []ColdTransition, count int) {
 	for id, known := range s.coldTracked {
 		cold := known.cold.cold(now)
 		if cold {
@@ -167,7 +167,7 @@
 		}
 		if cold != known.cold.reportedCold {
 			known.cold.reportedCold = cold
-			transitions = append(transitions, ColdTurn{ID: id, Cold: cold, Until: known.cold.until, Source: known.cold.source})
+			transitions = append(transitions, ColdTransition{ID: id, Cold: cold, Until: known.cold.until, Source: known.cold.source})
 		}
 		if !cold {
 			delete(s.coldTracked, id)
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -131,7 +131,7 @@
 	It("is reported once when it turns cold, and once when it turns warm", func() {
 		set.Put(start, entry(3*time.Second, 1))
 		turns, count := set.ColdTransitions(start)
-		Expect(turns).To(Equal([]replica.ColdTurn{{ID: id, Cold: true, Until: at(3 * time.Second), Source: "entry"}}))
+		Expect(turns).To(Equal([]replica.ColdTransition{{ID: id, Cold: true, Until: at(3 * time.Second), Source: "entry"}}))
 		Expect(count).To(Equal(1))
 		turns, _ = set.ColdTransitions(at(time.Second))
 		Expect(turns).To(BeEmpty())
