--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -55,8 +55,8 @@
 }
 
 // partsWithout returns the parts of the choice that are switched off.
-func partsWithout(settings *Settings) replica.Parts {
-	return replica.Parts{
+func partsWithout(settings *Settings) replica.SelectionFactors {
+	return replica.SelectionFactors{
 		CachedPrompts: !settings.uses(FollowPrompts),
 		SharedParts:   !settings.uses(AssumeShared),
 		LastReplica:   !settings.uses(FollowLines),
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -44,7 +44,7 @@
 // TestSwitchesOfTheChoice pass on to the choice of a replica.
 func TestSwitchesOfTheChoice(t *testing.T) {
 	g := NewWithT(t)
-	for mechanism, parts := range map[Mechanism]replica.Parts{
+	for mechanism, parts := range map[Mechanism]replica.SelectionFactors{
 		FollowPrompts: {CachedPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
 		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, RememberFaults: {Faults: true},
 		SuspectSilent: {Suspicion: true}, WeighPace: {TokenTimes: true}, WeighSlack: {Slack: true},
@@ -52,7 +52,7 @@
 		settings := without(mechanism)
 		g.Expect(partsWithout(&settings)).To(Equal(parts), string(mechanism))
 	}
-	g.Expect(partsWithout(&Settings{})).To(Equal(replica.Parts{}))
+	g.Expect(partsWithout(&Settings{})).To(Equal(replica.SelectionFactors{}))
 }
 
 // TestRefuseWhenFull lets new programs in while replicas are full where it is
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -79,7 +79,7 @@
 	ticks     int
 }
 
-func newReplay(without replica.Parts) *replay {
+func newReplay(without replica.SelectionFactors) *replay {
 	r := &replay{random: rand.New(rand.NewPCG(1, 2)), last: map[int]replica.ID{}, loads: map[replica.ID]int{}}
 	config := replica.DefaultConfig("a")
 	config.Disabled = without
@@ -217,9 +217,9 @@
 	for _, load := range []float64{0.4, 0.7, 1.2} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			g := NewWithT(t)
-			baseline := newReplay(replica.Parts{TokenTimes: true})
+			baseline := newReplay(replica.SelectionFactors{TokenTimes: true})
 			before := baseline.run(load, 12*time.Second, even)
-			paced := newReplay(replica.Parts{})
+			paced := newReplay(replica.SelectionFactors{})
 			after := paced.run(load, 12*time.Second, even)
 			t.Logf("former: %d turns, %v, %v, fast %.1f slow %.1f; paced: %d turns, %v, %v, fast %.1f slow %.1f",
 				len(before), quantile(before, .5), quantile(before, .9), baseline.mean(0), baseline.mean(1),
@@ -251,8 +251,8 @@
 func expectFaster(t *testing.T, load float64, speed func(engine int, at time.Duration) float64) {
 	t.Helper()
 	g := NewWithT(t)
-	baseline := newReplay(replica.Parts{TokenTimes: true}).run(load, 12*time.Second, speed)
-	paced := newReplay(replica.Parts{}).run(load, 12*time.Second, speed)
+	baseline := newReplay(replica.SelectionFactors{TokenTimes: true}).run(load, 12*time.Second, speed)
+	paced := newReplay(replica.SelectionFactors{}).run(load, 12*time.Second, speed)
 	t.Logf("former %v %v, paced %v %v", quantile(baseline, .5), quantile(baseline, .9), quantile(paced, .5), quantile(paced, .9))
 	g.Expect(quantile(paced, .9)).To(BeNumerically("<", quantile(baseline, .9)))
 	g.Expect(quantile(paced, .5)).To(BeNumerically("<", quantile(baseline, .5)))
--- a/replica/parts_test.go
+++ b/replica/parts_test.go
@@ -13,7 +13,7 @@
 	prompt := []replica.Part{{ID: "shared", Tokens: 500}, {ID: "history", Tokens: 3000}, {ID: "new", Tokens: 100}}
 
 	// newSetWithout returns a set of two equal replicas in this node's zone.
-	newSetWithout := func(without replica.Parts) *replica.Set {
+	newSetWithout := func(without replica.SelectionFactors) *replica.Set {
 		config := replica.DefaultConfig("here")
 		config.Disabled = without
 		set := replica.NewSet(config)
@@ -26,8 +26,8 @@
 	// Each case makes r1 preferable by a single factor, so that r0 is selected once that factor
 	// is disabled, as the first of two equal replicas.
 	DescribeTable("changes the choice",
-		func(without replica.Parts, prepare func(set *replica.Set, request *replica.Request)) {
-			for _, parts := range []replica.Parts{{}, without} {
+		func(without replica.SelectionFactors, prepare func(set *replica.Set, request *replica.Request)) {
+			for _, parts := range []replica.SelectionFactors{{}, without} {
 				set := newSetWithout(parts)
 				request := &replica.Request{Service: "s"}
 				prepare(set, request)
@@ -40,16 +40,16 @@
 				Expect(choice.Entry.ID).To(Equal(want))
 			}
 		},
-		Entry("kept prompts", replica.Parts{CachedPrompts: true}, func(set *replica.Set, request *replica.Request) {
+		Entry("kept prompts", replica.SelectionFactors{CachedPrompts: true}, func(set *replica.Set, request *replica.Request) {
 			set.Began(start, "r1", &replica.Request{Prompt: prompt})
 			set.Ended(start, "r1", replica.ResultAnswered)
 			request.Prompt = prompt
 		}),
-		Entry("last replica", replica.Parts{LastReplica: true}, func(_ *replica.Set, request *replica.Request) {
+		Entry("last replica", replica.SelectionFactors{LastReplica: true}, func(_ *replica.Set, request *replica.Request) {
 			request.Prompt = prompt
 			request.Preferred = "r1"
 		}),
-		Entry("shared parts", replica.Parts{SharedParts: true}, func(set *replica.Set, request *replica.Request) {
+		Entry("shared parts", replica.SelectionFactors{SharedParts: true}, func(set *replica.Set, request *replica.Request) {
 			// This node sent the part only to r0, which has requests in flight. With nine other
 			// nodes, r1 is as likely to have it cached.
 			set.SetNodes(10)
@@ -58,7 +58,7 @@
 			}
 			request.Prompt = prompt[:1]
 		}),
-		Entry("estimates of loads", replica.Parts{Estimates: true}, func(set *replica.Set, request *replica.Request) {
+		Entry("estimates of loads", replica.SelectionFactors{Estimates: true}, func(set *replica.Set, request *replica.Request) {
 			// r1 has three requests of this node. r0 has more: two requests of one peer, which
 			// stand for those of the eight peers without a report as well.
 			set.SetNodes(10)
@@ -67,19 +67,19 @@
 				set.Began(start, "r1", &replica.Request{})
 			}
 		}),
-		Entry("loads of peers", replica.Parts{PeerLoads: true}, func(set *replica.Set, _ *replica.Request) {
+		Entry("loads of peers", replica.SelectionFactors{PeerLoads: true}, func(set *replica.Set, _ *replica.Request) {
 			set.SetPeer(start, "peer", map[replica.ID]int{"r0": 3})
 		}),
-		Entry("zones", replica.Parts{Zones: true}, func(set *replica.Set, _ *replica.Request) {
+		Entry("zones", replica.SelectionFactors{Zones: true}, func(set *replica.Set, _ *replica.Request) {
 			set.Put(start, replica.Entry{ID: "r0", Service: "s", Zone: "elsewhere", Status: replica.StatusReady, Slots: 4})
 		}),
-		Entry("connections", replica.Parts{Connections: true}, func(_ *replica.Set, request *replica.Request) {
+		Entry("connections", replica.SelectionFactors{Connections: true}, func(_ *replica.Set, request *replica.Request) {
 			request.Connected = func(entry replica.Entry) bool { return entry.ID == "r1" }
 		}),
-		Entry("faults", replica.Parts{Faults: true}, func(set *replica.Set, _ *replica.Request) {
+		Entry("faults", replica.SelectionFactors{Faults: true}, func(set *replica.Set, _ *replica.Request) {
 			set.Ended(start, "r0", replica.ResultErred)
 		}),
-		Entry("suspicion", replica.Parts{Suspicion: true, Faults: true}, func(set *replica.Set, _ *replica.Request) {
+		Entry("suspicion", replica.SelectionFactors{Suspicion: true, Faults: true}, func(set *replica.Set, _ *replica.Request) {
 			set.Ended(start, "r0", replica.ResultFailed)
 		}),
 	)
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -17,7 +17,7 @@
 
 // newZones returns the set of a node in zone "here", with one replica in each of three zones.
 // The last zone is in another region.
-func newZones(without replica.Parts) *replica.Set {
+func newZones(without replica.SelectionFactors) *replica.Set {
 	config := replica.DefaultConfig("here")
 	config.Regions = zone.Topology{"here": "home", "near": "home", "far": "away"}
 	config.LeaveWithin = leaveWithin
@@ -54,7 +54,7 @@
 
 var _ = Describe("An evacuated zone", func() {
 	It("gets no new requests, whatever the load elsewhere", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		set.SetEvacuated(map[zone.Name]time.Time{"here": start})
 		for range 100 {
 			set.Began(start, "near", &replica.Request{})
@@ -64,7 +64,7 @@
 	})
 
 	It("keeps sessions until their departure time, and each only where its prompt is cached", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		set.Put(start, replica.Entry{ID: "beside", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
 		since := start
 		request := replica.Request{
@@ -93,7 +93,7 @@
 	})
 
 	It("gets no run that only one of its replicas may go on with", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		since := start.Add(-leaveWithin)
 		set.SetEvacuated(map[zone.Name]time.Time{"near": since})
 		_, err := set.Select(start, &replica.Request{Service: "s", Program: "p", Only: "near"})
@@ -101,7 +101,7 @@
 	})
 
 	It("is distinguished from a service without replicas if it holds all of them", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		zones := map[zone.Name]time.Time{"here": start, "near": start, "far": start}
 		set.SetEvacuated(zones)
 		_, err := set.Select(start, &replica.Request{Service: "s"})
@@ -116,7 +116,7 @@
 	})
 
 	It("does not count for admission", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		for range 6 {
 			set.Began(start, "near", &replica.Request{})
 			set.Began(start, "far", &replica.Request{})
@@ -133,7 +133,7 @@
 	}
 
 	It("bound the choice, whatever the load there", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		for range 100 {
 			set.Began(start, "far", &replica.Request{})
 		}
@@ -146,7 +146,7 @@
 	})
 
 	It("without a ready replica have an error of their own", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		set.Remove("far")
 		_, err := set.Select(start, &replica.Request{Service: "s", Constraint: homes("away")})
 		Expect(err).To(MatchError(replica.ErrOutside))
@@ -162,7 +162,7 @@
 	}
 
 	It("serves only once the wait at home costs more than the way there", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).NotTo(HaveKey(replica.ID("far")), "the places at home are just taken")
 		load(set, 4)
@@ -170,13 +170,13 @@
 	})
 
 	It("counts as another zone if regions are not taken into account", func() {
-		set := newZones(replica.Parts{Regions: true})
+		set := newZones(replica.SelectionFactors{Regions: true})
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).To(Equal(map[replica.ID]bool{"far": true}))
 	})
 
 	It("keeps a session whose prompt costs more to prefill again", func() {
-		set := newZones(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		prompt := []replica.Part{{ID: "history", Tokens: 9000}, {ID: "new", Tokens: 10}}
 		Expect(chosen(set, start, replica.Request{Service: "s", Preferred: "far", Prompt: prompt})).To(Equal(map[replica.ID]bool{"far": true}))
 		short := []replica.Part{{ID: "history", Tokens: 900}, {ID: "new", Tokens: 10}}
--- a/replica/set.go
+++ b/replica/set.go
@@ -56,11 +56,11 @@
 	// PeerLoadLifetime is how long a peer's report remains valid.
 	PeerLoadLifetime time.Duration
 	// Disabled switches off parts of the selection, to measure their effect.
-	Disabled Parts
+	Disabled SelectionFactors
 }
 
 // SelectionFactors names the parts of the selection that can be switched off.
-type Parts struct {
+type SelectionFactors struct {
 	// CachedPrompts is the estimate of what each engine has cached. LastReplica is the
 	// assumption that the replica that served the previous turn of a session still has the
 	// session's prompt cached.
