--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -143,7 +143,7 @@
 }
 
 // paced takes in how fast the replicas of a service are.
-func (m *Metrics) paced(service string, paces replica.PaceRange) {
+func (m *Metrics) paced(service string, paces replica.TokenTimeRange) {
 	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"fastest\"}", metricPace, service), nil).Set(paces.Fastest.Seconds())
 	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"slowest\"}", metricPace, service), nil).Set(paces.Slowest.Seconds())
 }
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -96,7 +96,7 @@
 
 // observe takes in what a turn measured of its replica, and returns how fast the replicas
 // of its service are, as far as that is known.
-func (r *replicas) observe(entry replica.Entry, sample replica.Sample) (replica.PaceRange, bool) {
+func (r *replicas) observe(entry replica.Entry, sample replica.Sample) (replica.TokenTimeRange, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.Observe(time.Now(), entry.ID, sample)
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -133,17 +133,17 @@
 
 // TokenTimeRange is the range of the replicas' token times without concurrent requests, from
 // the 10th to the 90th percentile.
-type PaceRange struct {
+type TokenTimeRange struct {
 	Fastest, Slowest time.Duration
 }
 
 // TokenTimeRange returns the range of a service's token times, or false if it is unknown.
-func (s *Set) TokenTimeRange(service string) (PaceRange, bool) {
+func (s *Set) TokenTimeRange(service string) (TokenTimeRange, bool) {
 	found := s.serviceTokenTimes[service]
 	if found == nil || found.median == 0 {
-		return PaceRange{}, false
+		return TokenTimeRange{}, false
 	}
-	return PaceRange{Fastest: time.Duration(found.fastest), Slowest: time.Duration(found.slowest)}, true
+	return TokenTimeRange{Fastest: time.Duration(found.fastest), Slowest: time.Duration(found.slowest)}, true
 }
 
 // update recomputes the token times.
