--- a/edge/calls.go
+++ b/edge/calls.go
@@ -16,7 +16,7 @@
 // many of them are sent again.
 type calls struct {
 	mutex    sync.Mutex
-	lateness *replica.Lateness
+	lateness *replica.LatencyTracker
 	budget   *retry.Budget
 }
 
--- a/replica/lateness.go
+++ b/replica/lateness.go
@@ -11,7 +11,7 @@
 // LatencyTracker tracks the latencies of answered calls per route, and derives the time after
 // which an unanswered call is late, that is, its answer is probably lost. It is not safe for
 // concurrent use.
-type Lateness struct {
+type LatencyTracker struct {
 	routes map[string]*routeLatency
 }
 
@@ -52,10 +52,10 @@
 )
 
 // NewLatencyTracker returns a tracker without routes.
-func NewLateness() *Lateness { return &Lateness{routes: make(map[string]*routeLatency)} }
+func NewLateness() *LatencyTracker { return &LatencyTracker{routes: make(map[string]*routeLatency)} }
 
 // Observe records the latency of an answered call of the route.
-func (l *Lateness) Observe(now time.Time, route string, took time.Duration) {
+func (l *LatencyTracker) Observe(now time.Time, route string, took time.Duration) {
 	known := l.routes[route]
 	if known == nil {
 		if len(l.routes) >= maximumRoutes {
@@ -74,7 +74,7 @@
 
 // LateAfter returns the time after which a call of the route is late, or the fallback while too
 // few latencies are known.
-func (l *Lateness) LateAfter(route string, fallback time.Duration) time.Duration {
+func (l *LatencyTracker) LateAfter(route string, fallback time.Duration) time.Duration {
 	known := l.routes[route]
 	if known == nil || known.lateAfter == 0 {
 		return fallback
@@ -83,7 +83,7 @@
 }
 
 // Median returns the median latency of the route, or 0 while too few latencies are known.
-func (l *Lateness) Median(route string) time.Duration {
+func (l *LatencyTracker) Median(route string) time.Duration {
 	if known := l.routes[route]; known != nil {
 		return known.median
 	}
--- a/replica/lateness_test.go
+++ b/replica/lateness_test.go
@@ -14,7 +14,7 @@
 	const otherwise = 400 * time.Millisecond
 
 	// observe records calls of 1 to 100 ms times the factor, one every 10 ms from begin on.
-	observe := func(lateness *replica.Lateness, begin time.Time, route string, count int, factor int) {
+	observe := func(lateness *replica.LatencyTracker, begin time.Time, route string, count int, factor int) {
 		for index := range count {
 			now := begin.Add(time.Duration(index) * 10 * time.Millisecond)
 			lateness.Observe(now, route, time.Duration(factor*(1+index%100))*time.Millisecond)
