--- a/edge/calls.go
+++ b/edge/calls.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &calls{lateness: replica.NewLateness(), budget: budget}, nil
+	return &calls{lateness: replica.NewLatencyTracker(), budget: budget}, nil
 }
 
 // answered takes in how long a call took that was answered.
--- a/replica/lateness.go
+++ b/replica/lateness.go
@@ -52,7 +52,9 @@
 )
 
 // NewLatencyTracker returns a tracker without routes.
-func NewLateness() *LatencyTracker { return &LatencyTracker{routes: make(map[string]*routeLatency)} }
+func NewLatencyTracker() *LatencyTracker {
+	return &LatencyTracker{routes: make(map[string]*routeLatency)}
+}
 
 // Observe records the latency of an answered call of the route.
 func (l *LatencyTracker) Observe(now time.Time, route string, took time.Duration) {
--- a/replica/lateness_test.go
+++ b/replica/lateness_test.go
@@ -22,21 +22,21 @@
 	}
 
 	It("returns the fallback while too little is known", func() {
-		lateness := replica.NewLateness()
+		lateness := replica.NewLatencyTracker()
 		Expect(lateness.LateAfter("a", otherwise)).To(Equal(otherwise))
 		observe(lateness, start, "a", 10, 1)
 		Expect(lateness.LateAfter("a", otherwise)).To(Equal(otherwise))
 	})
 
 	It("learns the median of each route", func() {
-		lateness := replica.NewLateness()
+		lateness := replica.NewLatencyTracker()
 		Expect(lateness.Median("a")).To(BeZero())
 		observe(lateness, start, "a", 1000, 1)
 		Expect(lateness.Median("a")).To(BeNumerically("~", 50*time.Millisecond, 6*time.Millisecond))
 	})
 
 	It("learns the tail of each route", func() {
-		lateness := replica.NewLateness()
+		lateness := replica.NewLatencyTracker()
 		observe(lateness, start, "a", 1000, 1)
 		observe(lateness, start, "b", 1000, 10)
 		Expect(lateness.LateAfter("a", otherwise)).To(BeNumerically("~", 125*time.Millisecond, 15*time.Millisecond))
@@ -44,14 +44,14 @@
 	})
 
 	It("follows a service that becomes slower, and forgets the time before", func() {
-		lateness := replica.NewLateness()
+		lateness := replica.NewLatencyTracker()
 		observe(lateness, start, "a", 1000, 10)
 		observe(lateness, start.Add(10*time.Second), "a", 4000, 1)
 		Expect(lateness.LateAfter("a", otherwise)).To(BeNumerically("~", 125*time.Millisecond, 15*time.Millisecond))
 	})
 
 	It("leaves room for pauses of this process", func() {
-		lateness := replica.NewLateness()
+		lateness := replica.NewLatencyTracker()
 		for index := range 100 {
 			lateness.Observe(start.Add(time.Duration(index)*time.Millisecond), "a", 100*time.Microsecond)
 		}
@@ -59,7 +59,7 @@
 	})
 
 	It("bounds the routes that it knows", func() {
-		lateness := replica.NewLateness()
+		lateness := replica.NewLatencyTracker()
 		observe(lateness, start, "first", 1000, 1)
 		for index := range 300 {
 			observe(lateness, start.Add(time.Minute+time.Duration(index)*time.Second), fmt.Sprint(index), 50, 1)
