--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -327,7 +327,7 @@
 	if errors.Is(err, replica.ErrEvacuated) {
 		m.placeRefusedFor(placeEvacuated)
 	}
-	if errors.Is(err, replica.ErrOutside) {
+	if errors.Is(err, replica.ErrOutsideRegions) {
 		m.placeRefusedFor(placeOutside)
 	}
 }
--- a/replica/places.go
+++ b/replica/places.go
@@ -20,7 +20,7 @@
 	}
 	zoneName := zone.Name(m.entry.Zone)
 	if !request.Constraint.Permits(zoneName) {
-		return ErrOutside
+		return ErrOutsideRegions
 	}
 	since, evacuated := s.evacuated[zoneName]
 	if !evacuated || s.mayRemain(now, request, m, since) {
@@ -48,7 +48,7 @@
 		if errors.Is(err, ErrEvacuated) {
 			return err
 		}
-		if errors.Is(err, ErrOutside) {
+		if errors.Is(err, ErrOutsideRegions) {
 			reason = err
 		}
 	}
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -141,7 +141,7 @@
 		Expect(chosen(set, start, request)).To(Equal(map[replica.ID]bool{"far": true}))
 		request.Only = "here"
 		_, err := set.Select(start, &request)
-		Expect(err).To(MatchError(replica.ErrOutside))
+		Expect(err).To(MatchError(replica.ErrOutsideRegions))
 		Expect(set.MinUtilisation(start, &replica.Request{Service: "s", Constraint: homes("away")})).To(Equal(25.0))
 	})
 
@@ -149,7 +149,7 @@
 		set := newZones(replica.SelectionFactors{})
 		set.Remove("far")
 		_, err := set.Select(start, &replica.Request{Service: "s", Constraint: homes("away")})
-		Expect(err).To(MatchError(replica.ErrOutside))
+		Expect(err).To(MatchError(replica.ErrOutsideRegions))
 	})
 })
 
--- a/replica/select.go
+++ b/replica/select.go
@@ -53,7 +53,7 @@
 	ErrNoReplica = errors.New("no replica of the service is ready")
 	// ErrOutsideRegions means that ready replicas exist only in zones that the request may not
 	// use.
-	ErrOutside = errors.New("no replica of the service is ready in a region that the request may reach")
+	ErrOutsideRegions = errors.New("no replica of the service is ready in a region that the request may reach")
 	// ErrEvacuated means that all replicas that could serve the request are in evacuated zones.
 	ErrEvacuated = errors.New("the zones of all replicas that could serve are evacuated")
 	// ErrSaturated means that this node has reached MaxPerNode at every available replica.
