--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -165,7 +165,7 @@
 	switch event := event.(type) {
 	case Tick:
 		c.tick(now)
-	case Listed:
+	case NodeListRead:
 		c.listRead = true
 		c.addNodes(now, event.Nodes)
 		c.ranking.checkedAt = time.Time{}
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -17,7 +17,7 @@
 type Tick struct{}
 
 // NodeListRead carries the complete list of nodes in the platform's store.
-type Listed struct{ Nodes []machine.Machine }
+type NodeListRead struct{ Nodes []machine.Machine }
 
 // NodesDiscovered carries some nodes of the fleet.
 type Learned struct{ Nodes []machine.Machine }
@@ -142,7 +142,7 @@
 func (ProofNoted) event()      {}
 func (ChargeRequested) event() {}
 func (ChargeReturned) event()  {}
-func (Listed) event()          {}
+func (NodeListRead) event()    {}
 func (Learned) event()         {}
 func (Contact) event()         {}
 func (PeerReceived) event()    {}
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -158,7 +158,7 @@
 		all = append(all, f.nodes[id].self)
 	}
 	for _, id := range f.ids() {
-		f.nodes[id].core.Step(f.now, coordinator.Listed{Nodes: all})
+		f.nodes[id].core.Step(f.now, coordinator.NodeListRead{Nodes: all})
 	}
 }
 
--- a/coordinator/owners_test.go
+++ b/coordinator/owners_test.go
@@ -25,7 +25,7 @@
 		config := coordinator.DefaultConfig(self, 2, rand.New(rand.NewPCG(1, 2)))
 		core, err := coordinator.New(start, config)
 		Expect(err).NotTo(HaveOccurred())
-		core.Step(start, coordinator.Listed{Nodes: []machine.Machine{peer(1), peer(2), peer(3)}})
+		core.Step(start, coordinator.NodeListRead{Nodes: []machine.Machine{peer(1), peer(2), peer(3)}})
 		return core
 	}
 	hear := func(core *coordinator.Core, owner coordinator.Owner) {
--- a/coordinator/restoring_test.go
+++ b/coordinator/restoring_test.go
@@ -50,7 +50,7 @@
 		made, err := coordinator.New(start, config)
 		Expect(err).NotTo(HaveOccurred())
 		core = made
-		core.Step(start, coordinator.Listed{})
+		core.Step(start, coordinator.NodeListRead{})
 		core.Step(now, coordinator.Contact{Reached: true, Last: now})
 		core.Step(now, coordinator.Tick{})
 		takeovers := core.Ready().Takeovers
--- a/coordinator/roles_test.go
+++ b/coordinator/roles_test.go
@@ -40,7 +40,7 @@
 			now := time.Unix(1000, 0)
 			core, err := coordinator.New(now, coordinator.DefaultConfig(nodes[index], 24, rand.New(rand.NewPCG(1, uint64(index)))))
 			g.Expect(err).NotTo(HaveOccurred())
-			core.Step(now, coordinator.Listed{Nodes: nodes})
+			core.Step(now, coordinator.NodeListRead{Nodes: nodes})
 			roles := core.Roles()
 			g.Expect(roles.Near).To(BeNumerically("~", count/5, 1))
 			g.Expect(roles.RemoteReaders).To(HaveLen(8))
@@ -71,7 +71,7 @@
 		now := time.Unix(1000, 0)
 		core, err := coordinator.New(now, coordinator.DefaultConfig(nodes[0], 24, rand.New(rand.NewPCG(1, uint64(fleet)))))
 		g.Expect(err).NotTo(HaveOccurred())
-		core.Step(now, coordinator.Listed{Nodes: nodes})
+		core.Step(now, coordinator.NodeListRead{Nodes: nodes})
 		roles := core.Roles()
 		for _, node := range append(append(roles.Sources, roles.Readers...), roles.RemoteReaders...) {
 			g.Expect(node.Weight).To(BeNumerically(">", 100), string(node.ID))
--- a/edge/control.go
+++ b/edge/control.go
@@ -257,7 +257,7 @@
 	switch input := input.(type) {
 	case coordinator.Event:
 		c.core.Step(now, input)
-		if _, listed := input.(coordinator.Listed); listed {
+		if _, listed := input.(coordinator.NodeListRead); listed {
 			// Whom this node follows hangs on its role.
 			c.report(now)
 			c.node.noteDirectory()
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -228,7 +228,7 @@
 // takeNodes takes the list of nodes over.
 func (n *Node) takeNodes(source string, nodes []machine.Machine) {
 	n.logger.Info().Str("source", source).Int("nodes", len(nodes)).Dur("after", time.Since(n.started)).Msg("nodes: list read")
-	n.control.post(coordinator.Listed{Nodes: nodes})
+	n.control.post(coordinator.NodeListRead{Nodes: nodes})
 }
 
 // noteDirectory takes in that this node knows the list of nodes, and its role.
