--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -170,7 +170,7 @@
 		c.addNodes(now, event.Nodes)
 		c.ranking.checkedAt = time.Time{}
 		c.updateRanking(now)
-	case Learned:
+	case NodesDiscovered:
 		c.addNodes(now, event.Nodes)
 	case Contact:
 		c.stepStoreContact(now, event)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -20,7 +20,7 @@
 type NodeListRead struct{ Nodes []machine.Machine }
 
 // NodesDiscovered carries some nodes of the fleet.
-type Learned struct{ Nodes []machine.Machine }
+type NodesDiscovered struct{ Nodes []machine.Machine }
 
 // StoreContact says whether this node reached the store recently, and when last.
 type Contact struct {
@@ -143,7 +143,7 @@
 func (ChargeRequested) event() {}
 func (ChargeReturned) event()  {}
 func (NodeListRead) event()    {}
-func (Learned) event()         {}
+func (NodesDiscovered) event() {}
 func (Contact) event()         {}
 func (PeerReceived) event()    {}
 func (Requested) event()       {}
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -123,7 +123,7 @@
 		return
 	}
 	*near = neighbours{nodes: nodes, read: true, next: next}
-	n.control.post(coordinator.Learned{Nodes: nodes})
+	n.control.post(coordinator.NodesDiscovered{Nodes: nodes})
 }
 
 // nodePartition returns the partition of the nodes' stream that has this node's record.
--- a/edge/reader_test.go
+++ b/edge/reader_test.go
@@ -21,7 +21,7 @@
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
 	reader := machine.Machine{ID: "reader", Kind: machine.KindNode, Zone: "z", Address: listener.Addr().String(), Status: machine.StatusLive, Incarnation: 1}
-	node.control.take(coordinator.Learned{Nodes: []machine.Machine{reader}})
+	node.control.take(coordinator.NodesDiscovered{Nodes: []machine.Machine{reader}})
 	ended := make(chan error, 1)
 	go func() {
 		_, err := node.askReader(node.ctx, reader, relayQuestion{wait: relayWait})
--- a/edge/storewatch.go
+++ b/edge/storewatch.go
@@ -103,7 +103,7 @@
 	near.next = tail.Next
 	if nodes := n.decodeNodes(tail.Records); len(nodes) > 0 {
 		near.note(nodes)
-		n.control.post(coordinator.Learned{Nodes: nodes})
+		n.control.post(coordinator.NodesDiscovered{Nodes: nodes})
 	}
 }
 
