--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -172,7 +172,7 @@
 		c.updateRanking(now)
 	case NodesDiscovered:
 		c.addNodes(now, event.Nodes)
-	case Contact:
+	case StoreContact:
 		c.stepStoreContact(now, event)
 	case PeerReceived:
 		c.stepPeer(now, event.Message)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -23,7 +23,7 @@
 type NodesDiscovered struct{ Nodes []machine.Machine }
 
 // StoreContact says whether this node reached the store recently, and when last.
-type Contact struct {
+type StoreContact struct {
 	Reached bool
 	Last    time.Time
 	// Failing says that calls to the store have failed since its last answer.
@@ -144,7 +144,7 @@
 func (ChargeReturned) event()  {}
 func (NodeListRead) event()    {}
 func (NodesDiscovered) event() {}
-func (Contact) event()         {}
+func (StoreContact) event()    {}
 func (PeerReceived) event()    {}
 func (Requested) event()       {}
 func (TakeoverRead) event()    {}
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -191,10 +191,10 @@
 }
 
 // contactOf returns a node's knowledge of its contact with the store.
-func (f *fleet) contactOf(node *member) coordinator.Contact {
+func (f *fleet) contactOf(node *member) coordinator.StoreContact {
 	reached := f.reaches(node)
 	lately := f.now.Sub(node.lastStoreAnswer) < f.contactTimeout
-	return coordinator.Contact{Reached: reached || lately, Last: node.lastStoreAnswer, Failing: lately && !reached}
+	return coordinator.StoreContact{Reached: reached || lately, Last: node.lastStoreAnswer, Failing: lately && !reached}
 }
 
 // setStoreUp makes the store available or unavailable.
--- a/coordinator/owners_test.go
+++ b/coordinator/owners_test.go
@@ -78,7 +78,7 @@
 	It("does not select an owner that has lost the store, until it reports recovery", func() {
 		core := newCore()
 		later := start.Add(10 * time.Second)
-		core.Step(later, coordinator.Contact{Reached: true, Last: later})
+		core.Step(later, coordinator.StoreContact{Reached: true, Last: later})
 		hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2", Revision: 1, StoreUnreachable: true})
 		hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2"})
 		for index := range 2 {
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -101,7 +101,7 @@
 }
 
 // stepStoreContact updates whether this node reaches the store.
-func (c *Core) stepStoreContact(now time.Time, contact Contact) {
+func (c *Core) stepStoreContact(now time.Time, contact StoreContact) {
 	if contact.Reached && !c.storeReachable {
 		c.storeReachableSince = now
 	}
--- a/coordinator/restoring_test.go
+++ b/coordinator/restoring_test.go
@@ -51,7 +51,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		core = made
 		core.Step(start, coordinator.NodeListRead{})
-		core.Step(now, coordinator.Contact{Reached: true, Last: now})
+		core.Step(now, coordinator.StoreContact{Reached: true, Last: now})
 		core.Step(now, coordinator.Tick{})
 		takeovers := core.Ready().Takeovers
 		Expect(takeovers).To(HaveLen(1))
--- a/edge/isolation.go
+++ b/edge/isolation.go
@@ -18,8 +18,8 @@
 }
 
 // contactNow is what this node knows of its contact with the store.
-func (n *Node) contactNow() coordinator.Contact {
-	return coordinator.Contact{
+func (n *Node) contactNow() coordinator.StoreContact {
+	return coordinator.StoreContact{
 		Reached: n.reachesStore(), Last: n.store.at(), Failing: n.settings.uses(NoticeCuts) && n.store.fails(),
 	}
 }
