--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -176,7 +176,7 @@
 		c.stepStoreContact(now, event)
 	case PeerReceived:
 		c.stepPeer(now, event.Message)
-	case Requested:
+	case RequestReceived:
 		c.stepRequest(now, event)
 	case TakeoverRead:
 		c.stepTakeoverRead(now, event)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -34,7 +34,7 @@
 type PeerReceived struct{ Message PeerMessage }
 
 // RequestReceived carries a request about a partition, from this node or from a peer.
-type Requested struct {
+type RequestReceived struct {
 	// ID correlates the Reply; the driver allocates it.
 	ID        uint64
 	Partition int
@@ -146,7 +146,7 @@
 func (NodesDiscovered) event() {}
 func (StoreContact) event()    {}
 func (PeerReceived) event()    {}
-func (Requested) event()       {}
+func (RequestReceived) event() {}
 func (TakeoverRead) event()    {}
 func (TakenOver) event()       {}
 func (Appended) event()        {}
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -395,7 +395,7 @@
 // ask sends a request to a node and returns the ID of the reply.
 func (f *fleet) ask(to machine.ID, partition int, request coordinator.Request) uint64 {
 	f.nextID++
-	f.send(to, 0, coordinator.Requested{ID: f.nextID, Partition: partition, Request: request})
+	f.send(to, 0, coordinator.RequestReceived{ID: f.nextID, Partition: partition, Request: request})
 	return f.nextID
 }
 
--- a/coordinator/owners_test.go
+++ b/coordinator/owners_test.go
@@ -51,7 +51,7 @@
 
 	It("is returned to requesters if this node is not the owner", func() {
 		core := newCore()
-		asked := coordinator.Requested{ID: 1, Partition: 0, Request: coordinator.Request{Find: &coordinator.FindRequest{}}}
+		asked := coordinator.RequestReceived{ID: 1, Partition: 0, Request: coordinator.Request{Find: &coordinator.FindRequest{}}}
 		core.Step(start, asked)
 		Expect(core.Ready().Replies).To(ConsistOf(coordinator.Reply{ID: 1, Status: coordinator.ReplyNotOwner}))
 		known := coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2"}
--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -68,7 +68,7 @@
 
 // heldRequest is a request that waits for the takeover in progress.
 type heldRequest struct {
-	request Requested
+	request RequestReceived
 	until   time.Time
 }
 
--- a/coordinator/restoring_test.go
+++ b/coordinator/restoring_test.go
@@ -22,7 +22,7 @@
 		core.Step(now, coordinator.TakeoverRead{Partition: 0, Epoch: epoch.Epoch, Records: records})
 	}
 	ask := func(id uint64, request coordinator.Request) {
-		core.Step(now, coordinator.Requested{ID: id, Partition: 0, Request: request})
+		core.Step(now, coordinator.RequestReceived{ID: id, Partition: 0, Request: request})
 	}
 	keptTurn := func(id, previous string) ledger.Record {
 		value := `{"program":"p","input":"aQ==","output":"bw==","retain_ms":60000`
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -8,7 +8,7 @@
 
 // stepRequest serves a request, holds it for the takeover in progress, or replies that this
 // node is not the owner.
-func (c *Core) stepRequest(now time.Time, request Requested) {
+func (c *Core) stepRequest(now time.Time, request RequestReceived) {
 	if request.Partition < 0 || request.Partition >= len(c.partitions) {
 		c.reply(Reply{ID: request.ID, Status: ReplyNotOwner})
 		return
@@ -26,7 +26,7 @@
 
 // notOwnerReply returns the reply to a request about a partition that this node does not
 // serve. It names the known owner, if there is one.
-func (c *Core) notOwnerReply(request Requested) Reply {
+func (c *Core) notOwnerReply(request RequestReceived) Reply {
 	reply := Reply{ID: request.ID, Status: ReplyNotOwner}
 	if known := c.owners[request.Partition]; known.Epoch > 0 && known.Node != c.self().ID && !known.denied {
 		reply.Owner = &known.Owner
@@ -35,7 +35,7 @@
 }
 
 // serve answers a request about a partition that this node serves.
-func (c *Core) serve(now time.Time, p *partition, request Requested) {
+func (c *Core) serve(now time.Time, p *partition, request RequestReceived) {
 	body := request.Request
 	switch {
 	case body.Admit != nil:
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -327,7 +327,7 @@
 
 // expiredReply answers a request that was held for too long. It names this node as owner
 // while the takeover is in progress, so that the requester retries here.
-func (c *Core) expiredReply(p *partition, request Requested) Reply {
+func (c *Core) expiredReply(p *partition, request RequestReceived) Reply {
 	reply := Reply{ID: request.ID, Status: ReplyNotOwner}
 	if known := c.owners[p.index].Owner; p.state != stateAbsent && known.Epoch == p.epoch {
 		reply.Owner = &known
--- a/edge/control.go
+++ b/edge/control.go
@@ -265,7 +265,7 @@
 	case question:
 		c.nextID++
 		c.replies[c.nextID] = input.answer
-		c.core.Step(now, coordinator.Requested{ID: c.nextID, Partition: input.partition, Request: input.request})
+		c.core.Step(now, coordinator.RequestReceived{ID: c.nextID, Partition: input.partition, Request: input.request})
 	case chargeQuestion:
 		c.nextID++
 		c.charges[c.nextID] = input.answer
