--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -180,7 +180,7 @@
 		c.stepRequest(now, event)
 	case TakeoverRead:
 		c.stepTakeoverRead(now, event)
-	case TakenOver:
+	case TakeoverEnded:
 		c.stepTakenOver(now, event)
 	case LogFull:
 		c.stepLogFull(event)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -50,7 +50,7 @@
 }
 
 // TakeoverEnded reports the end of a Takeover.
-type TakenOver struct {
+type TakeoverEnded struct {
 	Partition int
 	Epoch     ownership.Epoch
 	Outcome   Outcome
@@ -148,7 +148,7 @@
 func (PeerReceived) event()    {}
 func (RequestReceived) event() {}
 func (TakeoverRead) event()    {}
-func (TakenOver) event()       {}
+func (TakeoverEnded) event()   {}
 func (Appended) event()        {}
 func (LogFull) event()         {}
 func (OwnerHeard) event()      {}
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -333,7 +333,7 @@
 
 func (f *fleet) takeOver(id machine.ID, takeover coordinator.Takeover) {
 	stream := f.store[takeover.Partition]
-	taken := coordinator.TakenOver{Partition: takeover.Partition, Epoch: takeover.Epoch}
+	taken := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch}
 	if takeover.Epoch < stream.epoch {
 		taken.Outcome = coordinator.OutcomeFenced
 		f.send(id, appendDelay/2, taken)
@@ -358,7 +358,7 @@
 		delay += f.pageDelay
 		f.send(id, delay, coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch, Records: page})
 	}
-	f.send(id, delay, coordinator.TakenOver{Partition: takeover.Partition, Epoch: takeover.Epoch})
+	f.send(id, delay, coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch})
 }
 
 // pageRecords is the number of records in a page of a takeover.
--- a/coordinator/restoring_test.go
+++ b/coordinator/restoring_test.go
@@ -78,7 +78,7 @@
 		read(keptTurn("a", ""))
 		ask(1, admitContinuing("t1", "nowhere", false))
 		Expect(statuses()).To(BeEmpty())
-		core.Step(now, coordinator.TakenOver{Partition: 0, Epoch: epoch.Epoch})
+		core.Step(now, coordinator.TakeoverEnded{Partition: 0, Epoch: epoch.Epoch})
 		Expect(statuses()).To(Equal(map[uint64]coordinator.ReplyStatus{1: coordinator.ReplyAbsent}))
 	})
 
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -219,7 +219,7 @@
 	}
 }
 
-func (c *Core) stepTakenOver(now time.Time, event TakenOver) {
+func (c *Core) stepTakenOver(now time.Time, event TakeoverEnded) {
 	p := c.partitions[event.Partition]
 	if event.Outcome != OutcomeMoved {
 		p.highestEpoch = max(p.highestEpoch, event.Epoch)
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -95,9 +95,9 @@
 	})
 }
 
-func (n *Node) claimAndRead(ctx context.Context, takeover coordinator.Takeover) coordinator.TakenOver {
+func (n *Node) claimAndRead(ctx context.Context, takeover coordinator.Takeover) coordinator.TakeoverEnded {
 	begun := time.Now()
-	taken := coordinator.TakenOver{Partition: takeover.Partition, Epoch: takeover.Epoch, Outcome: coordinator.OutcomeFailed}
+	taken := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch, Outcome: coordinator.OutcomeFailed}
 	entry := n.logger.Info().Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch))
 	if moved := n.moved(ctx, takeover, &taken); moved {
 		entry.Uint64("end", taken.End).Int("outcome", int(taken.Outcome)).Msg("ledger: claim put off, another owner may live")
@@ -133,7 +133,7 @@
 
 // moved reports whether a contested claim is not to be made now: the log does not end
 // where it did, or does not tell.
-func (n *Node) moved(ctx context.Context, takeover coordinator.Takeover, taken *coordinator.TakenOver) bool {
+func (n *Node) moved(ctx context.Context, takeover coordinator.Takeover, taken *coordinator.TakeoverEnded) bool {
 	if !takeover.Contested {
 		return false
 	}
