--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -186,7 +186,7 @@
 		c.stepLogFull(event)
 	case Appended:
 		c.stepAppended(now, event)
-	case OwnerHeard:
+	case OwnerReported:
 		c.mergeOwner(now, event.Owner)
 	case Disowned:
 		c.stepOwnershipDenied(event)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -92,7 +92,7 @@
 )
 
 // OwnerReported carries the owner record that another node sent in an answer.
-type OwnerHeard struct{ Owner Owner }
+type OwnerReported struct{ Owner Owner }
 
 // OwnershipDenied reports that a node does not serve a partition and does not know who
 // does.
@@ -151,7 +151,7 @@
 func (TakeoverEnded) event()   {}
 func (Appended) event()        {}
 func (LogFull) event()         {}
-func (OwnerHeard) event()      {}
+func (OwnerReported) event()   {}
 func (Disowned) event()        {}
 func (Leave) event()           {}
 func (Loads) event()           {}
--- a/coordinator/owners_test.go
+++ b/coordinator/owners_test.go
@@ -55,7 +55,7 @@
 		core.Step(start, asked)
 		Expect(core.Ready().Replies).To(ConsistOf(coordinator.Reply{ID: 1, Status: coordinator.ReplyNotOwner}))
 		known := coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2"}
-		core.Step(start, coordinator.OwnerHeard{Owner: known})
+		core.Step(start, coordinator.OwnerReported{Owner: known})
 		core.Step(start, asked)
 		Expect(core.Ready().Replies).To(ConsistOf(coordinator.Reply{ID: 1, Status: coordinator.ReplyNotOwner, Owner: &known}))
 		Expect(ownerOf(core)).To(Equal(machine.ID("peer-2")))
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -231,7 +231,7 @@
 	entry := n.logger.Info().Int("partition", partition).Str("asked", string(asked))
 	if reply.Owner != nil && reply.Owner.Partition == partition {
 		entry.Str("owner", string(reply.Owner.Node)).Uint64("epoch", uint64(reply.Owner.Epoch)).Msg("ledger: asked a former owner")
-		n.control.post(coordinator.OwnerHeard{Owner: *reply.Owner})
+		n.control.post(coordinator.OwnerReported{Owner: *reply.Owner})
 		return
 	}
 	entry.Msg("ledger: asked a node that is not the owner")
