--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -188,7 +188,7 @@
 		c.stepAppended(now, event)
 	case OwnerReported:
 		c.mergeOwner(now, event.Owner)
-	case Disowned:
+	case OwnershipDenied:
 		c.stepOwnershipDenied(event)
 	case ChargeRequested:
 		c.stepCharge(now, event)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -96,7 +96,7 @@
 
 // OwnershipDenied reports that a node does not serve a partition and does not know who
 // does.
-type Disowned struct {
+type OwnershipDenied struct {
 	Partition int
 	Node      machine.ID
 }
@@ -152,7 +152,7 @@
 func (Appended) event()        {}
 func (LogFull) event()         {}
 func (OwnerReported) event()   {}
-func (Disowned) event()        {}
+func (OwnershipDenied) event() {}
 func (Leave) event()           {}
 func (Loads) event()           {}
 
--- a/coordinator/owners.go
+++ b/coordinator/owners.go
@@ -109,7 +109,7 @@
 
 // stepOwnershipDenied notes that the recorded owner of a partition reported that it does
 // not serve it.
-func (c *Core) stepOwnershipDenied(event Disowned) {
+func (c *Core) stepOwnershipDenied(event OwnershipDenied) {
 	if event.Partition < 0 || event.Partition >= len(c.owners) {
 		return
 	}
--- a/coordinator/owners_test.go
+++ b/coordinator/owners_test.go
@@ -66,12 +66,12 @@
 		byRank := ownerOf(core)
 		for index := 1; index <= 3; index++ {
 			hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: peer(index).ID})
-			core.Step(start, coordinator.Disowned{Partition: 0, Node: peer(index).ID})
+			core.Step(start, coordinator.OwnershipDenied{Partition: 0, Node: peer(index).ID})
 			Expect(ownerOf(core)).To(Equal(byRank))
 			core = newCore()
 		}
 		hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2"})
-		core.Step(start, coordinator.Disowned{Partition: 0, Node: "peer-3"})
+		core.Step(start, coordinator.OwnershipDenied{Partition: 0, Node: "peer-3"})
 		Expect(ownerOf(core)).To(Equal(machine.ID("peer-2")))
 	})
 
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -235,7 +235,7 @@
 		return
 	}
 	entry.Msg("ledger: asked a node that is not the owner")
-	n.control.post(coordinator.Disowned{Partition: partition, Node: asked})
+	n.control.post(coordinator.OwnershipDenied{Partition: partition, Node: asked})
 }
 
 // timeoutOf bounds a question: those that wait for the log may take longer.
