--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -192,7 +192,7 @@
 		c.stepOwnershipDenied(event)
 	case ChargeRequested:
 		c.stepCharge(now, event)
-	case ProofNoted:
+	case FreshnessProven:
 		c.stepFreshnessProven(event)
 	case ChargeReturned:
 		c.stepChargeRefunded(event)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -130,7 +130,7 @@
 
 // FreshnessProven reports that the configuration this node holds, which has the given
 // version or a newer one, was the newest at the given time.
-type ProofNoted struct {
+type FreshnessProven struct {
 	At      time.Time
 	Version uint64
 }
@@ -139,7 +139,7 @@
 type ChargeReturned struct{ Charge Charge }
 
 func (Tick) event()            {}
-func (ProofNoted) event()      {}
+func (FreshnessProven) event() {}
 func (ChargeRequested) event() {}
 func (ChargeReturned) event()  {}
 func (NodeListRead) event()    {}
--- a/coordinator/proof.go
+++ b/coordinator/proof.go
@@ -44,7 +44,7 @@
 }
 
 // stepFreshnessProven stores a proof from the driver.
-func (c *Core) stepFreshnessProven(event ProofNoted) {
+func (c *Core) stepFreshnessProven(event FreshnessProven) {
 	c.freshness.needed = true
 	c.freshness.version = max(c.freshness.version, event.Version)
 	if event.At.After(c.freshness.provenAt) {
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -62,7 +62,7 @@
 	if p.world.reaches(node) {
 		p.held[id] = p.version
 		p.recordProof(id, p.sentAt[id])
-		node.core.Step(p.world.now, coordinator.ProofNoted{At: p.sentAt[id], Version: p.version})
+		node.core.Step(p.world.now, coordinator.FreshnessProven{At: p.sentAt[id], Version: p.version})
 		node.core.Step(p.world.now, coordinator.Loads{Version: p.version})
 	}
 	p.reads++
@@ -160,7 +160,7 @@
 		world.run(time.Second)
 		ids := world.ids()
 		asking, asked := world.nodes[ids[0]], world.nodes[ids[1]]
-		asking.core.Step(world.now, coordinator.ProofNoted{At: world.now.Add(-5 * time.Second), Version: 1})
+		asking.core.Step(world.now, coordinator.FreshnessProven{At: world.now.Add(-5 * time.Second), Version: 1})
 		asking.core.Ready()
 		asking.core.Step(world.now, coordinator.Tick{})
 		var question *coordinator.FreshnessMessage
@@ -188,7 +188,7 @@
 			world := newFleet(uint64(len(numbers)+1), 2, 1)
 			world.run(time.Second)
 			asking := world.nodes[world.ids()[0]]
-			asking.core.Step(world.now, coordinator.ProofNoted{At: world.now.Add(-5 * time.Second), Version: 1})
+			asking.core.Step(world.now, coordinator.FreshnessProven{At: world.now.Add(-5 * time.Second), Version: 1})
 			asking.core.Step(world.now, coordinator.Tick{})
 			for _, message := range asking.core.Ready().Messages {
 				if message.Message.Proof != nil {
--- a/edge/keys.go
+++ b/edge/keys.go
@@ -168,7 +168,7 @@
 func (n *Node) noteProof(at time.Time) {
 	n.proof.note(at)
 	if n.needsProofs() {
-		n.control.post(coordinator.ProofNoted{At: at, Version: n.routes.Current().Version})
+		n.control.post(coordinator.FreshnessProven{At: at, Version: n.routes.Current().Version})
 	}
 }
 
