--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -88,7 +88,7 @@
 	OutcomeFailed
 	// OutcomeLogAdvanced means that a contested takeover was not started because another
 	// owner still appends.
-	OutcomeMoved
+	OutcomeLogAdvanced
 )
 
 // OwnerReported carries the owner record that another node sent in an answer.
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -340,7 +340,7 @@
 		return
 	}
 	if takeover.Contested && stream.end != takeover.ExpectedEnd {
-		taken.Outcome, taken.End = coordinator.OutcomeMoved, stream.end
+		taken.Outcome, taken.End = coordinator.OutcomeLogAdvanced, stream.end
 		f.send(id, appendDelay/2, taken)
 		return
 	}
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -221,7 +221,7 @@
 
 func (c *Core) stepTakenOver(now time.Time, event TakeoverEnded) {
 	p := c.partitions[event.Partition]
-	if event.Outcome != OutcomeMoved {
+	if event.Outcome != OutcomeLogAdvanced {
 		p.highestEpoch = max(p.highestEpoch, event.Epoch)
 	}
 	if !p.takingOver(event.Epoch) {
@@ -234,7 +234,7 @@
 		p.contested.refusals++
 		c.abandon(p)
 		c.backOffAfterFencing(now, p)
-	case OutcomeMoved:
+	case OutcomeLogAdvanced:
 		c.stepLogAdvanced(now, p, event.End)
 	case OutcomeFailed:
 		c.failTakeover(p)
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -147,7 +147,7 @@
 	if end == takeover.ExpectedEnd {
 		return false
 	}
-	taken.Outcome, taken.End = coordinator.OutcomeMoved, end
+	taken.Outcome, taken.End = coordinator.OutcomeLogAdvanced, end
 	return true
 }
 
