--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -194,7 +194,7 @@
 		c.stepCharge(now, event)
 	case FreshnessProven:
 		c.stepFreshnessProven(event)
-	case ChargeReturned:
+	case ChargeRefunded:
 		c.stepChargeRefunded(event)
 	case Leave:
 		c.leave(now)
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -136,12 +136,12 @@
 }
 
 // ChargeRefunded reports that a granted request did not run.
-type ChargeReturned struct{ Charge Charge }
+type ChargeRefunded struct{ Charge Charge }
 
 func (Tick) event()            {}
 func (FreshnessProven) event() {}
 func (ChargeRequested) event() {}
-func (ChargeReturned) event()  {}
+func (ChargeRefunded) event()  {}
 func (NodeListRead) event()    {}
 func (NodesDiscovered) event() {}
 func (StoreContact) event()    {}
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -279,7 +279,7 @@
 }
 
 // stepChargeRefunded undoes a grant whose request did not run.
-func (c *Core) stepChargeRefunded(event ChargeReturned) {
+func (c *Core) stepChargeRefunded(event ChargeRefunded) {
 	node := c.countingNode(event.Charge.account())
 	if node == c.self().ID {
 		c.chargeState.refund(&event.Charge)
--- a/edge/charge.go
+++ b/edge/charge.go
@@ -102,7 +102,7 @@
 
 func (n *Node) returnCharge(held *charge) {
 	n.metrics.charged(chargeReturned)
-	n.control.post(coordinator.ChargeReturned{Charge: held.asked})
+	n.control.post(coordinator.ChargeRefunded{Charge: held.asked})
 }
 
 // noteRun notes that a replica may have run the request.
--- a/edge/cold.go
+++ b/edge/cold.go
@@ -83,7 +83,7 @@
 	granted := asked.outcome.Status == coordinator.ChargeGranted
 	switch {
 	case granted && time.Since(begun) > coldFresh:
-		n.control.post(coordinator.ChargeReturned{Charge: asked.asked})
+		n.control.post(coordinator.ChargeRefunded{Charge: asked.asked})
 		status, granted = coldStale, false
 	case asked.outcome.Status == coordinator.ChargeUnknown:
 		pause = coldSilence
@@ -123,7 +123,7 @@
 		return
 	}
 	n.metrics.coldCharged(coldReturned)
-	n.control.post(coordinator.ChargeReturned{Charge: *r.coldGrant})
+	n.control.post(coordinator.ChargeRefunded{Charge: *r.coldGrant})
 	r.coldGrant = nil
 }
 
--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -112,7 +112,7 @@
 	choice, err := node.chooseWithin(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	node.reject(request, choice.Entry, replica.ResultRejected)
-	g.Expect(<-node.control.inbox).To(Equal(coordinator.ChargeReturned{Charge: asked[0]}))
+	g.Expect(<-node.control.inbox).To(Equal(coordinator.ChargeRefunded{Charge: asked[0]}))
 	node.reject(request, choice.Entry, replica.ResultRejected)
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
