--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -258,7 +258,7 @@
 	Totals     *gather.Totals
 	Collectors []gather.Change
 	// Rejected are messages that could not be processed.
-	Rejected []Unread
+	Rejected []Rejected
 	Charged  []Charged
 	// NewerPeers are peers that hold a newer configuration than this node.
 	NewerPeers []PeerVersion
@@ -270,7 +270,7 @@
 }
 
 // Rejected is a peer message that could not be processed.
-type Unread struct {
+type Rejected struct {
 	From machine.ID
 	Err  error
 }
--- a/coordinator/gathering.go
+++ b/coordinator/gathering.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if err := c.gatherer.Receive(now, sender, message); err != nil {
-		c.ready.Rejected = append(c.ready.Rejected, Unread{From: from, Err: err})
+		c.ready.Rejected = append(c.ready.Rejected, Rejected{From: from, Err: err})
 	}
 	c.collectGatherReady()
 }
