--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -272,7 +272,7 @@
 		if heir == former {
 			heir = heirs[1]
 		}
-		keep := &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "kept", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
+		keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "kept", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
 		Expect(reply(world, heir, world.ask(heir, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
 		return world, former, heir
 	}
@@ -292,7 +292,7 @@
 		former := world.owners(0)[0]
 		world.nodes[former].frozen = true
 		world.run(settled)
-		keep := &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "late", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
+		keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "late", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
 		asked := world.ask(former, 0, coordinator.Request{Keep: keep})
 		world.nodes[former].frozen = false
 		Expect(reply(world, former, asked).Status).NotTo(Equal(coordinator.ReplyDone))
@@ -380,7 +380,7 @@
 			world.nodes[former].alone = true
 			world.run(settled)
 			Expect(world.owners(0)).To(HaveLen(2))
-			keep := &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "late", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
+			keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "late", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
 			Expect(reply(world, former, world.ask(former, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyLost))
 			Expect(world.owners(0)).To(HaveLen(1))
 			Expect(world.store[0].records).NotTo(HaveKey("turn/late"))
--- a/coordinator/find_test.go
+++ b/coordinator/find_test.go
@@ -17,7 +17,7 @@
 		world := newFleet(1, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		former := coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "x", Program: "p", Input: []byte("in;"), Retain: time.Minute}}
+		former := coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "x", Program: "p", Input: []byte("in;"), Retain: time.Minute}}
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: &former})).Status).To(Equal(coordinator.ReplyDone))
 		found := reply(world, owner, world.ask(owner, 0, coordinator.Request{Find: &find}))
 		Expect(found.Status).To(Equal(coordinator.ReplyUnscoped))
--- a/coordinator/keep_test.go
+++ b/coordinator/keep_test.go
@@ -15,7 +15,7 @@
 		world := newFleet(1, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		kept := ledger.KeptTurn{
+		kept := ledger.StoredTurn{
 			ID: "next", Program: "p", Previous: "elsewhere", Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute,
 		}
 		ask := coordinator.KeepRequest{Turn: kept}
@@ -31,7 +31,7 @@
 		world := newFleet(2, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		for _, kept := range []ledger.KeptTurn{
+		for _, kept := range []ledger.StoredTurn{
 			{ID: "a", Program: "p", Input: []byte("1;"), Output: []byte("2;"), Retain: time.Minute},
 			{ID: "b", Program: "p", Previous: "a", Input: []byte("3;"), Output: []byte("4;"), Retain: time.Minute},
 		} {
--- a/coordinator/pause_test.go
+++ b/coordinator/pause_test.go
@@ -18,7 +18,7 @@
 	before := world.appendCount
 	var asked []uint64
 	for index := range turns {
-		keep := &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: fmt.Sprintf("t-%d", index), Program: "p", Input: []byte("in"), Retain: time.Minute}}
+		keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: fmt.Sprintf("t-%d", index), Program: "p", Input: []byte("in"), Retain: time.Minute}}
 		asked = append(asked, world.ask(owner, 0, coordinator.Request{Keep: keep}))
 		world.run(2 * step)
 	}
@@ -42,7 +42,7 @@
 		world := newFleet(32, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		asked := world.ask(owner, 0, coordinator.Request{Keep: &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "t", Program: "p", Retain: time.Minute}}})
+		asked := world.ask(owner, 0, coordinator.Request{Keep: &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "t", Program: "p", Retain: time.Minute}}})
 		begun := world.now
 		Expect(reply(world, owner, asked).Status).To(Equal(coordinator.ReplyDone))
 		Expect(world.now.Sub(begun)).To(BeNumerically("<=", 2*appendDelay+2*step))
@@ -56,7 +56,7 @@
 		find := world.ask(owner, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "none"}})
 		world.run(4 * step)
 		Expect(world.appendCount).To(Equal(before))
-		keep := world.ask(owner, 0, coordinator.Request{Keep: &coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "t", Program: "p", Retain: time.Minute}}})
+		keep := world.ask(owner, 0, coordinator.Request{Keep: &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "t", Program: "p", Retain: time.Minute}}})
 		Expect(reply(world, owner, keep).Status).To(Equal(coordinator.ReplyDone))
 		Expect(reply(world, owner, find).Status).To(Equal(coordinator.ReplyAbsent))
 		Expect(world.appendCount).To(Equal(before + 1))
--- a/coordinator/replica_test.go
+++ b/coordinator/replica_test.go
@@ -14,7 +14,7 @@
 	// storeServedTurn has an owner store a turn that a replica served.
 	storeServedTurn := func(world *fleet) {
 		owner := world.owners(0)[0]
-		kept := ledger.KeptTurn{
+		kept := ledger.StoredTurn{
 			ID: "kept", Program: "p", Input: []byte("in"), Output: []byte("out"), Replica: "r1", Retain: time.Minute,
 		}
 		settled := ledger.Settlement{Turn: "kept", Program: "p", Session: "s", Replica: "r1"}
--- a/coordinator/request.go
+++ b/coordinator/request.go
@@ -32,7 +32,7 @@
 
 // KeepRequest stores a complete turn and settles it.
 type KeepRequest struct {
-	Turn ledger.KeptTurn `json:"turn"`
+	Turn ledger.StoredTurn `json:"turn"`
 	// HasBase says that the turn contains its base, the chain of the previous turn. Without
 	// it the owner replies with ReplyAbsent if it does not hold the previous turn.
 	HasBase bool `json:"has_base,omitempty"`
--- a/coordinator/stalled_test.go
+++ b/coordinator/stalled_test.go
@@ -33,7 +33,7 @@
 		world := newFleet(9, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		kept := ledger.KeptTurn{ID: "aside", Program: "elsewhere", Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute}
+		kept := ledger.StoredTurn{ID: "aside", Program: "elsewhere", Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute}
 		keep := &coordinator.KeepRequest{Turn: kept, HasBase: true, RefuseWhenStalled: true}
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
 		world.storeDown = true
--- a/edge/run.go
+++ b/edge/run.go
@@ -313,9 +313,9 @@
 }
 
 // keptTurn returns the turn as its owner is to keep it, without its base.
-func (t *turnRun) keptTurn() ledger.KeptTurn {
+func (t *turnRun) keptTurn() ledger.StoredTurn {
 	r := t.request
-	kept := ledger.KeptTurn{
+	kept := ledger.StoredTurn{
 		ID: r.turnID(), Program: r.programID(), Previous: r.previousID(), Input: r.exchange.Body, Output: t.output, Retain: r.route.RetainFor,
 	}
 	if t.node.settings.uses(RememberReplicas) {
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -33,7 +33,7 @@
 // storeTurn settles and stores a turn at an owner, and appends its records to the log.
 func storeTurn(stored storedLog, l *ledger.Ledger, settlement ledger.Settlement) {
 	l.Settle(start, settlement)
-	l.StoreTurn(start, ledger.KeptTurn{ID: settlement.Turn, Program: "p", Input: []byte("x"), Retain: time.Minute})
+	l.StoreTurn(start, ledger.StoredTurn{ID: settlement.Turn, Program: "p", Input: []byte("x"), Retain: time.Minute})
 	stored.store(l)
 }
 
@@ -107,7 +107,7 @@
 			Expect(admission.Position == 0).To(BeTrue())
 			store()
 			l.Settle(start, settlementOf(id, admission, 40))
-			l.StoreTurn(start, ledger.KeptTurn{ID: id, Program: "p", Input: []byte("x"), Retain: time.Minute})
+			l.StoreTurn(start, ledger.StoredTurn{ID: id, Program: "p", Input: []byte("x"), Retain: time.Minute})
 			store()
 		}
 		Expect(appends).To(Equal(1 + 8))
@@ -172,7 +172,7 @@
 		admission := l.Admit(start, smallTurn("a"))
 		stored.store(l)
 		l.Settle(start, settlementOf("a", admission, 30))
-		l.StoreTurn(start, ledger.KeptTurn{ID: "a", Program: "p", Input: []byte("x"), Retain: time.Minute})
+		l.StoreTurn(start, ledger.StoredTurn{ID: "a", Program: "p", Input: []byte("x"), Retain: time.Minute})
 		for batch := l.Ready(); batch != nil; batch = l.Ready() {
 			stored.put(batch)
 			l.BatchCommitted()
@@ -186,7 +186,7 @@
 	It("needs no write for a turn after one that did not run and whose record was not yet in the log", func() {
 		stored := storedLog{}
 		l := stored.serving(start)
-		l.StoreTurn(start, ledger.KeptTurn{ID: "other", Program: "other", Input: []byte("x"), Retain: time.Minute})
+		l.StoreTurn(start, ledger.StoredTurn{ID: "other", Program: "other", Input: []byte("x"), Retain: time.Minute})
 		Expect(l.Ready()).NotTo(BeEmpty())
 		refused := l.Admit(start, smallTurn("refused"))
 		l.Settle(start, settlementOf("refused", refused, 0))
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -191,7 +191,7 @@
 
 var _ = Describe("A stored turn", func() {
 	keep := func(l *ledger.Ledger, now time.Time, id, previous string) {
-		l.StoreTurn(now, ledger.KeptTurn{
+		l.StoreTurn(now, ledger.StoredTurn{
 			ID: id, Program: "p", Previous: previous, Input: []byte("in-" + id + ";"), Output: []byte("out-" + id + ";"), Retain: time.Minute,
 		})
 	}
@@ -215,7 +215,7 @@
 		stored := storedLog{}
 		l := ledger.New(ledger.DefaultConfig())
 		large := bytes.Repeat([]byte("0123456789"), 60_000)
-		l.StoreTurn(start, ledger.KeptTurn{ID: "large", Program: "p", Input: large, Output: []byte("out"), Retain: time.Minute})
+		l.StoreTurn(start, ledger.StoredTurn{ID: "large", Program: "p", Input: large, Output: []byte("out"), Retain: time.Minute})
 		stored.store(l)
 		for _, value := range stored {
 			Expect(len(value)).To(BeNumerically("<=", ledger.DefaultConfig().RecordBytes))
@@ -242,7 +242,7 @@
 
 	It("includes the chain that another partition stores", func() {
 		l := ledger.New(ledger.DefaultConfig())
-		l.StoreTurn(start, ledger.KeptTurn{ID: "b", Previous: "elsewhere", Base: []byte("base;"), Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute})
+		l.StoreTurn(start, ledger.StoredTurn{ID: "b", Previous: "elsewhere", Base: []byte("base;"), Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute})
 		chain, found := l.Chain("b")
 		Expect(found).To(BeTrue())
 		Expect(string(chain)).To(Equal("base;in;out;"))
@@ -275,7 +275,7 @@
 		l := ledger.New(config)
 		positions := make([]uint64, 5)
 		for index := range positions {
-			positions[index] = l.StoreTurn(start, ledger.KeptTurn{ID: strconv.Itoa(index), Input: []byte("x"), Retain: time.Minute})
+			positions[index] = l.StoreTurn(start, ledger.StoredTurn{ID: strconv.Itoa(index), Input: []byte("x"), Retain: time.Minute})
 		}
 		for round := range 3 {
 			Expect(l.Ready()).NotTo(BeEmpty())
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -245,7 +245,7 @@
 func (m *ownerModel) storeTurn(end ledger.Settlement) {
 	for range 2 {
 		m.current.Settle(m.now, end)
-		m.current.StoreTurn(m.now, ledger.KeptTurn{ID: end.Turn, Program: "p", Input: []byte("x"), Retain: time.Minute})
+		m.current.StoreTurn(m.now, ledger.StoredTurn{ID: end.Turn, Program: "p", Input: []byte("x"), Retain: time.Minute})
 		if !m.logDown && m.random.IntN(2) == 0 {
 			m.append()
 		} else if !m.logDown {
--- a/ledger/restore_test.go
+++ b/ledger/restore_test.go
@@ -11,11 +11,11 @@
 
 var _ = Describe("Restoring while the ledger serves", func() {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	kept := func(id, input string) ledger.KeptTurn {
-		return ledger.KeptTurn{ID: id, Program: "p", Input: []byte(input), Output: []byte("!"), Retain: time.Minute}
+	kept := func(id, input string) ledger.StoredTurn {
+		return ledger.StoredTurn{ID: id, Program: "p", Input: []byte(input), Output: []byte("!"), Retain: time.Minute}
 	}
 	// logOf returns the records of a ledger that stores a turn.
-	logOf := func(config ledger.Config, turn ledger.KeptTurn) []ledger.Record {
+	logOf := func(config ledger.Config, turn ledger.StoredTurn) []ledger.Record {
 		previous := ledger.New(config)
 		previous.StoreTurn(now, turn)
 		return previous.Ready()
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -63,7 +63,7 @@
 		for end := now.Add(time.Hour); now.Before(end); now = now.Add(time.Second) {
 			for range int(turnsPerSecond + random.Float64()) {
 				turns++
-				kept := ledger.KeptTurn{
+				kept := ledger.StoredTurn{
 					ID: fmt.Sprintf("turn-%d", turns), Program: fmt.Sprintf("program-%d", turns/turnsPerProgram),
 					Input: body, Output: body[:outputBytes], Retain: time.Minute,
 				}
@@ -88,7 +88,7 @@
 
 	It("is a quarter smaller than with bodies in base64", func() {
 		l := ledger.New(ledger.DefaultConfig())
-		l.StoreTurn(time.Unix(0, 0), ledger.KeptTurn{ID: "t", Program: "p", Input: make([]byte, firstInputBytes), Output: make([]byte, outputBytes), Retain: time.Minute})
+		l.StoreTurn(time.Unix(0, 0), ledger.StoredTurn{ID: "t", Program: "p", Input: make([]byte, firstInputBytes), Output: make([]byte, outputBytes), Retain: time.Minute})
 		records := l.Ready()
 		Expect(len(records[0].Value)).To(BeNumerically("<", firstInputBytes+outputBytes+300))
 	})
@@ -108,7 +108,7 @@
 
 	It("is decoded as this version encodes it, and rejected if truncated", func() {
 		previous := ledger.New(ledger.DefaultConfig())
-		previous.StoreTurn(now, ledger.KeptTurn{
+		previous.StoreTurn(now, ledger.StoredTurn{
 			ID: "t", Program: "p", Previous: "gone", Base: []byte("base"), Input: []byte("in"), Output: []byte("out"), Retain: time.Minute,
 		})
 		record := previous.Ready()[0]
@@ -124,9 +124,9 @@
 
 	It("expires when due, also after a takeover, and not before the turns that continue it", func() {
 		previous := ledger.New(ledger.DefaultConfig())
-		previous.StoreTurn(now, ledger.KeptTurn{ID: "a", Program: "p", Input: []byte("1"), Retain: time.Minute})
-		previous.StoreTurn(now.Add(40*time.Second), ledger.KeptTurn{ID: "b", Program: "p", Previous: "a", Input: []byte("2"), Retain: time.Minute})
-		previous.StoreTurn(now, ledger.KeptTurn{ID: "alone", Program: "p", Input: []byte("3"), Retain: time.Minute})
+		previous.StoreTurn(now, ledger.StoredTurn{ID: "a", Program: "p", Input: []byte("1"), Retain: time.Minute})
+		previous.StoreTurn(now.Add(40*time.Second), ledger.StoredTurn{ID: "b", Program: "p", Previous: "a", Input: []byte("2"), Retain: time.Minute})
+		previous.StoreTurn(now, ledger.StoredTurn{ID: "alone", Program: "p", Input: []byte("3"), Retain: time.Minute})
 		l := ledger.New(ledger.DefaultConfig())
 		taken := now.Add(50 * time.Second)
 		for _, record := range previous.Ready() {
--- a/ledger/turn.go
+++ b/ledger/turn.go
@@ -12,7 +12,7 @@
 }
 
 // StoredTurn is a completed turn to be stored.
-type KeptTurn struct {
+type StoredTurn struct {
 	ID      string `json:"id"`
 	Program string `json:"program"`
 	// Previous is the turn that this one continues, or "". Base is the previous turn's
@@ -29,7 +29,7 @@
 }
 
 // StoreTurn stores a completed turn. It is durable once the returned position is.
-func (l *Ledger) StoreTurn(now time.Time, kept KeptTurn) (position uint64) {
+func (l *Ledger) StoreTurn(now time.Time, kept StoredTurn) (position uint64) {
 	value := turnValue{
 		Program:     kept.Program,
 		Previous:    kept.Previous,
