--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -169,7 +169,7 @@
 		p.ledger = ledger.New(c.config.Ledger)
 	}
 	c.restoreRecords(now, p, event.Records)
-	if last := len(event.Records) - 1; p.state == stateTakingOver && last >= 0 && ledger.PastAccounts(event.Records[last].Key) {
+	if last := len(event.Records) - 1; p.state == stateTakingOver && last >= 0 && ledger.SortsAfterAccounts(event.Records[last].Key) {
 		c.startServing(now, p, true)
 	}
 	if p.state == stateTakingOver {
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -178,7 +178,7 @@
 
 // readTakeoverPage reads a page once it is its turn.
 func (n *Node) readTakeoverPage(ctx context.Context, stream recordstore.Stream, after string) (recordstore.Page, error) {
-	accounts := n.settings.uses(ReadAccountsFirst) && !ledger.PastAccounts(after)
+	accounts := n.settings.uses(ReadAccountsFirst) && !ledger.SortsAfterAccounts(after)
 	free, err := n.takeovers.place(ctx, accounts)
 	if err != nil {
 		return recordstore.Page{}, err
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -91,7 +91,7 @@
 // SortsAfterAccounts reports whether a key sorts after those of all accounts and of the
 // open record. Once such a key was read, all accounts are restored and Admit may be
 // called.
-func PastAccounts(key string) bool { return key >= partPrefix }
+func SortsAfterAccounts(key string) bool { return key >= partPrefix }
 
 // HoldsChain reports whether the ledger holds a stored turn and all turns before it.
 func (l *Ledger) HoldsChain(id string) bool {
--- a/ledger/restore_test.go
+++ b/ledger/restore_test.go
@@ -22,10 +22,10 @@
 	}
 
 	It("tells where the accounts end", func() {
-		Expect(ledger.PastAccounts("account/zzz")).To(BeFalse())
-		Expect(ledger.PastAccounts("open")).To(BeFalse())
-		Expect(ledger.PastAccounts("part/a/0")).To(BeTrue())
-		Expect(ledger.PastAccounts("turn/a")).To(BeTrue())
+		Expect(ledger.SortsAfterAccounts("account/zzz")).To(BeFalse())
+		Expect(ledger.SortsAfterAccounts("open")).To(BeFalse())
+		Expect(ledger.SortsAfterAccounts("part/a/0")).To(BeTrue())
+		Expect(ledger.SortsAfterAccounts("turn/a")).To(BeTrue())
 	})
 
 	It("does not overwrite a turn that was stored again", func() {
