--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -139,7 +139,7 @@
 			others = append(others, ownership.Node{ID: string(node.ID), Weight: node.Weight})
 		}
 	}
-	return c.membership.Lookup(machine.ID(ownership.Rank(index, others)))
+	return c.membership.Lookup(machine.ID(ownership.TopNode(index, others)))
 }
 
 // notifySuccessors notifies the node that ranks first after this one for each of its
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -356,7 +356,7 @@
 	candidates := slices.DeleteFunc(c.chargeCandidates(), func(node ownership.Node) bool {
 		return slices.Contains(excluded, machine.ID(node.ID))
 	})
-	return machine.ID(ownership.Rank(accountRankKey(key), candidates))
+	return machine.ID(ownership.TopNode(accountRankKey(key), candidates))
 }
 
 // tickCharges resends unanswered charges, and gives up those past their deadline.
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -38,7 +38,7 @@
 // TopNode returns the node that is to own the partition, or "" if there are no nodes. It
 // does not depend on the order of the nodes. Nodes get partitions in proportion to their
 // weights, and removing a node moves only its own partitions.
-func Rank(partition int, nodes []Node) string {
+func TopNode(partition int, nodes []Node) string {
 	if best := First(partition, nodes, 1); len(best) > 0 {
 		return best[0]
 	}
@@ -98,7 +98,7 @@
 		return preferred
 	}
 	others := slices.DeleteFunc(slices.Clone(nodes), func(node Node) bool { return node.Zone == zone })
-	if other := Rank(partition, others); other != "" {
+	if other := TopNode(partition, others); other != "" {
 		preferred[len(preferred)-1] = other
 	}
 	return preferred
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -23,16 +23,16 @@
 		for partition := range 50 {
 			all := nodes(3)
 			turned := []ownership.Node{all[2], all[0], all[1]}
-			Expect(ownership.Rank(partition, all)).To(Equal(ownership.Rank(partition, turned)))
+			Expect(ownership.TopNode(partition, all)).To(Equal(ownership.TopNode(partition, turned)))
 		}
 	})
 
 	It("moves only the partitions of a node that is removed", func() {
 		before, after := nodes(12), nodes(11)
 		for partition := range 200 {
-			owner := ownership.Rank(partition, before)
+			owner := ownership.TopNode(partition, before)
 			if owner != "node-11" {
-				Expect(ownership.Rank(partition, after)).To(Equal(owner))
+				Expect(ownership.TopNode(partition, after)).To(Equal(owner))
 			}
 		}
 	})
@@ -41,14 +41,14 @@
 		all := []ownership.Node{{ID: "strong", Weight: 8}, {ID: "weak"}, {ID: "other", Weight: 1}}
 		counts := map[string]int{}
 		for partition := range 10_000 {
-			counts[ownership.Rank(partition, all)]++
+			counts[ownership.TopNode(partition, all)]++
 		}
 		Expect(counts["strong"]).To(BeNumerically("~", 8000, 200))
 		Expect(counts["weak"]).To(BeNumerically("~", 1000, 150))
 	})
 
 	It("returns no node if there is none", func() {
-		Expect(ownership.Rank(1, nil)).To(BeEmpty())
+		Expect(ownership.TopNode(1, nil)).To(BeEmpty())
 	})
 })
 
