--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -55,7 +55,7 @@
 // others, since a source or reader serves hundreds of nodes. selfRanks holds this node's
 // ranks in the preference lists of the partitions.
 func (c *Core) assignRoles(candidates []ownership.Node, selfRanks []int) Roles {
-	roles := Roles{Sources: c.lookupAll(ownership.First(sourceRankKey, ownership.Able(candidates), sourcesPerFleet))}
+	roles := Roles{Sources: c.lookupAll(ownership.TopNodes(sourceRankKey, ownership.Able(candidates), sourcesPerFleet))}
 	byZone := make(map[zone.Name][]ownership.Node)
 	for _, candidate := range candidates {
 		byZone[zone.Name(candidate.Zone)] = append(byZone[zone.Name(candidate.Zone)], candidate)
@@ -63,8 +63,8 @@
 	ownZone := c.self().Zone
 	for name, zoneNodes := range byZone {
 		eligible := ownership.Able(zoneNodes)
-		readers := c.lookupAll(ownership.First(readerRankKey, eligible, readersPerZone))
-		collectors := c.lookupAll(ownership.First(collectorRankKey, eligible, collectorsPerZone))
+		readers := c.lookupAll(ownership.TopNodes(readerRankKey, eligible, readersPerZone))
+		collectors := c.lookupAll(ownership.TopNodes(collectorRankKey, eligible, collectorsPerZone))
 		if name == ownZone {
 			roles.Readers, roles.Near, roles.Collectors = readers, len(zoneNodes), collectors
 			continue
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -39,7 +39,7 @@
 // does not depend on the order of the nodes. Nodes get partitions in proportion to their
 // weights, and removing a node moves only its own partitions.
 func TopNode(partition int, nodes []Node) string {
-	if best := First(partition, nodes, 1); len(best) > 0 {
+	if best := TopNodes(partition, nodes, 1); len(best) > 0 {
 		return best[0]
 	}
 	return ""
@@ -54,7 +54,7 @@
 
 // TopNodes returns at most count nodes, the highest ranked first: the one that is to own
 // the partition, followed by those that are to own it if the nodes before them are gone.
-func First(partition int, nodes []Node, count int) []string {
+func TopNodes(partition int, nodes []Node, count int) []string {
 	return nodeIDs(topScored(partition, nodes, count))
 }
 
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -79,7 +79,7 @@
 		}
 		for partition := range 100 {
 			heirs := ownership.Heirs(partition, all, 3)
-			first := ownership.First(partition, all, 3)
+			first := ownership.TopNodes(partition, all, 3)
 			Expect(heirs[:2]).To(Equal(first[:2]))
 			zones := map[bool]bool{}
 			for _, id := range heirs {
