--- a/coordinator/rank.go
+++ b/coordinator/rank.go
@@ -112,7 +112,7 @@
 	selfRanks := make([]int, len(c.partitions))
 	self := string(c.self().ID)
 	for index := range preferred {
-		preferred[index] = ownership.Heirs(index, eligible, preferredPerPartition)
+		preferred[index] = ownership.PreferenceList(index, eligible, preferredPerPartition)
 		selfRanks[index] = slices.Index(preferred[index], self)
 	}
 	return ranking{
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -87,7 +87,7 @@
 // PreferenceList returns the nodes of TopNodes. If all of them are in one zone, the last
 // is replaced by the highest ranked node of another zone, since a zone may fail as a
 // whole.
-func Heirs(partition int, nodes []Node, count int) []string {
+func PreferenceList(partition int, nodes []Node, count int) []string {
 	ranked := topScored(partition, nodes, count)
 	preferred := nodeIDs(ranked)
 	if len(ranked) < 2 {
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -78,7 +78,7 @@
 			all = append(all, ownership.Node{ID: fmt.Sprintf("node-%d", index), Zone: []string{"a", "b"}[index/10]})
 		}
 		for partition := range 100 {
-			heirs := ownership.Heirs(partition, all, 3)
+			heirs := ownership.PreferenceList(partition, all, 3)
 			first := ownership.TopNodes(partition, all, 3)
 			Expect(heirs[:2]).To(Equal(first[:2]))
 			zones := map[bool]bool{}
