--- a/coordinator/rank.go
+++ b/coordinator/rank.go
@@ -108,7 +108,7 @@
 // computeRanking ranks the candidates for every partition.
 func (c *Core) computeRanking(now time.Time, candidates []ownership.Node) ranking {
 	preferred := make([][]string, len(c.partitions))
-	eligible := ownership.Able(candidates)
+	eligible := ownership.Eligible(candidates)
 	selfRanks := make([]int, len(c.partitions))
 	self := string(c.self().ID)
 	for index := range preferred {
--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -55,14 +55,14 @@
 // others, since a source or reader serves hundreds of nodes. selfRanks holds this node's
 // ranks in the preference lists of the partitions.
 func (c *Core) assignRoles(candidates []ownership.Node, selfRanks []int) Roles {
-	roles := Roles{Sources: c.lookupAll(ownership.TopNodes(sourceRankKey, ownership.Able(candidates), sourcesPerFleet))}
+	roles := Roles{Sources: c.lookupAll(ownership.TopNodes(sourceRankKey, ownership.Eligible(candidates), sourcesPerFleet))}
 	byZone := make(map[zone.Name][]ownership.Node)
 	for _, candidate := range candidates {
 		byZone[zone.Name(candidate.Zone)] = append(byZone[zone.Name(candidate.Zone)], candidate)
 	}
 	ownZone := c.self().Zone
 	for name, zoneNodes := range byZone {
-		eligible := ownership.Able(zoneNodes)
+		eligible := ownership.Eligible(zoneNodes)
 		readers := c.lookupAll(ownership.TopNodes(readerRankKey, eligible, readersPerZone))
 		collectors := c.lookupAll(ownership.TopNodes(collectorRankKey, eligible, collectorsPerZone))
 		if name == ownZone {
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -187,7 +187,7 @@
 		candidates = append(candidates, ownership.Node{ID: string(node.ID), Weight: node.Weight})
 	}
 	var ranked []machine.Machine
-	for _, id := range ownership.TopNodes(directoryRank, ownership.Able(candidates), directoryReaders) {
+	for _, id := range ownership.TopNodes(directoryRank, ownership.Eligible(candidates), directoryReaders) {
 		place := slices.IndexFunc(near, func(node machine.Machine) bool { return string(node.ID) == id })
 		ranked = append(ranked, near[place])
 	}
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -115,7 +115,7 @@
 
 // Eligible returns the nodes whose weight is large enough, relative to the others, to own
 // partitions, or all nodes if those are too few.
-func Able(nodes []Node) []Node {
+func Eligible(nodes []Node) []Node {
 	heaviest := 0.0
 	for _, node := range nodes {
 		heaviest = max(heaviest, node.weight())
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -92,8 +92,8 @@
 	It("consists of nodes with enough weight if there are enough of them", func() {
 		weak := []ownership.Node{{ID: "w1", Weight: 6}, {ID: "w2", Weight: 6}}
 		strong := []ownership.Node{{ID: "s1", Weight: 480}, {ID: "s2", Weight: 480}, {ID: "s3", Weight: 300}}
-		Expect(ownership.Able(append(strong, weak...))).To(Equal(strong))
-		Expect(ownership.Able(append(strong[:2:2], weak...))).To(HaveLen(4))
-		Expect(ownership.Able(weak)).To(Equal(weak))
+		Expect(ownership.Eligible(append(strong, weak...))).To(Equal(strong))
+		Expect(ownership.Eligible(append(strong[:2:2], weak...))).To(HaveLen(4))
+		Expect(ownership.Eligible(weak)).To(Equal(weak))
 	})
 })
