--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -84,7 +84,7 @@
 		Membership:          membership,
 		Ledger:              ledger.DefaultConfig(),
 		Partitions:          partitions,
-		Salt:                ownership.SaltOf(random.Uint64()),
+		Salt:                ownership.NewSalt(random.Uint64()),
 		StartupDelay:        350 * time.Millisecond,
 		MinClaimInterval:    time.Second,
 		StatusFanout:        12,
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -167,7 +167,7 @@
 type Salt uint32
 
 // NewSalt derives a process's salt from a random number.
-func SaltOf(random uint64) Salt { return Salt(random & (1<<saltBits - 1)) }
+func NewSalt(random uint64) Salt { return Salt(random & (1<<saltBits - 1)) }
 
 // NextEpoch returns the process's epoch that follows the given one.
 func (s Salt) NextEpoch(epoch Epoch) Epoch {
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -54,7 +54,7 @@
 
 var _ = Describe("Epochs", func() {
 	It("of two processes that claim after the same epoch are both higher and differ", func() {
-		one, other := ownership.SaltOf(7), ownership.SaltOf(1<<40|9)
+		one, other := ownership.NewSalt(7), ownership.NewSalt(1<<40|9)
 		known := one.NextEpoch(other.NextEpoch(0))
 		Expect(one.NextEpoch(known)).To(BeNumerically(">", known))
 		Expect(other.NextEpoch(known)).To(BeNumerically(">", known))
@@ -62,7 +62,7 @@
 	})
 
 	It("of a claim is higher than all of earlier seconds, known or not", func() {
-		one, other := ownership.SaltOf(7), ownership.SaltOf(9)
+		one, other := ownership.NewSalt(7), ownership.NewSalt(9)
 		at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 		before := other.ClaimEpoch(0, at)
 		Expect(one.ClaimEpoch(0, at.Add(time.Second))).To(BeNumerically(">", before))
