--- a/evacuation/departure.go
+++ b/evacuation/departure.go
@@ -17,7 +17,7 @@
 // DepartureTime returns until when a session may go on in a zone whose evacuation began
 // at since, with within as the operator's time limit. Every node computes the same time
 // for a session, and the times of all sessions are spread evenly.
-func Departure(since time.Time, within time.Duration, session string) time.Time {
+func DepartureTime(since time.Time, within time.Duration, session string) time.Time {
 	draw := float64(xxhash.Sum64String(session)>>(64-float64FractionBits)) / (1 << float64FractionBits)
 	return since.Add(time.Duration(draw * departureWindowShare * float64(within)))
 }
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -109,13 +109,13 @@
 	const sessions, within = 3000, 5 * time.Second
 	thirds := [3]int{}
 	for session := range sessions {
-		until := evacuation.Departure(start, within, fmt.Sprint("program-", session)).Sub(start)
+		until := evacuation.DepartureTime(start, within, fmt.Sprint("program-", session)).Sub(start)
 		g.Expect(until).To(And(BeNumerically(">=", 0), BeNumerically("<", 3*time.Second)))
 		thirds[until/time.Second]++
 	}
 	for _, count := range thirds {
 		g.Expect(count).To(BeNumerically("~", sessions/3, sessions/15))
 	}
-	g.Expect(evacuation.Departure(start, within, "x")).To(Equal(evacuation.Departure(start, within, "x")))
-	g.Expect(evacuation.Departure(start, 0, "x")).To(Equal(start), "no time is given")
+	g.Expect(evacuation.DepartureTime(start, within, "x")).To(Equal(evacuation.DepartureTime(start, within, "x")))
+	g.Expect(evacuation.DepartureTime(start, 0, "x")).To(Equal(start), "no time is given")
 }
--- a/replica/places.go
+++ b/replica/places.go
@@ -36,7 +36,7 @@
 	if m.entry.ID != request.Preferred && m.entry.ID != request.Only {
 		return false
 	}
-	return now.Before(evacuation.Departure(since, s.config.LeaveWithin, request.Program))
+	return now.Before(evacuation.DepartureTime(since, s.config.LeaveWithin, request.Program))
 }
 
 // unavailableReason returns why no replica may receive a request, if none was excluded by a
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -46,7 +46,7 @@
 func programLeavingLate(since time.Time) string {
 	for number := 0; ; number++ {
 		name := fmt.Sprint("program-", number)
-		if evacuation.Departure(since, leaveWithin, name).Sub(since) > 1500*time.Millisecond {
+		if evacuation.DepartureTime(since, leaveWithin, name).Sub(since) > 1500*time.Millisecond {
 			return name
 		}
 	}
@@ -75,7 +75,7 @@
 		request.Excluded = []replica.ID{"here"}
 		Expect(chosen(set, since, request)).NotTo(HaveKey(replica.ID("beside")))
 		request.Excluded = nil
-		until := evacuation.Departure(since, leaveWithin, request.Program)
+		until := evacuation.DepartureTime(since, leaveWithin, request.Program)
 		Expect(chosen(set, until, request)).NotTo(HaveKey(replica.ID("here")))
 		choice, err := set.Select(until, &request)
 		Expect(err).NotTo(HaveOccurred())
