--- a/edge/node.go
+++ b/edge/node.go
@@ -35,7 +35,7 @@
 	logger   *log.Logger
 	self     machine.Machine
 
-	routes routing.Follower
+	routes routing.LatestTable
 	config latestConfiguration
 	// evacuations is what this node knows of evacuated zones.
 	evacuations evacuations
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -53,7 +53,7 @@
 
 var _ = Describe("The latest table", func() {
 	It("never goes back to an older table", func() {
-		follower := &routing.Follower{}
+		follower := &routing.LatestTable{}
 		Expect(follower.Current()).To(BeNil())
 		versions := []uint64{4, 9, 7, 9, 12, 11}
 		var taken []uint64
