--- a/edge/request.go
+++ b/edge/request.go
@@ -34,7 +34,7 @@
 	// newest, when the key was looked up.
 	proofAge time.Duration
 	// homes bounds where the request may be served and its data may be.
-	homes zone.Homes
+	homes zone.Constraint
 	// charge is how the request counts to its tenant's limit; nil where there is
 	// none.
 	charge *charge
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -128,8 +128,8 @@
 })
 
 var _ = Describe("Homes of a request", func() {
-	homes := func(regions ...zone.Region) zone.Homes {
-		return zone.Homes{}.Restrict(zone.Topology{"here": "home", "near": "home", "far": "away"}, regions)
+	homes := func(regions ...zone.Region) zone.Constraint {
+		return zone.Constraint{}.Restrict(zone.Topology{"here": "home", "near": "home", "far": "away"}, regions)
 	}
 
 	It("bound the choice, whatever the load there", func() {
--- a/replica/select.go
+++ b/replica/select.go
@@ -27,7 +27,7 @@
 	// replica is no longer known.
 	Only ID
 	// Constraint limits the zones whose replicas may receive the request.
-	Constraint zone.Homes
+	Constraint zone.Constraint
 	// ExpectedTokens is the expected number of tokens in the answer, or 0 if unknown.
 	ExpectedTokens int
 	// SpeedBias shifts the request's chance of a fast replica: 1 raises it, 0 leaves it at the
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -14,7 +14,7 @@
 // not by empty ones.
 func TestConstraint(t *testing.T) {
 	g := NewWithT(t)
-	var unrestricted zone.Homes
+	var unrestricted zone.Constraint
 	g.Expect(unrestricted.Permits("anywhere")).To(BeTrue())
 	g.Expect(unrestricted.Empty()).To(BeFalse())
 	g.Expect(unrestricted.Restrict(topology, nil)).To(Equal(unrestricted))
