--- a/edge/node.go
+++ b/edge/node.go
@@ -68,7 +68,7 @@
 	// bounds the appends.
 	randomMutex sync.Mutex
 	random      *rand.Rand
-	patience    retry.Patience
+	patience    retry.AdaptiveTimeout
 
 	store contact
 	proof *proof
@@ -156,7 +156,7 @@
 		waiting:   newWaiting(&settings),
 		metrics:   newMetrics(settings.LogLinesDropped),
 		random:    random,
-		patience:  retry.Patience{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
+		patience:  retry.AdaptiveTimeout{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
 		store:     contact{last: now},
 		proof:     newProof(now),
 		started:   now,
--- a/retry/patience_test.go
+++ b/retry/patience_test.go
@@ -8,8 +8,8 @@
 )
 
 var _ = Describe("An adaptive time-out", func() {
-	newTimeout := func() *Patience {
-		return &Patience{Minimum: 50 * time.Millisecond, Maximum: time.Second, Factor: 6}
+	newTimeout := func() *AdaptiveTimeout {
+		return &AdaptiveTimeout{Minimum: 50 * time.Millisecond, Maximum: time.Second, Factor: 6}
 	}
 
 	It("is short while answers are fast", func() {
