--- a/recordstore/recordstore.go
+++ b/recordstore/recordstore.go
@@ -65,7 +65,7 @@
 
 // Store is the platform's store. It is safe for concurrent use.
 type Store interface {
-	Endings
+	EndReader
 	// Append appends all of the records to the stream, or none. After a *FencedError or a
 	// *RefusedError none was appended; after any other error the outcome is unknown.
 	Append(ctx context.Context, stream Stream, writer Writer, records []Record) error
@@ -81,7 +81,7 @@
 }
 
 // EndReader returns where a stream ends, without reading its records.
-type Endings interface {
+type EndReader interface {
 	// End returns the offset of the stream's next record.
 	End(ctx context.Context, stream Stream) (uint64, error)
 }
