--- a/coordinator/asking_test.go
+++ b/coordinator/asking_test.go
@@ -10,13 +10,13 @@
 )
 
 var _ = Describe("A node that joins", func() {
-	// inherited returns how many partitions the new node took from owners that
-	// did not give up in order, and how many it took.
+	// inherited returns how many partitions the new node took from owners that did not hand
+	// them over cleanly, and how many it took in all.
 	inherited := func(withoutAsking bool) (inherited, taken int) {
 		world := newFleetWith(5, 4, 12, func(config *coordinator.Config) {
-			config.ClaimWithoutAsking = withoutAsking
+			config.SkipHandover = withoutAsking
 			config.Ledger.UnrecordedShare = 1.0 / 3
-			config.Ledger.UnrecordedFor = 8 * time.Second
+			config.Ledger.OwnershipProofTTL = 8 * time.Second
 		})
 		world.run(settled)
 		serveAll(world)
@@ -35,13 +35,13 @@
 		return inherited, taken
 	}
 
-	It("takes its partitions from owners that give them up in order", func() {
+	It("takes its partitions by clean handovers from their owners", func() {
 		lost, taken := inherited(false)
 		Expect(taken).To(BeNumerically(">", 0))
 		Expect(lost).To(BeZero())
 	})
 
-	It("takes them unasked where hand-overs are switched off", func() {
+	It("claims them without a handover if handovers are disabled", func() {
 		lost, taken := inherited(true)
 		Expect(taken).To(BeNumerically(">", 0))
 		Expect(lost).To(Equal(taken))
--- a/coordinator/find_test.go
+++ b/coordinator/find_test.go
@@ -10,22 +10,22 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-var _ = Describe("A turn that was kept before ids had a scope", func() {
+var _ = Describe("A turn that was stored before IDs were scoped", func() {
 	find := coordinator.FindRequest{Turn: "acme\x1fx", Unscoped: "x"}
 
-	It("is handed to no tenant, and not called absent", func() {
+	It("is returned to no tenant, and not reported absent", func() {
 		world := newFleet(1, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		former := coordinator.KeepRequest{Turn: ledger.KeptTurn{ID: "x", Program: "p", Input: []byte("in;"), Retain: time.Minute}}
+		former := coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "x", Program: "p", Input: []byte("in;"), Retain: time.Minute}}
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: &former})).Status).To(Equal(coordinator.ReplyDone))
 		found := reply(world, owner, world.ask(owner, 0, coordinator.Request{Find: &find}))
-		Expect(found.Status).To(Equal(coordinator.ReplyUnowned))
+		Expect(found.Status).To(Equal(coordinator.ReplyUnscoped))
 		Expect(found.Chain).To(BeEmpty())
 		Expect(find.ProvesAbsent(&found)).To(BeFalse())
 	})
 
-	It("is absent only by the word of an owner that looked for it", func() {
+	It("is proven absent only by an owner that looked for it", func() {
 		world := newFleet(2, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
@@ -38,17 +38,18 @@
 	})
 })
 
-var _ = Describe("A turn that is asked for during a takeover", func() {
-	It("takes nothing of its program's budget once its asker has given up", func() {
+var _ = Describe("A turn that is requested during a takeover", func() {
+	It("uses nothing of its program's budget once its requester has given up", func() {
 		world := newFleet(3, 3, 1)
 		world.run(settled)
 		lost := world.owners(0)[0]
 		world.kill(lost)
 		asked := turn("given up")
-		asked.Turn.Budget = asked.Turn.Most
+		asked.Turn.Budget = asked.Turn.MaxTokens
 		end := ledger.Settlement{Turn: "given up", Program: "p", Session: "s"}
 		for len(world.owners(0)) == 0 {
-			// Whoever takes the partition over is asked, and nobody waits for the answer.
+			// Send the turn and its end to every node, so that the one that takes over gets
+			// them, and do not wait for the replies.
 			for _, id := range world.ids() {
 				world.ask(id, 0, coordinator.Request{Admit: asked})
 				world.ask(id, 0, coordinator.Request{Settle: &end})
@@ -57,7 +58,7 @@
 		}
 		world.run(time.Second)
 		next := turn("next")
-		next.Turn.Budget = next.Turn.Most
+		next.Turn.Budget = next.Turn.MaxTokens
 		owner := world.owners(0)[0]
 		admitted := reply(world, owner, world.ask(owner, 0, coordinator.Request{Admit: next}))
 		Expect(admitted.Admission.Verdict).To(Equal(ledger.VerdictGranted))
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -21,86 +21,89 @@
 // start is the beginning of the virtual time.
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// The delays of the virtual world.
+// The delays of the simulation.
 const (
 	step        = 5 * time.Millisecond
 	peerDelay   = 2 * time.Millisecond
 	appendDelay = 8 * time.Millisecond
 )
 
-// fleet runs real cores against one store in virtual time.
+// fleet runs real cores against one simulated store in virtual time.
 type fleet struct {
 	now        time.Time
 	partitions int
 	random     *rand.Rand
 	nodes      map[machine.ID]*member
-	due        []delivery
+	inTransit  []delivery
 	store      map[int]*streamState
-	// appends counts those that nodes began.
-	appends int
-	// storeDown has the store answer nothing.
+	// appendCount is the number of appends that nodes have started.
+	appendCount int
+	// storeDown makes the store unavailable to all nodes.
 	storeDown bool
-	// contactLag is how long after its last answer the store counts as reached.
-	contactLag time.Duration
-	// turned is when storeDown changed last through turnStore.
-	turned time.Time
-	nextID uint64
-	// pageTakes is how long the store takes for a page of a takeover.
-	pageTakes time.Duration
-	// lossOf is the share of the messages between nodes that are lost.
-	lossOf float64
-	// zoneOf places the nodes; nil has all in one zone.
+	// contactTimeout is how long after its last answer the store counts as reached.
+	contactTimeout time.Duration
+	// storeChangedAt is when setStoreUp last changed storeDown.
+	storeChangedAt time.Time
+	nextID         uint64
+	// pageDelay is how long the store takes to return a page of a takeover.
+	pageDelay time.Duration
+	// lossRate is the share of the messages between nodes that are lost.
+	lossRate float64
+	// zoneOf returns the zone of a node; nil puts all nodes into one zone.
 	zoneOf func(machine.ID) zone.Name
-	// wins are when a node began to serve a partition, for each.
-	wins map[int][]time.Time
-	// handed is how often one was given up in order.
-	handed map[int]int
-	// configure changes the settings of the nodes; nil leaves them.
+	// gainedAt holds, for each partition, the times at which a node started to serve it.
+	gainedAt map[int][]time.Time
+	// handovers counts the clean handovers of each partition.
+	handovers map[int]int
+	// configure changes the nodes' configuration; nil leaves it unchanged.
 	configure func(*coordinator.Config)
-	// expect asserts for the test that the fleet is of.
+	// expect makes assertions for the test that uses the fleet.
 	expect func(actual any, extra ...any) types.Assertion
 }
 
 // member is one node of the fleet.
 type member struct {
-	self   machine.Machine
-	core   *coordinator.Core
+	self machine.Machine
+	core *coordinator.Core
+	// frozen nodes process no events, and cut nodes cannot reach the store.
 	frozen bool
 	cut    bool
 	// alone nodes exchange no messages with others.
 	alone bool
-	// near nodes exchange messages with these alone, where there are any.
-	near []machine.ID
-	// noticeLag is how long after a turn of the store the node notices it.
+	// reachable, if not empty, lists the only nodes with which the node exchanges messages.
+	reachable []machine.ID
+	// noticeLag is how long after a change of the store the node notices it.
 	noticeLag time.Duration
-	// contacted is when the store answered the node last.
-	contacted time.Time
-	replies   map[uint64]coordinator.Reply
-	changes   []coordinator.Change
-	// charged are the answers to charges that were not collected yet.
+	// lastStoreAnswer is when the store last answered the node.
+	lastStoreAnswer time.Time
+	replies         map[uint64]coordinator.Reply
+	changes         []coordinator.Change
+	// charged holds the answers to charges that were not collected yet.
 	charged []coordinator.Charged
-	// proven is when the node's configuration was the newest by word of a peer.
+	// proven is a time at which the node's configuration was the newest, as proven by a
+	// peer.
 	proven time.Time
-	// newer are peers that hold a newer configuration, not collected yet.
+	// newer holds peers with a newer configuration that were not collected yet.
 	newer []coordinator.PeerVersion
-	// totals are what a collector told last, and gathered counts messages about loads.
-	totals   *gather.Totals
-	gathered int
+	// totals are the last ones from a collector, and gatherMessages counts messages about
+	// loads.
+	totals         *gather.Totals
+	gatherMessages int
 }
 
-// delivery is an event on its way.
+// delivery is an event in transit.
 type delivery struct {
 	at    time.Time
 	to    machine.ID
 	event coordinator.Event
-	// call is carried out at the store instead.
+	// call is executed at the store instead of delivering an event.
 	call func()
 }
 
-// streamState is what the store keeps of one partition.
+// streamState is the store's state of one partition.
 type streamState struct {
 	epoch ownership.Epoch
-	// end counts appends.
+	// end counts the appends and claims.
 	end     uint64
 	records map[string]ledger.Record
 	order   []string
@@ -114,7 +117,7 @@
 	world := &fleet{
 		configure: configure, now: start, partitions: partitions, random: rand.New(rand.NewPCG(seed, 1)),
 		nodes: map[machine.ID]*member{}, store: map[int]*streamState{},
-		wins: map[int][]time.Time{}, handed: map[int]int{}, expect: Expect,
+		gainedAt: map[int][]time.Time{}, handovers: map[int]int{}, expect: Expect,
 	}
 	for index := range partitions {
 		world.store[index] = &streamState{records: map[string]ledger.Record{}}
@@ -126,7 +129,7 @@
 	return world
 }
 
-// start starts a node, anew if it ran before.
+// start starts a node, or restarts it.
 func (f *fleet) start(id machine.ID) {
 	self := machine.Machine{
 		ID: id, Kind: machine.KindNode, Zone: "z", Address: "address-of-" + string(id), Status: machine.StatusLive,
@@ -148,14 +151,14 @@
 // kill ends a node's process.
 func (f *fleet) kill(id machine.ID) { delete(f.nodes, id) }
 
-// list has every node read the nodes' addresses from the store.
+// list has every node read the complete node list from the store.
 func (f *fleet) list() {
 	var all []machine.Machine
 	for _, id := range f.ids() {
 		all = append(all, f.nodes[id].self)
 	}
 	for _, id := range f.ids() {
-		f.nodes[id].core.Step(f.now, coordinator.Listed{Nodes: all})
+		f.nodes[id].core.Step(f.now, coordinator.NodeListRead{Nodes: all})
 	}
 }
 
@@ -168,156 +171,158 @@
 	return ids
 }
 
-// run lets the time pass.
+// run advances the virtual time.
 func (f *fleet) run(span time.Duration) {
 	end := f.now.Add(span)
 	for f.now.Before(end) {
 		f.now = f.now.Add(step)
 		f.deliver()
 		for _, id := range f.ids() {
-			if one := f.nodes[id]; !one.frozen {
-				if !f.storeDown && !one.cut {
-					one.contacted = f.now
+			if node := f.nodes[id]; !node.frozen {
+				if !f.storeDown && !node.cut {
+					node.lastStoreAnswer = f.now
 				}
-				one.core.Step(f.now, f.contactOf(one))
-				one.core.Step(f.now, coordinator.Tick{})
-				f.perform(id, one)
+				node.core.Step(f.now, f.contactOf(node))
+				node.core.Step(f.now, coordinator.Tick{})
+				f.perform(id, node)
 			}
 		}
 	}
 }
 
-// contactOf is what a node knows of its contact with the store.
-func (f *fleet) contactOf(one *member) coordinator.Contact {
-	reached := f.reaches(one)
-	lately := f.now.Sub(one.contacted) < f.contactLag
-	return coordinator.Contact{Reached: reached || lately, Last: one.contacted, Failing: lately && !reached}
+// contactOf returns a node's knowledge of its contact with the store.
+func (f *fleet) contactOf(node *member) coordinator.StoreContact {
+	reached := f.reaches(node)
+	lately := f.now.Sub(node.lastStoreAnswer) < f.contactTimeout
+	return coordinator.StoreContact{Reached: reached || lately, Last: node.lastStoreAnswer, Failing: lately && !reached}
 }
 
-// turnStore has the store answer, or not.
-func (f *fleet) turnStore(up bool) {
+// setStoreUp makes the store available or unavailable.
+func (f *fleet) setStoreUp(up bool) {
 	f.storeDown = !up
-	f.turned = f.now
+	f.storeChangedAt = f.now
 }
 
 // reaches reports whether a node believes that it reaches the store.
-func (f *fleet) reaches(one *member) bool {
+func (f *fleet) reaches(node *member) bool {
 	down := f.storeDown
-	if f.now.Sub(f.turned) < one.noticeLag {
+	if f.now.Sub(f.storeChangedAt) < node.noticeLag {
 		down = !down
 	}
-	return !down && !one.cut
+	return !down && !node.cut
 }
 
-// changeCount returns how often partitions were won or lost.
+// changeCount returns how many times partitions were gained or lost.
 func (f *fleet) changeCount() int {
 	count := 0
-	for _, one := range f.nodes {
-		count += len(one.changes)
+	for _, node := range f.nodes {
+		count += len(node.changes)
 	}
 	return count
 }
 
-// deliver hands over what has arrived. A frozen node's events wait.
+// deliver delivers the events that have arrived. Events for a frozen node wait.
 func (f *fleet) deliver() {
-	due := f.due
-	f.due = nil
-	for _, one := range due {
-		target := f.nodes[one.to]
-		waits := one.at.After(f.now) || (target != nil && target.frozen)
+	inTransit := f.inTransit
+	f.inTransit = nil
+	for _, next := range inTransit {
+		target := f.nodes[next.to]
+		waits := next.at.After(f.now) || (target != nil && target.frozen)
 		switch {
 		case waits:
-			f.due = append(f.due, one)
-		case one.call != nil:
-			one.call()
+			f.inTransit = append(f.inTransit, next)
+		case next.call != nil:
+			next.call()
 		case target != nil:
-			target.core.Step(f.now, one.event)
-			f.perform(one.to, target)
+			target.core.Step(f.now, next.event)
+			f.perform(next.to, target)
 		}
 	}
 }
 
 func (f *fleet) send(to machine.ID, delay time.Duration, event coordinator.Event) {
-	f.due = append(f.due, delivery{at: f.now.Add(delay), to: to, event: event})
+	f.inTransit = append(f.inTransit, delivery{at: f.now.Add(delay), to: to, event: event})
 }
 
-// perform carries out what a core has ready.
-func (f *fleet) perform(id machine.ID, one *member) {
-	ready := one.core.Ready()
+// perform performs the work that a core has ready.
+func (f *fleet) perform(id machine.ID, node *member) {
+	ready := node.core.Ready()
 	if ready.Totals != nil {
-		one.totals = ready.Totals
+		node.totals = ready.Totals
 	}
 	for _, message := range ready.Messages {
 		if message.Message.Gather != nil {
-			one.gathered++
+			node.gatherMessages++
 		}
 		target := f.nodes[message.To.ID]
-		if one.alone || (target != nil && (target.alone || !near(one, target))) {
+		if node.alone || (target != nil && (target.alone || !reachable(node, target))) {
 			continue
 		}
-		if f.lossOf > 0 && f.random.Float64() < f.lossOf {
+		if f.lossRate > 0 && f.random.Float64() < f.lossRate {
 			continue
 		}
 		f.send(message.To.ID, peerDelay, coordinator.PeerReceived{Message: message.Message})
 	}
 	for _, reply := range ready.Replies {
-		one.replies[reply.ID] = reply
+		node.replies[reply.ID] = reply
 	}
 	for _, takeover := range ready.Takeovers {
 		f.callStore(id, func() { f.takeOver(id, takeover) })
 	}
 	for _, batch := range ready.Appends {
-		f.appends++
+		f.appendCount++
 		f.callStore(id, func() { f.append(id, batch) })
 	}
-	one.changes = append(one.changes, ready.Changes...)
+	node.changes = append(node.changes, ready.Changes...)
 	for _, change := range ready.Changes {
 		if change.Reason == "handed over" {
-			f.handed[change.Partition]++
+			f.handovers[change.Partition]++
 		}
 		if change.Owned {
-			f.wins[change.Partition] = append(f.wins[change.Partition], f.now)
+			f.gainedAt[change.Partition] = append(f.gainedAt[change.Partition], f.now)
 		}
 	}
-	one.charged = append(one.charged, ready.Charged...)
-	one.newer = append(one.newer, ready.Newer...)
-	if ready.Proven.After(one.proven) {
-		one.proven = ready.Proven
+	node.charged = append(node.charged, ready.Charged...)
+	node.newer = append(node.newer, ready.NewerPeers...)
+	if ready.FreshAsOf.After(node.proven) {
+		node.proven = ready.FreshAsOf
 	}
 }
 
-// cutInTwo lets each half of the nodes exchange messages with its own half alone.
-func (f *fleet) cutInTwo() {
+// partitionInHalves lets nodes exchange messages only within their half of the fleet.
+func (f *fleet) partitionInHalves() {
 	ids := f.ids()
 	for index, id := range ids {
 		half := ids[:len(ids)/2]
 		if index >= len(ids)/2 {
 			half = ids[len(ids)/2:]
 		}
-		f.nodes[id].near = half
+		f.nodes[id].reachable = half
 	}
 }
 
 // heal lets all nodes exchange messages again.
 func (f *fleet) heal() {
-	for _, one := range f.nodes {
-		one.near = nil
+	for _, node := range f.nodes {
+		node.reachable = nil
 	}
 }
 
-// near reports whether two nodes exchange messages as far as their limits go.
-func near(one, other *member) bool {
-	allows := func(from, to *member) bool { return len(from.near) == 0 || slices.Contains(from.near, to.self.ID) }
-	return allows(one, other) && allows(other, one)
+// reachable reports whether the limits of both nodes let them exchange messages.
+func reachable(left, right *member) bool {
+	allows := func(from, to *member) bool {
+		return len(from.reachable) == 0 || slices.Contains(from.reachable, to.self.ID)
+	}
+	return allows(left, right) && allows(right, left)
 }
 
-// callStore carries out a call once the store can be reached.
+// callStore executes a call once the store can be reached.
 func (f *fleet) callStore(from machine.ID, call func()) {
-	f.due = append(f.due, delivery{at: f.now.Add(appendDelay / 2), call: func() {
+	f.inTransit = append(f.inTransit, delivery{at: f.now.Add(appendDelay / 2), call: func() {
 		sender := f.nodes[from]
 		switch {
 		case f.storeDown && sender == nil:
-			// What a lost process had not got through is lost with it.
+			// The process is gone, and its unsent calls with it.
 		case f.storeDown || (sender != nil && sender.cut):
 			f.callStore(from, call)
 		default:
@@ -328,14 +333,14 @@
 
 func (f *fleet) takeOver(id machine.ID, takeover coordinator.Takeover) {
 	stream := f.store[takeover.Partition]
-	taken := coordinator.TakenOver{Partition: takeover.Partition, Epoch: takeover.Epoch}
+	taken := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch}
 	if takeover.Epoch < stream.epoch {
 		taken.Outcome = coordinator.OutcomeFenced
 		f.send(id, appendDelay/2, taken)
 		return
 	}
-	if takeover.Contested && stream.end != takeover.Unmoved {
-		taken.Outcome, taken.End = coordinator.OutcomeMoved, stream.end
+	if takeover.Contested && stream.end != takeover.ExpectedEnd {
+		taken.Outcome, taken.End = coordinator.OutcomeLogAdvanced, stream.end
 		f.send(id, appendDelay/2, taken)
 		return
 	}
@@ -344,22 +349,22 @@
 	f.readPages(id, takeover, stream)
 }
 
-// readPages answers a takeover whose claim the store has, page by page.
+// readPages answers a takeover page by page after its claim is in the store.
 func (f *fleet) readPages(id machine.ID, takeover coordinator.Takeover, stream *streamState) {
 	delay := appendDelay / 2
 	f.send(id, delay, coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch})
 	records := stream.sorted()
 	for page := range slices.Chunk(records, pageRecords) {
-		delay += f.pageTakes
+		delay += f.pageDelay
 		f.send(id, delay, coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch, Records: page})
 	}
-	f.send(id, delay, coordinator.TakenOver{Partition: takeover.Partition, Epoch: takeover.Epoch})
+	f.send(id, delay, coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch})
 }
 
-// pageRecords is how many records a page of a takeover holds.
+// pageRecords is the number of records in a page of a takeover.
 const pageRecords = 50
 
-// sorted returns the newest records in the order of their keys.
+// sorted returns the newest records in key order.
 func (s *streamState) sorted() []ledger.Record {
 	var records []ledger.Record
 	for _, key := range slices.Sorted(maps.Keys(s.records)) {
@@ -387,14 +392,14 @@
 	f.send(id, appendDelay/2, answer)
 }
 
-// ask puts a request to a node and returns the id of the reply.
+// ask sends a request to a node and returns the ID of the reply.
 func (f *fleet) ask(to machine.ID, partition int, request coordinator.Request) uint64 {
 	f.nextID++
-	f.send(to, 0, coordinator.Requested{ID: f.nextID, Partition: partition, Request: request})
+	f.send(to, 0, coordinator.RequestReceived{ID: f.nextID, Partition: partition, Request: request})
 	return f.nextID
 }
 
-// owners returns the nodes that serve a partition, as they believe.
+// owners returns the nodes that consider themselves the owner of a partition.
 func (f *fleet) owners(partition int) []machine.ID {
 	var owners []machine.ID
 	for _, id := range f.ids() {
@@ -411,9 +416,9 @@
 	return owners
 }
 
-// turn is a turn of at most 100 tokens of a budget of 300.
+// turn returns a request for a turn of at most 100 tokens from a budget of 300.
 func turn(id string) *coordinator.AdmitRequest {
 	return &coordinator.AdmitRequest{Turn: ledger.Turn{
-		ID: id, Program: "p", Session: "s", Most: 100, Budget: 300, Within: time.Second, Retain: time.Minute,
+		ID: id, Program: "p", Session: "s", MaxTokens: 100, Budget: 300, Timeout: time.Second, Retain: time.Minute,
 	}}
 }
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -8,38 +8,38 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// peerState is what a peer told of itself last.
+// peerState is the last known status of a peer.
 type peerState struct {
-	at     time.Time
-	status Status
-	// heard says that it told so itself, and not through another node.
-	heard bool
-	// unableSince is when it first told that it does not reach the store;
-	// zero while it does.
-	unableSince time.Time
+	receivedAt time.Time
+	status     Status
+	// direct says that the peer reported the status itself, not through another node.
+	direct bool
+	// storeUnreachableSince is when the peer first reported that it cannot reach the store;
+	// zero while it reaches it.
+	storeUnreachableSince time.Time
 }
 
-// peerStateLifetime is how long a peer's status counts.
+// peerStateLifetime is how long a peer's status is valid.
 const peerStateLifetime = 3 * time.Second
 
-// counts reports whether the status is recent enough to count; that of a node
-// that was never heard of is not.
-func (s peerState) counts(now time.Time) bool { return now.Sub(s.at) <= peerStateLifetime }
+// fresh reports whether the status is recent enough to be valid. The zero state of a peer
+// without any status is not.
+func (s peerState) fresh(now time.Time) bool { return now.Sub(s.receivedAt) <= peerStateLifetime }
 
 func (c *Core) stepPeer(now time.Time, message PeerMessage) {
 	sender := message.From
-	c.hearing.note(now, sender)
+	c.receiveTimes.record(now, sender)
 	if message.Status != nil {
-		c.learn(now, append(message.Status.Known, sender))
-		c.notePeer(now, sender.ID, *message.Status)
-		c.noteUnable(now, message.Status.Unable)
+		c.addNodes(now, append(message.Status.Known, sender))
+		c.updatePeer(now, sender.ID, *message.Status)
+		c.mergeStoreUnreachable(now, message.Status.StoreUnreachable)
 		c.ready.Loads = append(c.ready.Loads, PeerLoad{
 			Node: string(sender.ID), Counts: message.Status.Loads, Version: message.Status.Version,
 			Evacuations: message.Status.Evacuations, From: sender,
 		})
-		c.takeOwners(now, sender.ID, message.Status)
+		c.mergeOwners(now, sender.ID, message.Status)
 	} else {
-		c.learn(now, []machine.Machine{sender})
+		c.addNodes(now, []machine.Machine{sender})
 	}
 	if message.Gather != nil {
 		c.stepGather(now, sender.ID, *message.Gather)
@@ -50,90 +50,92 @@
 	if message.Charge != nil {
 		c.stepChargeMessage(now, sender, message)
 	} else if message.Proof != nil {
-		c.stepProof(now, sender, *message.Proof)
+		c.stepFreshness(now, sender, *message.Proof)
 	}
 	if message.Handover != nil {
 		c.stepHandover(now, sender, *message.Handover)
 	}
 }
 
-// takeOwners takes in what a status tells of owners: the sender itself and others.
-func (c *Core) takeOwners(now time.Time, sender machine.ID, status *Status) {
+// mergeOwners merges the owner records of a status: those of the sender itself and those of
+// others.
+func (c *Core) mergeOwners(now time.Time, sender machine.ID, status *Status) {
 	for index, epoch := range status.Owned {
-		c.noteServing(sender, index, epoch)
-		c.takeOwner(now, Owner{Partition: index, Epoch: epoch, Node: sender, Unable: !status.ReachesStore})
+		c.markServing(sender, index, epoch)
+		c.mergeOwner(now, Owner{Partition: index, Epoch: epoch, Node: sender, StoreUnreachable: !status.ReachesStore})
 	}
 	for _, owner := range status.Owners {
-		c.takeOwner(now, owner)
+		c.mergeOwner(now, owner)
 	}
 }
 
-// notePeer takes over what a peer tells of itself.
-func (c *Core) notePeer(now time.Time, peer machine.ID, status Status) {
-	state := peerState{at: now, status: status, heard: true}
+// updatePeer stores the status that a peer reported of itself.
+func (c *Core) updatePeer(now time.Time, peer machine.ID, status Status) {
+	state := peerState{receivedAt: now, status: status, direct: true}
 	if !status.ReachesStore {
-		state.unableSince = now
-		if before := c.peers[peer].unableSince; !before.IsZero() {
-			state.unableSince = before
+		state.storeUnreachableSince = now
+		if before := c.peers[peer].storeUnreachableSince; !before.IsZero() {
+			state.storeUnreachableSince = before
 		}
 	}
 	c.setPeer(peer, state)
 }
 
-// setPeer takes over the state of a peer.
+// setPeer stores the state of a peer.
 func (c *Core) setPeer(peer machine.ID, state peerState) {
 	c.peers[peer] = state
 	if state.status.ReachesStore {
-		delete(c.unreaching, peer)
+		delete(c.withoutStore, peer)
 		return
 	}
-	c.unreaching[peer] = true
+	c.withoutStore[peer] = true
 }
 
-// forgetUnreaching drops the peers whose word of the store counts no longer.
-func (c *Core) forgetUnreaching(now time.Time) {
-	for peer := range c.unreaching {
-		if !c.peers[peer].counts(now) {
-			delete(c.unreaching, peer)
+// expireWithoutStore removes the peers from withoutStore whose status is no longer valid.
+func (c *Core) expireWithoutStore(now time.Time) {
+	for peer := range c.withoutStore {
+		if !c.peers[peer].fresh(now) {
+			delete(c.withoutStore, peer)
 		}
 	}
 }
 
-// noteContact takes over whether this node reaches the store.
-func (c *Core) noteContact(now time.Time, contact Contact) {
-	if contact.Reached && !c.reaches {
-		c.reachedSince = now
+// stepStoreContact updates whether this node reaches the store.
+func (c *Core) stepStoreContact(now time.Time, contact StoreContact) {
+	if contact.Reached && !c.storeReachable {
+		c.storeReachableSince = now
 	}
-	lost := c.reaches && !contact.Reached
-	changed := c.reaches != contact.Reached
-	c.reaches = contact.Reached
-	c.lastContact, c.failing = contact.Last, contact.Failing
+	lost := c.storeReachable && !contact.Reached
+	changed := c.storeReachable != contact.Reached
+	c.storeReachable = contact.Reached
+	c.lastStoreAnswer, c.storeCallsFailing = contact.Last, contact.Failing
 	if changed {
-		c.renewRecords(now)
+		c.republishOwnership(now)
 	}
 	if lost {
-		c.tellHeirs(now)
+		c.notifySuccessors(now)
 	}
 }
 
-// renewRecords changes the records of the partitions that this node serves.
-func (c *Core) renewRecords(now time.Time) {
-	for _, one := range c.partitions {
-		if one.state == stateServing || one.restoring.claimed {
-			c.ownedHere(now, one)
+// republishOwnership revises the owner records of the partitions that this node serves or
+// has claimed.
+func (c *Core) republishOwnership(now time.Time) {
+	for _, p := range c.partitions {
+		if p.state == stateServing || p.takeover.claimed {
+			c.publishOwnership(now, p)
 		}
 	}
 }
 
-// statusPeers returns the other nodes that are not dead. Those that leave are
-// among them: they must hear who took their partitions over.
+// statusPeers returns the other nodes that are not dead. Leaving nodes are included because
+// they need to learn who took over their partitions.
 func (c *Core) statusPeers() []machine.Machine {
 	return slices.DeleteFunc(c.membership.All(), func(node machine.Machine) bool {
 		return node.ID == c.self().ID || node.Kind != machine.KindNode || node.Status == machine.StatusDead
 	})
 }
 
-// sendStatus tells peers about this node at once.
+// sendStatus sends this node's status to some peers at once.
 func (c *Core) sendStatus(now time.Time) {
 	peers := c.statusPeers()
 	c.config.Random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
@@ -142,60 +144,62 @@
 	}
 }
 
-// status returns what this node tells of itself, and now and then some of the
-// nodes that it knows.
+// status returns this node's status, which from time to time includes a sample of the known
+// nodes.
 func (c *Core) status(now time.Time) *Status {
 	status := &Status{
-		ReachesStore: c.reaches, Owned: c.owned(), Owners: c.someOwners(), Loads: c.loads.Counts, Version: c.loads.Version,
-		Evacuations: c.loads.Evacuations, Unable: c.unable(now),
+		ReachesStore: c.storeReachable, Owned: c.ownedPartitions(), Owners: c.nextOwners(), Loads: c.loads.Counts, Version: c.loads.Version,
+		Evacuations: c.loads.Evacuations, StoreUnreachable: c.sampleWithoutStore(now),
 	}
-	if now.Before(c.nextKnown) {
+	if now.Before(c.nextKnownNodesAt) {
 		return status
 	}
-	c.nextKnown = now.Add(c.config.KnownPeriod)
-	status.Known = c.someKnown()
+	c.nextKnownNodesAt = now.Add(c.config.KnownNodesPeriod)
+	status.Known = c.sampleKnownNodes()
 	return status
 }
 
-// someKnown returns some of the nodes that this one knows, itself among them.
-func (c *Core) someKnown() []machine.Machine {
+// sampleKnownNodes returns a random sample of the known nodes, which may include this one.
+func (c *Core) sampleKnownNodes() []machine.Machine {
 	var known []machine.Machine
-	for _, place := range c.config.Random.Perm(len(c.listing))[:min(len(c.listing), c.config.KnownPerStatus)] {
-		known = append(known, c.listing[place])
+	for _, index := range c.config.Random.Perm(len(c.sortedNodes))[:min(len(c.sortedNodes), c.config.KnownNodesPerStatus)] {
+		known = append(known, c.sortedNodes[index])
 	}
 	return known
 }
 
-// regainFor is how long after this node reached the store again it may still hold
-// that others do not: as long as their statuses count, and until they notice.
-const regainFor = peerStateLifetime + time.Second
+// storeRecoveryGrace is how long after this node reached the store again it may still
+// consider others unable to reach it: while their old statuses are valid, and until they
+// notice the recovery.
+const storeRecoveryGrace = peerStateLifetime + time.Second
 
-// reachesStore reports whether a node may own partitions. A peer that does not
-// reach the store counts as able while the store may be down for all: until
-// this node has had an answer after the peer told so, and for a while after the
-// store came back.
+// reachesStore reports whether a node may own partitions. A peer that reports that it
+// cannot reach the store may still own them while the store may be unavailable to all:
+// until this node has had an answer from the store after that report, and for
+// storeRecoveryGrace after the store came back.
 func (c *Core) reachesStore(now time.Time, node machine.ID) bool {
 	if node == c.self().ID {
-		return c.reaches
+		return c.storeReachable
 	}
-	if !c.unreaching[node] {
+	if !c.withoutStore[node] {
 		return true
 	}
 	state := c.peers[node]
-	if !state.counts(now) {
+	if !state.fresh(now) {
 		return true
 	}
-	return !c.provesUnable(now, state.unableSince)
+	return !c.failureIsLocal(now, state.storeUnreachableSince)
 }
 
-// provesUnable reports whether word that a node does not reach the store, heard at a
-// time, tells of that node alone: the store has answered this one since, and for long.
-func (c *Core) provesUnable(now, heardAt time.Time) bool {
-	return c.lastContact.After(heardAt) && now.Sub(c.reachedSince) >= regainFor
+// failureIsLocal reports whether a node's failure to reach the store, reported at
+// reportedAt, concerns that node alone: the store has answered this node since, and has been
+// reachable for storeRecoveryGrace.
+func (c *Core) failureIsLocal(now, reportedAt time.Time) bool {
+	return c.lastStoreAnswer.After(reportedAt) && now.Sub(c.storeReachableSince) >= storeRecoveryGrace
 }
 
-// Owner returns the node that serves the partition as far as this node knows:
-// the live one with the highest epoch, or the one that ranks first.
+// Owner returns the node that serves the partition as far as this node knows: the owner by
+// the newest record if it is live, or else the node that ranks first.
 func (c *Core) Owner(now time.Time, index int) (machine.Machine, bool) {
 	if c.partitions[index].state == stateServing {
 		return c.self(), true
@@ -203,14 +207,14 @@
 	if peer, found := c.servingPeer(now, index); found {
 		return peer, true
 	}
-	if heirs := c.ranking.heirs[index]; len(heirs) > 0 {
-		return c.lookup(machine.ID(heirs[0]))
+	if preferred := c.ranking.preferred[index]; len(preferred) > 0 {
+		return c.lookup(machine.ID(preferred[0]))
 	}
 	return machine.Machine{}, false
 }
 
-// servingPeer returns the node that serves a partition by the newest record, if it
-// is live and reaches the store.
+// servingPeer returns the node that serves a partition by the newest record, and whether
+// that node is live and may serve.
 func (c *Core) servingPeer(now time.Time, index int) (machine.Machine, bool) {
 	peer, found := c.recordedOwner(now, index)
 	if !found {
@@ -222,7 +226,7 @@
 	return peer, live
 }
 
-// Peers returns the live nodes besides this one that reach the store.
+// Peers returns the other live nodes that reach the store.
 func (c *Core) Peers(now time.Time) []machine.Machine {
 	return slices.DeleteFunc(slices.Clone(c.membership.Nodes()), func(node machine.Machine) bool {
 		return node.ID == c.self().ID || !c.reachesStore(now, node.ID)
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -11,26 +11,28 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// proofs drives what nodes of a fleet know of the newest configuration.
-type proofs struct {
+// freshnessRun simulates the nodes' reads of the configuration, and checks their freshness
+// proofs.
+type freshnessRun struct {
 	world *fleet
-	// version is the newest configuration in the store, and changed when it became so.
+	// version is the newest configuration in the store, and changed when it was stored.
 	version uint64
 	changed time.Time
 	held    map[machine.ID]uint64
 	proven  map[machine.ID]time.Time
 	nextAt  map[machine.ID]time.Time
 	sentAt  map[machine.ID]time.Time
-	// wait is how long a read of a node waits; readersWait that of a zone's readers.
+	// wait is how long a node's read takes, and readersWait how long that of a zone's
+	// readers takes.
 	wait, readersWait time.Duration
 	reads             int
-	// early names the nodes that claimed proof of a time after the change while they
-	// held the configuration before it.
-	early []machine.ID
+	// tooFresh lists nodes whose proof is dated after the last change although they hold an
+	// older configuration.
+	tooFresh []machine.ID
 }
 
-func newProofs(world *fleet, wait, readersWait time.Duration) *proofs {
-	driven := &proofs{
+func newFreshnessRun(world *fleet, wait, readersWait time.Duration) *freshnessRun {
+	driven := &freshnessRun{
 		world: world, version: 1, held: map[machine.ID]uint64{}, proven: map[machine.ID]time.Time{},
 		nextAt: map[machine.ID]time.Time{}, sentAt: map[machine.ID]time.Time{}, wait: wait, readersWait: readersWait,
 	}
@@ -41,7 +43,7 @@
 	return driven
 }
 
-func (p *proofs) run(span time.Duration) {
+func (p *freshnessRun) run(span time.Duration) {
 	for end := p.world.now.Add(span); p.world.now.Before(end); {
 		for _, id := range p.world.ids() {
 			p.read(id)
@@ -51,54 +53,55 @@
 	}
 }
 
-// read carries out the read of the configuration that a node has under way.
-func (p *proofs) read(id machine.ID) {
-	one := p.world.nodes[id]
-	if one.frozen || p.world.now.Before(p.nextAt[id]) {
+// read completes a node's read of the configuration if it is due.
+func (p *freshnessRun) read(id machine.ID) {
+	node := p.world.nodes[id]
+	if node.frozen || p.world.now.Before(p.nextAt[id]) {
 		return
 	}
-	if p.world.reaches(one) {
+	if p.world.reaches(node) {
 		p.held[id] = p.version
-		p.note(id, p.sentAt[id])
-		one.core.Step(p.world.now, coordinator.ProofNoted{At: p.sentAt[id], Version: p.version})
-		one.core.Step(p.world.now, coordinator.Loads{Version: p.version})
+		p.recordProof(id, p.sentAt[id])
+		node.core.Step(p.world.now, coordinator.FreshnessProven{At: p.sentAt[id], Version: p.version})
+		node.core.Step(p.world.now, coordinator.Loads{Version: p.version})
 	}
 	p.reads++
 	wait := p.wait
-	if slices.ContainsFunc(one.core.Readers(), func(reader machine.Machine) bool { return reader.ID == id }) {
+	if slices.ContainsFunc(node.core.Readers(), func(reader machine.Machine) bool { return reader.ID == id }) {
 		wait = p.readersWait
 	}
 	p.sentAt[id] = p.world.now
 	p.nextAt[id] = p.world.now.Add(wait)
 }
 
-// note takes a proof in, and holds it against what the node holds.
-func (p *proofs) note(id machine.ID, at time.Time) {
+// recordProof records a proof, and checks it against the configuration that the node holds.
+func (p *freshnessRun) recordProof(id machine.ID, at time.Time) {
 	if at.After(p.proven[id]) {
 		p.proven[id] = at
 	}
 	if p.held[id] < p.version && p.proven[id].After(p.changed) {
-		p.early = append(p.early, id)
+		p.tooFresh = append(p.tooFresh, id)
 	}
 }
 
-// collect takes the proofs of peers in, and has nodes fetch what peers hold.
-func (p *proofs) collect() {
+// collect records the proofs from peers, and has nodes fetch newer configurations from
+// peers.
+func (p *freshnessRun) collect() {
 	for _, id := range p.world.ids() {
-		one := p.world.nodes[id]
-		if !one.proven.IsZero() {
-			p.note(id, one.proven)
+		node := p.world.nodes[id]
+		if !node.proven.IsZero() {
+			p.recordProof(id, node.proven)
 		}
-		for _, newer := range one.newer {
+		for _, newer := range node.newer {
 			p.held[id] = max(p.held[id], newer.Version)
-			one.core.Step(p.world.now, coordinator.Loads{Version: p.held[id]})
+			node.core.Step(p.world.now, coordinator.Loads{Version: p.held[id]})
 		}
-		one.newer = nil
+		node.newer = nil
 	}
 }
 
-// ages returns how old the proofs of the nodes are, the youngest first.
-func (p *proofs) ages() (ages []time.Duration) {
+// ages returns the ages of the nodes' proofs in ascending order.
+func (p *freshnessRun) ages() (ages []time.Duration) {
 	for _, id := range p.world.ids() {
 		ages = append(ages, p.world.now.Sub(p.proven[id]))
 	}
@@ -106,12 +109,12 @@
 	return ages
 }
 
-var _ = Describe("Word of how lately a configuration was the newest", func() {
-	It("keeps all nodes' proofs young, also of those that do not reach the store", func() {
+var _ = Describe("The freshness proof of a configuration", func() {
+	It("is recent on all nodes, including those that do not reach the store", func() {
 		for _, nodes := range []int{11, 65, 295} {
 			world := newFleet(5, nodes, 2)
 			world.run(2 * time.Second)
-			word := newProofs(world, 2*time.Second, 300*time.Millisecond)
+			word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
 			word.run(5 * time.Second)
 			calm := word.ages()
 			for index, id := range world.ids() {
@@ -126,10 +129,10 @@
 		}
 	})
 
-	It("is never younger than the truth, whoever stands still, is cut off or starts anew", func() {
+	It("is never dated too late, whichever nodes are paused, cut off or restarted", func() {
 		world := newFleet(6, 20, 2)
 		world.run(2 * time.Second)
-		word := newProofs(world, 2*time.Second, 300*time.Millisecond)
+		word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
 		word.run(5 * time.Second)
 		for round := range 12 {
 			for _, id := range world.ids() {
@@ -149,18 +152,18 @@
 				world.list()
 			}
 		}
-		Expect(word.early).To(BeEmpty())
+		Expect(word.tooFresh).To(BeEmpty())
 	})
 
-	It("is dated from the question, however late the answer is read", func() {
+	It("is dated from its request, however late the answer is read", func() {
 		world := newFleet(8, 2, 1)
 		world.run(time.Second)
 		ids := world.ids()
 		asking, asked := world.nodes[ids[0]], world.nodes[ids[1]]
-		asking.core.Step(world.now, coordinator.ProofNoted{At: world.now.Add(-5 * time.Second), Version: 1})
+		asking.core.Step(world.now, coordinator.FreshnessProven{At: world.now.Add(-5 * time.Second), Version: 1})
 		asking.core.Ready()
 		asking.core.Step(world.now, coordinator.Tick{})
-		var question *coordinator.ProofMessage
+		var question *coordinator.FreshnessMessage
 		for _, message := range asking.core.Ready().Messages {
 			if message.Message.Proof != nil {
 				question = message.Message.Proof
@@ -168,24 +171,24 @@
 		}
 		Expect(question).NotTo(BeNil())
 		Expect(question.Ask).To(BeTrue())
-		word := &coordinator.ProofMessage{Number: question.Number, Version: 1, Age: 100 * time.Millisecond}
+		word := &coordinator.FreshnessMessage{Number: question.Number, Version: 1, Age: 100 * time.Millisecond}
 		answer := coordinator.PeerReceived{Message: coordinator.PeerMessage{From: asked.self, Proof: word}}
 		asking.core.Step(world.now.Add(4*time.Second), answer)
-		Expect(asking.core.Ready().Proven).To(Equal(world.now.Add(-100 * time.Millisecond)))
+		Expect(asking.core.Ready().FreshAsOf).To(Equal(world.now.Add(-100 * time.Millisecond)))
 		unasked := *word
 		unasked.Number++
 		answer.Message.Proof = &unasked
 		asking.core.Step(world.now.Add(5*time.Second), answer)
-		Expect(asking.core.Ready().Proven).To(BeZero())
+		Expect(asking.core.Ready().FreshAsOf).To(BeZero())
 	})
 
-	It("has numbers that no earlier life of the process had", func() {
+	It("uses request numbers that differ from those of earlier processes", func() {
 		numbers := map[uint64]bool{}
 		for range 3 {
 			world := newFleet(uint64(len(numbers)+1), 2, 1)
 			world.run(time.Second)
 			asking := world.nodes[world.ids()[0]]
-			asking.core.Step(world.now, coordinator.ProofNoted{At: world.now.Add(-5 * time.Second), Version: 1})
+			asking.core.Step(world.now, coordinator.FreshnessProven{At: world.now.Add(-5 * time.Second), Version: 1})
 			asking.core.Step(world.now, coordinator.Tick{})
 			for _, message := range asking.core.Ready().Messages {
 				if message.Message.Proof != nil {
@@ -196,12 +199,12 @@
 		Expect(numbers).To(HaveLen(3))
 	})
 
-	It("grows old where no node reaches the store", func() {
+	It("ages if no node reaches the store", func() {
 		world := newFleet(7, 20, 2)
 		world.run(2 * time.Second)
-		word := newProofs(world, 2*time.Second, 300*time.Millisecond)
+		word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
 		word.run(5 * time.Second)
-		world.turnStore(false)
+		world.setStoreUp(false)
 		word.run(5 * time.Second)
 		Expect(word.ages()[0]).To(BeNumerically(">=", 5*time.Second))
 	})
--- a/coordinator/replica_test.go
+++ b/coordinator/replica_test.go
@@ -10,19 +10,20 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-var _ = Describe("The replica that served a kept turn", func() {
-	// keepTurn has an owner keep a turn that a replica served.
-	keepTurn := func(world *fleet) {
+var _ = Describe("The replica that served a stored turn", func() {
+	// storeServedTurn has an owner store a turn that a replica served.
+	storeServedTurn := func(world *fleet) {
 		owner := world.owners(0)[0]
-		kept := ledger.KeptTurn{
+		kept := ledger.StoredTurn{
 			ID: "kept", Program: "p", Input: []byte("in"), Output: []byte("out"), Replica: "r1", Retain: time.Minute,
 		}
 		settled := ledger.Settlement{Turn: "kept", Program: "p", Session: "s", Replica: "r1"}
 		keep := &coordinator.KeepRequest{Turn: kept, Settlement: settled}
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
 	}
-	// goOn asks the present owner for a turn that goes on from it.
-	goOn := func(world *fleet, session string) string {
+	// continueTurn requests a turn that continues it from the present owner, and returns
+	// the replica.
+	continueTurn := func(world *fleet, session string) string {
 		owner := world.owners(0)[0]
 		next := turn("next-" + session)
 		next.Turn.Program, next.Turn.Session, next.Previous = "p", session, "kept"
@@ -31,24 +32,24 @@
 		return answer.Admission.Replica
 	}
 
-	It("is told to the lines that go on from the turn, also new ones", func() {
+	It("is returned to sessions that continue the turn, including new ones", func() {
 		world := newFleet(1, 3, 1)
 		world.run(settled)
-		keepTurn(world)
-		Expect(goOn(world, "s")).To(Equal("r1"))
-		Expect(goOn(world, "child")).To(Equal("r1"))
+		storeServedTurn(world)
+		Expect(continueTurn(world, "s")).To(Equal("r1"))
+		Expect(continueTurn(world, "child")).To(Equal("r1"))
 	})
 
 	It("is known after the loss of all nodes", func() {
 		world := newFleet(2, 3, 1)
 		world.run(settled)
-		keepTurn(world)
+		storeServedTurn(world)
 		for _, id := range world.ids() {
 			world.kill(id)
 			world.start(id)
 		}
 		world.list()
 		world.run(settled)
-		Expect(goOn(world, "s")).To(Equal("r1"))
+		Expect(continueTurn(world, "s")).To(Equal("r1"))
 	})
 })
--- a/coordinator/roles_test.go
+++ b/coordinator/roles_test.go
@@ -13,8 +13,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// rolesNodes returns the nodes of a fleet over five zones, one in six of them strong.
-func rolesNodes(count int) []machine.Machine {
+// roleNodes returns the nodes of a fleet with five zones, one in six of them strong.
+func roleNodes(count int) []machine.Machine {
 	nodes := make([]machine.Machine, 0, count)
 	for index := range count {
 		weight := 5.0
@@ -29,26 +29,26 @@
 	return nodes
 }
 
-// TestRolesDoNotGrow has as many nodes follow the store in a fleet of 2,000 as of 984, the
-// same by whoever ranks them, and none of them weak.
+// TestRolesDoNotGrow checks that a fleet of 2,000 nodes has as many sources and readers as
+// one of 984, that all nodes agree on them, and that none of them is weak.
 func TestRolesDoNotGrow(t *testing.T) {
 	g := NewWithT(t)
 	for _, count := range []int{984, 2_000} {
-		nodes := rolesNodes(count)
+		nodes := roleNodes(count)
 		sources, readers := make(map[machine.ID]bool), make(map[machine.ID]bool)
 		for index := 0; index < count; index += 97 {
 			now := time.Unix(1000, 0)
 			core, err := coordinator.New(now, coordinator.DefaultConfig(nodes[index], 24, rand.New(rand.NewPCG(1, uint64(index)))))
 			g.Expect(err).NotTo(HaveOccurred())
-			core.Step(now, coordinator.Listed{Nodes: nodes})
+			core.Step(now, coordinator.NodeListRead{Nodes: nodes})
 			roles := core.Roles()
 			g.Expect(roles.Near).To(BeNumerically("~", count/5, 1))
-			g.Expect(roles.Remote).To(HaveLen(8))
+			g.Expect(roles.RemoteReaders).To(HaveLen(8))
 			for _, source := range roles.Sources {
 				sources[source.ID] = true
 				g.Expect(source.Weight).To(BeNumerically(">", 100))
 			}
-			for _, reader := range append(roles.Readers, roles.Remote...) {
+			for _, reader := range append(roles.Readers, roles.RemoteReaders...) {
 				readers[reader.ID] = true
 				g.Expect(reader.Weight).To(BeNumerically(">", 100))
 			}
@@ -58,22 +58,23 @@
 	}
 }
 
-// TestWeakNodesServeNobody has no weak node be a source or a reader in any of forty fleets
-// with strong ones: one in ten had a weak source by rank and weight alone.
+// TestWeakNodesServeNobody checks that no weak node is a source or a reader in any of 40
+// fleets that have strong nodes. By rank and weight alone, one fleet in ten had a weak
+// source.
 func TestWeakNodesServeNobody(t *testing.T) {
 	g := NewWithT(t)
 	for fleet := range 40 {
-		nodes := rolesNodes(150)
+		nodes := roleNodes(150)
 		for index := range nodes {
 			nodes[index].ID = machine.ID(fmt.Sprintf("fleet-%d-%s", fleet, nodes[index].ID))
 		}
 		now := time.Unix(1000, 0)
 		core, err := coordinator.New(now, coordinator.DefaultConfig(nodes[0], 24, rand.New(rand.NewPCG(1, uint64(fleet)))))
 		g.Expect(err).NotTo(HaveOccurred())
-		core.Step(now, coordinator.Listed{Nodes: nodes})
+		core.Step(now, coordinator.NodeListRead{Nodes: nodes})
 		roles := core.Roles()
-		for _, one := range append(append(roles.Sources, roles.Readers...), roles.Remote...) {
-			g.Expect(one.Weight).To(BeNumerically(">", 100), string(one.ID))
+		for _, node := range append(append(roles.Sources, roles.Readers...), roles.RemoteReaders...) {
+			g.Expect(node.Weight).To(BeNumerically(">", 100), string(node.ID))
 		}
 	}
 }
--- a/coordinator/stalled_test.go
+++ b/coordinator/stalled_test.go
@@ -10,14 +10,14 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-var _ = Describe("While the log takes no records of a partition", func() {
-	It("a turn that waits for its record goes on to count though it is asked for again", func() {
+var _ = Describe("While the log accepts no records of a partition", func() {
+	It("a turn that waits for its record still counts after it is requested again", func() {
 		world := newFleet(9, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
 		world.storeDown = true
 		waiting := turn("a")
-		waiting.Turn.Budget = 3 * waiting.Turn.Most / 2
+		waiting.Turn.Budget = 3 * waiting.Turn.MaxTokens / 2
 		first := reply(world, owner, world.ask(owner, 0, coordinator.Request{Admit: waiting}))
 		Expect(first.Admission.Position).To(BeNumerically(">", 0))
 		world.run(time.Second)
@@ -29,12 +29,12 @@
 		Expect(answer.Admission.Verdict).To(Equal(ledger.VerdictBusy), "the first turn may still hand its tokens out")
 	})
 
-	It("a turn is neither kept nor counted that is to be kept at once", func() {
+	It("a turn to be refused when stalled is neither stored nor counted", func() {
 		world := newFleet(9, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		kept := ledger.KeptTurn{ID: "aside", Program: "elsewhere", Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute}
-		keep := &coordinator.KeepRequest{Turn: kept, HasBase: true, AtOnce: true}
+		kept := ledger.StoredTurn{ID: "aside", Program: "elsewhere", Input: []byte("in;"), Output: []byte("out;"), Retain: time.Minute}
+		keep := &coordinator.KeepRequest{Turn: kept, HasBase: true, RefuseWhenStalled: true}
 		Expect(reply(world, owner, world.ask(owner, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
 		world.storeDown = true
 		reply(world, owner, world.ask(owner, 0, coordinator.Request{Admit: turn("a")}))
--- a/coordinator/tick_test.go
+++ b/coordinator/tick_test.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/coordinator"
 )
 
-// BenchmarkTick reports what one node of a settled fleet spends on a tick in which
-// nothing changes, by the number of nodes:
+// BenchmarkTick measures a tick of one node of a settled fleet in which nothing changes, by
+// the number of nodes:
 //
 //	go test -run '^$' -bench Tick ./coordinator
 func BenchmarkTick(b *testing.B) {
@@ -19,11 +19,11 @@
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			world := newFleet(1, nodes, largePartitions)
 			world.run(settled)
-			one := world.nodes["node-00"]
+			node := world.nodes["node-00"]
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				one.core.Step(world.now, coordinator.Tick{})
+				node.core.Step(world.now, coordinator.Tick{})
 			}
 		})
 	}
--- a/coordinator/zones_test.go
+++ b/coordinator/zones_test.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// newZonedFleet starts nodes that are dealt to zones in turn.
+// newZonedFleet starts nodes and assigns them to zones in turn.
 func newZonedFleet(seed uint64, nodes, zones int) *fleet {
 	started := 0
 	return newFleetWith(seed, nodes, 1, func(config *coordinator.Config) {
@@ -21,34 +21,34 @@
 // cutZone cuts a zone's nodes off from the store and from the other zones.
 func (f *fleet) cutZone(name zone.Name) []machine.ID {
 	inside := f.nodesOf(name)
-	for id, one := range f.nodes {
-		one.cut = slices.Contains(inside, id)
-		one.near = inside
-		if !one.cut {
-			one.near = f.nodesOutside(name)
+	for id, node := range f.nodes {
+		node.cut = slices.Contains(inside, id)
+		node.reachable = inside
+		if !node.cut {
+			node.reachable = f.nodesOutside(name)
 		}
 	}
 	return inside
 }
 
-// joinZones ends a cut.
-func (f *fleet) joinZones() {
-	for _, one := range f.nodes {
-		one.cut, one.near = false, nil
+// healZones ends a cut.
+func (f *fleet) healZones() {
+	for _, node := range f.nodes {
+		node.cut, node.reachable = false, nil
 	}
 }
 
 func (f *fleet) nodesOf(name zone.Name) []machine.ID {
-	return f.nodesWhere(func(one *member) bool { return one.self.Zone == name })
+	return f.nodesWhere(func(node *member) bool { return node.self.Zone == name })
 }
 
 func (f *fleet) nodesOutside(name zone.Name) []machine.ID {
-	return f.nodesWhere(func(one *member) bool { return one.self.Zone != name })
+	return f.nodesWhere(func(node *member) bool { return node.self.Zone != name })
 }
 
 func (f *fleet) nodesWhere(matches func(*member) bool) (found []machine.ID) {
-	for id, one := range f.nodes {
-		if matches(one) {
+	for id, node := range f.nodes {
+		if matches(node) {
 			found = append(found, id)
 		}
 	}
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -8,21 +8,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// epoch is when replays begin.
+// epoch is the start time of simulations.
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestComeBackIsBearable tells nobody to wait for longer than the caller would, whatever
-// the cause, and never at once.
-func TestComeBackIsBearable(t *testing.T) {
+// TestRetryAfterIsBounded checks that no caller is told to wait for longer than it
+// tolerates, whatever the cause, or to retry at once.
+func TestRetryAfterIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(1, 2))
 	for cause := range causes {
 		for range 2000 {
 			refusal := &Refusal{
 				Cause: cause, Lasted: time.Duration(draws.Int64N(int64(9 * time.Second))), Left: time.Duration(draws.Int64N(int64(4 * time.Second))),
-				Refused: draws.Float64() * 500, Pace: draws.Float64() * 50, Begun: draws.IntN(2) == 0, Urgency: draws.IntN(12), Draw: draws.Float64(),
+				RecentRefusals: draws.Float64() * 500, ServiceRate: draws.Float64() * 50, Begun: draws.IntN(2) == 0, Urgency: draws.IntN(12), Draw: draws.Float64(),
 			}
-			after := refusal.ComeBack()
+			after := refusal.RetryAfter()
 			g.Expect(after).To(BeNumerically(">", 0), "%+v", refusal)
 			g.Expect(after).To(BeNumerically("<=", max(refusal.Left/3, time.Millisecond)), "%+v", refusal)
 		}
@@ -30,34 +30,34 @@
 	}
 }
 
-// TestComeBackFollowsTheOutage lets callers wait for longer the longer an outage has
-// lasted, and until its end where that is known.
-func TestComeBackFollowsTheOutage(t *testing.T) {
+// TestRetryAfterGrowsWithOutage checks that callers wait longer the longer an outage has
+// lasted, and until its end if that is known.
+func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	g := NewWithT(t)
-	early := (&Refusal{Cause: CauseStoreAway, Left: 20 * time.Second}).ComeBack()
-	late := (&Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 20 * time.Second}).ComeBack()
-	endless := (&Refusal{Cause: CauseStoreAway, Lasted: time.Hour, Left: 20 * time.Second}).ComeBack()
-	g.Expect(early).To(BeNumerically(">=", outage.least))
+	early := (&Refusal{Cause: CauseStoreUnavailable, Left: 20 * time.Second}).RetryAfter()
+	late := (&Refusal{Cause: CauseStoreUnavailable, Lasted: 2 * time.Second, Left: 20 * time.Second}).RetryAfter()
+	endless := (&Refusal{Cause: CauseStoreUnavailable, Lasted: time.Hour, Left: 20 * time.Second}).RetryAfter()
+	g.Expect(early).To(BeNumerically(">=", outageBounds.minimum))
 	g.Expect(late).To(BeNumerically(">=", 2*time.Second))
-	g.Expect(endless).To(BeNumerically("<=", outage.most*5/4))
-	short := &Refusal{Cause: CauseStoreAway, Lasted: 2 * time.Second, Left: 3 * time.Second}
-	g.Expect(short.ComeBack()).To(BeNumerically(">=", 900*time.Millisecond), "as late as the caller bears")
-	known := (&Refusal{Cause: CauseIsolated, Ends: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).ComeBack()
+	g.Expect(endless).To(BeNumerically("<=", outageBounds.maximum*5/4))
+	short := &Refusal{Cause: CauseStoreUnavailable, Lasted: 2 * time.Second, Left: 3 * time.Second}
+	g.Expect(short.RetryAfter()).To(BeNumerically(">=", 900*time.Millisecond), "as late as the caller bears")
+	known := (&Refusal{Cause: CauseIsolated, EndsIn: 900 * time.Millisecond, Left: 20 * time.Second, Draw: 0.5}).RetryAfter()
 	g.Expect(known).To(BeNumerically("~", 1050*time.Millisecond, 150*time.Millisecond))
 }
 
-// TestComeBackInOrder has programs under way come back before new ones, and the more
-// urgent sooner, however the draws fall.
-func TestComeBackInOrder(t *testing.T) {
+// TestRetryAfterOrder checks that started programs retry before new ones, and more urgent
+// ones earlier, whatever the random numbers.
+func TestRetryAfterOrder(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(3, 4))
-	refusal := Refusal{Cause: CauseFull, Left: 30 * time.Second, Refused: 80, Pace: 80}
+	refusal := Refusal{Cause: CauseFull, Left: 30 * time.Second, RecentRefusals: 80, ServiceRate: 80}
 	mean := func(begun bool, urgency int) (mean, first, last time.Duration) {
 		first = time.Hour
 		for range 500 {
 			one := refusal
 			one.Begun, one.Urgency, one.Draw = begun, urgency, draws.Float64()
-			after := one.ComeBack()
+			after := one.RetryAfter()
 			mean += after / 500
 			first, last = min(first, after), max(last, after)
 		}
@@ -71,15 +71,16 @@
 	g.Expect(firstFresh).To(BeNumerically(">=", lastBegun))
 }
 
-// TestWaveComesBackAsARamp replays an outage of five seconds at a node that served 40
-// requests a second: what it refused comes back over more than a second, not at once.
-func TestWaveComesBackAsARamp(t *testing.T) {
+// TestRetriesAreSpread simulates an outage of five seconds at a node that served 40
+// requests per second. It guards against a burst of retries at its end: the refused
+// requests retry over more than a second.
+func TestRetriesAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(5, 6))
-	var returns Returns
+	var returns RefusalTracker
 	now := epoch
 	for range 40 * 3 {
-		returns.Served(now)
+		returns.ObserveServed(now)
 		now = now.Add(25 * time.Millisecond)
 	}
 	began := now
@@ -96,11 +97,11 @@
 			comes[at.Sub(began).Milliseconds()/100]++
 			continue
 		}
-		refusal := &Refusal{Cause: CauseStoreAway, Left: 6 * time.Second, Begun: draws.IntN(2) == 0, Draw: draws.Float64()}
-		returns.Refuse(at, refusal)
-		g.Expect(refusal.Pace).To(BeNumerically("~", 40, 1))
+		refusal := &Refusal{Cause: CauseStoreUnavailable, Left: 6 * time.Second, Begun: draws.IntN(2) == 0, Draw: draws.Float64()}
+		returns.ObserveRefusal(at, refusal)
+		g.Expect(refusal.ServiceRate).To(BeNumerically("~", 40, 1))
 		tries++
-		queue = insertTime(queue, at.Add(refusal.ComeBack()))
+		queue = insertTime(queue, at.Add(refusal.RetryAfter()))
 	}
 	peak, total := 0, 0
 	for _, count := range comes {
@@ -112,7 +113,7 @@
 	g.Expect(tries).To(BeNumerically("<=", 4*200), "tries used up while it lasted")
 }
 
-// insertTime keeps a list of times in order.
+// insertTime inserts a time into a sorted list.
 func insertTime(times []time.Time, at time.Time) []time.Time {
 	index := len(times)
 	for index > 0 && times[index-1].After(at) {
@@ -124,13 +125,14 @@
 	return times
 }
 
-// TestReturnsForgets begins anew once a cause was over.
-func TestReturnsForgets(t *testing.T) {
+// TestRefusalTrackerExpiry checks that the age of a cause starts anew after the cause has
+// ended.
+func TestRefusalTrackerExpiry(t *testing.T) {
 	g := NewWithT(t)
-	var returns Returns
+	var returns RefusalTracker
 	refuse := func(after time.Duration) Refusal {
 		refusal := Refusal{Cause: CauseNoOwner}
-		returns.Refuse(epoch.Add(after), &refusal)
+		returns.ObserveRefusal(epoch.Add(after), &refusal)
 		return refusal
 	}
 	g.Expect(refuse(0).Lasted).To(BeZero())
@@ -138,5 +140,5 @@
 	g.Expect(refuse(1800 * time.Millisecond).Lasted).To(Equal(1800 * time.Millisecond))
 	again := refuse(4 * time.Second)
 	g.Expect(again.Lasted).To(BeZero())
-	g.Expect(again.Refused).To(Equal(1.))
+	g.Expect(again.RecentRefusals).To(Equal(1.))
 }
--- a/dispatch/length.go
+++ b/dispatch/length.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// Lengths learns how many tokens the turns of each route usually have. It is not safe for
+// Lengths estimates how many tokens the turns of each route generate. It is not safe for
 // concurrent use.
 type Lengths struct {
-	routes map[string]*length
+	routes map[string]*routeLength
 }
 
-// length is the usual of one route, as a mean of logarithms: a few long turns do not move
-// it far.
-type length struct {
-	logarithm float64
-	turns     float64
-	at        time.Time
+// routeLength is the geometric mean of one route's turn lengths, which a few long turns
+// change little.
+type routeLength struct {
+	meanLog float64
+	turns   float64
+	usedAt  time.Time
 }
 
 const (
-	// lengthTurns is how many turns the mean of a route's lengths holds.
-	lengthTurns = 100
-	// lengthRoutes bounds the routes that are followed: more than deployments have.
-	lengthRoutes = 200
+	// lengthMemory is how many turns the mean of a route covers.
+	lengthMemory = 100
+	// maxLengthRoutes bounds the routes that are tracked: more than deployments have.
+	maxLengthRoutes = 200
 )
 
-// NewLengths returns lengths that know no route.
-func NewLengths() *Lengths { return &Lengths{routes: make(map[string]*length)} }
+// NewLengths returns Lengths without observations.
+func NewLengths() *Lengths { return &Lengths{routes: make(map[string]*routeLength)} }
 
-// Observe takes in how many tokens a turn of the route had.
+// Observe adds the number of tokens that a turn of the route generated.
 func (l *Lengths) Observe(now time.Time, route string, tokens int) {
 	if tokens <= 0 {
 		return
 	}
-	known := l.routes[route]
-	if known == nil {
-		if len(l.routes) >= lengthRoutes {
-			ForgetOldest(l.routes, func(one *length) time.Time { return one.at })
+	stats := l.routes[route]
+	if stats == nil {
+		if len(l.routes) >= maxLengthRoutes {
+			ForgetOldest(l.routes, func(one *routeLength) time.Time { return one.usedAt })
 		}
-		known = &length{}
-		l.routes[route] = known
+		stats = &routeLength{}
+		l.routes[route] = stats
 	}
-	known.at = now
-	known.turns = min(known.turns+1, lengthTurns)
-	known.logarithm += (math.Log(float64(tokens)) - known.logarithm) / known.turns
+	stats.usedAt = now
+	stats.turns = min(stats.turns+1, lengthMemory)
+	stats.meanLog += (math.Log(float64(tokens)) - stats.meanLog) / stats.turns
 }
 
-// Expected returns how many tokens a turn will have: between the client's hint and the
-// usual of the route, as far as they are known, and at most what it may have; 0 where
-// nothing is known. A hint is right in the median, and often far off.
-func (l *Lengths) Expected(route string, hint, most int) int {
+// Expected returns how many tokens a turn is expected to generate: the geometric mean of
+// the client's hint and the usual length of the route, as far as each is known, and at
+// most the turn's limit; 0 if nothing is known. The two are averaged because a hint is
+// right in the median but often far off.
+func (l *Lengths) Expected(route string, hint, limit int) int {
 	usual := 0.0
-	if known := l.routes[route]; known != nil {
-		usual = math.Exp(known.logarithm)
+	if stats := l.routes[route]; stats != nil {
+		usual = math.Exp(stats.meanLog)
 	}
 	expected := float64(max(0, hint))
 	switch {
@@ -62,8 +63,8 @@
 	case usual > 0:
 		expected = math.Sqrt(expected * usual)
 	}
-	if most > 0 {
-		expected = min(expected, float64(most))
+	if limit > 0 {
+		expected = min(expected, float64(limit))
 	}
 	return int(math.Round(expected))
 }
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -9,18 +9,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// standing returns a program under way with a slack.
-func standing(slack time.Duration) *Standing {
-	return &Standing{Begun: true, HasLeft: true, Left: 2*time.Second + slack, Need: 2 * time.Second}
+// startedWithSlack returns the state of a started program with the given slack.
+func startedWithSlack(slack time.Duration) *SchedulingState {
+	return &SchedulingState{Begun: true, HasFinish: true, Left: 2*time.Second + slack, ExpectedRemaining: 2 * time.Second}
 }
 
-// TestOrderByTier serves programs that can be in time by their slack, then new ones that
-// can, then late ones, and last new ones that are late already.
+// TestOrderByTier checks the order: started programs that can finish in time by slack, new
+// ones that can, late started ones, and new ones that are late already.
 func TestOrderByTier(t *testing.T) {
 	g := NewWithT(t)
-	ranked := []*Standing{
-		standing(10 * time.Millisecond), standing(400 * time.Millisecond), {Begun: true}, standing(3 * time.Second),
-		{HasLeft: true, Left: 2100 * time.Millisecond, Need: 2 * time.Second}, {}, standing(-time.Second), {HasLeft: true, Need: time.Second},
+	ranked := []*SchedulingState{
+		startedWithSlack(10 * time.Millisecond), startedWithSlack(400 * time.Millisecond), {Begun: true}, startedWithSlack(3 * time.Second),
+		{HasFinish: true, Left: 2100 * time.Millisecond, ExpectedRemaining: 2 * time.Second}, {}, startedWithSlack(-time.Second), {HasFinish: true, ExpectedRemaining: time.Second},
 	}
 	tiersOf := []Tier{TierInTime, TierInTime, TierInTime, TierInTime, TierNew, TierNew, TierLate, TierNewLate}
 	for index, one := range ranked {
@@ -33,16 +33,16 @@
 	g.Expect(Before(0, ranked[7], 1, ranked[0])).To(BeTrue(), "the more urgent priority goes first")
 }
 
-// TestOrderStarvesNobody puts a new program before any other of its priority that comes
-// once it has waited for all tiers.
+// TestOrderStarvesNobody checks that a new program goes before any other of its priority
+// once it has waited through all tiers.
 func TestOrderStarvesNobody(t *testing.T) {
 	g := NewWithT(t)
-	waiting := &Standing{HasLeft: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAge + time.Millisecond}
-	g.Expect(Before(1, waiting, 1, standing(0))).To(BeTrue())
+	waiting := &SchedulingState{HasFinish: true, Left: time.Hour, Waited: time.Duration(tiers)*tierAgingTime + time.Millisecond}
+	g.Expect(Before(1, waiting, 1, startedWithSlack(0))).To(BeTrue())
 }
 
-// TestBandsKeepPriorities ranks no turn with or before one of a more urgent priority,
-// whatever their standing.
+// TestBandsKeepPriorities checks that no turn ranks equal to or before one of a more
+// urgent priority, whatever their state.
 func TestBandsKeepPriorities(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(9, 10))
@@ -52,9 +52,9 @@
 		for range 2000 {
 			end := -1
 			for _, priority := range sorted {
-				one := standing(time.Duration(draws.Int64N(int64(8*time.Second))) - 4*time.Second)
+				one := startedWithSlack(time.Duration(draws.Int64N(int64(8*time.Second))) - 4*time.Second)
 				one.Begun, one.Waited = draws.IntN(2) == 0, time.Duration(draws.Int64N(int64(2*time.Second)))
-				one.HasLeft = draws.IntN(4) > 0
+				one.HasFinish = draws.IntN(4) > 0
 				urgency := bands.Urgency(priority, one)
 				g.Expect(urgency).To(BeNumerically(">", end), "%v", priorities)
 				g.Expect(urgency).To(BeNumerically(">=", priority))
@@ -65,19 +65,19 @@
 	}
 }
 
-// TestBandsTellSlackApart gives programs that are nearly late a better rank than new ones
-// and late ones of the same priority, and leaves turns at their priority whose clients
-// name no finish.
-func TestBandsTellSlackApart(t *testing.T) {
+// TestBandsDistinguishSlack checks that started programs with little slack rank before new
+// and late ones of the same priority, and that turns without a finish time rank at their
+// priority.
+func TestBandsDistinguishSlack(t *testing.T) {
 	g := NewWithT(t)
 	bands := NewBands([]int{0, 1})
-	fresh := &Standing{HasLeft: true, Left: time.Second}
-	lateAndNew := &Standing{HasLeft: true, Need: time.Second}
-	g.Expect(bands.Urgency(1, standing(0))).To(Equal(1))
-	g.Expect(bands.Urgency(1, standing(0))).To(BeNumerically("<", bands.Urgency(1, fresh)))
-	g.Expect(bands.Urgency(1, fresh)).To(BeNumerically("<", bands.Urgency(1, standing(-time.Second))))
-	g.Expect(bands.Urgency(1, standing(-time.Second))).To(BeNumerically("<", bands.Urgency(1, lateAndNew)))
+	fresh := &SchedulingState{HasFinish: true, Left: time.Second}
+	lateAndNew := &SchedulingState{HasFinish: true, ExpectedRemaining: time.Second}
+	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(Equal(1))
+	g.Expect(bands.Urgency(1, startedWithSlack(0))).To(BeNumerically("<", bands.Urgency(1, fresh)))
+	g.Expect(bands.Urgency(1, fresh)).To(BeNumerically("<", bands.Urgency(1, startedWithSlack(-time.Second))))
+	g.Expect(bands.Urgency(1, startedWithSlack(-time.Second))).To(BeNumerically("<", bands.Urgency(1, lateAndNew)))
 	g.Expect(bands.Urgency(0, lateAndNew)).To(BeZero(), "there is no rank between the two priorities")
-	g.Expect(bands.Urgency(1, &Standing{})).To(Equal(1))
-	g.Expect(bands.Urgency(12, &Standing{})).To(Equal(LeastUrgency))
+	g.Expect(bands.Urgency(1, &SchedulingState{})).To(Equal(1))
+	g.Expect(bands.Urgency(12, &SchedulingState{})).To(Equal(LeastUrgency))
 }
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -1,78 +1,83 @@
 package dispatch
 
-// Job is what one turn needs of a replica.
+// Job is the work of one turn.
 type Job struct {
-	// Tokens is how many tokens are expected to come out.
+	// Tokens is how many tokens the turn is expected to generate.
 	Tokens float64
 }
 
-// Place is one replica as a turn would find it. Times are in nanoseconds.
-type Place struct {
-	// Load is the requests beside, and Slots how many it works on at once.
+// ReplicaState is the state of one replica that a turn could be sent to. Times are in
+// nanoseconds.
+type ReplicaState struct {
+	// Load is the number of concurrent requests, and Slots how many the replica runs at
+	// once.
 	Load, Slots float64
-	// Token is the time of a generated token with none beside, and Read that of one
-	// token of the prompt.
-	Token, Read float64
-	// Missing is how many tokens of the prompt are to be read.
-	Missing float64
-	// Way is what else passes before the turn is there.
-	Way float64
+	// Token is the time to generate one token without concurrent requests, and PrefillTime
+	// the time to prefill one.
+	Token, PrefillTime float64
+	// UncachedTokens is how many tokens of the prompt have to be prefilled.
+	UncachedTokens float64
+	// Delay is any other time that passes before the replica starts on the turn.
+	Delay float64
 }
 
 const (
-	// BesideShare is how much one request beside slows each token: the batch's step
-	// grows a little, and its prompt is read between the tokens.
-	BesideShare = 0.05
-	// ReadShare is the time to read one token of a prompt by that to generate one, until
-	// a service's own is learned.
-	ReadShare = 1.0 / 200
-	// lateShare is how far, by the slots, the load may be off what is known of it: other
-	// nodes choose at the same time.
-	lateShare = 0.45
-	// queueShare is what a turn costs for each that is over the slots, by its own length:
-	// it waits for a slot, and those that come after it wait as well.
-	queueShare = 0.3
-	// moreShare is how much one request beside raises what another one costs all
-	// together, by a token with none beside: it slows them, and they slow it, and prompts
-	// are read between the tokens.
-	moreShare = 0.13
-	// roomShare is the part of the slots that shares are dealt up to: the rest is for
-	// what other nodes send at the same time.
-	roomShare = 0.5
+	// SlowdownPerRequest is the fraction by which one concurrent request lengthens the
+	// time of each token: the batch's step grows a little, and its prompt is prefilled
+	// between the tokens.
+	SlowdownPerRequest = 0.05
+	// DefaultPrefillRatio is the time to prefill one token in units of the time to
+	// generate one, used until a service's own ratio is learned.
+	DefaultPrefillRatio = 1.0 / 200
+	// loadUncertainty is how far the actual load may be from the known one, as a fraction
+	// of the slots: other nodes choose replicas at the same time.
+	loadUncertainty = 0.45
+	// queueingFactor is the cost of each request in excess of the slots, as a fraction of
+	// the turn's own length: the turn waits for a slot, and those that come after it wait
+	// as well.
+	queueingFactor = 0.3
+	// marginalSlowdown is by how much one concurrent request raises the total cost of a
+	// further one, in units of the token time without concurrent requests: both slow each
+	// other, and prompts are prefilled between the tokens.
+	marginalSlowdown = 0.13
+	// maxFillFraction is the fraction of the slots up to which LoadAtCost fills a replica:
+	// the rest is for what other nodes send at the same time.
+	maxFillFraction = 0.5
 )
 
-// End predicts how long after it is sent the turn is whole.
-func (j *Job) End(place *Place) float64 {
-	work := place.Missing*place.Read + j.Tokens*place.Token*(1+BesideShare*place.Load)
-	return place.Way + work*(1+queueShare*place.over())
+// End predicts the time from sending the turn to its last token.
+func (j *Job) End(replica *ReplicaState) float64 {
+	work := replica.UncachedTokens*replica.PrefillTime + j.Tokens*replica.Token*(1+SlowdownPerRequest*replica.Load)
+	return replica.Delay + work*(1+queueingFactor*replica.expectedQueue())
 }
 
-// Burden predicts by how much the turn delays those beside it, all together.
-func (j *Job) Burden(place *Place) float64 {
-	return place.Load * (place.Missing*place.Read + BesideShare*j.Tokens*place.Token)
+// AddedDelay predicts by how much the turn delays all concurrent requests together.
+func (j *Job) AddedDelay(replica *ReplicaState) float64 {
+	return replica.Load * (replica.UncachedTokens*replica.PrefillTime + SlowdownPerRequest*j.Tokens*replica.Token)
 }
 
-// Cost is what a placement weighs: the turn's end, and what it costs the others.
-func (j *Job) Cost(place *Place) float64 {
-	return j.End(place) + j.Burden(place)
+// Cost is the quantity that a placement minimizes: the turn's completion time plus the
+// delay that it adds to others.
+func (j *Job) Cost(replica *ReplicaState) float64 {
+	return j.End(replica) + j.AddedDelay(replica)
 }
 
-// over is how many requests are expected over the slots once the turn is there, where the
-// load is uncertain by a share of the slots.
-func (p *Place) over() float64 {
-	beyond, off := p.Load-p.Slots+1, lateShare*p.Slots
+// expectedQueue returns the expected number of requests in excess of the slots once the
+// turn has arrived. The load is taken as uniformly distributed within loadUncertainty.
+func (p *ReplicaState) expectedQueue() float64 {
+	excess, margin := p.Load-p.Slots+1, loadUncertainty*p.Slots
 	switch {
-	case beyond <= -off:
+	case excess <= -margin:
 		return 0
-	case beyond >= off:
-		return beyond
+	case excess >= margin:
+		return excess
 	default:
-		return (beyond + off) * (beyond + off) / (4 * off)
+		return (excess + margin) * (excess + margin) / (4 * margin)
 	}
 }
 
-// Fill is how many requests a replica has when one more would cost so much a token, all
-// told, up to its place.
-func Fill(level, token, slots float64) float64 {
-	return min(max(0, (level/token-1)/moreShare), roomShare*slots)
+// LoadAtCost returns the number of concurrent requests at which one more costs the given
+// level per token in total, up to maxFillFraction of the slots.
+func LoadAtCost(level, token, slots float64) float64 {
+	return min(max(0, (level/token-1)/marginalSlowdown), maxFillFraction*slots)
 }
--- a/dispatch/slack.go
+++ b/dispatch/slack.go
@@ -2,133 +2,135 @@
 
 import "time"
 
-// Progress is how a program stands against its time.
+// Progress is how a program's time left compares with what is usual for its route.
 type Progress int
 
-// The values of Progress. A program whose time is not known is even.
+// The values of Progress. A program without a finish time is ProgressEven.
 const (
-	// ProgressLost is past its time: it can't be in time any more.
+	// ProgressLost: the finish time has passed.
 	ProgressLost Progress = iota
-	// ProgressAhead has clearly more time left than programs usually have at its stage.
+	// ProgressAhead: clearly more time is left than usual at this stage.
 	ProgressAhead
-	// ProgressEven has what they usually have.
+	// ProgressEven: about the usual time is left.
 	ProgressEven
-	// ProgressBehind has clearly less.
+	// ProgressBehind: clearly less time is left than usual.
 	ProgressBehind
 )
 
-// String names the progress for the log.
+// String returns the name of the progress in logs.
 func (s Progress) String() string { return [...]string{"lost", "ahead", "even", "behind"}[s] }
 
-// Slack learns how much time the programs of each route usually have left at each stage,
-// and tells how one compares. It is not safe for concurrent use.
+// Slack learns how much time programs of each route usually have left at each stage, and
+// compares programs with it. It is not safe for concurrent use.
 type Slack struct {
-	// routes are what the programs of each route have left, by stage.
-	routes map[string]*[slackStages]slackStage
-	// ranks is when a service's requests of each priority came last.
-	ranks map[string]*[slackRanks]time.Time
+	// routes holds the usual time left of each route, by stage.
+	routes map[string]*[maxStages]stageSlack
+	// lastSeen holds when requests of each priority last came, by service.
+	lastSeen map[string]*[priorityCount]time.Time
 }
 
-// slackStage is what programs have left in the mean, in nanoseconds, and how many they were.
-type slackStage struct {
+// stageSlack is the mean time left at one stage, in nanoseconds, and the number of
+// programs in the mean.
+type stageSlack struct {
 	left, programs float64
 }
 
 const (
-	// slackStages bounds the stages of a program that are told apart: its turns.
-	slackStages = 24
-	// slackPrograms is how many programs the mean of a stage holds, and slackLeast how
-	// many have to be known.
-	slackPrograms = 50
-	slackLeast    = 5
-	// slackAhead and slackBehind are the shares of the usual time left from which on, and
-	// up to which, a program is ahead or behind. Between lies what the lengths of programs
-	// differ by anyway.
-	slackAhead  = 1.25
-	slackBehind = 0.8
-	// slackNames bounds the routes and the services that are followed.
-	slackNames = 200
-	// slackRanks is how many priorities there are, and slackRecent for how long one that
-	// was seen is taken to have requests.
-	slackRanks  = 10
-	slackRecent = 10 * time.Second
+	// maxStages bounds the stages of a program, which are its turns; later turns count as
+	// the last stage.
+	maxStages = 24
+	// stageMemory is how many programs the mean of a stage covers, and minStagePrograms
+	// how many it needs before it is used.
+	stageMemory      = 50
+	minStagePrograms = 5
+	// aheadFactor and behindFactor are the multiples of the usual time left above and
+	// below which a program is ahead or behind. The range between them covers the usual
+	// variation of program lengths.
+	aheadFactor  = 1.25
+	behindFactor = 0.8
+	// maxTrackedNames bounds the routes, and the services, that are tracked.
+	maxTrackedNames = 200
+	// priorityCount is the number of priorities, and priorityTTL how long after its last
+	// request a priority counts as in use.
+	priorityCount = 10
+	priorityTTL   = 10 * time.Second
 )
 
-// NewSlack returns a Slack that knows no route.
+// NewSlack returns a Slack without observations.
 func NewSlack() *Slack {
-	return &Slack{routes: make(map[string]*[slackStages]slackStage), ranks: make(map[string]*[slackRanks]time.Time)}
+	return &Slack{routes: make(map[string]*[maxStages]stageSlack), lastSeen: make(map[string]*[priorityCount]time.Time)}
 }
 
-// Observe takes in a turn of a program at a stage with so much time left, and tells how the
-// program compares.
+// Observe records the time left of a program at a stage, and returns its progress.
 func (s *Slack) Observe(route string, stage int, left time.Duration) Progress {
-	known := s.routes[route]
-	if known == nil {
-		if len(s.routes) >= slackNames {
+	stages := s.routes[route]
+	if stages == nil {
+		if len(s.routes) >= maxTrackedNames {
 			clear(s.routes)
 		}
-		known = &[slackStages]slackStage{}
-		s.routes[route] = known
+		stages = &[maxStages]stageSlack{}
+		s.routes[route] = stages
 	}
-	at := &known[min(max(0, stage), slackStages-1)]
-	progress := at.progress(float64(left))
+	mean := &stages[min(max(0, stage), maxStages-1)]
+	progress := mean.progress(float64(left))
 	if left > 0 {
-		// What is lost already says nothing of what programs need.
-		at.programs = min(at.programs+1, slackPrograms)
-		at.left += (float64(left) - at.left) / at.programs
+		// Programs past their finish time do not show how much time programs need.
+		mean.programs = min(mean.programs+1, stageMemory)
+		mean.left += (float64(left) - mean.left) / mean.programs
 	}
 	return progress
 }
 
-// progress tells how a program compares that has so much time left.
-func (s *slackStage) progress(left float64) Progress {
+// progress compares the given time left with the mean of the stage.
+func (s *stageSlack) progress(left float64) Progress {
 	switch {
 	case left <= 0:
 		return ProgressLost
-	case s.programs < slackLeast:
+	case s.programs < minStagePrograms:
 		return ProgressEven
-	case left < slackBehind*s.left:
+	case left < behindFactor*s.left:
 		return ProgressBehind
-	case left > slackAhead*s.left:
+	case left > aheadFactor*s.left:
 		return ProgressAhead
 	default:
 		return ProgressEven
 	}
 }
 
-// Haste returns how a program of such progress takes the fast replicas of its service: 1
-// before others, 0 as its share, -1 after others. Where the service has requests of several
-// priorities, only the most urgent come before their share, and only the least urgent after
-// it: none is served better than a more urgent one.
-func (s *Slack) Haste(now time.Time, service string, priority int, progress Progress) int {
-	known := s.ranks[service]
-	if known == nil {
-		if len(s.ranks) >= slackNames {
-			clear(s.ranks)
+// SpeedBias returns how strongly a program with the given progress prefers the fast
+// replicas of its service: 1 before others, 0 by its share, -1 after others. If the
+// service has requests of several priorities, only the most urgent may go before their
+// share and only the least urgent after it, so that no program is preferred to a more
+// urgent one.
+func (s *Slack) SpeedBias(now time.Time, service string, priority int, progress Progress) int {
+	seen := s.lastSeen[service]
+	if seen == nil {
+		if len(s.lastSeen) >= maxTrackedNames {
+			clear(s.lastSeen)
 		}
-		known = &[slackRanks]time.Time{}
-		s.ranks[service] = known
+		seen = &[priorityCount]time.Time{}
+		s.lastSeen[service] = seen
 	}
-	rank := min(max(0, priority), slackRanks-1)
-	known[rank] = now
+	rank := min(max(0, priority), priorityCount-1)
+	seen[rank] = now
 	first, last := rank, rank
-	for other, at := range known {
-		if !at.IsZero() && now.Sub(at) <= slackRecent {
+	for other, at := range seen {
+		if !at.IsZero() && now.Sub(at) <= priorityTTL {
 			first, last = min(first, other), max(last, other)
 		}
 	}
-	least, most := -1, 1
+	lowest, highest := -1, 1
 	if rank > first {
-		most = 0
+		highest = 0
 	}
 	if rank < last {
-		least = 0
+		lowest = 0
 	}
-	return min(max(least, progress.haste()), most)
+	return min(max(lowest, progress.speedBias()), highest)
 }
 
-// haste is what a progress calls for.
-func (s Progress) haste() int {
+// speedBias returns the bias for a progress, regardless of priorities.
+func (s Progress) speedBias() int {
 	switch s {
 	case ProgressBehind:
 		return 1
--- a/dispatch/slack_test.go
+++ b/dispatch/slack_test.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// taught returns a slack that saw programs with three seconds left at their first stage.
-func taught() *dispatch.Slack {
+// trained returns a Slack that saw programs with three seconds left at one stage.
+func trained() *dispatch.Slack {
 	slack := dispatch.NewSlack()
 	for range 20 {
 		slack.Observe("route", 2, 3*time.Second)
@@ -18,51 +18,51 @@
 	return slack
 }
 
-func TestStandFollowsTheUsualTimeLeft(t *testing.T) {
+func TestProgressFollowsTheUsualTimeLeft(t *testing.T) {
 	g := NewWithT(t)
 	for left, want := range map[time.Duration]dispatch.Progress{
 		-time.Second: dispatch.ProgressLost, 0: dispatch.ProgressLost, time.Second: dispatch.ProgressBehind,
 		3 * time.Second: dispatch.ProgressEven, 6 * time.Second: dispatch.ProgressAhead,
 	} {
-		g.Expect(taught().Observe("route", 2, left)).To(Equal(want), left.String())
+		g.Expect(trained().Observe("route", 2, left)).To(Equal(want), left.String())
 	}
-	g.Expect(taught().Observe("route", 3, time.Second)).To(Equal(dispatch.ProgressEven), "an unknown stage")
-	g.Expect(taught().Observe("route", 1_000, time.Second)).To(Equal(dispatch.ProgressEven), "a stage beyond all")
+	g.Expect(trained().Observe("route", 3, time.Second)).To(Equal(dispatch.ProgressEven), "an unknown stage")
+	g.Expect(trained().Observe("route", 1_000, time.Second)).To(Equal(dispatch.ProgressEven), "a stage beyond all")
 }
 
-func TestLostProgramsDoNotTeachTheUsual(t *testing.T) {
+func TestLateProgramsDoNotChangeTheUsual(t *testing.T) {
 	g := NewWithT(t)
-	slack := taught()
+	slack := trained()
 	for range 500 {
 		slack.Observe("route", 2, -time.Hour)
 	}
 	g.Expect(slack.Observe("route", 2, 3*time.Second)).To(Equal(dispatch.ProgressEven))
 }
 
-func TestHasteOfOnePriorityFollowsTheStand(t *testing.T) {
+func TestSpeedBiasOfOnePriorityFollowsProgress(t *testing.T) {
 	g := NewWithT(t)
 	slack := dispatch.NewSlack()
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressBehind)).To(Equal(1))
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressEven)).To(Equal(0))
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressAhead)).To(Equal(-1))
-	g.Expect(slack.Haste(begin, "model", 3, dispatch.ProgressLost)).To(Equal(-1))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressBehind)).To(Equal(1))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressEven)).To(Equal(0))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressAhead)).To(Equal(-1))
+	g.Expect(slack.SpeedBias(begin, "model", 3, dispatch.ProgressLost)).To(Equal(-1))
 }
 
 func TestNoProgramGoesBeforeAMoreUrgentOne(t *testing.T) {
 	g := NewWithT(t)
 	slack := dispatch.NewSlack()
-	stands := []dispatch.Progress{dispatch.ProgressLost, dispatch.ProgressAhead, dispatch.ProgressEven, dispatch.ProgressBehind}
+	values := []dispatch.Progress{dispatch.ProgressLost, dispatch.ProgressAhead, dispatch.ProgressEven, dispatch.ProgressBehind}
 	for _, priority := range []int{-3, 2, 5, 99} {
-		slack.Haste(begin, "model", priority, dispatch.ProgressEven)
+		slack.SpeedBias(begin, "model", priority, dispatch.ProgressEven)
 	}
-	for _, urgent := range stands {
-		for _, other := range stands {
+	for _, urgent := range values {
+		for _, other := range values {
 			for more, less := range map[int]int{0: 5, 2: 5, 5: 9} {
-				first := slack.Haste(begin, "model", more, urgent)
-				g.Expect(first).To(BeNumerically(">=", slack.Haste(begin, "model", less, other)))
+				first := slack.SpeedBias(begin, "model", more, urgent)
+				g.Expect(first).To(BeNumerically(">=", slack.SpeedBias(begin, "model", less, other)))
 			}
 		}
 	}
 	later := begin.Add(time.Minute)
-	g.Expect(slack.Haste(later, "model", 5, dispatch.ProgressBehind)).To(Equal(1), "the others have no requests any more")
+	g.Expect(slack.SpeedBias(later, "model", 5, dispatch.ProgressBehind)).To(Equal(1), "the others have no requests any more")
 }
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -49,7 +49,7 @@
 func (n *Node) chooseReplica(r *requestState, table *routing.Table) (replica.Entry, error) {
 	n.noteProgress(r)
 	asked := n.choiceOf(r)
-	asked.PerNode, asked.Draw = n.perNode(table, r.service), n.draw()
+	asked.MaxPerNode, asked.Draw = n.perNode(table, r.service), n.draw()
 	asked.Connected = func(entry replica.Entry) bool { return n.pool.Free(targetOf(entry)) }
 	choice, err := n.chooseWithin(r, asked)
 	if err != nil {
@@ -57,7 +57,7 @@
 		return replica.Entry{}, err
 	}
 	r.choice = choice
-	if choice.Left {
+	if choice.LeftEvacuatedZone {
 		n.metrics.lineMoved()
 	}
 	r.attempts++
@@ -68,8 +68,8 @@
 // choiceOf describes the request to the choice of a replica.
 func (n *Node) choiceOf(r *requestState) *replica.Request {
 	return &replica.Request{
-		Service: r.service, Program: r.program, Prompt: r.prompt, Preferred: r.preferred, PreferredKept: r.preferredKept,
-		Only: r.only, Homes: r.homes, Excluded: r.excluded, Expected: n.expectedTokens(r), Haste: r.haste,
+		Service: r.service, Program: r.program, Prompt: r.prompt, Preferred: r.preferred, PreferredCached: r.preferredKept,
+		Only: r.only, Constraint: r.homes, Excluded: r.excluded, ExpectedTokens: n.expectedTokens(r), SpeedBias: r.haste,
 	}
 }
 
@@ -125,7 +125,7 @@
 	case !errors.Is(err, replica.ErrNoReplica) || len(r.excluded) > 0:
 		return dispatch.Refusal{Cause: dispatch.CauseRejected}
 	case !n.syncedReplicas.Load():
-		return dispatch.Refusal{Cause: dispatch.CauseStarting, Ends: n.comeBackAtStart()}
+		return dispatch.Refusal{Cause: dispatch.CauseStarting, EndsIn: n.comeBackAtStart()}
 	default:
 		return dispatch.Refusal{Cause: dispatch.CauseNoReplica}
 	}
--- a/edge/call.go
+++ b/edge/call.go
@@ -151,9 +151,9 @@
 func (c *callRun) repeat() {
 	c.repeats++
 	r := c.request
-	again := dispatch.Repeat(c.late())
+	again := dispatch.DecideRepeat(c.late())
 	c.node.metrics.callLate(again.String())
-	if again != dispatch.AgainYes || !c.node.calls.mayRepeat() {
+	if again != dispatch.RepeatSent || !c.node.calls.mayRepeat() {
 		return
 	}
 	newest := c.flying[len(c.flying)-1]
@@ -165,11 +165,11 @@
 }
 
 // late returns what the decision to send the call again rests on.
-func (c *callRun) late() *dispatch.Late {
-	late := &dispatch.Late{Left: c.request.left()}
+func (c *callRun) late() *dispatch.LateCall {
+	late := &dispatch.LateCall{Left: c.request.left()}
 	if c.node.settings.uses(RepeatIntoRoom) {
-		late.Usual = c.node.calls.usual(c.request.route)
-		late.Full = c.node.replicas.pressure(c.node.choiceOf(c.request))
+		late.TypicalDuration = c.node.calls.usual(c.request.route)
+		late.Utilisation = c.node.replicas.pressure(c.node.choiceOf(c.request))
 	}
 	return late
 }
--- a/edge/calls.go
+++ b/edge/calls.go
@@ -16,7 +16,7 @@
 // many of them are sent again.
 type calls struct {
 	mutex    sync.Mutex
-	lateness *replica.Lateness
+	lateness *replica.LatencyTracker
 	budget   *retry.Budget
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &calls{lateness: replica.NewLateness(), budget: budget}, nil
+	return &calls{lateness: replica.NewLatencyTracker(), budget: budget}, nil
 }
 
 // answered takes in how long a call took that was answered.
@@ -69,16 +69,16 @@
 func (c *calls) usual(route *routing.Route) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lateness.Usual(route.Name)
+	return c.lateness.Median(route.Name)
 }
 
 // lateAfter returns how long after its start a call of the route is late.
 func (n *Node) lateAfter(route *routing.Route) time.Duration {
-	otherwise := route.Objective
+	otherwise := route.LatencyObjective
 	if otherwise <= 0 {
 		otherwise = route.Timeout / lateUnknown
 	}
 	n.calls.mutex.Lock()
 	defer n.calls.mutex.Unlock()
-	return n.calls.lateness.After(route.Name, otherwise)
+	return n.calls.lateness.LateAfter(route.Name, otherwise)
 }
--- a/edge/cold.go
+++ b/edge/cold.go
@@ -46,7 +46,7 @@
 		waitUntil = waitUntil.Add(min(coldWait, r.left()/2))
 	}
 	for asked := 0; ; {
-		request.Warm = asked >= maximumColdAsks
+		request.WarmOnly = asked >= maximumColdAsks
 		choice, err := n.replicas.choose(request)
 		switch {
 		case errors.Is(err, replica.ErrColdRate) && time.Now().Add(coldWaitStep).Before(waitUntil):
@@ -83,7 +83,7 @@
 	granted := asked.outcome.Status == coordinator.ChargeGranted
 	switch {
 	case granted && time.Since(begun) > coldFresh:
-		n.control.post(coordinator.ChargeReturned{Charge: asked.asked})
+		n.control.post(coordinator.ChargeRefunded{Charge: asked.asked})
 		status, granted = coldStale, false
 	case asked.outcome.Status == coordinator.ChargeUnknown:
 		pause = coldSilence
@@ -123,7 +123,7 @@
 		return
 	}
 	n.metrics.coldCharged(coldReturned)
-	n.control.post(coordinator.ChargeReturned{Charge: *r.coldGrant})
+	n.control.post(coordinator.ChargeRefunded{Charge: *r.coldGrant})
 	r.coldGrant = nil
 }
 
@@ -161,7 +161,7 @@
 func (r *replicas) confirm(id replica.ID, request *replica.Request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.set.Withdraw(id)
+	r.set.Release(id)
 	r.set.Began(time.Now(), id, request)
 }
 
@@ -169,7 +169,7 @@
 func (r *replicas) withdraw(id replica.ID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.set.Withdraw(id)
+	r.set.Release(id)
 }
 
 // pauseCold has a cold replica passed over that is at its rate.
@@ -184,7 +184,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
-	if !r.set.HearCold(now, id, left) {
+	if !r.set.ExtendCold(now, id, left) {
 		return
 	}
 	if entry, known := r.set.EntryAt(now, id); known {
@@ -210,10 +210,10 @@
 }
 
 // coldTurns returns the replicas that turned cold or warm, and how many are cold.
-func (r *replicas) coldTurns(now time.Time) ([]replica.ColdTurn, int) {
+func (r *replicas) coldTurns(now time.Time) ([]replica.ColdTransition, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.ColdTurns(now)
+	return r.set.ColdTransitions(now)
 }
 
 // ColdReplicas returns how many replicas this node holds cold.
--- a/edge/control.go
+++ b/edge/control.go
@@ -175,7 +175,7 @@
 	loads.Evacuations = c.node.evacuations.version()
 	if table := c.node.routes.Current(); table != nil {
 		loads.Version = table.Version
-		loads.RetainFor = table.LongestRetain()
+		loads.RetainFor = table.MaxRetention()
 	}
 	c.core.Step(now, loads)
 	c.node.liveNodes.Store(int32(c.core.LiveCount()))
@@ -193,7 +193,7 @@
 // over from now on looks at once whether it reaches the store.
 func (c *control) noteRoles(roles coordinator.Roles) {
 	before := c.node.roles.Swap(&roles)
-	if !roles.Heir || (before != nil && before.Heir) {
+	if !roles.MayOwnPartition || (before != nil && before.MayOwnPartition) {
 		return
 	}
 	if end := c.node.watching.Load(); end != nil {
@@ -203,7 +203,7 @@
 
 // endWaitForLostReader ends the wait for the first answer of a reader that is not live.
 func (c *control) endWaitForLostReader() {
-	if asked := c.node.askedReader.Load(); asked != nil && !c.core.Lives(asked.id) {
+	if asked := c.node.askedReader.Load(); asked != nil && !c.core.IsLive(asked.id) {
 		asked.end()
 	}
 }
@@ -257,7 +257,7 @@
 	switch input := input.(type) {
 	case coordinator.Event:
 		c.core.Step(now, input)
-		if _, listed := input.(coordinator.Listed); listed {
+		if _, listed := input.(coordinator.NodeListRead); listed {
 			// Whom this node follows hangs on its role.
 			c.report(now)
 			c.node.noteDirectory()
@@ -265,11 +265,11 @@
 	case question:
 		c.nextID++
 		c.replies[c.nextID] = input.answer
-		c.core.Step(now, coordinator.Requested{ID: c.nextID, Partition: input.partition, Request: input.request})
+		c.core.Step(now, coordinator.RequestReceived{ID: c.nextID, Partition: input.partition, Request: input.request})
 	case chargeQuestion:
 		c.nextID++
 		c.charges[c.nextID] = input.answer
-		c.core.Step(now, coordinator.ChargeRequested{ID: c.nextID, Charge: input.charge, Patience: input.patience})
+		c.core.Step(now, coordinator.ChargeRequested{ID: c.nextID, Charge: input.charge, Timeout: input.patience})
 	case lookup:
 		owner, _ := c.core.Owner(now, input.partition)
 		input.answer <- owner
@@ -313,11 +313,11 @@
 		c.node.hearVersion(load.From, load.Version, load.Evacuations)
 	}
 	c.node.hearTotals(&ready)
-	for _, newer := range ready.Newer {
+	for _, newer := range ready.NewerPeers {
 		c.node.hearVersion(newer.From, newer.Version, 0)
 	}
-	if !ready.Proven.IsZero() && c.node.settings.uses(ProvePeers) {
-		c.node.proof.note(ready.Proven)
+	if !ready.FreshAsOf.IsZero() && c.node.settings.uses(ProvePeers) {
+		c.node.proof.note(ready.FreshAsOf)
 	}
 	for _, change := range ready.Changes {
 		c.node.logChange(change)
--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -61,8 +61,8 @@
 		return entry
 	default:
 		return entry.Str("program", r.program).Str("session", r.session).Int("partition", r.partition).
-			Str("owner", r.owner).Str("verdict", string(r.admission.Verdict)).Int("settled", r.admission.Settled).
-			Int("open", r.admission.Open).Int("most", r.most).Int("budget", r.budget).Int("tokens", r.tokens).
+			Str("owner", r.owner).Str("verdict", string(r.admission.Verdict)).Int("settled", r.admission.SettledTokens).
+			Int("open", r.admission.OpenTokens).Int("most", r.most).Int("budget", r.budget).Int("tokens", r.tokens).
 			Dur("need", r.need).Int("urgency", r.urgency)
 	}
 }
@@ -81,9 +81,9 @@
 // logChoice adds what the choice of the replica rested on.
 func (r *requestState) logChoice(entry *log.Entry) *log.Entry {
 	choice := &r.choice
-	return entry.Int("missing", choice.Missing).Int("load", choice.Load).Dur("predicted", choice.Predicted).
-		Dur("pace", choice.Pace).Dur("paceage", choice.PaceAge).Str("progress", r.progress.String()).Int("haste", r.haste).
-		Bool("left", choice.Left)
+	return entry.Int("missing", choice.UncachedTokens).Int("load", choice.Load).Dur("predicted", choice.Predicted).
+		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.haste).
+		Bool("left", choice.LeftEvacuatedZone)
 }
 
 // failedStatus is the least status that tells of a failure.
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -123,7 +123,7 @@
 		return
 	}
 	*near = neighbours{nodes: nodes, read: true, next: next}
-	n.control.post(coordinator.Learned{Nodes: nodes})
+	n.control.post(coordinator.NodesDiscovered{Nodes: nodes})
 }
 
 // nodePartition returns the partition of the nodes' stream that has this node's record.
@@ -187,7 +187,7 @@
 		candidates = append(candidates, ownership.Node{ID: string(node.ID), Weight: node.Weight})
 	}
 	var ranked []machine.Machine
-	for _, id := range ownership.First(directoryRank, ownership.Able(candidates), directoryReaders) {
+	for _, id := range ownership.TopNodes(directoryRank, ownership.Eligible(candidates), directoryReaders) {
 		place := slices.IndexFunc(near, func(node machine.Machine) bool { return string(node.ID) == id })
 		ranked = append(ranked, near[place])
 	}
@@ -228,7 +228,7 @@
 // takeNodes takes the list of nodes over.
 func (n *Node) takeNodes(source string, nodes []machine.Machine) {
 	n.logger.Info().Str("source", source).Int("nodes", len(nodes)).Dur("after", time.Since(n.started)).Msg("nodes: list read")
-	n.control.post(coordinator.Listed{Nodes: nodes})
+	n.control.post(coordinator.NodeListRead{Nodes: nodes})
 }
 
 // noteDirectory takes in that this node knows the list of nodes, and its role.
--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -18,7 +18,7 @@
 		}
 		n.logger.Info().Str("collector", string(change.Collector)).Msg("loads: collector taken")
 	}
-	for _, unread := range ready.Unread {
+	for _, unread := range ready.Rejected {
 		n.logger.Warn().Str("from", string(unread.From)).Err(unread.Err).Msg("loads: message not understood")
 	}
 	for _, outbound := range ready.Messages {
@@ -45,7 +45,7 @@
 func (r *replicas) takeTotals(now time.Time, totals *gather.Totals) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	word := replica.Word{Nodes: totals.Nodes, At: totals.At, Partial: totals.Partial}
+	word := replica.LoadSummary{Nodes: totals.Nodes, At: totals.At, Partial: totals.Partial}
 	word.Totals = make(map[replica.ID]replica.Total, len(totals.Counts))
 	for key, count := range totals.Counts {
 		if id := r.keyed[key]; id != "" {
@@ -58,7 +58,7 @@
 			word.Totals[id] = replica.Total{Requests: float64(totals.Counts[key]), TokenTime: pace.TokenTime, Samples: pace.Samples}
 		}
 	}
-	r.set.TakeWord(now, word)
+	r.set.ApplyLoadSummary(now, word)
 }
 
 // key notes under which key messages name a replica. Two that share one are not heard of.
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -23,7 +23,7 @@
 		table.Tenants, err = tenant.NewDirectory([]tenant.Tenant{{Name: "a", Keys: []string{"k"}}})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(node.routes.Offer(table)).To(BeTrue())
+	g.Expect(node.routes.Update(table)).To(BeTrue())
 	return node
 }
 
@@ -67,14 +67,14 @@
 func TestSwitchesOfTenants(t *testing.T) {
 	g := NewWithT(t)
 	all := coreConfig(Settings{Partitions: 1}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
-	g.Expect(all.CountAlone).To(BeFalse())
-	g.Expect(all.AskOwnView).To(BeFalse())
+	g.Expect(all.CountLocally).To(BeFalse())
+	g.Expect(all.IgnoreRedirects).To(BeFalse())
 	g.Expect(all.Tenants).To(Equal(tenant.DefaultConfig()))
-	g.Expect(all.Ledger.AgainShare).To(BeNumerically(">", 0))
+	g.Expect(all.Ledger.AfterFailureShare).To(BeNumerically(">", 0))
 	without := coreConfig(Settings{Partitions: 1, Without: []Mechanism{CountTogether, RedirectCharges, FinishPrograms, RankPrograms, BeginAgain}}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
-	g.Expect(without.CountAlone).To(BeTrue())
-	g.Expect(without.AskOwnView).To(BeTrue())
-	g.Expect(without.Tenants.FirstCome).To(BeTrue())
-	g.Expect(without.Tenants.InTurn).To(BeTrue())
-	g.Expect(without.Ledger.AgainShare).To(BeZero())
+	g.Expect(without.CountLocally).To(BeTrue())
+	g.Expect(without.IgnoreRedirects).To(BeTrue())
+	g.Expect(without.Tenants.ArrivalOrder).To(BeTrue())
+	g.Expect(without.Tenants.RetriesAsNew).To(BeTrue())
+	g.Expect(without.Ledger.AfterFailureShare).To(BeZero())
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -143,7 +143,7 @@
 }
 
 // paced takes in how fast the replicas of a service are.
-func (m *Metrics) paced(service string, paces replica.PaceRange) {
+func (m *Metrics) paced(service string, paces replica.TokenTimeRange) {
 	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"fastest\"}", metricPace, service), nil).Set(paces.Fastest.Seconds())
 	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"slowest\"}", metricPace, service), nil).Set(paces.Slowest.Seconds())
 }
@@ -327,7 +327,7 @@
 	if errors.Is(err, replica.ErrEvacuated) {
 		m.placeRefusedFor(placeEvacuated)
 	}
-	if errors.Is(err, replica.ErrOutside) {
+	if errors.Is(err, replica.ErrOutsideRegions) {
 		m.placeRefusedFor(placeOutside)
 	}
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -35,7 +35,7 @@
 	logger   *log.Logger
 	self     machine.Machine
 
-	routes routing.Follower
+	routes routing.LatestTable
 	config latestConfiguration
 	// evacuations is what this node knows of evacuated zones.
 	evacuations evacuations
@@ -68,7 +68,7 @@
 	// bounds the appends.
 	randomMutex sync.Mutex
 	random      *rand.Rand
-	patience    retry.Patience
+	patience    retry.AdaptiveTimeout
 
 	store contact
 	proof *proof
@@ -156,7 +156,7 @@
 		waiting:   newWaiting(&settings),
 		metrics:   newMetrics(settings.LogLinesDropped),
 		random:    random,
-		patience:  retry.Patience{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
+		patience:  retry.AdaptiveTimeout{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
 		store:     contact{last: now},
 		proof:     newProof(now),
 		started:   now,
@@ -211,27 +211,27 @@
 	config := coordinator.DefaultConfig(self, settings.Partitions, random)
 	if settings.uses(BeginUnrecorded) {
 		config.Ledger.UnrecordedShare = unrecordedShare
-		config.Ledger.UnrecordedFor = unrecordedFor
+		config.Ledger.OwnershipProofTTL = unrecordedFor
 		if settings.uses(BeginAgain) {
-			config.Ledger.AgainShare, config.Ledger.AgainBudget = againShare, againBudget
+			config.Ledger.AfterFailureShare, config.Ledger.AfterFailureMinBudget = againShare, againBudget
 		}
 	}
 	if !settings.uses(MarkAhead) {
-		config.Ledger.AheadShare, config.Ledger.AheadTurns = 0, 0
+		config.Ledger.MarkAheadShare, config.Ledger.MarkAheadTurns = 0, 0
 	}
-	config.Ledger.TurnAfterLoss = settings.uses(GrantTurnAfterLoss)
-	config.ClaimWithoutAsking = !settings.uses(HandOver)
+	config.Ledger.ExtraTurnAfterFailure = settings.uses(GrantTurnAfterLoss)
+	config.SkipHandover = !settings.uses(HandOver)
 	if settings.Quota.Window > 0 {
 		config.Tenants = settings.Quota
 	}
 	if settings.ColdReplicas.Window > 0 {
 		config.ColdReplicas = settings.ColdReplicas
 	}
-	config.Tenants.FirstCome = !settings.uses(FinishPrograms)
-	config.Tenants.InTurn = !settings.uses(RankPrograms)
-	config.CountAlone = !settings.uses(CountTogether)
-	config.AskOwnView = !settings.uses(RedirectCharges)
-	config.GatherNothing = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
+	config.Tenants.ArrivalOrder = !settings.uses(FinishPrograms)
+	config.Tenants.RetriesAsNew = !settings.uses(RankPrograms)
+	config.CountLocally = !settings.uses(CountTogether)
+	config.IgnoreRedirects = !settings.uses(RedirectCharges)
+	config.DisableGathering = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
 	if settings.RecordBytes > 0 {
 		config.Ledger.RecordBytes = min(config.Ledger.RecordBytes, settings.RecordBytes/2)
 	}
--- a/edge/placing.go
+++ b/edge/placing.go
@@ -33,7 +33,7 @@
 	if !r.finish.IsZero() {
 		r.progress = n.placing.slack.Observe(r.routeName(), len(r.prompt), r.finish.Sub(now))
 	}
-	r.haste = n.placing.slack.Haste(now, r.service, r.priority(), r.progress)
+	r.haste = n.placing.slack.SpeedBias(now, r.service, r.priority(), r.progress)
 }
 
 // expectedTokens returns how many tokens a turn will have, or 0 for other requests and
@@ -94,7 +94,7 @@
 	if token <= 0 || t.runs > 1 {
 		return
 	}
-	sample := replica.Sample{Load: r.choice.Load, Token: token, Missing: r.choice.Missing, First: t.times.first.Sub(r.sentAt)}
+	sample := replica.Sample{Load: r.choice.Load, Token: token, UncachedTokens: r.choice.UncachedTokens, TimeToFirstEvent: t.times.first.Sub(r.sentAt)}
 	if paces, known := n.replicas.observe(entry, sample); known {
 		n.metrics.paced(entry.Service, paces)
 	}
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -49,27 +49,27 @@
 func newReplicas(settings *Settings) *replicas {
 	config := replica.DefaultConfig(settings.Zone)
 	config.Regions, config.LeaveWithin = settings.Regions, settings.LeaveWithin
-	config.Without = partsWithout(settings)
+	config.Disabled = partsWithout(settings)
 	return &replicas{set: replica.NewSet(config), views: make(map[replica.Group]*view), changed: make(chan struct{}),
 		keyed: make(map[gather.Key]replica.ID)}
 }
 
 // partsWithout returns the parts of the choice that are switched off.
-func partsWithout(settings *Settings) replica.Parts {
-	return replica.Parts{
-		KeptPrompts: !settings.uses(FollowPrompts),
-		SharedParts: !settings.uses(AssumeShared),
-		LastReplica: !settings.uses(FollowLines),
-		PeerLoads:   !settings.uses(CountPeers),
-		Estimates:   !settings.uses(EstimateLoads),
-		Zones:       !settings.uses(PreferZone),
-		Regions:     !settings.uses(PreferRegion),
-		Connections: !settings.uses(PreferConnections),
-		Faults:      !settings.uses(RememberFaults),
-		Suspicion:   !settings.uses(SuspectSilent),
-		Cold:        !settings.uses(LimitCold),
-		Pace:        !settings.uses(WeighPace),
-		Slack:       !settings.uses(WeighSlack),
+func partsWithout(settings *Settings) replica.SelectionFactors {
+	return replica.SelectionFactors{
+		CachedPrompts: !settings.uses(FollowPrompts),
+		SharedParts:   !settings.uses(AssumeShared),
+		LastReplica:   !settings.uses(FollowLines),
+		PeerLoads:     !settings.uses(CountPeers),
+		Estimates:     !settings.uses(EstimateLoads),
+		Zones:         !settings.uses(PreferZone),
+		Regions:       !settings.uses(PreferRegion),
+		Connections:   !settings.uses(PreferConnections),
+		Faults:        !settings.uses(RememberFaults),
+		Suspicion:     !settings.uses(SuspectSilent),
+		Cold:          !settings.uses(LimitCold),
+		TokenTimes:    !settings.uses(WeighPace),
+		Slack:         !settings.uses(WeighSlack),
 	}
 }
 
@@ -96,17 +96,17 @@
 
 // observe takes in what a turn measured of its replica, and returns how fast the replicas
 // of its service are, as far as that is known.
-func (r *replicas) observe(entry replica.Entry, sample replica.Sample) (replica.PaceRange, bool) {
+func (r *replicas) observe(entry replica.Entry, sample replica.Sample) (replica.TokenTimeRange, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.Observe(time.Now(), entry.ID, sample)
-	return r.set.PaceRange(entry.Service)
+	return r.set.TokenTimeRange(entry.Service)
 }
 
 func (r *replicas) pressure(request *replica.Request) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Pressure(time.Now(), request)
+	return r.set.MinUtilisation(time.Now(), request)
 }
 
 // setEvacuated tells which zones are to get no requests, and since when.
@@ -140,7 +140,7 @@
 func (r *replicas) tell(change replica.Change) {
 	r.feed.Add(change)
 	for _, one := range r.views {
-		one.Note(change)
+		one.Apply(change)
 	}
 	r.wakeFollowers()
 }
@@ -253,14 +253,14 @@
 func (r *replicas) doubt(id replica.ID, until time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Doubt(id, until)
+	return r.set.DeferRemoval(id, until)
 }
 
 // doubted returns the replicas whose doubt is over.
 func (r *replicas) doubted() []replica.ID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Doubted(time.Now())
+	return r.set.DueRemovals(time.Now())
 }
 
 // count returns how many replicas are listed.
@@ -316,7 +316,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts := make(map[string]int)
-	for id, count := range r.set.Own() {
+	for id, count := range r.set.OwnRequests() {
 		counts[string(id)] = count
 	}
 	return counts
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -14,7 +14,7 @@
 // turns that compete are served. They are safe for concurrent use.
 type standings struct {
 	mutex sync.Mutex
-	usual *dispatch.Usual
+	usual *dispatch.RemainingTimeEstimator
 	// bands are those of the newest configuration that was used.
 	bands atomic.Pointer[bandsOf]
 }
@@ -25,7 +25,7 @@
 	services map[string]dispatch.Bands
 }
 
-func newStandings() *standings { return &standings{usual: dispatch.NewUsual()} }
+func newStandings() *standings { return &standings{usual: dispatch.NewRemainingTimeEstimator()} }
 
 // begin takes in that a turn of a program came.
 func (s *standings) begin(now time.Time, r *requestState) {
@@ -39,7 +39,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.usual.Begin(now, r.route.Name, r.programID(), granted)
-	r.need = s.usual.Need(r.route.Name, r.programID())
+	r.need = s.usual.Remaining(r.route.Name, r.programID())
 }
 
 // end takes in that a turn of a program was served.
@@ -53,10 +53,10 @@
 }
 
 // standing returns what counts where the turn competes with others.
-func (r *requestState) standing(now time.Time) *dispatch.Standing {
-	standing := &dispatch.Standing{Begun: r.begun(), Need: r.need}
+func (r *requestState) standing(now time.Time) *dispatch.SchedulingState {
+	standing := &dispatch.SchedulingState{Begun: r.begun(), ExpectedRemaining: r.need}
 	if !r.finish.IsZero() {
-		standing.Left, standing.HasLeft = r.finish.Sub(now), true
+		standing.Left, standing.HasFinish = r.finish.Sub(now), true
 	}
 	return standing
 }
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -32,27 +32,27 @@
 	}
 	all := configOf(Settings{Partitions: 2})
 	g.Expect(all.Ledger.UnrecordedShare).To(BeNumerically(">", 0))
-	g.Expect(all.Ledger.AheadTurns).To(BeNumerically(">", 0))
-	g.Expect(all.Ledger.TurnAfterLoss).To(BeTrue())
-	g.Expect(all.ClaimWithoutAsking).To(BeFalse())
+	g.Expect(all.Ledger.MarkAheadTurns).To(BeNumerically(">", 0))
+	g.Expect(all.Ledger.ExtraTurnAfterFailure).To(BeTrue())
+	g.Expect(all.SkipHandover).To(BeFalse())
 	g.Expect(configOf(without(BeginUnrecorded)).Ledger.UnrecordedShare).To(BeZero())
-	g.Expect(configOf(without(MarkAhead)).Ledger.AheadTurns).To(BeZero())
-	g.Expect(configOf(without(GrantTurnAfterLoss)).Ledger.TurnAfterLoss).To(BeFalse())
-	g.Expect(configOf(without(HandOver)).ClaimWithoutAsking).To(BeTrue())
+	g.Expect(configOf(without(MarkAhead)).Ledger.MarkAheadTurns).To(BeZero())
+	g.Expect(configOf(without(GrantTurnAfterLoss)).Ledger.ExtraTurnAfterFailure).To(BeFalse())
+	g.Expect(configOf(without(HandOver)).SkipHandover).To(BeTrue())
 }
 
 // TestSwitchesOfTheChoice pass on to the choice of a replica.
 func TestSwitchesOfTheChoice(t *testing.T) {
 	g := NewWithT(t)
-	for mechanism, parts := range map[Mechanism]replica.Parts{
-		FollowPrompts: {KeptPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
+	for mechanism, parts := range map[Mechanism]replica.SelectionFactors{
+		FollowPrompts: {CachedPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
 		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, RememberFaults: {Faults: true},
-		SuspectSilent: {Suspicion: true}, WeighPace: {Pace: true}, WeighSlack: {Slack: true},
+		SuspectSilent: {Suspicion: true}, WeighPace: {TokenTimes: true}, WeighSlack: {Slack: true},
 	} {
 		settings := without(mechanism)
 		g.Expect(partsWithout(&settings)).To(Equal(parts), string(mechanism))
 	}
-	g.Expect(partsWithout(&Settings{})).To(Equal(replica.Parts{}))
+	g.Expect(partsWithout(&Settings{})).To(Equal(replica.SelectionFactors{}))
 }
 
 // TestRefuseWhenFull lets new programs in while replicas are full where it is
--- a/edge/tenancy_test.go
+++ b/edge/tenancy_test.go
@@ -74,7 +74,7 @@
 	switch draw % 4 {
 	case 0:
 		turn := w.node.turnOf(r)
-		turn.Within = time.Second
+		turn.Timeout = time.Second
 		admission := w.books.Admit(w.now, turn)
 		admission.Position = 0
 		return answer{admission: admission}
@@ -82,7 +82,7 @@
 		w.books.Settle(w.now, *w.node.settlementOf(r))
 		return answer{}
 	case 2:
-		w.books.Keep(w.now, run.keptTurn())
+		w.books.StoreTurn(w.now, run.keptTurn())
 		w.node.chains.put(w.now, r.turnID(), run.chain())
 		return answer{}
 	default:
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -50,7 +50,7 @@
 	defer cancel()
 	if since := n.isolatedSince.Load(); since != nil && r.needsOwner() {
 		lasted := time.Since(*since)
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseIsolated, Lasted: lasted, Ends: comeBackElsewhere(lasted)},
+		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseIsolated, Lasted: lasted, EndsIn: comeBackElsewhere(lasted)},
 			"this node reaches neither the store nor most of the zones")
 		return
 	}
@@ -66,7 +66,7 @@
 		return
 	}
 	n.standings.begin(time.Now(), r)
-	if r.admission.Fresh && n.overShare(r) {
+	if r.admission.NewProgram && n.overShare(r) {
 		n.settle(r)
 		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull}, "the replicas are full, and the tenant has more than its share of them")
 		return
@@ -133,7 +133,7 @@
 func (n *Node) turnOf(r *requestState) ledger.Turn {
 	return ledger.Turn{
 		ID: r.turnID(), Program: r.programID(), Unscoped: r.scope.Unscoped(r.program), Session: r.session,
-		Most: r.most, Budget: r.budget, Within: max(0, r.left()), Retain: r.route.RetainFor, Keeps: r.route.Retain,
+		MaxTokens: r.most, Budget: r.budget, Timeout: max(0, r.left()), Retain: r.route.RetainFor, StoreOnSuccess: r.route.Retain,
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 	found.epoch, found.stalled = reply.Epoch, reply.Stalled
 	r.preferred = replica.ID(r.admission.Replica)
-	r.preferredKept = r.admission.Kept
+	r.preferredKept = r.admission.CachedTokens
 	if r.admission.Position > 0 {
 		found.recorded = n.awaitRecorded(ctx, r, reply.Epoch, r.admission.Position)
 	}
@@ -167,7 +167,7 @@
 	case coordinator.ReplyFull:
 		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreFull}, "the store is full and takes no record of the turn")
 	case coordinator.ReplyStalled:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreAway}, "the program's partition answered "+string(status))
+		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable}, "the program's partition answered "+string(status))
 	default:
 		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseNoOwner}, "the program's partition answered "+string(status))
 	}
@@ -231,11 +231,11 @@
 	entry := n.logger.Info().Int("partition", partition).Str("asked", string(asked))
 	if reply.Owner != nil && reply.Owner.Partition == partition {
 		entry.Str("owner", string(reply.Owner.Node)).Uint64("epoch", uint64(reply.Owner.Epoch)).Msg("ledger: asked a former owner")
-		n.control.post(coordinator.OwnerHeard{Owner: *reply.Owner})
+		n.control.post(coordinator.OwnerReported{Owner: *reply.Owner})
 		return
 	}
 	entry.Msg("ledger: asked a node that is not the owner")
-	n.control.post(coordinator.Disowned{Partition: partition, Node: asked})
+	n.control.post(coordinator.OwnershipDenied{Partition: partition, Node: asked})
 }
 
 // timeoutOf bounds a question: those that wait for the log may take longer.
@@ -340,7 +340,7 @@
 	if r.status == fasthttp.StatusOK {
 		settlement.Replica = string(r.choice.Entry.ID)
 		if n.settings.uses(CountKept) {
-			settlement.Kept = replica.Tokens(r.prompt) + r.tokens
+			settlement.CachedTokens = replica.Tokens(r.prompt) + r.tokens
 		}
 	}
 	return settlement
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -55,18 +55,18 @@
 // the request was answered: it has not run.
 func (n *Node) awaitRoom(ctx context.Context, r *requestState, held int) bool {
 	if !n.settings.uses(WaitForRoom) {
-		if r.admission.Fresh && n.overloaded(r) {
+		if r.admission.NewProgram && n.overloaded(r) {
 			n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull}, reasonFull)
 			return false
 		}
 		return true
 	}
-	if !r.admission.Fresh || !n.settings.uses(RefuseWhenFull) {
+	if !r.admission.NewProgram || !n.settings.uses(RefuseWhenFull) {
 		return true
 	}
 	now := time.Now()
 	one := &dispatch.Waiting{
-		Priority: r.priority(), Standing: *r.standing(now), Since: now, Bytes: waitingOverhead + len(r.exchange.Body) + held,
+		Priority: r.priority(), SchedulingState: *r.standing(now), Since: now, Bytes: waitingOverhead + len(r.exchange.Body) + held,
 	}
 	if r.tenant != nil {
 		one.Tenant = r.tenant.Name
@@ -86,12 +86,12 @@
 // is sent to the returned channel, which is nil otherwise.
 func (n *Node) joinWaiting(now time.Time, r *requestState, one *dispatch.Waiting) (dispatch.Admission, chan dispatch.Verdict) {
 	room := n.replicas.room(n.choiceOf(r))
-	room.Pace = n.returns.pace(now)
+	room.CompletionRate = n.returns.pace(now)
 	w := n.waiting
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	room.Ahead = w.queue.Ahead(now, one)
-	admission := dispatch.Admit(&room, &one.Standing, max(r.deadline.Sub(now), 0))
+	admission := dispatch.Admit(&room, &one.SchedulingState, max(r.deadline.Sub(now), 0))
 	if admission.Verdict != dispatch.VerdictWait {
 		return admission, nil
 	}
@@ -156,7 +156,7 @@
 	for _, over := range w.queue.Expire(now) {
 		w.tell(over.ID, dispatch.AfterWait(n.roomOf(over.ID)))
 	}
-	if first := w.queue.First(now); first != nil && n.roomOf(first.ID).Free() {
+	if first := w.queue.First(now); first != nil && n.roomOf(first.ID).AcceptsNew() {
 		w.queue.Leave(first.ID)
 		w.tell(first.ID, dispatch.VerdictRun)
 	}
@@ -166,7 +166,7 @@
 }
 
 // roomOf returns the room for a request that waits.
-func (n *Node) roomOf(id uint64) *dispatch.Room {
+func (n *Node) roomOf(id uint64) *dispatch.Utilisation {
 	room := n.replicas.room(n.choiceOf(n.waiting.held[id].request))
 	return &room
 }
@@ -186,14 +186,14 @@
 	case r.exchange.Cancel.Cause() != nil:
 		r.giveUp("the client has left while its turn waited")
 	default:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull, Ends: max(admission.Expected-r.waited, 0)}, reasonFull)
+		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull, EndsIn: max(admission.Expected-r.waited, 0)}, reasonFull)
 	}
 	return false
 }
 
 // room returns how full the replicas are for a request.
-func (r *replicas) room(request *replica.Request) dispatch.Room {
+func (r *replicas) room(request *replica.Request) dispatch.Utilisation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.set.Room(time.Now(), request)
+	return r.set.Utilisation(time.Now(), request)
 }
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -13,37 +13,37 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// following returns a state whose reads have gone on as usual up to start.
-func following() *evacuation.State {
+// newCurrentState returns a state that was current at start.
+func newCurrentState() *evacuation.State {
 	state := &evacuation.State{}
 	state.Reset(start.Add(-time.Second), 4, nil)
-	state.Current(start)
+	state.MarkCurrent(start)
 	return state
 }
 
-// TestZonesInTheOrderOfTheStream follows two zones at once, one of which is taken back
-// while the other begins.
-func TestZonesInTheOrderOfTheStream(t *testing.T) {
+// TestApplyInStreamOrder applies the records of two zones; the evacuation of one
+// ends after that of the other began.
+func TestApplyInStreamOrder(t *testing.T) {
 	g := NewWithT(t)
-	state := following()
-	g.Expect(state.Note(start, 5, "a", true)).To(Equal([]evacuation.Change{{Zone: "a", Evacuated: true, Since: start}}))
-	g.Expect(state.Note(start, 5, "a", true)).To(BeEmpty(), "the same record again")
+	state := newCurrentState()
+	g.Expect(state.Apply(start, 5, "a", true)).To(Equal([]evacuation.Change{{Zone: "a", Evacuated: true, Since: start}}))
+	g.Expect(state.Apply(start, 5, "a", true)).To(BeEmpty(), "the same record again")
 	later := start.Add(time.Second)
-	g.Expect(state.Note(later, 6, "a", true)).To(BeEmpty(), "asked for twice")
-	g.Expect(state.Note(later, 7, "b", true)).To(HaveLen(1))
-	g.Expect(state.Note(later, 8, "a", false)).To(Equal([]evacuation.Change{{Zone: "a", Since: start}}))
-	g.Expect(state.Note(later, 9, "c", false)).To(BeEmpty(), "never evacuated")
-	g.Expect(state.Note(later, 3, "b", false)).To(BeEmpty(), "an older record")
+	g.Expect(state.Apply(later, 6, "a", true)).To(BeEmpty(), "asked for twice")
+	g.Expect(state.Apply(later, 7, "b", true)).To(HaveLen(1))
+	g.Expect(state.Apply(later, 8, "a", false)).To(Equal([]evacuation.Change{{Zone: "a", Since: start}}))
+	g.Expect(state.Apply(later, 9, "c", false)).To(BeEmpty(), "never evacuated")
+	g.Expect(state.Apply(later, 3, "b", false)).To(BeEmpty(), "an older record")
 	g.Expect(state.Zones()).To(Equal(map[zone.Name]time.Time{"b": later}))
 	g.Expect(state.Version()).To(Equal(uint64(9)))
 }
 
-// TestWholeReads take back what the stream no longer holds, and never go back to an
-// older version.
-func TestWholeReads(t *testing.T) {
+// TestReset checks that a complete read ends evacuations that are no longer in the
+// stream, and that an older read changes nothing.
+func TestReset(t *testing.T) {
 	g := NewWithT(t)
-	state := following()
-	state.Note(start, 5, "a", true)
+	state := newCurrentState()
+	state.Apply(start, 5, "a", true)
 	g.Expect(state.Reset(start, 4, nil)).To(BeEmpty(), "a read that was overtaken")
 	g.Expect(state.Reset(start, 5, []zone.Name{"a"})).To(BeEmpty())
 	changes := state.Reset(start.Add(time.Second), 6, []zone.Name{"c", "b"})
@@ -53,66 +53,69 @@
 	g.Expect(state.Zones()).To(HaveLen(2))
 }
 
-// TestLearnedLate counts the time to leave from when the zone was last known not to be
-// evacuated.
-func TestLearnedLate(t *testing.T) {
+// TestLateChange checks that the time limit counts from when the zone was last known not
+// to be evacuated, if the change is received after a long interval.
+func TestLateChange(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &evacuation.State{}
 	fresh.Reset(start, 5, []zone.Name{"a"})
 	g.Expect(fresh.Zones()["a"]).To(BeTemporally("<", start.Add(-time.Hour)), "a first read")
-	late := following()
-	late.Note(start.Add(10*time.Second), 5, "a", true)
+	late := newCurrentState()
+	late.Apply(start.Add(10*time.Second), 5, "a", true)
 	g.Expect(late.Zones()["a"]).To(Equal(start), "after a silence")
-	usual := following()
-	usual.Note(start.Add(2*time.Second), 5, "a", true)
+	usual := newCurrentState()
+	usual.Apply(start.Add(2*time.Second), 5, "a", true)
 	g.Expect(usual.Zones()["a"]).To(Equal(start.Add(2 * time.Second)))
 }
 
-// TestPeers take over a newer state whole, with its ages, and no older one.
-func TestPeers(t *testing.T) {
+// TestAdopt checks that a peer's newer state is adopted as a whole with its ages, and an
+// older one is ignored.
+func TestAdopt(t *testing.T) {
 	g := NewWithT(t)
-	teller := following()
-	teller.Note(start, 6, "b", true)
-	told := teller.Snapshot(start.Add(3 * time.Second))
-	asked := start.Add(2900 * time.Millisecond)
+	peer := newCurrentState()
+	peer.Apply(start, 6, "b", true)
+	snapshot := peer.Snapshot(start.Add(3 * time.Second))
+	requestedAt := start.Add(2900 * time.Millisecond)
 
-	state := following()
-	state.Note(start, 5, "a", true)
-	changes := state.Adopt(asked, told)
+	state := newCurrentState()
+	state.Apply(start, 5, "a", true)
+	changes := state.Adopt(requestedAt, snapshot)
 	g.Expect(changes).To(HaveLen(2))
 	g.Expect(state.Zones()).To(Equal(map[zone.Name]time.Time{"b": start.Add(-100 * time.Millisecond)}))
-	g.Expect(state.Adopt(asked, told)).To(BeEmpty(), "the same state again")
-	state.Note(asked, 7, "b", false)
-	g.Expect(state.Adopt(asked, told)).To(BeEmpty(), "an older state")
+	g.Expect(state.Adopt(requestedAt, snapshot)).To(BeEmpty(), "the same state again")
+	state.Apply(requestedAt, 7, "b", false)
+	g.Expect(state.Adopt(requestedAt, snapshot)).To(BeEmpty(), "an older state")
 	g.Expect(state.Zones()).To(BeEmpty())
 	never := &evacuation.State{}
-	g.Expect(state.Adopt(asked, never.Snapshot(asked))).To(BeEmpty(), "a peer that knows nothing")
+	g.Expect(state.Adopt(requestedAt, never.Snapshot(requestedAt))).To(BeEmpty(), "a peer that knows nothing")
 }
 
-// TestForgetsNothingWithTheVersion goes on where the stream went on without a zone.
-func TestForgetsNothingWithTheVersion(t *testing.T) {
+// TestAdvanceKeepsZones checks that zones stay evacuated when the stream
+// advances without a change.
+func TestAdvanceKeepsZones(t *testing.T) {
 	g := NewWithT(t)
-	state := following()
-	state.Note(start, 5, "a", true)
+	state := newCurrentState()
+	state.Apply(start, 5, "a", true)
 	state.Advance(9)
 	state.Advance(7)
 	g.Expect(state.Version()).To(Equal(uint64(9)))
 	g.Expect(state.Zones()).To(HaveKey(zone.Name("a")))
 }
 
-// TestDepartures are spread over a part of the time that the operator gives.
-func TestDepartures(t *testing.T) {
+// TestDepartureTimes checks that departures are spread over a part of the operator's time
+// limit.
+func TestDepartureTimes(t *testing.T) {
 	g := NewWithT(t)
-	const lines, within = 3000, 5 * time.Second
+	const sessions, within = 3000, 5 * time.Second
 	thirds := [3]int{}
-	for line := range lines {
-		until := evacuation.Departure(start, within, fmt.Sprint("program-", line)).Sub(start)
+	for session := range sessions {
+		until := evacuation.DepartureTime(start, within, fmt.Sprint("program-", session)).Sub(start)
 		g.Expect(until).To(And(BeNumerically(">=", 0), BeNumerically("<", 3*time.Second)))
 		thirds[until/time.Second]++
 	}
 	for _, count := range thirds {
-		g.Expect(count).To(BeNumerically("~", lines/3, lines/15))
+		g.Expect(count).To(BeNumerically("~", sessions/3, sessions/15))
 	}
-	g.Expect(evacuation.Departure(start, within, "x")).To(Equal(evacuation.Departure(start, within, "x")))
-	g.Expect(evacuation.Departure(start, 0, "x")).To(Equal(start), "no time is given")
+	g.Expect(evacuation.DepartureTime(start, within, "x")).To(Equal(evacuation.DepartureTime(start, within, "x")))
+	g.Expect(evacuation.DepartureTime(start, 0, "x")).To(Equal(start), "no time is given")
 }
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -6,110 +6,113 @@
 	"time"
 )
 
-// openKey is the key of the record that stands while an owner may have let
-// programs begin that the log does not know.
+// openKey is the key of the open record, which exists while an owner may let programs
+// begin that have no record in the log.
 const openKey = "open"
 
-// The values of that record: of an owner that followed one that gave up in order, and
-// of one that followed a lost one and may have let programs begin as well.
+// The values of the open record. An owner writes openValue if its predecessor released
+// the partition, and openAfterFailureValue if its predecessor failed: programs of both
+// may then have begun without a record.
 const (
-	openValue      = "1"
-	openAgainValue = "2"
+	openValue             = "1"
+	openAfterFailureValue = "2"
 )
 
-// tenure is what an owner may do before the log has a program's first mark,
-// and what it has to assume of programs that the log does not know.
-type tenure struct {
-	// begun is when the ownership began; zero where Open was not called.
-	begun time.Time
-	// proven is the latest time of which the log has shown that the ownership
-	// was in force then.
-	proven time.Time
-	// inherited says that a former owner's open record was found: programs
-	// may have begun that the log does not know.
-	inherited bool
-	// again says that the former owner had followed a lost one, and that programs of
-	// both may have begun.
-	again bool
-	// position is the proposal of this owner's own open record; 0 where the
-	// former owner's stands.
-	position uint64
-	closed   bool
-	// retain is the longest time for which any route keeps programs.
-	retain time.Duration
-}
-
-// Open begins the ownership, after Restored: from then on programs may begin
-// before the log has their first mark, where the settings allow it.
+// ownership decides what an owner may do before a program's first record is durable, and
+// what it has to assume about programs without a record.
+type ownership struct {
+	// since is when the ownership began; zero if Open was not called.
+	since time.Time
+	// confirmedAt is the latest time at which the log has confirmed that this owner was
+	// in force.
+	confirmedAt time.Time
+	// inheritedOpen says that a previous owner's open record was found: programs without
+	// a record may have begun there.
+	inheritedOpen bool
+	// inheritedTwice says that the previous owner had itself replaced a failed one, and
+	// that programs of both may have begun without a record.
+	inheritedTwice bool
+	// openPosition is the proposal of this owner's own open record; 0 if there is none,
+	// as when the previous owner's is still in the log.
+	openPosition uint64
+	released     bool
+	// retention is the longest time for which any route retains programs.
+	retention time.Duration
+}
+
+// Open begins the ownership. It is called after FinishRestore. From then on programs may
+// begin before their first record is durable, if the configuration allows it.
 func (l *Ledger) Open(now time.Time) {
 	if l.config.UnrecordedShare <= 0 {
 		return
 	}
-	l.tenure.begun = now
+	l.ownership.since = now
 }
 
-// markOpen puts the owner's open record into the log, once there is a program.
-// An owner that served none leaves its successor nothing to assume.
-func (l *Ledger) markOpen() {
-	if l.tenure.begun.IsZero() || l.tenure.closed || l.tenure.position > 0 {
+// proposeOpenRecord proposes the owner's open record once there is a program. An owner
+// that served no program leaves its successor nothing to assume.
+func (l *Ledger) proposeOpenRecord() {
+	if l.ownership.since.IsZero() || l.ownership.released || l.ownership.openPosition > 0 {
 		return
 	}
 	switch {
-	case !l.tenure.inherited:
-		l.tenure.position = l.propose(openKey, []byte(openValue))
-	case !l.tenure.again && l.config.AgainShare > 0:
-		l.tenure.position = l.propose(openKey, []byte(openAgainValue))
+	case !l.ownership.inheritedOpen:
+		l.ownership.openPosition = l.propose(openKey, []byte(openValue))
+	case !l.ownership.inheritedTwice && l.config.AfterFailureShare > 0:
+		l.ownership.openPosition = l.propose(openKey, []byte(openAfterFailureValue))
 	}
 }
 
-// Prove notes that the log showed the ownership to be in force at a time: that
-// at which an append was sent which the log then took.
-func (l *Ledger) Prove(at time.Time) {
-	if at.After(l.tenure.proven) {
-		l.tenure.proven = at
+// ConfirmOwnership records that the ownership was in force at the given time, which is
+// when an append was sent that the log then accepted.
+func (l *Ledger) ConfirmOwnership(at time.Time) {
+	if at.After(l.ownership.confirmedAt) {
+		l.ownership.confirmedAt = at
 	}
 }
 
-// RetainFor tells the longest time for which any route keeps programs.
-func (l *Ledger) RetainFor(retain time.Duration) {
-	l.tenure.retain = max(l.tenure.retain, retain)
+// RetainFor raises the longest time for which any route retains programs to the given
+// one. It is never lowered.
+func (l *Ledger) RetainFor(retention time.Duration) {
+	l.ownership.retention = max(l.ownership.retention, retention)
 }
 
-// Close ends the ownership in order: marks are lowered to what is used and what
-// turns under way may use, and programs no longer begin before they are in the
-// log. Once everything proposed is durable, the next owner knows all of it.
+// Close releases the partition: it lowers marks to the tokens of settled and open turns,
+// and lets no more programs begin without a record. Once all proposals are durable, the
+// log holds the complete state for the next owner.
 func (l *Ledger) Close(now time.Time) {
 	l.lowerMarks()
-	l.closeTenure(now)
+	l.releaseOwnership(now)
 }
 
-// lowerMarks proposes marks that reserve nothing ahead.
+// lowerMarks proposes records that reserve nothing ahead of need.
 func (l *Ledger) lowerMarks() {
 	for _, program := range slices.Sorted(maps.Keys(l.accounts)) {
-		held := l.accounts[program]
-		switch used := held.used(); {
-		case used >= held.newest.mark:
-		case held.newest.grant == unbounded:
-			l.proposeMark(program, held, used)
+		acct := l.accounts[program]
+		switch maxUsed := acct.maxUsed(); {
+		case maxUsed >= acct.newest.mark:
+		case acct.newest.grant == unboundedGrant:
+			l.proposeMark(program, acct, maxUsed)
 		default:
-			l.proposeExact(program, held, 0)
+			l.proposeExact(program, acct, 0)
 		}
 	}
 }
 
-// closeTenure removes the open record, unless programs of a former owner may
-// still come back that the log does not know.
-func (l *Ledger) closeTenure(now time.Time) {
-	if l.tenure.closed || l.tenure.begun.IsZero() {
+// releaseOwnership removes the open record, unless programs of a previous owner that have
+// no record may still return.
+func (l *Ledger) releaseOwnership(now time.Time) {
+	if l.ownership.released || l.ownership.since.IsZero() {
 		return
 	}
-	l.tenure.closed = true
-	if l.tenure.position == 0 && !l.tenure.inherited {
+	l.ownership.released = true
+	if l.ownership.openPosition == 0 && !l.ownership.inheritedOpen {
 		return
 	}
-	if l.tenure.inherited && now.Sub(l.tenure.begun) <= l.window(l.tenure.retain) {
-		if l.tenure.position > 0 {
-			// What began here is in the log; what began before may not be.
+	if l.ownership.inheritedOpen && now.Sub(l.ownership.since) <= l.returnWindow(l.ownership.retention) {
+		if l.ownership.openPosition > 0 {
+			// All programs that began here have a record; those of the previous owner may
+			// not.
 			l.propose(openKey, []byte(openValue))
 		}
 		return
@@ -117,101 +120,104 @@
 	l.propose(openKey, nil)
 }
 
-// Inherited reports whether a former owner may have let programs begin that the
-// log does not know.
-func (l *Ledger) Inherited() bool { return l.tenure.inherited }
+// Inherited reports whether programs without a record in the log may have
+// begun under a previous owner.
+func (l *Ledger) Inherited() bool { return l.ownership.inheritedOpen }
 
-// window is how long after a takeover a program may still come back that a
-// former owner let begin.
-func (l *Ledger) window(retain time.Duration) time.Duration {
-	return max(retain, l.tenure.retain) + l.config.Slack
+// returnWindow returns how long after a takeover a program may still return that began
+// under a previous owner.
+func (l *Ledger) returnWindow(retention time.Duration) time.Duration {
+	return max(retention, l.ownership.retention) + l.config.RetentionSlack
 }
 
-// assumed is what a program that the log does not know may have used under a
-// former owner.
-func (l *Ledger) assumed(now time.Time, turn Turn) int {
+// assumedTokens returns what a program without a record may have used under a previous
+// owner.
+func (l *Ledger) assumedTokens(now time.Time, turn Turn) int {
 	if !l.mayHaveBegun(now, turn) {
 		return 0
 	}
-	assumed := l.unrecordedMost(turn)
-	if l.tenure.again {
-		assumed += l.againMost(turn)
+	assumedTokens := l.unrecordedTokens(turn)
+	if l.ownership.inheritedTwice {
+		assumedTokens += l.afterFailureTokens(turn)
 	}
-	return assumed
+	return assumedTokens
 }
 
-// mayHaveBegun reports whether a program that the log does not know may have begun under
-// a former owner. The turn by which its budget may be exceeded was spent there then,
-// also where nothing is assumed besides.
+// mayHaveBegun reports whether a program without a record may have begun under a previous
+// owner. Its extra turn then counts as used there, even if nothing else is assumed.
 func (l *Ledger) mayHaveBegun(now time.Time, turn Turn) bool {
-	return l.tenure.inherited && !l.tenure.begun.IsZero() && now.Sub(l.tenure.begun) <= l.window(turn.Retain)
+	return l.ownership.inheritedOpen && !l.ownership.since.IsZero() && now.Sub(l.ownership.since) <= l.returnWindow(turn.Retain)
 }
 
-// againMost is what a program may use unrecorded at an owner that followed a lost one.
-func (l *Ledger) againMost(turn Turn) int {
-	if turn.Budget < l.config.AgainBudget {
+// afterFailureTokens returns how many tokens a program may use without a record at an
+// owner that replaced a failed one.
+func (l *Ledger) afterFailureTokens(turn Turn) int {
+	if turn.Budget < l.config.AfterFailureMinBudget {
 		return 0
 	}
-	return shareOf(turn, l.config.AgainShare)
+	return budgetShare(turn, l.config.AfterFailureShare)
 }
 
-// unrecordedMost is what a program may use before the log has its first mark,
-// besides one turn.
-func (l *Ledger) unrecordedMost(turn Turn) int { return shareOf(turn, l.config.UnrecordedShare) }
+// unrecordedTokens returns how many tokens a program may use before its first record is
+// durable, in addition to one turn.
+func (l *Ledger) unrecordedTokens(turn Turn) int { return budgetShare(turn, l.config.UnrecordedShare) }
 
-// shareOf is a share of a turn's budget, or nothing where it would not hold the turn:
-// taken as used, it would leave a small budget without one.
-func shareOf(turn Turn, share float64) int {
+// budgetShare returns a share of a turn's budget, or 0 if it does not hold the turn:
+// counted as used, it would leave a small budget no room for a turn.
+func budgetShare(turn Turn, share float64) int {
 	tokens := int(share * float64(turn.Budget))
-	if tokens < turn.Most {
+	if tokens < turn.MaxTokens {
 		return 0
 	}
 	return tokens
 }
 
-// firstMark is the least first mark: all that a program may use before it. It
-// leaves a token of the budget, since a mark that leaves none counts as spent.
-func (l *Ledger) firstMark(turn Turn) int {
+// minFirstMark returns the lowest first mark: all that a program may use before the mark
+// is durable. It leaves one token of the budget, since a mark that leaves none counts as
+// exhausted.
+func (l *Ledger) minFirstMark(turn Turn) int {
 	if l.config.UnrecordedShare <= 0 {
 		return 0
 	}
-	if l.tenure.inherited {
-		return min(turn.Budget-1, l.unrecordedMost(turn)+max(turn.Most, l.againMost(turn)))
+	if l.ownership.inheritedOpen {
+		return min(turn.Budget-1, l.unrecordedTokens(turn)+max(turn.MaxTokens, l.afterFailureTokens(turn)))
 	}
-	return min(turn.Budget-1, l.unrecordedMost(turn)+turn.Most)
+	return min(turn.Budget-1, l.unrecordedTokens(turn)+turn.MaxTokens)
 }
 
-// unrecordedUpTo is the need up to which a program may run unrecorded.
-func (l *Ledger) unrecordedUpTo(turn Turn, held *account) int {
+// unrecordedLimit returns the total of tokens up to which a program may run without a
+// record.
+func (l *Ledger) unrecordedLimit(turn Turn, acct *account) int {
 	switch {
-	case !held.begunBefore:
-		return l.unrecordedMost(turn) + turn.Most
-	case l.tenure.again:
+	case !acct.mayHaveBegunBefore:
+		return l.unrecordedTokens(turn) + turn.MaxTokens
+	case l.ownership.inheritedTwice:
 		return 0
 	default:
-		return held.assumed + l.againMost(turn)
+		return acct.assumedTokens + l.afterFailureTokens(turn)
 	}
 }
 
-// runsUnrecorded reports whether a turn may hand out tokens although the log has
-// no mark of its program: its need is at most the share and one turn. The turn
-// beyond the share is the one by which a budget may be exceeded at a loss. Where
-// the log has a mark of this owner, the need lies under it; a former owner's mark
-// may lie lower. Where the use of a former owner's programs is assumed, the turn
-// beyond the share was spent there, and a smaller share is left.
-// What any of this owner's records would not cover waits: each may be the last that
-// becomes durable.
-func (l *Ledger) runsUnrecorded(now time.Time, turn Turn, held *account, grant uint64, need int) bool {
-	if turn.Budget <= 0 || held.restored || need > l.unrecordedUpTo(turn, held) || !held.lowest.holds(grant, turn.Most, need) {
+// mayRunUnrecorded reports whether a turn may deliver tokens before a record of its
+// program is durable. The total must be within the unrecorded share and one turn; that
+// turn is the one by which a failure may exceed the budget. If the log has a record of
+// this owner, the total is below its mark; a previous owner's mark may be lower. If use
+// under a previous owner is assumed, the extra turn was spent there, and only a smaller
+// share remains.
+//
+// A turn that is not covered by each of this owner's records waits, since any of them may
+// be the last one that becomes durable.
+func (l *Ledger) mayRunUnrecorded(now time.Time, turn Turn, acct *account, grant uint64, need int) bool {
+	if turn.Budget <= 0 || acct.restored || need > l.unrecordedLimit(turn, acct) || !acct.common.permits(grant, turn.MaxTokens, need) {
 		return false
 	}
-	own := l.tenure
-	if own.begun.IsZero() || own.closed || now.Sub(own.proven) > l.config.UnrecordedFor {
+	state := l.ownership
+	if state.since.IsZero() || state.released || now.Sub(state.confirmedAt) > l.config.OwnershipProofTTL {
 		return false
 	}
-	if own.inherited && !held.begunBefore {
-		// The former owner's record stands, and covers as much.
+	if state.inheritedOpen && !acct.mayHaveBegunBefore {
+		// The previous owner's open record is still in the log and covers as much.
 		return true
 	}
-	return own.position <= l.durable
+	return state.openPosition <= l.durable
 }
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -10,104 +10,105 @@
 	"birchwood.example/birchwood/ledger"
 )
 
-// unrecordedConfig lets programs use a third of their budget before the log
-// knows of them.
+// unrecordedConfig lets programs use a third of their budget before their first record is
+// durable.
 func unrecordedConfig() ledger.Config {
 	config := ledger.DefaultConfig()
 	config.UnrecordedShare = 1.0 / 3
-	config.UnrecordedFor = 8 * time.Second
-	config.TurnAfterLoss = true
-	config.AgainShare = 1.0 / 4
-	config.AgainBudget = 700
+	config.OwnershipProofTTL = 8 * time.Second
+	config.ExtraTurnAfterFailure = true
+	config.AfterFailureShare = 1.0 / 4
+	config.AfterFailureMinBudget = 700
 	return config
 }
 
-// open returns the ledger of a new owner that may let programs begin unrecorded.
-func (l log) open(now time.Time) *ledger.Ledger {
-	books := l.restoreWith(now, unrecordedConfig())
-	books.Prove(now)
-	books.Open(now)
-	return books
+// open returns the ledger of a new owner that may let programs begin without a record.
+func (s storedLog) open(now time.Time) *ledger.Ledger {
+	l := s.restoreWith(now, unrecordedConfig())
+	l.ConfirmOwnership(now)
+	l.Open(now)
+	return l
 }
 
-// serving returns that of an owner that has served a program, as the log has.
-func (l log) serving(now time.Time) *ledger.Ledger {
-	books := l.open(now)
-	first := turn("first", 600)
+// serving returns the ledger of an owner that has served a program, so that its open
+// record is in the log.
+func (s storedLog) serving(now time.Time) *ledger.Ledger {
+	l := s.open(now)
+	first := turnRequest("first", 600)
 	first.Program = "first"
-	books.Admit(now, first)
-	l.store(books)
-	return books
+	l.Admit(now, first)
+	s.store(l)
+	return l
 }
 
-var _ = Describe("A program that the log does not know", func() {
-	It("begins at once while it may use no more than the share and one turn", func() {
-		stored := log{}
-		books := stored.serving(start)
-		Expect(books.Admit(start, turn("a", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turn("b", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turn("c", 600)).Position).To(BeZero())
-		Expect(books.Admit(start, turn("d", 600)).Position).To(BeNumerically(">", books.Durable()))
+var _ = Describe("A program without a record in the log", func() {
+	It("begins at once while its use stays within the share and one turn", func() {
+		stored := storedLog{}
+		l := stored.serving(start)
+		Expect(l.Admit(start, turnRequest("a", 600)).Position).To(BeZero())
+		Expect(l.Admit(start, turnRequest("b", 600)).Position).To(BeZero())
+		Expect(l.Admit(start, turnRequest("c", 600)).Position).To(BeZero())
+		Expect(l.Admit(start, turnRequest("d", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("begins at once where its budget holds but one turn", func() {
-		stored := log{}
-		books := stored.serving(start)
-		Expect(books.Admit(start, turn("a", 100)).Position).To(BeZero())
+	It("begins at once if its budget holds only one turn", func() {
+		stored := storedLog{}
+		l := stored.serving(start)
+		Expect(l.Admit(start, turnRequest("a", 100)).Position).To(BeZero())
 	})
 
-	It("has used nothing where the former owner served no program", func() {
-		stored := log{}
+	It("has used nothing if the previous owner served no program", func() {
+		stored := storedLog{}
 		stored.store(stored.open(start))
-		Expect(stored.open(start).Admit(start, turn("a", 600)).Settled).To(BeZero())
+		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).SettledTokens).To(BeZero())
 	})
 
-	It("waits until the log says that programs may begin unrecorded", func() {
-		books := log{}.open(start)
-		Expect(books.Admit(start, turn("a", 600)).Position).To(BeNumerically(">", books.Durable()))
+	It("waits until the open record is in the log", func() {
+		l := storedLog{}.open(start)
+		Expect(l.Admit(start, turnRequest("a", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("waits where the log has not proven the ownership lately", func() {
-		stored := log{}
-		books := stored.serving(start)
+	It("waits if the log has not confirmed the ownership recently", func() {
+		stored := storedLog{}
+		l := stored.serving(start)
 		late := start.Add(9 * time.Second)
-		Expect(books.Admit(late, turn("a", 600)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(l.Admit(late, turnRequest("a", 600)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("waits beyond the mark that the log has", func() {
-		stored := log{}
-		books := stored.serving(start)
+	It("waits if the turn exceeds the mark in the log", func() {
+		stored := storedLog{}
+		l := stored.serving(start)
 		for _, id := range []string{"a", "b"} {
-			books.Admit(start, turn(id, 300))
-			stored.store(books)
-			books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 100})
+			l.Admit(start, turnRequest(id, 300))
+			stored.store(l)
+			l.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 100})
 		}
-		Expect(books.Admit(start, turn("c", 300)).Position).To(BeNumerically(">", books.Durable()))
+		Expect(l.Admit(start, turnRequest("c", 300)).Position).To(BeNumerically(">", l.Durable()))
 	})
 
-	It("is taken to have used the share by a new owner, and is still one that begins", func() {
-		stored := log{}
+	It("is assumed to have used the share by a new owner, and still counts as new", func() {
+		stored := storedLog{}
 		stored.serving(start)
-		admission := stored.open(start).Admit(start, turn("a", 600))
-		Expect(admission.Settled).To(Equal(200))
-		Expect(admission.Fresh).To(BeTrue())
+		admission := stored.open(start).Admit(start, turnRequest("a", 600))
+		Expect(admission.SettledTokens).To(Equal(200))
+		Expect(admission.NewProgram).To(BeTrue())
 		Expect(admission.Position).NotTo(BeZero())
 	})
 
-	It("begins at once at the owner after a lost one, where its budget is large, and not after two", func() {
-		stored := log{}
+	It("begins at once with a large budget after one failed owner, and not after two", func() {
+		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
-		second.Admit(start, ledger.Turn{ID: "x", Program: "x", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
-		Expect(second.Admit(start, turn("a", 800)).Position).NotTo(BeZero(), "before the log says so")
+		second.Admit(start, ledger.Turn{ID: "x", Program: "x", MaxTokens: 100, Budget: 100, Timeout: time.Second, Retain: time.Minute})
+		Expect(second.Admit(start, turnRequest("a", 800)).Position).NotTo(BeZero(), "before the log says so")
 		stored.store(second)
-		small := turn("b", 600)
+		small := turnRequest("b", 600)
 		small.Program = "small"
 		Expect(second.Admit(start, small).Position).NotTo(BeZero())
-		other := turn("c", 800)
+		other := turnRequest("c", 800)
 		other.Program = "q"
 		admission := second.Admit(start, other)
-		Expect(admission.Settled).To(Equal(266))
+		Expect(admission.SettledTokens).To(Equal(266))
 		Expect(admission.Position).To(BeZero())
 		other.ID = "d"
 		Expect(second.Admit(start, other).Position).To(BeZero())
@@ -116,106 +117,107 @@
 		third := stored.open(start)
 		other.Program = "r"
 		admission = third.Admit(start, other)
-		Expect(admission.Settled).To(Equal(466))
+		Expect(admission.SettledTokens).To(Equal(466))
 		Expect(admission.Position).NotTo(BeZero())
 	})
 
-	It("is no longer taken to have used anything once nobody may come back", func() {
-		stored := log{}
+	It("is no longer assumed to have used anything once the return window is over", func() {
+		stored := storedLog{}
 		stored.serving(start)
-		books := stored.open(start)
+		l := stored.open(start)
 		late := start.Add(76 * time.Second)
-		books.Prove(late)
-		admission := books.Admit(late, turn("a", 600))
-		Expect(admission.Settled).To(BeZero())
+		l.ConfirmOwnership(late)
+		admission := l.Admit(late, turnRequest("a", 600))
+		Expect(admission.SettledTokens).To(BeZero())
 		Expect(admission.Position).To(BeZero())
 	})
 
-	It("has used nothing where the former owner gave up in order", func() {
-		stored := log{}
+	It("has used nothing if the previous owner released the partition", func() {
+		stored := storedLog{}
 		former := stored.serving(start)
-		former.Admit(start, turn("a", 600))
+		former.Admit(start, turnRequest("a", 600))
 		former.Close(start)
 		stored.store(former)
-		books := stored.serving(start)
-		other := turn("b", 600)
+		l := stored.serving(start)
+		other := turnRequest("b", 600)
 		other.Program = "another"
-		admission := books.Admit(start, other)
-		Expect(admission.Settled).To(BeZero())
+		admission := l.Admit(start, other)
+		Expect(admission.SettledTokens).To(BeZero())
 		Expect(admission.Position).To(BeZero())
 	})
 
-	It("ends although its owner was lost once, in a budget of one and a half turns for each of its turns", func() {
+	It("finishes although its owner fails once, with a budget of one and a half turns for each turn", func() {
 		for turns := 2; turns <= 12; turns++ {
 			budget := turns * 150
 			for lostBefore := range turns {
-				stored := log{}
-				books := stored.serving(start)
+				stored := storedLog{}
+				l := stored.serving(start)
 				for index := range turns {
 					if index == lostBefore {
-						books = stored.open(start)
+						l = stored.open(start)
 					}
 					id := strconv.Itoa(index)
-					Expect(books.Admit(start, turn(id, budget)).Verdict).To(Equal(ledger.VerdictGranted), "turn %d of %d, lost before %d", index, turns, lostBefore)
-					stored.store(books)
-					books.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 27})
+					Expect(l.Admit(start, turnRequest(id, budget)).Verdict).To(Equal(ledger.VerdictGranted), "turn %d of %d, lost before %d", index, turns, lostBefore)
+					stored.store(l)
+					l.Settle(start, ledger.Settlement{Turn: id, Program: "p", Tokens: 27})
 				}
 			}
 		}
 	})
 
-	It("gets one turn more than its budget where a lost owner's mark counts as used, and no second", func() {
-		stored := log{}
+	It("gets one turn more than its budget if a failed owner's mark counts as used, and no second", func() {
+		stored := storedLog{}
 		former := stored.serving(start)
-		former.Admit(start, turn("a", 110))
+		former.Admit(start, turnRequest("a", 110))
 		stored.store(former)
-		former.Admit(start, ledger.Turn{ID: "a", Program: "spent", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute})
+		former.Admit(start, ledger.Turn{ID: "a", Program: "spent", MaxTokens: 100, Budget: 100, Timeout: time.Second, Retain: time.Minute})
 		stored.store(former)
-		again := ledger.Turn{ID: "b", Program: "spent", Most: 100, Budget: 100, Within: time.Second, Retain: time.Minute}
+		repeated := ledger.Turn{ID: "b", Program: "spent", MaxTokens: 100, Budget: 100, Timeout: time.Second, Retain: time.Minute}
 		for at, verdict := range map[time.Duration]ledger.Verdict{0: ledger.VerdictBusy, 8 * time.Second: ledger.VerdictExhausted} {
-			// The end of the turn that the lost owner had under way may be told until then.
-			books := stored.open(start)
-			Expect(books.Admit(start, turn("b", 110)).Verdict).To(Equal(ledger.VerdictGranted))
-			books.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Tokens: 10})
-			Expect(books.Admit(start.Add(at), turn("c", 110)).Verdict).To(Equal(verdict))
-			Expect(books.Admit(start.Add(at), again).Verdict).To(Equal(verdict))
+			// The turn that was open at the failed owner may be settled until then.
+			l := stored.open(start)
+			Expect(l.Admit(start, turnRequest("b", 110)).Verdict).To(Equal(ledger.VerdictGranted))
+			l.Settle(start, ledger.Settlement{Turn: "b", Program: "p", Tokens: 10})
+			Expect(l.Admit(start.Add(at), turnRequest("c", 110)).Verdict).To(Equal(verdict))
+			Expect(l.Admit(start.Add(at), repeated).Verdict).To(Equal(verdict))
 		}
 	})
 
-	It("gets none more where a part of its use was assumed, also at the owner after that", func() {
-		stored := log{}
+	It("gets no extra turn if part of its use was assumed, also at the next owner", func() {
+		stored := storedLog{}
 		stored.serving(start)
 		second := stored.open(start)
-		// A third of this budget holds no turn, so that nothing but the turn is assumed.
-		Expect(second.Admit(start, turn("a", 160)).Settled).To(BeZero())
+		// A third of this budget is smaller than a turn, so only the extra turn is
+		// assumed.
+		Expect(second.Admit(start, turnRequest("a", 160)).SettledTokens).To(BeZero())
 		stored.store(second)
 		third := stored.open(start)
-		Expect(third.Admit(start, turn("b", 160)).Verdict).To(Equal(ledger.VerdictBusy))
-		Expect(third.Admit(start.Add(8*time.Second), turn("b", 160)).Verdict).To(Equal(ledger.VerdictExhausted))
+		Expect(third.Admit(start, turnRequest("b", 160)).Verdict).To(Equal(ledger.VerdictBusy))
+		Expect(third.Admit(start.Add(8*time.Second), turnRequest("b", 160)).Verdict).To(Equal(ledger.VerdictExhausted))
 	})
 
-	It("waits at an owner that has given up, and at one after an owner that had not", func() {
-		stored := log{}
+	It("waits at an owner that released the partition, and its use is still assumed if that owner had inherited an open record", func() {
+		stored := storedLog{}
 		former := stored.serving(start)
 		former.Close(start)
-		Expect(former.Admit(start, turn("a", 600)).Position).NotTo(BeZero())
-		stored = log{}
+		Expect(former.Admit(start, turnRequest("a", 600)).Position).NotTo(BeZero())
+		stored = storedLog{}
 		stored.serving(start)
-		heir := stored.open(start)
-		heir.Close(start)
-		stored.store(heir)
-		Expect(stored.open(start).Admit(start, turn("a", 600)).Settled).To(Equal(200))
+		successor := stored.open(start)
+		successor.Close(start)
+		stored.store(successor)
+		Expect(stored.open(start).Admit(start, turnRequest("a", 600)).SettledTokens).To(Equal(200))
 	})
 
-	It("is charged what it used, and no more, after an owner that gave up in order", func() {
-		stored := log{}
+	It("is charged only what it used after an owner that released the partition", func() {
+		stored := storedLog{}
 		former := stored.serving(start)
-		former.Admit(start, turn("a", 600))
+		former.Admit(start, turnRequest("a", 600))
 		stored.store(former)
 		former.Settle(start, ledger.Settlement{Turn: "a", Program: "p", Tokens: 30})
-		former.Admit(start, turn("b", 600))
+		former.Admit(start, turnRequest("b", 600))
 		former.Close(start)
 		stored.store(former)
-		Expect(stored.open(start).Admit(start, turn("c", 600)).Settled).To(Equal(130))
+		Expect(stored.open(start).Admit(start, turnRequest("c", 600)).SettledTokens).To(Equal(130))
 	})
 })
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -23,63 +23,63 @@
 		for partition := range 50 {
 			all := nodes(3)
 			turned := []ownership.Node{all[2], all[0], all[1]}
-			Expect(ownership.Rank(partition, all)).To(Equal(ownership.Rank(partition, turned)))
+			Expect(ownership.TopNode(partition, all)).To(Equal(ownership.TopNode(partition, turned)))
 		}
 	})
 
-	It("moves only the partitions of a node that goes", func() {
+	It("moves only the partitions of a node that is removed", func() {
 		before, after := nodes(12), nodes(11)
 		for partition := range 200 {
-			owner := ownership.Rank(partition, before)
+			owner := ownership.TopNode(partition, before)
 			if owner != "node-11" {
-				Expect(ownership.Rank(partition, after)).To(Equal(owner))
+				Expect(ownership.TopNode(partition, after)).To(Equal(owner))
 			}
 		}
 	})
 
-	It("deals partitions in proportion to weights", func() {
+	It("assigns partitions in proportion to weights", func() {
 		all := []ownership.Node{{ID: "strong", Weight: 8}, {ID: "weak"}, {ID: "other", Weight: 1}}
 		counts := map[string]int{}
 		for partition := range 10_000 {
-			counts[ownership.Rank(partition, all)]++
+			counts[ownership.TopNode(partition, all)]++
 		}
 		Expect(counts["strong"]).To(BeNumerically("~", 8000, 200))
 		Expect(counts["weak"]).To(BeNumerically("~", 1000, 150))
 	})
 
-	It("names nobody where there is no node", func() {
-		Expect(ownership.Rank(1, nil)).To(BeEmpty())
+	It("returns no node if there is none", func() {
+		Expect(ownership.TopNode(1, nil)).To(BeEmpty())
 	})
 })
 
 var _ = Describe("Epochs", func() {
-	It("of two processes that claim after the same epoch are both higher, and differ", func() {
-		one, other := ownership.SaltOf(7), ownership.SaltOf(1<<40|9)
-		known := one.After(other.After(0))
-		Expect(one.After(known)).To(BeNumerically(">", known))
-		Expect(other.After(known)).To(BeNumerically(">", known))
-		Expect(one.After(known)).NotTo(Equal(other.After(known)))
+	It("of two processes that claim after the same epoch are both higher and differ", func() {
+		one, other := ownership.NewSalt(7), ownership.NewSalt(1<<40|9)
+		known := one.NextEpoch(other.NextEpoch(0))
+		Expect(one.NextEpoch(known)).To(BeNumerically(">", known))
+		Expect(other.NextEpoch(known)).To(BeNumerically(">", known))
+		Expect(one.NextEpoch(known)).NotTo(Equal(other.NextEpoch(known)))
 	})
 
 	It("of a claim is higher than all of earlier seconds, known or not", func() {
-		one, other := ownership.SaltOf(7), ownership.SaltOf(9)
+		one, other := ownership.NewSalt(7), ownership.NewSalt(9)
 		at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-		before := other.Claim(0, at)
-		Expect(one.Claim(0, at.Add(time.Second))).To(BeNumerically(">", before))
-		Expect(one.Claim(before, at.Add(-time.Hour))).To(BeNumerically(">", before))
+		before := other.ClaimEpoch(0, at)
+		Expect(one.ClaimEpoch(0, at.Add(time.Second))).To(BeNumerically(">", before))
+		Expect(one.ClaimEpoch(before, at.Add(-time.Hour))).To(BeNumerically(">", before))
 		Expect(before).To(BeNumerically("<", ownership.Epoch(1)<<53))
 	})
 })
 
-var _ = Describe("Heirs", func() {
-	It("are in two zones at least where there are two", func() {
+var _ = Describe("A preference list", func() {
+	It("spans at least two zones if there are two", func() {
 		var all []ownership.Node
 		for index := range 12 {
 			all = append(all, ownership.Node{ID: fmt.Sprintf("node-%d", index), Zone: []string{"a", "b"}[index/10]})
 		}
 		for partition := range 100 {
-			heirs := ownership.Heirs(partition, all, 3)
-			first := ownership.First(partition, all, 3)
+			heirs := ownership.PreferenceList(partition, all, 3)
+			first := ownership.TopNodes(partition, all, 3)
 			Expect(heirs[:2]).To(Equal(first[:2]))
 			zones := map[bool]bool{}
 			for _, id := range heirs {
@@ -89,11 +89,11 @@
 		}
 	})
 
-	It("are strong nodes where there are enough", func() {
+	It("consists of nodes with enough weight if there are enough of them", func() {
 		weak := []ownership.Node{{ID: "w1", Weight: 6}, {ID: "w2", Weight: 6}}
 		strong := []ownership.Node{{ID: "s1", Weight: 480}, {ID: "s2", Weight: 480}, {ID: "s3", Weight: 300}}
-		Expect(ownership.Able(append(strong, weak...))).To(Equal(strong))
-		Expect(ownership.Able(append(strong[:2:2], weak...))).To(HaveLen(4))
-		Expect(ownership.Able(weak)).To(Equal(weak))
+		Expect(ownership.Eligible(append(strong, weak...))).To(Equal(strong))
+		Expect(ownership.Eligible(append(strong[:2:2], weak...))).To(HaveLen(4))
+		Expect(ownership.Eligible(weak)).To(Equal(weak))
 	})
 })
--- a/replica/cold_test.go
+++ b/replica/cold_test.go
@@ -16,13 +16,13 @@
 	entry := func(left time.Duration, sequence uint64) replica.Entry {
 		return replica.Entry{
 			ID: id, Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4,
-			Cold: replica.ColdWord{Left: left, Sequence: sequence},
+			Cold: replica.ColdStatus{Remaining: left, Sequence: sequence},
 		}
 	}
 	passed := func(left time.Duration, sequence uint64) replica.Entry {
-		told := entry(left, sequence)
-		told.Cold.Passed = true
-		return told
+		forwarded := entry(left, sequence)
+		forwarded.Cold.Forwarded = true
+		return forwarded
 	}
 	at := func(after time.Duration) time.Time { return start.Add(after) }
 	rateAt := func(now time.Time) float64 {
@@ -36,7 +36,7 @@
 		set.SetColdRate("s", 28)
 	})
 
-	It("is warm without a word, and cold as long as its entry says from when it is heard", func() {
+	It("is warm without a status, and cold for as long as its entry says, counted from receipt", func() {
 		set.Put(start, entry(0, 1))
 		Expect(rateAt(start)).To(BeZero())
 		Expect(set.Put(at(time.Second), entry(3*time.Second, 2))).To(BeTrue())
@@ -44,7 +44,7 @@
 		Expect(rateAt(at(4 * time.Second))).To(BeZero())
 	})
 
-	It("is no news with each heartbeat, and news when it turns cold again", func() {
+	It("is announced when it turns cold again, but not with each heartbeat", func() {
 		set.Put(start, entry(3*time.Second, 1))
 		Expect(set.Put(at(500*time.Millisecond), entry(2500*time.Millisecond, 2))).To(BeFalse())
 		Expect(set.Put(at(1100*time.Millisecond), entry(2*time.Second, 3))).To(BeFalse())
@@ -60,7 +60,7 @@
 		Expect(rateAt(at(15 * time.Second))).To(BeZero())
 	})
 
-	It("turns cold by each other word where entries have no numbers", func() {
+	It("turns cold by each different status if entries have no sequence numbers", func() {
 		set.Put(start, entry(3*time.Second, 0))
 		set.Put(at(15*time.Second), entry(3*time.Second, 0))
 		Expect(rateAt(at(15 * time.Second))).To(BeZero())
@@ -68,24 +68,24 @@
 		Expect(rateAt(at(16 * time.Second))).To(Equal(28.0))
 	})
 
-	It("stays cold when a word comes late that was said before", func() {
+	It("stays cold when an older status arrives late", func() {
 		set.Put(start, entry(0, 1))
-		Expect(set.HearCold(at(time.Second), id, 3*time.Second)).To(BeTrue())
+		Expect(set.ExtendCold(at(time.Second), id, 3*time.Second)).To(BeTrue())
 		set.Put(at(1100*time.Millisecond), entry(0, 2))
 		Expect(rateAt(at(3900 * time.Millisecond))).To(Equal(28.0))
 	})
 
-	It("is passed on with what is left by then, and no longer for it", func() {
+	It("is forwarded with its remaining cold time, which does not extend it", func() {
 		set.Put(start, entry(3*time.Second, 5))
-		told, known := set.EntryAt(at(2*time.Second), id)
+		forwarded, known := set.EntryAt(at(2*time.Second), id)
 		Expect(known).To(BeTrue())
-		Expect(told.Cold).To(Equal(replica.ColdWord{Left: time.Second, Sequence: 5, Passed: true}))
-		Expect(set.Entries(at(5 * time.Second))[0].Cold.Left).To(BeZero())
-		set.Put(at(2*time.Second), told)
+		Expect(forwarded.Cold).To(Equal(replica.ColdStatus{Remaining: time.Second, Sequence: 5, Forwarded: true}))
+		Expect(set.Entries(at(5 * time.Second))[0].Cold.Remaining).To(BeZero())
+		set.Put(at(2*time.Second), forwarded)
 		Expect(rateAt(at(3 * time.Second))).To(BeZero())
 	})
 
-	It("is not taken for cold again by an entry that a peer told before", func() {
+	It("does not turn cold again by an entry that a peer forwarded before", func() {
 		set.Put(start, passed(500*time.Millisecond, 5))
 		set.Put(at(10*time.Second), entry(3*time.Second, 5))
 		Expect(rateAt(at(10 * time.Second))).To(BeZero())
@@ -98,14 +98,14 @@
 		Expect(err).To(MatchError(replica.ErrColdRate))
 		_, err = set.Select(start, &replica.Request{Service: "s", Only: id})
 		Expect(err).To(MatchError(replica.ErrColdRate))
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(BeNumerically(">", 1.6))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(BeNumerically(">", 1.6))
 		Expect(rateAt(at(50 * time.Millisecond))).To(Equal(28.0))
-		Expect(set.Pressure(at(50*time.Millisecond), &replica.Request{Service: "s"})).To(BeZero())
-		_, err = set.Select(at(time.Second), &replica.Request{Service: "s", Warm: true})
+		Expect(set.MinUtilisation(at(50*time.Millisecond), &replica.Request{Service: "s"})).To(BeZero())
+		_, err = set.Select(at(time.Second), &replica.Request{Service: "s", WarmOnly: true})
 		Expect(err).To(MatchError(replica.ErrColdRate))
 	})
 
-	It("goes after warm ones until they have their places taken", func() {
+	It("is selected after warm ones until their slots are taken", func() {
 		set.Put(start, entry(3*time.Second, 1))
 		warm := replica.Entry{ID: "r1", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4}
 		set.Put(start, warm)
@@ -128,14 +128,14 @@
 		Expect(rateAt(start)).To(BeZero())
 	})
 
-	It("is told of once when it turns cold, and once when it turns warm", func() {
+	It("is reported once when it turns cold, and once when it turns warm", func() {
 		set.Put(start, entry(3*time.Second, 1))
-		turns, count := set.ColdTurns(start)
-		Expect(turns).To(Equal([]replica.ColdTurn{{ID: id, Cold: true, Until: at(3 * time.Second), Source: "entry"}}))
+		turns, count := set.ColdTransitions(start)
+		Expect(turns).To(Equal([]replica.ColdTransition{{ID: id, Cold: true, Until: at(3 * time.Second), Source: "entry"}}))
 		Expect(count).To(Equal(1))
-		turns, _ = set.ColdTurns(at(time.Second))
+		turns, _ = set.ColdTransitions(at(time.Second))
 		Expect(turns).To(BeEmpty())
-		turns, count = set.ColdTurns(at(3 * time.Second))
+		turns, count = set.ColdTransitions(at(3 * time.Second))
 		Expect(turns).To(HaveLen(1))
 		Expect(turns[0].Cold).To(BeFalse())
 		Expect(count).To(BeZero())
@@ -146,10 +146,10 @@
 		set.SetCacheTokens("s", 1000)
 		request := &replica.Request{Service: "s", Program: "p", Prompt: []replica.Part{{ID: "a", Tokens: 100}}}
 		set.Reserve(id)
-		set.Withdraw(id)
-		Expect(set.Own()).To(BeEmpty())
+		set.Release(id)
+		Expect(set.OwnRequests()).To(BeEmpty())
 		choice, err := set.Select(start, request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(choice.Missing).To(Equal(100))
+		Expect(choice.UncachedTokens).To(Equal(100))
 	})
 })
--- a/replica/doubt_test.go
+++ b/replica/doubt_test.go
@@ -12,20 +12,20 @@
 var _ = Describe("A replica that is not listed after an outage", func() {
 	until := start.Add(2 * time.Second)
 
-	It("is chosen on, and goes when the doubt is over", func() {
+	It("is still selected, and is due for removal at its deadline", func() {
 		set := newSet(1)
-		Expect(set.Doubt("r0", until)).To(BeTrue())
-		Expect(set.Doubt("r0", until.Add(time.Hour))).To(BeTrue())
+		Expect(set.DeferRemoval("r0", until)).To(BeTrue())
+		Expect(set.DeferRemoval("r0", until.Add(time.Hour))).To(BeTrue())
 		choice, err := set.Select(start, &replica.Request{Service: "s"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r0")))
-		Expect(set.Doubted(until.Add(-time.Millisecond))).To(BeEmpty())
-		Expect(set.Doubted(until)).To(Equal([]replica.ID{"r0"}))
+		Expect(set.DueRemovals(until.Add(-time.Millisecond))).To(BeEmpty())
+		Expect(set.DueRemovals(until)).To(Equal([]replica.ID{"r0"}))
 	})
 
-	It("gets nothing once the doubt is over, though the list was not read since", func() {
+	It("gets nothing after its deadline, even if the list was not read since", func() {
 		set := newSet(2)
-		set.Doubt("r0", until)
+		set.DeferRemoval("r0", until)
 		for draw := range 10 {
 			choice, err := set.Select(until, &replica.Request{Service: "s", Draw: float64(draw) / 10})
 			Expect(err).NotTo(HaveOccurred())
@@ -39,15 +39,15 @@
 
 	It("stays once it is listed again", func() {
 		set := newSet(1)
-		set.Doubt("r0", until)
+		set.DeferRemoval("r0", until)
 		set.Put(start, replica.Entry{ID: "r0", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
-		Expect(set.Doubted(until)).To(BeEmpty())
+		Expect(set.DueRemovals(until)).To(BeEmpty())
 	})
 
-	It("is not doubted where it drained, or is not known", func() {
+	It("is not kept if it drains or is unknown", func() {
 		set := newSet(1)
 		set.Put(start, replica.Entry{ID: "r0", Service: "s", Zone: "here", Status: replica.StatusDraining, Slots: 4})
-		Expect(set.Doubt("r0", until)).To(BeFalse())
-		Expect(set.Doubt("other", until)).To(BeFalse())
+		Expect(set.DeferRemoval("r0", until)).To(BeFalse())
+		Expect(set.DeferRemoval("other", until)).To(BeFalse())
 	})
 })
--- a/replica/places.go
+++ b/replica/places.go
@@ -9,59 +9,61 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// SetEvacuated tells which zones are to get no requests, and since when.
+// SetEvacuated sets the evacuated zones, each with the start of its evacuation.
 func (s *Set) SetEvacuated(zones map[zone.Name]time.Time) { s.evacuated = maps.Clone(zones) }
 
-// mayTake returns nil where a replica may get a request, or why it may not: whatever
-// its load, and whatever was tried before.
-func (s *Set) mayTake(now time.Time, request *Request, one *member) error {
-	if !one.mayServe(now) {
+// checkPlacement returns nil if a replica may receive the request, else the reason why not. It
+// ignores the replica's load and previous attempts.
+func (s *Set) checkPlacement(now time.Time, request *Request, m *member) error {
+	if !m.isServing(now) {
 		return ErrNoReplica
 	}
-	place := zone.Name(one.entry.Zone)
-	if !request.Homes.Permit(place) {
-		return ErrOutside
+	zoneName := zone.Name(m.entry.Zone)
+	if !request.Constraint.Permits(zoneName) {
+		return ErrOutsideRegions
 	}
-	since, evacuated := s.evacuated[place]
-	if !evacuated || s.mayStay(now, request, one, since) {
+	since, evacuated := s.evacuated[zoneName]
+	if !evacuated || s.mayRemain(now, request, m, since) {
 		return nil
 	}
 	return ErrEvacuated
 }
 
-// mayStay reports whether a request may still go to a replica of an evacuated zone: a
-// line of turns whose prompt it keeps, or a run that only it may go on with, until the
-// line's time to leave.
-func (s *Set) mayStay(now time.Time, request *Request, one *member, since time.Time) bool {
-	if one.entry.ID != request.Preferred && one.entry.ID != request.Only {
+// mayRemain reports whether a request may still go to a replica in an evacuated zone. Until its
+// departure time, that holds for a request that continues a session cached there, and for one
+// that only this replica may run.
+func (s *Set) mayRemain(now time.Time, request *Request, m *member, since time.Time) bool {
+	if m.entry.ID != request.Preferred && m.entry.ID != request.Only {
 		return false
 	}
-	return now.Before(evacuation.Departure(since, s.config.LeaveWithin, request.Program))
+	return now.Before(evacuation.DepartureTime(since, s.config.LeaveWithin, request.Program))
 }
 
-// absence returns why no replica may take a request that none was saturated for.
-func (s *Set) absence(now time.Time, request *Request) error {
+// unavailableReason returns why no replica may receive a request, if none was excluded by a
+// limit.
+func (s *Set) unavailableReason(now time.Time, request *Request) error {
 	reason := ErrNoReplica
-	for _, one := range s.services[request.Service] {
-		err := s.mayTake(now, request, one)
+	for _, m := range s.services[request.Service] {
+		err := s.checkPlacement(now, request, m)
 		if errors.Is(err, ErrEvacuated) {
 			return err
 		}
-		if errors.Is(err, ErrOutside) {
+		if errors.Is(err, ErrOutsideRegions) {
 			reason = err
 		}
 	}
 	return reason
 }
 
-// sameRegion reports whether a replica is in this node's region, as far as is known.
-func (s *Set) sameRegion(one *member) bool {
-	return s.config.Regions.Together(zone.Name(s.config.Zone), zone.Name(one.entry.Zone))
+// sameRegion reports whether a replica is in this node's region, as far as the topology is
+// known.
+func (s *Set) sameRegion(m *member) bool {
+	return s.config.Regions.SameRegion(zone.Name(s.config.Zone), zone.Name(m.entry.Zone))
 }
 
-// left reports whether a request may no longer go where its line went before, as that
-// zone is evacuated.
-func (s *Set) left(now time.Time, request *Request) bool {
+// leftEvacuatedZone reports whether a request may no longer go to its session's previous
+// replica because that replica's zone is evacuated.
+func (s *Set) leftEvacuatedZone(now time.Time, request *Request) bool {
 	known := s.byID[request.Preferred]
-	return known != nil && errors.Is(s.mayTake(now, request, known), ErrEvacuated)
+	return known != nil && errors.Is(s.checkPlacement(now, request, known), ErrEvacuated)
 }
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -12,16 +12,16 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// leaveWithin is the time that the tests' operator gives to leave a zone.
+// leaveWithin is the time allowed for leaving a zone.
 const leaveWithin = 5 * time.Second
 
-// newPlaces returns a set of a node in zone "here" with one replica in each of three
-// zones, the last of which is in another region.
-func newPlaces(without replica.Parts) *replica.Set {
+// newZones returns the set of a node in zone "here", with one replica in each of three zones.
+// The last zone is in another region.
+func newZones(without replica.SelectionFactors) *replica.Set {
 	config := replica.DefaultConfig("here")
 	config.Regions = zone.Topology{"here": "home", "near": "home", "far": "away"}
 	config.LeaveWithin = leaveWithin
-	config.Without = without
+	config.Disabled = without
 	set := replica.NewSet(config)
 	set.SetCacheTokens("s", 100000)
 	for _, place := range []string{"here", "near", "far"} {
@@ -30,7 +30,7 @@
 	return set
 }
 
-// chosen returns the replicas that a request is sent to by any draw.
+// chosen returns the replicas selected for a request over all draws.
 func chosen(set *replica.Set, now time.Time, request replica.Request) map[replica.ID]bool {
 	found := map[replica.ID]bool{}
 	for draw := range 20 {
@@ -42,11 +42,11 @@
 	return found
 }
 
-// lineThatStays returns a program whose time to leave is in the later half.
-func lineThatStays(since time.Time) string {
+// programLeavingLate returns a program whose departure time is more than 1.5 s after since.
+func programLeavingLate(since time.Time) string {
 	for number := 0; ; number++ {
 		name := fmt.Sprint("program-", number)
-		if evacuation.Departure(since, leaveWithin, name).Sub(since) > 1500*time.Millisecond {
+		if evacuation.DepartureTime(since, leaveWithin, name).Sub(since) > 1500*time.Millisecond {
 			return name
 		}
 	}
@@ -54,7 +54,7 @@
 
 var _ = Describe("An evacuated zone", func() {
 	It("gets no new requests, whatever the load elsewhere", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		set.SetEvacuated(map[zone.Name]time.Time{"here": start})
 		for range 100 {
 			set.Began(start, "near", &replica.Request{})
@@ -63,23 +63,23 @@
 		Expect(chosen(set, start, replica.Request{Service: "s"})).NotTo(HaveKey(replica.ID("here")))
 	})
 
-	It("keeps lines of turns until their time, and each only where its prompt is kept", func() {
-		set := newPlaces(replica.Parts{})
+	It("keeps sessions until their departure time, and each only where its prompt is cached", func() {
+		set := newZones(replica.SelectionFactors{})
 		set.Put(start, replica.Entry{ID: "beside", Service: "s", Zone: "here", Status: replica.StatusReady, Slots: 4})
 		since := start
-		line := replica.Request{
-			Service: "s", Program: lineThatStays(since), Preferred: "here", Prompt: []replica.Part{{ID: "a", Tokens: 9000}, {ID: "b", Tokens: 10}},
+		request := replica.Request{
+			Service: "s", Program: programLeavingLate(since), Preferred: "here", Prompt: []replica.Part{{ID: "a", Tokens: 9000}, {ID: "b", Tokens: 10}},
 		}
 		set.SetEvacuated(map[zone.Name]time.Time{"here": since})
-		Expect(chosen(set, since, line)).To(Equal(map[replica.ID]bool{"here": true}))
-		line.Excluded = []replica.ID{"here"}
-		Expect(chosen(set, since, line)).NotTo(HaveKey(replica.ID("beside")))
-		line.Excluded = nil
-		until := evacuation.Departure(since, leaveWithin, line.Program)
-		Expect(chosen(set, until, line)).NotTo(HaveKey(replica.ID("here")))
-		choice, err := set.Select(until, &line)
+		Expect(chosen(set, since, request)).To(Equal(map[replica.ID]bool{"here": true}))
+		request.Excluded = []replica.ID{"here"}
+		Expect(chosen(set, since, request)).NotTo(HaveKey(replica.ID("beside")))
+		request.Excluded = nil
+		until := evacuation.DepartureTime(since, leaveWithin, request.Program)
+		Expect(chosen(set, until, request)).NotTo(HaveKey(replica.ID("here")))
+		choice, err := set.Select(until, &request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(choice.Left).To(BeTrue())
+		Expect(choice.LeftEvacuatedZone).To(BeTrue())
 	})
 
 	It("is left at once by all where no time is given", func() {
@@ -88,20 +88,20 @@
 			set.Put(start, replica.Entry{ID: replica.ID(place), Service: "s", Zone: place, Status: replica.StatusReady, Slots: 4})
 		}
 		set.SetEvacuated(map[zone.Name]time.Time{"here": start})
-		line := replica.Request{Service: "s", Program: lineThatStays(start), Preferred: "here"}
-		Expect(chosen(set, start, line)).To(Equal(map[replica.ID]bool{"near": true}))
+		request := replica.Request{Service: "s", Program: programLeavingLate(start), Preferred: "here"}
+		Expect(chosen(set, start, request)).To(Equal(map[replica.ID]bool{"near": true}))
 	})
 
 	It("gets no run that only one of its replicas may go on with", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		since := start.Add(-leaveWithin)
 		set.SetEvacuated(map[zone.Name]time.Time{"near": since})
 		_, err := set.Select(start, &replica.Request{Service: "s", Program: "p", Only: "near"})
 		Expect(err).To(MatchError(replica.ErrEvacuated))
 	})
 
-	It("is told from a service without replicas where it holds all of them", func() {
-		set := newPlaces(replica.Parts{})
+	It("is distinguished from a service without replicas if it holds all of them", func() {
+		set := newZones(replica.SelectionFactors{})
 		zones := map[zone.Name]time.Time{"here": start, "near": start, "far": start}
 		set.SetEvacuated(zones)
 		_, err := set.Select(start, &replica.Request{Service: "s"})
@@ -116,40 +116,40 @@
 	})
 
 	It("does not count for admission", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		for range 6 {
 			set.Began(start, "near", &replica.Request{})
 			set.Began(start, "far", &replica.Request{})
 		}
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(BeZero())
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(BeZero())
 		set.SetEvacuated(map[zone.Name]time.Time{"here": start, "nowhere": start})
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(Equal(1.5))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(Equal(1.5))
 	})
 })
 
 var _ = Describe("Homes of a request", func() {
-	homes := func(regions ...zone.Region) zone.Homes {
-		return zone.Homes{}.Bind(zone.Topology{"here": "home", "near": "home", "far": "away"}, regions)
+	homes := func(regions ...zone.Region) zone.Constraint {
+		return zone.Constraint{}.Restrict(zone.Topology{"here": "home", "near": "home", "far": "away"}, regions)
 	}
 
 	It("bound the choice, whatever the load there", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		for range 100 {
 			set.Began(start, "far", &replica.Request{})
 		}
-		request := replica.Request{Service: "s", Preferred: "here", Homes: homes("away")}
+		request := replica.Request{Service: "s", Preferred: "here", Constraint: homes("away")}
 		Expect(chosen(set, start, request)).To(Equal(map[replica.ID]bool{"far": true}))
 		request.Only = "here"
 		_, err := set.Select(start, &request)
-		Expect(err).To(MatchError(replica.ErrOutside))
-		Expect(set.Pressure(start, &replica.Request{Service: "s", Homes: homes("away")})).To(Equal(25.0))
+		Expect(err).To(MatchError(replica.ErrOutsideRegions))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s", Constraint: homes("away")})).To(Equal(25.0))
 	})
 
-	It("without a ready replica are told apart", func() {
-		set := newPlaces(replica.Parts{})
+	It("without a ready replica have an error of their own", func() {
+		set := newZones(replica.SelectionFactors{})
 		set.Remove("far")
-		_, err := set.Select(start, &replica.Request{Service: "s", Homes: homes("away")})
-		Expect(err).To(MatchError(replica.ErrOutside))
+		_, err := set.Select(start, &replica.Request{Service: "s", Constraint: homes("away")})
+		Expect(err).To(MatchError(replica.ErrOutsideRegions))
 	})
 })
 
@@ -162,21 +162,21 @@
 	}
 
 	It("serves only once the wait at home costs more than the way there", func() {
-		set := newPlaces(replica.Parts{})
+		set := newZones(replica.SelectionFactors{})
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).NotTo(HaveKey(replica.ID("far")), "the places at home are just taken")
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).To(Equal(map[replica.ID]bool{"far": true}))
 	})
 
-	It("counts as another zone where the way is not weighed", func() {
-		set := newPlaces(replica.Parts{Regions: true})
+	It("counts as another zone if regions are not taken into account", func() {
+		set := newZones(replica.SelectionFactors{Regions: true})
 		load(set, 4)
 		Expect(chosen(set, start, replica.Request{Service: "s"})).To(Equal(map[replica.ID]bool{"far": true}))
 	})
 
-	It("keeps a line whose prompt costs more to be read again", func() {
-		set := newPlaces(replica.Parts{})
+	It("keeps a session whose prompt costs more to prefill again", func() {
+		set := newZones(replica.SelectionFactors{})
 		prompt := []replica.Part{{ID: "history", Tokens: 9000}, {ID: "new", Tokens: 10}}
 		Expect(chosen(set, start, replica.Request{Service: "s", Preferred: "far", Prompt: prompt})).To(Equal(map[replica.ID]bool{"far": true}))
 		short := []replica.Part{{ID: "history", Tokens: 900}, {ID: "new", Tokens: 10}}
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -37,12 +37,12 @@
 		}
 	})
 
-	It("tells a service without replicas from one whose replicas are full", func() {
+	It("distinguishes a service without replicas from one whose replicas are full", func() {
 		set := newSet(1)
 		_, err := set.Select(start, &replica.Request{Service: "none"})
 		Expect(err).To(MatchError(replica.ErrNoReplica))
 		set.Began(start, "r0", &replica.Request{Prompt: nil})
-		_, err = set.Select(start, &replica.Request{Service: "s", PerNode: 1})
+		_, err = set.Select(start, &replica.Request{Service: "s", MaxPerNode: 1})
 		Expect(err).To(MatchError(replica.ErrSaturated))
 	})
 
@@ -61,7 +61,7 @@
 		}
 	})
 
-	It("counts what other nodes have under way, and forgets an old report", func() {
+	It("counts the requests in flight of other nodes, and forgets an old report", func() {
 		set := newSet(2)
 		set.SetPeer(start, "peer", map[replica.ID]int{"r0": 3})
 		choice, _ := set.Select(start, &replica.Request{Service: "s"})
@@ -72,14 +72,14 @@
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r0")))
 	})
 
-	It("goes where the prompt is kept, unless that replica is full", func() {
+	It("goes where the prompt is cached, unless that replica is full", func() {
 		set := newSet(3)
 		prompt := []replica.Part{{ID: "shared", Tokens: 3000}, {ID: "own", Tokens: 1000}}
 		set.Began(start, "r1", &replica.Request{Prompt: prompt})
 		set.Ended(start, "r1", replica.ResultAnswered)
 		choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: prompt})
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r1")))
-		Expect(choice.Missing).To(BeZero())
+		Expect(choice.UncachedTokens).To(BeZero())
 		for range 5 {
 			set.Began(start, "r1", &replica.Request{Prompt: nil})
 		}
@@ -102,32 +102,32 @@
 		Expect(choice.Entry.ID).To(Equal(replica.ID("r0")))
 	})
 
-	It("goes where the line of turns was served last by another node", func() {
+	It("goes where another node sent the session's previous turn", func() {
 		set := newSet(3)
 		prompt := []replica.Part{{ID: "shared", Tokens: 500}, {ID: "history", Tokens: 900}, {ID: "new", Tokens: 100}}
 		set.SetPeer(start, "peer", map[replica.ID]int{"r1": 3})
 		for draw := range 10 {
 			choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: prompt, Preferred: "r1", Draw: float64(draw) / 10})
 			Expect(choice.Entry.ID).To(Equal(replica.ID("r1")))
-			Expect(choice.Missing).To(Equal(100))
+			Expect(choice.UncachedTokens).To(Equal(100))
 		}
 	})
 
-	It("counts a part as kept only behind parts that are", func() {
+	It("counts a part as cached only after parts that are cached", func() {
 		set := newSet(1)
 		set.Began(start, "r0", &replica.Request{Prompt: []replica.Part{{ID: "b", Tokens: 10}}})
 		choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: []replica.Part{{ID: "a", Tokens: 5}, {ID: "b", Tokens: 10}}})
-		Expect(choice.Missing).To(Equal(15))
+		Expect(choice.UncachedTokens).To(Equal(15))
 	})
 
-	It("forgets what was unused the longest when the memory is full", func() {
+	It("evicts the least recently used part when the cache is full", func() {
 		set := newSet(1)
 		set.Began(start, "r0", &replica.Request{Prompt: []replica.Part{{ID: "old", Tokens: 6000}}})
 		set.Began(start.Add(time.Second), "r0", &replica.Request{Prompt: []replica.Part{{ID: "new", Tokens: 6000}}})
 		choice, _ := set.Select(start, &replica.Request{Service: "s", Prompt: []replica.Part{{ID: "old", Tokens: 6000}}})
-		Expect(choice.Missing).To(Equal(6000))
+		Expect(choice.UncachedTokens).To(Equal(6000))
 		choice, _ = set.Select(start, &replica.Request{Service: "s", Prompt: []replica.Part{{ID: "new", Tokens: 6000}}})
-		Expect(choice.Missing).To(BeZero())
+		Expect(choice.UncachedTokens).To(BeZero())
 	})
 
 	It("passes over a replica that failed, for longer each time, but not where it is the only one", func() {
@@ -182,29 +182,29 @@
 		}
 	})
 
-	It("tells how full the emptiest ready replica is", func() {
+	It("returns the utilisation of the least loaded ready replica", func() {
 		set := newSet(2)
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(BeZero())
-		Expect(set.Pressure(start, &replica.Request{Service: "none"})).To(BeZero())
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(BeZero())
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "none"})).To(BeZero())
 		for range 6 {
 			set.Began(start, "r0", &replica.Request{Prompt: nil})
 		}
 		set.SetPeer(start, "peer", map[replica.ID]int{"r1": 3})
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(Equal(0.75))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(Equal(0.75))
 		set.Put(start, replica.Entry{ID: "r1", Service: "s", Zone: "here", Status: replica.StatusDraining, Slots: 4})
-		Expect(set.Pressure(start, &replica.Request{Service: "s"})).To(Equal(1.5))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s"})).To(Equal(1.5))
 	})
 
-	It("tells how full the emptiest replica is, and all together", func() {
+	It("returns the minimum and the mean utilisation", func() {
 		set := newSet(2)
-		Expect(set.Room(start, &replica.Request{Service: "none"})).To(Equal(dispatch.Room{}))
+		Expect(set.Utilisation(start, &replica.Request{Service: "none"})).To(Equal(dispatch.Utilisation{}))
 		for range 6 {
 			set.Began(start, "r0", &replica.Request{Prompt: nil})
 		}
 		set.SetPeer(start, "peer", map[replica.ID]int{"r1": 3})
-		Expect(set.Room(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Room{Least: 0.75, Mean: 9. / 8}))
+		Expect(set.Utilisation(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Utilisation{Least: 0.75, Mean: 9. / 8}))
 		set.Put(start, replica.Entry{ID: "r1", Service: "s", Zone: "here", Status: replica.StatusReady})
-		Expect(set.Room(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Room{}), "its places are not known")
+		Expect(set.Utilisation(start, &replica.Request{Service: "s"})).To(Equal(dispatch.Utilisation{}), "its places are not known")
 	})
 
 	It("knows nothing of a replica that was removed", func() {
--- a/replica/subset.go
+++ b/replica/subset.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// Most nodes of a large fleet hold a part of its replicas: what they hold, hear and
-// keep connections to would else grow with the fleet. Nodes of a group hold the same
-// part, so that they meet at the same replicas.
+// Most nodes of a large fleet hold only a subset of its replicas. Otherwise the list, the
+// updates and the connections of each node would grow with the fleet. All nodes of a group hold
+// the same subset, so that they use the same replicas.
 const (
-	// subsetAll is how many replicas of a service every node may hold: some 100 KB on
-	// the wire, and less than a megabyte of memory.
-	subsetAll = 512
-	// subsetNear is how many replicas of its own zone a node holds of a larger service.
-	// With six slots each they serve the requests of four times as many nodes at once.
-	subsetNear = 256
-	// subsetFar is how many of each other zone it holds, for when its own is lost,
-	// evacuated, or not where a request may be served.
-	subsetFar = 32
+	// subsetThreshold is the largest size of a service whose replicas every node holds in full:
+	// about 100 KB on the wire and less than 1 MB of memory.
+	subsetThreshold = 512
+	// subsetOwnZone is the number of replicas in its own zone that a node holds of a larger
+	// service. With six slots each, they serve the concurrent requests of four times as many
+	// nodes.
+	subsetOwnZone = 256
+	// subsetOtherZone is the number of replicas that it holds in each other zone, for when its
+	// own zone is lost, evacuated, or not permitted for a request.
+	subsetOtherZone = 32
 )
 
-// Group is the nodes of a zone that hold the same part of the replicas.
+// Group identifies the nodes of a zone that hold the same subset of the replicas.
 type Group struct {
 	Zone   string
 	Number int
 }
 
-// Subset returns the replicas that the nodes of a group hold: of each service all, or
-// as many of each zone as they need.
+// Subset returns the replicas that the nodes of a group hold: all replicas of a small service,
+// and a fixed number per zone of a large one.
 func (s *Set) Subset(group Group) map[ID]bool {
 	held := make(map[ID]bool)
 	for service := range s.services {
@@ -39,19 +40,19 @@
 // addSubset adds the replicas of one service.
 func (s *Set) addSubset(held map[ID]bool, service string, group Group) {
 	list := s.services[service]
-	if len(list) <= subsetAll {
-		for _, one := range list {
-			held[one.entry.ID] = true
+	if len(list) <= subsetThreshold {
+		for _, m := range list {
+			held[m.entry.ID] = true
 		}
 		return
 	}
 	for name, ranked := range rankByZone(list, group) {
-		count := subsetFar
+		count := subsetOtherZone
 		if name == group.Zone {
-			count = subsetNear
+			count = subsetOwnZone
 		}
-		for _, one := range ranked[:min(count, len(ranked))] {
-			held[one.id] = true
+		for _, m := range ranked[:min(count, len(ranked))] {
+			held[m.id] = true
 		}
 	}
 }
@@ -62,15 +63,15 @@
 	rank uint64
 }
 
-// rankByZone returns the ready replicas of each zone in the order of a group.
+// rankByZone returns the ready replicas of each zone in the order of their rank for the group.
 func rankByZone(list []*member, group Group) map[string][]rankedID {
 	zones := make(map[string][]rankedID)
-	for _, one := range list {
-		if one.entry.Status != StatusReady {
+	for _, m := range list {
+		if m.entry.Status != StatusReady {
 			continue
 		}
-		ranked := rankedID{id: one.entry.ID, rank: rankIn(group.Zone, group.Number, one.entry.ID)}
-		zones[one.entry.Zone] = append(zones[one.entry.Zone], ranked)
+		ranked := rankedID{id: m.entry.ID, rank: rankHash(group.Zone, group.Number, m.entry.ID)}
+		zones[m.entry.Zone] = append(zones[m.entry.Zone], ranked)
 	}
 	for _, ranked := range zones {
 		slices.SortFunc(ranked, func(left, right rankedID) int {
