--- a/replica/window.go
+++ b/replica/window.go
@@ -9,84 +9,86 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A node of a large fleet sends a small share of the requests of its zone. If each
-// node chose among all replicas, nearly every request would open a connection and
-// have an engine read a prompt that another one keeps, and a choice would cost what
-// the service has replicas. The nodes of a zone weigh a window of the same replicas
-// instead, as many as their load needs.
+// A node of a large fleet sends a small share of the requests of its zone. If each node
+// selected from all replicas, nearly every request would open a connection and prefill a prompt
+// that another replica has cached, and the cost of a selection would grow with the service.
+// Instead, the nodes of a zone select from a window of the same replicas, sized to their load.
 const (
-	// weighAll is how many replicas of a service are weighed without a window: a
-	// choice among them takes some ten microseconds.
-	weighAll = 128
-	// windowLeast is the size of a window without load: enough that two nodes that
-	// choose at the same moment seldom meet, and that the loss of some leaves others.
-	windowLeast = 32
-	// windowFull is the load, in requests by slots, from which on a window grows, and
-	// windowEmpty the one below which it shrinks. Between them lies more than the
-	// factor of two by which a step changes the load.
-	windowFull  = 0.4
-	windowEmpty = 0.1
-	// windowPeriod is the least time between two looks at a window's load, and
-	// windowWeight the share of a look in the mean of the last ones: reports of a few
-	// peers stand for all, and one look is noisy.
+	// windowThreshold is the largest service that is evaluated without a window. A selection
+	// among this many replicas takes about ten microseconds.
+	windowThreshold = 128
+	// minimumWindow is the size of a window without load. It is large enough that two nodes
+	// that select at the same time rarely choose the same replica, and that some replicas may
+	// fail.
+	minimumWindow = 32
+	// A window grows when its load, in requests per slot, exceeds windowGrowLoad, and shrinks
+	// when it is below windowShrinkLoad. They differ by more than the factor of two by which a
+	// resize changes the load.
+	windowGrowLoad   = 0.4
+	windowShrinkLoad = 0.1
+	// windowPeriod is the minimum time between two updates of a window's load. windowWeight is
+	// the weight of the latest load in the moving average; a single load is noisy because the
+	// reports of a few peers are extrapolated to all.
 	windowPeriod = 250 * time.Millisecond
 	windowWeight = 0.2
 )
 
-// window is how many replicas of a large service are weighed: the first of those ranked.
+// window determines how many replicas of a large service are candidates: the first size
+// replicas by rank.
 type window struct {
 	size int
-	// load is the mean load of late, in requests by slots.
-	load     float64
-	lookedAt time.Time
+	// load is the moving average of the load, in requests per slot.
+	load      float64
+	updatedAt time.Time
 }
 
-// weighable returns the replicas that a choice weighs: all of a service that is not
-// large, else those of the window and the one that served the line before.
-func (s *Set) weighable(now time.Time, request *Request) []*member {
+// selectCandidates returns the candidates for a request: all replicas of a small service, or
+// those in the window and the replica that served the session's previous turn.
+func (s *Set) selectCandidates(now time.Time, request *Request) []*member {
 	list := s.ranked[request.Service]
-	if len(list) <= weighAll {
+	if len(list) <= windowThreshold {
 		return s.services[request.Service]
 	}
 	found := s.windows[request.Service]
 	if found == nil {
-		found = &window{size: windowLeast, lookedAt: now}
+		found = &window{size: minimumWindow, updatedAt: now}
 		s.windows[request.Service] = found
 	}
 	found.size = min(found.size, len(list))
-	if now.Sub(found.lookedAt) >= windowPeriod {
-		found.look(now, s.fullness(now, list[:found.size]), len(list))
+	if now.Sub(found.updatedAt) >= windowPeriod {
+		found.update(now, s.meanLoad(now, list[:found.size]), len(list))
 	}
-	weighed := list[:found.size:found.size]
-	if last := s.byID[request.Preferred]; last != nil && last.entry.Service == request.Service && !slices.Contains(weighed, last) {
-		weighed = append(weighed, last)
+	selected := list[:found.size:found.size]
+	if previous := s.byID[request.Preferred]; previous != nil && previous.entry.Service == request.Service && !slices.Contains(selected, previous) {
+		selected = append(selected, previous)
 	}
-	return weighed
+	return selected
 }
 
-// look takes in a window's load, and fits its size to it.
-func (w *window) look(now time.Time, load float64, most int) {
-	w.lookedAt = now
+// update applies the current load of the window and adjusts its size. maximum is the number of
+// replicas of the service.
+func (w *window) update(now time.Time, load float64, maximum int) {
+	w.updatedAt = now
 	w.load += windowWeight * (load - w.load)
 	switch {
-	case w.load > windowFull && w.size < most:
-		w.resize(min(2*w.size, most))
-	case w.load < windowEmpty && w.size > windowLeast:
-		w.resize(max(w.size/2, windowLeast))
+	case w.load > windowGrowLoad && w.size < maximum:
+		w.resize(min(2*w.size, maximum))
+	case w.load < windowShrinkLoad && w.size > minimumWindow:
+		w.resize(max(w.size/2, minimumWindow))
 	}
 }
 
-// resize changes a window's size; the load spreads over as many more or fewer.
+// resize changes the size of the window and scales its load accordingly.
 func (w *window) resize(size int) {
 	w.load *= float64(w.size) / float64(size)
 	w.size = size
 }
 
-// widen doubles the window of a service of which so many replicas were weighed in vain.
-// It reports whether there are more to weigh.
-func (s *Set) widen(service string, weighed int) bool {
+// growWindow doubles the window of a service after evaluated replicas turned out to be
+// insufficient. It reports whether there are more to evaluate.
+func (s *Set) growWindow(service string, evaluated int) bool {
 	list := s.ranked[service]
-	if weighed >= len(list) {
+	if evaluated >= len(list) {
 		return false
 	}
 	found := s.windows[service]
@@ -97,60 +99,61 @@
 	return true
 }
 
-// fullness returns the mean load of some replicas, in requests by slots.
-func (s *Set) fullness(now time.Time, members []*member) float64 {
-	view := s.viewAt(now, members)
+// meanLoad returns the mean load of the given replicas, in requests per slot.
+func (s *Set) meanLoad(now time.Time, members []*member) float64 {
+	loads := s.estimateLoads(now, members)
 	load, slots := 0.0, 0
-	for _, one := range members {
-		load += view.load(one)
-		slots += max(1, one.entry.Slots)
+	for _, m := range members {
+		load += loads.load(m)
+		slots += max(1, m.entry.Slots)
 	}
 	return load / float64(max(1, slots))
 }
 
-// link enters a replica into the lists of its service.
-func (s *Set) link(added *member) {
+// addToService adds a replica to the lists of its service.
+func (s *Set) addToService(added *member) {
 	service := added.entry.Service
-	added.place = len(s.services[service])
+	added.index = len(s.services[service])
 	s.services[service] = append(s.services[service], added)
-	s.enrank(added)
+	s.insertRanked(added)
 }
 
-// unlink takes a replica off the lists of its service. The last one takes its place.
-func (s *Set) unlink(known *member) {
+// removeFromService removes a replica from the lists of its service. The last replica of the
+// unordered list takes its position.
+func (s *Set) removeFromService(known *member) {
 	service := known.entry.Service
 	list := s.services[service]
 	last := list[len(list)-1]
-	list[known.place], last.place = last, known.place
+	list[known.index], last.index = last, known.index
 	list[len(list)-1] = nil
 	s.services[service] = list[:len(list)-1]
-	s.unrank(known)
+	s.removeRanked(known)
 }
 
-// enrank enters a replica into the ranking of its service.
-func (s *Set) enrank(added *member) {
-	s.zones[added.entry.Zone]++
+// insertRanked inserts a replica into the ranked list of its service.
+func (s *Set) insertRanked(added *member) {
+	s.zoneCounts[added.entry.Zone]++
 	list := s.ranked[added.entry.Service]
-	place, _ := slices.BinarySearchFunc(list, added, s.compare)
+	place, _ := slices.BinarySearchFunc(list, added, s.compareRank)
 	s.ranked[added.entry.Service] = slices.Insert(list, place, added)
 }
 
-// unrank takes a replica off the ranking of its service.
-func (s *Set) unrank(known *member) {
-	if s.zones[known.entry.Zone]--; s.zones[known.entry.Zone] <= 0 {
-		delete(s.zones, known.entry.Zone)
+// removeRanked removes a replica from the ranked list of its service.
+func (s *Set) removeRanked(known *member) {
+	if s.zoneCounts[known.entry.Zone]--; s.zoneCounts[known.entry.Zone] <= 0 {
+		delete(s.zoneCounts, known.entry.Zone)
 	}
 	list := s.ranked[known.entry.Service]
-	if place, found := slices.BinarySearchFunc(list, known, s.compare); found {
+	if place, found := slices.BinarySearchFunc(list, known, s.compareRank); found {
 		s.ranked[known.entry.Service] = slices.Delete(list, place, place+1)
 	}
 }
 
-// compare ranks the replicas of a service: those of this node's zone first.
-func (s *Set) compare(left, right *member) int {
-	leftHere, rightHere := left.entry.Zone == s.config.Zone, right.entry.Zone == s.config.Zone
-	if leftHere != rightHere {
-		if leftHere {
+// compareRank orders the replicas of a service, those of this node's zone first.
+func (s *Set) compareRank(left, right *member) int {
+	leftLocal, rightLocal := left.entry.Zone == s.config.Zone, right.entry.Zone == s.config.Zone
+	if leftLocal != rightLocal {
+		if leftLocal {
 			return -1
 		}
 		return 1
@@ -158,12 +161,12 @@
 	return cmp.Or(cmp.Compare(left.rank, right.rank), cmp.Compare(left.entry.ID, right.entry.ID))
 }
 
-// rankIn orders a replica among others, alike for all nodes of a group in a zone.
-func rankIn(zone string, group int, id ID) uint64 {
+// rankHash returns a replica's rank, which is the same for all nodes of a group in a zone.
+func rankHash(zone string, group int, id ID) uint64 {
 	digest := xxhash.New()
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], uint64(group))
-	// Writes to a digest return no error.
+	// Writes to a digest never return an error.
 	_, _ = digest.WriteString(zone)
 	_, _ = digest.Write(number[:])
 	_, _ = digest.WriteString(string(id))
--- a/routing/follower.go
+++ b/routing/follower.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// Follower holds the newest table that a process has seen. The zero value
-// holds none. It is safe for concurrent use.
-type Follower struct {
+// LatestTable holds the newest table that a process has seen. Its zero value holds none.
+// It is safe for concurrent use.
+type LatestTable struct {
 	current atomic.Pointer[Table]
 }
 
-// Current returns the newest table, or nil where none was seen yet.
-func (f *Follower) Current() *Table { return f.current.Load() }
+// Current returns the newest table, or nil if there is none yet.
+func (f *LatestTable) Current() *Table { return f.current.Load() }
 
-// Offer takes a table over if it is newer than the current one, and reports
-// whether it did.
-func (f *Follower) Offer(table *Table) bool {
+// Update replaces the current table if the given one is newer, and reports whether it
+// did.
+func (f *LatestTable) Update(table *Table) bool {
 	for {
-		known := f.current.Load()
-		if known != nil && table.Version <= known.Version {
+		previous := f.current.Load()
+		if previous != nil && table.Version <= previous.Version {
 			return false
 		}
-		if f.current.CompareAndSwap(known, table) {
+		if f.current.CompareAndSwap(previous, table) {
 			return true
 		}
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -45,20 +45,20 @@
 		Expect(counts).To(Equal(map[string]int{"a": 900, "b": 100}))
 	})
 
-	It("says so where no share has any weight", func() {
+	It("returns false if no share has any weight", func() {
 		_, ok := (&routing.Route{}).Choose(0.5)
 		Expect(ok).To(BeFalse())
 	})
 })
 
-var _ = Describe("A follower", func() {
+var _ = Describe("The latest table", func() {
 	It("never goes back to an older table", func() {
-		follower := &routing.Follower{}
+		follower := &routing.LatestTable{}
 		Expect(follower.Current()).To(BeNil())
 		versions := []uint64{4, 9, 7, 9, 12, 11}
 		var taken []uint64
 		for _, version := range versions {
-			if follower.Offer(routing.NewTable(version, nil, nil, routing.Limits{})) {
+			if follower.Update(routing.NewTable(version, nil, nil, routing.Limits{})) {
 				taken = append(taken, version)
 			}
 		}
--- a/schedule/rank.go
+++ b/schedule/rank.go
@@ -7,7 +7,8 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// prediction is the predicted finish of a call at one back end.
+// prediction is the predicted completion time of a call at one back end, as
+// the sum of its terms.
 type prediction struct {
 	backend  *backend
 	link     time.Duration
@@ -15,26 +16,28 @@
 	transfer time.Duration
 	prefill  time.Duration
 	decode   time.Duration
-	// prompt is the whole prompt, missing the part to compute, in tokens.
-	prompt  int
-	missing int
-	// memory is what the call adds to the cache, in tokens.
-	memory int
-	// peers is how many other sequences are expected there.
+	// promptTokens is the length of the whole prompt; missingTokens is the part
+	// of it that needs prefill.
+	promptTokens  int
+	missingTokens int
+	// cachedTokens is the number of tokens that the call adds to the cache.
+	cachedTokens int
+	// peers is the expected number of concurrent sequences at the back end.
 	peers int
-	// source holds the prefix to import first; empty for none.
+	// source is the engine to import the prefix from; empty for no import.
 	source machine.ID
-	// score orders the candidates, lower first: the predicted finish, and
-	// what the choice costs other calls.
+	// score orders the candidates, lower first. It is the predicted completion
+	// time plus the cost of the placement to other calls.
 	score time.Duration
 }
 
-// finish is when the answer would be complete, from now.
-func (p *prediction) finish() time.Duration {
+// completionTime returns the predicted time from now until the answer is
+// complete.
+func (p *prediction) completionTime() time.Duration {
 	return p.link + p.queue + p.transfer + p.prefill + p.decode
 }
 
-// terms explains the prediction.
+// terms returns the Terms that explain the prediction.
 func (p *prediction) terms(feasible int, reason string) Terms {
 	return Terms{
 		Feasible:      feasible,
@@ -43,12 +46,12 @@
 		Transfer:      p.transfer,
 		Decode:        p.decode,
 		Link:          p.link,
-		MissingTokens: p.missing,
+		MissingTokens: p.missingTokens,
 		Reason:        reason,
 	}
 }
 
-// rank predicts the finish of a request at a candidate.
+// rank predicts the completion time of a request at a candidate.
 func (s *Scheduler) rank(now time.Time, request *Request, candidate *backend) prediction {
 	if request.Kind == api.CallTool {
 		return s.rankTool(now, request, candidate)
@@ -56,44 +59,44 @@
 	return s.rankModel(now, request, candidate)
 }
 
-// rankTool prefers the least outstanding back end, then the nearest. Each
-// outstanding call counts as one mean service time.
+// rankTool prefers the back end with the fewest outstanding calls, then the
+// nearest one. Each outstanding call counts as one mean service time.
 func (s *Scheduler) rankTool(now time.Time, request *Request, candidate *backend) prediction {
 	outstanding := candidate.outstanding(now, s.config.StaleLoad)
 	predicted := prediction{backend: candidate, peers: outstanding}
 	predicted.link = 2 * s.config.LinkDelay(candidate.machine.Zone)
-	predicted.queue = time.Duration(outstanding) * s.predict.meanService(request.Tool)
-	predicted.score = predicted.finish()
+	predicted.queue = time.Duration(outstanding) * s.predict.meanServiceTime(request.Tool)
+	predicted.score = predicted.completionTime()
 	return predicted
 }
 
-// rankModel weighs the queue, the missing prefill or the transfer of the
-// prefix, and a decode that slows with the batch.
+// rankModel adds up link delay, queueing, prefill of the missing part or
+// transfer of the prefix, and a decode time that grows with the batch.
 func (s *Scheduler) rankModel(now time.Time, request *Request, candidate *backend) prediction {
-	learned := s.predict.speed(request.Model)
+	learned := s.predict.speedModel(request.Model)
 	predicted := prediction{
-		backend: candidate,
-		peers:   candidate.outstanding(now, s.config.StaleLoad),
-		prompt:  request.PromptTokens,
-		link:    2 * s.config.LinkDelay(candidate.machine.Zone),
+		backend:      candidate,
+		peers:        candidate.outstanding(now, s.config.StaleLoad),
+		promptTokens: request.PromptTokens,
+		link:         2 * s.config.LinkDelay(candidate.machine.Zone),
 	}
-	residents := s.tracker.residents(request.Call.Program)
-	held := min(tokensAt(residents, candidate.machine.ID), request.PromptTokens)
-	predicted.missing = request.PromptTokens - held
-	predicted.prefill = s.predict.prefill(learned, predicted.missing)
-	s.considerImport(request, &predicted, residents, held)
-	predicted.memory = request.PromptTokens - held + request.OutputCap
+	prefixes := s.tracker.prefixes(request.Call.Program)
+	heldTokens := min(tokensAt(prefixes, candidate.machine.ID), request.PromptTokens)
+	predicted.missingTokens = request.PromptTokens - heldTokens
+	predicted.prefill = s.predict.prefill(learned, predicted.missingTokens)
+	s.considerImport(request, &predicted, prefixes, heldTokens)
+	predicted.cachedTokens = request.PromptTokens - heldTokens + request.OutputCap
 	waiting := candidate.queuedTokens(now, s.config.StaleLoad)
 	predicted.queue = s.predict.prefill(learned, waiting)
-	predicted.decode = s.predict.decode(learned, s.predict.output(request), predicted.peers)
-	predicted.score = predicted.finish() + s.costOfMove(&predicted)
+	predicted.decode = s.predict.decode(learned, s.predict.expectedOutput(request), predicted.peers)
+	predicted.score = predicted.completionTime() + s.transferPenalty(&predicted)
 	return predicted
 }
 
-// considerImport transfers the prefix from another engine when that is
-// faster than computing it again.
-func (s *Scheduler) considerImport(request *Request, predicted *prediction, residents []resident, held int) {
-	best, ok := largest(residents)
+// considerImport changes the prediction to an import of the prefix from another
+// engine if that is faster than computing the missing part.
+func (s *Scheduler) considerImport(request *Request, predicted *prediction, prefixes []residentPrefix, heldTokens int) {
+	best, ok := largestPrefix(prefixes)
 	if !ok || best.backend == predicted.backend.machine.ID {
 		return
 	}
@@ -102,23 +105,23 @@
 		return
 	}
 	tokens := min(best.tokens, request.PromptTokens)
-	saved := tokens - held
+	saved := tokens - heldTokens
 	if saved <= 0 {
 		return
 	}
-	learned := s.predict.speed(request.Model)
+	learned := s.predict.speedModel(request.Model)
 	transfer := time.Duration(tokens)*s.config.Rates.TransferPerToken + 2*s.config.LinkDelay(source.machine.Zone)
 	if transfer >= s.predict.prefill(learned, saved) {
 		return
 	}
 	predicted.source = best.backend
 	predicted.transfer = transfer
-	predicted.missing = request.PromptTokens - tokens
-	predicted.prefill = s.predict.prefill(learned, predicted.missing)
+	predicted.missingTokens = request.PromptTokens - tokens
+	predicted.prefill = s.predict.prefill(learned, predicted.missingTokens)
 }
 
-// costOfMove is what a transfer costs beyond its time: the prefix is taken
-// out of the engine that holds it, and takes room in another.
-func (s *Scheduler) costOfMove(predicted *prediction) time.Duration {
+// transferPenalty returns the cost of a transfer beyond its duration: the
+// prefix leaves the engine that holds it and takes cache space in another.
+func (s *Scheduler) transferPenalty(predicted *prediction) time.Duration {
 	return time.Duration((s.config.Cache.MoveWeight - 1) * float64(predicted.transfer))
 }
--- a/tenant/scope_test.go
+++ b/tenant/scope_test.go
@@ -15,46 +15,46 @@
 	two := tenant.ScopeOf(&tenant.Tenant{Name: "two"})
 
 	It("leaves ids as they are where there are no tenants", func() {
-		Expect(tenant.Scope{}.Of("id")).To(Equal("id"))
+		Expect(tenant.Scope{}.Qualify("id")).To(Equal("id"))
 		Expect(tenant.Scope{}.Unscoped("id")).To(BeEmpty())
 	})
 
-	It("tells tenants, requests without a key and former records apart", func() {
+	It("distinguishes tenants, requests without a key and unscoped records", func() {
 		texts := map[string]bool{}
 		for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), one, two} {
-			texts[scope.Of("id")] = true
+			texts[scope.Qualify("id")] = true
 		}
 		Expect(texts).To(HaveLen(4))
 		Expect(one.Unscoped("id")).To(Equal("id"))
 		Expect(tenant.PublicScope().Unscoped("id")).To(Equal("id"))
 	})
 
-	It("has no text for no id", func() {
-		Expect(one.Of("")).To(BeEmpty())
+	It("leaves the empty id empty", func() {
+		Expect(one.Qualify("")).To(BeEmpty())
 	})
 
 	It("gives no client a way to spell another scope's id", func() {
-		victim := one.Of("id")
-		long := one.Of(strings.Repeat("x", 300))
+		victim := one.Qualify("id")
+		long := one.Qualify(strings.Repeat("x", 300))
 		for _, spelled := range []string{victim, long, strings.TrimPrefix(long, "\x1f"), strings.TrimLeft(long, "\x1f")} {
 			for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), two} {
-				Expect(scope.Of(spelled)).NotTo(BeElementOf(victim, long), "%q", spelled)
+				Expect(scope.Qualify(spelled)).NotTo(BeElementOf(victim, long), "%q", spelled)
 			}
 		}
 	})
 
-	It("keeps within a key of the log, whatever a client sends", func() {
+	It("fits a key of the log, whatever a client sends", func() {
 		wide := tenant.ScopeOf(&tenant.Tenant{Name: strings.Repeat("n", 300)})
 		for length := 1; length < 600; length++ {
 			id := strings.Repeat("i", length)
 			for _, scope := range []tenant.Scope{{}, tenant.PublicScope(), one, wide} {
-				Expect(len(scope.Of(id))).To(BeNumerically("<=", 230))
+				Expect(len(scope.Qualify(id))).To(BeNumerically("<=", 230))
 			}
 		}
 	})
 })
 
-// FuzzScope holds that no two scopes and ids have one text.
+// FuzzScope checks that different ids and scopes never yield the same text.
 func FuzzScope(f *testing.F) {
 	f.Add("one", "id", "two", "id")
 	f.Add("one", "id", "", "one\x1fid")
@@ -67,20 +67,20 @@
 				t.Skip("no tenant is named so")
 			}
 		}
-		type named struct {
+		type scopedID struct {
 			scope tenant.Scope
 			id    string
 		}
-		var all []named
+		var all []scopedID
 		for _, id := range []string{firstID, secondID} {
-			all = append(all, named{tenant.Scope{}, id}, named{tenant.PublicScope(), id},
-				named{tenant.ScopeOf(&tenant.Tenant{Name: firstName}), id}, named{tenant.ScopeOf(&tenant.Tenant{Name: secondName}), id})
+			all = append(all, scopedID{tenant.Scope{}, id}, scopedID{tenant.PublicScope(), id},
+				scopedID{tenant.ScopeOf(&tenant.Tenant{Name: firstName}), id}, scopedID{tenant.ScopeOf(&tenant.Tenant{Name: secondName}), id})
 		}
 		for _, first := range all {
 			for _, second := range all {
 				same := first.id == second.id && (first.id == "" || first.scope == second.scope)
 				bothEmpty := first.id == "" && second.id == ""
-				if (first.scope.Of(first.id) == second.scope.Of(second.id)) != (same || bothEmpty) {
+				if (first.scope.Qualify(first.id) == second.scope.Qualify(second.id)) != (same || bothEmpty) {
 					t.Fatalf("%+v and %+v", first, second)
 				}
 			}
