--- a/program/apply.go
+++ b/program/apply.go
@@ -25,17 +25,17 @@
 	switch {
 	case record.Accepted != nil:
 		p.applyAccepted(offset, record.At, record.Accepted)
-		s.gauge.LiveCalls++
+		s.stats.LiveCalls++
 	case record.Dispatched != nil:
 		p.applyDispatched(record.At, record.Dispatched)
 	case record.Ended != nil:
 		if p.applyEnded(offset, record.At, record.Ended, s.config.CountTokens) {
-			s.gauge.LiveCalls--
+			s.stats.LiveCalls--
 		}
-	case record.Carved != nil:
-		p.applyCarved(record.At, *record.Carved)
+	case record.BudgetTransferred != nil:
+		p.applyBudgetTransferred(record.At, *record.BudgetTransferred)
 	case record.Terms != nil:
-		p.terms = s.shareTerms(p.branch, *record.Terms)
+		p.terms = s.internTerms(p.branch, *record.Terms)
 		p.budget.limit = p.budgetLimit()
 	case record.Closed != nil:
 		p.applyClosed(record.At, record.Closed.Reason)
@@ -45,34 +45,34 @@
 func (s *Store) applyCreated(record Record) {
 	created := record.Created
 	if old, ok := s.programs[record.Program]; ok {
-		s.forget(old)
+		s.evict(old)
 	}
-	p := &heldProgram{
+	p := &programState{
 		id:              record.Program,
 		branch:          created.Branch,
 		key:             created.Key,
 		parent:          created.Parent,
-		terms:           s.shareTerms(created.Branch, created.Terms),
+		terms:           s.internTerms(created.Branch, created.Terms),
 		depth:           created.Depth,
 		requestBudget:   created.BudgetTokens,
 		requestDuration: time.Duration(created.DeadlineMilliseconds) * time.Millisecond,
-		carved:          created.CarvedTokens,
+		allocatedTokens: created.AllocatedTokens,
 		createdAt:       record.At,
 		lastActivity:    record.At,
-		next:            1,
+		headSequence:    1,
 	}
 	p.budget.limit = p.budgetLimit()
-	s.hold(p)
+	s.add(p)
 }
 
-// hold adds a program to the store.
-func (s *Store) hold(p *heldProgram) {
-	p.timer.index = timerIdle
+// add adds a program to the store.
+func (s *Store) add(p *programState) {
+	p.timer.index = timerUnset
 	s.programs[p.id] = p
 }
 
-// shareTerms returns the terms that equal ones of the branch already use.
-func (s *Store) shareTerms(branch string, terms Terms) *Terms {
+// internTerms returns the terms that equal ones of the branch already use.
+func (s *Store) internTerms(branch string, terms Terms) *Terms {
 	if shared, ok := s.terms[branch]; ok && reflect.DeepEqual(*shared, terms) {
 		return shared
 	}
@@ -80,7 +80,7 @@
 	return &terms
 }
 
-func (p *heldProgram) applyAccepted(offset uint64, at time.Time, accepted *Accepted) {
+func (p *programState) applyAccepted(offset uint64, at time.Time, accepted *Accepted) {
 	sequence := accepted.Sequence
 	p.growCalls(sequence)
 	p.calls[sequence-1] = callEntry{
@@ -105,16 +105,16 @@
 	p.turns++
 	p.lastActivity = at
 	if offset == NoOffset {
-		p.keepUnlocated(sequence).Accepted = accepted
+		p.pendingFor(sequence).Accepted = accepted
 	}
 }
 
 // growCalls adds vacant entries up to the place. It grows by a quarter, not
 // by doubling: the entries of idle programs are most of the store's memory.
-func (p *heldProgram) growCalls(sequence uint64) {
-	if missing := int(sequence) - cap(p.calls); missing > 0 {
-		room := len(p.calls)/4 + minimumCallRoom
-		grown := make([]callEntry, len(p.calls), len(p.calls)+max(missing, room))
+func (p *programState) growCalls(sequence uint64) {
+	if needed := int(sequence) - cap(p.calls); needed > 0 {
+		growth := len(p.calls)/4 + minimumCallGrowth
+		grown := make([]callEntry, len(p.calls), len(p.calls)+max(needed, growth))
 		copy(grown, p.calls)
 		p.calls = grown
 	}
@@ -123,10 +123,10 @@
 	}
 }
 
-// minimumCallRoom is the least number of entries by which a program grows.
-const minimumCallRoom = 2
+// minimumCallGrowth is the least number of entries by which a program grows.
+const minimumCallGrowth = 2
 
-func (p *heldProgram) applyDispatched(at time.Time, dispatched *Dispatched) {
+func (p *programState) applyDispatched(at time.Time, dispatched *Dispatched) {
 	live := p.liveCall(dispatched.Sequence)
 	if live == nil {
 		return
@@ -137,19 +137,19 @@
 	live.dispatchedAt = at
 	// Another dispatch of a call that is not repeatable proves that nothing
 	// of the one before was sent.
-	live.ranBefore = live.mayHaveRun && live.repeatable()
+	live.mayHaveRunBefore = live.mayHaveRun && live.repeatable()
 	live.mayHaveRun = true
 }
 
 // applyEnded reports whether the call was live.
-func (p *heldProgram) applyEnded(offset uint64, at time.Time, ended *CallEnded, countTokens func(string) int) bool {
+func (p *programState) applyEnded(offset uint64, at time.Time, ended *CallEnded, countTokens func(string) int) bool {
 	index, found := p.liveIndex(ended.Sequence)
 	if !found {
 		return false
 	}
 	live := p.live[index]
 	p.live = slices.Delete(p.live, index, index+1)
-	p.settle(live, ended)
+	p.settleReservation(live, ended)
 	entry := &p.calls[ended.Sequence-1]
 	entry.status = terminalCode(ended.Status)
 	entry.ended = offset
@@ -157,27 +157,27 @@
 		p.historyTokens += live.inputTokens + countTokens(ended.Output)
 	}
 	if offset == NoOffset {
-		p.keepUnlocated(ended.Sequence).Ended = ended
+		p.pendingFor(ended.Sequence).Ended = ended
 	}
 	p.lastActivity = at
-	p.passEnded()
-	p.adjustHead()
+	p.advanceHead()
+	p.updateHeadReservation()
 	return true
 }
 
-// passEnded moves next over the places that have ended.
-func (p *heldProgram) passEnded() {
-	for p.next <= uint64(len(p.calls)) && p.calls[p.next-1].status > statusLive {
-		p.next++
+// advanceHead moves next over the places that have ended.
+func (p *programState) advanceHead() {
+	for p.headSequence <= uint64(len(p.calls)) && p.calls[p.headSequence-1].status > statusLive {
+		p.headSequence++
 	}
 }
 
-func (p *heldProgram) applyCarved(at time.Time, carved Carved) {
-	held, returning := p.children[carved.Child]
+func (p *programState) applyBudgetTransferred(at time.Time, carved BudgetTransferred) {
+	allocated, returning := p.children[carved.Child]
 	p.lastActivity = at
 	if returning {
-		p.budget.children -= held
-		p.budget.settled += held + carved.Tokens
+		p.budget.children -= allocated
+		p.budget.childrenSpent += allocated + carved.Tokens
 		delete(p.children, carved.Child)
 		return
 	}
@@ -189,20 +189,20 @@
 	p.turns++
 }
 
-func (p *heldProgram) applyClosed(at time.Time, reason string) {
+func (p *programState) applyClosed(at time.Time, reason string) {
 	p.closed = true
 	p.closedAt = at
 	p.closedReason = reason
 }
 
-func (p *heldProgram) keepUnlocated(sequence uint64) *unlocatedCall {
-	if p.unlocated == nil {
-		p.unlocated = make(map[uint64]*unlocatedCall)
+func (p *programState) pendingFor(sequence uint64) *pendingRecords {
+	if p.pending == nil {
+		p.pending = make(map[uint64]*pendingRecords)
 	}
-	held, ok := p.unlocated[sequence]
+	records, ok := p.pending[sequence]
 	if !ok {
-		held = &unlocatedCall{}
-		p.unlocated[sequence] = held
+		records = &pendingRecords{}
+		p.pending[sequence] = records
 	}
-	return held
+	return records
 }
--- a/program/budget.go
+++ b/program/budget.go
@@ -11,25 +11,25 @@
 	spent    int64
 	reserved int64
 	// children is what sub-agents hold; settled is what ended ones have used.
-	children int64
-	settled  int64
+	children      int64
+	childrenSpent int64
 }
 
-func (b budget) committed() int64 { return b.spent + b.reserved + b.children + b.settled }
+func (b budget) committed() int64 { return b.spent + b.reserved + b.children + b.childrenSpent }
 
 func (b budget) free() int64 { return b.limit - b.committed() }
 
 // spentTokens includes what sub-agents that ended have used.
-func (b budget) spentTokens() int64 { return b.spent + b.settled }
+func (b budget) spentTokens() int64 { return b.spent + b.childrenSpent }
 
 // reservedTokens includes what sub-agents hold.
 func (b budget) reservedTokens() int64 { return b.reserved + b.children }
 
 // budgetLimit is the limit in force: the contract's, lowered by the creator,
 // but never below what is committed already. A sub-agent has what was carved.
-func (p *heldProgram) budgetLimit() int64 {
+func (p *programState) budgetLimit() int64 {
 	if p.parent != "" {
-		return p.carved
+		return p.allocatedTokens
 	}
 	limit := p.terms.BudgetTokens
 	if p.requestBudget > 0 {
@@ -51,7 +51,7 @@
 
 // estimatePrompt is the length of the prompt of a call at the place: the
 // history, what earlier calls that have not ended may add, and its input.
-func (p *heldProgram) estimatePrompt(sequence uint64, inputTokens int) int {
+func (p *programState) estimatePrompt(sequence uint64, inputTokens int) int {
 	tokens := p.historyTokens + inputTokens
 	for _, live := range p.live {
 		if live.sequence >= sequence {
@@ -70,10 +70,10 @@
 	return int64(promptTokens) + int64(call.MaxOutputTokens)
 }
 
-// adjustHead replaces the estimate of the call whose turn has come by its
+// updateHeadReservation replaces the estimate of the call whose turn has come by its
 // exact prompt. A reservation that would not fit stays as it was; the call
 // is then not affordable.
-func (p *heldProgram) adjustHead() {
+func (p *programState) updateHeadReservation() {
 	head := p.head()
 	if head == nil || head.attempt > 0 {
 		return
@@ -90,8 +90,8 @@
 	return reservation(c.call, c.promptTokens) <= c.reserved
 }
 
-// settle releases the reservation of a call that ended and counts its cost.
-func (p *heldProgram) settle(live *liveCall, ended *CallEnded) {
+// settleReservation releases the reservation of a call that ended and counts its cost.
+func (p *programState) settleReservation(live *liveCall, ended *CallEnded) {
 	held := min(ended.HeldTokens, live.reserved)
 	used := int64(ended.Usage.PromptTokens) + int64(ended.Usage.OutputTokens)
 	p.budget.reserved -= live.reserved - held
--- a/program/create.go
+++ b/program/create.go
@@ -6,22 +6,22 @@
 	"birchwood.example/birchwood/api"
 )
 
-// defaultCarveShare: a sub-agent that names no budget gets this part of what
+// defaultAllocationDivisor: a sub-agent that names no budget gets this part of what
 // its parent has free, or the contract's budget where that is less.
-const defaultCarveShare = 2
+const defaultAllocationDivisor = 2
 
-// fullRetry is how soon a caller may try again when the store is full.
-const fullRetry = time.Second
+// fullRetryAfter is how soon a caller may try again when the store is full.
+const fullRetryAfter = time.Second
 
 // create opens a program, or returns the one that has the same id and key.
 func (t *transition) create(id api.ProgramID, create Create) *api.Error {
-	if held, ok := t.store.programs[id]; ok {
-		return t.createAgain(held, create)
+	if existing, ok := t.store.programs[id]; ok {
+		return t.repeatCreate(existing, create)
 	}
-	if !t.store.makeRoom() {
-		t.store.gauge.Refused++
+	if !t.store.ensureCapacity() {
+		t.store.stats.Refused++
 		return api.Refuse(api.CodeOverloaded, "the partition holds %d programs, its maximum", len(t.store.programs)).
-			After(fullRetry.Milliseconds())
+			After(fullRetryAfter.Milliseconds())
 	}
 	created := Created{
 		Branch:               create.Request.Branch,
@@ -31,35 +31,35 @@
 		DeadlineMilliseconds: create.Request.DeadlineMilliseconds,
 	}
 	if create.Parent != "" {
-		refusal := t.carve(id, create, &created)
+		refusal := t.allocateBudget(id, create, &created)
 		if refusal != nil {
 			return refusal
 		}
 	}
 	t.record(Record{Program: id, Created: &created})
-	t.showProgram(t.store.programs[id])
+	t.setProgramReply(t.store.programs[id])
 	return nil
 }
 
-// createAgain answers a repeated create.
-func (t *transition) createAgain(held *heldProgram, create Create) *api.Error {
+// repeatCreate answers a repeated create.
+func (t *transition) repeatCreate(existing *programState, create Create) *api.Error {
 	request := create.Request
 	duration := time.Duration(request.DeadlineMilliseconds) * time.Millisecond
 	switch {
-	case held.key != request.Key || held.branch != request.Branch || held.parent != create.Parent:
-		return keyReused("$.key", "program %s was created with another key, branch or parent", held.id)
-	case held.requestBudget != request.BudgetTokens:
-		return keyReused("$.budget_tokens", "the key was used with a budget of %d", held.requestBudget)
-	case held.requestDuration != duration:
-		return keyReused("$.deadline_ms", "the key was used with a deadline of %s", held.requestDuration)
+	case existing.key != request.Key || existing.branch != request.Branch || existing.parent != create.Parent:
+		return keyReused("$.key", "program %s was created with another key, branch or parent", existing.id)
+	case existing.requestBudget != request.BudgetTokens:
+		return keyReused("$.budget_tokens", "the key was used with a budget of %d", existing.requestBudget)
+	case existing.requestDuration != duration:
+		return keyReused("$.deadline_ms", "the key was used with a deadline of %s", existing.requestDuration)
 	}
-	t.showProgram(held)
+	t.setProgramReply(existing)
 	return nil
 }
 
-// carve takes a sub-agent's budget from its parent's. Starting a sub-agent is
+// allocateBudget takes a sub-agent's budget from its parent's. Starting a sub-agent is
 // a turn of the parent, so that a loop of sub-agents meets the limit too.
-func (t *transition) carve(id api.ProgramID, create Create, created *Created) *api.Error {
+func (t *transition) allocateBudget(id api.ProgramID, create Create, created *Created) *api.Error {
 	parent, ok := t.store.programs[create.Parent]
 	if !ok {
 		return api.Refuse(api.CodeNotFound, "the parent %s is not known", create.Parent).At("$.parent")
@@ -67,7 +67,7 @@
 	if parent.closed {
 		return programEnded(parent.closedReason)
 	}
-	if parent.turnsUsedUp() {
+	if parent.turnLimitReached() {
 		return t.refuseTurns(parent)
 	}
 	if parent.depth >= t.store.config.MaximumDepth {
@@ -75,15 +75,15 @@
 	}
 	tokens := create.Request.BudgetTokens
 	if tokens <= 0 {
-		tokens = min(create.Terms.BudgetTokens, parent.budget.free()/defaultCarveShare)
+		tokens = min(create.Terms.BudgetTokens, parent.budget.free()/defaultAllocationDivisor)
 	}
 	if tokens > parent.budget.free() {
 		return api.Refuse(api.CodeBudgetExhausted, "the parent has %d tokens free, the sub-agent asks for %d", parent.budget.free(), tokens).
 			At("$.budget_tokens")
 	}
 	created.Parent = create.Parent
-	created.CarvedTokens = tokens
+	created.AllocatedTokens = tokens
 	created.Depth = parent.depth + 1
-	t.record(Record{Program: parent.id, Carved: &Carved{Child: id, Tokens: tokens}})
+	t.record(Record{Program: parent.id, BudgetTransferred: &BudgetTransferred{Child: id, Tokens: tokens}})
 	return nil
 }
--- a/program/describe.go
+++ b/program/describe.go
@@ -76,7 +76,7 @@
 	return *p.terms, true
 }
 
-func (p *heldProgram) describe() api.Program {
+func (p *programState) describe() api.Program {
 	return api.Program{
 		ID:             p.id,
 		Branch:         p.branch,
@@ -93,9 +93,9 @@
 }
 
 // describeCall returns what memory holds of a call.
-func (p *heldProgram) describeCall(sequence uint64) api.Call {
+func (p *programState) describeCall(sequence uint64) api.Call {
 	if live := p.liveCall(sequence); live != nil {
-		call := p.callOf(sequence, live.call, nil)
+		call := p.apiCall(sequence, live.call, nil)
 		call.Attempt = live.attempt
 		call.Backend = string(live.backend)
 		if live.phase == phaseSent || live.phase == phaseLookup {
@@ -105,22 +105,22 @@
 	}
 	entry := p.calls[sequence-1]
 	call := api.Call{Program: p.id, Sequence: sequence, Kind: entry.kind.kind(), Status: statusNames[entry.status]}
-	held, ok := p.unlocated[sequence]
+	records, ok := p.pending[sequence]
 	if !ok {
 		return call
 	}
-	if held.Accepted != nil {
-		call.Key = held.Accepted.Call.Key
-		call.Input = held.Accepted.Call.Input
+	if records.Accepted != nil {
+		call.Key = records.Accepted.Call.Key
+		call.Input = records.Accepted.Call.Input
 	}
-	if held.Ended != nil {
-		fillEnded(&call, held.Ended)
+	if records.Ended != nil {
+		setOutcome(&call, records.Ended)
 	}
 	return call
 }
 
-// callOf joins the request and, if it has one, the outcome of a call.
-func (p *heldProgram) callOf(sequence uint64, request api.SubmitCall, ended *CallEnded) api.Call {
+// apiCall joins the request and, if it has one, the outcome of a call.
+func (p *programState) apiCall(sequence uint64, request api.SubmitCall, ended *CallEnded) api.Call {
 	call := api.Call{
 		Program:  p.id,
 		Sequence: sequence,
@@ -130,12 +130,12 @@
 		Input:    request.Input,
 	}
 	if ended != nil {
-		fillEnded(&call, ended)
+		setOutcome(&call, ended)
 	}
 	return call
 }
 
-func fillEnded(call *api.Call, ended *CallEnded) {
+func setOutcome(call *api.Call, ended *CallEnded) {
 	call.Status = ended.Status
 	call.Output = ended.Output
 	call.Usage = ended.Usage
--- a/program/dispatch.go
+++ b/program/dispatch.go
@@ -9,25 +9,25 @@
 
 // advance starts the call whose turn it is. A call that can no longer run
 // ends here, and the next one has its turn.
-func (t *transition) advance(p *heldProgram) {
+func (t *transition) advance(p *programState) {
 	for !p.closed {
 		head := p.head()
 		if head == nil || head.phase != phaseQueued {
 			return
 		}
-		refusal := t.hindrance(p, head)
+		refusal := t.checkSchedulable(p, head)
 		if refusal == nil {
-			t.start(p, head, 0)
+			t.schedule(p, head, 0)
 			return
 		}
-		t.endUnsent(p, head, refusal)
+		t.endWaiting(p, head, refusal)
 	}
 }
 
-// hindrance says why a call cannot be started any more.
-func (t *transition) hindrance(p *heldProgram, live *liveCall) *api.Error {
+// checkSchedulable says why a call cannot be started any more.
+func (t *transition) checkSchedulable(p *programState, live *liveCall) *api.Error {
 	if live.expired(t.now) {
-		return waitedTooLong(p, live)
+		return waitTimedOut(p, live)
 	}
 	if refusal := checkKind(live.call, *p.terms); refusal != nil {
 		return refusal
@@ -43,22 +43,22 @@
 	return !c.deadline.IsZero() && !now.Before(c.deadline)
 }
 
-// start hands a call to the scheduler, after the delay.
-func (t *transition) start(p *heldProgram, live *liveCall, delay time.Duration) {
-	live.phase = phaseStarted
+// schedule hands a call to the scheduler, after the delay.
+func (t *transition) schedule(p *programState, live *liveCall, delay time.Duration) {
+	live.phase = phaseScheduled
 	effect := p.callEffect(EffectStart, live)
 	effect.Delay = delay
 	t.effect(effect)
-	t.touch(p)
+	t.markTimer(p)
 }
 
 // dispatch records the intent to send an attempt. The attempt of a call that
 // is not repeatable is sent only once the record is durable: no later epoch
 // can then take it for a call that was never sent.
-func (t *transition) dispatch(p *heldProgram, dispatch Dispatch) *api.Error {
+func (t *transition) dispatch(p *programState, dispatch Dispatch) *api.Error {
 	live := p.liveCall(dispatch.Call.Sequence)
-	if live == nil || live.phase != phaseStarted || live != p.head() || live.expired(t.now) {
-		return staleDecision(dispatch.Call) // Tick ends what has run out of time
+	if live == nil || live.phase != phaseScheduled || live != p.head() || live.expired(t.now) {
+		return staleDispatch(dispatch.Call) // Tick ends what has run out of time
 	}
 	t.record(Record{Program: p.id, Dispatched: &Dispatched{
 		Sequence: live.sequence,
@@ -73,25 +73,25 @@
 	} else {
 		t.effect(send)
 	}
-	t.showCall(p, live.sequence)
+	t.setCallReply(p, live.sequence)
 	return nil
 }
 
 // refuse ends a call that the scheduler will not serve.
-func (t *transition) refuse(p *heldProgram, refusal Refusal) {
+func (t *transition) refuse(p *programState, refusal Refusal) {
 	live := p.liveCall(refusal.Call.Sequence)
-	if live == nil || live.phase != phaseStarted {
+	if live == nil || live.phase != phaseScheduled {
 		return
 	}
-	t.endUnsent(p, live, refusedByScheduler(refusal.Error))
+	t.endWaiting(p, live, refusedByScheduler(refusal.Error))
 	t.advance(p)
-	t.settle(p)
+	t.completeEnd(p)
 }
 
 // refusedByScheduler makes the scheduler's refusal the call's final answer.
 func refusedByScheduler(cause *api.Error) *api.Error {
 	if cause == nil {
-		return notRun(api.CodeOverloaded, queueRetry, "the scheduler does not serve the call")
+		return notRun(api.CodeOverloaded, queueRetryAfter, "the scheduler does not serve the call")
 	}
 	final := *cause
 	if final.Retry {
--- a/program/end.go
+++ b/program/end.go
@@ -8,13 +8,13 @@
 )
 
 // end ends a program and its sub-agents.
-func (t *transition) end(p *heldProgram, reason string) {
+func (t *transition) end(p *programState, reason string) {
 	t.closeTree(p, reason)
-	t.showProgram(p)
+	t.setProgramReply(p)
 }
 
 // closeTree ends a program, then the sub-agents that it still has.
-func (t *transition) closeTree(p *heldProgram, reason string) {
+func (t *transition) closeTree(p *programState, reason string) {
 	if p.closed {
 		return
 	}
@@ -25,48 +25,48 @@
 			t.closeTree(child, ReasonParent)
 		}
 	}
-	t.settle(p)
+	t.completeEnd(p)
 }
 
 // endCalls ends the calls of a closed program: what waits is not run, what
 // may run twice is stopped, and what may not is awaited until its deadline.
-func (t *transition) endCalls(p *heldProgram) {
+func (t *transition) endCalls(p *programState) {
 	for _, live := range slices.Clone(p.live) {
 		switch {
-		case live.phase == phaseQueued, live.phase == phaseStarted:
-			t.endUnsent(p, live, programEnded(p.closedReason))
+		case live.phase == phaseQueued, live.phase == phaseScheduled:
+			t.endWaiting(p, live, programEnded(p.closedReason))
 		case live.repeatable():
-			t.endGivenUp(p, live, programEnded(p.closedReason))
+			t.endMayHaveRun(p, live, programEnded(p.closedReason))
 		}
 	}
 }
 
-func (p *heldProgram) sortedChildren() []api.ProgramID {
+func (p *programState) sortedChildren() []api.ProgramID {
 	return slices.Sorted(maps.Keys(p.children))
 }
 
-// settle completes the end of a program once its calls and sub-agents have
+// completeEnd completes the end of a program once its calls and sub-agents have
 // ended: what is unspent returns to the parent, engines free its memory.
-func (t *transition) settle(p *heldProgram) {
-	if p.released || !p.finished() {
+func (t *transition) completeEnd(p *programState) {
+	if p.endCompleted || !p.finished() {
 		return
 	}
-	p.released = true
-	t.touch(p)
+	p.endCompleted = true
+	t.markTimer(p)
 	t.store.finished = append(t.store.finished, p.id)
 	t.effect(releaseEffect(p.id))
 	parent, ok := t.store.programs[p.parent]
 	if !ok {
 		return
 	}
-	t.returnCarved(parent, p.id, p.budget.limit-p.budget.committed())
-	t.settle(parent)
+	t.refundBudget(parent, p.id, p.budget.limit-p.budget.committed())
+	t.completeEnd(parent)
 }
 
-// returnCarved gives a parent back what its sub-agent has not used.
-func (t *transition) returnCarved(parent *heldProgram, child api.ProgramID, unspent int64) {
+// refundBudget gives a parent back what its sub-agent has not used.
+func (t *transition) refundBudget(parent *programState, child api.ProgramID, unspent int64) {
 	if _, carved := parent.children[child]; !carved {
 		return
 	}
-	t.record(Record{Program: parent.id, Carved: &Carved{Child: child, Tokens: -unspent}})
+	t.record(Record{Program: parent.id, BudgetTransferred: &BudgetTransferred{Child: child, Tokens: -unspent}})
 }
--- a/program/end_call.go
+++ b/program/end_call.go
@@ -8,12 +8,12 @@
 
 // endCall records a call's final outcome and answers its callers. The caller
 // then lets the next call have its turn.
-func (t *transition) endCall(p *heldProgram, live *liveCall, ended CallEnded) {
+func (t *transition) endCall(p *programState, live *liveCall, ended CallEnded) {
 	ended.Sequence = live.sequence
 	ended.Attempt = live.attempt
 	ended.Backend = live.backend
 	t.record(Record{Program: p.id, Ended: &ended})
-	answer := p.callOf(live.sequence, live.call, &ended)
+	answer := p.apiCall(live.sequence, live.call, &ended)
 	effect := Effect{
 		Kind:    EffectAnswer,
 		Attempt: AttemptRef{CallRef: CallRef{Program: p.id, Sequence: live.sequence}, Attempt: live.attempt},
@@ -21,30 +21,30 @@
 		Answer:  &answer,
 	}
 	t.effect(effect)
-	t.store.gauge.count(ended.Status)
+	t.store.stats.count(ended.Status)
 }
 
 // endNotRun ends a call of which nothing was ever sent. Dispatch refuses a
 // call that has ended, so that nothing can be sent any more either.
-func (t *transition) endNotRun(p *heldProgram, live *liveCall, cause *api.Error) {
-	t.withdraw(p, live)
+func (t *transition) endNotRun(p *programState, live *liveCall, cause *api.Error) {
+	t.stopCall(p, live)
 	t.endCall(p, live, CallEnded{Status: api.StatusNotRun, Error: cause})
 }
 
-// endUnsent ends a call that waits: as not run if no attempt can have run,
+// endWaiting ends a call that waits: as not run if no attempt can have run,
 // else as given up.
-func (t *transition) endUnsent(p *heldProgram, live *liveCall, cause *api.Error) {
+func (t *transition) endWaiting(p *programState, live *liveCall, cause *api.Error) {
 	if !live.mayHaveRun {
 		t.endNotRun(p, live, cause)
 		return
 	}
-	t.endGivenUp(p, live, cause)
+	t.endMayHaveRun(p, live, cause)
 }
 
-// endGivenUp ends a call of which an attempt ran or may have run.
+// endMayHaveRun ends a call of which an attempt ran or may have run.
 // Nobody knows what that cost: the reservation stays held.
-func (t *transition) endGivenUp(p *heldProgram, live *liveCall, cause *api.Error) {
-	t.withdraw(p, live)
+func (t *transition) endMayHaveRun(p *programState, live *liveCall, cause *api.Error) {
+	t.stopCall(p, live)
 	final := *cause
 	if final.Ran != api.RanFailed || live.call.Kind == api.CallTool {
 		final.Ran = api.RanOutcomeUnknown
@@ -59,13 +59,13 @@
 	t.endCall(p, live, CallEnded{Status: status, Error: &final, HeldTokens: live.reserved})
 }
 
-// withdraw takes a call out of the scheduler or stops its running attempt.
+// stopCall takes a call out of the scheduler or stops its running attempt.
 // The stop of a call that is not repeatable follows its send, which waits for
 // the log.
-func (t *transition) withdraw(p *heldProgram, live *liveCall) {
+func (t *transition) stopCall(p *programState, live *liveCall) {
 	stop := p.callEffect(EffectStop, live)
 	switch live.phase {
-	case phaseStarted:
+	case phaseScheduled:
 		// The start itself may still wait for the log; a second stop follows it.
 		stop.Attempt.Attempt = 0
 		stop.Backend = ""
@@ -80,22 +80,22 @@
 	}
 }
 
-// timeoutRetry is how soon a caller may try again after a call ran out of
+// timeoutRetryAfter is how soon a caller may try again after a call ran out of
 // time before it was sent.
-const timeoutRetry = time.Second
+const timeoutRetryAfter = time.Second
 
-// waitedTooLong tells why a call that was never sent has run out of time.
-func waitedTooLong(p *heldProgram, live *liveCall) *api.Error {
+// waitTimedOut tells why a call that was never sent has run out of time.
+func waitTimedOut(p *programState, live *liveCall) *api.Error {
 	if p.head() == nil {
-		return notRun(api.CodeTimeout, timeoutRetry, "call %d waited for call %d, which never came", live.sequence, p.next)
+		return notRun(api.CodeTimeout, timeoutRetryAfter, "call %d waited for call %d, which never came", live.sequence, p.headSequence)
 	}
-	return notRun(api.CodeTimeout, timeoutRetry, "call %d found no back end before its deadline", live.sequence)
+	return notRun(api.CodeTimeout, timeoutRetryAfter, "call %d found no back end before its deadline", live.sequence)
 }
 
 // cancel asks to stop a call. A call that was never sent ends as not run, and
 // one that may run twice is stopped. One that may not has its outcome looked
 // up: stopping it would not undo it.
-func (t *transition) cancel(p *heldProgram, sequence uint64) *api.Error {
+func (t *transition) cancel(p *programState, sequence uint64) *api.Error {
 	if p.entry(sequence) == nil {
 		return callNotFound(p.id, sequence)
 	}
@@ -103,19 +103,19 @@
 	if live != nil {
 		t.cancelLive(p, live)
 		t.advance(p)
-		t.settle(p)
+		t.completeEnd(p)
 	}
-	t.showCall(p, sequence)
+	t.setCallReply(p, sequence)
 	return nil
 }
 
-func (t *transition) cancelLive(p *heldProgram, live *liveCall) {
+func (t *transition) cancelLive(p *programState, live *liveCall) {
 	cause := api.Refuse(api.CodeCancelled, "the caller cancelled the call")
 	switch {
-	case live.phase == phaseQueued, live.phase == phaseStarted:
-		t.endUnsent(p, live, cause)
+	case live.phase == phaseQueued, live.phase == phaseScheduled:
+		t.endWaiting(p, live, cause)
 	case live.repeatable():
-		t.endGivenUp(p, live, cause)
+		t.endMayHaveRun(p, live, cause)
 	default:
 		live.lookup.cancelled = true
 		t.startLookup(p, live)
--- a/program/errors.go
+++ b/program/errors.go
@@ -31,9 +31,9 @@
 	return api.Refuse(api.CodeKeyReused, format, arguments...).At(place)
 }
 
-// staleDecision tells the driver that a dispatch came for a call that does
+// staleDispatch tells the driver that a dispatch came for a call that does
 // not wait for one any more.
-func staleDecision(call CallRef) *api.Error {
+func staleDispatch(call CallRef) *api.Error {
 	return api.Refuse(api.CodeConflict, "call %d of %s does not wait for a back end", call.Sequence, call.Program)
 }
 
@@ -49,10 +49,10 @@
 	return refusal
 }
 
-func failed(code api.Code, ran api.Ran, format string, arguments ...any) *api.Error {
+func callError(code api.Code, ran api.Ran, format string, arguments ...any) *api.Error {
 	return &api.Error{Code: code, Message: fmt.Sprintf(format, arguments...), Ran: ran}
 }
 
 func unknownOutcome(format string, arguments ...any) *api.Error {
-	return failed(api.CodeOutcomeUnknown, api.RanOutcomeUnknown, format, arguments...)
+	return callError(api.CodeOutcomeUnknown, api.RanOutcomeUnknown, format, arguments...)
 }
--- a/program/forget.go
+++ b/program/forget.go
@@ -6,26 +6,26 @@
 	"birchwood.example/birchwood/api"
 )
 
-// makeRoom reports whether one more program may be held. A full store
+// ensureCapacity reports whether one more program may be held. A full store
 // forgets the program whose end was complete first.
-func (s *Store) makeRoom() bool {
+func (s *Store) ensureCapacity() bool {
 	for len(s.programs) >= s.config.MaximumPrograms {
 		if len(s.finished) == 0 {
 			return false
 		}
 		oldest := s.finished[0]
 		s.finished = s.finished[1:]
-		if p, ok := s.programs[oldest]; ok && p.released {
-			s.forget(p)
+		if p, ok := s.programs[oldest]; ok && p.endCompleted {
+			s.evict(p)
 		}
 	}
 	return true
 }
 
-// forget drops a program from the store.
-func (s *Store) forget(p *heldProgram) {
+// evict drops a program from the store.
+func (s *Store) evict(p *programState) {
 	s.timers.remove(p)
-	s.gauge.LiveCalls -= len(p.live)
+	s.stats.LiveCalls -= len(p.live)
 	delete(s.programs, p.id)
 }
 
--- a/program/gauges.go
+++ b/program/gauges.go
@@ -2,9 +2,9 @@
 
 import "birchwood.example/birchwood/api"
 
-// Gauges are the store's figures for a metrics page. Counters start at zero
+// Stats are the store's figures for a metrics page. Counters start at zero
 // with the store: they tell what this owner has seen.
-type Gauges struct {
+type Stats struct {
 	// LiveCalls is the number of calls that have not ended.
 	LiveCalls int
 	// Succeeded to Cancelled count the calls that ended here, by status.
@@ -17,7 +17,7 @@
 	Refused uint64
 }
 
-func (g *Gauges) count(status api.CallStatus) {
+func (g *Stats) count(status api.CallStatus) {
 	switch status {
 	case api.StatusSucceeded:
 		g.Succeeded++
@@ -32,21 +32,21 @@
 	}
 }
 
-// Gauges returns the store's figures. It costs the same for any number of
+// Stats returns the store's figures. It costs the same for any number of
 // programs.
-func (s *Store) Gauges() Gauges { return s.gauge }
+func (s *Store) Stats() Stats { return s.stats }
 
-// Reservations are the tokens of all programs held.
-type Reservations struct {
+// BudgetTotals are the tokens of all programs held.
+type BudgetTotals struct {
 	BudgetTokens   int64
 	SpentTokens    int64
 	ReservedTokens int64
 }
 
-// Reservations sums the budgets of the programs that have no parent: what a
+// BudgetTotals sums the budgets of the programs that have no parent: what a
 // sub-agent holds counts in its parent. It looks at every program.
-func (s *Store) Reservations() Reservations {
-	var sum Reservations
+func (s *Store) BudgetTotals() BudgetTotals {
+	var sum BudgetTotals
 	for _, p := range s.programs {
 		if p.parent != "" {
 			continue
--- a/program/held.go
+++ b/program/held.go
@@ -11,9 +11,9 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// heldProgram is the state of one program. Durable fields follow from the
+// programState is the state of one program. Durable fields follow from the
 // records alone; the others are made anew by Resume.
-type heldProgram struct {
+type programState struct {
 	id     api.ProgramID
 	branch string
 	key    string
@@ -25,7 +25,7 @@
 	// below the contract's; zero for none. carved is a sub-agent's budget.
 	requestBudget   int64
 	requestDuration time.Duration
-	carved          int64
+	allocatedTokens int64
 
 	createdAt    time.Time
 	lastActivity time.Time
@@ -44,18 +44,18 @@
 	// calls holds a small entry for each place, from 1; next is the lowest
 	// place that has not ended; live are the calls that have not ended, by
 	// place; unlocated holds the records that the log does not have yet.
-	calls     []callEntry
-	next      uint64
-	live      []*liveCall
-	unlocated map[uint64]*unlocatedCall
+	calls        []callEntry
+	headSequence uint64
+	live         []*liveCall
+	pending      map[uint64]*pendingRecords
 
-	// released is set once the end of the program is complete; exhausted asks
+	// endCompleted is set once the end of the program is complete; exhausted asks
 	// the next Tick to end a program that ran into its limit of turns.
-	released  bool
-	exhausted bool
-	// touched is set while a transition is about to set the timer.
-	touched bool
-	timer   timer
+	endCompleted   bool
+	endOnTurnLimit bool
+	// marked is set while a transition is about to set the timer.
+	marked bool
+	timer  timer
 }
 
 // callEntry is what stays in memory of a call that has ended: 40 bytes.
@@ -68,8 +68,8 @@
 	kind     kindCode
 }
 
-// unlocatedCall holds the records of a call until the log tells their offset.
-type unlocatedCall struct {
+// pendingRecords holds the records of a call until the log tells their offset.
+type pendingRecords struct {
 	Accepted *Accepted  `json:"accepted,omitempty"`
 	Ended    *CallEnded `json:"ended,omitempty"`
 }
@@ -80,8 +80,8 @@
 const (
 	// phaseQueued: earlier calls of the program come first.
 	phaseQueued phase = iota
-	// phaseStarted: the scheduler has the call, or its backoff runs.
-	phaseStarted
+	// phaseScheduled: the scheduler has the call, or its backoff runs.
+	phaseScheduled
 	// phaseSent: an attempt was sent, or will be once its intent is durable.
 	phaseSent
 	// phaseLookup: the tool service is asked what became of the call.
@@ -103,16 +103,16 @@
 	dispatchedAt time.Time
 
 	// What follows is not durable.
-	phase    phase
-	failures int // attempts that count against the contract's limit
-	restarts int // starts after the first, for the backoff
-	avoid    []machine.ID
+	phase       phase
+	failures    int // attempts that count against the contract's limit
+	reschedules int // starts after the first, for the backoff
+	avoid       []machine.ID
 	// mayHaveRun: some attempt may have reached a back end. ranBefore is the
 	// same without the current attempt.
-	mayHaveRun bool
-	ranBefore  bool
-	lastError  *api.Error
-	lookup     lookupState
+	mayHaveRun       bool
+	mayHaveRunBefore bool
+	lastError        *api.Error
+	lookup           lookupState
 }
 
 func (c *liveCall) repeatable() bool {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (p *heldProgram) entry(sequence uint64) *callEntry {
+func (p *programState) entry(sequence uint64) *callEntry {
 	if sequence == 0 || sequence > uint64(len(p.calls)) {
 		return nil
 	}
@@ -143,7 +143,7 @@
 	return entry
 }
 
-func (p *heldProgram) liveIndex(sequence uint64) (int, bool) {
+func (p *programState) liveIndex(sequence uint64) (int, bool) {
 	return slices.BinarySearchFunc(p.live, sequence, func(live *liveCall, wanted uint64) int {
 		switch {
 		case live.sequence < wanted:
@@ -155,7 +155,7 @@
 	})
 }
 
-func (p *heldProgram) liveCall(sequence uint64) *liveCall {
+func (p *programState) liveCall(sequence uint64) *liveCall {
 	index, found := p.liveIndex(sequence)
 	if !found {
 		return nil
@@ -165,15 +165,15 @@
 
 // head is the call whose turn it is: every earlier place has ended. It is nil
 // while the call of that place is missing.
-func (p *heldProgram) head() *liveCall {
-	if len(p.live) == 0 || p.live[0].sequence != p.next {
+func (p *programState) head() *liveCall {
+	if len(p.live) == 0 || p.live[0].sequence != p.headSequence {
 		return nil
 	}
 	return p.live[0]
 }
 
 // findKey returns the place of the call with the caller's key, or zero.
-func (p *heldProgram) findKey(key string) uint64 {
+func (p *programState) findKey(key string) uint64 {
 	hash := xxhash.Sum64String(key)
 	for i := len(p.calls) - 1; i >= 0; i-- {
 		if p.calls[i].keyHash == hash && p.calls[i].status != statusVacant {
@@ -184,12 +184,12 @@
 }
 
 // finished reports whether nothing of the program can happen any more.
-func (p *heldProgram) finished() bool {
+func (p *programState) finished() bool {
 	return p.closed && len(p.live) == 0 && len(p.children) == 0
 }
 
 // serviceKey identifies a call at a tool service, the same in every attempt.
-func (p *heldProgram) serviceKey(live *liveCall) string {
+func (p *programState) serviceKey(live *liveCall) string {
 	return string(p.id) + "/" + strconv.FormatUint(live.sequence, 10) + "/" + live.call.Key
 }
 
--- a/program/history.go
+++ b/program/history.go
@@ -28,31 +28,31 @@
 	}
 	switch {
 	case record.Accepted != nil:
-		p.locate(record.Accepted.Sequence, offset, false)
+		p.setOffset(record.Accepted.Sequence, offset, false)
 	case record.Ended != nil:
-		p.locate(record.Ended.Sequence, offset, true)
+		p.setOffset(record.Ended.Sequence, offset, true)
 	}
 }
 
-func (p *heldProgram) locate(sequence, offset uint64, ended bool) {
+func (p *programState) setOffset(sequence, offset uint64, ended bool) {
 	entry := p.entry(sequence)
-	held, waiting := p.unlocated[sequence]
+	records, waiting := p.pending[sequence]
 	if entry == nil || !waiting {
 		return
 	}
 	switch {
-	case ended && held.Ended != nil:
+	case ended && records.Ended != nil:
 		entry.ended = offset
-		held.Ended = nil
-	case !ended && held.Accepted != nil:
+		records.Ended = nil
+	case !ended && records.Accepted != nil:
 		entry.accepted = offset
-		held.Accepted = nil
+		records.Accepted = nil
 	}
-	if held.Accepted == nil && held.Ended == nil {
-		delete(p.unlocated, sequence)
+	if records.Accepted == nil && records.Ended == nil {
+		delete(p.pending, sequence)
 	}
-	if len(p.unlocated) == 0 {
-		p.unlocated = nil
+	if len(p.pending) == 0 {
+		p.pending = nil
 	}
 }
 
@@ -91,7 +91,7 @@
 	return append(slices.Clip(locations), own), true
 }
 
-func (p *heldProgram) location(sequence uint64) CallLocation {
+func (p *programState) location(sequence uint64) CallLocation {
 	entry := p.calls[sequence-1]
 	location := CallLocation{
 		Sequence:       sequence,
@@ -100,9 +100,9 @@
 		AcceptedOffset: entry.accepted,
 		EndedOffset:    entry.ended,
 	}
-	if held, ok := p.unlocated[sequence]; ok {
-		location.Accepted = held.Accepted
-		location.Ended = held.Ended
+	if records, ok := p.pending[sequence]; ok {
+		location.Accepted = records.Accepted
+		location.Ended = records.Ended
 	}
 	if live := p.liveCall(sequence); live != nil && location.Accepted == nil {
 		location.Accepted = live.accepted(entry.bodyHash)
@@ -110,7 +110,7 @@
 	return location
 }
 
-func (p *heldProgram) describeStatus(sequence uint64) api.CallStatus {
+func (p *programState) describeStatus(sequence uint64) api.CallStatus {
 	live := p.liveCall(sequence)
 	switch {
 	case live == nil:
--- a/program/lookup.go
+++ b/program/lookup.go
@@ -8,34 +8,34 @@
 
 // lookupState counts the look-ups of a call whose outcome is unknown.
 type lookupState struct {
-	asked int
-	// due is when the answer to the last look-up is overdue.
-	due       time.Time
+	attempts int
+	// timeoutAt is when the answer to the last look-up is overdue.
+	timeoutAt time.Time
 	cancelled bool
 }
 
 // startLookup asks the tool service about the call's key, the first time.
-func (t *transition) startLookup(p *heldProgram, live *liveCall) {
+func (t *transition) startLookup(p *programState, live *liveCall) {
 	if live.phase == phaseLookup {
 		return
 	}
 	live.phase = phaseLookup
-	t.lookUp(p, live, 0)
+	t.sendLookup(p, live, 0)
 }
 
-func (t *transition) lookUp(p *heldProgram, live *liveCall, delay time.Duration) {
-	live.lookup.asked++
-	live.lookup.due = t.now.Add(delay + t.store.config.LookupTimeout)
+func (t *transition) sendLookup(p *programState, live *liveCall, delay time.Duration) {
+	live.lookup.attempts++
+	live.lookup.timeoutAt = t.now.Add(delay + t.store.config.LookupTimeout)
 	effect := p.callEffect(EffectLookup, live)
 	effect.Delay = delay
 	t.effect(effect)
-	t.touch(p)
+	t.markTimer(p)
 }
 
-// lookedUp takes the tool service's answer about a key. A key that is found
+// lookupResult takes the tool service's answer about a key. A key that is found
 // gives the outcome. One that is not found proves nothing, because a send may
 // still be in flight; the service is asked again a bounded number of times.
-func (t *transition) lookedUp(p *heldProgram, result LookupResult) {
+func (t *transition) lookupResult(p *programState, result LookupResult) {
 	live := p.liveCall(result.Call.Sequence)
 	if live == nil || live.phase != phaseLookup {
 		return
@@ -43,22 +43,22 @@
 	if result.Err == nil && result.Found {
 		t.endCall(p, live, CallEnded{Status: api.StatusSucceeded, Output: result.Output})
 	} else {
-		t.lookUpAgain(p, live, result.Err != nil)
+		t.retryLookup(p, live, result.Err != nil)
 	}
 	t.advance(p)
-	t.settle(p)
+	t.completeEnd(p)
 }
 
-// lookUpAgain asks once more, or ends the call with an unknown outcome. A
+// retryLookup asks once more, or ends the call with an unknown outcome. A
 // service that cannot be asked may come back: as long as the call has time
 // and its caller waits, that does not use up the look-ups.
-func (t *transition) lookUpAgain(p *heldProgram, live *liveCall, unanswered bool) {
-	patient := unanswered && !live.lookup.cancelled && !live.deadline.IsZero() && !live.expired(t.now)
-	if patient || live.lookup.asked < t.store.config.LookupAttempts {
-		t.lookUp(p, live, t.store.backoff(live.lookup.asked))
+func (t *transition) retryLookup(p *programState, live *liveCall, unanswered bool) {
+	unlimited := unanswered && !live.lookup.cancelled && !live.deadline.IsZero() && !live.expired(t.now)
+	if unlimited || live.lookup.attempts < t.store.config.LookupAttempts {
+		t.sendLookup(p, live, t.store.backoff(live.lookup.attempts))
 		return
 	}
-	t.withdraw(p, live)
+	t.stopCall(p, live)
 	t.endCall(p, live, CallEnded{
 		Status:     api.StatusOutcomeUnknown,
 		Error:      unknownOutcome("the call was sent, and the service does not tell what became of key %s", p.serviceKey(live)),
--- a/program/outcome.go
+++ b/program/outcome.go
@@ -10,7 +10,7 @@
 // outcome takes what became of one attempt. Only the current attempt of a
 // call that was sent is listened to: late, second and crossed outcomes change
 // nothing.
-func (t *transition) outcome(p *heldProgram, outcome Outcome) {
+func (t *transition) outcome(p *programState, outcome Outcome) {
 	live := p.liveCall(outcome.Attempt.Sequence)
 	if live == nil || live.attempt != outcome.Attempt.Attempt || outcome.Attempt.Program != p.id {
 		return
@@ -21,7 +21,7 @@
 	if outcome.Epoch != 0 && outcome.Epoch != live.epoch {
 		return
 	}
-	t.touch(p)
+	t.markTimer(p)
 	switch outcome.Status {
 	case api.StatusSucceeded:
 		t.endCall(p, live, CallEnded{Status: api.StatusSucceeded, Output: outcome.Output, Usage: outcome.Usage})
@@ -33,24 +33,24 @@
 		t.attemptUnknown(p, live, outcome.Error)
 	}
 	t.advance(p)
-	t.settle(p)
+	t.completeEnd(p)
 }
 
 // attemptFailed: the back end ran the attempt and says that it failed.
-func (t *transition) attemptFailed(p *heldProgram, live *liveCall, outcome Outcome) {
+func (t *transition) attemptFailed(p *programState, live *liveCall, outcome Outcome) {
 	cause := outcome.Error
 	if cause == nil {
-		cause = failed(api.CodeBackendFailed, api.RanFailed, "the back end failed")
+		cause = callError(api.CodeBackendFailed, api.RanFailed, "the back end failed")
 	}
 	live.lastError = cause
-	if live.repeatable() && !definite(cause) && t.retry(p, live) {
+	if live.repeatable() && !permanent(cause) && t.retry(p, live) {
 		return
 	}
 	t.endCall(p, live, CallEnded{Status: api.StatusFailed, Output: outcome.Output, Usage: outcome.Usage, Error: cause})
 }
 
-// definite reports that another attempt would fail alike.
-func definite(cause *api.Error) bool {
+// permanent reports that another attempt would fail alike.
+func permanent(cause *api.Error) bool {
 	switch cause.Code {
 	case api.CodeBadRequest, api.CodeUnknownModel, api.CodeUnknownTool, api.CodeBodyTooLarge:
 		return true
@@ -60,35 +60,35 @@
 
 // attemptNotSent: nothing reached the back end, so that even a call that is
 // not repeatable may be dispatched again.
-func (t *transition) attemptNotSent(p *heldProgram, live *liveCall, cause *api.Error) {
-	live.mayHaveRun = live.ranBefore
+func (t *transition) attemptNotSent(p *programState, live *liveCall, cause *api.Error) {
+	live.mayHaveRun = live.mayHaveRunBefore
 	live.lastError = cause
 	if live.phase != phaseLookup && t.retryNotSent(p, live, cause) {
 		return
 	}
 	if live.phase == phaseLookup && live.lookup.cancelled {
-		t.endUnsent(p, live, api.Refuse(api.CodeCancelled, "the call was cancelled before anything was sent"))
+		t.endWaiting(p, live, api.Refuse(api.CodeCancelled, "the call was cancelled before anything was sent"))
 		return
 	}
 	code, message := api.CodeBackendFailed, "the back end cannot be reached"
 	if cause != nil {
 		code, message = cause.Code, cause.Message
 	}
-	t.endUnsent(p, live, notRun(code, t.store.config.RetryMaximum, "%s", message))
+	t.endWaiting(p, live, notRun(code, t.store.config.RetryMaximum, "%s", message))
 }
 
 // retryNotSent starts a call again of which nothing was sent. While the log
 // cannot be read, no back end is at fault: the call then waits for it until
 // its deadline, whatever its number of attempts.
-func (t *transition) retryNotSent(p *heldProgram, live *liveCall, cause *api.Error) bool {
+func (t *transition) retryNotSent(p *programState, live *liveCall, cause *api.Error) bool {
 	if cause != nil && cause.Code == api.CodeStoreUnavailable {
-		return t.startAgain(p, live)
+		return t.rescheduleAfterBackoff(p, live)
 	}
 	return t.retry(p, live)
 }
 
 // attemptUnknown: the attempt may or may not have run.
-func (t *transition) attemptUnknown(p *heldProgram, live *liveCall, cause *api.Error) {
+func (t *transition) attemptUnknown(p *programState, live *liveCall, cause *api.Error) {
 	if !live.repeatable() {
 		t.startLookup(p, live)
 		return
@@ -98,32 +98,32 @@
 	}
 	live.lastError = cause
 	if !t.retry(p, live) {
-		t.endGivenUp(p, live, cause)
+		t.endMayHaveRun(p, live, cause)
 	}
 }
 
 // retry starts the call once more, unless its attempts or its time are used
 // up. It reports whether it did.
-func (t *transition) retry(p *heldProgram, live *liveCall) bool {
+func (t *transition) retry(p *programState, live *liveCall) bool {
 	live.failures++
 	live.avoid = append(live.avoid, live.backend)
 	if live.failures >= max(1, p.terms.Attempts) {
 		return false
 	}
-	return t.startAgain(p, live)
+	return t.rescheduleAfterBackoff(p, live)
 }
 
-// startAgain starts the call after a backoff, unless its time is used up.
-func (t *transition) startAgain(p *heldProgram, live *liveCall) bool {
+// rescheduleAfterBackoff starts the call after a backoff, unless its time is used up.
+func (t *transition) rescheduleAfterBackoff(p *programState, live *liveCall) bool {
 	if p.closed {
 		return false
 	}
-	live.restarts++
-	delay := t.store.backoff(live.restarts)
+	live.reschedules++
+	delay := t.store.backoff(live.reschedules)
 	if live.expired(t.now.Add(delay)) {
 		return false
 	}
-	t.start(p, live, delay)
+	t.schedule(p, live, delay)
 	return true
 }
 
--- a/program/record.go
+++ b/program/record.go
@@ -11,16 +11,16 @@
 // optional field is set. Folding the records of a partition in order gives
 // the same programs on every node.
 type Record struct {
-	At         time.Time     `json:"at"`
-	Program    api.ProgramID `json:"program"`
-	Created    *Created      `json:"created,omitempty"`
-	Accepted   *Accepted     `json:"accepted,omitempty"`
-	Dispatched *Dispatched   `json:"dispatched,omitempty"`
-	Ended      *CallEnded    `json:"ended,omitempty"`
-	Carved     *Carved       `json:"carved,omitempty"`
-	Terms      *Terms        `json:"terms,omitempty"`
-	Closed     *Closed       `json:"closed,omitempty"`
-	Confirmed  *Confirmed    `json:"confirmed,omitempty"`
+	At                time.Time          `json:"at"`
+	Program           api.ProgramID      `json:"program"`
+	Created           *Created           `json:"created,omitempty"`
+	Accepted          *Accepted          `json:"accepted,omitempty"`
+	Dispatched        *Dispatched        `json:"dispatched,omitempty"`
+	Ended             *CallEnded         `json:"ended,omitempty"`
+	BudgetTransferred *BudgetTransferred `json:"carved,omitempty"`
+	Terms             *Terms             `json:"terms,omitempty"`
+	Closed            *Closed            `json:"closed,omitempty"`
+	Confirmed         *Confirmed         `json:"confirmed,omitempty"`
 }
 
 // Confirmed changes nothing. Once it is durable, its writer owned the
@@ -39,9 +39,9 @@
 	// set below the contract's; zero where it set none.
 	BudgetTokens         int64 `json:"budget_tokens,omitempty"`
 	DeadlineMilliseconds int64 `json:"deadline_ms,omitempty"`
-	// CarvedTokens is a sub-agent's budget, taken from its parent's by the
+	// AllocatedTokens is a sub-agent's budget, taken from its parent's by the
 	// Carved record before this one.
-	CarvedTokens int64 `json:"carved_tokens,omitempty"`
+	AllocatedTokens int64 `json:"carved_tokens,omitempty"`
 	// Depth is the number of ancestors.
 	Depth int `json:"depth,omitempty"`
 }
@@ -86,10 +86,10 @@
 	HeldTokens int64 `json:"held_tokens,omitempty"`
 }
 
-// Carved moves budget from a parent program to its sub-agent, or back when
+// BudgetTransferred moves budget from a parent program to its sub-agent, or back when
 // the sub-agent ends: the first record of a child carves Tokens out, the
 // second returns what is unspent, as a negative number of Tokens.
-type Carved struct {
+type BudgetTransferred struct {
 	Child  api.ProgramID `json:"child"`
 	Tokens int64         `json:"tokens"`
 }
--- a/program/recover.go
+++ b/program/recover.go
@@ -14,7 +14,7 @@
 	if err := record.validate(); err != nil {
 		return err
 	}
-	if err := s.validatePlace(record); err != nil {
+	if err := s.validateSequence(record); err != nil {
 		return err
 	}
 	s.apply(offset, record)
@@ -38,7 +38,7 @@
 			continue
 		}
 		t.resume(p)
-		t.touch(p)
+		t.markTimer(p)
 		t.setTimers()
 	}
 	s.sortFinished()
@@ -49,8 +49,8 @@
 	return slices.Sorted(maps.Keys(s.programs))
 }
 
-func (t *transition) resume(p *heldProgram) {
-	t.returnOrphans(p)
+func (t *transition) resume(p *programState) {
+	t.refundOrphans(p)
 	if parent, ok := t.store.programs[p.parent]; ok && parent.closed {
 		t.closeTree(p, ReasonParent)
 	}
@@ -61,12 +61,12 @@
 	t.resumeEnd(p)
 }
 
-// returnOrphans takes back what was carved for a sub-agent whose creation was
+// refundOrphans takes back what was carved for a sub-agent whose creation was
 // lost with the old owner.
-func (t *transition) returnOrphans(p *heldProgram) {
+func (t *transition) refundOrphans(p *programState) {
 	for _, id := range p.sortedChildren() {
 		if _, ok := t.store.programs[id]; !ok {
-			t.returnCarved(p, id, p.children[id])
+			t.refundBudget(p, id, p.children[id])
 		}
 	}
 }
@@ -74,7 +74,7 @@
 // prepareCalls notes what an older epoch may have done with the calls. It may
 // have sent the repeatable call whose turn it was without a durable record:
 // that one never ends as not run any more.
-func (p *heldProgram) prepareCalls() {
+func (p *programState) prepareCalls() {
 	for _, live := range p.live {
 		switch {
 		case live.attempt > 0:
@@ -86,36 +86,36 @@
 }
 
 // resumeCall continues a call that an older epoch has left.
-func (t *transition) resumeCall(p *heldProgram, live *liveCall) {
+func (t *transition) resumeCall(p *programState, live *liveCall) {
 	switch {
 	case live.phase == phaseQueued && p.closed:
-		t.endUnsent(p, live, programEnded(p.closedReason))
+		t.endWaiting(p, live, programEnded(p.closedReason))
 	case live.phase != phaseSent:
 		return
 	case !live.repeatable():
 		t.startLookup(p, live)
 	case p.closed:
-		t.endGivenUp(p, live, programEnded(p.closedReason))
+		t.endMayHaveRun(p, live, programEnded(p.closedReason))
 	case live.expired(t.now):
-		t.endGivenUp(p, live, failed(api.CodeTimeout, api.RanFailed, "the call ran out of time"))
+		t.endMayHaveRun(p, live, callError(api.CodeTimeout, api.RanFailed, "the call ran out of time"))
 	default:
 		t.immediate(p.callEffect(EffectStop, live))
-		t.restart(p, live)
+		t.reschedule(p, live)
 	}
 }
 
 // resumeEnd completes the end of a program. One that was complete before is
 // left alone: what engines may still hold of it, their sweep finds.
-func (t *transition) resumeEnd(p *heldProgram) {
-	if p.released || !p.finished() {
+func (t *transition) resumeEnd(p *programState) {
+	if p.endCompleted || !p.finished() {
 		return
 	}
 	if parent, ok := t.store.programs[p.parent]; ok {
 		if _, open := parent.children[p.id]; open {
-			t.settle(p)
+			t.completeEnd(p)
 			return
 		}
 	}
-	p.released = true
+	p.endCompleted = true
 	t.store.finished = append(t.store.finished, p.id)
 }
--- a/program/retarget.go
+++ b/program/retarget.go
@@ -2,12 +2,12 @@
 
 import "reflect"
 
-// retarget puts a newer revision of the contract in force. It binds the next
+// updateTerms puts a newer revision of the contract in force. It binds the next
 // dispatch: a call that waits in the scheduler is handed over anew, and one
 // that the contract no longer permits ends. An older revision changes
 // nothing.
-func (t *transition) retarget(p *heldProgram, terms Terms) {
-	t.showProgram(p)
+func (t *transition) updateTerms(p *programState, terms Terms) {
+	t.setProgramReply(p)
 	if p.closed || terms.Revision < p.terms.Revision {
 		return
 	}
@@ -18,26 +18,26 @@
 	}
 	t.record(Record{Program: p.id, Terms: &terms})
 	head := p.head()
-	if head != nil && head.phase == phaseStarted {
-		t.withdraw(p, head)
-		t.restart(p, head)
+	if head != nil && head.phase == phaseScheduled {
+		t.stopCall(p, head)
+		t.reschedule(p, head)
 	}
 	t.advance(p)
-	t.settle(p)
-	t.showProgram(p)
+	t.completeEnd(p)
+	t.setProgramReply(p)
 }
 
-// restart hands a withdrawn call to the scheduler with the terms in force.
-func (t *transition) restart(p *heldProgram, live *liveCall) {
+// reschedule hands a withdrawn call to the scheduler with the terms in force.
+func (t *transition) reschedule(p *programState, live *liveCall) {
 	live.phase = phaseQueued
-	refusal := t.hindrance(p, live)
+	refusal := t.checkSchedulable(p, live)
 	if refusal != nil {
-		t.endUnsent(p, live, refusal)
+		t.endWaiting(p, live, refusal)
 		return
 	}
 	delay := t.store.config.RetryBase
-	if live.restarts == 0 {
+	if live.reschedules == 0 {
 		delay = 0
 	}
-	t.start(p, live, delay)
+	t.schedule(p, live, delay)
 }
--- a/program/snapshot.go
+++ b/program/snapshot.go
@@ -27,7 +27,7 @@
 	Depth           int                     `json:"depth,omitempty"`
 	RequestBudget   int64                   `json:"request_budget,omitempty"`
 	RequestDuration time.Duration           `json:"request_duration,omitempty"`
-	Carved          int64                   `json:"carved,omitempty"`
+	AllocatedTokens int64                   `json:"carved,omitempty"`
 	CreatedAt       time.Time               `json:"created_at"`
 	LastActivity    time.Time               `json:"last_activity"`
 	ClosedAt        time.Time               `json:"closed_at"`
@@ -36,14 +36,14 @@
 	Limit           int64                   `json:"limit"`
 	Spent           int64                   `json:"spent,omitempty"`
 	Reserved        int64                   `json:"reserved,omitempty"`
-	Settled         int64                   `json:"settled,omitempty"`
+	ChildrenSpent   int64                   `json:"settled,omitempty"`
 	HistoryTokens   int                     `json:"history_tokens,omitempty"`
 	Turns           int                     `json:"turns,omitempty"`
 	Children        map[api.ProgramID]int64 `json:"children,omitempty"`
 	// Calls packs the small entries of the places; see packCalls.
-	Calls     []byte                    `json:"calls,omitempty"`
-	Live      []snapshotCall            `json:"live,omitempty"`
-	Unlocated map[uint64]*unlocatedCall `json:"unlocated,omitempty"`
+	Calls   []byte                     `json:"calls,omitempty"`
+	Live    []snapshotCall             `json:"live,omitempty"`
+	Pending map[uint64]*pendingRecords `json:"unlocated,omitempty"`
 }
 
 // snapshotCall is a call that has not ended.
@@ -83,21 +83,21 @@
 // partBuilder encodes one part of a snapshot. Programs that have equal terms
 // share one copy of them.
 type partBuilder struct {
-	programs  bytes.Buffer
-	terms     []json.RawMessage
-	byPointer map[*Terms]int
-	byText    map[string]int
+	programs   bytes.Buffer
+	terms      []json.RawMessage
+	byPointer  map[*Terms]int
+	byEncoding map[string]int
 }
 
 func newPartBuilder() *partBuilder {
-	return &partBuilder{byPointer: make(map[*Terms]int), byText: make(map[string]int)}
+	return &partBuilder{byPointer: make(map[*Terms]int), byEncoding: make(map[string]int)}
 }
 
 func (b *partBuilder) empty() bool { return b.programs.Len() == 0 }
 
 func (b *partBuilder) size() int { return b.programs.Len() }
 
-func (b *partBuilder) add(p *heldProgram) {
+func (b *partBuilder) add(p *programState) {
 	if !b.empty() {
 		b.programs.WriteByte(',')
 	}
@@ -109,11 +109,11 @@
 		return index
 	}
 	encoded := mustMarshal(terms)
-	index, ok := b.byText[string(encoded)]
+	index, ok := b.byEncoding[string(encoded)]
 	if !ok {
 		index = len(b.terms)
 		b.terms = append(b.terms, encoded)
-		b.byText[string(encoded)] = index
+		b.byEncoding[string(encoded)] = index
 	}
 	b.byPointer[terms] = index
 	return index
@@ -164,23 +164,23 @@
 			return fmt.Errorf("part of a snapshot, program %s: %w", snapshot.ID, err)
 		}
 		if old, ok := s.programs[p.id]; ok {
-			s.forget(old)
+			s.evict(old)
 		}
-		s.hold(p)
-		s.gauge.LiveCalls += len(p.live)
+		s.add(p)
+		s.stats.LiveCalls += len(p.live)
 	}
 	return nil
 }
 
-func (p *heldProgram) snapshot(terms int) snapshotProgram {
+func (p *programState) snapshot(terms int) snapshotProgram {
 	snapshot := snapshotProgram{
 		ID: p.id, Branch: p.branch, Key: p.key, Parent: p.parent, Terms: terms, Depth: p.depth,
-		RequestBudget: p.requestBudget, RequestDuration: p.requestDuration, Carved: p.carved,
+		RequestBudget: p.requestBudget, RequestDuration: p.requestDuration, AllocatedTokens: p.allocatedTokens,
 		CreatedAt: p.createdAt, LastActivity: p.lastActivity,
 		ClosedAt: p.closedAt, ClosedReason: p.closedReason, Closed: p.closed,
-		Limit: p.budget.limit, Spent: p.budget.spent, Reserved: p.budget.reserved, Settled: p.budget.settled,
+		Limit: p.budget.limit, Spent: p.budget.spent, Reserved: p.budget.reserved, ChildrenSpent: p.budget.childrenSpent,
 		HistoryTokens: p.historyTokens, Turns: p.turns, Children: p.children,
-		Calls: packCalls(p.calls), Unlocated: p.unlocated,
+		Calls: packCalls(p.calls), Pending: p.pending,
 	}
 	for _, live := range p.live {
 		snapshot.Live = append(snapshot.Live, snapshotCall{
@@ -193,7 +193,7 @@
 	return snapshot
 }
 
-func (s *Store) restore(snapshot snapshotProgram, terms Terms) (*heldProgram, error) {
+func (s *Store) restore(snapshot snapshotProgram, terms Terms) (*programState, error) {
 	if snapshot.ID == "" {
 		return nil, errors.New("it has no id")
 	}
@@ -201,18 +201,18 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &heldProgram{
+	p := &programState{
 		id: snapshot.ID, branch: snapshot.Branch, key: snapshot.Key, parent: snapshot.Parent,
-		terms: s.shareTerms(snapshot.Branch, terms), depth: snapshot.Depth,
-		requestBudget: snapshot.RequestBudget, requestDuration: snapshot.RequestDuration, carved: snapshot.Carved,
+		terms: s.internTerms(snapshot.Branch, terms), depth: snapshot.Depth,
+		requestBudget: snapshot.RequestBudget, requestDuration: snapshot.RequestDuration, allocatedTokens: snapshot.AllocatedTokens,
 		createdAt: snapshot.CreatedAt, lastActivity: snapshot.LastActivity,
 		closedAt: snapshot.ClosedAt, closedReason: snapshot.ClosedReason, closed: snapshot.Closed,
 		historyTokens: snapshot.HistoryTokens, turns: snapshot.Turns, children: snapshot.Children,
-		calls: calls, next: 1, unlocated: snapshot.Unlocated,
+		calls: calls, headSequence: 1, pending: snapshot.Pending,
 	}
-	p.budget = budget{limit: snapshot.Limit, spent: snapshot.Spent, reserved: snapshot.Reserved, settled: snapshot.Settled}
-	for _, carved := range snapshot.Children {
-		p.budget.children += carved
+	p.budget = budget{limit: snapshot.Limit, spent: snapshot.Spent, reserved: snapshot.Reserved, childrenSpent: snapshot.ChildrenSpent}
+	for _, allocatedTokens := range snapshot.Children {
+		p.budget.children += allocatedTokens
 	}
 	for _, call := range snapshot.Live {
 		if p.entry(call.Sequence) == nil {
@@ -220,7 +220,7 @@
 		}
 		p.live = append(p.live, restoreCall(call))
 	}
-	p.passEnded()
+	p.advanceHead()
 	return p, nil
 }
 
--- a/program/store.go
+++ b/program/store.go
@@ -103,7 +103,7 @@
 // use: one goroutine drives it.
 type Store struct {
 	config   Config
-	programs map[api.ProgramID]*heldProgram
+	programs map[api.ProgramID]*programState
 	timers   timerHeap
 	// terms shares equal terms between the programs of a branch.
 	terms map[string]*Terms
@@ -111,7 +111,7 @@
 	finished []api.ProgramID
 	// epoch is this owner's, as Resume told it.
 	epoch uint64
-	gauge Gauges
+	stats Stats
 }
 
 // NewStore returns an empty store. The error lists every wrong setting.
@@ -121,7 +121,7 @@
 	}
 	return &Store{
 		config:   config.withDefaults(),
-		programs: make(map[api.ProgramID]*heldProgram),
+		programs: make(map[api.ProgramID]*programState),
 		terms:    make(map[string]*Terms),
 	}, nil
 }
@@ -156,7 +156,7 @@
 	case command.Outcome != nil:
 		t.outcome(p, *command.Outcome)
 	case command.Lookup != nil:
-		t.lookedUp(p, *command.Lookup)
+		t.lookupResult(p, *command.Lookup)
 	case command.Cancel != nil:
 		return t.cancel(p, command.Cancel.Sequence)
 	case command.Refuse != nil:
@@ -164,7 +164,7 @@
 	case command.End != nil:
 		t.end(p, command.End.Reason)
 	case command.Retarget != nil:
-		t.retarget(p, *command.Retarget)
+		t.updateTerms(p, *command.Retarget)
 	default:
 		return api.Refuse(api.CodeBadRequest, "the command is empty")
 	}
--- a/program/submit.go
+++ b/program/submit.go
@@ -7,21 +7,21 @@
 	"birchwood.example/birchwood/api"
 )
 
-// queueRetry is how soon a caller may try again when the queue is full.
-const queueRetry = 500 * time.Millisecond
+// queueRetryAfter is how soon a caller may try again when the queue is full.
+const queueRetryAfter = 500 * time.Millisecond
 
 // submit admits a call, or returns the one that has the same key.
-func (t *transition) submit(p *heldProgram, submit Submit) *api.Error {
+func (t *transition) submit(p *programState, submit Submit) *api.Error {
 	request := submit.Request
 	if request.Key == "" {
 		return api.Refuse(api.CodeBadRequest, "a call needs a key").At("$.key")
 	}
 	hash := bodyHash(request)
 	if sequence := p.findKey(request.Key); sequence > 0 {
-		return t.submitAgain(p, sequence, request, hash)
+		return t.repeatSubmit(p, sequence, request, hash)
 	}
 	if refusal := t.admit(p, request); refusal != nil {
-		t.store.gauge.Refused++
+		t.store.stats.Refused++
 		return refusal
 	}
 	sequence := request.Sequence
@@ -37,18 +37,18 @@
 	accepted := t.accepted(p, request, submit.InputTokens)
 	accepted.BodyHash = hash
 	if accepted.ReservedTokens > p.budget.free() {
-		t.store.gauge.Refused++
+		t.store.stats.Refused++
 		return api.Refuse(api.CodeBudgetExhausted, "the call may cost %d tokens, the program has %d left",
 			accepted.ReservedTokens, p.budget.free()).At("$.max_output_tokens")
 	}
 	t.record(Record{Program: p.id, Accepted: accepted})
 	t.advance(p)
-	t.showCall(p, sequence)
+	t.setCallReply(p, sequence)
 	return nil
 }
 
 // accepted builds the record that admits the call.
-func (t *transition) accepted(p *heldProgram, request api.SubmitCall, inputTokens int) *Accepted {
+func (t *transition) accepted(p *programState, request api.SubmitCall, inputTokens int) *Accepted {
 	if inputTokens <= 0 {
 		inputTokens = t.store.config.CountTokens(request.Input)
 	}
@@ -77,35 +77,35 @@
 	return now.Add(timeout)
 }
 
-// submitAgain answers a call whose key the program has seen: with the same
+// repeatSubmit answers a call whose key the program has seen: with the same
 // body it is the same call, whatever became of it.
-func (t *transition) submitAgain(p *heldProgram, sequence uint64, request api.SubmitCall, hash uint64) *api.Error {
+func (t *transition) repeatSubmit(p *programState, sequence uint64, request api.SubmitCall, hash uint64) *api.Error {
 	if p.calls[sequence-1].bodyHash != hash {
 		return keyReused("$.key", "call %d has this key and another body", sequence)
 	}
 	if request.Sequence != 0 && request.Sequence != sequence {
 		return keyReused("$.sequence", "the call with this key has place %d", sequence)
 	}
-	t.showCall(p, sequence)
+	t.setCallReply(p, sequence)
 	return nil
 }
 
 // admit checks a new call against the program and its contract.
-func (t *transition) admit(p *heldProgram, request api.SubmitCall) *api.Error {
+func (t *transition) admit(p *programState, request api.SubmitCall) *api.Error {
 	if p.closed {
 		return programEnded(p.closedReason)
 	}
 	if refusal := checkKind(request, *p.terms); refusal != nil {
 		return refusal
 	}
-	if p.turnsUsedUp() {
+	if p.turnLimitReached() {
 		return t.refuseTurns(p)
 	}
-	if refusal := t.checkPlace(p, request.Sequence); refusal != nil {
+	if refusal := t.checkSequence(p, request.Sequence); refusal != nil {
 		return refusal
 	}
 	if len(p.live) >= t.store.config.MaximumQueuedCalls {
-		return api.Refuse(api.CodeOverloaded, "%d calls of the program have not ended", len(p.live)).After(queueRetry.Milliseconds())
+		return api.Refuse(api.CodeOverloaded, "%d calls of the program have not ended", len(p.live)).After(queueRetryAfter.Milliseconds())
 	}
 	return nil
 }
@@ -130,30 +130,30 @@
 	return nil
 }
 
-// checkPlace checks that the named place of the order is free and near.
-func (t *transition) checkPlace(p *heldProgram, sequence uint64) *api.Error {
+// checkSequence checks that the named place of the order is free and near.
+func (t *transition) checkSequence(p *programState, sequence uint64) *api.Error {
 	if sequence == 0 {
 		return nil
 	}
 	if p.entry(sequence) != nil {
 		return api.Refuse(api.CodeConflict, "place %d is taken by a call with another key", sequence).At("$.sequence")
 	}
-	last := p.next + uint64(t.store.config.MaximumQueuedCalls) - 1
+	last := p.headSequence + uint64(t.store.config.MaximumQueuedCalls) - 1
 	if sequence > last {
 		return api.Refuse(api.CodeConflict, "place %d is too far ahead: %d is missing, and %d is the last that may wait for it",
-			sequence, p.next, last).At("$.sequence")
+			sequence, p.headSequence, last).At("$.sequence")
 	}
 	return nil
 }
 
-func (p *heldProgram) turnsUsedUp() bool {
+func (p *programState) turnLimitReached() bool {
 	return p.terms.MaxTurns > 0 && p.turns >= p.terms.MaxTurns
 }
 
 // refuseTurns refuses a call beyond the limit of turns. The program ends once
 // its calls have: what still loops gets program_ended from then on.
-func (t *transition) refuseTurns(p *heldProgram) *api.Error {
-	p.exhausted = true
-	t.touch(p)
+func (t *transition) refuseTurns(p *programState) *api.Error {
+	p.endOnTurnLimit = true
+	t.markTimer(p)
 	return api.Refuse(api.CodeLimitReached, "the program has made %d turns, its maximum", p.turns)
 }
--- a/program/timers.go
+++ b/program/timers.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// timerIdle is the heap index of a program that has no timer.
-const timerIdle = -1
+// timerUnset is the heap index of a program that has no timer.
+const timerUnset = -1
 
 // timer is a program's next deadline of any kind.
 type timer struct {
@@ -19,7 +19,7 @@
 
 // timerHeap orders programs by their next deadline, so that a Tick looks only
 // at the programs that are due.
-type timerHeap []*heldProgram
+type timerHeap []*programState
 
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].timer.due.Before(h[j].timer.due) }
@@ -31,7 +31,7 @@
 
 // Push implements heap.Interface.
 func (h *timerHeap) Push(item any) {
-	p := item.(*heldProgram)
+	p := item.(*programState)
 	p.timer.index = len(*h)
 	*h = append(*h, p)
 }
@@ -42,18 +42,18 @@
 	p := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	p.timer.index = timerIdle
+	p.timer.index = timerUnset
 	return p
 }
 
-func (h *timerHeap) remove(p *heldProgram) {
-	if p.timer.index != timerIdle {
+func (h *timerHeap) remove(p *programState) {
+	if p.timer.index != timerUnset {
 		heap.Remove(h, p.timer.index)
 	}
 }
 
-// reschedule sets a program's timer to its next deadline.
-func (s *Store) reschedule(p *heldProgram) {
+// updateTimer sets a program's timer to its next deadline.
+func (s *Store) updateTimer(p *programState) {
 	if s.programs[p.id] != p {
 		return
 	}
@@ -61,7 +61,7 @@
 	switch {
 	case due.IsZero():
 		s.timers.remove(p)
-	case p.timer.index == timerIdle:
+	case p.timer.index == timerUnset:
 		p.timer.due = due
 		heap.Push(&s.timers, p)
 	case !p.timer.due.Equal(due):
@@ -87,8 +87,8 @@
 		if len(s.timers) == 0 || s.timers[0].timer.due.After(t.now) {
 			break
 		}
-		p := heap.Pop(&s.timers).(*heldProgram)
-		t.touch(p)
+		p := heap.Pop(&s.timers).(*programState)
+		t.markTimer(p)
 		t.expire(p)
 		t.setTimers()
 	}
@@ -97,7 +97,7 @@
 
 // nextDeadline is the earliest moment at which Tick has something to do for
 // the program; zero when there is none.
-func (p *heldProgram) nextDeadline() time.Time {
+func (p *programState) nextDeadline() time.Time {
 	var due time.Time
 	earliest := func(moment time.Time) {
 		if !moment.IsZero() && (due.IsZero() || moment.Before(due)) {
@@ -109,27 +109,27 @@
 	}
 	switch {
 	case p.finished():
-		earliest(after(p.closedAt, p.terms.Retention))
+		earliest(deadlineAfter(p.closedAt, p.terms.Retention))
 	case !p.closed:
-		earliest(after(p.createdAt, p.duration()))
+		earliest(deadlineAfter(p.createdAt, p.maxDuration()))
 		earliest(p.idleDeadline())
-		if p.exhausted && len(p.live) == 0 {
+		if p.endOnTurnLimit && len(p.live) == 0 {
 			earliest(p.lastActivity)
 		}
 	}
 	return due
 }
 
-// after returns the moment one duration later; the zero time for no bound.
-func after(start time.Time, duration time.Duration) time.Time {
+// deadlineAfter returns the moment one duration later; the zero time for no bound.
+func deadlineAfter(start time.Time, duration time.Duration) time.Time {
 	if duration <= 0 {
 		return time.Time{}
 	}
 	return start.Add(duration)
 }
 
-// duration bounds the program's life: the contract's, lowered by its creator.
-func (p *heldProgram) duration() time.Duration {
+// maxDuration bounds the program's life: the contract's, lowered by its creator.
+func (p *programState) maxDuration() time.Duration {
 	limit := p.terms.MaxDuration
 	if p.requestDuration > 0 && (limit <= 0 || p.requestDuration < limit) {
 		return p.requestDuration
@@ -139,18 +139,18 @@
 
 // idleDeadline is when a program that makes no call is ended. One that waits
 // for a call or for a sub-agent is not idle.
-func (p *heldProgram) idleDeadline() time.Time {
+func (p *programState) idleDeadline() time.Time {
 	if len(p.live) > 0 || len(p.children) > 0 {
 		return time.Time{}
 	}
-	return after(p.lastActivity, p.terms.IdleTimeout)
+	return deadlineAfter(p.lastActivity, p.terms.IdleTimeout)
 }
 
 // nextDeadline is when Tick has something to do for the call.
 func (c *liveCall) nextDeadline(terms *Terms) time.Time {
 	switch c.phase {
 	case phaseLookup:
-		return c.lookup.due
+		return c.lookup.timeoutAt
 	case phaseSent:
 		attempt := c.attemptDeadline(terms)
 		if c.deadline.IsZero() || (!attempt.IsZero() && attempt.Before(c.deadline)) {
@@ -165,14 +165,14 @@
 	if c.call.Kind != api.CallTool {
 		return time.Time{}
 	}
-	return after(c.dispatchedAt, terms.ToolTimeout)
+	return deadlineAfter(c.dispatchedAt, terms.ToolTimeout)
 }
 
 // expire ends whatever of the program is due.
-func (t *transition) expire(p *heldProgram) {
+func (t *transition) expire(p *programState) {
 	if p.finished() {
 		if due := p.nextDeadline(); !due.IsZero() && !due.After(t.now) {
-			t.store.forget(p)
+			t.store.evict(p)
 		}
 		return
 	}
@@ -185,29 +185,29 @@
 		t.expireProgram(p)
 	}
 	t.advance(p)
-	t.settle(p)
+	t.completeEnd(p)
 }
 
-func (t *transition) expireProgram(p *heldProgram) {
+func (t *transition) expireProgram(p *programState) {
 	due := func(moment time.Time) bool { return !moment.IsZero() && !moment.After(t.now) }
 	switch {
-	case due(after(p.createdAt, p.duration())):
+	case due(deadlineAfter(p.createdAt, p.maxDuration())):
 		t.closeTree(p, ReasonDuration)
-	case p.exhausted && len(p.live) == 0:
+	case p.endOnTurnLimit && len(p.live) == 0:
 		t.closeTree(p, ReasonTurns)
 	case due(p.idleDeadline()):
 		t.closeTree(p, ReasonIdle)
 	}
 }
 
-func (t *transition) expireCall(p *heldProgram, live *liveCall) {
+func (t *transition) expireCall(p *programState, live *liveCall) {
 	due := live.nextDeadline(p.terms)
 	if due.IsZero() || due.After(t.now) {
 		return
 	}
 	switch live.phase {
 	case phaseLookup:
-		t.lookUpAgain(p, live, true)
+		t.retryLookup(p, live, true)
 	case phaseSent:
 		t.expireSent(p, live)
 	default:
@@ -216,30 +216,30 @@
 }
 
 // expireWaiting ends a call that was not sent before its deadline.
-func (t *transition) expireWaiting(p *heldProgram, live *liveCall) {
-	cause := waitedTooLong(p, live)
+func (t *transition) expireWaiting(p *programState, live *liveCall) {
+	cause := waitTimedOut(p, live)
 	if live.lastError != nil {
 		cause.Message = "the call ran out of time; last attempt: " + live.lastError.Message
 	}
-	t.endUnsent(p, live, cause)
+	t.endWaiting(p, live, cause)
 	t.advance(p)
-	t.settle(p)
+	t.completeEnd(p)
 }
 
 // expireSent gives up on an attempt that runs for too long.
-func (t *transition) expireSent(p *heldProgram, live *liveCall) {
+func (t *transition) expireSent(p *programState, live *liveCall) {
 	if !live.repeatable() {
 		t.startLookup(p, live)
 		return
 	}
-	cause := failed(api.CodeTimeout, api.RanFailed, "attempt %d ran out of time", live.attempt)
+	cause := callError(api.CodeTimeout, api.RanFailed, "attempt %d ran out of time", live.attempt)
 	live.lastError = cause
 	stop := p.callEffect(EffectStop, live)
 	if !live.expired(t.now) && t.retry(p, live) {
 		t.immediate(stop)
 		return
 	}
-	t.endGivenUp(p, live, cause)
+	t.endMayHaveRun(p, live, cause)
 	t.advance(p)
-	t.settle(p)
+	t.completeEnd(p)
 }
--- a/program/transition.go
+++ b/program/transition.go
@@ -9,10 +9,10 @@
 
 // transition collects what one input of the store decides.
 type transition struct {
-	store   *Store
-	now     time.Time
-	out     Output
-	touched []*heldProgram
+	store  *Store
+	now    time.Time
+	out    Output
+	marked []*programState
 }
 
 func newTransition(store *Store, now time.Time) *transition {
@@ -26,14 +26,14 @@
 	record.At = t.now
 	t.store.apply(NoOffset, record)
 	t.out.Records = append(t.out.Records, record)
-	t.touch(t.store.programs[record.Program])
+	t.markTimer(t.store.programs[record.Program])
 }
 
-// touch marks a program whose next deadline may have changed.
-func (t *transition) touch(p *heldProgram) {
-	if p != nil && !p.touched {
-		p.touched = true
-		t.touched = append(t.touched, p)
+// markTimer marks a program whose next deadline may have changed.
+func (t *transition) markTimer(p *programState) {
+	if p != nil && !p.marked {
+		p.marked = true
+		t.marked = append(t.marked, p)
 	}
 }
 
@@ -49,11 +49,11 @@
 
 // setTimers sets the timers of the programs that were touched.
 func (t *transition) setTimers() {
-	for _, p := range t.touched {
-		p.touched = false
-		t.store.reschedule(p)
+	for _, p := range t.marked {
+		p.marked = false
+		t.store.updateTimer(p)
 	}
-	t.touched = t.touched[:0]
+	t.marked = t.marked[:0]
 }
 
 // finish returns the output once every timer is set.
@@ -62,21 +62,21 @@
 	return t.out
 }
 
-// showProgram puts the program into the output, for the reply.
-func (t *transition) showProgram(p *heldProgram) {
+// setProgramReply puts the program into the output, for the reply.
+func (t *transition) setProgramReply(p *programState) {
 	described := p.describe()
 	t.out.Program = &described
 }
 
-// showCall puts the call into the output, for the reply.
-func (t *transition) showCall(p *heldProgram, sequence uint64) {
+// setCallReply puts the call into the output, for the reply.
+func (t *transition) setCallReply(p *programState, sequence uint64) {
 	described := p.describeCall(sequence)
 	t.out.Call = &described
-	t.showProgram(p)
+	t.setProgramReply(p)
 }
 
 // callEffect is the part that effects about a call share.
-func (p *heldProgram) callEffect(kind EffectKind, live *liveCall) Effect {
+func (p *programState) callEffect(kind EffectKind, live *liveCall) Effect {
 	return Effect{
 		Kind:         kind,
 		Attempt:      AttemptRef{CallRef: CallRef{Program: p.id, Sequence: live.sequence}, Attempt: live.attempt},
--- a/program/validate.go
+++ b/program/validate.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// maximumGap guards the fold against a damaged record: no call is accepted
+// maximumSequenceGap guards the fold against a damaged record: no call is accepted
 // this far ahead of the calls before it.
-const maximumGap = 1 << 16
+const maximumSequenceGap = 1 << 16
 
 // validate checks that a record from the journal has one meaning.
 func (r Record) validate() error {
@@ -14,7 +14,7 @@
 	set := 0
 	for _, present := range []bool{
 		r.Created != nil, r.Accepted != nil, r.Dispatched != nil, r.Ended != nil,
-		r.Carved != nil, r.Terms != nil, r.Closed != nil, r.Confirmed != nil,
+		r.BudgetTransferred != nil, r.Terms != nil, r.Closed != nil, r.Confirmed != nil,
 	} {
 		if present {
 			set++
@@ -26,14 +26,14 @@
 	return nil
 }
 
-// validatePlace checks that a recovered call stands near the others.
-func (s *Store) validatePlace(record Record) error {
+// validateSequence checks that a recovered call stands near the others.
+func (s *Store) validateSequence(record Record) error {
 	p, ok := s.programs[record.Program]
 	if !ok || record.Accepted == nil {
 		return nil
 	}
 	sequence := record.Accepted.Sequence
-	if sequence == 0 || sequence > uint64(len(p.calls))+maximumGap {
+	if sequence == 0 || sequence > uint64(len(p.calls))+maximumSequenceGap {
 		return fmt.Errorf("record of program %s: call with place %d after %d places", record.Program, sequence, len(p.calls))
 	}
 	return nil
