--- a/program/apply.go
+++ b/program/apply.go
@@ -10,9 +10,9 @@
 	"birchwood.example/birchwood/api"
 )
 
-// apply changes durable state by one record. The offset is NoOffset while
-// the log does not have the record. A record about a program that is not
-// held is skipped: the program was forgotten.
+// apply applies one record to the durable state. The offset is NoOffset while
+// the record is not in the log. A record of a program that is not in the store
+// is skipped, because the program was evicted.
 func (s *Store) apply(offset uint64, record Record) {
 	if record.Created != nil {
 		s.applyCreated(record)
@@ -71,7 +71,8 @@
 	s.programs[p.id] = p
 }
 
-// internTerms returns the terms that equal ones of the branch already use.
+// internTerms returns the branch's shared copy of the terms if it is equal, and
+// otherwise makes terms the shared copy.
 func (s *Store) internTerms(branch string, terms Terms) *Terms {
 	if shared, ok := s.terms[branch]; ok && reflect.DeepEqual(*shared, terms) {
 		return shared
@@ -109,8 +110,9 @@
 	}
 }
 
-// growCalls adds vacant entries up to the place. It grows by a quarter, not
-// by doubling: the entries of idle programs are most of the store's memory.
+// growCalls adds vacant entries up to the sequence number. Capacity grows by a
+// quarter instead of doubling, because the entries of idle programs are most of
+// the store's memory.
 func (p *programState) growCalls(sequence uint64) {
 	if needed := int(sequence) - cap(p.calls); needed > 0 {
 		growth := len(p.calls)/4 + minimumCallGrowth
@@ -123,7 +125,7 @@
 	}
 }
 
-// minimumCallGrowth is the least number of entries by which a program grows.
+// minimumCallGrowth is the smallest number of entries to grow by.
 const minimumCallGrowth = 2
 
 func (p *programState) applyDispatched(at time.Time, dispatched *Dispatched) {
@@ -135,13 +137,13 @@
 	live.backend = dispatched.Backend
 	live.epoch = dispatched.Epoch
 	live.dispatchedAt = at
-	// Another dispatch of a call that is not repeatable proves that nothing
-	// of the one before was sent.
+	// If a call that is not repeatable is dispatched again, nothing of the
+	// previous attempt was sent.
 	live.mayHaveRunBefore = live.mayHaveRun && live.repeatable()
 	live.mayHaveRun = true
 }
 
-// applyEnded reports whether the call was live.
+// applyEnded ends a call and reports whether it was live.
 func (p *programState) applyEnded(offset uint64, at time.Time, ended *CallEnded, countTokens func(string) int) bool {
 	index, found := p.liveIndex(ended.Sequence)
 	if !found {
@@ -165,7 +167,7 @@
 	return true
 }
 
-// advanceHead moves next over the places that have ended.
+// advanceHead moves headSequence past the calls that have ended.
 func (p *programState) advanceHead() {
 	for p.headSequence <= uint64(len(p.calls)) && p.calls[p.headSequence-1].status > statusLive {
 		p.headSequence++
@@ -195,6 +197,8 @@
 	p.closedReason = reason
 }
 
+// pendingFor returns the pending records of the call, creating an empty entry if
+// there is none.
 func (p *programState) pendingFor(sequence uint64) *pendingRecords {
 	if p.pending == nil {
 		p.pending = make(map[uint64]*pendingRecords)
--- a/program/budget.go
+++ b/program/budget.go
@@ -4,13 +4,14 @@
 	"birchwood.example/birchwood/api"
 )
 
-// budget counts a program's tokens. What is spent, reserved and carved out
-// never exceeds the limit.
+// budget accounts for a program's tokens. The sum of those spent, reserved and
+// allocated to sub-agents never exceeds the limit.
 type budget struct {
 	limit    int64
 	spent    int64
 	reserved int64
-	// children is what sub-agents hold; settled is what ended ones have used.
+	// children is the total allocated to sub-agents and not refunded yet;
+	// childrenSpent is what sub-agents had used when they were refunded.
 	children      int64
 	childrenSpent int64
 }
@@ -19,14 +20,15 @@
 
 func (b budget) free() int64 { return b.limit - b.committed() }
 
-// spentTokens includes what sub-agents that ended have used.
+// spentTokens returns the tokens spent, including those of ended sub-agents.
 func (b budget) spentTokens() int64 { return b.spent + b.childrenSpent }
 
-// reservedTokens includes what sub-agents hold.
+// reservedTokens returns the tokens reserved for calls or allocated to sub-agents.
 func (b budget) reservedTokens() int64 { return b.reserved + b.children }
 
-// budgetLimit is the limit in force: the contract's, lowered by the creator,
-// but never below what is committed already. A sub-agent has what was carved.
+// budgetLimit returns the limit in force: the contract's or the creator's,
+// whichever is lower, but never less than is committed already. The limit of a
+// sub-agent is its allocated budget.
 func (p *programState) budgetLimit() int64 {
 	if p.parent != "" {
 		return p.allocatedTokens
@@ -38,7 +40,8 @@
 	return max(limit, p.budget.committed())
 }
 
-// outputCap bounds the output of a model call.
+// outputCap returns the maximum output of a model call in tokens: the lower of
+// the limits in the request and the contract, where zero means none.
 func outputCap(request api.SubmitCall, terms Terms) int {
 	if terms.MaxOutputTokens <= 0 {
 		return request.MaxOutputTokens
@@ -49,8 +52,9 @@
 	return min(request.MaxOutputTokens, terms.MaxOutputTokens)
 }
 
-// estimatePrompt is the length of the prompt of a call at the place: the
-// history, what earlier calls that have not ended may add, and its input.
+// estimatePrompt returns the length in tokens of the prompt of a call with this
+// sequence number: the history, the most that earlier calls that have not ended
+// may add to it, and the call's own input.
 func (p *programState) estimatePrompt(sequence uint64, inputTokens int) int {
 	tokens := p.historyTokens + inputTokens
 	for _, live := range p.live {
@@ -62,7 +66,7 @@
 	return tokens
 }
 
-// reservation is what a call holds of the budget. Tools cost no tokens.
+// reservation returns the tokens to reserve for a call. Tool calls cost none.
 func reservation(call api.SubmitCall, promptTokens int) int64 {
 	if call.Kind != api.CallModel {
 		return 0
@@ -70,9 +74,9 @@
 	return int64(promptTokens) + int64(call.MaxOutputTokens)
 }
 
-// updateHeadReservation replaces the estimate of the call whose turn has come by its
-// exact prompt. A reservation that would not fit stays as it was; the call
-// is then not affordable.
+// updateHeadReservation replaces the estimated prompt length of the head call by
+// the exact one and adjusts its reservation. If the new reservation does not
+// fit, the old one stays and the call is not affordable.
 func (p *programState) updateHeadReservation() {
 	head := p.head()
 	if head == nil || head.attempt > 0 {
@@ -90,7 +94,8 @@
 	return reservation(c.call, c.promptTokens) <= c.reserved
 }
 
-// settleReservation releases the reservation of a call that ended and counts its cost.
+// settleReservation releases the reservation of a call that ended, except for
+// its held tokens, and charges the tokens used.
 func (p *programState) settleReservation(live *liveCall, ended *CallEnded) {
 	held := min(ended.HeldTokens, live.reserved)
 	used := int64(ended.Usage.PromptTokens) + int64(ended.Usage.OutputTokens)
--- a/program/codes.go
+++ b/program/codes.go
@@ -2,13 +2,13 @@
 
 import "birchwood.example/birchwood/api"
 
-// statusCode is a call's status in one byte. Its numbers stand in snapshots:
-// they never change.
+// statusCode encodes the status of a call in one byte. Snapshots contain the
+// values, so they must never change.
 type statusCode uint8
 
 const (
-	statusVacant statusCode = iota
-	statusLive
+	statusVacant statusCode = iota // no call has this sequence number yet
+	statusLive                     // the call has not ended
 	statusSucceeded
 	statusFailed
 	statusNotRun
@@ -26,8 +26,9 @@
 	statusCancelled:      api.StatusCancelled,
 }
 
-// terminalCode returns the code of a terminal status. A status from a newer
-// version counts as an unknown outcome, the one that promises least.
+// terminalCode returns the code of a terminal status. A status that only a
+// newer version defines counts as an unknown outcome, which is the status that
+// guarantees least.
 func terminalCode(status api.CallStatus) statusCode {
 	for code := statusSucceeded; code <= statusCancelled; code++ {
 		if statusNames[code] == status {
@@ -37,7 +38,8 @@
 	return statusOutcomeUnknown
 }
 
-// kindCode is a call's kind in one byte, as it stands in snapshots.
+// kindCode encodes the kind of a call in one byte. Snapshots contain the
+// values, so they must never change.
 type kindCode uint8
 
 const (
--- a/program/command.go
+++ b/program/command.go
@@ -5,8 +5,8 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Command is a request to a Store, a tagged union: exactly one optional field
-// is set.
+// Command is a request to a Store. It is a tagged union: exactly one of the
+// pointers is set.
 type Command struct {
 	Program  api.ProgramID
 	Create   *Create
@@ -17,35 +17,37 @@
 	Cancel   *Cancel
 	Refuse   *Refusal
 	End      *End
-	Retarget *Terms // a new revision of the contract
+	Retarget *Terms // the terms of a newer contract revision
 }
 
-// Create opens a program or returns the one that has the same key.
+// Create creates a program, or returns the existing one with the same key.
 type Create struct {
 	Request api.CreateProgram
 	Parent  api.ProgramID
 	Terms   Terms
 }
 
-// Submit admits a call or returns the one that has the same key.
+// Submit accepts a call, or returns the existing one with the same key.
 type Submit struct {
 	Request api.SubmitCall
-	// InputTokens is the length of Request.Input.
+	// InputTokens is the length of Request.Input in tokens. The store counts
+	// them itself if it is zero.
 	InputTokens int
 }
 
-// Dispatch says that the scheduler chose a back end for a started call.
+// Dispatch reports that the scheduler chose a back end for a scheduled call.
 type Dispatch struct {
 	Call    CallRef
 	Backend machine.ID
 	Epoch   uint64
 }
 
-// Outcome is what became of one attempt.
+// Outcome reports the result of one attempt.
 type Outcome struct {
 	Attempt AttemptRef
-	// Epoch is the one in which the attempt was sent, as its effect told. An
-	// outcome from another epoch's attempt is dropped. Zero is not compared.
+	// Epoch is the epoch in which the attempt was sent, copied from its effect.
+	// The outcome of an attempt from another epoch is ignored. Zero matches any
+	// epoch.
 	Epoch uint64
 	// Status is StatusSucceeded, StatusFailed, StatusNotRun (nothing reached
 	// the back end) or StatusOutcomeUnknown.
@@ -55,25 +57,26 @@
 	Error  *api.Error
 }
 
-// LookupResult is the tool service's answer about a key whose outcome was
-// unknown.
+// LookupResult is the tool service's answer to the look-up of a call whose
+// outcome is unknown.
 type LookupResult struct {
 	Call CallRef
-	// Found says that the service knows the key; Output is then its answer.
+	// Found is set when the service has a result for the key, which is then in
+	// Output.
 	Found  bool
 	Output string
-	// Err is set when the service could not be asked.
+	// Err is set when the look-up itself failed.
 	Err error
 }
 
-// Cancel asks to stop a call.
+// Cancel requests that a call is stopped.
 type Cancel struct{ Sequence uint64 }
 
-// Refusal is the scheduler's word that a started call will not be served.
+// Refusal reports that the scheduler will not serve a scheduled call.
 type Refusal struct {
 	Call  CallRef
 	Error *api.Error
 }
 
-// End asks to end a program.
+// End requests that a program is ended.
 type End struct{ Reason string }
--- a/program/create.go
+++ b/program/create.go
@@ -6,14 +6,16 @@
 	"birchwood.example/birchwood/api"
 )
 
-// defaultAllocationDivisor: a sub-agent that names no budget gets this part of what
-// its parent has free, or the contract's budget where that is less.
+// defaultAllocationDivisor sets the budget of a sub-agent whose request names
+// none: its parent's free tokens divided by this, or the contract's budget if
+// that is less.
 const defaultAllocationDivisor = 2
 
-// fullRetryAfter is how soon a caller may try again when the store is full.
+// fullRetryAfter is the RetryAfter of a create that a full store refuses.
 const fullRetryAfter = time.Second
 
-// create opens a program, or returns the one that has the same id and key.
+// create creates a program, or returns the existing one with the same id and
+// key.
 func (t *transition) create(id api.ProgramID, create Create) *api.Error {
 	if existing, ok := t.store.programs[id]; ok {
 		return t.repeatCreate(existing, create)
@@ -41,7 +43,8 @@
 	return nil
 }
 
-// repeatCreate answers a repeated create.
+// repeatCreate handles a create whose program exists: it returns the program if
+// the request is the same, and a key_reused error if not.
 func (t *transition) repeatCreate(existing *programState, create Create) *api.Error {
 	request := create.Request
 	duration := time.Duration(request.DeadlineMilliseconds) * time.Millisecond
@@ -57,8 +60,9 @@
 	return nil
 }
 
-// allocateBudget takes a sub-agent's budget from its parent's. Starting a sub-agent is
-// a turn of the parent, so that a loop of sub-agents meets the limit too.
+// allocateBudget takes a sub-agent's budget from its parent's. Starting a
+// sub-agent counts as a turn of the parent, so that the limit of turns also
+// stops a loop that starts sub-agents.
 func (t *transition) allocateBudget(id api.ProgramID, create Create, created *Created) *api.Error {
 	parent, ok := t.store.programs[create.Parent]
 	if !ok {
--- a/program/describe.go
+++ b/program/describe.go
@@ -7,17 +7,17 @@
 	"birchwood.example/birchwood/api"
 )
 
-// Live reports whether the store holds the program and something of it can
-// still happen: it has not ended, or its last calls have not.
+// Live reports whether the program is in the store and can still change: it has
+// not ended, or some of its calls or sub-agents have not.
 func (s *Store) Live(id api.ProgramID) bool {
 	p, ok := s.programs[id]
 	return ok && !p.finished()
 }
 
-// Count returns the number of programs held, ended ones included.
+// Count returns the number of programs in the store, ended ones included.
 func (s *Store) Count() int { return len(s.programs) }
 
-// Describe returns a program as callers see it.
+// Describe returns the API representation of a program.
 func (s *Store) Describe(id api.ProgramID) (api.Program, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -26,9 +26,10 @@
 	return p.describe(), true
 }
 
-// Call returns a call by its place, or by its key when the place is zero.
-// The texts, the usage and the error of a call that has ended are there only
-// while the log does not hold its records: History tells where they stand.
+// Call returns a call by its sequence number, or by its key if the sequence
+// number is zero. The texts, usage and error of a call that has ended are
+// included only while its records are not in the log; after that, History
+// returns the offsets at which to read them.
 func (s *Store) Call(id api.ProgramID, sequence uint64, key string) (api.Call, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -47,8 +48,8 @@
 	return call, true
 }
 
-// List returns up to limit programs of the branch and of the branches below
-// it, sorted by id. The empty branch stands for all of them.
+// List returns up to limit programs of the branch and of the branches below it,
+// sorted by id. An empty branch matches all programs.
 func (s *Store) List(branch string, limit int) []api.Program {
 	var ids []api.ProgramID
 	for id, p := range s.programs {
@@ -67,7 +68,7 @@
 	return programs
 }
 
-// Terms returns the terms that bind the program's next dispatch.
+// Terms returns the terms that apply to the program's next dispatch.
 func (s *Store) Terms(id api.ProgramID) (Terms, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -92,7 +93,7 @@
 	}
 }
 
-// describeCall returns what memory holds of a call.
+// describeCall returns the parts of a call that are in memory.
 func (p *programState) describeCall(sequence uint64) api.Call {
 	if live := p.liveCall(sequence); live != nil {
 		call := p.apiCall(sequence, live.call, nil)
@@ -119,7 +120,7 @@
 	return call
 }
 
-// apiCall joins the request and, if it has one, the outcome of a call.
+// apiCall builds a call from its request and, unless ended is nil, its outcome.
 func (p *programState) apiCall(sequence uint64, request api.SubmitCall, ended *CallEnded) api.Call {
 	call := api.Call{
 		Program:  p.id,
--- a/program/dispatch.go
+++ b/program/dispatch.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// advance starts the call whose turn it is. A call that can no longer run
-// ends here, and the next one has its turn.
+// advance schedules the head call if it is still queued. Calls that can no
+// longer run are ended until one can be scheduled.
 func (t *transition) advance(p *programState) {
 	for !p.closed {
 		head := p.head()
@@ -24,7 +24,8 @@
 	}
 }
 
-// checkSchedulable says why a call cannot be started any more.
+// checkSchedulable returns why a call can no longer be scheduled, or nil if it
+// can.
 func (t *transition) checkSchedulable(p *programState, live *liveCall) *api.Error {
 	if live.expired(t.now) {
 		return waitTimedOut(p, live)
@@ -43,7 +44,7 @@
 	return !c.deadline.IsZero() && !now.Before(c.deadline)
 }
 
-// schedule hands a call to the scheduler, after the delay.
+// schedule hands a call to the scheduler after the delay.
 func (t *transition) schedule(p *programState, live *liveCall, delay time.Duration) {
 	live.phase = phaseScheduled
 	effect := p.callEffect(EffectStart, live)
@@ -52,13 +53,13 @@
 	t.markTimer(p)
 }
 
-// dispatch records the intent to send an attempt. The attempt of a call that
-// is not repeatable is sent only once the record is durable: no later epoch
-// can then take it for a call that was never sent.
+// dispatch records the intent to send an attempt. The attempt of a call that is
+// not repeatable is sent only once the record is durable, so that no later epoch
+// can mistake it for a call that was never sent.
 func (t *transition) dispatch(p *programState, dispatch Dispatch) *api.Error {
 	live := p.liveCall(dispatch.Call.Sequence)
 	if live == nil || live.phase != phaseScheduled || live != p.head() || live.expired(t.now) {
-		return staleDispatch(dispatch.Call) // Tick ends what has run out of time
+		return staleDispatch(dispatch.Call) // if the call has expired, Tick ends it
 	}
 	t.record(Record{Program: p.id, Dispatched: &Dispatched{
 		Sequence: live.sequence,
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// refuse ends a call that the scheduler will not serve.
+// refuse ends a scheduled call that the scheduler refused.
 func (t *transition) refuse(p *programState, refusal Refusal) {
 	live := p.liveCall(refusal.Call.Sequence)
 	if live == nil || live.phase != phaseScheduled {
@@ -88,7 +89,8 @@
 	t.completeEnd(p)
 }
 
-// refusedByScheduler makes the scheduler's refusal the call's final answer.
+// refusedByScheduler converts the scheduler's refusal into the call's final
+// error.
 func refusedByScheduler(cause *api.Error) *api.Error {
 	if cause == nil {
 		return notRun(api.CodeOverloaded, queueRetryAfter, "the scheduler does not serve the call")
--- a/program/effect.go
+++ b/program/effect.go
@@ -7,59 +7,61 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// EffectKind tells what an Effect asks for.
+// EffectKind is the kind of an Effect.
 type EffectKind string
 
-// The kinds of effect.
+// The kinds of effects.
 const (
-	// EffectStart hands the call to the scheduler; Dispatch or Refuse follows.
+	// EffectSchedule hands the call to the scheduler, which answers with a
+	// Dispatch or Refuse command.
 	EffectStart EffectKind = "start"
 	// EffectSend sends the attempt to its back end.
 	EffectSend EffectKind = "send"
-	// EffectStop cancels the attempt at its back end, or takes the call out
-	// of the scheduler when Attempt is zero.
+	// EffectStop cancels the attempt at its back end, or removes the call from
+	// the scheduler if Attempt is zero.
 	EffectStop EffectKind = "stop"
-	// EffectAnswer: the call is terminal; waiting callers get it.
+	// EffectAnswer sends the call, which has ended, to its waiting callers.
 	EffectAnswer EffectKind = "answer"
-	// EffectLookup asks the tool service about the call's key.
+	// EffectLookup looks up the call's key at the tool service.
 	EffectLookup EffectKind = "lookup"
-	// EffectRelease: the program is gone; its engine memory is released.
+	// EffectRelease frees the memory that engines hold for an ended program.
 	EffectRelease EffectKind = "release"
 )
 
-// Effect is something the driver does outside the state machine.
+// Effect is an action that the driver performs outside the state machine.
 type Effect struct {
 	Kind    EffectKind
 	Attempt AttemptRef
 	Backend machine.ID
-	// Epoch is the one that dispatched the attempt, for EffectSend.
+	// Epoch is the epoch in which the attempt was dispatched, for EffectSend.
 	Epoch uint64
 	Call  api.SubmitCall
-	// Key identifies the call at a tool service: program, sequence and the
-	// caller's key.
+	// Key identifies the call at a tool service: the program, the sequence number
+	// and the caller's key.
 	Key string
-	// PromptTokens, Deadline, Terms and Attained are for EffectStart.
+	// PromptTokens, Deadline, Terms and AttainedTokens are for EffectSchedule.
 	PromptTokens int
 	Deadline     time.Time
 	Terms        Terms
 	Branch       string
-	// Attained is the service that the program has received, in tokens.
+	// AttainedTokens is the service that the program has received, in tokens.
 	Attained int64
-	// Delay postpones EffectStart or EffectLookup: the retry's backoff.
+	// Delay postpones EffectSchedule or EffectLookup by the backoff of a retry.
 	Delay time.Duration
-	// Avoid are the back ends that failed an earlier attempt, for EffectStart.
+	// Avoid lists the back ends that failed an earlier attempt, for
+	// EffectSchedule.
 	Avoid []machine.ID
-	// Answer is the whole terminal call, for EffectAnswer.
+	// Answer is the complete call, for EffectAnswer.
 	Answer *api.Call
 }
 
-// Output is what a Step decided. Effects may be performed only once Records
-// are durable; Immediate may be performed at once.
+// Output is the result of a Step, Tick or Resume. Effects may be performed only
+// once Records are durable; Immediate may be performed at once.
 type Output struct {
 	Records   []Record
 	Effects   []Effect
 	Immediate []Effect
-	// Program and Call describe what a command acted on, for the reply.
+	// Program and Call describe the objects of the command, for the reply.
 	Program *api.Program
 	Call    *api.Call
 }
--- a/program/end.go
+++ b/program/end.go
@@ -7,13 +7,13 @@
 	"birchwood.example/birchwood/api"
 )
 
-// end ends a program and its sub-agents.
+// end ends a program and its sub-agents on command.
 func (t *transition) end(p *programState, reason string) {
 	t.closeTree(p, reason)
 	t.setProgramReply(p)
 }
 
-// closeTree ends a program, then the sub-agents that it still has.
+// closeTree ends a program and then its remaining sub-agents, recursively.
 func (t *transition) closeTree(p *programState, reason string) {
 	if p.closed {
 		return
@@ -28,8 +28,9 @@
 	t.completeEnd(p)
 }
 
-// endCalls ends the calls of a closed program: what waits is not run, what
-// may run twice is stopped, and what may not is awaited until its deadline.
+// endCalls ends the calls of a closed program: waiting calls are not run, and
+// repeatable ones that are running are stopped. Others that are running are
+// awaited until their deadline.
 func (t *transition) endCalls(p *programState) {
 	for _, live := range slices.Clone(p.live) {
 		switch {
@@ -46,7 +47,8 @@
 }
 
 // completeEnd completes the end of a program once its calls and sub-agents have
-// ended: what is unspent returns to the parent, engines free its memory.
+// ended: the parent is refunded the unspent tokens, and engines free the
+// program's memory.
 func (t *transition) completeEnd(p *programState) {
 	if p.endCompleted || !p.finished() {
 		return
@@ -63,7 +65,7 @@
 	t.completeEnd(parent)
 }
 
-// refundBudget gives a parent back what its sub-agent has not used.
+// refundBudget returns a sub-agent's unspent tokens to its parent.
 func (t *transition) refundBudget(parent *programState, child api.ProgramID, unspent int64) {
 	if _, carved := parent.children[child]; !carved {
 		return
--- a/program/end_call.go
+++ b/program/end_call.go
@@ -6,8 +6,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// endCall records a call's final outcome and answers its callers. The caller
-// then lets the next call have its turn.
+// endCall records a call's final outcome and answers its callers. The function
+// that calls it must call advance afterwards, so that the next call can run.
 func (t *transition) endCall(p *programState, live *liveCall, ended CallEnded) {
 	ended.Sequence = live.sequence
 	ended.Attempt = live.attempt
@@ -24,15 +24,15 @@
 	t.store.stats.count(ended.Status)
 }
 
-// endNotRun ends a call of which nothing was ever sent. Dispatch refuses a
-// call that has ended, so that nothing can be sent any more either.
+// endNotRun ends a call of which nothing was sent. Nothing can be sent
+// afterwards either, because Dispatch refuses a call that has ended.
 func (t *transition) endNotRun(p *programState, live *liveCall, cause *api.Error) {
 	t.stopCall(p, live)
 	t.endCall(p, live, CallEnded{Status: api.StatusNotRun, Error: cause})
 }
 
-// endWaiting ends a call that waits: as not run if no attempt can have run,
-// else as given up.
+// endWaiting ends a call that is not running at present: as not run if no earlier
+// attempt can have run, and otherwise with endMayHaveRun.
 func (t *transition) endWaiting(p *programState, live *liveCall, cause *api.Error) {
 	if !live.mayHaveRun {
 		t.endNotRun(p, live, cause)
@@ -41,8 +41,8 @@
 	t.endMayHaveRun(p, live, cause)
 }
 
-// endMayHaveRun ends a call of which an attempt ran or may have run.
-// Nobody knows what that cost: the reservation stays held.
+// endMayHaveRun ends a call of which an attempt ran or may have run. The cost of
+// that attempt is unknown, so the reservation stays held.
 func (t *transition) endMayHaveRun(p *programState, live *liveCall, cause *api.Error) {
 	t.stopCall(p, live)
 	final := *cause
@@ -59,14 +59,15 @@
 	t.endCall(p, live, CallEnded{Status: status, Error: &final, HeldTokens: live.reserved})
 }
 
-// stopCall takes a call out of the scheduler or stops its running attempt.
-// The stop of a call that is not repeatable follows its send, which waits for
-// the log.
+// stopCall removes a call from the scheduler or stops its running attempt. If
+// the call is not repeatable, its send waits for the log, so the stop waits too
+// and follows it.
 func (t *transition) stopCall(p *programState, live *liveCall) {
 	stop := p.callEffect(EffectStop, live)
 	switch live.phase {
 	case phaseScheduled:
-		// The start itself may still wait for the log; a second stop follows it.
+		// EffectSchedule itself may still be waiting for the log; the second stop
+		// is performed after it.
 		stop.Attempt.Attempt = 0
 		stop.Backend = ""
 		t.immediate(stop)
@@ -80,11 +81,12 @@
 	}
 }
 
-// timeoutRetryAfter is how soon a caller may try again after a call ran out of
-// time before it was sent.
+// timeoutRetryAfter is the RetryAfter of a call that ran out of time before it
+// was sent.
 const timeoutRetryAfter = time.Second
 
-// waitTimedOut tells why a call that was never sent has run out of time.
+// waitTimedOut returns the error of a call that ran out of time before it was
+// sent.
 func waitTimedOut(p *programState, live *liveCall) *api.Error {
 	if p.head() == nil {
 		return notRun(api.CodeTimeout, timeoutRetryAfter, "call %d waited for call %d, which never came", live.sequence, p.headSequence)
@@ -92,9 +94,9 @@
 	return notRun(api.CodeTimeout, timeoutRetryAfter, "call %d found no back end before its deadline", live.sequence)
 }
 
-// cancel asks to stop a call. A call that was never sent ends as not run, and
-// one that may run twice is stopped. One that may not has its outcome looked
-// up: stopping it would not undo it.
+// cancel cancels a call. A call that was never sent ends as not run, and a
+// repeatable one is stopped. For any other call the outcome is looked up, since
+// stopping the attempt would not undo it.
 func (t *transition) cancel(p *programState, sequence uint64) *api.Error {
 	if p.entry(sequence) == nil {
 		return callNotFound(p.id, sequence)
--- a/program/errors.go
+++ b/program/errors.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/api"
 )
 
-// The reasons that the store itself gives for ending a program.
+// Reasons for which the store itself ends a program.
 const (
 	ReasonIdle     = "idle"
 	ReasonDuration = "limit_reached: duration"
@@ -31,15 +31,15 @@
 	return api.Refuse(api.CodeKeyReused, format, arguments...).At(place)
 }
 
-// staleDispatch tells the driver that a dispatch came for a call that does
-// not wait for one any more.
+// staleDispatch is the error for the dispatch of a call that no longer waits for
+// one.
 func staleDispatch(call CallRef) *api.Error {
 	return api.Refuse(api.CodeConflict, "call %d of %s does not wait for a back end", call.Sequence, call.Program)
 }
 
-// notRun is the outcome of a call that was never sent and never will be. The
-// key keeps that answer, so that a copy of the request that is still on its
-// way cannot run it either: a caller tries again with a new key.
+// notRun returns the error of a call that was not sent and never will be. The
+// outcome stays bound to the key, so that a copy of the request that is still in
+// transit cannot run the call either; to retry, a caller needs a new key.
 func notRun(code api.Code, retryAfter time.Duration, format string, arguments ...any) *api.Error {
 	refusal := api.Refuse(code, format, arguments...)
 	if retryAfter > 0 {
--- a/program/forget.go
+++ b/program/forget.go
@@ -6,8 +6,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// ensureCapacity reports whether one more program may be held. A full store
-// forgets the program whose end was complete first.
+// ensureCapacity reports whether the store has space for one more program. If it
+// is full, it evicts programs that have ended completely, oldest first.
 func (s *Store) ensureCapacity() bool {
 	for len(s.programs) >= s.config.MaximumPrograms {
 		if len(s.finished) == 0 {
@@ -22,15 +22,15 @@
 	return true
 }
 
-// evict drops a program from the store.
+// evict removes a program from the store.
 func (s *Store) evict(p *programState) {
 	s.timers.remove(p)
 	s.stats.LiveCalls -= len(p.live)
 	delete(s.programs, p.id)
 }
 
-// sortFinished orders the programs found complete at recovery by their end,
-// and drops those that were forgotten since.
+// sortFinished sorts the finished programs by the time they were closed, as
+// recovery finds them in another order, and drops those evicted since.
 func (s *Store) sortFinished() {
 	s.finished = slices.DeleteFunc(s.finished, func(id api.ProgramID) bool { return s.programs[id] == nil })
 	slices.SortStableFunc(s.finished, func(a, b api.ProgramID) int {
--- a/program/gauges.go
+++ b/program/gauges.go
@@ -2,18 +2,20 @@
 
 import "birchwood.example/birchwood/api"
 
-// Stats are the store's figures for a metrics page. Counters start at zero
-// with the store: they tell what this owner has seen.
+// Stats are metrics of a store. The counters start at zero with the store, so
+// they cover only the time of this owner.
 type Stats struct {
 	// LiveCalls is the number of calls that have not ended.
 	LiveCalls int
-	// Succeeded to Cancelled count the calls that ended here, by status.
+	// Succeeded, Failed, NotRun, OutcomeUnknown and Cancelled count the calls
+	// that ended, by status.
 	Succeeded      uint64
 	Failed         uint64
 	NotRun         uint64
 	OutcomeUnknown uint64
 	Cancelled      uint64
-	// Refused counts the requests that were not admitted.
+	// Refused counts programs that a full store refused and calls that were not
+	// admitted.
 	Refused uint64
 }
 
@@ -32,19 +34,19 @@
 	}
 }
 
-// Stats returns the store's figures. It costs the same for any number of
-// programs.
+// Stats returns the store's metrics in constant time.
 func (s *Store) Stats() Stats { return s.stats }
 
-// BudgetTotals are the tokens of all programs held.
+// BudgetTotals are the token budgets of all programs in the store, added up.
 type BudgetTotals struct {
 	BudgetTokens   int64
 	SpentTokens    int64
 	ReservedTokens int64
 }
 
-// BudgetTotals sums the budgets of the programs that have no parent: what a
-// sub-agent holds counts in its parent. It looks at every program.
+// BudgetTotals adds up the budgets of the programs without a parent; a
+// sub-agent's tokens are included in its parent's. It takes time linear in the
+// number of programs.
 func (s *Store) BudgetTotals() BudgetTotals {
 	var sum BudgetTotals
 	for _, p := range s.programs {
--- a/program/held.go
+++ b/program/held.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// programState is the state of one program. Durable fields follow from the
-// records alone; the others are made anew by Resume.
+// programState is the state of one program. Durable fields are determined by the
+// records alone; Resume sets up the others.
 type programState struct {
 	id     api.ProgramID
 	branch string
@@ -21,8 +21,9 @@
 	terms  *Terms
 	depth  int
 
-	// requestBudget and requestDuration are the limits that the creator set
-	// below the contract's; zero for none. carved is a sub-agent's budget.
+	// requestBudget and requestDuration are the limits in the create request,
+	// which can only lower the contract's; zero means none. allocatedTokens is the
+	// budget of a sub-agent.
 	requestBudget   int64
 	requestDuration time.Duration
 	allocatedTokens int64
@@ -34,31 +35,35 @@
 	closed       bool
 
 	budget budget
-	// historyTokens is the length of the prompt that the next call extends.
+	// historyTokens is the length of the history, which precedes the input of the
+	// next call in its prompt.
 	historyTokens int
-	// turns counts the calls accepted and the sub-agents started.
+	// turns counts accepted calls and started sub-agents.
 	turns int
-	// children are the sub-agents that have not returned their budget yet.
+	// children has the allocated tokens of each sub-agent until they are
+	// refunded.
 	children map[api.ProgramID]int64
 
-	// calls holds a small entry for each place, from 1; next is the lowest
-	// place that has not ended; live are the calls that have not ended, by
-	// place; unlocated holds the records that the log does not have yet.
+	// calls has an entry for each sequence number: calls[i] is number i+1.
+	// headSequence is the lowest number whose call has not ended or not arrived.
+	// live are the calls that have not ended, by sequence number. pending has
+	// the records that are not in the log yet, by sequence number.
 	calls        []callEntry
 	headSequence uint64
 	live         []*liveCall
 	pending      map[uint64]*pendingRecords
 
-	// endCompleted is set once the end of the program is complete; exhausted asks
-	// the next Tick to end a program that ran into its limit of turns.
+	// endCompleted is set once completeEnd has run. endOnTurnLimit makes Tick end
+	// a program that has exceeded its limit of turns.
 	endCompleted   bool
 	endOnTurnLimit bool
-	// marked is set while a transition is about to set the timer.
+	// marked is set while the program is in transition.marked.
 	marked bool
 	timer  timer
 }
 
-// callEntry is what stays in memory of a call that has ended: 40 bytes.
+// callEntry is the part of a call that stays in memory after it has ended: 40
+// bytes.
 type callEntry struct {
 	keyHash  uint64
 	bodyHash uint64
@@ -68,23 +73,25 @@
 	kind     kindCode
 }
 
-// pendingRecords holds the records of a call until the log tells their offset.
+// pendingRecords holds the records of a call until their log offsets are known.
 type pendingRecords struct {
 	Accepted *Accepted  `json:"accepted,omitempty"`
 	Ended    *CallEnded `json:"ended,omitempty"`
 }
 
-// phase tells where a call that has not ended stands.
+// phase is the progress of a call that has not ended.
 type phase uint8
 
 const (
-	// phaseQueued: earlier calls of the program come first.
+	// phaseQueued: the call waits for earlier calls of the program.
 	phaseQueued phase = iota
-	// phaseScheduled: the scheduler has the call, or its backoff runs.
+	// phaseScheduled: the call waits in the scheduler or for the end of its
+	// backoff.
 	phaseScheduled
-	// phaseSent: an attempt was sent, or will be once its intent is durable.
+	// phaseSent: an attempt was sent, or will be once its Dispatched record is
+	// durable.
 	phaseSent
-	// phaseLookup: the tool service is asked what became of the call.
+	// phaseLookup: the outcome of the call is looked up at the tool service.
 	phaseLookup
 )
 
@@ -102,13 +109,13 @@
 	epoch        uint64
 	dispatchedAt time.Time
 
-	// What follows is not durable.
+	// The fields below are not durable.
 	phase       phase
-	failures    int // attempts that count against the contract's limit
-	reschedules int // starts after the first, for the backoff
+	failures    int // attempts that count towards Terms.Attempts
+	reschedules int // retries, also those that are not failures, for the backoff
 	avoid       []machine.ID
-	// mayHaveRun: some attempt may have reached a back end. ranBefore is the
-	// same without the current attempt.
+	// mayHaveRun is set if any attempt may have reached a back end;
+	// mayHaveRunBefore is the same for the attempts before the current one.
 	mayHaveRun       bool
 	mayHaveRunBefore bool
 	lastError        *api.Error
@@ -119,7 +126,8 @@
 	return c.call.Kind == api.CallModel || c.call.Repeatable
 }
 
-// accepted is the record that admitted the call, with its present prompt.
+// accepted returns the record that accepted the call, with the current prompt
+// length and reservation.
 func (c *liveCall) accepted(bodyHash uint64) *Accepted {
 	return &Accepted{
 		Sequence:       c.sequence,
@@ -163,8 +171,8 @@
 	return p.live[index]
 }
 
-// head is the call whose turn it is: every earlier place has ended. It is nil
-// while the call of that place is missing.
+// head returns the call that is next to run or running: every earlier call has
+// ended. It is nil if the call with that sequence number has not arrived.
 func (p *programState) head() *liveCall {
 	if len(p.live) == 0 || p.live[0].sequence != p.headSequence {
 		return nil
@@ -172,7 +180,8 @@
 	return p.live[0]
 }
 
-// findKey returns the place of the call with the caller's key, or zero.
+// findKey returns the sequence number of the call with the caller's key, or zero
+// if there is none.
 func (p *programState) findKey(key string) uint64 {
 	hash := xxhash.Sum64String(key)
 	for i := len(p.calls) - 1; i >= 0; i-- {
@@ -183,18 +192,21 @@
 	return 0
 }
 
-// finished reports whether nothing of the program can happen any more.
+// finished reports whether the program and all its calls and sub-agents have
+// ended.
 func (p *programState) finished() bool {
 	return p.closed && len(p.live) == 0 && len(p.children) == 0
 }
 
-// serviceKey identifies a call at a tool service, the same in every attempt.
+// serviceKey returns the key that identifies a call at a tool service. It is the
+// same for every attempt.
 func (p *programState) serviceKey(live *liveCall) string {
 	return string(p.id) + "/" + strconv.FormatUint(live.sequence, 10) + "/" + live.call.Key
 }
 
-// bodyHash tells a repeated key with another body apart. The place and the
-// form of the answer are not part of the body.
+// bodyHash returns a hash of the request that detects a key that is reused with
+// another body. The sequence number, the timeout and the choice of streaming are
+// not part of the body.
 func bodyHash(request api.SubmitCall) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{
--- a/program/history.go
+++ b/program/history.go
@@ -6,9 +6,9 @@
 	"birchwood.example/birchwood/api"
 )
 
-// CallLocation tells where the two records of a call stand in the log. While
-// the log does not have one, its offset is NoOffset and the record is here.
-// The Accepted record of a call that has not ended is always here.
+// CallLocation has the log offsets of the two records of a call. While a record
+// is not in the log, its offset is NoOffset and the record itself is included.
+// The Accepted record of a call that has not ended is always included.
 type CallLocation struct {
 	Sequence       uint64
 	Kind           api.CallKind
@@ -19,8 +19,8 @@
 	Ended          *CallEnded
 }
 
-// Located tells where a record that this store proposed stands, once the log
-// has it. The store then forgets its texts.
+// SetRecordOffset sets the log offset of a record that was not in the log until
+// now. The store then drops the record's texts from memory.
 func (s *Store) Located(id api.ProgramID, record Record, offset uint64) {
 	p, ok := s.programs[id]
 	if !ok || offset == NoOffset {
@@ -56,8 +56,9 @@
 	}
 }
 
-// History locates up to limit calls from the place on, in order. The boolean
-// says whether the program is held.
+// History returns the locations of up to limit calls, in order, beginning with
+// the sequence number from. The boolean reports whether the program is in the
+// store.
 func (s *Store) History(id api.ProgramID, from uint64, limit int) ([]CallLocation, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -72,8 +73,9 @@
 	return locations, true
 }
 
-// Prompt locates what the prompt of a call is made of: the input and output
-// of every earlier call that succeeded, in order, then the call's own input.
+// Prompt returns the locations of the texts that form the prompt of a call: the
+// input and output of every earlier call that succeeded, in order, then the
+// call's own input. The boolean reports whether the store has the call.
 func (s *Store) Prompt(id api.ProgramID, sequence uint64) ([]CallLocation, bool) {
 	p, ok := s.programs[id]
 	if !ok || p.entry(sequence) == nil {
--- a/program/lookup.go
+++ b/program/lookup.go
@@ -6,15 +6,17 @@
 	"birchwood.example/birchwood/api"
 )
 
-// lookupState counts the look-ups of a call whose outcome is unknown.
+// lookupState is the progress of the look-ups of a call whose outcome is
+// unknown.
 type lookupState struct {
 	attempts int
-	// timeoutAt is when the answer to the last look-up is overdue.
+	// timeoutAt is the deadline of the current look-up.
 	timeoutAt time.Time
 	cancelled bool
 }
 
-// startLookup asks the tool service about the call's key, the first time.
+// startLookup begins to look up a call's outcome at the tool service, unless
+// that has begun already.
 func (t *transition) startLookup(p *programState, live *liveCall) {
 	if live.phase == phaseLookup {
 		return
@@ -32,9 +34,9 @@
 	t.markTimer(p)
 }
 
-// lookupResult takes the tool service's answer about a key. A key that is found
-// gives the outcome. One that is not found proves nothing, because a send may
-// still be in flight; the service is asked again a bounded number of times.
+// lookupResult handles the result of a look-up. A key that is found gives the
+// outcome. A key that is not found proves nothing, because a send may still be
+// in transit, so the look-up is repeated a bounded number of times.
 func (t *transition) lookupResult(p *programState, result LookupResult) {
 	live := p.liveCall(result.Call.Sequence)
 	if live == nil || live.phase != phaseLookup {
@@ -49,9 +51,10 @@
 	t.completeEnd(p)
 }
 
-// retryLookup asks once more, or ends the call with an unknown outcome. A
-// service that cannot be asked may come back: as long as the call has time
-// and its caller waits, that does not use up the look-ups.
+// retryLookup repeats the look-up, or ends the call with an unknown outcome once
+// the attempts are used up. A service that did not answer may recover: until the
+// call's deadline, and unless the call was cancelled, such failures do not end
+// the look-ups.
 func (t *transition) retryLookup(p *programState, live *liveCall, unanswered bool) {
 	unlimited := unanswered && !live.lookup.cancelled && !live.deadline.IsZero() && !live.expired(t.now)
 	if unlimited || live.lookup.attempts < t.store.config.LookupAttempts {
--- a/program/outcome.go
+++ b/program/outcome.go
@@ -7,9 +7,9 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// outcome takes what became of one attempt. Only the current attempt of a
-// call that was sent is listened to: late, second and crossed outcomes change
-// nothing.
+// outcome handles the result of an attempt. Only the outcome of the current
+// attempt of a call that was sent is accepted: late outcomes, duplicates and
+// outcomes of other attempts have no effect.
 func (t *transition) outcome(p *programState, outcome Outcome) {
 	live := p.liveCall(outcome.Attempt.Sequence)
 	if live == nil || live.attempt != outcome.Attempt.Attempt || outcome.Attempt.Program != p.id {
@@ -36,7 +36,7 @@
 	t.completeEnd(p)
 }
 
-// attemptFailed: the back end ran the attempt and says that it failed.
+// attemptFailed handles an attempt that the back end ran and that failed.
 func (t *transition) attemptFailed(p *programState, live *liveCall, outcome Outcome) {
 	cause := outcome.Error
 	if cause == nil {
@@ -49,7 +49,7 @@
 	t.endCall(p, live, CallEnded{Status: api.StatusFailed, Output: outcome.Output, Usage: outcome.Usage, Error: cause})
 }
 
-// permanent reports that another attempt would fail alike.
+// permanent reports whether another attempt would fail with the same error.
 func permanent(cause *api.Error) bool {
 	switch cause.Code {
 	case api.CodeBadRequest, api.CodeUnknownModel, api.CodeUnknownTool, api.CodeBodyTooLarge:
@@ -58,8 +58,8 @@
 	return false
 }
 
-// attemptNotSent: nothing reached the back end, so that even a call that is
-// not repeatable may be dispatched again.
+// attemptNotSent handles an attempt of which nothing reached the back end. After
+// it, even a call that is not repeatable may be dispatched again.
 func (t *transition) attemptNotSent(p *programState, live *liveCall, cause *api.Error) {
 	live.mayHaveRun = live.mayHaveRunBefore
 	live.lastError = cause
@@ -77,9 +77,9 @@
 	t.endWaiting(p, live, notRun(code, t.store.config.RetryMaximum, "%s", message))
 }
 
-// retryNotSent starts a call again of which nothing was sent. While the log
-// cannot be read, no back end is at fault: the call then waits for it until
-// its deadline, whatever its number of attempts.
+// retryNotSent retries a call of which nothing was sent and reports whether it
+// did. If the cause is that the log cannot be read, no back end is at fault: the
+// call is then retried until its deadline, regardless of the number of attempts.
 func (t *transition) retryNotSent(p *programState, live *liveCall, cause *api.Error) bool {
 	if cause != nil && cause.Code == api.CodeStoreUnavailable {
 		return t.rescheduleAfterBackoff(p, live)
@@ -87,7 +87,7 @@
 	return t.retry(p, live)
 }
 
-// attemptUnknown: the attempt may or may not have run.
+// attemptUnknown handles an attempt that may or may not have run.
 func (t *transition) attemptUnknown(p *programState, live *liveCall, cause *api.Error) {
 	if !live.repeatable() {
 		t.startLookup(p, live)
@@ -102,8 +102,8 @@
 	}
 }
 
-// retry starts the call once more, unless its attempts or its time are used
-// up. It reports whether it did.
+// retry counts the attempt as a failure of its back end and schedules the call
+// again, unless its attempts or its time are used up. It reports whether it did.
 func (t *transition) retry(p *programState, live *liveCall) bool {
 	live.failures++
 	live.avoid = append(live.avoid, live.backend)
@@ -113,7 +113,8 @@
 	return t.rescheduleAfterBackoff(p, live)
 }
 
-// rescheduleAfterBackoff starts the call after a backoff, unless its time is used up.
+// rescheduleAfterBackoff schedules the call again after a backoff, unless the
+// program has ended or the call would expire first. It reports whether it did.
 func (t *transition) rescheduleAfterBackoff(p *programState, live *liveCall) bool {
 	if p.closed {
 		return false
@@ -127,7 +128,7 @@
 	return true
 }
 
-// backoff returns the wait after so many failures in a row.
+// backoff returns the delay after this number of consecutive failures.
 func (s *Store) backoff(failures int) time.Duration {
 	spaced := retry.Backoff{Minimum: s.config.RetryBase, Maximum: s.config.RetryMaximum, Random: s.config.Random}
 	return spaced.Delay(failures)
--- a/program/pack.go
+++ b/program/pack.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// The layout of one packed entry: status, kind, key hash, body hash, then the
-// two offsets, all little-endian.
+// Offsets of the fields in a packed entry, which consists of status, kind, key
+// hash, body hash and the two log offsets, all little-endian.
 const (
 	keyHashOffset    = 2
 	bodyHashOffset   = keyHashOffset + 8
@@ -37,7 +37,7 @@
 	for i := range calls {
 		source := packed[i*packedEntryBytes : (i+1)*packedEntryBytes]
 		if statusCode(source[0]) > statusCancelled {
-			return nil, fmt.Errorf("call entry %d has status %d", i, source[0])
+			return nil, fmt.Errorf("call entry %d has unknown status %d", i, source[0])
 		}
 		calls[i] = callEntry{
 			status:   statusCode(source[0]),
--- a/program/record.go
+++ b/program/record.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Record is one durable fact about a program, a tagged union: exactly one
-// optional field is set. Folding the records of a partition in order gives
+// Record is one durable event of a program. It is a tagged union: exactly one
+// of the pointers is set. Replaying the records of a partition in order gives
 // the same programs on every node.
 type Record struct {
 	At                time.Time          `json:"at"`
@@ -23,48 +23,47 @@
 	Confirmed         *Confirmed         `json:"confirmed,omitempty"`
 }
 
-// Confirmed changes nothing. Once it is durable, its writer owned the
-// partition when it was proposed, so that what the writer held then was
-// everything: a former owner that does not know of its successor yet cannot
-// make it durable.
+// OwnershipConfirmed changes no state. Once it is durable, it proves that its
+// writer owned the partition when it proposed the record, and that the writer's
+// state was complete then: a previous owner that has not yet noticed its
+// successor cannot make the record durable.
 type Confirmed struct{}
 
-// Created opens a program.
+// Created creates a program.
 type Created struct {
 	Branch string        `json:"branch"`
 	Key    string        `json:"key"`
 	Parent api.ProgramID `json:"parent,omitempty"`
 	Terms  Terms         `json:"terms"`
-	// BudgetTokens and DeadlineMilliseconds are the limits that the request
-	// set below the contract's; zero where it set none.
+	// BudgetTokens and DeadlineMilliseconds are the limits in the request, which
+	// can only lower the contract's; zero means none.
 	BudgetTokens         int64 `json:"budget_tokens,omitempty"`
 	DeadlineMilliseconds int64 `json:"deadline_ms,omitempty"`
-	// AllocatedTokens is a sub-agent's budget, taken from its parent's by the
-	// Carved record before this one.
+	// AllocatedTokens is the budget of a sub-agent, taken from its parent's by
+	// the preceding BudgetTransferred record.
 	AllocatedTokens int64 `json:"carved_tokens,omitempty"`
 	// Depth is the number of ancestors.
 	Depth int `json:"depth,omitempty"`
 }
 
-// Accepted admits a call at its place in the program's order and reserves
-// its budget.
+// Accepted accepts a call at its sequence number and reserves its budget.
 type Accepted struct {
 	Sequence uint64         `json:"sequence"`
 	Call     api.SubmitCall `json:"call"`
-	// BodyHash tells a repeated key with another body apart.
+	// BodyHash detects a key that is reused with another body.
 	BodyHash uint64 `json:"body_hash"`
-	// InputTokens is the length of the call's own input.
+	// InputTokens is the length of the call's own input in tokens.
 	InputTokens int `json:"input_tokens"`
 	// PromptTokens is the length of the whole prompt, history included. While
-	// earlier calls have not ended it is an estimate from their output caps.
+	// earlier calls have not ended, it is an estimate from their output caps.
 	PromptTokens int `json:"prompt_tokens"`
-	// ReservedTokens is held against the budget until the call ends.
+	// ReservedTokens are reserved in the budget until the call ends.
 	ReservedTokens int64     `json:"reserved_tokens"`
 	Deadline       time.Time `json:"deadline"`
 }
 
 // Dispatched records the intent to send an attempt to a back end. For a call
-// that is not repeatable it is durable before anything is sent.
+// that is not repeatable, it is durable before anything is sent.
 type Dispatched struct {
 	Sequence uint64     `json:"sequence"`
 	Attempt  int        `json:"attempt"`
@@ -81,20 +80,21 @@
 	Output   string         `json:"output,omitempty"`
 	Usage    api.Usage      `json:"usage"`
 	Error    *api.Error     `json:"error,omitempty"`
-	// HeldTokens is the part of the reservation that stays held for good,
-	// because nobody knows what the call cost.
+	// HeldTokens is the part of the reservation that is never released, because
+	// the cost of the call is unknown.
 	HeldTokens int64 `json:"held_tokens,omitempty"`
 }
 
-// BudgetTransferred moves budget from a parent program to its sub-agent, or back when
-// the sub-agent ends: the first record of a child carves Tokens out, the
-// second returns what is unspent, as a negative number of Tokens.
+// BudgetTransferred moves budget between a parent program and its sub-agent.
+// The first record of a child allocates Tokens to it; the second, when the
+// child ends, refunds the unspent part as a negative number of Tokens.
 type BudgetTransferred struct {
 	Child  api.ProgramID `json:"child"`
 	Tokens int64         `json:"tokens"`
 }
 
-// Closed ends a program.
+// Closed ends a program: it accepts no more calls. Calls that are running may
+// still end after it.
 type Closed struct {
 	Reason string `json:"reason"`
 }
--- a/program/recover.go
+++ b/program/recover.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// Recover folds one record of the journal. The offset locates it; NoOffset
-// stands for a record that mirrors hold and the log does not have yet.
+// Recover replays one record. The offset is its position in the log, or NoOffset
+// for a record that mirrors have and the log does not have yet.
 func (s *Store) Recover(offset uint64, record Record) error {
 	if err := record.validate(); err != nil {
 		return err
@@ -21,10 +21,9 @@
 	return nil
 }
 
-// Resume starts what the recovered records leave to do, once they are all
-// folded: calls that wait are handed to the scheduler, repeatable ones that
-// were sent are sent again, and those that may not be repeated are looked up.
-// The epoch is the new owner's.
+// Resume continues the programs once all records are replayed: waiting calls are
+// handed to the scheduler, repeatable calls that were sent are scheduled again,
+// and other calls that were sent are looked up. The epoch is the new owner's.
 func (s *Store) Resume(now time.Time, epoch uint64) Output {
 	s.epoch = epoch
 	t := newTransition(s, now)
@@ -61,8 +60,8 @@
 	t.resumeEnd(p)
 }
 
-// refundOrphans takes back what was carved for a sub-agent whose creation was
-// lost with the old owner.
+// refundOrphans refunds budget allocated to sub-agents whose Created record was
+// lost with the previous owner.
 func (t *transition) refundOrphans(p *programState) {
 	for _, id := range p.sortedChildren() {
 		if _, ok := t.store.programs[id]; !ok {
@@ -71,9 +70,10 @@
 	}
 }
 
-// prepareCalls notes what an older epoch may have done with the calls. It may
-// have sent the repeatable call whose turn it was without a durable record:
-// that one never ends as not run any more.
+// prepareCalls sets the state of the calls that is not durable, according to what
+// an earlier epoch may have done with them. It may have sent the head call
+// without a durable record if that is repeatable, so that call can no longer end
+// as not run.
 func (p *programState) prepareCalls() {
 	for _, live := range p.live {
 		switch {
@@ -85,7 +85,7 @@
 	}
 }
 
-// resumeCall continues a call that an older epoch has left.
+// resumeCall continues a call of an earlier epoch.
 func (t *transition) resumeCall(p *programState, live *liveCall) {
 	switch {
 	case live.phase == phaseQueued && p.closed:
@@ -104,8 +104,9 @@
 	}
 }
 
-// resumeEnd completes the end of a program. One that was complete before is
-// left alone: what engines may still hold of it, their sweep finds.
+// resumeEnd handles a program that has ended. If its parent has not been refunded,
+// it completes the end. Otherwise the end was complete before, and EffectRelease
+// is not repeated: the sweep of the engines frees any memory they still hold.
 func (t *transition) resumeEnd(p *programState) {
 	if p.endCompleted || !p.finished() {
 		return
--- a/program/retarget.go
+++ b/program/retarget.go
@@ -2,10 +2,10 @@
 
 import "reflect"
 
-// updateTerms puts a newer revision of the contract in force. It binds the next
-// dispatch: a call that waits in the scheduler is handed over anew, and one
-// that the contract no longer permits ends. An older revision changes
-// nothing.
+// updateTerms applies the terms of a newer contract revision. They take effect
+// with the next dispatch: a call that waits in the scheduler is scheduled again,
+// and a call that the contract no longer permits ends. An older revision has no
+// effect.
 func (t *transition) updateTerms(p *programState, terms Terms) {
 	t.setProgramReply(p)
 	if p.closed || terms.Revision < p.terms.Revision {
@@ -27,7 +27,8 @@
 	t.setProgramReply(p)
 }
 
-// reschedule hands a withdrawn call to the scheduler with the terms in force.
+// reschedule hands a call that was stopped to the scheduler with the current
+// terms, or ends it if it can no longer run.
 func (t *transition) reschedule(p *programState, live *liveCall) {
 	live.phase = phaseQueued
 	refusal := t.checkSchedulable(p, live)
--- a/program/snapshot.go
+++ b/program/snapshot.go
@@ -11,7 +11,7 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// snapshotPart is one part of a snapshot: some programs of the partition.
+// snapshotPart is one part of a snapshot, with some programs of the partition.
 type snapshotPart struct {
 	Terms    []Terms           `json:"terms"`
 	Programs []snapshotProgram `json:"programs"`
@@ -23,7 +23,7 @@
 	Branch          string                  `json:"branch"`
 	Key             string                  `json:"key"`
 	Parent          api.ProgramID           `json:"parent,omitempty"`
-	Terms           int                     `json:"terms"` // index in the part
+	Terms           int                     `json:"terms"` // index into snapshotPart.Terms
 	Depth           int                     `json:"depth,omitempty"`
 	RequestBudget   int64                   `json:"request_budget,omitempty"`
 	RequestDuration time.Duration           `json:"request_duration,omitempty"`
@@ -40,7 +40,7 @@
 	HistoryTokens   int                     `json:"history_tokens,omitempty"`
 	Turns           int                     `json:"turns,omitempty"`
 	Children        map[api.ProgramID]int64 `json:"children,omitempty"`
-	// Calls packs the small entries of the places; see packCalls.
+	// Calls has the packed call entries; see packCalls.
 	Calls   []byte                     `json:"calls,omitempty"`
 	Live    []snapshotCall             `json:"live,omitempty"`
 	Pending map[uint64]*pendingRecords `json:"unlocated,omitempty"`
@@ -60,10 +60,11 @@
 	DispatchedAt time.Time      `json:"dispatched_at"`
 }
 
-// Snapshot returns the state in parts of bounded size, sorted by program: a
-// part is closed once it reaches Config.SnapshotPartBytes. Texts of ended
-// calls are left out; their offsets stand in for them. The parts hold every
-// record applied so far, so that they must follow those in the log.
+// Snapshot returns the state in parts, sorted by program. A part is complete once
+// it reaches Config.SnapshotPartBytes. The texts of ended calls are replaced by
+// their log offsets if the log has them. The parts include the effects of every
+// record applied so far, so they must be appended to the log after those
+// records.
 func (s *Store) Snapshot() []json.RawMessage {
 	var parts []json.RawMessage
 	builder := newPartBuilder()
@@ -80,8 +81,8 @@
 	return parts
 }
 
-// partBuilder encodes one part of a snapshot. Programs that have equal terms
-// share one copy of them.
+// partBuilder encodes one part of a snapshot. Programs with equal terms share one
+// copy of them.
 type partBuilder struct {
 	programs   bytes.Buffer
 	terms      []json.RawMessage
@@ -119,8 +120,8 @@
 	return index
 }
 
-// encode writes the form of snapshotPart around the programs, which are
-// encoded already.
+// encode returns the JSON of a snapshotPart with the programs added so far, which
+// are encoded already.
 func (b *partBuilder) encode() json.RawMessage {
 	var part bytes.Buffer
 	part.WriteString(`{"terms":[`)
@@ -139,17 +140,18 @@
 	return converted
 }
 
-// mustMarshal encodes a type of this package, which always has a JSON form.
+// mustMarshal encodes a value of this package. It panics on an error, which
+// cannot occur for these types.
 func mustMarshal(value any) json.RawMessage {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("program: a snapshot has no JSON form: %v", err))
+		panic(fmt.Sprintf("program: cannot encode a snapshot as JSON: %v", err))
 	}
 	return encoded
 }
 
-// RecoverSnapshot adds the programs of one part, before the records that
-// follow the snapshot are folded.
+// RecoverSnapshot adds the programs of one part of a snapshot. It must be called
+// for all parts before Recover replays the records that follow the snapshot.
 func (s *Store) RecoverSnapshot(encoded json.RawMessage) error {
 	var part snapshotPart
 	if err := json.Unmarshal(encoded, &part); err != nil {
@@ -157,7 +159,7 @@
 	}
 	for _, snapshot := range part.Programs {
 		if snapshot.Terms < 0 || snapshot.Terms >= len(part.Terms) {
-			return fmt.Errorf("part of a snapshot, program %s: it has no terms", snapshot.ID)
+			return fmt.Errorf("part of a snapshot, program %s: terms index out of range", snapshot.ID)
 		}
 		p, err := s.restore(snapshot, part.Terms[snapshot.Terms])
 		if err != nil {
@@ -195,7 +197,7 @@
 
 func (s *Store) restore(snapshot snapshotProgram, terms Terms) (*programState, error) {
 	if snapshot.ID == "" {
-		return nil, errors.New("it has no id")
+		return nil, errors.New("missing id")
 	}
 	calls, err := unpackCalls(snapshot.Calls)
 	if err != nil {
--- a/program/store.go
+++ b/program/store.go
@@ -8,10 +8,10 @@
 	"birchwood.example/birchwood/findings"
 )
 
-// NoOffset stands for a record that the log does not have yet.
+// NoOffset is the offset of a record that is not in the log yet.
 const NoOffset = ^uint64(0)
 
-// The defaults of Config.
+// Defaults of Config.
 const (
 	defaultMaximumPrograms    = 100_000
 	defaultMaximumQueuedCalls = 64
@@ -22,41 +22,44 @@
 	defaultLookupTimeout      = 5 * time.Second
 	defaultTickPrograms       = 256
 	defaultSnapshotPartBytes  = 256 << 10
-	// bytesPerToken is the rule of thumb that counts tokens by length.
+	// bytesPerToken is the average by which the default CountTokens estimates
+	// tokens from the length of a text.
 	bytesPerToken = 4
 )
 
-// Config sets the bounds of a Store. A zero field takes its default.
+// Config sets the limits of a Store. A zero field takes its default.
 type Config struct {
-	// CountTokens measures a text. The default counts four bytes as a token.
+	// CountTokens returns the length of a text in tokens. The default counts
+	// four bytes as one token.
 	CountTokens func(string) int
-	// MaximumPrograms bounds the programs held, ended ones included.
+	// MaximumPrograms bounds the programs in the store, ended ones included.
 	MaximumPrograms int
 	// MaximumQueuedCalls bounds the calls of one program that have not ended.
 	MaximumQueuedCalls int
-	// MaximumDepth bounds how deep sub-agents may start sub-agents.
+	// MaximumDepth bounds how deep sub-agents may be nested.
 	MaximumDepth int
 	// RetryBase and RetryMaximum bound the backoff of retries and look-ups.
 	RetryBase    time.Duration
 	RetryMaximum time.Duration
-	// Random draws the backoff's jitter. The default has a fixed seed.
+	// Random is the source of the backoff's jitter. The default has a fixed seed.
 	Random *rand.Rand
-	// LookupAttempts bounds how often a tool service is asked about a key.
+	// LookupAttempts bounds how often a key is looked up at a tool service.
 	LookupAttempts int
-	// LookupTimeout bounds the wait for the answer to one look-up.
+	// LookupTimeout bounds the wait for the result of one look-up.
 	LookupTimeout time.Duration
-	// TickPrograms bounds the programs that one Tick looks at.
+	// TickPrograms bounds the programs that one Tick processes.
 	TickPrograms int
-	// SnapshotPartBytes is the size at which a part of a snapshot is closed.
+	// SnapshotPartBytes is the size at which a part of a snapshot is complete
+	// and the next one begins.
 	SnapshotPartBytes int
 }
 
-// DefaultConfig returns the usual bounds, with jitter from the random source.
+// DefaultConfig returns the default limits, with jitter from random.
 func DefaultConfig(random *rand.Rand) Config {
 	return Config{Random: random}.withDefaults()
 }
 
-// validate collects every finding.
+// validate returns all errors in the configuration, joined.
 func (c Config) validate() error {
 	found := findings.Of("program config")
 	findings.AtLeast(found, "MaximumPrograms", c.MaximumPrograms, 0)
@@ -105,16 +108,18 @@
 	config   Config
 	programs map[api.ProgramID]*programState
 	timers   timerHeap
-	// terms shares equal terms between the programs of a branch.
+	// terms has the latest terms of each branch. Programs with equal terms share
+	// one copy, to save memory.
 	terms map[string]*Terms
-	// finished lists the programs whose end is complete, oldest first.
+	// finished lists the programs that have ended completely, oldest first.
 	finished []api.ProgramID
-	// epoch is this owner's, as Resume told it.
+	// epoch is the epoch of this owner, as passed to Resume.
 	epoch uint64
 	stats Stats
 }
 
-// NewStore returns an empty store. The error lists every wrong setting.
+// NewStore returns an empty store, or an error that lists every invalid
+// setting.
 func NewStore(config Config) (*Store, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -126,9 +131,9 @@
 	}, nil
 }
 
-// Step applies one command and returns what follows from it. A refusal has
-// changed nothing. Its state counts at once; nobody may be told of it before
-// Output.Records are durable.
+// Step applies one command and returns the resulting records and effects. The
+// state in memory changes at once, but must not be reported to anyone before
+// Output.Records are durable. A refused command changes no durable state.
 func (s *Store) Step(now time.Time, command Command) (Output, *api.Error) {
 	t := newTransition(s, now)
 	refusal := t.step(command)
@@ -171,7 +176,8 @@
 	return nil
 }
 
-// programID finds the program in the parts of a command that name it too.
+// programID returns the program that the command is about: its Program field or,
+// if that is empty, the one in the call or attempt that it refers to.
 func (c Command) programID() api.ProgramID {
 	switch {
 	case c.Program != "":
--- a/program/submit.go
+++ b/program/submit.go
@@ -7,10 +7,11 @@
 	"birchwood.example/birchwood/api"
 )
 
-// queueRetryAfter is how soon a caller may try again when the queue is full.
+// queueRetryAfter is the RetryAfter of a call that is refused because too many
+// calls wait.
 const queueRetryAfter = 500 * time.Millisecond
 
-// submit admits a call, or returns the one that has the same key.
+// submit accepts a call, or returns the existing one with the same key.
 func (t *transition) submit(p *programState, submit Submit) *api.Error {
 	request := submit.Request
 	if request.Key == "" {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// accepted builds the record that admits the call.
+// accepted builds the record that accepts the call.
 func (t *transition) accepted(p *programState, request api.SubmitCall, inputTokens int) *Accepted {
 	if inputTokens <= 0 {
 		inputTokens = t.store.config.CountTokens(request.Input)
@@ -63,8 +64,8 @@
 	}
 }
 
-// callDeadline is the end of the call's time: the caller's, within the
-// contract's. The zero time means that neither bounds it.
+// callDeadline returns the deadline of a call from the shorter of the timeouts in
+// the request and the contract. It is zero if neither sets one.
 func callDeadline(now time.Time, request api.SubmitCall, terms Terms) time.Time {
 	timeout := terms.CallTimeout
 	asked := time.Duration(request.TimeoutMilliseconds) * time.Millisecond
@@ -77,8 +78,8 @@
 	return now.Add(timeout)
 }
 
-// repeatSubmit answers a call whose key the program has seen: with the same
-// body it is the same call, whatever became of it.
+// repeatSubmit handles a call whose key is in use: it returns the call if the body
+// is the same, whatever its outcome, and a key_reused error if not.
 func (t *transition) repeatSubmit(p *programState, sequence uint64, request api.SubmitCall, hash uint64) *api.Error {
 	if p.calls[sequence-1].bodyHash != hash {
 		return keyReused("$.key", "call %d has this key and another body", sequence)
@@ -130,7 +131,8 @@
 	return nil
 }
 
-// checkSequence checks that the named place of the order is free and near.
+// checkSequence checks that the requested sequence number is free and not too far
+// ahead of the head.
 func (t *transition) checkSequence(p *programState, sequence uint64) *api.Error {
 	if sequence == 0 {
 		return nil
@@ -150,8 +152,9 @@
 	return p.terms.MaxTurns > 0 && p.turns >= p.terms.MaxTurns
 }
 
-// refuseTurns refuses a call beyond the limit of turns. The program ends once
-// its calls have: what still loops gets program_ended from then on.
+// refuseTurns refuses a call or sub-agent beyond the limit of turns. The program
+// ends once its calls have ended, so that an agent that keeps looping gets
+// program_ended.
 func (t *transition) refuseTurns(p *programState) *api.Error {
 	p.endOnTurnLimit = true
 	t.markTimer(p)
--- a/program/terms.go
+++ b/program/terms.go
@@ -7,8 +7,9 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Terms are the parts of a contract that bind one program. They are recorded
-// at its creation; placement and limits follow later revisions.
+// Terms are the parts of a contract that apply to one program. They are
+// recorded at its creation and replaced when a later contract revision takes
+// effect.
 type Terms struct {
 	Revision     uint64         `json:"revision"`
 	Placement    zone.Placement `json:"placement"`
@@ -17,30 +18,33 @@
 	Priority     int            `json:"priority"`
 	BudgetTokens int64          `json:"budget_tokens"`
 	MaxTurns     int            `json:"max_turns"`
-	// MaxDuration bounds a program's life, from its creation.
+	// MaxDuration is the longest a program may run, from its creation.
 	MaxDuration time.Duration `json:"max_duration"`
-	// IdleTimeout ends a program that makes no call for so long.
+	// IdleTimeout is how long a program may make no call before it is ended.
 	IdleTimeout time.Duration `json:"idle_timeout"`
+	// CallTimeout bounds a call from its acceptance, and ToolTimeout one attempt
+	// at a tool call from its dispatch.
 	CallTimeout time.Duration `json:"call_timeout"`
 	ToolTimeout time.Duration `json:"tool_timeout"`
 	// MaxOutputTokens caps the output of one model call.
 	MaxOutputTokens int `json:"max_output_tokens"`
-	// Drained are back ends that get no new calls.
+	// DrainedBackends get no new calls.
 	Drained []string `json:"drained,omitempty"`
-	// Attempts bounds how often a repeatable call is tried.
+	// Attempts bounds how often a call is tried. Attempts that were not sent
+	// because the log could not be read do not count.
 	Attempts int `json:"attempts"`
-	// Retention is how long an ended program is remembered: its history stays
-	// readable and its keys stay taken. Zero keeps it as long as the store.
+	// Retention is how long an ended program is kept, with its history readable
+	// and its keys in use. Zero means no time limit.
 	Retention time.Duration `json:"retention,omitempty"`
 }
 
-// CallRef names one call of one program.
+// CallRef identifies one call of one program.
 type CallRef struct {
 	Program  api.ProgramID `json:"program"`
 	Sequence uint64        `json:"sequence"`
 }
 
-// AttemptRef names one attempt at a call. Answers are matched on it.
+// AttemptRef identifies one attempt at a call. Outcomes are matched by it.
 type AttemptRef struct {
 	CallRef
 	Attempt int `json:"attempt"`
--- a/program/timers.go
+++ b/program/timers.go
@@ -11,14 +11,14 @@
 // timerUnset is the heap index of a program that has no timer.
 const timerUnset = -1
 
-// timer is a program's next deadline of any kind.
+// timer holds the next deadline of a program, of any kind.
 type timer struct {
 	due   time.Time
 	index int
 }
 
-// timerHeap orders programs by their next deadline, so that a Tick looks only
-// at the programs that are due.
+// timerHeap is a heap of programs by their next deadline, so that Tick visits
+// only the programs that are due.
 type timerHeap []*programState
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -52,7 +52,8 @@
 	}
 }
 
-// updateTimer sets a program's timer to its next deadline.
+// updateTimer sets a program's timer to its next deadline. It ignores a program
+// that is no longer in the store.
 func (s *Store) updateTimer(p *programState) {
 	if s.programs[p.id] != p {
 		return
@@ -70,7 +71,8 @@
 	}
 }
 
-// NextWake is when Tick has work to do; the zero time means never.
+// NextWake returns when Tick has work to do next. It is zero if there is no
+// deadline.
 func (s *Store) NextWake() time.Time {
 	if len(s.timers) == 0 {
 		return time.Time{}
@@ -78,9 +80,9 @@
 	return s.timers[0].timer.due
 }
 
-// Tick ends what has run out of time: calls, attempts, look-ups, programs. It
-// looks at a bounded number of programs; while more are due, NextWake is not
-// after now.
+// Tick handles the calls, attempts, look-ups and programs that have run out of
+// time. It processes at most Config.TickPrograms programs; while more are due,
+// NextWake is not after now.
 func (s *Store) Tick(now time.Time) Output {
 	t := newTransition(s, now)
 	for range s.config.TickPrograms {
@@ -95,8 +97,8 @@
 	return t.finish()
 }
 
-// nextDeadline is the earliest moment at which Tick has something to do for
-// the program; zero when there is none.
+// nextDeadline returns the earliest time at which Tick has work to do for the
+// program, or zero if there is none.
 func (p *programState) nextDeadline() time.Time {
 	var due time.Time
 	earliest := func(moment time.Time) {
@@ -120,7 +122,8 @@
 	return due
 }
 
-// deadlineAfter returns the moment one duration later; the zero time for no bound.
+// deadlineAfter returns start plus duration, or zero if the duration sets no
+// limit.
 func deadlineAfter(start time.Time, duration time.Duration) time.Time {
 	if duration <= 0 {
 		return time.Time{}
@@ -128,7 +131,8 @@
 	return start.Add(duration)
 }
 
-// maxDuration bounds the program's life: the contract's, lowered by its creator.
+// maxDuration returns the longest that the program may run: the lower of the
+// limits of the contract and the creator.
 func (p *programState) maxDuration() time.Duration {
 	limit := p.terms.MaxDuration
 	if p.requestDuration > 0 && (limit <= 0 || p.requestDuration < limit) {
@@ -137,8 +141,8 @@
 	return limit
 }
 
-// idleDeadline is when a program that makes no call is ended. One that waits
-// for a call or for a sub-agent is not idle.
+// idleDeadline returns when the program is ended for being idle. It is zero while
+// the program waits for a call or a sub-agent, since it is not idle then.
 func (p *programState) idleDeadline() time.Time {
 	if len(p.live) > 0 || len(p.children) > 0 {
 		return time.Time{}
@@ -146,7 +150,7 @@
 	return deadlineAfter(p.lastActivity, p.terms.IdleTimeout)
 }
 
-// nextDeadline is when Tick has something to do for the call.
+// nextDeadline returns when Tick has work to do for the call, or zero.
 func (c *liveCall) nextDeadline(terms *Terms) time.Time {
 	switch c.phase {
 	case phaseLookup:
@@ -160,7 +164,8 @@
 	return c.deadline
 }
 
-// attemptDeadline bounds one run of a tool, from its dispatch.
+// attemptDeadline returns the deadline of a tool call's current attempt, counted
+// from its dispatch. It is zero for model calls.
 func (c *liveCall) attemptDeadline(terms *Terms) time.Time {
 	if c.call.Kind != api.CallTool {
 		return time.Time{}
@@ -168,7 +173,8 @@
 	return deadlineAfter(c.dispatchedAt, terms.ToolTimeout)
 }
 
-// expire ends whatever of the program is due.
+// expire handles all deadlines of the program that have passed. An ended program
+// whose retention is over is evicted.
 func (t *transition) expire(p *programState) {
 	if p.finished() {
 		if due := p.nextDeadline(); !due.IsZero() && !due.After(t.now) {
@@ -226,7 +232,8 @@
 	t.completeEnd(p)
 }
 
-// expireSent gives up on an attempt that runs for too long.
+// expireSent handles an attempt that has run for too long: a repeatable call is
+// retried or ended, and any other call is looked up.
 func (t *transition) expireSent(p *programState, live *liveCall) {
 	if !live.repeatable() {
 		t.startLookup(p, live)
--- a/program/transition.go
+++ b/program/transition.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/api"
 )
 
-// transition collects what one input of the store decides.
+// transition processes one input of the store and collects its output.
 type transition struct {
 	store  *Store
 	now    time.Time
@@ -19,9 +19,8 @@
 	return &transition{store: store, now: now.Round(0).UTC()}
 }
 
-// record applies a durable fact and keeps it for the journal. Every change
-// of durable state goes through here, so that folding the records again
-// gives the same state.
+// record applies a record and adds it to the output. Every change of durable
+// state goes through here, so that replaying the records gives the same state.
 func (t *transition) record(record Record) {
 	record.At = t.now
 	t.store.apply(NoOffset, record)
@@ -29,7 +28,8 @@
 	t.markTimer(t.store.programs[record.Program])
 }
 
-// markTimer marks a program whose next deadline may have changed.
+// markTimer marks a program whose next deadline may have changed; setTimers then
+// updates its timer.
 func (t *transition) markTimer(p *programState) {
 	if p != nil && !p.marked {
 		p.marked = true
@@ -37,17 +37,17 @@
 	}
 }
 
-// effect asks for something once the records are durable.
+// effect adds an effect to perform once the records are durable.
 func (t *transition) effect(effect Effect) {
 	t.out.Effects = append(t.out.Effects, effect)
 }
 
-// immediate asks for something that need not wait.
+// immediate adds an effect to perform at once.
 func (t *transition) immediate(effect Effect) {
 	t.out.Immediate = append(t.out.Immediate, effect)
 }
 
-// setTimers sets the timers of the programs that were touched.
+// setTimers updates the timers of the marked programs.
 func (t *transition) setTimers() {
 	for _, p := range t.marked {
 		p.marked = false
@@ -56,26 +56,26 @@
 	t.marked = t.marked[:0]
 }
 
-// finish returns the output once every timer is set.
+// finish updates the timers and returns the output.
 func (t *transition) finish() Output {
 	t.setTimers()
 	return t.out
 }
 
-// setProgramReply puts the program into the output, for the reply.
+// setProgramReply sets the program in the output, for the reply.
 func (t *transition) setProgramReply(p *programState) {
 	described := p.describe()
 	t.out.Program = &described
 }
 
-// setCallReply puts the call into the output, for the reply.
+// setCallReply sets the call and its program in the output, for the reply.
 func (t *transition) setCallReply(p *programState, sequence uint64) {
 	described := p.describeCall(sequence)
 	t.out.Call = &described
 	t.setProgramReply(p)
 }
 
-// callEffect is the part that effects about a call share.
+// callEffect returns an effect with the fields that all effects of a call have.
 func (p *programState) callEffect(kind EffectKind, live *liveCall) Effect {
 	return Effect{
 		Kind:         kind,
@@ -93,7 +93,8 @@
 	}
 }
 
-// releaseEffect asks to free what engines keep for the program.
+// releaseEffect returns the effect that frees the memory that engines hold for
+// the program.
 func releaseEffect(id api.ProgramID) Effect {
 	return Effect{Kind: EffectRelease, Attempt: AttemptRef{CallRef: CallRef{Program: id}}}
 }
--- a/program/validate.go
+++ b/program/validate.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// maximumSequenceGap guards the fold against a damaged record: no call is accepted
-// this far ahead of the calls before it.
+// maximumSequenceGap is how far a recovered call's sequence number may be ahead of
+// the calls before it. It keeps a damaged record from exhausting memory.
 const maximumSequenceGap = 1 << 16
 
-// validate checks that a record from the journal has one meaning.
+// validate checks that a recovered record names a program and has exactly one
+// event.
 func (r Record) validate() error {
 	if r.Program == "" {
 		return fmt.Errorf("record without a program")
@@ -21,12 +22,13 @@
 		}
 	}
 	if set != 1 {
-		return fmt.Errorf("record of program %s: %d facts, want one", r.Program, set)
+		return fmt.Errorf("record of program %s: %d event fields are set, want one", r.Program, set)
 	}
 	return nil
 }
 
-// validateSequence checks that a recovered call stands near the others.
+// validateSequence checks that the sequence number of a recovered call is not too
+// far ahead of the others.
 func (s *Store) validateSequence(record Record) error {
 	p, ok := s.programs[record.Program]
 	if !ok || record.Accepted == nil {
@@ -34,7 +36,7 @@
 	}
 	sequence := record.Accepted.Sequence
 	if sequence == 0 || sequence > uint64(len(p.calls))+maximumSequenceGap {
-		return fmt.Errorf("record of program %s: call with place %d after %d places", record.Program, sequence, len(p.calls))
+		return fmt.Errorf("record of program %s: sequence number %d is out of range after %d calls", record.Program, sequence, len(p.calls))
 	}
 	return nil
 }
