--- a/program/bench_test.go
+++ b/program/bench_test.go
@@ -19,11 +19,11 @@
 // benchStore drives calls through a store without keeping a journal.
 type benchStore struct {
 	*program.Store
-	now    time.Time
-	offset uint64
-	made   []int
-	lives  []int
-	keys   [callsPerProgram]string
+	now         time.Time
+	offset      uint64
+	callsMade   []int
+	generations []int
+	keys        [callsPerProgram]string
 }
 
 func newBenchStore(programs int) *benchStore {
@@ -31,12 +31,12 @@
 	if err != nil {
 		panic(err)
 	}
-	b := &benchStore{Store: store, now: time.Unix(1_700_000_000, 0), made: make([]int, programs), lives: make([]int, programs)}
+	b := &benchStore{Store: store, now: time.Unix(1_700_000_000, 0), callsMade: make([]int, programs), generations: make([]int, programs)}
 	for i := range b.keys {
 		b.keys[i] = "call-key-" + strconv.Itoa(i)
 	}
 	for i := range programs {
-		b.open(i)
+		b.create(i)
 		for range i % callsPerProgram {
 			b.call(i)
 		}
@@ -45,10 +45,10 @@
 }
 
 func (b *benchStore) id(i int) api.ProgramID {
-	return api.ProgramID(fmt.Sprintf("isando_midrand-a.3.%08x%08x", i, b.lives[i]))
+	return api.ProgramID(fmt.Sprintf("isando_midrand-a.3.%08x%08x", i, b.generations[i]))
 }
 
-func (b *benchStore) open(i int) {
+func (b *benchStore) create(i int) {
 	command := createCommand(b.id(i))
 	command.Create.Terms.BudgetTokens = 1 << 40
 	command.Create.Terms.MaxTurns = 0
@@ -58,16 +58,16 @@
 // call makes one whole call of program i: submitted, dispatched, answered,
 // and its records located. A program that has made enough is replaced.
 func (b *benchStore) call(i int) {
-	if b.made[i] == callsPerProgram {
+	if b.callsMade[i] == callsPerProgram {
 		b.step(endCommand(b.id(i)))
-		b.lives[i]++
-		b.made[i] = 0
-		b.open(i)
+		b.generations[i]++
+		b.callsMade[i] = 0
+		b.create(i)
 	}
 	id := b.id(i)
-	b.step(submitCommand(id, modelCall(b.keys[b.made[i]])))
-	b.made[i]++
-	call := ref(id, uint64(b.made[i]))
+	b.step(submitCommand(id, modelCall(b.keys[b.callsMade[i]])))
+	b.callsMade[i]++
+	call := ref(id, uint64(b.callsMade[i]))
 	b.step(program.Command{Dispatch: &program.Dispatch{Call: call, Backend: "engine-1", Epoch: 1}})
 	attempt := program.AttemptRef{CallRef: call, Attempt: 1}
 	usage := api.Usage{PromptTokens: 10, OutputTokens: 10}
@@ -166,13 +166,13 @@
 	for _, size := range []struct{ programs, calls int }{{100_000, 1}, {100_000, 20}, {10_000, 160}} {
 		b.Run(fmt.Sprintf("programs=%d/calls=%d", size.programs, size.calls), func(b *testing.B) {
 			for range b.N {
-				measureHeld(b, size.programs, size.calls)
+				measureMemory(b, size.programs, size.calls)
 			}
 		})
 	}
 }
 
-func measureHeld(b *testing.B, programs, calls int) {
+func measureMemory(b *testing.B, programs, calls int) {
 	before := heapBytes()
 	store, _ := program.NewStore(program.Config{})
 	recoverPrograms(b, store, programs, calls)
--- a/program/budget.go
+++ b/program/budget.go
@@ -83,10 +83,10 @@
 		return
 	}
 	head.promptTokens = p.historyTokens + head.inputTokens
-	wanted := reservation(head.call, head.promptTokens)
-	if wanted-head.reserved <= p.budget.free() {
-		p.budget.reserved += wanted - head.reserved
-		head.reserved = wanted
+	required := reservation(head.call, head.promptTokens)
+	if required-head.reserved <= p.budget.free() {
+		p.budget.reserved += required - head.reserved
+		head.reserved = required
 	}
 }
 
--- a/program/driver_test.go
+++ b/program/driver_test.go
@@ -39,7 +39,7 @@
 }
 
 // take makes an output durable and returns its effects.
-func (d *driver) take(output program.Output) []program.Effect {
+func (d *driver) commit(output program.Output) []program.Effect {
 	for _, record := range output.Records {
 		d.log = append(d.log, roundTrip(record))
 		d.store.Located(record.Program, record, uint64(len(d.log)-1))
@@ -68,7 +68,7 @@
 	if refusal != nil {
 		panic(fmt.Sprintf("refused: %v", refusal))
 	}
-	d.take(output)
+	d.commit(output)
 	return output
 }
 
@@ -85,14 +85,14 @@
 func (d *driver) tick(elapsed time.Duration) {
 	d.now = d.now.Add(elapsed)
 	for wake := d.store.NextWake(); !wake.IsZero() && !wake.After(d.now); wake = d.store.NextWake() {
-		d.take(d.store.Tick(d.now))
+		d.commit(d.store.Tick(d.now))
 	}
 }
 
 // crash drops the store; only the first records of the log survive. The next
 // owner folds them and resumes.
-func (d *driver) crash(survive int) {
-	d.log = d.log[:survive]
+func (d *driver) crash(surviving int) {
+	d.log = d.log[:surviving]
 	d.effects = nil
 	d.store = d.newStore()
 	for offset, record := range d.log {
@@ -101,7 +101,7 @@
 		}
 	}
 	d.epoch++
-	d.take(d.store.Resume(d.now, d.epoch))
+	d.commit(d.store.Resume(d.now, d.epoch))
 }
 
 // effect returns the last effect of the kind about the call.
--- a/program/history.go
+++ b/program/history.go
@@ -82,9 +82,9 @@
 		return nil, false
 	}
 	locations := make([]CallLocation, 0, sequence)
-	for place := uint64(1); place < sequence; place++ {
-		if p.calls[place-1].status == statusSucceeded {
-			locations = append(locations, p.location(place))
+	for earlier := uint64(1); earlier < sequence; earlier++ {
+		if p.calls[earlier-1].status == statusSucceeded {
+			locations = append(locations, p.location(earlier))
 		}
 	}
 	own := p.location(sequence)
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -272,7 +272,7 @@
 		d.submit("p", modelCall("a"))
 	})
 
-	retarget := func(change func(*program.Terms)) {
+	updateTerms := func(change func(*program.Terms)) {
 		revised := terms()
 		revised.Revision = 2
 		change(&revised)
@@ -280,7 +280,7 @@
 	}
 
 	It("binds the next dispatch of a call that waits in the scheduler", func() {
-		retarget(func(t *program.Terms) { t.Placement = "isando" })
+		updateTerms(func(t *program.Terms) { t.Placement = "isando" })
 		// The older start may still wait for the log: a stop follows it too.
 		kinds := []program.EffectKind{}
 		for _, effect := range d.effects[len(d.effects)-3:] {
@@ -293,7 +293,7 @@
 	})
 
 	It("ends a call that it no longer permits, and never reverts", func() {
-		retarget(func(t *program.Terms) { t.Models = nil })
+		updateTerms(func(t *program.Terms) { t.Models = nil })
 		Expect(d.effect(program.EffectAnswer, ref("p", 1)).Answer.Error.Code).To(Equal(api.CodeUnknownModel))
 		old := terms()
 		d.step(program.Command{Program: "p", Retarget: &old})
@@ -302,7 +302,7 @@
 
 	It("writes no record when nothing but the revision changed", func() {
 		before := len(d.log)
-		retarget(func(*program.Terms) {})
+		updateTerms(func(*program.Terms) {})
 		Expect(d.log).To(HaveLen(before))
 	})
 })
--- a/program/outcome.go
+++ b/program/outcome.go
@@ -130,6 +130,6 @@
 
 // backoff returns the delay after this number of consecutive failures.
 func (s *Store) backoff(failures int) time.Duration {
-	spaced := retry.Backoff{Minimum: s.config.RetryBase, Maximum: s.config.RetryMaximum, Random: s.config.Random}
-	return spaced.Delay(failures)
+	policy := retry.Backoff{Minimum: s.config.RetryBase, Maximum: s.config.RetryMaximum, Random: s.config.Random}
+	return policy.Delay(failures)
 }
--- a/program/property_test.go
+++ b/program/property_test.go
@@ -15,15 +15,15 @@
 // fixedFlags make the property test give the same verdict in every run, where
 // the command line does not set them: a fixed seed, and enough runs to find
 // the faults that were found while the store was written.
-var fixedFlags = map[string]string{
+var defaultFlags = map[string]string{
 	"rapid.seed":       "20260301",
 	"rapid.checks":     "2000",
 	"rapid.steps":      "60",
 	"rapid.nofailfile": "true",
 }
 
-func fixFlags(t *testing.T) {
-	for name, value := range fixedFlags {
+func setDefaultFlags(t *testing.T) {
+	for name, value := range defaultFlags {
 		given := flag.Lookup(name)
 		if given.Value.String() != given.DefValue {
 			continue
@@ -39,55 +39,55 @@
 // sending, and outcomes that come late, twice or crossed. The oracle is a
 // list of calls with what back ends saw of them.
 func TestStoreAgainstOracle(t *testing.T) {
-	fixFlags(t)
+	setDefaultFlags(t)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		h := newHarness(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"create":   w.create,
-			"submit":   w.submit,
-			"submit 2": w.submit,
-			"confirm":  w.confirm,
-			"log":      w.confirm,
-			"place":    w.place,
-			"place 2":  w.place,
-			"finish":   w.finish,
-			"finish 2": w.finish,
-			"lookup":   w.answerLookup,
-			"cancel":   w.cancel,
-			"refuse":   w.refuse,
-			"end":      w.end,
-			"retarget": w.retarget,
-			"tick":     w.tick,
-			"crash":    w.crash,
-			"oldOwner": w.oldOwnerSends,
-			"refold":   w.compareFolds,
-			"":         w.check,
+			"create":   h.create,
+			"submit":   h.submit,
+			"submit 2": h.submit,
+			"confirm":  h.makeDurable,
+			"log":      h.makeDurable,
+			"place":    h.dispatch,
+			"place 2":  h.dispatch,
+			"finish":   h.reportOutcome,
+			"finish 2": h.reportOutcome,
+			"lookup":   h.answerLookup,
+			"cancel":   h.cancel,
+			"refuse":   h.refuse,
+			"end":      h.end,
+			"retarget": h.updateTerms,
+			"tick":     h.tick,
+			"crash":    h.crash,
+			"oldOwner": h.previousOwnerSends,
+			"refold":   h.compareReplays,
+			"":         h.check,
 		})
-		w.drain()
+		h.finishAll()
 	})
 }
 
-func (w *world) create(t *rapid.T) {
+func (h *harness) create(t *rapid.T) {
 	id := drawProgram(t)
 	command := createCommand(id)
 	command.Create.Terms.BudgetTokens = 900
 	command.Create.Terms.MaxTurns = 8
-	command.Create.Terms.Revision = w.revision
+	command.Create.Terms.Revision = h.revision
 	if id != "p0" && rapid.Bool().Draw(t, "child") {
 		command.Create.Parent = "p0"
 	}
-	_, _ = w.step(command)
+	_, _ = h.step(command)
 }
 
-func (w *world) submit(t *rapid.T) {
+func (h *harness) submit(t *rapid.T) {
 	id := drawProgram(t)
 	key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "key")
 	request := rapid.SampledFrom([]func(string) api.SubmitCall{modelCall, sealCall, readCall}).Draw(t, "kind")(key)
 	request.Sequence = rapid.SampledFrom([]uint64{0, 0, 0, 1, 2, 3, 4}).Draw(t, "place")
-	known := w.findKey(id, key)
-	output, refusal := w.step(submitCommand(id, request))
+	expected := h.findKey(id, key)
+	output, refusal := h.step(submitCommand(id, request))
 	switch {
-	case known != nil && known.request != withoutPlace(request):
+	case expected != nil && expected.request != withoutSequence(request):
 		if refusal == nil || refusal.Code != api.CodeKeyReused {
 			t.Fatalf("key %s of %s with another body: %v", key, id, refusal)
 		}
@@ -95,30 +95,30 @@
 		if refusal.Ran != api.RanNotRun {
 			t.Fatalf("refusal %v does not say that nothing ran", refusal)
 		}
-	case known != nil:
-		if output.Call.Sequence != known.sequence {
-			t.Fatalf("key %s of %s has places %d and %d", key, id, known.sequence, output.Call.Sequence)
+	case expected != nil:
+		if output.Call.Sequence != expected.sequence {
+			t.Fatalf("key %s of %s has places %d and %d", key, id, expected.sequence, output.Call.Sequence)
 		}
 	default:
-		w.accept(id, withoutPlace(request), output.Call.Sequence)
+		h.accept(id, withoutSequence(request), output.Call.Sequence)
 	}
 }
 
-func withoutPlace(request api.SubmitCall) api.SubmitCall {
+func withoutSequence(request api.SubmitCall) api.SubmitCall {
 	request.Sequence = 0
 	return request
 }
 
-func (w *world) accept(id api.ProgramID, request api.SubmitCall, sequence uint64) {
+func (h *harness) accept(id api.ProgramID, request api.SubmitCall, sequence uint64) {
 	call := ref(id, sequence)
-	if taken := w.calls[call]; taken != nil {
-		w.t.Fatalf("place %v was given to key %s and key %s", call, taken.request.Key, request.Key)
+	if taken := h.calls[call]; taken != nil {
+		h.t.Fatalf("place %v was given to key %s and key %s", call, taken.request.Key, request.Key)
 	}
-	w.calls[call] = &oracleCall{program: id, request: request, sequence: sequence, acceptedAt: len(w.log)}
+	h.calls[call] = &oracleCall{program: id, request: request, sequence: sequence, acceptedAt: len(h.log)}
 }
 
-func (w *world) findKey(id api.ProgramID, key string) *oracleCall {
-	for _, call := range w.calls {
+func (h *harness) findKey(id api.ProgramID, key string) *oracleCall {
+	for _, call := range h.calls {
 		if call.program == id && call.request.Key == key {
 			return call
 		}
@@ -127,49 +127,49 @@
 }
 
 // confirm makes some records durable and performs some of what waited.
-func (w *world) confirm(t *rapid.T) {
+func (h *harness) makeDurable(t *rapid.T) {
 	if rapid.Bool().Draw(t, "all") {
-		w.durable = len(w.log)
-		w.performDue(len(w.waiting))
+		h.durable = len(h.log)
+		h.performDue(len(h.pending))
 		return
 	}
-	w.durable += rapid.IntRange(0, len(w.log)-w.durable).Draw(t, "records")
-	w.locate()
-	w.performDue(rapid.IntRange(0, 8).Draw(t, "effects"))
+	h.durable += rapid.IntRange(0, len(h.log)-h.durable).Draw(t, "records")
+	h.setOffsets()
+	h.performDue(rapid.IntRange(0, 8).Draw(t, "effects"))
 }
 
-func (w *world) locate() {
-	for ; w.located < w.durable; w.located++ {
-		record := w.log[w.located]
-		w.store.Located(record.Program, record, uint64(w.located))
+func (h *harness) setOffsets() {
+	for ; h.located < h.durable; h.located++ {
+		record := h.log[h.located]
+		h.store.Located(record.Program, record, uint64(h.located))
 	}
 }
 
-func (w *world) performDue(limit int) {
-	for ; limit > 0 && len(w.waiting) > 0 && w.waiting[0].position <= w.durable; limit-- {
-		effect := w.waiting[0].effect
-		w.waiting = w.waiting[1:]
-		w.perform(effect)
+func (h *harness) performDue(limit int) {
+	for ; limit > 0 && len(h.pending) > 0 && h.pending[0].position <= h.durable; limit-- {
+		effect := h.pending[0].effect
+		h.pending = h.pending[1:]
+		h.perform(effect)
 	}
 }
 
 // place takes the scheduler's decision about any call, waiting for one or not.
-func (w *world) place(t *rapid.T) {
-	call := drawCall(t, w.scheduled)
-	scheduled := w.scheduled[call]
-	delete(w.scheduled, call)
-	command := program.Command{Dispatch: &program.Dispatch{Call: call, Backend: "b", Epoch: w.epoch}}
-	output, refusal := w.store.Step(w.now, command)
-	if refusal == nil && !scheduled && len(output.Records) > 0 && output.Records[0].Dispatched != nil && !w.startWaits(call) {
+func (h *harness) dispatch(t *rapid.T) {
+	call := drawCall(t, h.scheduled)
+	scheduled := h.scheduled[call]
+	delete(h.scheduled, call)
+	command := program.Command{Dispatch: &program.Dispatch{Call: call, Backend: "b", Epoch: h.epoch}}
+	output, refusal := h.store.Step(h.now, command)
+	if refusal == nil && !scheduled && len(output.Records) > 0 && output.Records[0].Dispatched != nil && !h.schedulePending(call) {
 		t.Fatalf("call %v was dispatched and was not with the scheduler", call)
 	}
-	w.take(output)
+	h.collect(output)
 }
 
 // startWaits reports that the call's start is not performed yet.
-func (w *world) startWaits(call program.CallRef) bool {
-	for _, waiting := range w.waiting {
-		if waiting.effect.Kind == program.EffectStart && waiting.effect.Attempt.CallRef == call {
+func (h *harness) schedulePending(call program.CallRef) bool {
+	for _, pending := range h.pending {
+		if pending.effect.Kind == program.EffectStart && pending.effect.Attempt.CallRef == call {
 			return true
 		}
 	}
@@ -178,13 +178,13 @@
 
 // finish reports an outcome of any send so far, again or late, or of a send
 // that the store did not make.
-func (w *world) finish(t *rapid.T) {
-	if len(w.sends) == 0 {
+func (h *harness) reportOutcome(t *rapid.T) {
+	if len(h.sends) == 0 {
 		t.Skip("nothing was sent")
 	}
-	sent := w.sends[len(w.sends)-1]
+	sent := h.sends[len(h.sends)-1]
 	if rapid.Bool().Draw(t, "older") {
-		sent = rapid.SampledFrom(w.sends).Draw(t, "send")
+		sent = rapid.SampledFrom(h.sends).Draw(t, "send")
 	}
 	outcome := program.Outcome{Attempt: sent.attempt, Status: api.StatusNotRun}
 	if rapid.Bool().Draw(t, "with epoch") {
@@ -199,91 +199,91 @@
 		outcome.Output = outputOf(sent.attempt.CallRef)
 		outcome.Usage = api.Usage{PromptTokens: 200, OutputTokens: rapid.IntRange(0, 100).Draw(t, "tokens")}
 	}
-	_, _ = w.step(program.Command{Outcome: &outcome})
+	_, _ = h.step(program.Command{Outcome: &outcome})
 }
 
-func (w *world) answerLookup(t *rapid.T) {
-	if len(w.lookups) == 0 {
+func (h *harness) answerLookup(t *rapid.T) {
+	if len(h.lookups) == 0 {
 		t.Skip("nothing to look up")
 	}
-	call := rapid.SampledFrom(w.lookups).Draw(t, "lookup").Attempt.CallRef
+	call := rapid.SampledFrom(h.lookups).Draw(t, "lookup").Attempt.CallRef
 	result := program.LookupResult{Call: call}
 	switch {
-	case w.calls[call].reached > 0 && rapid.Bool().Draw(t, "found"):
+	case h.calls[call].reached > 0 && rapid.Bool().Draw(t, "found"):
 		result.Found, result.Output = true, outputOf(call)
 	case rapid.Bool().Draw(t, "error"):
 		result.Err = fmt.Errorf("the service is down")
 	}
-	_, _ = w.step(program.Command{Lookup: &result})
+	_, _ = h.step(program.Command{Lookup: &result})
 }
 
-func (w *world) cancel(t *rapid.T) {
-	call := drawCall(t, w.open())
-	_, _ = w.step(program.Command{Program: call.Program, Cancel: &program.Cancel{Sequence: call.Sequence}})
+func (h *harness) cancel(t *rapid.T) {
+	call := drawCall(t, h.unanswered())
+	_, _ = h.step(program.Command{Program: call.Program, Cancel: &program.Cancel{Sequence: call.Sequence}})
 }
 
-func (w *world) refuse(t *rapid.T) {
-	call := drawCall(t, w.scheduled)
-	delete(w.scheduled, call)
+func (h *harness) refuse(t *rapid.T) {
+	call := drawCall(t, h.scheduled)
+	delete(h.scheduled, call)
 	refusal := program.Refusal{Call: call, Error: api.Refuse(api.CodeOverloaded, "no room").After(100)}
-	_, _ = w.step(program.Command{Refuse: &refusal})
+	_, _ = h.step(program.Command{Refuse: &refusal})
 }
 
-func (w *world) end(t *rapid.T) {
+func (h *harness) end(t *rapid.T) {
 	if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
-		_, _ = w.step(endCommand(drawProgram(t)))
+		_, _ = h.step(endCommand(drawProgram(t)))
 	}
 }
 
-func (w *world) retarget(t *rapid.T) {
+func (h *harness) updateTerms(t *rapid.T) {
 	revised := terms()
-	w.revision++
-	revised.Revision = w.revision
+	h.revision++
+	revised.Revision = h.revision
 	revised.BudgetTokens = rapid.SampledFrom([]int64{300, 900}).Draw(t, "budget")
 	revised.MaxTurns = 8
 	revised.Placement = "isando"
-	_, _ = w.step(program.Command{Program: drawProgram(t), Retarget: &revised})
+	_, _ = h.step(program.Command{Program: drawProgram(t), Retarget: &revised})
 }
 
-func (w *world) tick(t *rapid.T) {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "seconds")) * time.Second)
-	w.take(w.store.Tick(w.now))
+func (h *harness) tick(t *rapid.T) {
+	h.now = h.now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "seconds")) * time.Second)
+	h.collect(h.store.Tick(h.now))
 }
 
 // crash replaces the owner. Every durable record survives, and any number of
 // the others; the old owner may not know for a while.
-func (w *world) crash(t *rapid.T) {
-	survive := w.durable + rapid.IntRange(0, len(w.log)-w.durable).Draw(t, "survivors")
-	w.old, w.oldScheduled = w.store, w.scheduled
-	w.recover(survive)
+func (h *harness) crash(t *rapid.T) {
+	surviving := h.durable + rapid.IntRange(0, len(h.log)-h.durable).Draw(t, "survivors")
+	h.previous, h.previousScheduled = h.store, h.scheduled
+	h.recover(surviving)
 }
 
-func (w *world) recover(survive int) {
-	w.log = w.log[:survive]
-	w.durable, w.located = survive, survive
-	w.waiting, w.lookups = nil, nil
-	w.scheduled = map[program.CallRef]bool{}
-	for call, known := range w.calls {
-		if known.acceptedAt > survive {
-			delete(w.calls, call)
+func (h *harness) recover(surviving int) {
+	h.log = h.log[:surviving]
+	h.durable, h.located = surviving, surviving
+	h.pending, h.lookups = nil, nil
+	h.scheduled = map[program.CallRef]bool{}
+	for call, expected := range h.calls {
+		if expected.acceptedAt > surviving {
+			delete(h.calls, call)
 		}
 	}
-	w.store = w.fold(w.log)
-	w.epoch++
-	w.take(w.store.Resume(w.now, w.epoch))
-	for call, known := range w.calls {
-		held, ok := w.store.Call(call.Program, call.Sequence, known.request.Key)
-		if !ok || (known.answer != nil && known.answer.Status != held.Status) {
-			w.t.Fatalf("call %v was lost or changed: %+v, answered %+v", call, held, known.answer)
+	h.store = h.replay(h.log)
+	h.epoch++
+	h.collect(h.store.Resume(h.now, h.epoch))
+	for call, expected := range h.calls {
+		actual, ok := h.store.Call(call.Program, call.Sequence, expected.request.Key)
+		if !ok || (expected.answer != nil && expected.answer.Status != actual.Status) {
+			h.t.Fatalf("call %v was lost or changed: %+v, answered %+v", call, actual, expected.answer)
 		}
 	}
 }
 
-func (w *world) fold(records []program.Record) *program.Store {
-	store := w.emptyStore()
+func (h *harness) replay(records []program.Record) *program.Store {
+	store := h.emptyStore()
 	for offset, record := range records {
 		if err := store.Recover(uint64(offset), record); err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 	}
 	return store
@@ -292,17 +292,17 @@
 // oldOwnerSends lets the replaced owner dispatch what its scheduler holds.
 // Nothing that it records becomes durable, so that it performs only what need
 // not wait.
-func (w *world) oldOwnerSends(t *rapid.T) {
-	call := drawCall(t, w.oldScheduled)
-	if !w.oldScheduled[call] || w.calls[call] == nil {
+func (h *harness) previousOwnerSends(t *rapid.T) {
+	call := drawCall(t, h.previousScheduled)
+	if !h.previousScheduled[call] || h.calls[call] == nil {
 		return
 	}
-	delete(w.oldScheduled, call)
-	command := program.Command{Dispatch: &program.Dispatch{Call: call, Backend: "b", Epoch: w.epoch - 1}}
-	output, _ := w.old.Step(w.now, command)
+	delete(h.previousScheduled, call)
+	command := program.Command{Dispatch: &program.Dispatch{Call: call, Backend: "b", Epoch: h.epoch - 1}}
+	output, _ := h.previous.Step(h.now, command)
 	for _, effect := range output.Immediate {
 		if effect.Kind == program.EffectSend {
-			w.send(effect)
+			h.send(effect)
 		}
 	}
 }
--- a/program/retarget.go
+++ b/program/retarget.go
@@ -11,9 +11,9 @@
 	if p.closed || terms.Revision < p.terms.Revision {
 		return
 	}
-	same := *p.terms
-	same.Revision = terms.Revision
-	if reflect.DeepEqual(same, terms) {
+	current := *p.terms
+	current.Revision = terms.Revision
+	if reflect.DeepEqual(current, terms) {
 		return
 	}
 	t.record(Record{Program: p.id, Terms: &terms})
--- a/program/submit.go
+++ b/program/submit.go
@@ -68,9 +68,9 @@
 // the request and the contract. It is zero if neither sets one.
 func callDeadline(now time.Time, request api.SubmitCall, terms Terms) time.Time {
 	timeout := terms.CallTimeout
-	asked := time.Duration(request.TimeoutMilliseconds) * time.Millisecond
-	if asked > 0 && (timeout <= 0 || asked < timeout) {
-		timeout = asked
+	requested := time.Duration(request.TimeoutMilliseconds) * time.Millisecond
+	if requested > 0 && (timeout <= 0 || requested < timeout) {
+		timeout = requested
 	}
 	if timeout <= 0 {
 		return time.Time{}
