--- a/program/bench_test.go
+++ b/program/bench_test.go
@@ -12,11 +12,11 @@
 	"birchwood.example/birchwood/program"
 )
 
-// callsPerProgram is how many calls the benchmark's programs make before a
-// new one takes their place. At any time they hold half of that on average.
+// callsPerProgram is the number of calls after which a program of the benchmark
+// is ended and replaced by a new one. On average, a program has half as many.
 const callsPerProgram = 40
 
-// benchStore drives calls through a store without keeping a journal.
+// benchStore drives calls through a store without keeping a log.
 type benchStore struct {
 	*program.Store
 	now         time.Time
@@ -55,8 +55,9 @@
 	b.step(command)
 }
 
-// call makes one whole call of program i: submitted, dispatched, answered,
-// and its records located. A program that has made enough is replaced.
+// call makes one complete call of program i: it is submitted, dispatched and
+// answered, and the offsets of its records are set. A program that has made
+// callsPerProgram calls is replaced first.
 func (b *benchStore) call(i int) {
 	if b.callsMade[i] == callsPerProgram {
 		b.step(endCommand(b.id(i)))
@@ -86,8 +87,8 @@
 	}
 }
 
-// BenchmarkCall is the cost of one whole call, three commands, with so many
-// programs held.
+// BenchmarkCall measures one complete call, which takes three commands, in stores
+// with different numbers of programs.
 func BenchmarkCall(b *testing.B) {
 	for _, programs := range []int{10, 1_000, 100_000} {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// recordsOf returns what one program's life leaves in the log.
+// recordsOf returns the records of a program with this number of calls.
 func recordsOf(id api.ProgramID, calls int) []program.Record {
 	now := time.Unix(1_700_000_000, 0).UTC()
 	records := []program.Record{{At: now, Program: id, Created: &program.Created{Branch: "koudeketting/triage", Key: string(id), Terms: terms()}}}
@@ -116,7 +117,8 @@
 	return records
 }
 
-// recover folds so many programs with so many calls each, one after another.
+// recoverPrograms replays the records of several programs with the same number
+// of calls, one program after another. It returns the number of records.
 func recoverPrograms(b *testing.B, store *program.Store, programs, calls int) (records uint64) {
 	for i := range programs {
 		for _, record := range recordsOf(api.ProgramID(fmt.Sprintf("isando_midrand-a.3.%016x", i)), calls) {
@@ -129,7 +131,8 @@
 	return records
 }
 
-// BenchmarkRecover is the fold of one record, from its struct and from JSON.
+// BenchmarkRecover measures the replay of one record, from its struct and from
+// JSON.
 func BenchmarkRecover(b *testing.B) {
 	records := recordsOf("isando_midrand-a.3.0000000000000001", 160)
 	encoded := make([][]byte, len(records))
@@ -160,8 +163,8 @@
 	})
 }
 
-// BenchmarkHeld is the memory of programs whose calls have ended, the time to
-// take and to read back their snapshot, and the time to resume.
+// BenchmarkHeld measures the memory of programs whose calls have ended, the time
+// to create and restore their snapshot, and the time to resume.
 func BenchmarkHeld(b *testing.B) {
 	for _, size := range []struct{ programs, calls int }{{100_000, 1}, {100_000, 20}, {10_000, 160}} {
 		b.Run(fmt.Sprintf("programs=%d/calls=%d", size.programs, size.calls), func(b *testing.B) {
--- a/program/driver_test.go
+++ b/program/driver_test.go
@@ -10,9 +10,9 @@
 	"birchwood.example/birchwood/program"
 )
 
-// driver stands in for the node around a store: it keeps the journal, gives
-// each record its offset, and lists the effects in the order in which they
-// could be performed.
+// driver replaces the node around a store: it keeps the log, sets the offset of
+// each record, and lists the effects in an order in which they could be
+// performed.
 type driver struct {
 	store   *program.Store
 	config  program.Config
@@ -38,7 +38,7 @@
 	return store
 }
 
-// take makes an output durable and returns its effects.
+// commit makes an output durable and returns its effects.
 func (d *driver) commit(output program.Output) []program.Effect {
 	for _, record := range output.Records {
 		d.log = append(d.log, roundTrip(record))
@@ -49,7 +49,7 @@
 	return effects
 }
 
-// roundTrip gives a record the form that it has after it was read back.
+// roundTrip encodes and decodes a record, as if it were read back from the log.
 func roundTrip(record program.Record) program.Record {
 	encoded, err := json.Marshal(record)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return decoded
 }
 
-// step applies a command that must be accepted.
+// step applies a command that must be accepted, and commits its output.
 func (d *driver) step(command program.Command) program.Output {
 	output, refusal := d.store.Step(d.now, command)
 	if refusal != nil {
@@ -81,7 +81,7 @@
 	return refusal
 }
 
-// tick moves time and performs what has become due.
+// tick advances the time and runs Tick until nothing more is due.
 func (d *driver) tick(elapsed time.Duration) {
 	d.now = d.now.Add(elapsed)
 	for wake := d.store.NextWake(); !wake.IsZero() && !wake.After(d.now); wake = d.store.NextWake() {
@@ -89,8 +89,8 @@
 	}
 }
 
-// crash drops the store; only the first records of the log survive. The next
-// owner folds them and resumes.
+// crash discards the store and all but the first records of the log. The next
+// owner replays those and resumes.
 func (d *driver) crash(surviving int) {
 	d.log = d.log[:surviving]
 	d.effects = nil
@@ -104,7 +104,7 @@
 	d.commit(d.store.Resume(d.now, d.epoch))
 }
 
-// effect returns the last effect of the kind about the call.
+// effect returns the last effect of this kind for the call, or nil.
 func (d *driver) effect(kind program.EffectKind, call program.CallRef) *program.Effect {
 	for i := len(d.effects) - 1; i >= 0; i-- {
 		if d.effects[i].Kind == kind && d.effects[i].Attempt.CallRef == call {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// count counts the effects of the kind about the call.
+// count returns the number of effects of this kind for the call.
 func (d *driver) count(kind program.EffectKind, call program.CallRef) int {
 	count := 0
 	for _, effect := range d.effects {
@@ -129,7 +129,7 @@
 	return program.CallRef{Program: id, Sequence: sequence}
 }
 
-// terms are the contract of most tests.
+// terms returns the terms that most tests use.
 func terms() program.Terms {
 	return program.Terms{
 		Revision: 1, Placement: "isando_midrand-a", Models: []string{"small"}, Tools: []string{"seal", "read"},
@@ -142,12 +142,12 @@
 	return api.SubmitCall{Key: key, Kind: api.CallModel, Model: "small", Input: "input of " + key}
 }
 
-// sealCall is a tool call that may not be repeated.
+// sealCall returns a tool call that is not repeatable.
 func sealCall(key string) api.SubmitCall {
 	return api.SubmitCall{Key: key, Kind: api.CallTool, Tool: "seal", Input: "seal " + key}
 }
 
-// readCall is a tool call that may be repeated.
+// readCall returns a repeatable tool call.
 func readCall(key string) api.SubmitCall {
 	return api.SubmitCall{Key: key, Kind: api.CallTool, Tool: "read", Repeatable: true, Input: "read " + key}
 }
@@ -178,7 +178,7 @@
 
 func (d *driver) dispatch(id api.ProgramID, sequence uint64) { d.step(d.dispatchCommand(id, sequence)) }
 
-// outcome reports what became of the current attempt.
+// outcome reports the outcome of the call's current attempt.
 func (d *driver) outcome(id api.ProgramID, sequence uint64, outcome program.Outcome) program.Output {
 	call, _ := d.store.Call(id, sequence, "")
 	outcome.Attempt = program.AttemptRef{CallRef: ref(id, sequence), Attempt: call.Attempt}
--- a/program/example_test.go
+++ b/program/example_test.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/program"
 )
 
-// A driver makes the records durable, then performs the effects. Here the
-// log, the scheduler and the engine are in the example itself.
+// A driver makes the records durable and then performs the effects. In this
+// example, it also acts as the log, the scheduler and the engine.
 func ExampleStore() {
 	store, err := program.NewStore(program.Config{})
 	if err != nil {
@@ -24,7 +24,7 @@
 			return
 		}
 		for _, record := range output.Records {
-			store.Located(record.Program, record, offset) // the log has it
+			store.Located(record.Program, record, offset) // the record is in the log now
 			offset++
 		}
 		for _, effect := range append(output.Immediate, output.Effects...) {
--- a/program/held.go
+++ b/program/held.go
@@ -53,8 +53,9 @@
 	live         []*liveCall
 	pending      map[uint64]*pendingRecords
 
-	// endCompleted is set once completeEnd has run. endOnTurnLimit makes Tick end
-	// a program that has exceeded its limit of turns.
+	// endCompleted is set once the end of the program is complete, see
+	// completeEnd. endOnTurnLimit makes Tick end the program once its calls have
+	// ended, because it requested more than its limit of turns.
 	endCompleted   bool
 	endOnTurnLimit bool
 	// marked is set while the program is in transition.marked.
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -14,7 +14,7 @@
 	return program.Command{Program: id, End: &program.End{Reason: "done"}}
 }
 
-// childCommand starts a sub-agent with a budget of its own.
+// childCommand returns the command that creates a sub-agent with this budget.
 func childCommand(child, parent api.ProgramID, tokens int64) program.Command {
 	command := createCommand(child)
 	command.Create.Parent = parent
@@ -40,7 +40,8 @@
 	It("is reserved at acceptance, refused when it does not fit, and settled by the outcome", func() {
 		d.submit("p", modelCall("a")) // 10 bytes of input are 3 tokens
 		Expect(d.describe("p").ReservedTokens).To(BeEquivalentTo(103))
-		// After a's input and output of at most 100 tokens: 103 + 103 of 250 - 103.
+		// b may cost 103 tokens of history, from a's input and at most 100 tokens
+		// of its output, plus 103 of its own; 250 - 103 are free.
 		refusal := d.refused(submitCommand("p", modelCall("b")))
 		Expect(refusal.Code).To(Equal(api.CodeBudgetExhausted))
 		Expect(refusal.Ran).To(Equal(api.RanNotRun))
@@ -281,7 +282,8 @@
 
 	It("binds the next dispatch of a call that waits in the scheduler", func() {
 		updateTerms(func(t *program.Terms) { t.Placement = "isando" })
-		// The older start may still wait for the log: a stop follows it too.
+		// The first EffectSchedule may still be waiting for the log, so a second
+		// stop has to follow it.
 		kinds := []program.EffectKind{}
 		for _, effect := range d.effects[len(d.effects)-3:] {
 			kinds = append(kinds, effect.Kind)
--- a/program/property_test.go
+++ b/program/property_test.go
@@ -12,9 +12,9 @@
 	"birchwood.example/birchwood/program"
 )
 
-// fixedFlags make the property test give the same verdict in every run, where
-// the command line does not set them: a fixed seed, and enough runs to find
-// the faults that were found while the store was written.
+// defaultFlags are the flags of the property test unless the command line sets
+// them. The seed is fixed so that every run gives the same result, and the number
+// of checks is large enough to reproduce the faults that the test has found.
 var defaultFlags = map[string]string{
 	"rapid.seed":       "20260301",
 	"rapid.checks":     "2000",
@@ -34,10 +34,10 @@
 	}
 }
 
-// TestStoreAgainstOracle drives a store with interleaved commands, crashes
-// that keep any prefix of the undecided records, an old owner that goes on
-// sending, and outcomes that come late, twice or crossed. The oracle is a
-// list of calls with what back ends saw of them.
+// TestStoreAgainstOracle drives a store with interleaved commands, crashes that
+// keep any prefix of the records that are not durable, a previous owner that
+// continues to send, and outcomes that arrive late, twice or for another attempt.
+// The oracle is a list of calls with the sends that reached a back end.
 func TestStoreAgainstOracle(t *testing.T) {
 	setDefaultFlags(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// confirm makes some records durable and performs some of what waited.
+// makeDurable makes some or all records durable and performs some or all of the
+// effects that waited for them.
 func (h *harness) makeDurable(t *rapid.T) {
 	if rapid.Bool().Draw(t, "all") {
 		h.durable = len(h.log)
@@ -153,7 +154,8 @@
 	}
 }
 
-// place takes the scheduler's decision about any call, waiting for one or not.
+// dispatch reports a scheduler's decision for any call, also for one that is not
+// with the scheduler.
 func (h *harness) dispatch(t *rapid.T) {
 	call := drawCall(t, h.scheduled)
 	scheduled := h.scheduled[call]
@@ -166,7 +168,8 @@
 	h.collect(output)
 }
 
-// startWaits reports that the call's start is not performed yet.
+// schedulePending reports whether the call's EffectSchedule still waits for
+// durable records.
 func (h *harness) schedulePending(call program.CallRef) bool {
 	for _, pending := range h.pending {
 		if pending.effect.Kind == program.EffectStart && pending.effect.Attempt.CallRef == call {
@@ -176,8 +179,8 @@
 	return false
 }
 
-// finish reports an outcome of any send so far, again or late, or of a send
-// that the store did not make.
+// reportOutcome reports an outcome of any send so far. It may be late or a
+// duplicate, or belong to a send of a previous owner.
 func (h *harness) reportOutcome(t *rapid.T) {
 	if len(h.sends) == 0 {
 		t.Skip("nothing was sent")
@@ -250,8 +253,8 @@
 	h.collect(h.store.Tick(h.now))
 }
 
-// crash replaces the owner. Every durable record survives, and any number of
-// the others; the old owner may not know for a while.
+// crash replaces the owner. All durable records survive, and some prefix of the
+// others. The previous owner may not notice for a while.
 func (h *harness) crash(t *rapid.T) {
 	surviving := h.durable + rapid.IntRange(0, len(h.log)-h.durable).Draw(t, "survivors")
 	h.previous, h.previousScheduled = h.store, h.scheduled
@@ -289,9 +292,9 @@
 	return store
 }
 
-// oldOwnerSends lets the replaced owner dispatch what its scheduler holds.
-// Nothing that it records becomes durable, so that it performs only what need
-// not wait.
+// previousOwnerSends lets the replaced owner dispatch calls that are in its
+// scheduler. Its records never become durable, so only its immediate effects are
+// performed.
 func (h *harness) previousOwnerSends(t *rapid.T) {
 	call := drawCall(t, h.previousScheduled)
 	if !h.previousScheduled[call] || h.calls[call] == nil {
--- a/program/recover.go
+++ b/program/recover.go
@@ -106,7 +106,7 @@
 
 // resumeEnd handles a program that has ended. If its parent has not been refunded,
 // it completes the end. Otherwise the end was complete before, and EffectRelease
-// is not repeated: the sweep of the engines frees any memory they still hold.
+// is not repeated: the periodic sweep of the engines frees memory that is left.
 func (t *transition) resumeEnd(p *programState) {
 	if p.endCompleted || !p.finished() {
 		return
--- a/program/snapshot.go
+++ b/program/snapshot.go
@@ -62,9 +62,8 @@
 
 // Snapshot returns the state in parts, sorted by program. A part is complete once
 // it reaches Config.SnapshotPartBytes. The texts of ended calls are replaced by
-// their log offsets if the log has them. The parts include the effects of every
-// record applied so far, so they must be appended to the log after those
-// records.
+// their log offsets if the log has them. The parts reflect every record applied
+// so far, so they must be appended to the log after those records.
 func (s *Store) Snapshot() []json.RawMessage {
 	var parts []json.RawMessage
 	builder := newPartBuilder()
--- a/program/world_test.go
+++ b/program/world_test.go
@@ -15,35 +15,36 @@
 	"birchwood.example/birchwood/program"
 )
 
-// oracleCall is what the oracle knows of one call.
+// oracleCall is the oracle's state of one call.
 type oracleCall struct {
 	program    api.ProgramID
 	request    api.SubmitCall
 	sequence   uint64
 	reached    int // sends that reached a back end
 	answer     *api.Call
-	acceptedAt int // records proposed when it was accepted
+	acceptedAt int // number of records in the log after its acceptance
 }
 
 func (c *oracleCall) repeatable() bool {
 	return c.request.Kind == api.CallModel || c.request.Repeatable
 }
 
-// send is an attempt that was sent to a back end.
+// send is an attempt that was sent. It may not have reached its back end.
 type send struct {
 	attempt program.AttemptRef
 	epoch   uint64
 	reached bool
 }
 
-// waitingEffect is performed once so many records are durable.
+// pendingEffect is an effect to perform once the first position records are
+// durable.
 type pendingEffect struct {
 	position int
 	effect   program.Effect
 }
 
-// world is everything around the store: the log, the scheduler, the back
-// ends, and the oracle's calls.
+// harness simulates the surroundings of a store, which are the log, the scheduler
+// and the back ends, and holds the oracle's calls.
 type harness struct {
 	t       *rapid.T
 	now     time.Time
@@ -61,7 +62,8 @@
 	calls     map[program.CallRef]*oracleCall
 	revision  uint64
 
-	// old is the store of an owner that does not know yet that it lost.
+	// previous is the store of the previous owner, which has not noticed yet that
+	// it lost the partition. previousScheduled are the calls in its scheduler.
 	previous          *program.Store
 	previousScheduled map[program.CallRef]bool
 }
@@ -89,7 +91,7 @@
 	return rapid.SampledFrom(programIDs).Draw(t, "program")
 }
 
-// drawCall draws mostly one of the given calls, and sometimes any other.
+// drawCall draws one of the likely calls in most cases, and otherwise any call.
 func drawCall(t *rapid.T, likely map[program.CallRef]bool) program.CallRef {
 	if len(likely) == 0 || rapid.IntRange(0, 7).Draw(t, "any") == 0 {
 		return ref(drawProgram(t), rapid.Uint64Range(1, 6).Draw(t, "sequence"))
@@ -100,7 +102,7 @@
 	return rapid.SampledFrom(sorted).Draw(t, "call")
 }
 
-// open returns the calls that have no answer yet.
+// unanswered returns the calls without an answer.
 func (h *harness) unanswered() map[program.CallRef]bool {
 	unanswered := map[program.CallRef]bool{}
 	for call, expected := range h.calls {
@@ -111,7 +113,8 @@
 	return unanswered
 }
 
-// step applies a command and queues what follows from it.
+// step applies a command and collects its output. It checks that a refusal has
+// no output.
 func (h *harness) step(command program.Command) (program.Output, *api.Error) {
 	output, refusal := h.store.Step(h.now, command)
 	if refusal != nil && len(output.Records)+len(output.Effects)+len(output.Immediate) > 0 {
@@ -133,7 +136,7 @@
 	}
 }
 
-// perform does what an effect asks for, and checks that it may.
+// perform performs an effect and checks that it is permitted.
 func (h *harness) perform(effect program.Effect) {
 	call := effect.Attempt.CallRef
 	switch effect.Kind {
@@ -200,8 +203,8 @@
 	return fmt.Sprintf("output of %s/%d", call.Program, call.Sequence)
 }
 
-// compareFolds holds the state against a fold of the whole log, and against
-// a snapshot with the records after it.
+// compareReplays compares the state with a replay of the whole log, and with a
+// snapshot followed by the records after it.
 func (h *harness) compareReplays(t *rapid.T) {
 	h.durable = len(h.log)
 	h.setOffsets()
@@ -234,7 +237,7 @@
 	return text.String()
 }
 
-// check holds the invariants that must be true after every step.
+// check checks the invariants that must hold after every step.
 func (h *harness) check(t *rapid.T) {
 	for _, id := range programIDs {
 		described, ok := h.store.Describe(id)
@@ -254,7 +257,8 @@
 	}
 }
 
-// checkRecords: what the log does not have is held, what it has is located.
+// checkRecords checks that the store has every record of the call that is not in
+// the log, and that the offset of its Ended record, if set, is right.
 func (h *harness) checkRecords(location program.CallLocation) {
 	if location.AcceptedOffset == program.NoOffset && location.Accepted == nil {
 		h.t.Fatalf("nobody has the request of %+v", location)
@@ -270,12 +274,12 @@
 	}
 }
 
-// drain lets everything come to its end: every accepted call has an answer,
-// and every program that ended is released.
+// finishAll ends all programs and lets their calls finish. It checks that every
+// accepted call has an answer and that every program is released.
 func (h *harness) finishAll() {
 	for _, id := range programIDs {
 		if !h.store.Live(id) {
-			h.released[id] = true // its release may have been lost in a crash
+			h.released[id] = true // EffectRelease may have been lost in a crash
 		}
 		_, _ = h.step(endCommand(id))
 	}
@@ -301,8 +305,9 @@
 	}
 }
 
-// endedInLog reports that the call's end is in the log. Its answer may have
-// been lost with an old owner; a caller that asks again gets it from there.
+// endedInLog reports whether the call's Ended record is in the log. Its answer
+// may have been lost with a previous owner; a repeated request gets it from the
+// log.
 func (h *harness) endedInLog(call program.CallRef) bool {
 	for _, record := range h.log {
 		if record.Program == call.Program && record.Ended != nil && record.Ended.Sequence == call.Sequence {
