--- a/program/history.go
+++ b/program/history.go
@@ -6,9 +6,9 @@
 	"birchwood.example/birchwood/api"
 )
 
-// CallLocation tells where the two records of a call stand in the log. While
-// the log does not have one, its offset is NoOffset and the record is here.
-// The Accepted record of a call that has not ended is always here.
+// CallLocation has the log offsets of the two records of a call. While a record
+// is not in the log, its offset is NoOffset and the record itself is included.
+// The Accepted record of a call that has not ended is always included.
 type CallLocation struct {
 	Sequence       uint64
 	Kind           api.CallKind
@@ -19,8 +19,8 @@
 	Ended          *CallEnded
 }
 
-// Located tells where a record that this store proposed stands, once the log
-// has it. The store then forgets its texts.
+// SetRecordOffset sets the log offset of a record that was not in the log until
+// now. The store then drops the record's texts from memory.
 func (s *Store) Located(id api.ProgramID, record Record, offset uint64) {
 	p, ok := s.programs[id]
 	if !ok || offset == NoOffset {
@@ -28,36 +28,37 @@
 	}
 	switch {
 	case record.Accepted != nil:
-		p.locate(record.Accepted.Sequence, offset, false)
+		p.setOffset(record.Accepted.Sequence, offset, false)
 	case record.Ended != nil:
-		p.locate(record.Ended.Sequence, offset, true)
+		p.setOffset(record.Ended.Sequence, offset, true)
 	}
 }
 
-func (p *heldProgram) locate(sequence, offset uint64, ended bool) {
+func (p *programState) setOffset(sequence, offset uint64, ended bool) {
 	entry := p.entry(sequence)
-	held, waiting := p.unlocated[sequence]
+	records, waiting := p.pending[sequence]
 	if entry == nil || !waiting {
 		return
 	}
 	switch {
-	case ended && held.Ended != nil:
+	case ended && records.Ended != nil:
 		entry.ended = offset
-		held.Ended = nil
-	case !ended && held.Accepted != nil:
+		records.Ended = nil
+	case !ended && records.Accepted != nil:
 		entry.accepted = offset
-		held.Accepted = nil
+		records.Accepted = nil
 	}
-	if held.Accepted == nil && held.Ended == nil {
-		delete(p.unlocated, sequence)
+	if records.Accepted == nil && records.Ended == nil {
+		delete(p.pending, sequence)
 	}
-	if len(p.unlocated) == 0 {
-		p.unlocated = nil
+	if len(p.pending) == 0 {
+		p.pending = nil
 	}
 }
 
-// History locates up to limit calls from the place on, in order. The boolean
-// says whether the program is held.
+// History returns the locations of up to limit calls, in order, beginning with
+// the sequence number from. The boolean reports whether the program is in the
+// store.
 func (s *Store) History(id api.ProgramID, from uint64, limit int) ([]CallLocation, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -72,17 +73,18 @@
 	return locations, true
 }
 
-// Prompt locates what the prompt of a call is made of: the input and output
-// of every earlier call that succeeded, in order, then the call's own input.
+// Prompt returns the locations of the texts that form the prompt of a call: the
+// input and output of every earlier call that succeeded, in order, then the
+// call's own input. The boolean reports whether the store has the call.
 func (s *Store) Prompt(id api.ProgramID, sequence uint64) ([]CallLocation, bool) {
 	p, ok := s.programs[id]
 	if !ok || p.entry(sequence) == nil {
 		return nil, false
 	}
 	locations := make([]CallLocation, 0, sequence)
-	for place := uint64(1); place < sequence; place++ {
-		if p.calls[place-1].status == statusSucceeded {
-			locations = append(locations, p.location(place))
+	for earlier := uint64(1); earlier < sequence; earlier++ {
+		if p.calls[earlier-1].status == statusSucceeded {
+			locations = append(locations, p.location(earlier))
 		}
 	}
 	own := p.location(sequence)
@@ -91,7 +93,7 @@
 	return append(slices.Clip(locations), own), true
 }
 
-func (p *heldProgram) location(sequence uint64) CallLocation {
+func (p *programState) location(sequence uint64) CallLocation {
 	entry := p.calls[sequence-1]
 	location := CallLocation{
 		Sequence:       sequence,
@@ -100,9 +102,9 @@
 		AcceptedOffset: entry.accepted,
 		EndedOffset:    entry.ended,
 	}
-	if held, ok := p.unlocated[sequence]; ok {
-		location.Accepted = held.Accepted
-		location.Ended = held.Ended
+	if records, ok := p.pending[sequence]; ok {
+		location.Accepted = records.Accepted
+		location.Ended = records.Ended
 	}
 	if live := p.liveCall(sequence); live != nil && location.Accepted == nil {
 		location.Accepted = live.accepted(entry.bodyHash)
@@ -110,7 +112,7 @@
 	return location
 }
 
-func (p *heldProgram) describeStatus(sequence uint64) api.CallStatus {
+func (p *programState) describeStatus(sequence uint64) api.CallStatus {
 	live := p.liveCall(sequence)
 	switch {
 	case live == nil:
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -14,7 +14,7 @@
 	return program.Command{Program: id, End: &program.End{Reason: "done"}}
 }
 
-// childCommand starts a sub-agent with a budget of its own.
+// childCommand returns the command that creates a sub-agent with this budget.
 func childCommand(child, parent api.ProgramID, tokens int64) program.Command {
 	command := createCommand(child)
 	command.Create.Parent = parent
@@ -40,7 +40,8 @@
 	It("is reserved at acceptance, refused when it does not fit, and settled by the outcome", func() {
 		d.submit("p", modelCall("a")) // 10 bytes of input are 3 tokens
 		Expect(d.describe("p").ReservedTokens).To(BeEquivalentTo(103))
-		// After a's input and output of at most 100 tokens: 103 + 103 of 250 - 103.
+		// b may cost 103 tokens of history, from a's input and at most 100 tokens
+		// of its output, plus 103 of its own; 250 - 103 are free.
 		refusal := d.refused(submitCommand("p", modelCall("b")))
 		Expect(refusal.Code).To(Equal(api.CodeBudgetExhausted))
 		Expect(refusal.Ran).To(Equal(api.RanNotRun))
@@ -272,7 +273,7 @@
 		d.submit("p", modelCall("a"))
 	})
 
-	retarget := func(change func(*program.Terms)) {
+	updateTerms := func(change func(*program.Terms)) {
 		revised := terms()
 		revised.Revision = 2
 		change(&revised)
@@ -280,8 +281,9 @@
 	}
 
 	It("binds the next dispatch of a call that waits in the scheduler", func() {
-		retarget(func(t *program.Terms) { t.Placement = "isando" })
-		// The older start may still wait for the log: a stop follows it too.
+		updateTerms(func(t *program.Terms) { t.Placement = "isando" })
+		// The first EffectSchedule may still be waiting for the log, so a second
+		// stop has to follow it.
 		kinds := []program.EffectKind{}
 		for _, effect := range d.effects[len(d.effects)-3:] {
 			kinds = append(kinds, effect.Kind)
@@ -293,7 +295,7 @@
 	})
 
 	It("ends a call that it no longer permits, and never reverts", func() {
-		retarget(func(t *program.Terms) { t.Models = nil })
+		updateTerms(func(t *program.Terms) { t.Models = nil })
 		Expect(d.effect(program.EffectAnswer, ref("p", 1)).Answer.Error.Code).To(Equal(api.CodeUnknownModel))
 		old := terms()
 		d.step(program.Command{Program: "p", Retarget: &old})
@@ -302,7 +304,7 @@
 
 	It("writes no record when nothing but the revision changed", func() {
 		before := len(d.log)
-		retarget(func(*program.Terms) {})
+		updateTerms(func(*program.Terms) {})
 		Expect(d.log).To(HaveLen(before))
 	})
 })
