--- a/gather/core.go
+++ b/gather/core.go
@@ -12,26 +12,26 @@
 const (
 	// periodLeast is the least time between two reports of a node: less than the turns
 	// and calls take whose loads are told.
-	periodLeast = 100 * time.Millisecond
+	minimumReportPeriod = 100 * time.Millisecond
 	// periodPerNode times the nodes of a zone is that time in a large zone, so that a
 	// collector answers 250 reports a second at most.
-	periodPerNode = 4 * time.Millisecond
+	reportPeriodPerNode = 4 * time.Millisecond
 	// periodPerZone times the zones is the least time between two sums of a collector.
-	periodPerZone = 20 * time.Millisecond
+	sumPeriodPerZone = 20 * time.Millisecond
 	// silentReports is how many reports in a row go unanswered before a node takes the
 	// next collector, and shunFor how long it leaves the silent one alone. That doubles
 	// with each time in a row, maximumDoublings times.
-	silentReports    = 3
-	shunFor          = 2 * time.Second
-	maximumDoublings = 4
+	maximumUnansweredReports = 3
+	initialBackoff           = 2 * time.Second
+	maximumBackoffDoublings  = 4
 	// lapsePeriods is how many periods a word counts: as long as its node waits for a
 	// silent collector, so that no word counts at two for longer than one period.
-	lapsePeriods = silentReports + 1
+	expiryPeriods = maximumUnansweredReports + 1
 	// idlePeriods is how many periods lie between the reports of a node without
 	// requests, which only keep what it hears recent.
 	idlePeriods = 4
 	// pacePeriod is the time between two reports with paces, which change slowly.
-	pacePeriod = time.Second
+	tokenTimePeriod = time.Second
 	// maximumNodes bounds the nodes whose words a collector keeps.
 	maximumNodes = 1 << 10
 	// maximumAge bounds how old counts are believed to be.
@@ -52,17 +52,17 @@
 }
 
 // on reports whether nodes exchange anything.
-func (f *Fleet) on() bool { return !f.Off && len(f.Collectors) > 0 }
+func (f *Fleet) enabled() bool { return !f.Off && len(f.Collectors) > 0 }
 
 // period returns the time between two reports.
-func (f *Fleet) period() time.Duration {
-	return max(periodLeast, time.Duration(f.Near)*periodPerNode)
+func (f *Fleet) reportPeriod() time.Duration {
+	return max(minimumReportPeriod, time.Duration(f.Near)*reportPeriodPerNode)
 }
 
 // sumPeriod returns the time between two sums: half of that between reports, as sums are
 // few.
 func (f *Fleet) sumPeriod() time.Duration {
-	return max(f.period()/2, time.Duration(len(f.Remote)+1)*periodPerZone)
+	return max(f.reportPeriod()/2, time.Duration(len(f.Remote)+1)*sumPeriodPerZone)
 }
 
 // Totals are what all others have, as far as they were heard.
@@ -94,35 +94,35 @@
 
 // Core is one node's part in the exchange. It is not safe for concurrent use.
 type Core struct {
-	fleet    Fleet
-	own      word
-	asking   asking
-	collects collecting
-	ready    Ready
+	fleet     Fleet
+	own       contribution
+	reporter  reporter
+	aggregate collectorState
+	ready     Ready
 }
 
 // asking is what this node asks of its collector.
-type asking struct {
-	collector machine.Machine
-	number    uint64
-	askedAt   time.Time
-	pacesAt   time.Time
-	answered  bool
-	silent    int
+type reporter struct {
+	collector        machine.Machine
+	number           uint64
+	reportedAt       time.Time
+	tokenTimesSentAt time.Time
+	answered         bool
+	unresponsive     int
 	// list is the collector's, as heard last.
-	list heardList
+	list receivedList
 	// idle says that the last report named no requests.
 	idle bool
 	// shunned are collectors that did not answer, until when.
-	shunned map[machine.ID]time.Time
+	avoided map[machine.ID]time.Time
 	// failed counts how often in a row one did not answer.
-	failed map[machine.ID]int
+	failures map[machine.ID]int
 }
 
 // New returns a core. First is the number of the first report, which must not repeat
 // those of a former process.
 func New(first uint64) *Core {
-	return &Core{asking: asking{number: first, answered: true, shunned: make(map[machine.ID]time.Time), failed: make(map[machine.ID]int)}, collects: newCollecting(first)}
+	return &Core{reporter: reporter{number: first, answered: true, avoided: make(map[machine.ID]time.Time), failures: make(map[machine.ID]int)}, aggregate: newCollectorState(first)}
 }
 
 // Ready returns what has accumulated since the last call.
@@ -134,142 +134,142 @@
 
 // Tick takes in what this node has under way, and performs what is due.
 func (c *Core) Tick(now time.Time, fleet Fleet, own map[replica.ID]replica.Report) {
-	was := c.fleet.on()
+	wasEnabled := c.fleet.enabled()
 	c.fleet = fleet
-	if !fleet.on() {
-		if was {
-			c.collects = newCollecting(c.collects.number)
+	if !fleet.enabled() {
+		if wasEnabled {
+			c.aggregate = newCollectorState(c.aggregate.sumNumber)
 		}
 		return
 	}
-	c.own = wordOf(now, own)
-	c.collects.expire(now, &c.fleet)
-	c.choose(now)
+	c.own = ownContribution(now, own)
+	c.aggregate.expire(now, &c.fleet)
+	c.chooseCollector(now)
 	c.collectOwn(now)
-	c.collects.fit(now)
-	c.report(now)
-	c.tellSums(now)
+	c.aggregate.updateList(now)
+	c.sendReport(now)
+	c.sendSums(now)
 }
 
 // choose takes the first collector in the ranking that is not shunned.
-func (c *Core) choose(now time.Time) {
-	for id, until := range c.asking.shunned {
+func (c *Core) chooseCollector(now time.Time) {
+	for id, until := range c.reporter.avoided {
 		if !now.Before(until) {
-			delete(c.asking.shunned, id)
+			delete(c.reporter.avoided, id)
 		}
 	}
-	maps.DeleteFunc(c.asking.failed, func(id machine.ID, _ int) bool {
+	maps.DeleteFunc(c.reporter.failures, func(id machine.ID, _ int) bool {
 		return !slices.ContainsFunc(c.fleet.Collectors, func(node machine.Machine) bool { return node.ID == id })
 	})
 	chosen := c.fleet.Collectors[0]
 	for _, candidate := range c.fleet.Collectors {
-		if _, shunned := c.asking.shunned[candidate.ID]; !shunned {
+		if _, avoided := c.reporter.avoided[candidate.ID]; !avoided {
 			chosen = candidate
 			break
 		}
 	}
-	before := c.asking.collector
-	if chosen.ID == before.ID {
-		c.asking.collector = chosen
+	previous := c.reporter.collector
+	if chosen.ID == previous.ID {
+		c.reporter.collector = chosen
 		return
 	}
-	if before.ID != "" && before.ID != c.fleet.Self.ID {
-		c.asking.number++
-		c.send(before, Message{Kind: KindLeave, Number: c.asking.number})
+	if previous.ID != "" && previous.ID != c.fleet.Self.ID {
+		c.reporter.number++
+		c.send(previous, Message{Kind: KindLeave, Number: c.reporter.number})
 	}
-	c.collects.near.drop(c.fleet.Self.ID)
-	c.asking.collector, c.asking.answered, c.asking.silent = chosen, true, 0
+	c.aggregate.local.remove(c.fleet.Self.ID)
+	c.reporter.collector, c.reporter.answered, c.reporter.unresponsive = chosen, true, 0
 	c.ready.Changes = append(c.ready.Changes, Change{Collector: chosen.ID})
 }
 
 // report tells the collector what this node has, if that is due.
-func (c *Core) report(now time.Time) {
-	asked := &c.asking
-	due := c.fleet.period()
+func (c *Core) sendReport(now time.Time) {
+	state := &c.reporter
+	due := c.fleet.reportPeriod()
 	idle := len(c.own.counts) == 0
-	if idle && asked.idle && asked.answered {
+	if idle && state.idle && state.answered {
 		due *= idlePeriods
 	}
-	if asked.collector.ID == c.fleet.Self.ID || now.Sub(asked.askedAt) < due {
+	if state.collector.ID == c.fleet.Self.ID || now.Sub(state.reportedAt) < due {
 		return
 	}
-	if !asked.answered {
-		asked.silent++
+	if !state.answered {
+		state.unresponsive++
 	}
-	if asked.silent >= silentReports {
-		c.shun(now)
-		if asked.collector.ID == c.fleet.Self.ID {
+	if state.unresponsive >= maximumUnansweredReports {
+		c.avoidCollector(now)
+		if state.collector.ID == c.fleet.Self.ID {
 			return
 		}
 	}
-	asked.number++
-	asked.askedAt, asked.answered, asked.idle = now, false, idle
-	message := Message{Kind: KindReport, Number: asked.number, Nodes: 1, List: asked.list.hash}
+	state.number++
+	state.reportedAt, state.answered, state.idle = now, false, idle
+	message := Message{Kind: KindReport, Number: state.number, Nodes: 1, ListHash: state.list.hash}
 	message.Counts, message.Partial = packCounts(c.own.counts)
-	if now.Sub(asked.pacesAt) >= pacePeriod {
-		asked.pacesAt = now
-		message.HasPaces, message.Paces = true, packPaces(c.own.paces)
+	if now.Sub(state.tokenTimesSentAt) >= tokenTimePeriod {
+		state.tokenTimesSentAt = now
+		message.HasTokenTimes, message.Paces = true, packTokenTimes(c.own.tokenTimes)
 	}
-	c.send(asked.collector, message)
+	c.send(state.collector, message)
 }
 
 // shun leaves the silent collector for the next one.
-func (c *Core) shun(now time.Time) {
-	silent := c.asking.collector.ID
-	c.asking.shunned[silent] = now.Add(shunFor << min(c.asking.failed[silent], maximumDoublings))
-	c.asking.failed[silent]++
-	c.ready.Changes = append(c.ready.Changes, Change{Silent: silent})
-	c.asking.silent = 0
-	c.choose(now)
+func (c *Core) avoidCollector(now time.Time) {
+	unresponsive := c.reporter.collector.ID
+	c.reporter.avoided[unresponsive] = now.Add(initialBackoff << min(c.reporter.failures[unresponsive], maximumBackoffDoublings))
+	c.reporter.failures[unresponsive]++
+	c.ready.Changes = append(c.ready.Changes, Change{Silent: unresponsive})
+	c.reporter.unresponsive = 0
+	c.chooseCollector(now)
 	c.collectOwn(now)
 }
 
 // Receive takes in a message of another node.
 func (c *Core) Receive(now time.Time, from machine.Machine, message Message) error {
-	if !c.fleet.on() {
+	if !c.fleet.enabled() {
 		return nil
 	}
 	switch message.Kind {
 	case KindReport:
 		err := c.answer(now, from, message)
-		c.tellSums(now)
+		c.sendSums(now)
 		return err
 	case KindLeave:
-		c.collects.leave(from.ID, message.Number)
+		c.aggregate.withdraw(from.ID, message.Number)
 	case KindSum:
-		return c.takeSum(now, from, message)
+		return c.receiveSum(now, from, message)
 	case KindTotals:
-		return c.takeTotals(now, from.ID, message)
+		return c.receiveTotals(now, from.ID, message)
 	}
 	return nil
 }
 
 // takeTotals takes the answer to the newest report in.
-func (c *Core) takeTotals(now time.Time, from machine.ID, message Message) error {
-	asked := &c.asking
-	if from != asked.collector.ID || message.Number != asked.number || asked.answered {
+func (c *Core) receiveTotals(now time.Time, from machine.ID, message Message) error {
+	state := &c.reporter
+	if from != state.collector.ID || message.Number != state.number || state.answered {
 		return nil
 	}
-	held, err := asked.list.take(&message)
+	current, err := state.list.update(&message)
 	if err != nil {
 		return err
 	}
-	asked.answered, asked.silent = true, 0
-	delete(asked.failed, from)
-	if !held {
+	state.answered, state.unresponsive = true, 0
+	delete(state.failures, from)
+	if !current {
 		return nil
 	}
-	counts, err := asked.list.unpack(message.Counts, maximumRequests*maximumNodes)
+	counts, err := state.list.unpack(message.Counts, maximumRequests*maximumNodes)
 	if err != nil {
 		return err
 	}
 	totals := &Totals{
 		Nodes: max(0, message.Nodes), Counts: counts, Partial: message.Partial,
 		// How long the answer was on its way is not known: not before the question.
-		At: asked.askedAt.Add(-min(max(0, message.Age), maximumAge)),
+		At: state.reportedAt.Add(-min(max(0, message.Age), maximumAge)),
 	}
-	if message.HasPaces {
-		if totals.Paces, err = unpackPaces(message.Paces); err != nil {
+	if message.HasTokenTimes {
+		if totals.Paces, err = unpackTokenTimes(message.Paces); err != nil {
 			return err
 		}
 	}
--- a/gather/fleet_test.go
+++ b/gather/fleet_test.go
@@ -15,56 +15,56 @@
 
 // The delays of the virtual world.
 const (
-	tick  = 10 * time.Millisecond
+	step  = 10 * time.Millisecond
 	delay = 2 * time.Millisecond
 	// reported is the time between two looks of a node at its own loads.
-	reported = 100 * time.Millisecond
+	tickPeriod = 100 * time.Millisecond
 	// envelope is what a message takes besides: the names of its sender and fields.
-	envelope = 110
+	envelopeBytes = 110
 	// collectors is how many nodes of a zone may collect.
 	collectors = 3
 )
 
 // node is one node of the world.
 type node struct {
-	self   machine.Machine
-	core   *gather.Core
-	has    map[replica.ID]replica.Report
-	heard  *gather.Totals
-	heardN int
+	self          machine.Machine
+	core          *gather.Core
+	loads         map[replica.ID]replica.Report
+	received      *gather.Totals
+	receivedCount int
 	// ages is the sum of the ages of what was heard.
-	ages time.Duration
+	totalAge time.Duration
 	// offset spreads the nodes' looks at their loads.
-	offset time.Duration
-	frozen bool
-	dead   bool
-	sent   int
-	bytes  int
-	lost   []machine.ID
+	offset         time.Duration
+	frozen         bool
+	dead           bool
+	sent           int
+	bytes          int
+	lostCollectors []machine.ID
 }
 
 // letter is a message on its way.
-type letter struct {
-	at   time.Time
-	from machine.Machine
-	to   machine.ID
-	said gather.Message
+type delivery struct {
+	at      time.Time
+	from    machine.Machine
+	to      machine.ID
+	message gather.Message
 }
 
 // world runs cores in virtual time.
 type world struct {
-	now    time.Time
-	random *rand.Rand
-	zones  int
-	nodes  []*node
-	byID   map[machine.ID]*node
-	mail   []letter
-	loss   float64
+	now      time.Time
+	random   *rand.Rand
+	zones    int
+	nodes    []*node
+	byID     map[machine.ID]*node
+	inFlight []delivery
+	loss     float64
 	// cut is a zone that hears no other.
-	cut zone.Name
-	off bool
+	isolated zone.Name
+	disabled bool
 	// listed says that rankings leave dead nodes out.
-	listed bool
+	deadUnranked bool
 }
 
 func newWorld(count, zones int) *world {
@@ -73,36 +73,36 @@
 		self := machine.Machine{
 			ID: machine.ID(fmt.Sprintf("n%04d", index)), Kind: machine.KindNode, Zone: zone.Name(fmt.Sprintf("z%d", index%zones)), Address: "a",
 		}
-		one := &node{
-			self: self, core: gather.New(uint64(w.now.UnixMilli())), has: make(map[replica.ID]replica.Report),
-			offset: time.Duration(w.random.Int64N(int64(reported/tick))) * tick,
+		n := &node{
+			self: self, core: gather.New(uint64(w.now.UnixMilli())), loads: make(map[replica.ID]replica.Report),
+			offset: time.Duration(w.random.Int64N(int64(tickPeriod/step))) * step,
 		}
-		w.nodes = append(w.nodes, one)
-		w.byID[self.ID] = one
+		w.nodes = append(w.nodes, n)
+		w.byID[self.ID] = n
 	}
 	return w
 }
 
 // ranked returns the nodes of a zone that may collect, in the order of the ranking.
-func (w *world) ranked(name zone.Name) (ranked []machine.Machine, near int) {
-	for _, one := range w.nodes {
-		if one.self.Zone != name || (w.listed && one.dead) {
+func (w *world) ranked(name zone.Name) (ranked []machine.Machine, zoneNodes int) {
+	for _, n := range w.nodes {
+		if n.self.Zone != name || (w.deadUnranked && n.dead) {
 			continue
 		}
-		near++
+		zoneNodes++
 		if len(ranked) < collectors {
-			ranked = append(ranked, one.self)
+			ranked = append(ranked, n.self)
 		}
 	}
-	return ranked, near
+	return ranked, zoneNodes
 }
 
-func (w *world) fleetOf(one *node) gather.Fleet {
-	fleet := gather.Fleet{Self: one.self, Off: w.off}
-	fleet.Collectors, fleet.Near = w.ranked(one.self.Zone)
+func (w *world) fleetOf(n *node) gather.Fleet {
+	fleet := gather.Fleet{Self: n.self, Off: w.disabled}
+	fleet.Collectors, fleet.Near = w.ranked(n.self.Zone)
 	for index := range w.zones {
 		name := zone.Name(fmt.Sprintf("z%d", index))
-		if first, _ := w.ranked(name); name != one.self.Zone && len(first) > 0 {
+		if first, _ := w.ranked(name); name != n.self.Zone && len(first) > 0 {
 			fleet.Remote = append(fleet.Remote, first[0])
 		}
 	}
@@ -112,14 +112,14 @@
 // run lets the time pass, and calls each with every step.
 func (w *world) run(span time.Duration, each ...func()) {
 	for end := w.now.Add(span); w.now.Before(end); {
-		w.now = w.now.Add(tick)
+		w.now = w.now.Add(step)
 		w.deliver()
-		for _, one := range w.nodes {
-			if one.dead || one.frozen || (w.now.Sub(time.Unix(1000, 0))+one.offset)%reported != 0 {
+		for _, n := range w.nodes {
+			if n.dead || n.frozen || (w.now.Sub(time.Unix(1000, 0))+n.offset)%tickPeriod != 0 {
 				continue
 			}
-			one.core.Tick(w.now, w.fleetOf(one), one.has)
-			w.perform(one)
+			n.core.Tick(w.now, w.fleetOf(n), n.loads)
+			w.perform(n)
 		}
 		for _, call := range each {
 			call()
@@ -128,16 +128,16 @@
 }
 
 func (w *world) deliver() {
-	mail := w.mail
-	w.mail = nil
-	for _, one := range mail {
-		to := w.byID[one.to]
+	inFlight := w.inFlight
+	w.inFlight = nil
+	for _, sent := range inFlight {
+		to := w.byID[sent.to]
 		switch {
 		case to.dead:
-		case to.frozen || one.at.After(w.now):
-			w.mail = append(w.mail, one)
+		case to.frozen || sent.at.After(w.now):
+			w.inFlight = append(w.inFlight, sent)
 		default:
-			if err := to.core.Receive(w.now, one.from, one.said); err != nil {
+			if err := to.core.Receive(w.now, sent.from, sent.message); err != nil {
 				panic(err)
 			}
 			w.perform(to)
@@ -145,16 +145,16 @@
 	}
 }
 
-func (w *world) perform(one *node) {
-	ready := one.core.Ready()
+func (w *world) perform(n *node) {
+	ready := n.core.Ready()
 	if ready.Totals != nil {
-		one.heard = ready.Totals
-		one.heardN++
-		one.ages += w.now.Sub(ready.Totals.At)
+		n.received = ready.Totals
+		n.receivedCount++
+		n.totalAge += w.now.Sub(ready.Totals.At)
 	}
 	for _, change := range ready.Changes {
 		if change.Silent != "" {
-			one.lost = append(one.lost, change.Silent)
+			n.lostCollectors = append(n.lostCollectors, change.Silent)
 		}
 	}
 	for _, outbound := range ready.Messages {
@@ -162,31 +162,31 @@
 		if err != nil {
 			panic(err)
 		}
-		one.sent++
-		one.bytes += len(body) + envelope
+		n.sent++
+		n.bytes += len(body) + envelopeBytes
 		to := w.byID[outbound.To.ID]
-		cut := w.cut != "" && (one.self.Zone == w.cut) != (to.self.Zone == w.cut)
-		if cut || w.random.Float64() < w.loss {
+		isolated := w.isolated != "" && (n.self.Zone == w.isolated) != (to.self.Zone == w.isolated)
+		if isolated || w.random.Float64() < w.loss {
 			continue
 		}
-		w.mail = append(w.mail, letter{at: w.now.Add(delay), from: one.self, to: outbound.To.ID, said: outbound.Message})
+		w.inFlight = append(w.inFlight, delivery{at: w.now.Add(delay), from: n.self, to: outbound.To.ID, message: outbound.Message})
 	}
 }
 
 // give has a node have so many requests at a replica.
-func (w *world) give(index int, id replica.ID, requests int) {
-	w.nodes[index].has[id] = replica.Report{Requests: requests}
+func (w *world) setRequests(index int, id replica.ID, requests int) {
+	w.nodes[index].loads[id] = replica.Report{Requests: requests}
 }
 
 // hears returns what a node heard last of a replica.
-func (w *world) hears(index int, id replica.ID) int {
-	if heard := w.nodes[index].heard; heard != nil {
-		return heard.Counts[gather.KeyOf(id)]
+func (w *world) receivedRequests(index int, id replica.ID) int {
+	if received := w.nodes[index].received; received != nil {
+		return received.Counts[gather.KeyOf(id)]
 	}
 	return -1
 }
 
 // live returns the nodes that are up.
 func (w *world) live() []*node {
-	return slices.DeleteFunc(slices.Clone(w.nodes), func(one *node) bool { return one.dead || one.frozen })
+	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.dead || n.frozen })
 }
--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -16,22 +16,22 @@
 
 // told is how long it takes at most until all hear of a change: a report, a sum and the
 // answer to the next report, each of which waits for its node's next look.
-const told = 4 * reported
+const propagationTime = 4 * tickPeriod
 
 // TestIdleNodeHears has a node that sends nothing hear what the others have.
 func TestIdleNodeHears(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3, 1)
-	w.give(0, "r1", 3)
-	w.give(1, "r1", 2)
-	w.give(1, "r2", 7)
-	w.run(2 * told)
-	g.Expect(w.hears(2, "r1")).To(Equal(5))
-	g.Expect(w.hears(2, "r2")).To(Equal(7))
-	g.Expect(w.nodes[2].heard.Nodes).To(Equal(2))
+	w.setRequests(0, "r1", 3)
+	w.setRequests(1, "r1", 2)
+	w.setRequests(1, "r2", 7)
+	w.run(2 * propagationTime)
+	g.Expect(w.receivedRequests(2, "r1")).To(Equal(5))
+	g.Expect(w.receivedRequests(2, "r2")).To(Equal(7))
+	g.Expect(w.nodes[2].received.Nodes).To(Equal(2))
 	// Nobody hears its own.
-	g.Expect(w.hears(0, "r1")).To(Equal(2))
-	g.Expect(w.hears(1, "r2")).To(BeZero())
+	g.Expect(w.receivedRequests(0, "r1")).To(Equal(2))
+	g.Expect(w.receivedRequests(1, "r2")).To(BeZero())
 }
 
 // TestChangeIsHeardSoon across zones, and never counted twice on the way.
@@ -39,15 +39,15 @@
 	g := NewWithT(t)
 	w := newWorld(30, 3)
 	for index := range w.nodes {
-		w.give(index, "busy", 1)
+		w.setRequests(index, "busy", 1)
 	}
-	w.run(3 * told)
+	w.run(3 * propagationTime)
 	for round := range 5 {
 		id := replica.ID(fmt.Sprint("r", round))
-		w.give(7+round, id, 4)
-		w.run(told, func() {
+		w.setRequests(7+round, id, 4)
+		w.run(propagationTime, func() {
 			for index := range w.nodes {
-				g.Expect(w.hears(index, id)).To(BeNumerically("<=", 4))
+				g.Expect(w.receivedRequests(index, id)).To(BeNumerically("<=", 4))
 			}
 		})
 		for index := range w.nodes {
@@ -55,8 +55,8 @@
 			if index == 7+round {
 				want = 0
 			}
-			g.Expect(w.hears(index, id)).To(Equal(want), "node %d round %d", index, round)
-			g.Expect(w.hears(index, "busy")).To(Equal(29))
+			g.Expect(w.receivedRequests(index, id)).To(Equal(want), "node %d round %d", index, round)
+			g.Expect(w.receivedRequests(index, "busy")).To(Equal(29))
 		}
 	}
 }
@@ -65,11 +65,11 @@
 func busyWorld(g *WithT, count, zones int) *world {
 	w := newWorld(count, zones)
 	for index := range w.nodes {
-		w.give(index, "r", 2)
+		w.setRequests(index, "r", 2)
 	}
-	w.run(3 * told)
+	w.run(3 * propagationTime)
 	for index := range w.nodes {
-		g.Expect(w.hears(index, "r")).To(Equal(2 * (count - 1)))
+		g.Expect(w.receivedRequests(index, "r")).To(Equal(2 * (count - 1)))
 	}
 	return w
 }
@@ -77,15 +77,15 @@
 // TestCollectorLost is followed by the next in the ranking, before and after the nodes
 // know that it is dead, and its requests lapse.
 func TestCollectorLost(t *testing.T) {
-	for _, listed := range []bool{false, true} {
+	for _, deadUnranked := range []bool{false, true} {
 		g := NewWithT(t)
 		w := busyWorld(g, 30, 3)
-		w.listed = listed
+		w.deadUnranked = deadUnranked
 		w.nodes[0].dead = true
 		w.run(time.Second)
-		for _, one := range w.live() {
-			g.Expect(one.heard.Counts[gather.KeyOf("r")]).To(Equal(2*28), string(one.self.ID))
-			g.Expect(one.heard.Nodes).To(Equal(28))
+		for _, n := range w.live() {
+			g.Expect(n.received.Counts[gather.KeyOf("r")]).To(Equal(2*28), string(n.self.ID))
+			g.Expect(n.received.Nodes).To(Equal(28))
 		}
 	}
 }
@@ -96,25 +96,25 @@
 	g := NewWithT(t)
 	w := busyWorld(g, 30, 3)
 	w.nodes[0].frozen = true
-	over, heard := 0, 0
+	excess, received := 0, 0
 	count := func() {
-		for _, one := range w.live() {
-			heard += 2 * 29
-			over += max(0, one.heard.Counts[gather.KeyOf("r")]-2*29)
+		for _, n := range w.live() {
+			received += 2 * 29
+			excess += max(0, n.received.Counts[gather.KeyOf("r")]-2*29)
 		}
 	}
 	w.run(3*time.Second, count)
-	for _, one := range w.live() {
-		g.Expect(one.heard.Counts[gather.KeyOf("r")]).To(Equal(2*28), string(one.self.ID))
+	for _, n := range w.live() {
+		g.Expect(n.received.Counts[gather.KeyOf("r")]).To(Equal(2*28), string(n.self.ID))
 	}
-	g.Expect(w.nodes[3].lost).To(ContainElement(machine.ID("n0000")))
+	g.Expect(w.nodes[3].lostCollectors).To(ContainElement(machine.ID("n0000")))
 	w.nodes[0].frozen = false
 	w.run(4*time.Second, count)
-	for _, one := range w.live() {
-		g.Expect(one.heard.Counts[gather.KeyOf("r")]).To(Equal(2*29), string(one.self.ID))
+	for _, n := range w.live() {
+		g.Expect(n.received.Counts[gather.KeyOf("r")]).To(Equal(2*29), string(n.self.ID))
 	}
-	t.Logf("counted twice: %.4f of all", float64(over)/float64(heard))
-	g.Expect(over).To(BeNumerically("<", heard/100))
+	t.Logf("counted twice: %.4f of all", float64(excess)/float64(received))
+	g.Expect(excess).To(BeNumerically("<", received/100))
 }
 
 // TestCollectorSilent has nodes try one that never answers less and less often.
@@ -123,12 +123,12 @@
 	w := newWorld(20, 2)
 	w.nodes[0].frozen = true
 	for index := range w.nodes {
-		w.give(index, "r", 2)
+		w.setRequests(index, "r", 2)
 	}
 	w.run(30 * time.Second)
 	// After 2, 4, 8 and 16 s, with what the tries take.
-	g.Expect(len(w.nodes[4].lost)).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)))
-	g.Expect(w.hears(5, "r")).To(Equal(2 * 18))
+	g.Expect(len(w.nodes[4].lostCollectors)).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)))
+	g.Expect(w.receivedRequests(5, "r")).To(Equal(2 * 18))
 }
 
 // TestNodeLost has the requests of a node that died lapse.
@@ -137,22 +137,22 @@
 	w := busyWorld(g, 9, 3)
 	w.nodes[8].dead = true
 	w.run(time.Second)
-	g.Expect(w.hears(7, "r")).To(Equal(2 * 7))
+	g.Expect(w.receivedRequests(7, "r")).To(Equal(2 * 7))
 }
 
 // TestZoneCut has each side hear of its own alone, and say so.
 func TestZoneCut(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 30, 3)
-	w.cut = "z1"
+	w.isolated = "z1"
 	w.run(time.Second)
-	g.Expect(w.nodes[1].heard.Nodes).To(Equal(9))
-	g.Expect(w.hears(1, "r")).To(Equal(2 * 9))
-	g.Expect(w.nodes[2].heard.Nodes).To(Equal(19))
-	g.Expect(w.hears(2, "r")).To(Equal(2 * 19))
-	w.cut = ""
+	g.Expect(w.nodes[1].received.Nodes).To(Equal(9))
+	g.Expect(w.receivedRequests(1, "r")).To(Equal(2 * 9))
+	g.Expect(w.nodes[2].received.Nodes).To(Equal(19))
+	g.Expect(w.receivedRequests(2, "r")).To(Equal(2 * 19))
+	w.isolated = ""
 	w.run(time.Second)
-	g.Expect(w.hears(1, "r")).To(Equal(2 * 29))
+	g.Expect(w.receivedRequests(1, "r")).To(Equal(2 * 29))
 }
 
 // TestMessagesLost leave most nodes with a recent word.
@@ -161,14 +161,14 @@
 	w := busyWorld(g, 30, 3)
 	w.loss = 0.2
 	w.run(time.Second)
-	for _, one := range w.nodes {
-		one.heardN = 0
+	for _, n := range w.nodes {
+		n.receivedCount = 0
 	}
 	w.run(4 * time.Second)
-	for _, one := range w.nodes {
+	for _, n := range w.nodes {
 		// Of 40 reports 0.64 are answered, less what a shunned collector takes.
-		g.Expect(one.heardN).To(BeNumerically(">", 16), string(one.self.ID))
-		g.Expect(w.now.Sub(one.heard.At)).To(BeNumerically("<", time.Second))
+		g.Expect(n.receivedCount).To(BeNumerically(">", 16), string(n.self.ID))
+		g.Expect(w.now.Sub(n.received.At)).To(BeNumerically("<", time.Second))
 	}
 }
 
@@ -176,12 +176,12 @@
 func TestOff(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(9, 3)
-	w.off = true
-	w.give(0, "r", 1)
+	w.disabled = true
+	w.setRequests(0, "r", 1)
 	w.run(time.Second)
-	for _, one := range w.nodes {
-		g.Expect(one.sent).To(BeZero())
-		g.Expect(one.heard).To(BeNil())
+	for _, n := range w.nodes {
+		g.Expect(n.sent).To(BeZero())
+		g.Expect(n.received).To(BeNil())
 	}
 }
 
@@ -189,48 +189,48 @@
 func TestFalseReports(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 6, 1)
-	liar := w.nodes[5].self
+	faulty := w.nodes[5].self
 	w.nodes[5].dead = true
 	key := binary.BigEndian.AppendUint32(nil, uint32(gather.KeyOf("r")))
 	huge := binary.AppendUvarint(key, 1<<62)
 	collector := w.nodes[0].core
 	number := uint64(w.now.UnixMilli()) + 1_000_000
-	for _, said := range []gather.Message{
+	for _, message := range []gather.Message{
 		{Kind: gather.KindReport, Number: number, Nodes: -5, Age: -time.Hour, Counts: huge},
 		{Kind: gather.KindReport, Number: number + 1, Nodes: 1 << 40, Age: 1 << 60, Counts: huge},
 	} {
-		g.Expect(collector.Receive(w.now, liar, said)).To(Succeed())
-		w.run(2 * reported)
-		g.Expect(w.hears(1, "r")).To(BeNumerically("<=", 2*4+128))
-		g.Expect(w.nodes[1].heard.Nodes).To(Equal(5))
+		g.Expect(collector.Receive(w.now, faulty, message)).To(Succeed())
+		w.run(2 * tickPeriod)
+		g.Expect(w.receivedRequests(1, "r")).To(BeNumerically("<=", 2*4+128))
+		g.Expect(w.nodes[1].received.Nodes).To(Equal(5))
 	}
 	for _, counts := range [][]byte{key, key[:3], slices.Concat(key, []byte{0xff}), slices.Concat(key, make([]byte, 3))} {
-		err := collector.Receive(w.now, liar, gather.Message{Kind: gather.KindReport, Number: number + 2, Counts: counts})
+		err := collector.Receive(w.now, faulty, gather.Message{Kind: gather.KindReport, Number: number + 2, Counts: counts})
 		g.Expect(err).To(HaveOccurred())
 	}
-	g.Expect(collector.Receive(w.now, liar, gather.Message{Kind: "else"})).To(Succeed())
+	g.Expect(collector.Receive(w.now, faulty, gather.Message{Kind: "else"})).To(Succeed())
 }
 
 // TestPaces are the median of what nodes told.
 func TestPaces(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(9, 3)
-	for index, one := range w.nodes {
-		one.has["r"] = replica.Report{TokenTime: time.Duration(1000+index) * time.Microsecond, Samples: 4}
+	for index, n := range w.nodes {
+		n.loads["r"] = replica.Report{TokenTime: time.Duration(1000+index) * time.Microsecond, Samples: 4}
 	}
-	w.nodes[4].has["r"] = replica.Report{TokenTime: time.Hour, Samples: 1 << 40}
-	heard := make(map[int]gather.Pace)
+	w.nodes[4].loads["r"] = replica.Report{TokenTime: time.Hour, Samples: 1 << 40}
+	received := make(map[int]gather.Pace)
 	w.run(4*time.Second, func() {
-		for index, one := range w.nodes {
-			if one.heard != nil && one.heard.Paces != nil {
-				heard[index] = one.heard.Paces[gather.KeyOf("r")]
+		for index, n := range w.nodes {
+			if n.received != nil && n.received.Paces != nil {
+				received[index] = n.received.Paces[gather.KeyOf("r")]
 			}
 		}
 	})
-	g.Expect(heard).To(HaveLen(9))
-	for index, pace := range heard {
-		g.Expect(pace.TokenTime).To(BeNumerically("~", time.Millisecond, 20*time.Microsecond), "node %d", index)
-		g.Expect(pace.Samples).To(BeNumerically(">", 0))
+	g.Expect(received).To(HaveLen(9))
+	for index, estimate := range received {
+		g.Expect(estimate.TokenTime).To(BeNumerically("~", time.Millisecond, 20*time.Microsecond), "node %d", index)
+		g.Expect(estimate.Samples).To(BeNumerically(">", 0))
 	}
 }
 
@@ -241,48 +241,48 @@
 	w := newWorld(16, 2)
 	for index := range w.nodes {
 		for number := range 40 {
-			w.give(index, replica.ID(fmt.Sprint("r", index, "-", number)), 1)
+			w.setRequests(index, replica.ID(fmt.Sprint("r", index, "-", number)), 1)
 		}
 	}
 	w.run(2 * time.Second)
-	w.give(2, "late", 3)
-	w.run(2 * told)
+	w.setRequests(2, "late", 3)
+	w.run(2 * propagationTime)
 	for _, index := range []int{4, 8} {
-		heard := w.nodes[index].heard
-		g.Expect(heard.Partial).To(BeTrue())
-		g.Expect(w.hears(index, "late")).To(Equal(3))
-		g.Expect(len(heard.Counts)).To(BeNumerically("<=", 350))
-		near := 0
+		received := w.nodes[index].received
+		g.Expect(received.Partial).To(BeTrue())
+		g.Expect(w.receivedRequests(index, "late")).To(Equal(3))
+		g.Expect(len(received.Counts)).To(BeNumerically("<=", 350))
+		local := 0
 		for number := range 40 {
-			near += w.hears(index, replica.ID(fmt.Sprint("r", 2, "-", number)))
+			local += w.receivedRequests(index, replica.ID(fmt.Sprint("r", 2, "-", number)))
 		}
-		g.Expect(near).To(BeNumerically(">", 30))
+		g.Expect(local).To(BeNumerically(">", 30))
 	}
 	few := busyWorld(g, 20, 2)
-	g.Expect(few.nodes[0].heard.Partial).To(BeFalse())
+	g.Expect(few.nodes[0].received.Partial).To(BeFalse())
 }
 
 // TestOtherList takes nothing in by a list that the node does not hold.
 func TestOtherList(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 6, 1)
-	one := w.nodes[5]
-	heard := one.heardN
-	for _, said := range []gather.Message{
-		{Kind: gather.KindTotals, List: 7, Counts: []byte{9}},
-		{Kind: gather.KindTotals, List: 7, Keys: []byte{1, 2, 3, 4}, Counts: []byte{9}},
+	n := w.nodes[5]
+	received := n.receivedCount
+	for _, message := range []gather.Message{
+		{Kind: gather.KindTotals, ListHash: 7, Counts: []byte{9}},
+		{Kind: gather.KindTotals, ListHash: 7, Keys: []byte{1, 2, 3, 4}, Counts: []byte{9}},
 	} {
 		// An answer to the report that is under way.
-		w.run(reported)
+		w.run(tickPeriod)
 		for number := range uint64(100) {
-			said.Number = uint64(time.Unix(1000, 0).UnixMilli()) + number
-			_ = one.core.Receive(w.now, w.nodes[0].self, said)
-			g.Expect(one.core.Ready().Totals).To(BeNil())
+			message.Number = uint64(time.Unix(1000, 0).UnixMilli()) + number
+			_ = n.core.Receive(w.now, w.nodes[0].self, message)
+			g.Expect(n.core.Ready().Totals).To(BeNil())
 		}
 	}
-	w.run(told)
-	g.Expect(one.heardN).To(BeNumerically(">", heard))
-	g.Expect(w.hears(5, "r")).To(Equal(10))
+	w.run(propagationTime)
+	g.Expect(n.receivedCount).To(BeNumerically(">", received))
+	g.Expect(w.receivedRequests(5, "r")).To(Equal(10))
 }
 
 // TestBudget bounds messages and bytes of the exchange, of the mean node and of the
@@ -297,29 +297,29 @@
 	} {
 		g := NewWithT(t)
 		w := newWorld(size.nodes, size.zones)
-		for index, one := range w.nodes {
+		for index, n := range w.nodes {
 			for range 10 {
 				// A node's requests are at replicas of its own zone.
 				number := index%size.zones + size.zones*w.random.IntN(size.replicas/size.zones)
-				one.has[replica.ID(fmt.Sprint("r", number))] = replica.Report{Requests: 1, TokenTime: time.Millisecond, Samples: 3}
+				n.loads[replica.ID(fmt.Sprint("r", number))] = replica.Report{Requests: 1, TokenTime: time.Millisecond, Samples: 3}
 			}
 		}
 		w.run(time.Second)
-		for _, one := range w.nodes {
-			one.sent, one.bytes, one.heardN, one.ages = 0, 0, 0, 0
+		for _, n := range w.nodes {
+			n.sent, n.bytes, n.receivedCount, n.totalAge = 0, 0, 0, 0
 		}
 		const seconds = 2
 		w.run(seconds * time.Second)
-		sent, bytes, most, mostSent, heard, ages := 0, 0, 0, 0, 0, time.Duration(0)
-		for _, one := range w.nodes {
-			sent, bytes = sent+one.sent, bytes+one.bytes
-			heard, ages = heard+one.heardN, ages+one.ages
-			most, mostSent = max(most, one.bytes), max(mostSent, one.sent)
+		sent, bytes, maxBytes, maxSent, received, totalAge := 0, 0, 0, 0, 0, time.Duration(0)
+		for _, n := range w.nodes {
+			sent, bytes = sent+n.sent, bytes+n.bytes
+			received, totalAge = received+n.receivedCount, totalAge+n.totalAge
+			maxBytes, maxSent = max(maxBytes, n.bytes), max(maxSent, n.sent)
 		}
 		t.Logf("%d nodes: a node %.1f messages, %d bytes a second; a collector %d, %d; age %v", size.nodes,
-			float64(sent)/seconds/float64(size.nodes), bytes/seconds/size.nodes, mostSent/seconds, most/seconds, ages/time.Duration(heard))
+			float64(sent)/seconds/float64(size.nodes), bytes/seconds/size.nodes, maxSent/seconds, maxBytes/seconds, totalAge/time.Duration(received))
 		g.Expect(bytes / seconds / size.nodes).To(BeNumerically("<", size.mean))
-		g.Expect(most / seconds).To(BeNumerically("<", size.collector))
-		g.Expect(ages / time.Duration(heard)).To(BeNumerically("<", size.age))
+		g.Expect(maxBytes / seconds).To(BeNumerically("<", size.collector))
+		g.Expect(totalAge / time.Duration(received)).To(BeNumerically("<", size.age))
 	}
 }
--- a/gather/listing.go
+++ b/gather/listing.go
@@ -11,61 +11,61 @@
 const (
 	// listedKeys bounds the replicas that a collector tells of, so that their keys and
 	// counts stay within a datagram.
-	listedKeys = packedBytes / keyBytes
+	maximumListedKeys = packedBytes / keyBytes
 	// unusedFor is how long a replica without requests stays listed: a list that changes
 	// is told anew.
-	unusedFor = 5 * time.Second
+	unusedTimeout = 5 * time.Second
 )
 
 // listing is a numbered list of replicas. Answers give counts in its order, and name it
 // by a hash of what it lists, so that a node that holds another one takes nothing in.
 type listing struct {
-	keys   []Key
-	packed []byte
-	hash   uint64
-	used   map[Key]time.Time
+	keys     []Key
+	packed   []byte
+	hash     uint64
+	lastUsed map[Key]time.Time
 	// partial says that replicas with requests are not listed.
 	partial bool
 }
 
-func newListing() listing { return listing{used: make(map[Key]time.Time)} }
+func newListing() listing { return listing{lastUsed: make(map[Key]time.Time)} }
 
 // fit lists the replicas that have requests, and drops those without for long. Where
 // there are too many, those go first that nodes nearby have requests at.
-func (l *listing) fit(now time.Time, near, far map[Key]int) {
+func (l *listing) updateList(now time.Time, local, remote map[Key]int) {
 	changed := false
 	l.partial = false
-	enter := func(key Key, evicts bool) {
-		_, listed := l.used[key]
-		if !listed && len(l.used) >= listedKeys && !(evicts && l.evict(near)) {
+	add := func(key Key, mayEvict bool) {
+		_, listed := l.lastUsed[key]
+		if !listed && len(l.lastUsed) >= maximumListedKeys && !(mayEvict && l.evict(local)) {
 			l.partial = true
 			return
 		}
 		changed = changed || !listed
-		l.used[key] = now
+		l.lastUsed[key] = now
 	}
-	for key := range near {
-		enter(key, true)
+	for key := range local {
+		add(key, true)
 	}
-	for key := range far {
-		enter(key, false)
+	for key := range remote {
+		add(key, false)
 	}
-	for key, at := range l.used {
-		if now.Sub(at) > unusedFor {
-			delete(l.used, key)
+	for key, at := range l.lastUsed {
+		if now.Sub(at) > unusedTimeout {
+			delete(l.lastUsed, key)
 			changed = true
 		}
 	}
 	if changed {
-		l.renew()
+		l.rebuild()
 	}
 }
 
 // evict takes a replica off the list at which nodes nearby have nothing.
-func (l *listing) evict(near map[Key]int) bool {
+func (l *listing) evict(local map[Key]int) bool {
 	for _, key := range l.keys {
-		if _, listed := l.used[key]; listed && near[key] == 0 {
-			delete(l.used, key)
+		if _, listed := l.lastUsed[key]; listed && local[key] == 0 {
+			delete(l.lastUsed, key)
 			return true
 		}
 	}
@@ -73,9 +73,9 @@
 }
 
 // renew orders the list anew.
-func (l *listing) renew() {
+func (l *listing) rebuild() {
 	l.keys, l.packed = l.keys[:0], nil
-	for key := range l.used {
+	for key := range l.lastUsed {
 		l.keys = append(l.keys, key)
 	}
 	slices.Sort(l.keys)
@@ -99,30 +99,30 @@
 }
 
 // heardList is a collector's list as a node took it in.
-type heardList struct {
+type receivedList struct {
 	keys []Key
 	hash uint64
 }
 
 // take takes in the list that a message brings, if any. It reports whether the message's
 // counts are in the order of the list that is held.
-func (h *heardList) take(message *Message) (held bool, err error) {
-	if len(message.Keys) > 0 && message.List != h.hash {
-		if len(message.Keys)%keyBytes != 0 || xxhash.Sum64(message.Keys) != message.List {
-			return false, errPacked
+func (r *receivedList) update(message *Message) (current bool, err error) {
+	if len(message.Keys) > 0 && message.ListHash != r.hash {
+		if len(message.Keys)%keyBytes != 0 || xxhash.Sum64(message.Keys) != message.ListHash {
+			return false, errMalformedList
 		}
-		h.keys, h.hash = nil, message.List
+		r.keys, r.hash = nil, message.ListHash
 		for packed := message.Keys; len(packed) > 0; packed = packed[keyBytes:] {
-			h.keys = append(h.keys, Key(binary.BigEndian.Uint32(packed)))
+			r.keys = append(r.keys, Key(binary.BigEndian.Uint32(packed)))
 		}
 	}
-	return message.List == h.hash, nil
+	return message.ListHash == r.hash, nil
 }
 
 // unpack reads counts in the order of the list.
-func (h *heardList) unpack(packed []byte, bound int) (map[Key]int, error) {
-	counts := make(map[Key]int, len(h.keys))
-	for _, key := range h.keys {
+func (r *receivedList) unpack(packed []byte, maximum int) (map[Key]int, error) {
+	counts := make(map[Key]int, len(r.keys))
+	for _, key := range r.keys {
 		if len(packed) == 0 {
 			break
 		}
@@ -131,12 +131,12 @@
 			return nil, err
 		}
 		if count > 0 {
-			counts[key] = int(min(count, uint64(bound)))
+			counts[key] = int(min(count, uint64(maximum)))
 		}
 		packed = rest
 	}
 	if len(packed) > 0 {
-		return nil, errPacked
+		return nil, errMalformedList
 	}
 	return counts, nil
 }
--- a/gather/message.go
+++ b/gather/message.go
@@ -33,15 +33,15 @@
 	// List names a collector's list: the one that a report's sender holds, or the one in
 	// whose order an answer gives the counts. Keys are that list where the receiver does
 	// not hold it.
-	List uint64 `json:"list,omitempty"`
-	Keys []byte `json:"keys,omitempty"`
+	ListHash uint64 `json:"list,omitempty"`
+	Keys     []byte `json:"keys,omitempty"`
 	// Counts are the requests under way by replica, and Paces the times of a token, both
 	// packed. HasPaces tells no paces from none said.
 	Counts []byte `json:"counts,omitempty"`
 	// Partial says that there are more replicas with requests.
-	Partial  bool   `json:"partial,omitempty"`
-	Paces    []byte `json:"paces,omitempty"`
-	HasPaces bool   `json:"has_paces,omitempty"`
+	Partial       bool   `json:"partial,omitempty"`
+	Paces         []byte `json:"paces,omitempty"`
+	HasTokenTimes bool   `json:"has_paces,omitempty"`
 }
 
 // Outbound is a message to another node.
--- a/gather/pack.go
+++ b/gather/pack.go
@@ -34,13 +34,13 @@
 	samplesPerNode = 4
 	// paceUnit is the resolution of a packed time of a token, and maximumPace the
 	// longest that is believed.
-	paceUnit    = 10 * time.Microsecond
-	maximumPace = time.Second
+	tokenTimeUnit    = 10 * time.Microsecond
+	maximumTokenTime = time.Second
 )
 
 // errPacked says that a packed list does not end where an entry does, or holds a number
 // that no node can mean.
-var errPacked = errors.New("gather: packed list not understood")
+var errMalformedList = errors.New("gather: packed list not understood")
 
 // Pace is the time of a token at a replica, and how many turns it rests on.
 type Pace struct {
@@ -61,24 +61,24 @@
 
 // busiest returns the keys of positive counts, the highest ones where there are more
 // than the most.
-func busiest(counts map[Key]int, most int) []Key {
+func busiest(counts map[Key]int, limit int) []Key {
 	keys := make([]Key, 0, len(counts))
 	for key, count := range counts {
 		if count > 0 {
 			keys = append(keys, key)
 		}
 	}
-	if len(keys) <= most {
+	if len(keys) <= limit {
 		return keys
 	}
 	slices.SortFunc(keys, func(left, right Key) int {
 		return cmp.Or(cmp.Compare(counts[right], counts[left]), cmp.Compare(left, right))
 	})
-	return keys[:most]
+	return keys[:limit]
 }
 
 // unpackCounts reads packed counts. None is taken for more than the bound.
-func unpackCounts(packed []byte, bound int) (map[Key]int, error) {
+func unpackCounts(packed []byte, maximum int) (map[Key]int, error) {
 	counts := make(map[Key]int, len(packed)/(keyBytes+1))
 	for len(packed) > 0 {
 		key, rest, err := unpackKey(packed)
@@ -89,29 +89,29 @@
 		if err != nil {
 			return nil, err
 		}
-		counts[key] = int(min(count, uint64(bound)))
+		counts[key] = int(min(count, uint64(maximum)))
 		packed = rest
 	}
 	return counts, nil
 }
 
 // packPaces packs paces, as many as a list holds.
-func packPaces(paces map[Key]Pace) []byte {
+func packTokenTimes(tokenTimes map[Key]Pace) []byte {
 	var packed []byte
-	for key, pace := range paces {
+	for key, estimate := range tokenTimes {
 		if len(packed)+keyBytes+2*binary.MaxVarintLen32 > packedBytes {
 			break
 		}
 		packed = binary.BigEndian.AppendUint32(packed, uint32(key))
-		packed = binary.AppendUvarint(packed, uint64(pace.TokenTime/paceUnit))
-		packed = binary.AppendUvarint(packed, uint64(pace.Samples))
+		packed = binary.AppendUvarint(packed, uint64(estimate.TokenTime/tokenTimeUnit))
+		packed = binary.AppendUvarint(packed, uint64(estimate.Samples))
 	}
 	return packed
 }
 
 // unpackPaces reads packed paces, within what is believed.
-func unpackPaces(packed []byte) (map[Key]Pace, error) {
-	paces := make(map[Key]Pace)
+func unpackTokenTimes(packed []byte) (map[Key]Pace, error) {
+	tokenTimes := make(map[Key]Pace)
 	for len(packed) > 0 {
 		key, rest, err := unpackKey(packed)
 		if err != nil {
@@ -126,18 +126,18 @@
 			return nil, err
 		}
 		packed = rest
-		if units == 0 || units > uint64(maximumPace/paceUnit) || samples == 0 {
+		if units == 0 || units > uint64(maximumTokenTime/tokenTimeUnit) || samples == 0 {
 			continue
 		}
-		paces[key] = Pace{TokenTime: time.Duration(units) * paceUnit, Samples: int(min(samples, maximumSamples))}
+		tokenTimes[key] = Pace{TokenTime: time.Duration(units) * tokenTimeUnit, Samples: int(min(samples, maximumSamples))}
 	}
-	return paces, nil
+	return tokenTimes, nil
 }
 
 // unpackKey reads a key.
 func unpackKey(packed []byte) (key Key, rest []byte, err error) {
 	if len(packed) < keyBytes {
-		return 0, nil, errPacked
+		return 0, nil, errMalformedList
 	}
 	return Key(binary.BigEndian.Uint32(packed)), packed[keyBytes:], nil
 }
@@ -146,7 +146,7 @@
 func unpackNumber(packed []byte) (number uint64, rest []byte, err error) {
 	number, size := binary.Uvarint(packed)
 	if size <= 0 {
-		return 0, nil, errPacked
+		return 0, nil, errMalformedList
 	}
 	return number, packed[size:], nil
 }
