--- a/gather/collect.go
+++ b/gather/collect.go
@@ -10,21 +10,22 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// word is what one node, or those that report to one collector, have.
+// contribution is the load last received from one sender: a node's report or another
+// collector's sum.
 type contribution struct {
 	at     time.Time
 	number uint64
 	nodes  int
 	age    time.Duration
 	counts map[Key]int
-	// partial says that there are more.
+	// partial is set if replicas with requests are missing from counts.
 	partial    bool
 	tokenTimes map[Key]Pace
-	// pacedAt is when the paces were told.
+	// tokenTimesAt is when the token times were received.
 	tokenTimesAt time.Time
 }
 
-// wordOf returns the word of a node itself.
+// ownContribution returns this node's own contribution.
 func ownContribution(now time.Time, own map[replica.ID]replica.Report) contribution {
 	entry := contribution{at: now, nodes: 1, counts: make(map[Key]int, len(own)), tokenTimes: make(map[Key]Pace), tokenTimesAt: now}
 	for id, report := range own {
@@ -39,10 +40,10 @@
 	return entry
 }
 
-// ageAt returns how old the counts are at a time.
+// ageAt returns the age of the counts at the given time.
 func (c *contribution) ageAt(now time.Time) time.Duration { return now.Sub(c.at) + c.age }
 
-// lapse returns when the word counts no longer.
+// expiresAt returns the time after which the contribution no longer counts.
 func (c *contribution) expiresAt(period time.Duration) time.Time {
 	periods := expiryPeriods
 	if len(c.counts) == 0 {
@@ -51,7 +52,7 @@
 	return c.at.Add(time.Duration(periods) * period)
 }
 
-// tally is the words of some nodes and their sum.
+// tally holds the contributions of a set of senders and their sum.
 type tally struct {
 	contributions map[machine.ID]contribution
 	counts        map[Key]int
@@ -62,7 +63,8 @@
 	return tally{contributions: make(map[machine.ID]contribution), counts: make(map[Key]int)}
 }
 
-// put takes in a word in place of the sender's last.
+// replace stores a contribution in place of the sender's previous one. One without token
+// times keeps the previous ones.
 func (t *tally) replace(from machine.ID, entry contribution) {
 	if previous, known := t.contributions[from]; known && entry.tokenTimes == nil {
 		entry.tokenTimes, entry.tokenTimesAt = previous.tokenTimes, previous.tokenTimesAt
@@ -75,7 +77,7 @@
 	}
 }
 
-// drop takes a word back.
+// remove subtracts and removes a sender's contribution.
 func (t *tally) remove(from machine.ID) {
 	previous := t.contributions[from]
 	t.nodes -= previous.nodes
@@ -87,7 +89,7 @@
 	delete(t.contributions, from)
 }
 
-// expire drops the words that are too old to count.
+// expire removes the contributions that are too old to count.
 func (t *tally) expire(now time.Time, period time.Duration) {
 	for from, entry := range t.contributions {
 		if now.After(entry.expiresAt(period)) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// partial reports whether any sender has more than its word names.
+// partial reports whether any sender's counts are incomplete.
 func (t *tally) partial() bool {
 	for _, entry := range t.contributions {
 		if entry.partial {
@@ -106,7 +108,8 @@
 	return false
 }
 
-// ages returns the sum of the ages of all nodes' counts but one's.
+// ages returns the sum of the ages of the counts over all nodes, except those of the
+// given sender.
 func (t *tally) ages(now time.Time, except machine.ID) (sum time.Duration) {
 	for from, entry := range t.contributions {
 		if from != except {
@@ -116,20 +119,22 @@
 	return sum
 }
 
-// collecting is what a collector knows: what nodes reported here, and the sums of other
-// collectors, which are sent sums in return.
+// collectorState is this node's state as a collector: the reports that it received
+// (local) and the sums of other collectors (remote). Those collectors (peers) are sent
+// sums in return.
 type collectorState struct {
 	local  tally
 	remote tally
 	peers  map[machine.ID]machine.Machine
-	// paces are those of all words, as of pacedAt.
+	// tokenTimes are the medians over all contributions as of tokenTimesAt.
 	tokenTimes   map[Key]Pace
 	tokenTimesAt time.Time
 	listing      listing
-	// toldAt is when sums were sent last, and pacesToldAt when they had paces.
+	// sumsSentAt is when sums were last sent, and tokenTimesSentAt when they last
+	// contained token times.
 	sumsSentAt       time.Time
 	tokenTimesSentAt time.Time
-	// toldEmpty says that the last sum was of no node.
+	// sentEmpty is set if the last sum covered no nodes.
 	sentEmpty bool
 	sumNumber uint64
 }
@@ -138,7 +143,8 @@
 	return collectorState{local: newTally(), remote: newTally(), peers: make(map[machine.ID]machine.Machine), sumNumber: first, sentEmpty: true, listing: newListing()}
 }
 
-// expire drops what is too old to count.
+// expire removes the contributions that are too old to count, and the collectors that
+// sent them.
 func (c *collectorState) expire(now time.Time, fleet *Fleet) {
 	c.local.expire(now, fleet.reportPeriod())
 	c.remote.expire(now, fleet.reportPeriod())
@@ -149,14 +155,14 @@
 	}
 }
 
-// fit fits the list of replicas to what they have.
+// updateList updates the replica list to the current counts.
 func (c *collectorState) updateList(now time.Time) {
 	if len(c.local.contributions) > 0 {
 		c.listing.updateList(now, c.local.counts, c.remote.counts)
 	}
 }
 
-// totalsFor returns what all but one have.
+// totalsExcept returns the totals of all nodes except the given one.
 func (c *collectorState) totalsExcept(now time.Time, except machine.ID, includeTokenTimes bool) *Totals {
 	own := c.local.contributions[except]
 	totals := &Totals{Nodes: c.local.nodes + c.remote.nodes - own.nodes, At: now, Counts: make(map[Key]int, len(c.local.counts))}
@@ -180,8 +186,9 @@
 	return totals
 }
 
-// pacesOfAll returns the paces of all words: the median of each replica, so that one
-// false word moves it to its neighbour at most.
+// cachedTokenTimes returns the median token time of each replica over all contributions,
+// computed at most once per half tokenTimePeriod. With a median, a single false value
+// moves the result no further than to a neighbouring value.
 func (c *collectorState) cachedTokenTimes(now time.Time) map[Key]Pace {
 	if c.tokenTimes == nil || now.Sub(c.tokenTimesAt) >= tokenTimePeriod/2 {
 		c.tokenTimes, c.tokenTimesAt = medianTokenTimes(now, c.local.contributions, c.remote.contributions), now
@@ -189,10 +196,10 @@
 	return c.tokenTimes
 }
 
-// pacesLapse is how long a word's paces count.
+// tokenTimesExpiry is how long a contribution's token times count.
 const tokenTimesExpiry = 3 * tokenTimePeriod
 
-// medianPaces returns the weighted median of each replica's paces.
+// medianTokenTimes returns the weighted median of each replica's token times.
 func medianTokenTimes(now time.Time, from ...map[machine.ID]contribution) map[Key]Pace {
 	byKey := make(map[Key][]Pace)
 	for _, contributions := range from {
@@ -213,7 +220,7 @@
 	return medians
 }
 
-// medianOf returns the median of some paces by their samples.
+// medianOf returns the median token time, weighted by samples.
 func medianOf(estimates []Pace) Pace {
 	slices.SortFunc(estimates, func(left, right Pace) int {
 		return cmp.Or(cmp.Compare(left.TokenTime, right.TokenTime), cmp.Compare(left.Samples, right.Samples))
@@ -231,7 +238,7 @@
 	return Pace{}
 }
 
-// collectOwn counts this node's own requests where it is its own collector.
+// collectOwn adds this node's own load if it is its own collector.
 func (c *Core) collectOwn(now time.Time) {
 	self := c.fleet.Self.ID
 	if c.reporter.collector.ID != self {
@@ -244,7 +251,7 @@
 	}
 }
 
-// answer takes a node's report in and sends it the totals of all others.
+// answer stores a node's report and answers it with the totals of all other nodes.
 func (c *Core) answer(now time.Time, from machine.Machine, message Message) error {
 	local := &c.aggregate.local
 	previous, known := local.contributions[from.ID]
@@ -272,14 +279,14 @@
 	return nil
 }
 
-// leave drops the word of a node that reports elsewhere.
+// withdraw removes the report of a node that now reports to another collector.
 func (c *collectorState) withdraw(from machine.ID, number uint64) {
 	if number > c.local.contributions[from].number {
 		c.local.remove(from)
 	}
 }
 
-// takeSum takes in what the nodes have that report to another collector.
+// receiveSum stores the sum received from another collector.
 func (c *Core) receiveSum(now time.Time, from machine.Machine, message Message) error {
 	remote := &c.aggregate.remote
 	previous, known := remote.contributions[from.ID]
@@ -295,10 +302,10 @@
 	return nil
 }
 
-// tellSums sends what nodes reported here to the other collectors, if that is due.
+// sendSums sends the sum of the local reports to the other collectors, if it is due.
 func (c *Core) sendSums(now time.Time) {
 	collector := &c.aggregate
-	// A collector that all have left says so once.
+	// A collector that no node reports to any longer sends a single empty sum.
 	empty := len(collector.local.contributions) == 0
 	if (empty && collector.sentEmpty) || now.Sub(collector.sumsSentAt) < c.fleet.sumPeriod() {
 		return
@@ -318,8 +325,8 @@
 	}
 }
 
-// collectors returns the others that collect: those that rank first, and those that
-// sent sums lately.
+// collectors returns the other collectors: the first-ranked ones, and those whose sums
+// still count.
 func (c *Core) collectors() []machine.Machine {
 	found := map[machine.ID]machine.Machine{c.fleet.Collectors[0].ID: c.fleet.Collectors[0]}
 	for _, remote := range c.fleet.Remote {
@@ -332,7 +339,7 @@
 	return slices.SortedFunc(maps.Values(found), machine.CompareID)
 }
 
-// readWord reads what a message says.
+// decodeContribution decodes the contribution in a message. No count exceeds maximum.
 func decodeContribution(now time.Time, message Message, maximum int) (contribution, error) {
 	counts, err := unpackCounts(message.Counts, maximum)
 	if err != nil {
--- a/gather/core.go
+++ b/gather/core.go
@@ -10,84 +10,90 @@
 )
 
 const (
-	// periodLeast is the least time between two reports of a node: less than the turns
-	// and calls take whose loads are told.
+	// minimumReportPeriod is the minimum time between two reports of a node. It is
+	// shorter than the turns and calls whose load is reported.
 	minimumReportPeriod = 100 * time.Millisecond
-	// periodPerNode times the nodes of a zone is that time in a large zone, so that a
-	// collector answers 250 reports a second at most.
+	// reportPeriodPerNode, multiplied by the number of nodes in the zone, is the report
+	// period in a large zone. It limits a collector to 250 reports a second.
 	reportPeriodPerNode = 4 * time.Millisecond
-	// periodPerZone times the zones is the least time between two sums of a collector.
+	// sumPeriodPerZone, multiplied by the number of zones, is the minimum time between
+	// two sums of a collector.
 	sumPeriodPerZone = 20 * time.Millisecond
-	// silentReports is how many reports in a row go unanswered before a node takes the
-	// next collector, and shunFor how long it leaves the silent one alone. That doubles
-	// with each time in a row, maximumDoublings times.
+	// maximumUnansweredReports is the number of consecutive unanswered reports after
+	// which a node switches to the next collector. It avoids the unresponsive one for
+	// initialBackoff, which doubles with each consecutive failure, up to
+	// maximumBackoffDoublings times.
 	maximumUnansweredReports = 3
 	initialBackoff           = 2 * time.Second
 	maximumBackoffDoublings  = 4
-	// lapsePeriods is how many periods a word counts: as long as its node waits for a
-	// silent collector, so that no word counts at two for longer than one period.
+	// expiryPeriods is the number of report periods for which a contribution counts. A
+	// node waits as long for an unresponsive collector, so that two collectors count the
+	// same report for one period at most.
 	expiryPeriods = maximumUnansweredReports + 1
-	// idlePeriods is how many periods lie between the reports of a node without
-	// requests, which only keep what it hears recent.
+	// idlePeriods is the number of report periods between two reports of a node without
+	// requests. Such reports only serve to receive recent totals.
 	idlePeriods = 4
-	// pacePeriod is the time between two reports with paces, which change slowly.
+	// tokenTimePeriod is the time between two reports with token times, which change
+	// slowly.
 	tokenTimePeriod = time.Second
-	// maximumNodes bounds the nodes whose words a collector keeps.
+	// maximumNodes limits the number of nodes whose contributions a collector stores.
 	maximumNodes = 1 << 10
-	// maximumAge bounds how old counts are believed to be.
+	// maximumAge limits the age that a message may claim for its counts.
 	maximumAge = 10 * time.Second
 )
 
-// Fleet is what a node knows of the others.
+// Fleet is a node's current view of the fleet.
 type Fleet struct {
 	Self machine.Machine
-	// Off says that the fleet is so small that its nodes hear each other anyway.
+	// Disabled is set in a fleet so small that the failure detector's messages carry
+	// every node's load often enough.
 	Off bool
-	// Near is how many nodes there are in this node's zone, itself included.
+	// ZoneNodes is the number of nodes in this node's zone, itself included.
 	Near int
-	// Collectors rank the collectors of this node's zone, and Remote are the first ones
-	// of the other zones.
+	// Collectors are the candidate collectors of this node's zone, in ranking order.
+	// RemoteCollectors are the first-ranked ones of the other zones.
 	Collectors []machine.Machine
 	Remote     []machine.Machine
 }
 
-// on reports whether nodes exchange anything.
+// enabled reports whether nodes exchange loads at all.
 func (f *Fleet) enabled() bool { return !f.Off && len(f.Collectors) > 0 }
 
-// period returns the time between two reports.
+// reportPeriod returns the time between two reports.
 func (f *Fleet) reportPeriod() time.Duration {
 	return max(minimumReportPeriod, time.Duration(f.Near)*reportPeriodPerNode)
 }
 
-// sumPeriod returns the time between two sums: half of that between reports, as sums are
-// few.
+// sumPeriod returns the time between two sums. It is half the report period, as there are
+// few sums.
 func (f *Fleet) sumPeriod() time.Duration {
 	return max(f.reportPeriod()/2, time.Duration(len(f.Remote)+1)*sumPeriodPerZone)
 }
 
-// Totals are what all others have, as far as they were heard.
+// Totals is the known load of all other nodes.
 type Totals struct {
-	// Nodes is how many others they are of.
+	// Nodes is the number of other nodes that the totals cover.
 	Nodes int
-	// At is when the counts were true in the mean.
+	// At is the mean time at which the counts were current.
 	At     time.Time
 	Counts map[Key]int
-	// Partial says that there are replicas with requests besides those named.
+	// Partial is set if replicas with requests are missing from Counts.
 	Partial bool
-	// Paces are those of the fleet; nil where none were told.
+	// TokenTimes are the median token times over the fleet, or nil if none were received.
 	Paces map[Key]Pace
 }
 
-// Change is a collector that this node takes, or lost (Silent).
+// CollectorChange names a collector that this node starts to report to, or one that
+// stopped answering (Unresponsive). The other field is empty.
 type Change struct {
 	Collector machine.ID
 	Silent    machine.ID
 }
 
-// Ready is what accumulated since the last call.
+// Ready holds what has accumulated since the last call of Core.Ready.
 type Ready struct {
 	Messages []Outbound
-	// Totals are the newest, or nil.
+	// Totals are the latest totals, or nil if there are no new ones.
 	Totals  *Totals
 	Changes []Change
 }
@@ -101,26 +107,29 @@
 	ready     Ready
 }
 
-// asking is what this node asks of its collector.
+// reporter is the state of this node's reports to its collector.
 type reporter struct {
 	collector        machine.Machine
 	number           uint64
 	reportedAt       time.Time
 	tokenTimesSentAt time.Time
-	answered         bool
-	unresponsive     int
-	// list is the collector's, as heard last.
+	// answered is set once the last report has been answered, and unresponsive counts the
+	// consecutive unanswered ones.
+	answered     bool
+	unresponsive int
+	// list is the replica list last received from the collector.
 	list receivedList
-	// idle says that the last report named no requests.
+	// idle is set if the last report contained no requests.
 	idle bool
-	// shunned are collectors that did not answer, until when.
+	// avoided maps each collector that did not answer to the time until which it is not
+	// used.
 	avoided map[machine.ID]time.Time
-	// failed counts how often in a row one did not answer.
+	// failures counts the consecutive failures of each collector.
 	failures map[machine.ID]int
 }
 
-// New returns a core. First is the number of the first report, which must not repeat
-// those of a former process.
+// New returns a core. The first report is numbered first + 1. The numbers must be higher
+// than those of an earlier process of this node.
 func New(first uint64) *Core {
 	return &Core{reporter: reporter{number: first, answered: true, avoided: make(map[machine.ID]time.Time), failures: make(map[machine.ID]int)}, aggregate: newCollectorState(first)}
 }
@@ -132,7 +141,7 @@
 	return ready
 }
 
-// Tick takes in what this node has under way, and performs what is due.
+// Tick updates this node's own load and performs what is due.
 func (c *Core) Tick(now time.Time, fleet Fleet, own map[replica.ID]replica.Report) {
 	wasEnabled := c.fleet.enabled()
 	c.fleet = fleet
@@ -151,7 +160,8 @@
 	c.sendSums(now)
 }
 
-// choose takes the first collector in the ranking that is not shunned.
+// chooseCollector selects the first collector in the ranking that is not avoided, or the
+// first one if all are.
 func (c *Core) chooseCollector(now time.Time) {
 	for id, until := range c.reporter.avoided {
 		if !now.Before(until) {
@@ -182,7 +192,7 @@
 	c.ready.Changes = append(c.ready.Changes, Change{Collector: chosen.ID})
 }
 
-// report tells the collector what this node has, if that is due.
+// sendReport reports this node's load to its collector, if a report is due.
 func (c *Core) sendReport(now time.Time) {
 	state := &c.reporter
 	due := c.fleet.reportPeriod()
@@ -213,7 +223,7 @@
 	c.send(state.collector, message)
 }
 
-// shun leaves the silent collector for the next one.
+// avoidCollector leaves the unresponsive collector for the next one.
 func (c *Core) avoidCollector(now time.Time) {
 	unresponsive := c.reporter.collector.ID
 	c.reporter.avoided[unresponsive] = now.Add(initialBackoff << min(c.reporter.failures[unresponsive], maximumBackoffDoublings))
@@ -224,7 +234,7 @@
 	c.collectOwn(now)
 }
 
-// Receive takes in a message of another node.
+// Receive processes a message from another node.
 func (c *Core) Receive(now time.Time, from machine.Machine, message Message) error {
 	if !c.fleet.enabled() {
 		return nil
@@ -244,7 +254,7 @@
 	return nil
 }
 
-// takeTotals takes the answer to the newest report in.
+// receiveTotals processes the answer to the latest report.
 func (c *Core) receiveTotals(now time.Time, from machine.ID, message Message) error {
 	state := &c.reporter
 	if from != state.collector.ID || message.Number != state.number || state.answered {
@@ -265,7 +275,8 @@
 	}
 	totals := &Totals{
 		Nodes: max(0, message.Nodes), Counts: counts, Partial: message.Partial,
-		// How long the answer was on its way is not known: not before the question.
+		// The transit time of the answer is unknown, but the collector can't have
+		// computed it before the report was sent.
 		At: state.reportedAt.Add(-min(max(0, message.Age), maximumAge)),
 	}
 	if message.HasTokenTimes {
--- a/gather/doc.go
+++ b/gather/doc.go
@@ -1,13 +1,14 @@
-// Package gather has the nodes of a large fleet hear soon what all others have under way
-// at the replicas. The messages of the failure detector go to a random peer each, so that
-// in a fleet of a hundred a node hears of another every few seconds, while what is under
-// way changes many times a second.
+// Package gather aggregates the load of every node in a large fleet and distributes the
+// totals quickly. The failure detector sends each of its messages to a random peer, so
+// that in a fleet of a hundred nodes a node receives another's state only every few
+// seconds, while the number of requests in progress changes many times a second.
 //
-// Each node tells a collector of its zone what it has under way, and the answer is the
-// sum of all others. The collectors of the zones exchange the sums of their zones. Who
-// collects follows from a ranking that all nodes know, so that no message agrees on it. A
-// message that is lost is not repeated: the next one says it all again, and what was said
-// lapses.
+// Each node reports its requests in progress to a collector in its zone, which answers
+// with the sum over all other nodes. The collectors of different zones exchange the sums
+// of their zones. The collectors follow from a ranking that every node computes by
+// itself, so no messages are needed to agree on them. A lost message is not sent again:
+// each message carries the complete state, and contributions that are not renewed expire.
 //
-// Everything here is a pure state machine: events and the time come in, messages go out.
+// The package is a pure state machine: it is given events and the time, and returns the
+// messages to send.
 package gather
--- a/gather/fleet_test.go
+++ b/gather/fleet_test.go
@@ -13,28 +13,29 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The delays of the virtual world.
+// The periods and delays of the simulation.
 const (
 	step  = 10 * time.Millisecond
 	delay = 2 * time.Millisecond
-	// reported is the time between two looks of a node at its own loads.
+	// tickPeriod is the time between two calls of a node's Tick.
 	tickPeriod = 100 * time.Millisecond
-	// envelope is what a message takes besides: the names of its sender and fields.
+	// envelopeBytes is the size of what encloses a message: the sender's name and the
+	// field names.
 	envelopeBytes = 110
-	// collectors is how many nodes of a zone may collect.
+	// collectors is the number of nodes of a zone that may act as collectors.
 	collectors = 3
 )
 
-// node is one node of the world.
+// node is one simulated node.
 type node struct {
 	self          machine.Machine
 	core          *gather.Core
 	loads         map[replica.ID]replica.Report
 	received      *gather.Totals
 	receivedCount int
-	// ages is the sum of the ages of what was heard.
+	// totalAge is the sum of the ages of the totals received.
 	totalAge time.Duration
-	// offset spreads the nodes' looks at their loads.
+	// offset spreads the nodes' ticks over the period.
 	offset         time.Duration
 	frozen         bool
 	dead           bool
@@ -43,7 +44,7 @@
 	lostCollectors []machine.ID
 }
 
-// letter is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at      time.Time
 	from    machine.Machine
@@ -60,10 +61,10 @@
 	byID     map[machine.ID]*node
 	inFlight []delivery
 	loss     float64
-	// cut is a zone that hears no other.
+	// isolated is a zone that exchanges no messages with the others.
 	isolated zone.Name
 	disabled bool
-	// listed says that rankings leave dead nodes out.
+	// deadUnranked is set if rankings omit dead nodes.
 	deadUnranked bool
 }
 
@@ -83,7 +84,8 @@
 	return w
 }
 
-// ranked returns the nodes of a zone that may collect, in the order of the ranking.
+// ranked returns the nodes of a zone that may act as collectors, in ranking order, and
+// the number of nodes in the zone.
 func (w *world) ranked(name zone.Name) (ranked []machine.Machine, zoneNodes int) {
 	for _, n := range w.nodes {
 		if n.self.Zone != name || (w.deadUnranked && n.dead) {
@@ -109,7 +111,7 @@
 	return fleet
 }
 
-// run lets the time pass, and calls each with every step.
+// run advances the time, and calls each function after each step.
 func (w *world) run(span time.Duration, each ...func()) {
 	for end := w.now.Add(span); w.now.Before(end); {
 		w.now = w.now.Add(step)
@@ -173,12 +175,13 @@
 	}
 }
 
-// give has a node have so many requests at a replica.
+// setRequests sets a node's number of requests in progress at a replica.
 func (w *world) setRequests(index int, id replica.ID, requests int) {
 	w.nodes[index].loads[id] = replica.Report{Requests: requests}
 }
 
-// hears returns what a node heard last of a replica.
+// receivedRequests returns the number of requests at a replica in the totals that a node
+// received last, or -1 if it received none.
 func (w *world) receivedRequests(index int, id replica.ID) int {
 	if received := w.nodes[index].received; received != nil {
 		return received.Counts[gather.KeyOf(id)]
@@ -186,7 +189,7 @@
 	return -1
 }
 
-// live returns the nodes that are up.
+// live returns the nodes that are running.
 func (w *world) live() []*node {
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.dead || n.frozen })
 }
--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -14,11 +14,13 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// told is how long it takes at most until all hear of a change: a report, a sum and the
-// answer to the next report, each of which waits for its node's next look.
+// propagationTime is the longest time until all nodes have received a change. It takes a
+// report, a sum and the answer to the next report, each of which waits for its node's
+// next tick.
 const propagationTime = 4 * tickPeriod
 
-// TestIdleNodeHears has a node that sends nothing hear what the others have.
+// TestIdleNodeHears checks that a node without requests receives the totals of the
+// others.
 func TestIdleNodeHears(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3, 1)
@@ -29,12 +31,13 @@
 	g.Expect(w.receivedRequests(2, "r1")).To(Equal(5))
 	g.Expect(w.receivedRequests(2, "r2")).To(Equal(7))
 	g.Expect(w.nodes[2].received.Nodes).To(Equal(2))
-	// Nobody hears its own.
+	// A node's totals exclude its own requests.
 	g.Expect(w.receivedRequests(0, "r1")).To(Equal(2))
 	g.Expect(w.receivedRequests(1, "r2")).To(BeZero())
 }
 
-// TestChangeIsHeardSoon across zones, and never counted twice on the way.
+// TestChangeIsHeardSoon checks that a change reaches all zones in time and is never
+// counted twice on the way.
 func TestChangeIsHeardSoon(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(30, 3)
@@ -61,7 +64,8 @@
 	}
 }
 
-// busyWorld returns nodes that all have requests at one replica and have heard of it.
+// busyWorld returns a world in which all nodes have requests at one replica and have
+// received the totals.
 func busyWorld(g *WithT, count, zones int) *world {
 	w := newWorld(count, zones)
 	for index := range w.nodes {
@@ -74,8 +78,9 @@
 	return w
 }
 
-// TestCollectorLost is followed by the next in the ranking, before and after the nodes
-// know that it is dead, and its requests lapse.
+// TestCollectorLost checks that the next collector in the ranking takes over from a dead
+// one, both before and after the nodes know that it is dead, and that the dead node's
+// requests expire.
 func TestCollectorLost(t *testing.T) {
 	for _, deadUnranked := range []bool{false, true} {
 		g := NewWithT(t)
@@ -90,8 +95,8 @@
 	}
 }
 
-// TestCollectorFrozen is left for the next, and taken again later. What is counted twice
-// while nodes change over is little.
+// TestCollectorFrozen checks that nodes leave a frozen collector for the next one and
+// return to it later, and that few requests are counted twice meanwhile.
 func TestCollectorFrozen(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 30, 3)
@@ -117,7 +122,8 @@
 	g.Expect(excess).To(BeNumerically("<", received/100))
 }
 
-// TestCollectorSilent has nodes try one that never answers less and less often.
+// TestCollectorSilent checks that nodes retry an unresponsive collector less and less
+// often.
 func TestCollectorSilent(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(20, 2)
@@ -126,12 +132,12 @@
 		w.setRequests(index, "r", 2)
 	}
 	w.run(30 * time.Second)
-	// After 2, 4, 8 and 16 s, with what the tries take.
+	// Retries come after 2, 4, 8 and 16 s, plus the time that each attempt takes.
 	g.Expect(len(w.nodes[4].lostCollectors)).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)))
 	g.Expect(w.receivedRequests(5, "r")).To(Equal(2 * 18))
 }
 
-// TestNodeLost has the requests of a node that died lapse.
+// TestNodeLost checks that the requests of a dead node expire.
 func TestNodeLost(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 9, 3)
@@ -140,7 +146,8 @@
 	g.Expect(w.receivedRequests(7, "r")).To(Equal(2 * 7))
 }
 
-// TestZoneCut has each side hear of its own alone, and say so.
+// TestZoneCut checks that during a network partition each side receives the totals of its
+// own nodes only, and that the totals state how many nodes they cover.
 func TestZoneCut(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 30, 3)
@@ -155,7 +162,7 @@
 	g.Expect(w.receivedRequests(1, "r")).To(Equal(2 * 29))
 }
 
-// TestMessagesLost leave most nodes with a recent word.
+// TestMessagesLost checks that nodes keep receiving recent totals under message loss.
 func TestMessagesLost(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 30, 3)
@@ -166,13 +173,14 @@
 	}
 	w.run(4 * time.Second)
 	for _, n := range w.nodes {
-		// Of 40 reports 0.64 are answered, less what a shunned collector takes.
+		// Of 40 reports a share of 0.64 is answered, less those to a collector that is
+		// avoided meanwhile.
 		g.Expect(n.receivedCount).To(BeNumerically(">", 16), string(n.self.ID))
 		g.Expect(w.now.Sub(n.received.At)).To(BeNumerically("<", time.Second))
 	}
 }
 
-// TestOff sends nothing where the nodes hear each other anyway.
+// TestOff checks that nothing is sent in a fleet too small to need collectors.
 func TestOff(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(9, 3)
@@ -185,7 +193,8 @@
 	}
 }
 
-// TestFalseReports change what is known by a bounded amount.
+// TestFalseReports checks that false reports change the totals by a bounded amount and
+// that malformed ones are rejected.
 func TestFalseReports(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 6, 1)
@@ -211,7 +220,7 @@
 	g.Expect(collector.Receive(w.now, faulty, gather.Message{Kind: "else"})).To(Succeed())
 }
 
-// TestPaces are the median of what nodes told.
+// TestPaces checks that token times are the median of the nodes' reports.
 func TestPaces(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(9, 3)
@@ -234,8 +243,8 @@
 	}
 }
 
-// TestManyReplicas has those told that nodes nearby have requests at, where not all can
-// be, and says that there are more.
+// TestManyReplicas checks that totals that can't list all replicas favour those with
+// requests from local nodes, and are marked as partial.
 func TestManyReplicas(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(16, 2)
@@ -262,7 +271,8 @@
 	g.Expect(few.nodes[0].received.Partial).To(BeFalse())
 }
 
-// TestOtherList takes nothing in by a list that the node does not hold.
+// TestOtherList checks that a node ignores counts in the order of a list that it does not
+// hold.
 func TestOtherList(t *testing.T) {
 	g := NewWithT(t)
 	w := busyWorld(g, 6, 1)
@@ -272,7 +282,7 @@
 		{Kind: gather.KindTotals, ListHash: 7, Counts: []byte{9}},
 		{Kind: gather.KindTotals, ListHash: 7, Keys: []byte{1, 2, 3, 4}, Counts: []byte{9}},
 	} {
-		// An answer to the report that is under way.
+		// One of the numbers is that of the outstanding report.
 		w.run(tickPeriod)
 		for number := range uint64(100) {
 			message.Number = uint64(time.Unix(1000, 0).UnixMilli()) + number
@@ -285,8 +295,8 @@
 	g.Expect(w.receivedRequests(5, "r")).To(Equal(10))
 }
 
-// TestBudget bounds messages and bytes of the exchange, of the mean node and of the
-// collector, in fleets under load.
+// TestBudget limits the messages and bytes of the exchange for the average node and for a
+// collector, and the mean age of the totals, in fleets under load.
 func TestBudget(t *testing.T) {
 	for _, size := range []struct {
 		nodes, zones, replicas, mean, collector int
--- a/gather/listing.go
+++ b/gather/listing.go
@@ -9,29 +9,32 @@
 )
 
 const (
-	// listedKeys bounds the replicas that a collector tells of, so that their keys and
-	// counts stay within a datagram.
+	// maximumListedKeys limits the replicas in a collector's list, so that their keys and
+	// counts fit into a datagram.
 	maximumListedKeys = packedBytes / keyBytes
-	// unusedFor is how long a replica without requests stays listed: a list that changes
-	// is told anew.
+	// unusedTimeout is how long a replica without requests stays listed. Removing it
+	// sooner would change the list more often, and each changed list has to be sent
+	// again.
 	unusedTimeout = 5 * time.Second
 )
 
-// listing is a numbered list of replicas. Answers give counts in its order, and name it
-// by a hash of what it lists, so that a node that holds another one takes nothing in.
+// listing is a collector's ordered list of replicas. Answers contain counts in this order
+// and identify the list by its hash, so that a node that holds a different list does not
+// misread them.
 type listing struct {
 	keys     []Key
 	packed   []byte
 	hash     uint64
 	lastUsed map[Key]time.Time
-	// partial says that replicas with requests are not listed.
+	// partial is set if replicas with requests are not listed.
 	partial bool
 }
 
 func newListing() listing { return listing{lastUsed: make(map[Key]time.Time)} }
 
-// fit lists the replicas that have requests, and drops those without for long. Where
-// there are too many, those go first that nodes nearby have requests at.
+// updateList adds the replicas that have requests and removes those that have had none
+// for unusedTimeout. If there are too many, replicas with requests from local nodes have
+// priority.
 func (l *listing) updateList(now time.Time, local, remote map[Key]int) {
 	changed := false
 	l.partial = false
@@ -61,7 +64,7 @@
 	}
 }
 
-// evict takes a replica off the list at which nodes nearby have nothing.
+// evict removes a replica without requests from local nodes, if there is one.
 func (l *listing) evict(local map[Key]int) bool {
 	for _, key := range l.keys {
 		if _, listed := l.lastUsed[key]; listed && local[key] == 0 {
@@ -72,7 +75,7 @@
 	return false
 }
 
-// renew orders the list anew.
+// rebuild recomputes the order, the packed form and the hash of the list.
 func (l *listing) rebuild() {
 	l.keys, l.packed = l.keys[:0], nil
 	for key := range l.lastUsed {
@@ -85,7 +88,7 @@
 	l.hash = xxhash.Sum64(l.packed)
 }
 
-// pack packs counts in the order of the list.
+// pack encodes counts in the order of the list, without trailing zeros.
 func (l *listing) pack(counts map[Key]int) []byte {
 	packed := make([]byte, 0, len(l.keys))
 	length := 0
@@ -98,14 +101,14 @@
 	return packed[:length]
 }
 
-// heardList is a collector's list as a node took it in.
+// receivedList is a collector's list as received by a node.
 type receivedList struct {
 	keys []Key
 	hash uint64
 }
 
-// take takes in the list that a message brings, if any. It reports whether the message's
-// counts are in the order of the list that is held.
+// update stores the list in a message, if it contains one. It reports whether the
+// message's counts are in the order of the stored list.
 func (r *receivedList) update(message *Message) (current bool, err error) {
 	if len(message.Keys) > 0 && message.ListHash != r.hash {
 		if len(message.Keys)%keyBytes != 0 || xxhash.Sum64(message.Keys) != message.ListHash {
@@ -119,7 +122,7 @@
 	return message.ListHash == r.hash, nil
 }
 
-// unpack reads counts in the order of the list.
+// unpack decodes counts in the order of the list. No count exceeds maximum.
 func (r *receivedList) unpack(packed []byte, maximum int) (map[Key]int, error) {
 	counts := make(map[Key]int, len(r.keys))
 	for _, key := range r.keys {
--- a/gather/message.go
+++ b/gather/message.go
@@ -6,39 +6,40 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Kind tells what a message says.
+// Kind is the type of a message.
 type Kind string
 
 // The kinds of message.
 const (
-	// KindReport tells a collector what a node has, and asks for the totals.
+	// KindReport reports a node's load to its collector and requests the totals.
 	KindReport Kind = "report"
-	// KindTotals answers a report with what all others have.
+	// KindTotals answers a report with the totals of all other nodes.
 	KindTotals Kind = "totals"
-	// KindSum tells another collector what the nodes have that report to the sender.
+	// KindSum sends another collector the sum of the reports that the sender received.
 	KindSum Kind = "sum"
-	// KindLeave takes a report back: the node reports to another collector.
+	// KindLeave withdraws a report, because the node now reports to another collector.
 	KindLeave Kind = "leave"
 )
 
-// Message is what nodes and collectors exchange.
+// Message is exchanged between nodes and collectors.
 type Message struct {
 	Kind Kind `json:"kind"`
-	// Number correlates an answer with its report, and orders reports.
+	// Number matches an answer to its report, and orders reports.
 	Number uint64 `json:"number,omitempty"`
-	// Nodes is how many nodes the counts are of.
+	// Nodes is the number of nodes that the counts cover.
 	Nodes int `json:"nodes,omitempty"`
-	// Age is how old the counts are in the mean, when sent.
+	// Age is the mean age of the counts when the message was sent.
 	Age time.Duration `json:"age,omitempty"`
-	// List names a collector's list: the one that a report's sender holds, or the one in
-	// whose order an answer gives the counts. Keys are that list where the receiver does
-	// not hold it.
+	// ListHash is the hash of a collector's replica list: in a report, of the list that
+	// the sender holds; in an answer, of the list that gives the order of the counts.
+	// Keys is that list, sent if the receiver does not hold it.
 	ListHash uint64 `json:"list,omitempty"`
 	Keys     []byte `json:"keys,omitempty"`
-	// Counts are the requests under way by replica, and Paces the times of a token, both
-	// packed. HasPaces tells no paces from none said.
+	// Counts are the requests in progress by replica, and TokenTimes the measured token
+	// times, both packed. HasTokenTimes distinguishes an empty list of token times from
+	// one that was not sent.
 	Counts []byte `json:"counts,omitempty"`
-	// Partial says that there are more replicas with requests.
+	// Partial is set if replicas with requests are missing from the counts.
 	Partial       bool   `json:"partial,omitempty"`
 	Paces         []byte `json:"paces,omitempty"`
 	HasTokenTimes bool   `json:"has_paces,omitempty"`
--- a/gather/pack.go
+++ b/gather/pack.go
@@ -12,9 +12,10 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// Key names a replica in messages. It follows from the replica's id alone, so that nodes
-// whose lists differ mean the same replica by it. Of 10,000 replicas two share a key once
-// in a hundred fleets; who holds both takes in neither.
+// Key identifies a replica in messages. It is computed from the replica's id alone, so
+// that nodes with different replica lists use the same key. Two of 10,000 replicas share
+// a key with a probability of about 1 %; a node that knows both ignores the loads of
+// both.
 type Key uint32
 
 // KeyOf returns the key of a replica.
@@ -23,32 +24,34 @@
 const (
 	// keyBytes is the size of a packed key.
 	keyBytes = 4
-	// packedBytes bounds a packed list, so that a message of two of them and its names
-	// stays within a datagram. Of more replicas the busiest are told.
+	// packedBytes limits the size of a packed list, so that a message with two lists and
+	// its field names fits into a datagram. If there are more replicas, the counts of the
+	// busiest are sent.
 	packedBytes = 1400
-	// maximumRequests bounds what a node is believed to have at one replica, and
-	// maximumSamples how many turns a pace is believed to rest on.
+	// maximumRequests limits the requests at one replica accepted from one node, and
+	// maximumSamples the number of turns that a token time may claim to be based on.
 	maximumRequests = 1 << 7
 	maximumSamples  = 64
-	// samplesPerNode is how many turns a node's pace counts as at most beside others'.
+	// samplesPerNode limits the weight of one node's token times in a median, in turns.
 	samplesPerNode = 4
-	// paceUnit is the resolution of a packed time of a token, and maximumPace the
-	// longest that is believed.
+	// tokenTimeUnit is the resolution of packed token times, and maximumTokenTime the
+	// longest accepted one.
 	tokenTimeUnit    = 10 * time.Microsecond
 	maximumTokenTime = time.Second
 )
 
-// errPacked says that a packed list does not end where an entry does, or holds a number
-// that no node can mean.
-var errMalformedList = errors.New("gather: packed list not understood")
+// errMalformedList is returned for a packed list that ends within an entry or contains an
+// invalid number.
+var errMalformedList = errors.New("gather: malformed packed list")
 
-// Pace is the time of a token at a replica, and how many turns it rests on.
+// TokenTimeEstimate is the time to generate one token at a replica, and the number of
+// turns that it is based on.
 type Pace struct {
 	TokenTime time.Duration
 	Samples   int
 }
 
-// packCounts packs the counts that are positive. Partial says that there are too many.
+// packCounts encodes the positive counts. It reports partial if they do not all fit.
 func packCounts(counts map[Key]int) (packed []byte, partial bool) {
 	packed = make([]byte, 0, min(packedBytes, len(counts)*(keyBytes+1)))
 	keys := busiest(counts, packedBytes/(keyBytes+2))
@@ -59,8 +62,8 @@
 	return packed, len(keys) < len(counts)
 }
 
-// busiest returns the keys of positive counts, the highest ones where there are more
-// than the most.
+// busiest returns the keys of the positive counts, and only those of the highest counts
+// if there are more than limit.
 func busiest(counts map[Key]int, limit int) []Key {
 	keys := make([]Key, 0, len(counts))
 	for key, count := range counts {
@@ -77,7 +80,7 @@
 	return keys[:limit]
 }
 
-// unpackCounts reads packed counts. None is taken for more than the bound.
+// unpackCounts decodes packed counts. No count exceeds maximum.
 func unpackCounts(packed []byte, maximum int) (map[Key]int, error) {
 	counts := make(map[Key]int, len(packed)/(keyBytes+1))
 	for len(packed) > 0 {
@@ -95,7 +98,7 @@
 	return counts, nil
 }
 
-// packPaces packs paces, as many as a list holds.
+// packTokenTimes encodes as many token times as fit into a packed list.
 func packTokenTimes(tokenTimes map[Key]Pace) []byte {
 	var packed []byte
 	for key, estimate := range tokenTimes {
@@ -109,7 +112,7 @@
 	return packed
 }
 
-// unpackPaces reads packed paces, within what is believed.
+// unpackTokenTimes decodes packed token times and skips those out of range.
 func unpackTokenTimes(packed []byte) (map[Key]Pace, error) {
 	tokenTimes := make(map[Key]Pace)
 	for len(packed) > 0 {
@@ -134,7 +137,7 @@
 	return tokenTimes, nil
 }
 
-// unpackKey reads a key.
+// unpackKey decodes a key.
 func unpackKey(packed []byte) (key Key, rest []byte, err error) {
 	if len(packed) < keyBytes {
 		return 0, nil, errMalformedList
@@ -142,7 +145,7 @@
 	return Key(binary.BigEndian.Uint32(packed)), packed[keyBytes:], nil
 }
 
-// unpackNumber reads a number.
+// unpackNumber decodes a varint.
 func unpackNumber(packed []byte) (number uint64, rest []byte, err error) {
 	number, size := binary.Uvarint(packed)
 	if size <= 0 {
