--- a/machine/fleet_test.go
+++ b/machine/fleet_test.go
@@ -12,24 +12,24 @@
 
 // headerBytes is what a request of one message and its empty answer cost on
 // the wire beside the message, as linkhttp's test measures it.
-const headerBytes = 300
+const overheadBytes = 300
 
 // fleet runs many memberships in virtual time over links that lose, delay and
 // cut.
 type fleet struct {
-	now     time.Time
-	random  *rand.Rand
-	members []*member
-	byID    map[ID]*member
-	list    []Machine
-	listing time.Duration
-	events  events
-	order   int
-	loss    float64
+	now          time.Time
+	random       *rand.Rand
+	members      []*member
+	byID         map[ID]*member
+	list         []Machine
+	listInterval time.Duration
+	events       events
+	order        int
+	loss         float64
 	// datagramLoss is lost beside that of what no transport repeats.
 	datagramLoss float64
 	// cut reports whether messages from one zone to another are lost.
-	cut func(from, to zone.Name) bool
+	partitioned func(from, to zone.Name) bool
 	// messages and bytes are totals over all members.
 	messages int
 	bytes    int
@@ -42,12 +42,12 @@
 // member is one node of the fleet.
 type member struct {
 	*Membership
-	entry   Machine
-	down    bool
-	paused  bool
-	held    []event
-	wake    time.Time
-	deadAll map[ID]bool
+	entry     Machine
+	down      bool
+	paused    bool
+	pending   []event
+	wake      time.Time
+	knownDead map[ID]bool
 }
 
 type event struct {
@@ -91,11 +91,11 @@
 
 func newFleet(size int, seed uint64) *fleet {
 	f := &fleet{
-		now:     time.Unix(fleetOrigin, 0),
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		byID:    make(map[ID]*member),
-		cut:     func(zone.Name, zone.Name) bool { return false },
-		listing: listPeriod,
+		now:          time.Unix(fleetOrigin, 0),
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		byID:         make(map[ID]*member),
+		partitioned:  func(zone.Name, zone.Name) bool { return false },
+		listInterval: listPeriod,
 	}
 	for i := range size {
 		f.list = append(f.list, Machine{
@@ -109,7 +109,7 @@
 		if err != nil {
 			panic(err)
 		}
-		m := &member{Membership: created, entry: entry, deadAll: make(map[ID]bool)}
+		m := &member{Membership: created, entry: entry, knownDead: make(map[ID]bool)}
 		f.members = append(f.members, m)
 		f.byID[entry.ID] = m
 		f.push(event{at: f.now, to: entry.ID, list: true})
@@ -154,13 +154,13 @@
 		return
 	}
 	if m.paused {
-		m.held = append(m.held, e)
+		m.pending = append(m.pending, e)
 		return
 	}
 	switch {
 	case e.list:
 		m.Observe(f.now, f.list)
-		f.push(event{at: f.now.Add(f.listing), to: e.to, list: true})
+		f.push(event{at: f.now.Add(f.listInterval), to: e.to, list: true})
 	case e.message != nil:
 		m.Step(f.now, e.from, *e.message)
 	case e.at.Before(m.wake):
@@ -178,7 +178,7 @@
 	}
 	if ready.Changed {
 		f.changes++
-		f.noteDeaths(m)
+		f.countFalseDeaths(m)
 	}
 	if wake := m.NextWake(); !wake.Equal(m.wake) {
 		m.wake = wake
@@ -196,28 +196,28 @@
 		panic(err)
 	}
 	f.messages++
-	f.bytes += len(encoded) + headerBytes
+	f.bytes += len(encoded) + overheadBytes
 	receiver, ok := f.byID[outbound.To]
 	loss := f.loss
 	if !outbound.Message.Reliable {
 		loss += f.datagramLoss
 	}
-	if !ok || f.random.Float64() < loss || f.cut(m.entry.Zone, receiver.entry.Zone) {
+	if !ok || f.random.Float64() < loss || f.partitioned(m.entry.Zone, receiver.entry.Zone) {
 		return
 	}
 	delay := linkDelay + time.Duration(f.random.Int64N(int64(linkJitter)))
 	f.push(event{at: f.now.Add(delay), to: outbound.To, from: m.entry.ID, message: &outbound.Message})
 }
 
-func (f *fleet) noteDeaths(m *member) {
+func (f *fleet) countFalseDeaths(m *member) {
 	for _, known := range m.All() {
 		dead := known.Status == StatusDead
-		if dead && !m.deadAll[known.ID] {
+		if dead && !m.knownDead[known.ID] {
 			if subject := f.byID[known.ID]; !subject.down && !subject.paused {
 				f.falseDeaths++
 			}
 		}
-		m.deadAll[known.ID] = dead
+		m.knownDead[known.ID] = dead
 	}
 }
 
@@ -226,15 +226,15 @@
 
 func (f *fleet) resume(m *member) {
 	m.paused = false
-	for _, held := range m.held {
-		held.at = f.now
-		f.push(held)
+	for _, pending := range m.pending {
+		pending.at = f.now
+		f.push(pending)
 	}
-	m.held = nil
+	m.pending = nil
 }
 
 // everyone reports whether every running member's Nodes satisfy the condition.
-func (f *fleet) everyone(condition func(m *member) bool) bool {
+func (f *fleet) allMembers(condition func(m *member) bool) bool {
 	for _, m := range f.members {
 		if !m.down && !m.paused && !condition(m) {
 			return false
@@ -243,11 +243,11 @@
 	return true
 }
 
-func (f *fleet) allSee(count int) bool {
-	return f.everyone(func(m *member) bool { return len(m.Nodes()) == count })
+func (f *fleet) allHaveNodes(count int) bool {
+	return f.allMembers(func(m *member) bool { return len(m.Nodes()) == count })
 }
 
-func (m *member) has(id ID) bool {
+func (m *member) hasNode(id ID) bool {
 	for _, known := range m.Nodes() {
 		if known.ID == id {
 			return true
--- a/machine/gossip.go
+++ b/machine/gossip.go
@@ -19,7 +19,7 @@
 
 // spread passes an update on. Suspicions are the most frequent updates and the
 // least needed, since the death is told as well: they are sent half as often.
-func (m *Membership) spread(update Update) {
+func (m *Membership) disseminate(update Update) {
 	transmissions := m.transmissions()
 	if update.Status == StatusSuspect {
 		transmissions /= 2
@@ -61,11 +61,11 @@
 	if update.Incarnation == known.incarnation && statusRank(update.Status) <= statusRank(known.effectiveStatus()) {
 		return
 	}
-	m.applyNews(now, known, update)
-	m.spread(update)
+	m.applyNewer(now, known, update)
+	m.disseminate(update)
 }
 
-func (m *Membership) applyNews(now time.Time, known *record, update Update) {
+func (m *Membership) applyNewer(now time.Time, known *record, update Update) {
 	previous := known.machine()
 	known.incarnation = update.Incarnation
 	switch update.Status {
@@ -95,15 +95,15 @@
 // leaving that was an earlier process's. An old one is answered too: whoever
 // passes it on has missed the refutation.
 func (m *Membership) refute(update Update) {
-	falsely := update.Status == StatusLeaving && !m.leaving
-	if update.Status != StatusSuspect && update.Status != StatusDead && !falsely {
+	falseLeaving := update.Status == StatusLeaving && !m.leaving
+	if update.Status != StatusSuspect && update.Status != StatusDead && !falseLeaving {
 		return
 	}
 	if update.Incarnation >= m.self.Incarnation {
 		m.self.Incarnation = update.Incarnation + 1
 		m.health.worsen(1)
 	}
-	m.spread(m.selfUpdate())
+	m.disseminate(m.selfUpdate())
 }
 
 func (m *Membership) selfUpdate() Update {
@@ -114,12 +114,12 @@
 	return Update{ID: r.listed.ID, Incarnation: r.incarnation, Status: r.effectiveStatus()}
 }
 
-func (m *Membership) hearRevision(from ID, revision uint64) {
-	if revision <= m.heardRevision {
+func (m *Membership) recordPeerRevision(from ID, revision uint64) {
+	if revision <= m.peerRevision {
 		return
 	}
-	m.heardRevision = revision
-	m.heardFrom = from
+	m.peerRevision = revision
+	m.peerRevisionSource = from
 }
 
 // send queues a message with the updates that fit. What is believed of the
@@ -132,7 +132,7 @@
 	if known, ok := m.records[message.Target]; ok && message.Kind == MessageProbeFor && known.status != StatusLive {
 		message.Updates = append(message.Updates, known.update())
 	}
-	message.Updates = m.rumours.take(message.Updates, m.config.UpdatesPerMessage)
+	message.Updates = m.rumours.appendTo(message.Updates, m.config.UpdatesPerMessage)
 	m.outbound = append(m.outbound, Outbound{To: to, Message: message})
 }
 
@@ -144,12 +144,12 @@
 	for _, peer := range m.randomPeers(m.config.GossipFanout, "") {
 		m.send(peer, Message{Kind: MessageGossip})
 	}
-	m.rumours.announced()
+	m.rumours.gossipRoundSent()
 }
 
 // randomPeers returns up to count distinct nodes that are not dead, without
 // the given one.
-func (m *Membership) randomPeers(count int, without ID) []ID {
+func (m *Membership) randomPeers(count int, except ID) []ID {
 	var peers []ID
 	ids := m.rotation.ids
 	if len(ids) == 0 {
@@ -162,7 +162,7 @@
 		}
 		id := ids[m.config.Random.IntN(len(ids))]
 		known, ok := m.records[id]
-		if !ok || known.status != StatusLive || id == without || slices.Contains(peers, id) {
+		if !ok || known.status != StatusLive || id == except || slices.Contains(peers, id) {
 			continue
 		}
 		peers = append(peers, id)
@@ -182,21 +182,21 @@
 	queue []rumour
 	// announcements is how many more gossip rounds a new settings revision
 	// is worth.
-	announcements int
+	extraRounds int
 }
 
 func (r *rumours) pending() bool {
-	return len(r.queue) > 0 || r.announcements > 0
+	return len(r.queue) > 0 || r.extraRounds > 0
 }
 
 // announce asks for gossip even when there is no update to send.
-func (r *rumours) announce(rounds int) {
-	r.announcements = rounds
+func (r *rumours) requestRounds(rounds int) {
+	r.extraRounds = rounds
 }
 
-func (r *rumours) announced() {
-	if r.announcements > 0 {
-		r.announcements--
+func (r *rumours) gossipRoundSent() {
+	if r.extraRounds > 0 {
+		r.extraRounds--
 	}
 }
 
@@ -214,7 +214,7 @@
 
 // take appends updates until the message holds maximum, and counts them as
 // sent once more.
-func (r *rumours) take(updates []Update, maximum int) []Update {
+func (r *rumours) appendTo(updates []Update, maximum int) []Update {
 	slices.SortStableFunc(r.queue, func(left, right rumour) int {
 		return right.remaining - left.remaining
 	})
@@ -223,7 +223,7 @@
 			break
 		}
 		queued := &r.queue[i]
-		if slices.ContainsFunc(updates, func(held Update) bool { return held.ID == queued.update.ID }) {
+		if slices.ContainsFunc(updates, func(included Update) bool { return included.ID == queued.update.ID }) {
 			continue
 		}
 		updates = append(updates, queued.update)
@@ -236,8 +236,8 @@
 // rotation is a shuffled round: each node comes up once before any comes up
 // again, which bounds the time until a failed node is probed.
 type rotation struct {
-	ids  []ID
-	turn int
+	ids    []ID
+	cursor int
 }
 
 // insert adds a node at a random place of the round.
@@ -245,23 +245,23 @@
 	if slices.Contains(r.ids, id) {
 		return
 	}
-	place := random.IntN(len(r.ids) + 1)
-	r.ids = slices.Insert(r.ids, place, id)
-	if place < r.turn {
-		r.turn++
+	index := random.IntN(len(r.ids) + 1)
+	r.ids = slices.Insert(r.ids, index, id)
+	if index < r.cursor {
+		r.cursor++
 	}
 }
 
 // next returns the next node that is wanted, shuffling after each round.
-func (r *rotation) next(random *rand.Rand, wanted func(ID) bool) (ID, bool) {
+func (r *rotation) next(random *rand.Rand, accept func(ID) bool) (ID, bool) {
 	for range 2 * len(r.ids) {
-		if r.turn >= len(r.ids) {
-			r.turn = 0
+		if r.cursor >= len(r.ids) {
+			r.cursor = 0
 			random.Shuffle(len(r.ids), func(i, j int) { r.ids[i], r.ids[j] = r.ids[j], r.ids[i] })
 		}
-		id := r.ids[r.turn]
-		r.turn++
-		if wanted(id) {
+		id := r.ids[r.cursor]
+		r.cursor++
+		if accept(id) {
 			return id, true
 		}
 	}
@@ -270,13 +270,13 @@
 
 // remove forgets a node that is no longer known.
 func (r *rotation) remove(id ID) {
-	place := slices.Index(r.ids, id)
-	if place < 0 {
+	index := slices.Index(r.ids, id)
+	if index < 0 {
 		return
 	}
-	r.ids = slices.Delete(r.ids, place, place+1)
-	if place < r.turn {
-		r.turn--
+	r.ids = slices.Delete(r.ids, index, index+1)
+	if index < r.cursor {
+		r.cursor--
 	}
 }
 
--- a/machine/leaving_test.go
+++ b/machine/leaving_test.go
@@ -22,9 +22,9 @@
 
 		news := Update{ID: id, Incarnation: 1000, Status: StatusLive}
 		observer.Step(f.now, f.list[1].ID, Message{Kind: MessageGossip, Updates: []Update{news}})
-		late := slices.Clone(f.list)
-		late[restarted].Status = StatusLeaving
-		observer.Observe(f.now, late)
+		lagging := slices.Clone(f.list)
+		lagging[restarted].Status = StatusLeaving
+		observer.Observe(f.now, lagging)
 		current := slices.Clone(f.list)
 		current[restarted].Incarnation = 1000
 		observer.Observe(f.now, current)
--- a/machine/measure_test.go
+++ b/machine/measure_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-const measured = time.Minute
+const measuredTime = time.Minute
 
-func settled(size int) *fleet {
+func settledFleet(size int) *fleet {
 	f := newFleet(size, 30)
 	f.run(10 * time.Second)
 	f.messages, f.bytes = 0, 0
@@ -51,22 +51,22 @@
 // measureIdle counts each message once at its sender and once at its
 // receiver, as a node's network interface does.
 func measureIdle(b *testing.B, size int) {
-	f := settled(size)
-	f.run(measured)
-	perNode := float64(size) * measured.Seconds()
+	f := settledFleet(size)
+	f.run(measuredTime)
+	perNode := float64(size) * measuredTime.Seconds()
 	b.ReportMetric(float64(f.messages)/perNode, "messages-sent/node/s")
 	b.ReportMetric(2*float64(f.bytes)/perNode, "idle-B/node/s")
 }
 
 func measureDeath(b *testing.B, size int) {
-	f := settled(size)
+	f := settledFleet(size)
 	f.members[size/2].down = true
-	took, _ := f.runUntil(time.Minute, func() bool { return f.allSee(size - 1) })
+	took, _ := f.runUntil(time.Minute, func() bool { return f.allHaveNodes(size - 1) })
 	b.ReportMetric(took.Seconds(), "death-known-to-all-s")
 }
 
 func measureZoneLoss(b *testing.B, size int) {
-	f := settled(size)
+	f := settledFleet(size)
 	lost := 0
 	for _, m := range f.members {
 		if m.entry.Zone == zoneName(1) {
@@ -74,21 +74,21 @@
 			lost++
 		}
 	}
-	took, _ := f.runUntil(2*time.Minute, func() bool { return f.allSee(size - lost) })
+	took, _ := f.runUntil(2*time.Minute, func() bool { return f.allHaveNodes(size - lost) })
 	b.ReportMetric(took.Seconds(), "zone-loss-known-to-all-s")
 	b.ReportMetric(2*float64(f.bytes)/float64(size-lost)/took.Seconds(), "zone-loss-B/node/s")
 }
 
 func measureLeaving(b *testing.B, size int) {
-	f := settled(size)
+	f := settledFleet(size)
 	f.members[1].Leave(f.now)
 	f.drain(f.members[1])
-	took, _ := f.runUntil(time.Minute, func() bool { return f.allSee(size - 1) })
+	took, _ := f.runUntil(time.Minute, func() bool { return f.allHaveNodes(size - 1) })
 	b.ReportMetric(took.Seconds(), "leaving-known-to-all-s")
 }
 
 func measureRevision(b *testing.B, size int) {
-	f := settled(size)
+	f := settledFleet(size)
 	f.members[1].SetRevision(9)
 	f.drain(f.members[1])
 	took, _ := f.runUntil(time.Minute, func() bool {
--- a/machine/membership.go
+++ b/machine/membership.go
@@ -22,31 +22,31 @@
 	suspects map[ID]*record
 	sequence uint64
 	// round counts the rounds of probes.
-	round    uint64
-	rotation rotation
+	probeRound uint64
+	rotation   rotation
 	// deadRotation is a second round over the same nodes, for dead ones.
 	deadRotation rotation
 	rumours      rumours
 	health       health
 
-	revision      uint64
-	heardRevision uint64
-	heardFrom     ID
+	revision           uint64
+	peerRevision       uint64
+	peerRevisionSource ID
 
-	started      bool
-	lastCall     time.Time
-	lastObserved time.Time
-	nextProbe    time.Time
-	nextGossip   time.Time
-	nextDead     time.Time
+	started       bool
+	lastCall      time.Time
+	lastObserved  time.Time
+	nextProbe     time.Time
+	nextGossip    time.Time
+	nextDeadProbe time.Time
 	// nextView is when a changed view may be signalled again.
-	nextView time.Time
+	nextViewSignal time.Time
 
-	outbound []Outbound
-	changed  bool
-	nodes    []Machine
-	backends []Machine
-	stale    bool
+	outbound   []Outbound
+	changed    bool
+	nodes      []Machine
+	backends   []Machine
+	viewsStale bool
 	// version counts the changes of nodes and backends.
 	version uint64
 }
@@ -76,7 +76,7 @@
 	unreachable bool
 	lastProbe   time.Time
 	// lastHeard is when the machine's last message arrived.
-	lastHeard time.Time
+	lastReceived time.Time
 }
 
 // MembershipReady is what the driver has to act on.
@@ -94,15 +94,15 @@
 	}
 	config.Self.Status = StatusLive
 	return &Membership{
-		config:   config,
-		self:     config.Self,
-		records:  make(map[ID]*record),
-		probes:   make(map[uint64]*probe),
-		relays:   make(map[uint64]relay),
-		suspects: make(map[ID]*record),
-		health:   health{maximum: config.MaximumHealthScore},
-		stale:    true,
-		changed:  true,
+		config:     config,
+		self:       config.Self,
+		records:    make(map[ID]*record),
+		probes:     make(map[uint64]*probe),
+		relays:     make(map[uint64]relay),
+		suspects:   make(map[ID]*record),
+		health:     health{maximum: config.MaximumHealthScore},
+		viewsStale: true,
+		changed:    true,
 	}, nil
 }
 
@@ -115,8 +115,8 @@
 		m.nextProbe = now.Add(m.config.ProbePeriod)
 		m.probeNext(now)
 	}
-	if !now.Before(m.nextDead) {
-		m.nextDead = now.Add(m.config.DeadProbePeriod)
+	if !now.Before(m.nextDeadProbe) {
+		m.nextDeadProbe = now.Add(m.config.DeadProbePeriod)
 		m.probeDead(now)
 	}
 	if !now.Before(m.nextGossip) {
@@ -128,18 +128,18 @@
 // NextWake returns when Tick must be called at the latest.
 func (m *Membership) NextWake() time.Time {
 	wake := m.nextProbe
-	if m.nextDead.Before(wake) {
-		wake = m.nextDead
+	if m.nextDeadProbe.Before(wake) {
+		wake = m.nextDeadProbe
 	}
 	if m.rumours.pending() && m.nextGossip.Before(wake) {
 		wake = m.nextGossip
 	}
-	if m.changed && m.nextView.Before(wake) {
-		wake = m.nextView
+	if m.changed && m.nextViewSignal.Before(wake) {
+		wake = m.nextViewSignal
 	}
-	for _, waiting := range m.probes {
-		if waiting.deadline.Before(wake) {
-			wake = waiting.deadline
+	for _, outstanding := range m.probes {
+		if outstanding.deadline.Before(wake) {
+			wake = outstanding.deadline
 		}
 	}
 	for _, suspect := range m.suspects {
@@ -154,10 +154,10 @@
 func (m *Membership) Ready() MembershipReady {
 	ready := MembershipReady{Messages: m.outbound}
 	m.outbound = nil
-	if m.changed && !m.lastCall.Before(m.nextView) {
+	if m.changed && !m.lastCall.Before(m.nextViewSignal) {
 		ready.Changed = true
 		m.changed = false
-		m.nextView = m.lastCall.Add(m.config.ViewPeriod)
+		m.nextViewSignal = m.lastCall.Add(m.config.ViewPeriod)
 	}
 	return ready
 }
@@ -172,7 +172,7 @@
 	m.leaving = true
 	m.self.Status = StatusLeaving
 	m.viewChangedNow()
-	m.spread(m.selfUpdate())
+	m.disseminate(m.selfUpdate())
 	m.announce(m.selfUpdate())
 }
 
@@ -220,18 +220,18 @@
 		return
 	}
 	m.revision = revision
-	m.rumours.announce(announcementRounds)
+	m.rumours.requestRounds(revisionGossipRounds)
 }
 
 // announcementRounds is for how many gossip periods a new revision is worth
 // messages of its own. Every node that hears of it sends as many; whoever is
 // missed hears of it with the next probes.
-const announcementRounds = 3
+const revisionGossipRounds = 3
 
 // HeardRevision returns the highest settings revision that any peer has
 // named, and the peer that named it first.
 func (m *Membership) HeardRevision() (from ID, revision uint64) {
-	return m.heardFrom, m.heardRevision
+	return m.peerRevisionSource, m.peerRevision
 }
 
 // advance notices pauses: a gap longer than the node could have wanted.
@@ -239,9 +239,9 @@
 	if !m.started {
 		m.started = true
 		m.lastCall = now
-		m.nextProbe = now.Add(m.randomPart(m.config.ProbePeriod))
+		m.nextProbe = now.Add(m.randomDelay(m.config.ProbePeriod))
 		m.nextGossip = now
-		m.nextDead = now.Add(m.randomPart(m.config.DeadProbePeriod))
+		m.nextDeadProbe = now.Add(m.randomDelay(m.config.DeadProbePeriod))
 		return
 	}
 	gap := now.Sub(m.lastCall)
@@ -250,18 +250,18 @@
 	}
 	m.lastCall = now
 	if gap > 2*m.config.ProbePeriod {
-		m.wake(now, gap)
+		m.recoverFromPause(now, gap)
 	}
 }
 
 // wake follows a pause. Nothing that was missed meanwhile is held against a
 // peer, and the node's own health counts as poor.
-func (m *Membership) wake(now time.Time, gap time.Duration) {
+func (m *Membership) recoverFromPause(now time.Time, gap time.Duration) {
 	clear(m.probes)
 	clear(m.relays)
 	m.health.worsen(int(gap / m.config.ProbePeriod))
 	for _, suspect := range m.suspects {
-		m.extendSuspicion(now, suspect)
+		m.restartSuspicion(now, suspect)
 	}
 	for _, known := range m.records {
 		if !known.missingSince.IsZero() {
@@ -270,7 +270,7 @@
 	}
 }
 
-func (m *Membership) randomPart(duration time.Duration) time.Duration {
+func (m *Membership) randomDelay(duration time.Duration) time.Duration {
 	return time.Duration(m.config.Random.Int64N(int64(duration)) + 1)
 }
 
@@ -278,7 +278,7 @@
 func (m *Membership) Version() uint64 { return m.version }
 
 func (m *Membership) viewChanged() {
-	m.stale = true
+	m.viewsStale = true
 	m.version++
 	m.changed = true
 }
@@ -287,14 +287,14 @@
 // to: the signal does not wait for the ViewPeriod.
 func (m *Membership) viewChangedNow() {
 	m.viewChanged()
-	m.nextView = time.Time{}
+	m.nextViewSignal = time.Time{}
 }
 
 func (m *Membership) refreshViews() {
-	if !m.stale {
+	if !m.viewsStale {
 		return
 	}
-	m.stale = false
+	m.viewsStale = false
 	m.nodes = nil
 	m.backends = nil
 	for _, known := range m.All() {
--- a/machine/membership_test.go
+++ b/machine/membership_test.go
@@ -17,9 +17,9 @@
 		func(size int) {
 			f := newFleet(size, 1)
 			f.run(settle)
-			Expect(f.allSee(size)).To(BeTrue())
+			Expect(f.allHaveNodes(size)).To(BeTrue())
 			f.members[1].down = true
-			_, found := f.runUntil(20*time.Second, func() bool { return f.allSee(size - 1) })
+			_, found := f.runUntil(20*time.Second, func() bool { return f.allHaveNodes(size - 1) })
 			Expect(found).To(BeTrue())
 			Expect(f.falseDeaths).To(BeZero())
 		},
@@ -30,12 +30,12 @@
 		f := newFleet(10, 2)
 		f.run(settle)
 		f.members[3].down = true
-		_, found := f.runUntil(20*time.Second, func() bool { return f.allSee(9) })
+		_, found := f.runUntil(20*time.Second, func() bool { return f.allHaveNodes(9) })
 		Expect(found).To(BeTrue())
 		f.members[3].down = false
 		f.list[3].Incarnation = 2
 		f.push(event{at: f.now, to: f.members[3].entry.ID})
-		_, back := f.runUntil(20*time.Second, func() bool { return f.allSee(10) })
+		_, back := f.runUntil(20*time.Second, func() bool { return f.allHaveNodes(10) })
 		Expect(back).To(BeTrue())
 	})
 
@@ -43,13 +43,13 @@
 		f := newFleet(10, 3)
 		f.run(settle)
 		f.pause(f.members[4])
-		_, found := f.runUntil(30*time.Second, func() bool { return f.allSee(9) })
+		_, found := f.runUntil(30*time.Second, func() bool { return f.allHaveNodes(9) })
 		Expect(found).To(BeTrue())
 		f.run(20 * time.Second)
 		f.resume(f.members[4])
 		f.run(10 * time.Millisecond)
 		Expect(f.members[4].Nodes()).To(HaveLen(10), "the paused node must blame itself")
-		_, back := f.runUntil(20*time.Second, func() bool { return f.allSee(10) })
+		_, back := f.runUntil(20*time.Second, func() bool { return f.allHaveNodes(10) })
 		Expect(back).To(BeTrue())
 		Expect(f.falseDeaths).To(BeZero())
 	})
@@ -57,7 +57,7 @@
 	It("does not hold a pause of its own against a suspect that refuted meanwhile", func() {
 		f := newFleet(10, 14)
 		f.run(settle)
-		f.cut = func(from, _ zone.Name) bool { return from == "zone-1" }
+		f.partitioned = func(from, _ zone.Name) bool { return from == "zone-1" }
 		paused := f.members[0]
 		paused.Step(f.now, "node-002", Message{
 			Kind: MessageGossip, Updates: []Update{{ID: "node-001", Incarnation: 1, Status: StatusSuspect}},
@@ -75,14 +75,14 @@
 			f := newFleet(12, 4)
 			f.members[0].entry.Zone = "alone"
 			f.run(settle)
-			f.cut = func(from, to zone.Name) bool {
+			f.partitioned = func(from, to zone.Name) bool {
 				return outward && from == "alone" || inward && to == "alone"
 			}
 			f.run(2 * time.Minute)
 			Expect(f.members[0].Nodes()).To(HaveLen(12))
-			Expect(f.members[1].has("node-000")).To(Equal(false))
-			f.cut = func(zone.Name, zone.Name) bool { return false }
-			_, back := f.runUntil(time.Minute, func() bool { return f.allSee(12) })
+			Expect(f.members[1].hasNode("node-000")).To(Equal(false))
+			f.partitioned = func(zone.Name, zone.Name) bool { return false }
+			_, back := f.runUntil(time.Minute, func() bool { return f.allHaveNodes(12) })
 			Expect(back).To(BeTrue())
 		},
 		Entry("both ways", true, true),
@@ -93,9 +93,9 @@
 	It("declares a cut zone dead on both sides and heals", func() {
 		f := newFleet(40, 5)
 		f.run(settle)
-		f.cut = func(from, to zone.Name) bool { return (from == "zone-0") != (to == "zone-0") }
+		f.partitioned = func(from, to zone.Name) bool { return (from == "zone-0") != (to == "zone-0") }
 		_, split := f.runUntil(time.Minute, func() bool {
-			return f.everyone(func(m *member) bool {
+			return f.allMembers(func(m *member) bool {
 				if m.entry.Zone == "zone-0" {
 					return len(m.Nodes()) == 4
 				}
@@ -103,19 +103,19 @@
 			})
 		})
 		Expect(split).To(BeTrue())
-		f.cut = func(zone.Name, zone.Name) bool { return false }
-		_, healed := f.runUntil(time.Minute, func() bool { return f.allSee(40) })
+		f.partitioned = func(zone.Name, zone.Name) bool { return false }
+		_, healed := f.runUntil(time.Minute, func() bool { return f.allHaveNodes(40) })
 		Expect(healed).To(BeTrue())
 	})
 
 	DescribeTable("keeps nodes live that only some zones cannot reach",
-		func(cut func(from, to zone.Name) bool) {
+		func(partitioned func(from, to zone.Name) bool) {
 			f := newFleet(30, 6)
 			f.run(settle)
-			f.cut = cut
+			f.partitioned = partitioned
 			f.run(2 * time.Minute)
 			Expect(f.falseDeaths).To(BeZero())
-			Expect(f.allSee(30)).To(BeTrue())
+			Expect(f.allHaveNodes(30)).To(BeTrue())
 		},
 		Entry("one pair of zones, both ways", func(from, to zone.Name) bool {
 			return from == "zone-0" && to == "zone-1" || from == "zone-1" && to == "zone-0"
@@ -156,7 +156,7 @@
 		f.list = full[:9]
 		f.members[9].down = true
 		_, dropped := f.runUntil(30*time.Second, func() bool {
-			return f.everyone(func(m *member) bool { return len(m.All()) == 9 })
+			return f.allMembers(func(m *member) bool { return len(m.All()) == 9 })
 		})
 		Expect(dropped).To(BeTrue())
 	})
@@ -171,7 +171,7 @@
 		f.members[7].Observe(f.now, leaving)
 		f.drain(f.members[7])
 		f.run(3 * time.Second)
-		Expect(f.everyone(func(m *member) bool {
+		Expect(f.allMembers(func(m *member) bool {
 			return m.Backends()[0].Status == StatusLeaving
 		})).To(BeTrue())
 		f.run(20 * time.Second)
@@ -183,11 +183,11 @@
 		f.run(settle)
 		f.members[5].Leave(f.now)
 		f.drain(f.members[5])
-		took, _ := f.runUntil(30*time.Second, func() bool { return f.allSee(99) })
+		took, _ := f.runUntil(30*time.Second, func() bool { return f.allHaveNodes(99) })
 		Expect(took).To(BeNumerically("<=", 3*time.Second))
-		Expect(f.allSee(99)).To(BeTrue())
+		Expect(f.allHaveNodes(99)).To(BeTrue())
 		f.run(time.Minute)
-		Expect(f.allSee(99)).To(BeTrue())
+		Expect(f.allHaveNodes(99)).To(BeTrue())
 	})
 
 	It("spreads a settings revision to every node", func() {
@@ -235,7 +235,7 @@
 		f.run(settle)
 		observer := f.members[0].Membership
 		signals, now, shown := 0, f.now, 0
-		tell := func(update Update) {
+		stepUpdate := func(update Update) {
 			observer.Step(now, "node-059", Message{Kind: MessageGossip, Updates: []Update{update}})
 			if observer.Ready().Changed {
 				signals++
@@ -244,12 +244,12 @@
 		}
 		for i := 1; i <= 50; i++ {
 			now = now.Add(20 * time.Millisecond)
-			tell(Update{ID: f.list[i].ID, Incarnation: 1, Status: StatusDead})
+			stepUpdate(Update{ID: f.list[i].ID, Incarnation: 1, Status: StatusDead})
 		}
 		Expect(signals).To(BeNumerically("<=", 3))
-		tell(Update{ID: f.list[51].ID, Incarnation: 1, Status: StatusLeaving})
+		stepUpdate(Update{ID: f.list[51].ID, Incarnation: 1, Status: StatusLeaving})
 		Expect(shown).To(Equal(9), "leaving must not wait")
-		tell(Update{ID: f.list[52].ID, Incarnation: 1, Status: StatusDead})
+		stepUpdate(Update{ID: f.list[52].ID, Incarnation: 1, Status: StatusDead})
 		for shown > 8 {
 			now = observer.NextWake()
 			observer.Tick(now)
--- a/machine/observe.go
+++ b/machine/observe.go
@@ -61,7 +61,7 @@
 		// A stale copy of the list tells of an earlier process.
 	case entry.Status == StatusLeaving:
 		m.markLeaving(now, known, entry.Incarnation)
-	case m.leavingIsOver(now, known, entry):
+	case m.leavingEnded(now, known, entry):
 		known.leaving = false
 	}
 	if !sameInViews(previous, known.machine()) {
@@ -95,7 +95,7 @@
 // A node has said itself that it leaves, and stays by it until it restarts: a
 // list that lags can show the leaving of an earlier process after gossip told
 // of the next one.
-func (m *Membership) leavingIsOver(now time.Time, known *record, entry Machine) bool {
+func (m *Membership) leavingEnded(now time.Time, known *record, entry Machine) bool {
 	if !known.leaving {
 		return false
 	}
@@ -115,7 +115,7 @@
 	known.leaving = true
 	known.leavingIncarnation = incarnation
 	m.viewChangedNow()
-	m.spread(Update{
+	m.disseminate(Update{
 		ID:          known.listed.ID,
 		Incarnation: incarnation,
 		Status:      StatusLeaving,
--- a/machine/probe.go
+++ b/machine/probe.go
@@ -24,26 +24,26 @@
 }
 
 // directTimeouts is how many probe time-outs an indirect probe gets.
-const directTimeouts = 2
+const indirectTimeoutFactor = 2
 
 // minimumPeers is the number of other nodes from which on silence of all of
 // them is blamed on this node, whatever the machine list says.
-const minimumPeers = 3
+const minimumSelfBlamePeers = 3
 
 // Step takes in a message of another node.
 func (m *Membership) Step(now time.Time, from ID, message Message) {
 	m.advance(now)
 	if known, ok := m.records[from]; ok {
-		known.lastHeard = now
+		known.lastReceived = now
 	}
-	m.hearRevision(from, message.Revision)
+	m.recordPeerRevision(from, message.Revision)
 	for _, update := range message.Updates {
 		m.applyUpdate(now, update)
 	}
 	switch message.Kind {
 	case MessageProbe:
 		m.send(from, Message{Kind: MessageAck, Sequence: message.Sequence, Reliable: message.Reliable})
-		m.probeReturning(now, from)
+		m.probeDeadSender(now, from)
 	case MessageProbeFor:
 		m.relayProbe(now, from, message)
 	case MessageAck:
@@ -60,25 +60,25 @@
 		requester: from,
 		sequence:  message.Sequence,
 		target:    message.Target,
-		deadline:  now.Add(directTimeouts * m.config.ProbeTimeout),
+		deadline:  now.Add(indirectTimeoutFactor * m.config.ProbeTimeout),
 	}
 	m.send(message.Target, Message{Kind: MessageProbe, Sequence: m.sequence, Reliable: true})
 }
 
 func (m *Membership) stepAck(now time.Time, from ID, message Message) {
-	if asked, ok := m.relays[message.Sequence]; ok && asked.target == from {
+	if forwarded, ok := m.relays[message.Sequence]; ok && forwarded.target == from {
 		delete(m.relays, message.Sequence)
-		m.send(asked.requester, Message{Kind: MessageAck, Sequence: asked.sequence, Target: asked.target, Reliable: true})
+		m.send(forwarded.requester, Message{Kind: MessageAck, Sequence: forwarded.sequence, Target: forwarded.target, Reliable: true})
 		return
 	}
-	waiting, ok := m.probes[message.Sequence]
+	outstanding, ok := m.probes[message.Sequence]
 	relayed := message.Target != ""
-	if !ok || (relayed && message.Target != waiting.target) || (!relayed && from != waiting.target) {
+	if !ok || (relayed && message.Target != outstanding.target) || (!relayed && from != outstanding.target) {
 		return
 	}
 	delete(m.probes, message.Sequence)
 	m.health.improve(now)
-	known, ok := m.records[waiting.target]
+	known, ok := m.records[outstanding.target]
 	if !ok {
 		return
 	}
@@ -99,7 +99,7 @@
 
 // probeReturning probes a node that counts as dead and has sent a probe, so
 // that it learns of it and can refute.
-func (m *Membership) probeReturning(now time.Time, from ID) {
+func (m *Membership) probeDeadSender(now time.Time, from ID) {
 	known, ok := m.records[from]
 	if ok && known.status == StatusDead {
 		m.startProbe(now, from)
@@ -110,10 +110,10 @@
 // zone are suspect, every second round goes to that zone alone: the nodes of a
 // zone often fail together.
 func (m *Membership) probeNext(now time.Time) {
-	m.round++
+	m.probeRound++
 	for range m.config.ProbesPerPeriod {
-		target, ok := m.troubled()
-		if !ok || m.round%2 == 0 {
+		target, ok := m.peerInSuspectZone()
+		if !ok || m.probeRound%2 == 0 {
 			target, ok = m.rotation.next(m.config.Random, m.notDead)
 		}
 		if ok {
@@ -128,7 +128,7 @@
 }
 
 // troubled returns a random live node in the zone of a random suspect.
-func (m *Membership) troubled() (ID, bool) {
+func (m *Membership) peerInSuspectZone() (ID, bool) {
 	if len(m.suspects) == 0 {
 		return "", false
 	}
@@ -175,30 +175,30 @@
 }
 
 // askOthers sends indirect probes through random live peers.
-func (m *Membership) askOthers(now time.Time, sequence uint64) {
-	waiting := m.probes[sequence]
-	waiting.indirect = true
-	waiting.deadline = now.Add(m.health.scale(directTimeouts * m.config.ProbeTimeout))
-	for _, helper := range m.randomPeers(m.config.IndirectProbes, waiting.target) {
-		m.send(helper, Message{Kind: MessageProbeFor, Sequence: sequence, Target: waiting.target, Reliable: true})
+func (m *Membership) sendIndirectProbes(now time.Time, sequence uint64) {
+	outstanding := m.probes[sequence]
+	outstanding.indirect = true
+	outstanding.deadline = now.Add(m.health.scale(indirectTimeoutFactor * m.config.ProbeTimeout))
+	for _, helper := range m.randomPeers(m.config.IndirectProbes, outstanding.target) {
+		m.send(helper, Message{Kind: MessageProbeFor, Sequence: sequence, Target: outstanding.target, Reliable: true})
 	}
 }
 
 func (m *Membership) expireProbes(now time.Time) {
 	for _, sequence := range slices.Sorted(maps.Keys(m.probes)) {
-		waiting := m.probes[sequence]
-		if now.Before(waiting.deadline) {
+		outstanding := m.probes[sequence]
+		if now.Before(outstanding.deadline) {
 			continue
 		}
-		if !waiting.indirect {
-			m.askOthers(now, sequence)
+		if !outstanding.indirect {
+			m.sendIndirectProbes(now, sequence)
 			continue
 		}
 		delete(m.probes, sequence)
-		m.probeFailed(now, waiting)
+		m.probeFailed(now, outstanding)
 	}
-	for sequence, asked := range m.relays {
-		if !now.Before(asked.deadline) {
+	for sequence, forwarded := range m.relays {
+		if !now.Before(forwarded.deadline) {
 			delete(m.relays, sequence)
 		}
 	}
@@ -214,27 +214,27 @@
 		return
 	}
 	known.unreachable = true
-	if known.lastHeard.After(failed.started) {
+	if known.lastReceived.After(failed.started) {
 		return
 	}
 	if known.status == StatusLive {
 		m.suspect(now, known)
 		known.suspectedHere = true
-		m.spread(known.update())
+		m.disseminate(known.update())
 	}
-	m.checkSelf(now)
+	m.probeLastResponsive(now)
 }
 
 // checkSelf probes the peer that was heard last. Its ack shows that the fault
 // is not on this side.
-func (m *Membership) checkSelf(now time.Time) {
+func (m *Membership) probeLastResponsive(now time.Time) {
 	var latest *record
 	for _, known := range m.records {
 		if known.listed.Kind != KindNode || known.status != StatusLive || known.unreachable {
 			continue
 		}
-		if latest == nil || known.lastHeard.After(latest.lastHeard) ||
-			(known.lastHeard.Equal(latest.lastHeard) && known.listed.ID < latest.listed.ID) {
+		if latest == nil || known.lastReceived.After(latest.lastReceived) ||
+			(known.lastReceived.Equal(latest.lastReceived) && known.listed.ID < latest.listed.ID) {
 			latest = known
 		}
 	}
@@ -247,11 +247,11 @@
 	known.status = StatusSuspect
 	known.suspectedHere = false
 	m.suspects[known.listed.ID] = known
-	m.extendSuspicion(now, known)
+	m.restartSuspicion(now, known)
 }
 
 // extendSuspicion gives the suspect the whole time-out from now on.
-func (m *Membership) extendSuspicion(now time.Time, known *record) {
+func (m *Membership) restartSuspicion(now time.Time, known *record) {
 	known.suspectSince = now
 	known.suspectUntil = now.Add(m.health.scale(m.config.SuspectTimeout))
 }
@@ -263,27 +263,27 @@
 		if now.Before(known.suspectUntil) {
 			continue
 		}
-		if !m.mayDeclare(now, known) {
+		if !m.mayDeclareDead(now, known) {
 			// Wait for one more time-out, in which a peer may answer.
-			m.extendSuspicion(now, known)
+			m.restartSuspicion(now, known)
 			continue
 		}
 		m.declareDead(known)
 		if known.suspectedHere {
 			// Whoever heard of the suspicion comes to the same end alone.
-			m.spread(known.update())
+			m.disseminate(known.update())
 		}
 	}
 }
 
 // mayDeclare reports whether this node has proof that it is not itself the
 // one that is cut off.
-func (m *Membership) mayDeclare(now time.Time, known *record) bool {
+func (m *Membership) mayDeclareDead(now time.Time, known *record) bool {
 	if m.health.answeredSince(known.suspectSince) {
 		return true
 	}
 	fresh := now.Sub(m.lastObserved) < m.config.ListTimeout
-	return fresh && m.peerCount() < minimumPeers
+	return fresh && m.peerCount() < minimumSelfBlamePeers
 }
 
 func (m *Membership) peerCount() int {
