--- a/machine/config.go
+++ b/machine/config.go
@@ -7,45 +7,52 @@
 	"birchwood.example/birchwood/findings"
 )
 
-// Config sets up a Membership. DefaultConfig gives values that suit links
+// Config configures a Membership. DefaultConfig returns values that suit links
 // with round trips of up to 200 ms.
 type Config struct {
-	// Self is this node's own entry. Its incarnation must be higher than at
-	// the previous start; the start time in milliseconds will do.
+	// Self is this node's own entry. Its incarnation must be higher than at the
+	// previous start; the start time in milliseconds is suitable.
 	Self Machine
 	// ProbePeriod is the time between two rounds of probes.
 	ProbePeriod time.Duration
-	// ProbeTimeout is how long a direct probe waits before indirect ones are
-	// sent. Those get twice this time.
+	// ProbeTimeout is how long a direct probe may go unanswered before indirect
+	// ones are sent. Indirect probes get twice this time.
 	ProbeTimeout time.Duration
-	// SuspectTimeout is how long a suspect may refute before it is dead.
+	// SuspectTimeout is how long a suspect may take to refute before it is
+	// declared dead.
 	SuspectTimeout time.Duration
-	// GossipPeriod is the time between two sendings of fresh news.
+	// GossipPeriod is the time between two rounds of gossip about recent
+	// updates.
 	GossipPeriod time.Duration
-	// DeadProbePeriod is the time between two probes of listed dead peers.
+	// DeadProbePeriod is the time between two probes of dead peers that are
+	// still listed.
 	DeadProbePeriod time.Duration
-	// ViewPeriod is the least time between two signals of a changed view. The
-	// first change after a quiet time is signalled at once; a burst of them, as
-	// when a zone fails, costs the rest of the node a bounded share of its time.
+	// ViewPeriod is the minimum time between two signals of a changed view. The
+	// first change after a quiet period is signalled at once. In a burst of
+	// changes, as when a zone fails, the limit bounds the share of time that
+	// the rest of the node spends on them.
 	ViewPeriod time.Duration
-	// ListTimeout is how long an entry that the list misses is kept.
+	// ListTimeout is how long an entry is kept after it disappeared from the
+	// list.
 	ListTimeout time.Duration
-	// LeavingTimeout is how long lists must say live before a machine that
-	// was leaving counts as live again in the same incarnation.
+	// LeavingTimeout is how long lists must report a leaving machine as live
+	// before it counts as live again in the same incarnation.
 	LeavingTimeout time.Duration
 	// ProbesPerPeriod is the number of peers probed in each period.
 	ProbesPerPeriod int
-	// IndirectProbes is the number of peers asked to probe on our behalf.
+	// IndirectProbes is the number of peers asked to probe on this node's
+	// behalf.
 	IndirectProbes int
-	// GossipFanout is the number of peers that fresh news is sent to in each
+	// GossipFanout is the number of peers that receive recent updates in each
 	// gossip period.
 	GossipFanout int
-	// UpdatesPerMessage bounds the updates that one message carries.
+	// UpdatesPerMessage limits the updates in one message.
 	UpdatesPerMessage int
-	// MaximumHealthScore bounds the factor on time-outs, which is 1 + score.
+	// MaximumHealthScore limits the health score. Time-outs are multiplied by 1
+	// + score.
 	MaximumHealthScore int
-	// Random shuffles probe orders and picks peers. It is used by this
-	// Membership alone.
+	// Random shuffles probe orders and selects peers. It is not shared with
+	// other users.
 	Random *rand.Rand
 }
 
--- a/machine/fleet_test.go
+++ b/machine/fleet_test.go
@@ -10,12 +10,12 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// headerBytes is what a request of one message and its empty answer cost on
-// the wire beside the message, as linkhttp's test measures it.
+// overheadBytes is the size on the wire of a request with one message and of
+// its empty answer, besides the message itself. linkhttp's test measures it.
 const overheadBytes = 300
 
-// fleet runs many memberships in virtual time over links that lose, delay and
-// cut.
+// fleet runs many memberships in virtual time over links that delay and lose
+// messages and can be cut.
 type fleet struct {
 	now          time.Time
 	random       *rand.Rand
@@ -26,14 +26,15 @@
 	events       events
 	order        int
 	loss         float64
-	// datagramLoss is lost beside that of what no transport repeats.
+	// datagramLoss is the additional loss of messages that no transport
+	// retransmits.
 	datagramLoss float64
-	// cut reports whether messages from one zone to another are lost.
+	// partitioned reports whether messages from one zone to another are lost.
 	partitioned func(from, to zone.Name) bool
 	// messages and bytes are totals over all members.
 	messages int
 	bytes    int
-	// deaths counts the declarations of members that were up.
+	// falseDeaths counts the declarations of death of members that were up.
 	falseDeaths int
 	// changes counts the signalled changes of Nodes or Backends.
 	changes int
@@ -42,9 +43,10 @@
 // member is one node of the fleet.
 type member struct {
 	*Membership
-	entry     Machine
-	down      bool
-	paused    bool
+	entry  Machine
+	down   bool
+	paused bool
+	// pending are the events that arrived while the member was paused.
 	pending   []event
 	wake      time.Time
 	knownDead map[ID]bool
@@ -55,7 +57,7 @@
 	order int
 	to    ID
 	from  ID
-	// message is nil for a wake-up and for the reading of the list.
+	// message is nil for a wake-up and for a reading of the list.
 	message *Message
 	list    bool
 }
@@ -124,7 +126,7 @@
 	heap.Push(&f.events, e)
 }
 
-// run lets virtual time pass.
+// run advances virtual time by the given duration.
 func (f *fleet) run(duration time.Duration) {
 	end := f.now.Add(duration)
 	for len(f.events) > 0 && !f.events[0].at.After(end) {
@@ -135,8 +137,8 @@
 	f.now = end
 }
 
-// runUntil lets time pass until the condition holds, and returns how long it
-// took. It gives up after limit.
+// runUntil advances the time until the condition holds, and returns how long
+// that took. It gives up after limit.
 func (f *fleet) runUntil(limit time.Duration, holds func() bool) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	for passed := time.Duration(0); passed <= limit; passed += step {
@@ -221,7 +223,8 @@
 	}
 }
 
-// pause stops a member as SIGSTOP would; resume hands it what has arrived.
+// pause stops a member as SIGSTOP would. resume delivers the messages that
+// arrived meanwhile.
 func (f *fleet) pause(m *member) { m.paused = true }
 
 func (f *fleet) resume(m *member) {
@@ -233,7 +236,7 @@
 	m.pending = nil
 }
 
-// everyone reports whether every running member's Nodes satisfy the condition.
+// allMembers reports whether every running member satisfies the condition.
 func (f *fleet) allMembers(condition func(m *member) bool) bool {
 	for _, m := range f.members {
 		if !m.down && !m.paused && !condition(m) {
--- a/machine/gossip.go
+++ b/machine/gossip.go
@@ -7,18 +7,20 @@
 	"time"
 )
 
-// minimumTransmissions is how often an update is passed on in a small fleet.
+// minimumTransmissions is the minimum number of times that a node sends an
+// update.
 const minimumTransmissions = 10
 
-// transmissions returns how often an update is passed on from here. When each
-// node that hears an update sends it k times to random peers, a share of about
-// exp(-k) of them misses it; at 390 nodes k is 18.
+// transmissions returns how often this node sends an update. If each node that
+// receives an update sends it k times to random peers, a share of about exp(-k)
+// of the nodes misses it; at 390 nodes k is 18.
 func (m *Membership) transmissions() int {
 	return max(minimumTransmissions, 2*bits.Len(uint(len(m.rotation.ids)+1)))
 }
 
-// spread passes an update on. Suspicions are the most frequent updates and the
-// least needed, since the death is told as well: they are sent half as often.
+// disseminate queues an update for gossip. Suspicions are the most frequent
+// updates and the least needed ones, as a death is disseminated too, so they
+// are sent half as often.
 func (m *Membership) disseminate(update Update) {
 	transmissions := m.transmissions()
 	if update.Status == StatusSuspect {
@@ -27,7 +29,7 @@
 	m.rumours.add(update, transmissions)
 }
 
-// statusRank orders the statuses of one incarnation: the worse one wins.
+// statusRank orders the statuses of one incarnation. The higher rank wins.
 func statusRank(status Status) int {
 	switch status {
 	case StatusLive:
@@ -42,7 +44,8 @@
 	return -1
 }
 
-// applyUpdate takes in a rumour and passes it on when it is news.
+// applyUpdate applies a peer's update, and disseminates it if it is newer than
+// what is known.
 func (m *Membership) applyUpdate(now time.Time, update Update) {
 	if update.ID == m.self.ID {
 		m.refute(update)
@@ -91,9 +94,9 @@
 	}
 }
 
-// refute answers a rumour of this node's own suspicion or death, or of a
-// leaving that was an earlier process's. An old one is answered too: whoever
-// passes it on has missed the refutation.
+// refute answers an update that claims this node suspect or dead, or leaving if
+// it was an earlier process that left. Updates about an older incarnation are
+// answered too, because their sender has missed the refutation.
 func (m *Membership) refute(update Update) {
 	falseLeaving := update.Status == StatusLeaving && !m.leaving
 	if update.Status != StatusSuspect && update.Status != StatusDead && !falseLeaving {
@@ -122,8 +125,8 @@
 	m.peerRevisionSource = from
 }
 
-// send queues a message with the updates that fit. What is believed of the
-// receiver itself comes first, so that it can refute.
+// send queues a message with as many updates as fit. What this node believes
+// about the receiver itself comes first, so that the receiver can refute it.
 func (m *Membership) send(to ID, message Message) {
 	message.Revision = m.revision
 	if known, ok := m.records[to]; ok && known.status != StatusLive {
@@ -136,7 +139,7 @@
 	m.outbound = append(m.outbound, Outbound{To: to, Message: message})
 }
 
-// gossip sends fresh news to a few random peers.
+// gossip sends recent updates to a few random peers.
 func (m *Membership) gossip() {
 	if !m.rumours.pending() {
 		return
@@ -147,15 +150,15 @@
 	m.rumours.gossipRoundSent()
 }
 
-// randomPeers returns up to count distinct nodes that are not dead, without
-// the given one.
+// randomPeers returns up to count distinct live nodes, without the given one.
 func (m *Membership) randomPeers(count int, except ID) []ID {
 	var peers []ID
 	ids := m.rotation.ids
 	if len(ids) == 0 {
 		return nil
 	}
-	// A bounded number of draws keeps the cost constant when many are dead.
+	// A limited number of draws keeps the cost constant when many nodes are
+	// dead.
 	for range 4 * count {
 		if len(peers) == count {
 			break
@@ -170,18 +173,18 @@
 	return peers
 }
 
-// rumour is an update that is still to be passed on.
+// rumour is an update that still has to be disseminated.
 type rumour struct {
 	update    Update
 	remaining int
 }
 
-// rumours are the updates to pass on, the least sent ones first. Their number
-// is bounded by the number of machines: one for each.
+// rumours is the queue of updates to disseminate, the least often sent ones
+// first. It contains at most one update for each machine.
 type rumours struct {
 	queue []rumour
-	// announcements is how many more gossip rounds a new settings revision
-	// is worth.
+	// extraRounds is the number of gossip rounds still to be sent for a new
+	// settings revision.
 	extraRounds int
 }
 
@@ -189,7 +192,8 @@
 	return len(r.queue) > 0 || r.extraRounds > 0
 }
 
-// announce asks for gossip even when there is no update to send.
+// requestRounds makes the next rounds of gossip take place even without updates
+// to send.
 func (r *rumours) requestRounds(rounds int) {
 	r.extraRounds = rounds
 }
@@ -200,7 +204,7 @@
 	}
 }
 
-// add replaces what is queued about the same machine.
+// add queues an update in place of an earlier one about the same machine.
 func (r *rumours) add(update Update, transmissions int) {
 	r.remove(update.ID)
 	r.queue = append(r.queue, rumour{update: update, remaining: transmissions})
@@ -212,8 +216,8 @@
 	})
 }
 
-// take appends updates until the message holds maximum, and counts them as
-// sent once more.
+// appendTo appends queued updates up to maximum in all, and counts each of them
+// as sent once more.
 func (r *rumours) appendTo(updates []Update, maximum int) []Update {
 	slices.SortStableFunc(r.queue, func(left, right rumour) int {
 		return right.remaining - left.remaining
@@ -233,14 +237,14 @@
 	return updates
 }
 
-// rotation is a shuffled round: each node comes up once before any comes up
-// again, which bounds the time until a failed node is probed.
+// rotation is a shuffled list of nodes that selects each node once before any
+// node a second time. This bounds the time until a failed node is probed.
 type rotation struct {
 	ids    []ID
 	cursor int
 }
 
-// insert adds a node at a random place of the round.
+// insert adds a node at a random position of the rotation.
 func (r *rotation) insert(id ID, random *rand.Rand) {
 	if slices.Contains(r.ids, id) {
 		return
@@ -252,7 +256,7 @@
 	}
 }
 
-// next returns the next node that is wanted, shuffling after each round.
+// next returns the next accepted node. The list is shuffled after each round.
 func (r *rotation) next(random *rand.Rand, accept func(ID) bool) (ID, bool) {
 	for range 2 * len(r.ids) {
 		if r.cursor >= len(r.ids) {
@@ -268,7 +272,7 @@
 	return "", false
 }
 
-// remove forgets a node that is no longer known.
+// remove deletes a node from the rotation.
 func (r *rotation) remove(id ID) {
 	index := slices.Index(r.ids, id)
 	if index < 0 {
@@ -280,8 +284,8 @@
 	}
 }
 
-// health is this node's trust in its own links, after Lifeguard. Score 0 is
-// healthy.
+// health is this node's confidence in its own connectivity, after Lifeguard.
+// Score 0 is healthy.
 type health struct {
 	maximum    int
 	score      int
@@ -292,7 +296,7 @@
 	h.score = min(h.maximum, h.score+by)
 }
 
-// improve follows an answer of any peer.
+// improve is called after any peer's answer.
 func (h *health) improve(now time.Time) {
 	h.lastAnswer = now
 	h.score = max(0, h.score-1)
--- a/machine/lookup.go
+++ b/machine/lookup.go
@@ -1,8 +1,7 @@
 package machine
 
-// Lookup returns a machine's entry as the machine list last showed it, with
-// the status that this node believes. It reports false for a machine that was
-// never listed.
+// Lookup returns a machine's entry as the machine list last showed it, or this
+// node's own entry. It returns false for a machine that was never listed.
 func (m *Membership) Lookup(id ID) (Machine, bool) {
 	if id == m.self.ID {
 		return m.self, true
--- a/machine/measure_test.go
+++ b/machine/measure_test.go
@@ -7,7 +7,7 @@
 )
 
 // BenchmarkFleet prints the figures of docs/measurements/membership.md. They
-// are of virtual time and the same in every run; only ns/op is of this
+// are in virtual time and the same in every run; only ns/op depends on the
 // machine.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []int{10, 50, 100, 200, 390} {
@@ -23,8 +23,8 @@
 	}
 }
 
-// BenchmarkFalseDeaths prints how often live nodes are declared dead when
-// links lose messages.
+// BenchmarkFalseDeaths prints how often live nodes are declared dead when links
+// lose messages.
 func BenchmarkFalseDeaths(b *testing.B) {
 	for _, percent := range []int{1, 5, 10, 20} {
 		b.Run(fmt.Sprintf("loss=%d%%", percent), func(b *testing.B) {
@@ -48,8 +48,8 @@
 	return f
 }
 
-// measureIdle counts each message once at its sender and once at its
-// receiver, as a node's network interface does.
+// measureIdle counts each message once at its sender and once at its receiver,
+// as network interfaces do.
 func measureIdle(b *testing.B, size int) {
 	f := settledFleet(size)
 	f.run(measuredTime)
--- a/machine/membership.go
+++ b/machine/membership.go
@@ -7,24 +7,25 @@
 )
 
 // Membership is one node's view of the fleet. It is not safe for concurrent
-// use: the control goroutine owns it.
+// use; the control goroutine owns it.
 type Membership struct {
 	config Config
 	self   Machine
-	// leaving is set once this node has announced its own leaving.
+	// leaving is set once this node has announced that it is leaving.
 	leaving bool
 	records map[ID]*record
-	// probes are the probes that wait for an ack, by sequence number.
+	// probes are the probes without an ack so far, by sequence number.
 	probes map[uint64]*probe
 	// relays are the probes sent on behalf of peers, by sequence number.
 	relays map[uint64]relay
-	// suspects are the nodes whose suspicion runs.
+	// suspects are the nodes with a running suspicion.
 	suspects map[ID]*record
 	sequence uint64
-	// round counts the rounds of probes.
+	// probeRound counts the rounds of probes.
 	probeRound uint64
 	rotation   rotation
-	// deadRotation is a second round over the same nodes, for dead ones.
+	// deadRotation is a second rotation over the same nodes, used for probes of
+	// dead ones.
 	deadRotation rotation
 	rumours      rumours
 	health       health
@@ -39,7 +40,7 @@
 	nextProbe     time.Time
 	nextGossip    time.Time
 	nextDeadProbe time.Time
-	// nextView is when a changed view may be signalled again.
+	// nextViewSignal is the earliest time of the next signal of a changed view.
 	nextViewSignal time.Time
 
 	outbound   []Outbound
@@ -51,43 +52,45 @@
 	version uint64
 }
 
-// record is what is known of one other machine.
+// record is the state of another machine.
 type record struct {
 	// listed is the entry as the machine list last showed it.
 	listed Machine
-	// missingSince is when a list first missed the entry; zero while listed.
+	// missingSince is when a list first lacked the entry; zero while it is
+	// listed.
 	missingSince time.Time
-	// incarnation is the highest heard, from the list or by refutation.
+	// incarnation is the highest known one, from the list or from updates.
 	incarnation uint64
-	// status is live, suspect or dead, as probing has it.
+	// status is live, suspect or dead, according to probing.
 	status Status
 	// leaving is set from the list or by gossip.
 	leaving bool
-	// leavingSince is the last evidence of leaving, and leavingIncarnation the
-	// process that the first evidence was of.
+	// leavingSince is the time of the latest evidence of leaving, and
+	// leavingIncarnation the incarnation of the first evidence.
 	leavingSince       time.Time
 	leavingIncarnation uint64
 	suspectSince       time.Time
-	// suspectedHere is set when the suspicion began with a probe of this node.
+	// suspectedHere is set when the suspicion began with a failed probe of this
+	// node.
 	suspectedHere bool
-	// suspectUntil is when an unrefuted suspicion becomes a death.
+	// suspectUntil is when an unrefuted suspect is declared dead.
 	suspectUntil time.Time
-	// unreachable is set while direct probes from here get no ack.
+	// unreachable is set while direct probes from this node get no ack.
 	unreachable bool
 	lastProbe   time.Time
-	// lastHeard is when the machine's last message arrived.
+	// lastReceived is when the machine's last message arrived.
 	lastReceived time.Time
 }
 
-// MembershipReady is what the driver has to act on.
+// MembershipReady is the output that the driver has to act on.
 type MembershipReady struct {
 	Messages []Outbound
-	// Changed says that Nodes or Backends differ from before. It comes at most
-	// once in a ViewPeriod.
+	// Changed reports that Nodes or Backends have changed. It is set at most
+	// once per ViewPeriod, except that a leaving machine is signalled at once.
 	Changed bool
 }
 
-// NewMembership returns a membership that knows of no machine but itself.
+// NewMembership returns a membership that knows no machine but this node.
 func NewMembership(config Config) (*Membership, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -125,7 +128,7 @@
 	}
 }
 
-// NextWake returns when Tick must be called at the latest.
+// NextWake returns the latest time for the next call of Tick.
 func (m *Membership) NextWake() time.Time {
 	wake := m.nextProbe
 	if m.nextDeadProbe.Before(wake) {
@@ -162,8 +165,8 @@
 	return ready
 }
 
-// Leave announces in all later messages that this node is leaving. It does
-// not come back in this incarnation.
+// Leave announces that this node is leaving, to all nodes at once and in later
+// messages. It can't be undone in this incarnation.
 func (m *Membership) Leave(now time.Time) {
 	m.advance(now)
 	if m.leaving {
@@ -176,9 +179,9 @@
 	m.announce(m.selfUpdate())
 }
 
-// announce sends an update to every node at once. Gossip alone would reach
-// them too, but over several periods, in which they would hand partitions to a
-// node that gives its own away. A node leaves seldom: one message a peer.
+// announce sends an update to every node at once. Gossip alone would take
+// several periods, in which nodes would hand partitions to a node that is
+// releasing its own. Nodes leave rarely, so one message per peer is acceptable.
 func (m *Membership) announce(update Update) {
 	m.refreshViews()
 	for _, node := range m.nodes {
@@ -188,15 +191,15 @@
 	}
 }
 
-// Nodes returns the live nodes, this one included unless it is leaving,
-// sorted by ID. Suspects count as live. The caller must not change the slice.
+// Nodes returns the live nodes sorted by ID, this one included unless it is
+// leaving. Suspects count as live. The caller must not modify the slice.
 func (m *Membership) Nodes() []Machine {
 	m.refreshViews()
 	return m.nodes
 }
 
 // Backends returns the engines and tools with their status, live or leaving,
-// sorted by ID. The caller must not change the slice.
+// sorted by ID. The caller must not modify the slice.
 func (m *Membership) Backends() []Machine {
 	m.refreshViews()
 	return m.backends
@@ -213,8 +216,8 @@
 	return all
 }
 
-// SetRevision tells the highest settings revision that this node holds. A
-// higher one than before is passed on like other news.
+// SetRevision sets the highest settings revision that this node holds. A higher
+// one than before is disseminated like other updates.
 func (m *Membership) SetRevision(revision uint64) {
 	if revision <= m.revision {
 		return
@@ -223,18 +226,19 @@
 	m.rumours.requestRounds(revisionGossipRounds)
 }
 
-// announcementRounds is for how many gossip periods a new revision is worth
-// messages of its own. Every node that hears of it sends as many; whoever is
-// missed hears of it with the next probes.
+// revisionGossipRounds is the number of gossip periods in which a new revision
+// causes messages of its own. Every node that receives it sends as many; a node
+// that is missed receives the revision with the next probes.
 const revisionGossipRounds = 3
 
-// HeardRevision returns the highest settings revision that any peer has
-// named, and the peer that named it first.
+// PeerRevision returns the highest settings revision that any peer has sent,
+// and the peer that sent it first.
 func (m *Membership) HeardRevision() (from ID, revision uint64) {
 	return m.peerRevisionSource, m.peerRevision
 }
 
-// advance notices pauses: a gap longer than the node could have wanted.
+// advance updates the time and detects pauses, that is gaps longer than the
+// node could have intended.
 func (m *Membership) advance(now time.Time) {
 	if !m.started {
 		m.started = true
@@ -254,8 +258,9 @@
 	}
 }
 
-// wake follows a pause. Nothing that was missed meanwhile is held against a
-// peer, and the node's own health counts as poor.
+// recoverFromPause is called after a pause of this node. Answers missed during
+// the pause are not counted against peers, and the node's own health is
+// degraded.
 func (m *Membership) recoverFromPause(now time.Time, gap time.Duration) {
 	clear(m.probes)
 	clear(m.relays)
@@ -283,8 +288,8 @@
 	m.changed = true
 }
 
-// viewChangedNow is for a machine that leaves, which nobody may give new work
-// to: the signal does not wait for the ViewPeriod.
+// viewChangedNow signals a change without waiting for the ViewPeriod. It is
+// used for a leaving machine, which must get no new work.
 func (m *Membership) viewChangedNow() {
 	m.viewChanged()
 	m.nextViewSignal = time.Time{}
@@ -308,7 +313,7 @@
 	}
 }
 
-// machine returns the entry with the status that follows from all sources.
+// machine returns the entry with the status that results from all sources.
 func (r *record) machine() Machine {
 	entry := r.listed
 	entry.Status = r.effectiveStatus()
@@ -322,5 +327,5 @@
 	return r.status
 }
 
-// CompareID orders machines by their ids.
+// CompareID orders machines by ID.
 func CompareID(left, right Machine) int { return cmp.Compare(left.ID, right.ID) }
--- a/machine/message.go
+++ b/machine/message.go
@@ -1,6 +1,6 @@
 package machine
 
-// MessageKind tells what a membership message asks or answers.
+// MessageKind is the type of a membership message.
 type MessageKind string
 
 // The kinds of membership message.
@@ -9,31 +9,32 @@
 	MessageAck   MessageKind = "ack"
 	// MessageProbeFor asks the receiver to probe Target and to relay the ack.
 	MessageProbeFor MessageKind = "probe_for"
-	// MessageAnnounce carries updates alone and asks for no answer.
+	// MessageAnnounce carries an update sent to every node at once. It is not
+	// answered.
 	MessageAnnounce MessageKind = "announce"
-	// MessageGossip carries updates alone and is not answered.
+	// MessageGossip carries updates only and is not answered.
 	MessageGossip MessageKind = "gossip"
 )
 
-// Update is a rumour about one machine's status. Of two updates about the
-// same machine the higher incarnation wins, then the worse status.
+// Update is a rumour about one machine's status. Of two updates about the same
+// machine the higher incarnation wins, then the worse status.
 type Update struct {
 	ID          ID     `json:"id"`
 	Incarnation uint64 `json:"incarnation"`
 	Status      Status `json:"status"`
 }
 
-// Message is what the memberships of two nodes exchange.
+// Message is exchanged between the memberships of two nodes.
 type Message struct {
 	Kind     MessageKind `json:"kind"`
 	Sequence uint64      `json:"sequence"`
 	Target   ID          `json:"target,omitempty"`
 	Updates  []Update    `json:"updates,omitempty"`
-	// Revision is the highest settings revision that the sender knows of.
+	// Revision is the highest settings revision that the sender holds.
 	Revision uint64 `json:"revision,omitempty"`
-	// Reliable asks for a transport that repeats what is lost on the way. Indirect
-	// probes and what answers them ask for it, so that a link that loses packets
-	// does not make a peer look dead.
+	// Reliable requests a transport that retransmits lost messages. Indirect
+	// probes and their acks set it, so that packet loss on a link does not make
+	// a peer appear dead.
 	Reliable bool `json:"reliable,omitempty"`
 }
 
--- a/machine/observe.go
+++ b/machine/observe.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Observe takes in the platform's machine list. The list may lag and flap;
-// see the package's guide for what follows from an entry that is missing. It
-// is called only with lists that the platform did answer.
+// Observe processes a machine list from the platform. The list may lag and
+// flap; see the package documentation for the effect of a missing entry. It is
+// called only with lists that the platform returned without an error.
 func (m *Membership) Observe(now time.Time, listed []Machine) {
 	if len(listed) == 0 {
 		m.advance(now)
@@ -21,8 +21,8 @@
 	m.observeMissing(now, present)
 }
 
-// ObserveSome takes in entries of the machine list without saying anything of the
-// machines that are not among them.
+// ObservePartial processes entries of the machine list, without conclusions
+// about the machines that are not among them.
 func (m *Membership) ObserveSome(now time.Time, listed []Machine) {
 	m.advance(now)
 	m.lastObserved = now
@@ -35,7 +35,7 @@
 	}
 }
 
-// observeSelf follows the platform's wish that this node leaves.
+// observeSelf makes this node leave if the platform lists it as leaving.
 func (m *Membership) observeSelf(now time.Time, entry Machine) {
 	if entry.Status == StatusLeaving && entry.Incarnation >= m.config.Self.Incarnation {
 		m.Leave(now)
@@ -58,7 +58,7 @@
 	}
 	switch {
 	case entry.Incarnation < known.listed.Incarnation:
-		// A stale copy of the list tells of an earlier process.
+		// A stale copy of the list describes an earlier process.
 	case entry.Status == StatusLeaving:
 		m.markLeaving(now, known, entry.Incarnation)
 	case m.leavingEnded(now, known, entry):
@@ -82,7 +82,7 @@
 	m.viewChanged()
 }
 
-// restart resets what was known of an earlier process of the machine.
+// restart resets the state of a machine's earlier process.
 func (m *Membership) restart(known *record, incarnation uint64) {
 	known.incarnation = incarnation
 	known.status = StatusLive
@@ -91,10 +91,10 @@
 	delete(m.suspects, known.listed.ID)
 }
 
-// leavingIsOver reports whether a list that says live takes the leaving back.
-// A node has said itself that it leaves, and stays by it until it restarts: a
-// list that lags can show the leaving of an earlier process after gossip told
-// of the next one.
+// leavingEnded reports whether a list that shows the machine as live ends its
+// leaving. A node announces its own leaving and does not revoke it before it
+// restarts, since a list that lags can show the leaving of an earlier process
+// after gossip announced the next one.
 func (m *Membership) leavingEnded(now time.Time, known *record, entry Machine) bool {
 	if !known.leaving {
 		return false
@@ -105,8 +105,8 @@
 	return now.Sub(known.leavingSince) >= m.config.LeavingTimeout
 }
 
-// markLeaving notes evidence of the leaving of an incarnation and tells the
-// peers when it is news.
+// markLeaving records evidence that an incarnation is leaving, and disseminates
+// it if it is new.
 func (m *Membership) markLeaving(now time.Time, known *record, incarnation uint64) {
 	known.leavingSince = now
 	if known.leaving {
@@ -122,7 +122,8 @@
 	})
 }
 
-// observeMissing drops entries that lists have missed for ListTimeout.
+// observeMissing removes entries that have been missing from lists for
+// ListTimeout.
 func (m *Membership) observeMissing(now time.Time, present map[ID]bool) {
 	for id, known := range m.records {
 		if present[id] {
@@ -143,7 +144,7 @@
 	}
 }
 
-// sameInViews reports whether Nodes and Backends show both entries alike: a
+// sameInViews reports whether Nodes and Backends show both entries alike. A
 // suspect node is shown as live.
 func sameInViews(left, right Machine) bool {
 	return viewStatus(left) == viewStatus(right) &&
--- a/machine/probe.go
+++ b/machine/probe.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// probe is one question to a peer that waits for its ack.
+// probe is a probe that has not been answered yet.
 type probe struct {
 	target   ID
 	started  time.Time
 	deadline time.Time
-	// indirect is set once other peers were asked to probe the target.
+	// indirect is set once other peers have been asked to probe the target.
 	indirect bool
 }
 
-// relay is a probe sent on behalf of the peer that asked for it.
+// relay is a probe sent on behalf of the peer that requested it.
 type relay struct {
 	requester ID
 	sequence  uint64
@@ -23,14 +23,15 @@
 	deadline  time.Time
 }
 
-// directTimeouts is how many probe time-outs an indirect probe gets.
+// indirectTimeoutFactor is the time-out of an indirect probe, in probe
+// time-outs.
 const indirectTimeoutFactor = 2
 
-// minimumPeers is the number of other nodes from which on silence of all of
-// them is blamed on this node, whatever the machine list says.
+// minimumSelfBlamePeers is the number of peers from which on a node that gets
+// no answer from any of them blames itself, whatever the machine list shows.
 const minimumSelfBlamePeers = 3
 
-// Step takes in a message of another node.
+// Step processes a message from another node.
 func (m *Membership) Step(now time.Time, from ID, message Message) {
 	m.advance(now)
 	if known, ok := m.records[from]; ok {
@@ -86,8 +87,8 @@
 	m.clearSuspicion(known)
 }
 
-// clearSuspicion follows an answer of the suspect itself. A death is taken
-// back only by a higher incarnation, which the answer carries.
+// clearSuspicion ends a suspicion after the suspect's own answer. A death is
+// revoked only by a higher incarnation, which the answer carries.
 func (m *Membership) clearSuspicion(known *record) {
 	if known.status != StatusSuspect {
 		return
@@ -97,8 +98,8 @@
 	m.rumours.remove(known.listed.ID)
 }
 
-// probeReturning probes a node that counts as dead and has sent a probe, so
-// that it learns of it and can refute.
+// probeDeadSender probes a node that counts as dead but has sent a probe, so
+// that it learns of its state and can refute it.
 func (m *Membership) probeDeadSender(now time.Time, from ID) {
 	known, ok := m.records[from]
 	if ok && known.status == StatusDead {
@@ -106,8 +107,8 @@
 	}
 }
 
-// probeNext probes the next peers of the shuffled rotation. While nodes of a
-// zone are suspect, every second round goes to that zone alone: the nodes of a
+// probeNext probes the next peers of the rotation. While nodes of a zone are
+// suspect, every second round probes that zone only, because the nodes of a
 // zone often fail together.
 func (m *Membership) probeNext(now time.Time) {
 	m.probeRound++
@@ -127,7 +128,7 @@
 	return ok && known.status != StatusDead
 }
 
-// troubled returns a random live node in the zone of a random suspect.
+// peerInSuspectZone returns a random live node in the zone of a random suspect.
 func (m *Membership) peerInSuspectZone() (ID, bool) {
 	if len(m.suspects) == 0 {
 		return "", false
@@ -147,7 +148,8 @@
 	return neighbours[m.config.Random.IntN(len(neighbours))], true
 }
 
-// probeDead probes one listed dead peer, which may have come back.
+// probeDead probes one dead peer that is still listed, in case it has
+// recovered.
 func (m *Membership) probeDead(now time.Time) {
 	dead := func(id ID) bool {
 		known, ok := m.records[id]
@@ -158,7 +160,8 @@
 	}
 }
 
-// startProbe sends a probe unless the target was probed a moment ago.
+// startProbe sends a probe unless the target was probed less than ProbePeriod
+// ago.
 func (m *Membership) startProbe(now time.Time, target ID) {
 	known := m.records[target]
 	if !known.lastProbe.IsZero() && now.Sub(known.lastProbe) < m.config.ProbePeriod {
@@ -174,7 +177,7 @@
 	m.send(target, Message{Kind: MessageProbe, Sequence: m.sequence})
 }
 
-// askOthers sends indirect probes through random live peers.
+// sendIndirectProbes sends indirect probes through random live peers.
 func (m *Membership) sendIndirectProbes(now time.Time, sequence uint64) {
 	outstanding := m.probes[sequence]
 	outstanding.indirect = true
@@ -204,7 +207,7 @@
 	}
 }
 
-// probeFailed follows a probe that neither the target nor a relay answered.
+// probeFailed handles a probe that neither the target nor a relay answered.
 func (m *Membership) probeFailed(now time.Time, failed *probe) {
 	if !m.health.answeredSince(failed.started) {
 		m.health.worsen(1)
@@ -225,8 +228,8 @@
 	m.probeLastResponsive(now)
 }
 
-// checkSelf probes the peer that was heard last. Its ack shows that the fault
-// is not on this side.
+// probeLastResponsive probes the peer with the most recent message. An ack
+// shows that the fault is not on this node's side.
 func (m *Membership) probeLastResponsive(now time.Time) {
 	var latest *record
 	for _, known := range m.records {
@@ -250,13 +253,13 @@
 	m.restartSuspicion(now, known)
 }
 
-// extendSuspicion gives the suspect the whole time-out from now on.
+// restartSuspicion restarts the suspect's full time-out.
 func (m *Membership) restartSuspicion(now time.Time, known *record) {
 	known.suspectSince = now
 	known.suspectUntil = now.Add(m.health.scale(m.config.SuspectTimeout))
 }
 
-// expireSuspects declares dead the suspects that did not refute in time.
+// expireSuspects declares the suspects dead that did not refute in time.
 func (m *Membership) expireSuspects(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(m.suspects)) {
 		known := m.suspects[id]
@@ -270,14 +273,15 @@
 		}
 		m.declareDead(known)
 		if known.suspectedHere {
-			// Whoever heard of the suspicion comes to the same end alone.
+			// Other nodes that received the suspicion declare the death by
+			// themselves.
 			m.disseminate(known.update())
 		}
 	}
 }
 
-// mayDeclare reports whether this node has proof that it is not itself the
-// one that is cut off.
+// mayDeclareDead reports whether this node has evidence that it is not itself
+// cut off from the network.
 func (m *Membership) mayDeclareDead(now time.Time, known *record) bool {
 	if m.health.answeredSince(known.suspectSince) {
 		return true
