--- a/gather/collect.go
+++ b/gather/collect.go
@@ -143,8 +143,8 @@
 	return collectorState{local: newTally(), remote: newTally(), peers: make(map[machine.ID]machine.Machine), sumNumber: first, sentEmpty: true, listing: newListing()}
 }
 
-// expire removes the contributions that are too old to count, and the collectors that
-// sent them.
+// expire removes the contributions that are too old to count, and the peers left without
+// one.
 func (c *collectorState) expire(now time.Time, fleet *Fleet) {
 	c.local.expire(now, fleet.reportPeriod())
 	c.remote.expire(now, fleet.reportPeriod())
--- a/gather/core.go
+++ b/gather/core.go
@@ -48,10 +48,10 @@
 	// Disabled is set in a fleet so small that the failure detector's messages carry
 	// every node's load often enough.
 	Off bool
-	// ZoneNodes is the number of nodes in this node's zone, itself included.
+	// Near is the number of nodes in this node's zone, itself included.
 	Near int
 	// Collectors are the candidate collectors of this node's zone, in ranking order.
-	// RemoteCollectors are the first-ranked ones of the other zones.
+	// PeerCollectors are the first-ranked ones of the other zones.
 	Collectors []machine.Machine
 	Remote     []machine.Machine
 }
@@ -83,8 +83,8 @@
 	Paces map[Key]Pace
 }
 
-// CollectorChange names a collector that this node starts to report to, or one that
-// stopped answering (Unresponsive). The other field is empty.
+// Change names a collector that this node starts to report to, or one that stopped
+// answering (Unresponsive). The other field is empty.
 type Change struct {
 	Collector machine.ID
 	Silent    machine.ID
@@ -113,8 +113,8 @@
 	number           uint64
 	reportedAt       time.Time
 	tokenTimesSentAt time.Time
-	// answered is set once the last report has been answered, and unresponsive counts the
-	// consecutive unanswered ones.
+	// answered is set once the last report has been answered, and unresponsive counts
+	// consecutive reports without an answer.
 	answered     bool
 	unresponsive int
 	// list is the replica list last received from the collector.
--- a/machine/gossip.go
+++ b/machine/gossip.go
@@ -94,9 +94,10 @@
 	}
 }
 
-// refute answers an update that claims this node suspect or dead, or leaving if
-// it was an earlier process that left. Updates about an older incarnation are
-// answered too, because their sender has missed the refutation.
+// refute answers an update that claims that this node is suspect or dead, or
+// that it is leaving although only an earlier process was. Updates about an
+// older incarnation are answered too, because their sender has missed the
+// refutation.
 func (m *Membership) refute(update Update) {
 	falseLeaving := update.Status == StatusLeaving && !m.leaving
 	if update.Status != StatusSuspect && update.Status != StatusDead && !falseLeaving {
@@ -296,7 +297,7 @@
 	h.score = min(h.maximum, h.score+by)
 }
 
-// improve is called after any peer's answer.
+// improve records an answer from any peer.
 func (h *health) improve(now time.Time) {
 	h.lastAnswer = now
 	h.score = max(0, h.score-1)
--- a/machine/membership.go
+++ b/machine/membership.go
@@ -70,8 +70,8 @@
 	leavingSince       time.Time
 	leavingIncarnation uint64
 	suspectSince       time.Time
-	// suspectedHere is set when the suspicion began with a failed probe of this
-	// node.
+	// suspectedHere is set when the suspicion began with a failed probe from
+	// this node.
 	suspectedHere bool
 	// suspectUntil is when an unrefuted suspect is declared dead.
 	suspectUntil time.Time
@@ -258,7 +258,7 @@
 	}
 }
 
-// recoverFromPause is called after a pause of this node. Answers missed during
+// recoverFromPause compensates for a pause of this node. Answers missed during
 // the pause are not counted against peers, and the node's own health is
 // degraded.
 func (m *Membership) recoverFromPause(now time.Time, gap time.Duration) {
--- a/machine/probe.go
+++ b/machine/probe.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// probe is a probe that has not been answered yet.
+// probe is an outstanding probe of a peer.
 type probe struct {
 	target   ID
 	started  time.Time
@@ -273,8 +273,8 @@
 		}
 		m.declareDead(known)
 		if known.suspectedHere {
-			// Other nodes that received the suspicion declare the death by
-			// themselves.
+			// Only the origin of the suspicion disseminates the death. Other
+			// nodes that received the suspicion declare it themselves.
 			m.disseminate(known.update())
 		}
 	}
