--- a/machine/leaving_test.go
+++ b/machine/leaving_test.go
@@ -20,8 +20,8 @@
 			return slices.ContainsFunc(observer.Nodes(), func(node Machine) bool { return node.ID == id })
 		}
 
-		news := Update{ID: id, Incarnation: 1000, Status: StatusLive}
-		observer.Step(f.now, f.list[1].ID, Message{Kind: MessageGossip, Updates: []Update{news}})
+		newer := Update{ID: id, Incarnation: 1000, Status: StatusLive}
+		observer.Step(f.now, f.list[1].ID, Message{Kind: MessageGossip, Updates: []Update{newer}})
 		lagging := slices.Clone(f.list)
 		lagging[restarted].Status = StatusLeaving
 		observer.Observe(f.now, lagging)
