--- a/machine/membership.go
+++ b/machine/membership.go
@@ -7,102 +7,105 @@
 )
 
 // Membership is one node's view of the fleet. It is not safe for concurrent
-// use: the control goroutine owns it.
+// use; the control goroutine owns it.
 type Membership struct {
 	config Config
 	self   Machine
-	// leaving is set once this node has announced its own leaving.
+	// leaving is set once this node has announced that it is leaving.
 	leaving bool
 	records map[ID]*record
-	// probes are the probes that wait for an ack, by sequence number.
+	// probes are the probes without an ack so far, by sequence number.
 	probes map[uint64]*probe
 	// relays are the probes sent on behalf of peers, by sequence number.
 	relays map[uint64]relay
-	// suspects are the nodes whose suspicion runs.
+	// suspects are the nodes with a running suspicion.
 	suspects map[ID]*record
 	sequence uint64
-	// round counts the rounds of probes.
-	round    uint64
-	rotation rotation
-	// deadRotation is a second round over the same nodes, for dead ones.
+	// probeRound counts the rounds of probes.
+	probeRound uint64
+	rotation   rotation
+	// deadRotation is a second rotation over the same nodes, used for probes of
+	// dead ones.
 	deadRotation rotation
 	rumours      rumours
 	health       health
 
-	revision      uint64
-	heardRevision uint64
-	heardFrom     ID
+	revision           uint64
+	peerRevision       uint64
+	peerRevisionSource ID
 
-	started      bool
-	lastCall     time.Time
-	lastObserved time.Time
-	nextProbe    time.Time
-	nextGossip   time.Time
-	nextDead     time.Time
-	// nextView is when a changed view may be signalled again.
-	nextView time.Time
+	started       bool
+	lastCall      time.Time
+	lastObserved  time.Time
+	nextProbe     time.Time
+	nextGossip    time.Time
+	nextDeadProbe time.Time
+	// nextViewSignal is the earliest time of the next signal of a changed view.
+	nextViewSignal time.Time
 
-	outbound []Outbound
-	changed  bool
-	nodes    []Machine
-	backends []Machine
-	stale    bool
+	outbound   []Outbound
+	changed    bool
+	nodes      []Machine
+	backends   []Machine
+	viewsStale bool
 	// version counts the changes of nodes and backends.
 	version uint64
 }
 
-// record is what is known of one other machine.
+// record is the state of another machine.
 type record struct {
 	// listed is the entry as the machine list last showed it.
 	listed Machine
-	// missingSince is when a list first missed the entry; zero while listed.
+	// missingSince is when a list first lacked the entry; zero while it is
+	// listed.
 	missingSince time.Time
-	// incarnation is the highest heard, from the list or by refutation.
+	// incarnation is the highest known one, from the list or from updates.
 	incarnation uint64
-	// status is live, suspect or dead, as probing has it.
+	// status is live, suspect or dead, according to probing.
 	status Status
 	// leaving is set from the list or by gossip.
 	leaving bool
-	// leavingSince is the last evidence of leaving, and leavingIncarnation the
-	// process that the first evidence was of.
+	// leavingSince is the time of the latest evidence of leaving, and
+	// leavingIncarnation the incarnation of the first evidence.
 	leavingSince       time.Time
 	leavingIncarnation uint64
 	suspectSince       time.Time
-	// suspectedHere is set when the suspicion began with a probe of this node.
+	// suspectedHere is set when the suspicion began with a failed probe from
+	// this node.
 	suspectedHere bool
-	// suspectUntil is when an unrefuted suspicion becomes a death.
+	// suspectUntil is when an unrefuted suspect is declared dead.
 	suspectUntil time.Time
-	// unreachable is set while direct probes from here get no ack.
+	// unreachable is set while direct probes from this node get no ack.
 	unreachable bool
 	lastProbe   time.Time
-	// lastHeard is when the machine's last message arrived.
-	lastHeard time.Time
+	// lastReceived is when the machine's last message arrived.
+	lastReceived time.Time
 }
 
-// MembershipReady is what the driver has to act on.
+// MembershipReady is the output that the driver has to act on.
 type MembershipReady struct {
 	Messages []Outbound
-	// Changed says that Nodes or Backends differ from before. It comes at most
-	// once in a ViewPeriod.
+	// Changed reports that Nodes or Backends have changed. It is set at most
+	// once per ViewPeriod, except that a leaving machine is signalled at once.
 	Changed bool
 }
 
-// NewMembership returns a membership that knows of no machine but itself.
+// NewMembership returns a membership that knows no machine but this node.
 func NewMembership(config Config) (*Membership, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	config.Self.Status = StatusLive
 	return &Membership{
-		config:   config,
-		self:     config.Self,
-		records:  make(map[ID]*record),
-		probes:   make(map[uint64]*probe),
-		relays:   make(map[uint64]relay),
-		suspects: make(map[ID]*record),
-		health:   health{maximum: config.MaximumHealthScore},
-		stale:    true,
-		changed:  true,
+		config:     config,
+		self:       config.Self,
+		records:    make(map[ID]*record),
+		probes:     make(map[uint64]*probe),
+		relays:     make(map[uint64]relay),
+		suspects:   make(map[ID]*record),
+		health:     health{maximum: config.MaximumHealthScore},
+		viewsStale: true,
+		changed:    true,
 	}, nil
 }
 
@@ -115,8 +118,8 @@
 		m.nextProbe = now.Add(m.config.ProbePeriod)
 		m.probeNext(now)
 	}
-	if !now.Before(m.nextDead) {
-		m.nextDead = now.Add(m.config.DeadProbePeriod)
+	if !now.Before(m.nextDeadProbe) {
+		m.nextDeadProbe = now.Add(m.config.DeadProbePeriod)
 		m.probeDead(now)
 	}
 	if !now.Before(m.nextGossip) {
@@ -125,21 +128,21 @@
 	}
 }
 
-// NextWake returns when Tick must be called at the latest.
+// NextWake returns the latest time for the next call of Tick.
 func (m *Membership) NextWake() time.Time {
 	wake := m.nextProbe
-	if m.nextDead.Before(wake) {
-		wake = m.nextDead
+	if m.nextDeadProbe.Before(wake) {
+		wake = m.nextDeadProbe
 	}
 	if m.rumours.pending() && m.nextGossip.Before(wake) {
 		wake = m.nextGossip
 	}
-	if m.changed && m.nextView.Before(wake) {
-		wake = m.nextView
+	if m.changed && m.nextViewSignal.Before(wake) {
+		wake = m.nextViewSignal
 	}
-	for _, waiting := range m.probes {
-		if waiting.deadline.Before(wake) {
-			wake = waiting.deadline
+	for _, outstanding := range m.probes {
+		if outstanding.deadline.Before(wake) {
+			wake = outstanding.deadline
 		}
 	}
 	for _, suspect := range m.suspects {
@@ -154,16 +157,16 @@
 func (m *Membership) Ready() MembershipReady {
 	ready := MembershipReady{Messages: m.outbound}
 	m.outbound = nil
-	if m.changed && !m.lastCall.Before(m.nextView) {
+	if m.changed && !m.lastCall.Before(m.nextViewSignal) {
 		ready.Changed = true
 		m.changed = false
-		m.nextView = m.lastCall.Add(m.config.ViewPeriod)
+		m.nextViewSignal = m.lastCall.Add(m.config.ViewPeriod)
 	}
 	return ready
 }
 
-// Leave announces in all later messages that this node is leaving. It does
-// not come back in this incarnation.
+// Leave announces that this node is leaving, to all nodes at once and in later
+// messages. It can't be undone in this incarnation.
 func (m *Membership) Leave(now time.Time) {
 	m.advance(now)
 	if m.leaving {
@@ -172,13 +175,13 @@
 	m.leaving = true
 	m.self.Status = StatusLeaving
 	m.viewChangedNow()
-	m.spread(m.selfUpdate())
+	m.disseminate(m.selfUpdate())
 	m.announce(m.selfUpdate())
 }
 
-// announce sends an update to every node at once. Gossip alone would reach
-// them too, but over several periods, in which they would hand partitions to a
-// node that gives its own away. A node leaves seldom: one message a peer.
+// announce sends an update to every node at once. Gossip alone would take
+// several periods, in which nodes would hand partitions to a node that is
+// releasing its own. Nodes leave rarely, so one message per peer is acceptable.
 func (m *Membership) announce(update Update) {
 	m.refreshViews()
 	for _, node := range m.nodes {
@@ -188,15 +191,15 @@
 	}
 }
 
-// Nodes returns the live nodes, this one included unless it is leaving,
-// sorted by ID. Suspects count as live. The caller must not change the slice.
+// Nodes returns the live nodes sorted by ID, this one included unless it is
+// leaving. Suspects count as live. The caller must not modify the slice.
 func (m *Membership) Nodes() []Machine {
 	m.refreshViews()
 	return m.nodes
 }
 
 // Backends returns the engines and tools with their status, live or leaving,
-// sorted by ID. The caller must not change the slice.
+// sorted by ID. The caller must not modify the slice.
 func (m *Membership) Backends() []Machine {
 	m.refreshViews()
 	return m.backends
@@ -213,35 +216,36 @@
 	return all
 }
 
-// SetRevision tells the highest settings revision that this node holds. A
-// higher one than before is passed on like other news.
+// SetRevision sets the highest settings revision that this node holds. A higher
+// one than before is disseminated like other updates.
 func (m *Membership) SetRevision(revision uint64) {
 	if revision <= m.revision {
 		return
 	}
 	m.revision = revision
-	m.rumours.announce(announcementRounds)
+	m.rumours.requestRounds(revisionGossipRounds)
 }
 
-// announcementRounds is for how many gossip periods a new revision is worth
-// messages of its own. Every node that hears of it sends as many; whoever is
-// missed hears of it with the next probes.
-const announcementRounds = 3
+// revisionGossipRounds is the number of gossip periods in which a new revision
+// causes messages of its own. Every node that receives it sends as many; a node
+// that is missed receives the revision with the next probes.
+const revisionGossipRounds = 3
 
-// HeardRevision returns the highest settings revision that any peer has
-// named, and the peer that named it first.
+// PeerRevision returns the highest settings revision that any peer has sent,
+// and the peer that sent it first.
 func (m *Membership) HeardRevision() (from ID, revision uint64) {
-	return m.heardFrom, m.heardRevision
+	return m.peerRevisionSource, m.peerRevision
 }
 
-// advance notices pauses: a gap longer than the node could have wanted.
+// advance updates the time and detects pauses, that is gaps longer than the
+// node could have intended.
 func (m *Membership) advance(now time.Time) {
 	if !m.started {
 		m.started = true
 		m.lastCall = now
-		m.nextProbe = now.Add(m.randomPart(m.config.ProbePeriod))
+		m.nextProbe = now.Add(m.randomDelay(m.config.ProbePeriod))
 		m.nextGossip = now
-		m.nextDead = now.Add(m.randomPart(m.config.DeadProbePeriod))
+		m.nextDeadProbe = now.Add(m.randomDelay(m.config.DeadProbePeriod))
 		return
 	}
 	gap := now.Sub(m.lastCall)
@@ -250,18 +254,19 @@
 	}
 	m.lastCall = now
 	if gap > 2*m.config.ProbePeriod {
-		m.wake(now, gap)
+		m.recoverFromPause(now, gap)
 	}
 }
 
-// wake follows a pause. Nothing that was missed meanwhile is held against a
-// peer, and the node's own health counts as poor.
-func (m *Membership) wake(now time.Time, gap time.Duration) {
+// recoverFromPause compensates for a pause of this node. Answers missed during
+// the pause are not counted against peers, and the node's own health is
+// degraded.
+func (m *Membership) recoverFromPause(now time.Time, gap time.Duration) {
 	clear(m.probes)
 	clear(m.relays)
 	m.health.worsen(int(gap / m.config.ProbePeriod))
 	for _, suspect := range m.suspects {
-		m.extendSuspicion(now, suspect)
+		m.restartSuspicion(now, suspect)
 	}
 	for _, known := range m.records {
 		if !known.missingSince.IsZero() {
@@ -270,7 +275,7 @@
 	}
 }
 
-func (m *Membership) randomPart(duration time.Duration) time.Duration {
+func (m *Membership) randomDelay(duration time.Duration) time.Duration {
 	return time.Duration(m.config.Random.Int64N(int64(duration)) + 1)
 }
 
@@ -278,23 +283,23 @@
 func (m *Membership) Version() uint64 { return m.version }
 
 func (m *Membership) viewChanged() {
-	m.stale = true
+	m.viewsStale = true
 	m.version++
 	m.changed = true
 }
 
-// viewChangedNow is for a machine that leaves, which nobody may give new work
-// to: the signal does not wait for the ViewPeriod.
+// viewChangedNow signals a change without waiting for the ViewPeriod. It is
+// used for a leaving machine, which must get no new work.
 func (m *Membership) viewChangedNow() {
 	m.viewChanged()
-	m.nextView = time.Time{}
+	m.nextViewSignal = time.Time{}
 }
 
 func (m *Membership) refreshViews() {
-	if !m.stale {
+	if !m.viewsStale {
 		return
 	}
-	m.stale = false
+	m.viewsStale = false
 	m.nodes = nil
 	m.backends = nil
 	for _, known := range m.All() {
@@ -308,7 +313,7 @@
 	}
 }
 
-// machine returns the entry with the status that follows from all sources.
+// machine returns the entry with the status that results from all sources.
 func (r *record) machine() Machine {
 	entry := r.listed
 	entry.Status = r.effectiveStatus()
@@ -322,5 +327,5 @@
 	return r.status
 }
 
-// CompareID orders machines by their ids.
+// CompareID orders machines by ID.
 func CompareID(left, right Machine) int { return cmp.Compare(left.ID, right.ID) }
