--- a/control/owned.go
+++ b/control/owned.go
@@ -274,7 +274,7 @@
 		return
 	}
 	delete(p.proposed, confirmed.Token)
-	p.store.Located(proposed.record.Program, proposed.record, confirmed.Offset)
+	p.store.SetRecordOffset(proposed.record.Program, proposed.record, confirmed.Offset)
 }
 
 // acquired opens the partition for requests and restarts what a former owner
--- a/program/bench_test.go
+++ b/program/bench_test.go
@@ -82,7 +82,7 @@
 		panic(refusal)
 	}
 	for _, record := range output.Records {
-		b.Located(record.Program, record, b.offset)
+		b.SetRecordOffset(record.Program, record, b.offset)
 		b.offset++
 	}
 }
--- a/program/driver_test.go
+++ b/program/driver_test.go
@@ -42,7 +42,7 @@
 func (d *driver) commit(output program.Output) []program.Effect {
 	for _, record := range output.Records {
 		d.log = append(d.log, roundTrip(record))
-		d.store.Located(record.Program, record, uint64(len(d.log)-1))
+		d.store.SetRecordOffset(record.Program, record, uint64(len(d.log)-1))
 	}
 	effects := append(output.Immediate, output.Effects...)
 	d.effects = append(d.effects, effects...)
--- a/program/example_test.go
+++ b/program/example_test.go
@@ -24,7 +24,7 @@
 			return
 		}
 		for _, record := range output.Records {
-			store.Located(record.Program, record, offset) // the record is in the log now
+			store.SetRecordOffset(record.Program, record, offset) // the record is in the log now
 			offset++
 		}
 		for _, effect := range append(output.Immediate, output.Effects...) {
--- a/program/history.go
+++ b/program/history.go
@@ -21,7 +21,7 @@
 
 // SetRecordOffset sets the log offset of a record that was not in the log until
 // now. The store then drops the record's texts from memory.
-func (s *Store) Located(id api.ProgramID, record Record, offset uint64) {
+func (s *Store) SetRecordOffset(id api.ProgramID, record Record, offset uint64) {
 	p, ok := s.programs[id]
 	if !ok || offset == NoOffset {
 		return
--- a/program/property_test.go
+++ b/program/property_test.go
@@ -142,7 +142,7 @@
 func (h *harness) setOffsets() {
 	for ; h.located < h.durable; h.located++ {
 		record := h.log[h.located]
-		h.store.Located(record.Program, record, uint64(h.located))
+		h.store.SetRecordOffset(record.Program, record, uint64(h.located))
 	}
 }
 
--- a/program/recover_test.go
+++ b/program/recover_test.go
@@ -51,8 +51,8 @@
 		call, _ := restored.Call("p", 0, "a")
 		Expect(call.Input).To(Equal("input of a"))
 		Expect(call.Output).To(Equal("hello"))
-		restored.Located("p", output.Records[0], 7)
-		restored.Located("p", ended.Records[0], 9)
+		restored.SetRecordOffset("p", output.Records[0], 7)
+		restored.SetRecordOffset("p", ended.Records[0], 9)
 		history, _ := restored.History("p", 1, 1)
 		Expect(history[0]).To(Equal(program.CallLocation{
 			Sequence: 1, Kind: api.CallModel, Status: api.StatusSucceeded, AcceptedOffset: 7, EndedOffset: 9,
