--- a/control/settings.go
+++ b/control/settings.go
@@ -79,7 +79,7 @@
 		terms = termsOf(resolved)
 	}
 	terms.Revision = uint64(c.Tree().Revision())
-	output, refusal := owned.store.Step(now, program.Command{Program: described.ID, Retarget: &terms})
+	output, refusal := owned.store.Step(now, program.Command{Program: described.ID, UpdateTerms: &terms})
 	if refusal != nil {
 		return
 	}
--- a/program/command.go
+++ b/program/command.go
@@ -8,16 +8,16 @@
 // Command is a request to a Store. It is a tagged union: exactly one of the
 // pointers is set.
 type Command struct {
-	Program  api.ProgramID
-	Create   *Create
-	Submit   *Submit
-	Dispatch *Dispatch
-	Outcome  *Outcome
-	Lookup   *LookupResult
-	Cancel   *Cancel
-	Refuse   *Refusal
-	End      *End
-	Retarget *Terms // the terms of a newer contract revision
+	Program     api.ProgramID
+	Create      *Create
+	Submit      *Submit
+	Dispatch    *Dispatch
+	Outcome     *Outcome
+	Lookup      *LookupResult
+	Cancel      *Cancel
+	Refuse      *Refusal
+	End         *End
+	UpdateTerms *Terms // the terms of a newer contract revision
 }
 
 // Create creates a program, or returns the existing one with the same key.
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -113,7 +113,7 @@
 		d.submit("p", modelCall("a"))
 		lower := terms()
 		lower.Revision, lower.BudgetTokens = 2, 50
-		d.step(program.Command{Program: "p", Retarget: &lower})
+		d.step(program.Command{Program: "p", UpdateTerms: &lower})
 		Expect(d.describe("p").BudgetTokens).To(BeEquivalentTo(103))
 		Expect(d.refused(submitCommand("p", modelCall("b"))).Code).To(Equal(api.CodeBudgetExhausted))
 	})
@@ -277,7 +277,7 @@
 		revised := terms()
 		revised.Revision = 2
 		change(&revised)
-		d.step(program.Command{Program: "p", Retarget: &revised})
+		d.step(program.Command{Program: "p", UpdateTerms: &revised})
 	}
 
 	It("binds the next dispatch of a call that waits in the scheduler", func() {
@@ -298,7 +298,7 @@
 		updateTerms(func(t *program.Terms) { t.Models = nil })
 		Expect(d.effect(program.EffectAnswer, ref("p", 1)).Answer.Error.Code).To(Equal(api.CodeUnknownModel))
 		old := terms()
-		d.step(program.Command{Program: "p", Retarget: &old})
+		d.step(program.Command{Program: "p", UpdateTerms: &old})
 		Expect(d.refused(submitCommand("p", modelCall("b"))).Code).To(Equal(api.CodeUnknownModel))
 	})
 
--- a/program/property_test.go
+++ b/program/property_test.go
@@ -245,7 +245,7 @@
 	revised.BudgetTokens = rapid.SampledFrom([]int64{300, 900}).Draw(t, "budget")
 	revised.MaxTurns = 8
 	revised.Placement = "isando"
-	_, _ = h.step(program.Command{Program: drawProgram(t), Retarget: &revised})
+	_, _ = h.step(program.Command{Program: drawProgram(t), UpdateTerms: &revised})
 }
 
 func (h *harness) tick(t *rapid.T) {
--- a/program/store.go
+++ b/program/store.go
@@ -168,8 +168,8 @@
 		t.refuse(p, *command.Refuse)
 	case command.End != nil:
 		t.end(p, command.End.Reason)
-	case command.Retarget != nil:
-		t.updateTerms(p, *command.Retarget)
+	case command.UpdateTerms != nil:
+		t.updateTerms(p, *command.UpdateTerms)
 	default:
 		return api.Refuse(api.CodeBadRequest, "the command is empty")
 	}
