--- a/control/apply.go
+++ b/control/apply.go
@@ -135,7 +135,7 @@
 		Priority:       effect.Terms.Priority,
 		PromptTokens:   effect.PromptTokens,
 		OutputCap:      cmp.Or(call.MaxOutputTokens, effect.Terms.MaxOutputTokens),
-		AttainedTokens: effect.Attained,
+		AttainedTokens: effect.AttainedTokens,
 		Arrived:        owned.arrived(effect.Attempt.Program),
 		Enqueued:       now,
 		Deadline:       effect.Deadline,
--- a/program/effect.go
+++ b/program/effect.go
@@ -45,7 +45,7 @@
 	Terms        Terms
 	Branch       string
 	// AttainedTokens is the service that the program has received, in tokens.
-	Attained int64
+	AttainedTokens int64
 	// Delay postpones EffectSchedule or EffectLookup by the backoff of a retry.
 	Delay time.Duration
 	// Avoid lists the back ends that failed an earlier attempt, for
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -64,7 +64,7 @@
 		Expect(d.describe("p").SpentTokens).To(BeEquivalentTo(15))
 		Expect(d.describe("p").ReservedTokens).To(BeEquivalentTo(3 + 2 + 3 + 20))
 		Expect(d.effect(program.EffectStart, ref("p", 2)).PromptTokens).To(Equal(8))
-		Expect(d.effect(program.EffectStart, ref("p", 2)).Attained).To(BeEquivalentTo(15))
+		Expect(d.effect(program.EffectStart, ref("p", 2)).AttainedTokens).To(BeEquivalentTo(15))
 	})
 
 	It("stays reserved for a call whose cost nobody knows", func() {
--- a/program/transition.go
+++ b/program/transition.go
@@ -78,18 +78,18 @@
 // callEffect returns an effect with the fields that all effects of a call have.
 func (p *programState) callEffect(kind EffectKind, live *liveCall) Effect {
 	return Effect{
-		Kind:         kind,
-		Attempt:      AttemptRef{CallRef: CallRef{Program: p.id, Sequence: live.sequence}, Attempt: live.attempt},
-		Backend:      live.backend,
-		Epoch:        live.epoch,
-		Call:         live.call,
-		Key:          p.serviceKey(live),
-		PromptTokens: live.promptTokens,
-		Deadline:     live.deadline,
-		Terms:        *p.terms,
-		Branch:       p.branch,
-		Attained:     p.budget.spent,
-		Avoid:        slices.Clone(live.avoid),
+		Kind:           kind,
+		Attempt:        AttemptRef{CallRef: CallRef{Program: p.id, Sequence: live.sequence}, Attempt: live.attempt},
+		Backend:        live.backend,
+		Epoch:          live.epoch,
+		Call:           live.call,
+		Key:            p.serviceKey(live),
+		PromptTokens:   live.promptTokens,
+		Deadline:       live.deadline,
+		Terms:          *p.terms,
+		Branch:         p.branch,
+		AttainedTokens: p.budget.spent,
+		Avoid:          slices.Clone(live.avoid),
 	}
 }
 
