--- a/control/apply.go
+++ b/control/apply.go
@@ -140,7 +140,7 @@
 		Enqueued:       now,
 		Deadline:       effect.Deadline,
 		Avoid:          effect.Avoid,
-		Excluded:       effect.Terms.Drained,
+		Excluded:       effect.Terms.DrainedBackends,
 	})
 }
 
--- a/control/settings.go
+++ b/control/settings.go
@@ -111,7 +111,7 @@
 		MaxOutputTokens: resolved.MaxOutputTokens,
 		Attempts:        resolved.Attempts,
 		Retention:       resolved.Retention,
-		Drained:         resolved.DrainedBackends,
+		DrainedBackends: resolved.DrainedBackends,
 	}
 }
 
--- a/program/terms.go
+++ b/program/terms.go
@@ -29,7 +29,7 @@
 	// MaxOutputTokens caps the output of one model call.
 	MaxOutputTokens int `json:"max_output_tokens"`
 	// DrainedBackends get no new calls.
-	Drained []string `json:"drained,omitempty"`
+	DrainedBackends []string `json:"drained,omitempty"`
 	// Attempts bounds how often a call is tried. Attempts that were not sent
 	// because the log could not be read do not count.
 	Attempts int `json:"attempts"`
