--- a/program/validate.go
+++ b/program/validate.go
@@ -15,7 +15,7 @@
 	set := 0
 	for _, present := range []bool{
 		r.Created != nil, r.Accepted != nil, r.Dispatched != nil, r.Ended != nil,
-		r.BudgetTransferred != nil, r.Terms != nil, r.Closed != nil, r.Confirmed != nil,
+		r.BudgetTransferred != nil, r.Terms != nil, r.Closed != nil, r.OwnershipConfirmed != nil,
 	} {
 		if present {
 			set++
