--- a/coordinator/gathering.go
+++ b/coordinator/gathering.go
@@ -25,7 +25,7 @@
 func (c *Core) gather(now time.Time) {
 	roles := &c.ranking.roles
 	c.gatherer.Tick(now, gather.Fleet{
-		Self: c.self(), Off: c.config.DisableGathering || c.statusesSuffice(), Near: roles.Near,
+		Self: c.self(), Disabled: c.config.DisableGathering || c.statusesSuffice(), Near: roles.Near,
 		Collectors: roles.Collectors, Remote: roles.RemoteCollectors,
 	}, c.loads.Reports)
 	c.collectGatherReady()
--- a/gather/core.go
+++ b/gather/core.go
@@ -47,7 +47,7 @@
 	Self machine.Machine
 	// Disabled is set in a fleet so small that the failure detector's messages carry
 	// every node's load often enough.
-	Off bool
+	Disabled bool
 	// Near is the number of nodes in this node's zone, itself included.
 	Near int
 	// Collectors are the candidate collectors of this node's zone, in ranking order.
@@ -57,7 +57,7 @@
 }
 
 // enabled reports whether nodes exchange loads at all.
-func (f *Fleet) enabled() bool { return !f.Off && len(f.Collectors) > 0 }
+func (f *Fleet) enabled() bool { return !f.Disabled && len(f.Collectors) > 0 }
 
 // reportPeriod returns the time between two reports.
 func (f *Fleet) reportPeriod() time.Duration {
--- a/gather/fleet_test.go
+++ b/gather/fleet_test.go
@@ -100,7 +100,7 @@
 }
 
 func (w *world) fleetOf(n *node) gather.Fleet {
-	fleet := gather.Fleet{Self: n.self, Off: w.disabled}
+	fleet := gather.Fleet{Self: n.self, Disabled: w.disabled}
 	fleet.Collectors, fleet.Near = w.ranked(n.self.Zone)
 	for index := range w.zones {
 		name := zone.Name(fmt.Sprintf("z%d", index))
