--- a/coordinator/gathering.go
+++ b/coordinator/gathering.go
@@ -26,7 +26,7 @@
 	roles := &c.ranking.roles
 	c.gatherer.Tick(now, gather.Fleet{
 		Self: c.self(), Disabled: c.config.DisableGathering || c.statusesSuffice(), Near: roles.Near,
-		Collectors: roles.Collectors, Remote: roles.RemoteCollectors,
+		Collectors: roles.Collectors, PeerCollectors: roles.RemoteCollectors,
 	}, c.loads.Reports)
 	c.collectGatherReady()
 }
--- a/gather/collect.go
+++ b/gather/collect.go
@@ -329,7 +329,7 @@
 // still count.
 func (c *Core) collectors() []machine.Machine {
 	found := map[machine.ID]machine.Machine{c.fleet.Collectors[0].ID: c.fleet.Collectors[0]}
-	for _, remote := range c.fleet.Remote {
+	for _, remote := range c.fleet.PeerCollectors {
 		found[remote.ID] = remote
 	}
 	for id, peer := range c.aggregate.peers {
--- a/gather/core.go
+++ b/gather/core.go
@@ -52,8 +52,8 @@
 	Near int
 	// Collectors are the candidate collectors of this node's zone, in ranking order.
 	// PeerCollectors are the first-ranked ones of the other zones.
-	Collectors []machine.Machine
-	Remote     []machine.Machine
+	Collectors     []machine.Machine
+	PeerCollectors []machine.Machine
 }
 
 // enabled reports whether nodes exchange loads at all.
@@ -67,7 +67,7 @@
 // sumPeriod returns the time between two sums. It is half the report period, as there are
 // few sums.
 func (f *Fleet) sumPeriod() time.Duration {
-	return max(f.reportPeriod()/2, time.Duration(len(f.Remote)+1)*sumPeriodPerZone)
+	return max(f.reportPeriod()/2, time.Duration(len(f.PeerCollectors)+1)*sumPeriodPerZone)
 }
 
 // Totals is the known load of all other nodes.
--- a/gather/fleet_test.go
+++ b/gather/fleet_test.go
@@ -105,7 +105,7 @@
 	for index := range w.zones {
 		name := zone.Name(fmt.Sprintf("z%d", index))
 		if first, _ := w.ranked(name); name != n.self.Zone && len(first) > 0 {
-			fleet.Remote = append(fleet.Remote, first[0])
+			fleet.PeerCollectors = append(fleet.PeerCollectors, first[0])
 		}
 	}
 	return fleet
