--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -23,7 +23,7 @@
 	}
 	for _, outbound := range ready.Messages {
 		if said := outbound.Message.Gather; said != nil {
-			n.metrics.gatherSent(string(said.Kind), len(said.Counts)+len(said.Paces))
+			n.metrics.gatherSent(string(said.Kind), len(said.Counts)+len(said.TokenTimes))
 		}
 	}
 	if ready.Totals == nil {
--- a/gather/collect.go
+++ b/gather/collect.go
@@ -273,7 +273,7 @@
 	if message.ListHash != listing.hash {
 		answer.Keys = listing.packed
 	} else if message.HasTokenTimes {
-		answer.HasTokenTimes, answer.Paces = true, packTokenTimes(totals.Paces)
+		answer.HasTokenTimes, answer.TokenTimes = true, packTokenTimes(totals.Paces)
 	}
 	c.send(from, answer)
 	return nil
@@ -318,7 +318,7 @@
 	message.Age = collector.local.ages(now, "") / time.Duration(max(1, collector.local.nodes))
 	if now.Sub(collector.tokenTimesSentAt) >= tokenTimePeriod {
 		collector.tokenTimesSentAt = now
-		message.HasTokenTimes, message.Paces = true, packTokenTimes(medianTokenTimes(now, collector.local.contributions))
+		message.HasTokenTimes, message.TokenTimes = true, packTokenTimes(medianTokenTimes(now, collector.local.contributions))
 	}
 	for _, to := range c.collectors() {
 		c.send(to, message)
@@ -351,7 +351,7 @@
 	}
 	if message.HasTokenTimes {
 		entry.tokenTimesAt = now
-		entry.tokenTimes, err = unpackTokenTimes(message.Paces)
+		entry.tokenTimes, err = unpackTokenTimes(message.TokenTimes)
 	}
 	return entry, err
 }
--- a/gather/core.go
+++ b/gather/core.go
@@ -218,7 +218,7 @@
 	message.Counts, message.Partial = packCounts(c.own.counts)
 	if now.Sub(state.tokenTimesSentAt) >= tokenTimePeriod {
 		state.tokenTimesSentAt = now
-		message.HasTokenTimes, message.Paces = true, packTokenTimes(c.own.tokenTimes)
+		message.HasTokenTimes, message.TokenTimes = true, packTokenTimes(c.own.tokenTimes)
 	}
 	c.send(state.collector, message)
 }
@@ -280,7 +280,7 @@
 		At: state.reportedAt.Add(-min(max(0, message.Age), maximumAge)),
 	}
 	if message.HasTokenTimes {
-		if totals.Paces, err = unpackTokenTimes(message.Paces); err != nil {
+		if totals.Paces, err = unpackTokenTimes(message.TokenTimes); err != nil {
 			return err
 		}
 	}
--- a/gather/message.go
+++ b/gather/message.go
@@ -41,7 +41,7 @@
 	Counts []byte `json:"counts,omitempty"`
 	// Partial is set if replicas with requests are missing from the counts.
 	Partial       bool   `json:"partial,omitempty"`
-	Paces         []byte `json:"paces,omitempty"`
+	TokenTimes    []byte `json:"paces,omitempty"`
 	HasTokenTimes bool   `json:"has_paces,omitempty"`
 }
 
