--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -52,7 +52,7 @@
 			word.Totals[id] = replica.Total{Requests: float64(count)}
 		}
 	}
-	for key, pace := range totals.Paces {
+	for key, pace := range totals.TokenTimes {
 		_, counted := totals.Counts[key]
 		if id := r.keyed[key]; id != "" && (counted || !totals.Partial) {
 			word.Totals[id] = replica.Total{Requests: float64(totals.Counts[key]), TokenTime: pace.TokenTime, Samples: pace.Samples}
--- a/gather/collect.go
+++ b/gather/collect.go
@@ -181,7 +181,7 @@
 	}
 	totals.Partial = c.local.partial() || c.remote.partial()
 	if includeTokenTimes {
-		totals.Paces = c.cachedTokenTimes(now)
+		totals.TokenTimes = c.cachedTokenTimes(now)
 	}
 	return totals
 }
@@ -273,7 +273,7 @@
 	if message.ListHash != listing.hash {
 		answer.Keys = listing.packed
 	} else if message.HasTokenTimes {
-		answer.HasTokenTimes, answer.TokenTimes = true, packTokenTimes(totals.Paces)
+		answer.HasTokenTimes, answer.TokenTimes = true, packTokenTimes(totals.TokenTimes)
 	}
 	c.send(from, answer)
 	return nil
--- a/gather/core.go
+++ b/gather/core.go
@@ -80,7 +80,7 @@
 	// Partial is set if replicas with requests are missing from Counts.
 	Partial bool
 	// TokenTimes are the median token times over the fleet, or nil if none were received.
-	Paces map[Key]Pace
+	TokenTimes map[Key]Pace
 }
 
 // Change names a collector that this node starts to report to, or one that stopped
@@ -280,7 +280,7 @@
 		At: state.reportedAt.Add(-min(max(0, message.Age), maximumAge)),
 	}
 	if message.HasTokenTimes {
-		if totals.Paces, err = unpackTokenTimes(message.TokenTimes); err != nil {
+		if totals.TokenTimes, err = unpackTokenTimes(message.TokenTimes); err != nil {
 			return err
 		}
 	}
--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -231,8 +231,8 @@
 	received := make(map[int]gather.Pace)
 	w.run(4*time.Second, func() {
 		for index, n := range w.nodes {
-			if n.received != nil && n.received.Paces != nil {
-				received[index] = n.received.Paces[gather.KeyOf("r")]
+			if n.received != nil && n.received.TokenTimes != nil {
+				received[index] = n.received.TokenTimes[gather.KeyOf("r")]
 			}
 		}
 	})
