--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -12,8 +12,8 @@
 // were taken and lost.
 func (n *Node) hearTotals(ready *coordinator.Ready) {
 	for _, change := range ready.Collectors {
-		if change.Silent != "" {
-			n.logger.Warn().Str("collector", string(change.Silent)).Msg("loads: collector does not answer")
+		if change.Unresponsive != "" {
+			n.logger.Warn().Str("collector", string(change.Unresponsive)).Msg("loads: collector does not answer")
 			continue
 		}
 		n.logger.Info().Str("collector", string(change.Collector)).Msg("loads: collector taken")
--- a/gather/core.go
+++ b/gather/core.go
@@ -86,8 +86,8 @@
 // Change names a collector that this node starts to report to, or one that stopped
 // answering (Unresponsive). The other field is empty.
 type Change struct {
-	Collector machine.ID
-	Silent    machine.ID
+	Collector    machine.ID
+	Unresponsive machine.ID
 }
 
 // Ready holds what has accumulated since the last call of Core.Ready.
@@ -228,7 +228,7 @@
 	unresponsive := c.reporter.collector.ID
 	c.reporter.avoided[unresponsive] = now.Add(initialBackoff << min(c.reporter.failures[unresponsive], maximumBackoffDoublings))
 	c.reporter.failures[unresponsive]++
-	c.ready.Changes = append(c.ready.Changes, Change{Silent: unresponsive})
+	c.ready.Changes = append(c.ready.Changes, Change{Unresponsive: unresponsive})
 	c.reporter.unresponsive = 0
 	c.chooseCollector(now)
 	c.collectOwn(now)
--- a/gather/fleet_test.go
+++ b/gather/fleet_test.go
@@ -155,8 +155,8 @@
 		n.totalAge += w.now.Sub(ready.Totals.At)
 	}
 	for _, change := range ready.Changes {
-		if change.Silent != "" {
-			n.lostCollectors = append(n.lostCollectors, change.Silent)
+		if change.Unresponsive != "" {
+			n.lostCollectors = append(n.lostCollectors, change.Unresponsive)
 		}
 	}
 	for _, outbound := range ready.Messages {
