--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -299,7 +299,7 @@
 		added = append(added, node)
 	}
 	if len(added) > 0 {
-		c.membership.ObserveSome(now, added)
+		c.membership.ObservePartial(now, added)
 	}
 }
 
--- a/machine/observe.go
+++ b/machine/observe.go
@@ -13,7 +13,7 @@
 		m.advance(now)
 		return
 	}
-	m.ObserveSome(now, listed)
+	m.ObservePartial(now, listed)
 	present := make(map[ID]bool, len(listed))
 	for _, entry := range listed {
 		present[entry.ID] = true
@@ -23,7 +23,7 @@
 
 // ObservePartial processes entries of the machine list, without conclusions
 // about the machines that are not among them.
-func (m *Membership) ObserveSome(now time.Time, listed []Machine) {
+func (m *Membership) ObservePartial(now time.Time, listed []Machine) {
 	m.advance(now)
 	m.lastObserved = now
 	for _, entry := range listed {
