--- a/machine/measure_test.go
+++ b/machine/measure_test.go
@@ -94,7 +94,7 @@
 	took, _ := f.runUntil(time.Minute, func() bool {
 		reached := 0
 		for _, m := range f.members {
-			if _, revision := m.HeardRevision(); revision == 9 {
+			if _, revision := m.PeerRevision(); revision == 9 {
 				m.SetRevision(revision)
 				f.drain(m)
 				reached++
--- a/machine/membership.go
+++ b/machine/membership.go
@@ -233,7 +233,7 @@
 
 // PeerRevision returns the highest settings revision that any peer has sent,
 // and the peer that sent it first.
-func (m *Membership) HeardRevision() (from ID, revision uint64) {
+func (m *Membership) PeerRevision() (from ID, revision uint64) {
 	return m.peerRevisionSource, m.peerRevision
 }
 
--- a/machine/membership_test.go
+++ b/machine/membership_test.go
@@ -198,7 +198,7 @@
 		_, spread := f.runUntil(3*time.Second, func() bool {
 			reached := 0
 			for _, m := range f.members {
-				if _, revision := m.HeardRevision(); revision == 17 {
+				if _, revision := m.PeerRevision(); revision == 17 {
 					m.SetRevision(revision)
 					f.drain(m)
 					reached++
