--- a/control/apply.go
+++ b/control/apply.go
@@ -95,7 +95,7 @@
 // perform does what an effect of the programs asks for.
 func (c *Core) perform(now time.Time, owned *ownedPartition, effect program.Effect) {
 	switch effect.Kind {
-	case program.EffectStart:
+	case program.EffectSchedule:
 		c.start(now, owned, effect)
 	case program.EffectSend:
 		c.send(now, owned, effect)
--- a/program/calls_test.go
+++ b/program/calls_test.go
@@ -21,7 +21,7 @@
 
 	It("go from submission to answer, and the history is located by offset", func() {
 		d.submit("p", modelCall("a"))
-		Expect(d.effect(program.EffectStart, ref("p", 1)).Terms).To(Equal(terms()))
+		Expect(d.effect(program.EffectSchedule, ref("p", 1)).Terms).To(Equal(terms()))
 		d.dispatch("p", 1)
 		Expect(d.effect(program.EffectSend, ref("p", 1)).Call.MaxOutputTokens).To(Equal(100))
 		d.succeed("p", 1, "hello")
@@ -39,13 +39,13 @@
 
 	It("run one after another, whichever arrived first", func() {
 		d.submit("p", at(2, modelCall("b")))
-		Expect(d.count(program.EffectStart, ref("p", 2))).To(BeZero())
+		Expect(d.count(program.EffectSchedule, ref("p", 2))).To(BeZero())
 		Expect(d.refused(d.dispatchCommand("p", 2)).Code).To(Equal(api.CodeConflict))
 		d.submit("p", at(1, modelCall("a")))
 		d.dispatch("p", 1)
-		Expect(d.count(program.EffectStart, ref("p", 2))).To(BeZero())
+		Expect(d.count(program.EffectSchedule, ref("p", 2))).To(BeZero())
 		d.succeed("p", 1, "one")
-		Expect(d.count(program.EffectStart, ref("p", 2))).To(Equal(1))
+		Expect(d.count(program.EffectSchedule, ref("p", 2))).To(Equal(1))
 		d.dispatch("p", 2)
 		prompt, _ := d.store.Prompt("p", 2)
 		Expect(prompt).To(HaveLen(2))
@@ -61,7 +61,7 @@
 		prompt, _ := d.store.Prompt("p", 2)
 		Expect(prompt).To(HaveLen(1))
 		Expect(prompt[0].Sequence).To(BeEquivalentTo(2))
-		Expect(d.effect(program.EffectStart, ref("p", 2)).PromptTokens).To(Equal(3))
+		Expect(d.effect(program.EffectSchedule, ref("p", 2)).PromptTokens).To(Equal(3))
 	})
 
 	It("wait for a missing place until their deadline, then end as not run", func() {
@@ -165,11 +165,11 @@
 		for attempt := 1; attempt <= 3; attempt++ {
 			d.dispatch("p", 1)
 			d.outcome("p", 1, program.Outcome{Status: api.StatusOutcomeUnknown})
-			delays = append(delays, d.effect(program.EffectStart, ref("p", 1)).Delay)
+			delays = append(delays, d.effect(program.EffectSchedule, ref("p", 1)).Delay)
 		}
 		Expect(delays[0]).To(BeNumerically("~", 37*time.Millisecond, 13*time.Millisecond))
 		Expect(delays[1]).To(BeNumerically("~", 75*time.Millisecond, 25*time.Millisecond))
-		Expect(d.effect(program.EffectStart, ref("p", 1)).Avoid).To(HaveLen(2))
+		Expect(d.effect(program.EffectSchedule, ref("p", 1)).Avoid).To(HaveLen(2))
 		answer := d.effect(program.EffectAnswer, ref("p", 1)).Answer
 		Expect(answer.Status).To(Equal(api.StatusFailed))
 		Expect(answer.Attempt).To(Equal(3))
@@ -182,7 +182,7 @@
 		for range 10 {
 			d.dispatch("p", 1)
 			d.outcome("p", 1, program.Outcome{Status: api.StatusNotRun, Error: unreadable})
-			start := d.effect(program.EffectStart, ref("p", 1))
+			start := d.effect(program.EffectSchedule, ref("p", 1))
 			Expect(start.Avoid).To(BeEmpty())
 			d.tick(start.Delay)
 		}
@@ -220,7 +220,7 @@
 		answer := d.effect(program.EffectAnswer, ref("p", 1)).Answer
 		Expect(answer.Status).To(Equal(api.StatusNotRun))
 		Expect(answer.Error.RetryAfterMilliseconds).To(BeEquivalentTo(700))
-		Expect(d.count(program.EffectStart, ref("p", 2))).To(Equal(1))
+		Expect(d.count(program.EffectSchedule, ref("p", 2))).To(Equal(1))
 		Expect(d.refused(d.dispatchCommand("p", 1)).Code).To(Equal(api.CodeConflict))
 	})
 
@@ -264,7 +264,7 @@
 		d.dispatch("p", 1)
 		d.crash(len(d.log))
 		Expect(d.count(program.EffectSend, ref("p", 1))).To(BeZero())
-		Expect(d.count(program.EffectStart, ref("p", 1))).To(BeZero())
+		Expect(d.count(program.EffectSchedule, ref("p", 1))).To(BeZero())
 		Expect(d.refused(d.dispatchCommand("p", 1)).Code).To(Equal(api.CodeConflict))
 		d.lookup("p", 1, program.LookupResult{Found: true, Output: "receipt 1"})
 		answer := d.effect(program.EffectAnswer, ref("p", 1)).Answer
@@ -275,7 +275,7 @@
 	It("may be sent after a crash that lost its intent, because the send waits for it", func() {
 		d.dispatch("p", 1)
 		d.crash(len(d.log) - 1)
-		Expect(d.count(program.EffectStart, ref("p", 1))).To(Equal(1))
+		Expect(d.count(program.EffectSchedule, ref("p", 1))).To(Equal(1))
 		d.dispatch("p", 1)
 		Expect(d.count(program.EffectSend, ref("p", 1))).To(Equal(1))
 	})
--- a/program/dispatch.go
+++ b/program/dispatch.go
@@ -47,7 +47,7 @@
 // schedule hands a call to the scheduler after the delay.
 func (t *transition) schedule(p *programState, live *liveCall, delay time.Duration) {
 	live.phase = phaseScheduled
-	effect := p.callEffect(EffectStart, live)
+	effect := p.callEffect(EffectSchedule, live)
 	effect.Delay = delay
 	t.effect(effect)
 	t.markTimer(p)
--- a/program/effect.go
+++ b/program/effect.go
@@ -14,7 +14,7 @@
 const (
 	// EffectSchedule hands the call to the scheduler, which answers with a
 	// Dispatch or Refuse command.
-	EffectStart EffectKind = "start"
+	EffectSchedule EffectKind = "start"
 	// EffectSend sends the attempt to its back end.
 	EffectSend EffectKind = "send"
 	// EffectStop cancels the attempt at its back end, or removes the call from
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -63,8 +63,8 @@
 		d.succeed("p", 1, "12345678")
 		Expect(d.describe("p").SpentTokens).To(BeEquivalentTo(15))
 		Expect(d.describe("p").ReservedTokens).To(BeEquivalentTo(3 + 2 + 3 + 20))
-		Expect(d.effect(program.EffectStart, ref("p", 2)).PromptTokens).To(Equal(8))
-		Expect(d.effect(program.EffectStart, ref("p", 2)).AttainedTokens).To(BeEquivalentTo(15))
+		Expect(d.effect(program.EffectSchedule, ref("p", 2)).PromptTokens).To(Equal(8))
+		Expect(d.effect(program.EffectSchedule, ref("p", 2)).AttainedTokens).To(BeEquivalentTo(15))
 	})
 
 	It("stays reserved for a call whose cost nobody knows", func() {
@@ -288,10 +288,10 @@
 		for _, effect := range d.effects[len(d.effects)-3:] {
 			kinds = append(kinds, effect.Kind)
 		}
-		Expect(kinds).To(Equal([]program.EffectKind{program.EffectStop, program.EffectStop, program.EffectStart}))
+		Expect(kinds).To(Equal([]program.EffectKind{program.EffectStop, program.EffectStop, program.EffectSchedule}))
 		Expect(d.effects[len(d.effects)-1].Terms.Placement).To(BeEquivalentTo("isando"))
 		d.crash(len(d.log))
-		Expect(d.effect(program.EffectStart, ref("p", 1)).Terms.Placement).To(BeEquivalentTo("isando"))
+		Expect(d.effect(program.EffectSchedule, ref("p", 1)).Terms.Placement).To(BeEquivalentTo("isando"))
 	})
 
 	It("ends a call that it no longer permits, and never reverts", func() {
--- a/program/property_test.go
+++ b/program/property_test.go
@@ -172,7 +172,7 @@
 // durable records.
 func (h *harness) schedulePending(call program.CallRef) bool {
 	for _, pending := range h.pending {
-		if pending.effect.Kind == program.EffectStart && pending.effect.Attempt.CallRef == call {
+		if pending.effect.Kind == program.EffectSchedule && pending.effect.Attempt.CallRef == call {
 			return true
 		}
 	}
--- a/program/world_test.go
+++ b/program/world_test.go
@@ -140,7 +140,7 @@
 func (h *harness) perform(effect program.Effect) {
 	call := effect.Attempt.CallRef
 	switch effect.Kind {
-	case program.EffectStart:
+	case program.EffectSchedule:
 		h.scheduled[call] = true
 	case program.EffectStop:
 		if effect.Attempt.Attempt == 0 {
