--- a/control/requests.go
+++ b/control/requests.go
@@ -166,7 +166,7 @@
 // that was replaced, and that nobody could tell so, would answer from memory
 // without the calls that its successor has acknowledged.
 func (c *Core) confirmOwnership(now time.Time, owned *ownedPartition, id api.ProgramID) {
-	record := program.Record{At: now, Program: id, OwnershipConfirmed: &program.Confirmed{}}
+	record := program.Record{At: now, Program: id, OwnershipConfirmed: &program.OwnershipConfirmed{}}
 	c.apply(now, owned, program.Output{Records: []program.Record{record}}, nil)
 }
 
--- a/program/record.go
+++ b/program/record.go
@@ -11,23 +11,23 @@
 // of the pointers is set. Replaying the records of a partition in order gives
 // the same programs on every node.
 type Record struct {
-	At                 time.Time          `json:"at"`
-	Program            api.ProgramID      `json:"program"`
-	Created            *Created           `json:"created,omitempty"`
-	Accepted           *Accepted          `json:"accepted,omitempty"`
-	Dispatched         *Dispatched        `json:"dispatched,omitempty"`
-	Ended              *CallEnded         `json:"ended,omitempty"`
-	BudgetTransferred  *BudgetTransferred `json:"carved,omitempty"`
-	Terms              *Terms             `json:"terms,omitempty"`
-	Closed             *Closed            `json:"closed,omitempty"`
-	OwnershipConfirmed *Confirmed         `json:"confirmed,omitempty"`
+	At                 time.Time           `json:"at"`
+	Program            api.ProgramID       `json:"program"`
+	Created            *Created            `json:"created,omitempty"`
+	Accepted           *Accepted           `json:"accepted,omitempty"`
+	Dispatched         *Dispatched         `json:"dispatched,omitempty"`
+	Ended              *CallEnded          `json:"ended,omitempty"`
+	BudgetTransferred  *BudgetTransferred  `json:"carved,omitempty"`
+	Terms              *Terms              `json:"terms,omitempty"`
+	Closed             *Closed             `json:"closed,omitempty"`
+	OwnershipConfirmed *OwnershipConfirmed `json:"confirmed,omitempty"`
 }
 
 // OwnershipConfirmed changes no state. Once it is durable, it proves that its
 // writer owned the partition when it proposed the record, and that the writer's
 // state was complete then: a previous owner that has not yet noticed its
 // successor cannot make the record durable.
-type Confirmed struct{}
+type OwnershipConfirmed struct{}
 
 // Created creates a program.
 type Created struct {
