--- a/gather/collect.go
+++ b/gather/collect.go
@@ -20,21 +20,21 @@
 	counts map[Key]int
 	// partial is set if replicas with requests are missing from counts.
 	partial    bool
-	tokenTimes map[Key]Pace
+	tokenTimes map[Key]TokenTimeEstimate
 	// tokenTimesAt is when the token times were received.
 	tokenTimesAt time.Time
 }
 
 // ownContribution returns this node's own contribution.
 func ownContribution(now time.Time, own map[replica.ID]replica.Report) contribution {
-	entry := contribution{at: now, nodes: 1, counts: make(map[Key]int, len(own)), tokenTimes: make(map[Key]Pace), tokenTimesAt: now}
+	entry := contribution{at: now, nodes: 1, counts: make(map[Key]int, len(own)), tokenTimes: make(map[Key]TokenTimeEstimate), tokenTimesAt: now}
 	for id, report := range own {
 		key := KeyOf(id)
 		if report.Requests > 0 {
 			entry.counts[key] = min(report.Requests, maximumRequests)
 		}
 		if report.Samples > 0 && report.TokenTime > 0 {
-			entry.tokenTimes[key] = Pace{TokenTime: min(report.TokenTime, maximumTokenTime), Samples: min(report.Samples, maximumSamples)}
+			entry.tokenTimes[key] = TokenTimeEstimate{TokenTime: min(report.TokenTime, maximumTokenTime), Samples: min(report.Samples, maximumSamples)}
 		}
 	}
 	return entry
@@ -127,7 +127,7 @@
 	remote tally
 	peers  map[machine.ID]machine.Machine
 	// tokenTimes are the medians over all contributions as of tokenTimesAt.
-	tokenTimes   map[Key]Pace
+	tokenTimes   map[Key]TokenTimeEstimate
 	tokenTimesAt time.Time
 	listing      listing
 	// sumsSentAt is when sums were last sent, and tokenTimesSentAt when they last
@@ -189,7 +189,7 @@
 // cachedTokenTimes returns the median token time of each replica over all contributions,
 // computed at most once per half tokenTimePeriod. With a median, a single false value
 // moves the result no further than to a neighbouring value.
-func (c *collectorState) cachedTokenTimes(now time.Time) map[Key]Pace {
+func (c *collectorState) cachedTokenTimes(now time.Time) map[Key]TokenTimeEstimate {
 	if c.tokenTimes == nil || now.Sub(c.tokenTimesAt) >= tokenTimePeriod/2 {
 		c.tokenTimes, c.tokenTimesAt = medianTokenTimes(now, c.local.contributions, c.remote.contributions), now
 	}
@@ -200,8 +200,8 @@
 const tokenTimesExpiry = 3 * tokenTimePeriod
 
 // medianTokenTimes returns the weighted median of each replica's token times.
-func medianTokenTimes(now time.Time, from ...map[machine.ID]contribution) map[Key]Pace {
-	byKey := make(map[Key][]Pace)
+func medianTokenTimes(now time.Time, from ...map[machine.ID]contribution) map[Key]TokenTimeEstimate {
+	byKey := make(map[Key][]TokenTimeEstimate)
 	for _, contributions := range from {
 		for _, entry := range contributions {
 			if now.Sub(entry.tokenTimesAt) > tokenTimesExpiry {
@@ -213,7 +213,7 @@
 			}
 		}
 	}
-	medians := make(map[Key]Pace, len(byKey))
+	medians := make(map[Key]TokenTimeEstimate, len(byKey))
 	for key, tokenTimes := range byKey {
 		medians[key] = medianOf(tokenTimes)
 	}
@@ -221,8 +221,8 @@
 }
 
 // medianOf returns the median token time, weighted by samples.
-func medianOf(estimates []Pace) Pace {
-	slices.SortFunc(estimates, func(left, right Pace) int {
+func medianOf(estimates []TokenTimeEstimate) TokenTimeEstimate {
+	slices.SortFunc(estimates, func(left, right TokenTimeEstimate) int {
 		return cmp.Or(cmp.Compare(left.TokenTime, right.TokenTime), cmp.Compare(left.Samples, right.Samples))
 	})
 	samples := 0
@@ -232,10 +232,10 @@
 	cumulative := 0
 	for _, estimate := range estimates {
 		if cumulative += estimate.Samples; 2*cumulative >= samples {
-			return Pace{TokenTime: estimate.TokenTime, Samples: min(samples, maximumSamples)}
+			return TokenTimeEstimate{TokenTime: estimate.TokenTime, Samples: min(samples, maximumSamples)}
 		}
 	}
-	return Pace{}
+	return TokenTimeEstimate{}
 }
 
 // collectOwn adds this node's own load if it is its own collector.
--- a/gather/core.go
+++ b/gather/core.go
@@ -80,7 +80,7 @@
 	// Partial is set if replicas with requests are missing from Counts.
 	Partial bool
 	// TokenTimes are the median token times over the fleet, or nil if none were received.
-	TokenTimes map[Key]Pace
+	TokenTimes map[Key]TokenTimeEstimate
 }
 
 // Change names a collector that this node starts to report to, or one that stopped
--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -228,7 +228,7 @@
 		n.loads["r"] = replica.Report{TokenTime: time.Duration(1000+index) * time.Microsecond, Samples: 4}
 	}
 	w.nodes[4].loads["r"] = replica.Report{TokenTime: time.Hour, Samples: 1 << 40}
-	received := make(map[int]gather.Pace)
+	received := make(map[int]gather.TokenTimeEstimate)
 	w.run(4*time.Second, func() {
 		for index, n := range w.nodes {
 			if n.received != nil && n.received.TokenTimes != nil {
--- a/gather/pack.go
+++ b/gather/pack.go
@@ -46,7 +46,7 @@
 
 // TokenTimeEstimate is the time to generate one token at a replica, and the number of
 // turns that it is based on.
-type Pace struct {
+type TokenTimeEstimate struct {
 	TokenTime time.Duration
 	Samples   int
 }
@@ -99,7 +99,7 @@
 }
 
 // packTokenTimes encodes as many token times as fit into a packed list.
-func packTokenTimes(tokenTimes map[Key]Pace) []byte {
+func packTokenTimes(tokenTimes map[Key]TokenTimeEstimate) []byte {
 	var packed []byte
 	for key, estimate := range tokenTimes {
 		if len(packed)+keyBytes+2*binary.MaxVarintLen32 > packedBytes {
@@ -113,8 +113,8 @@
 }
 
 // unpackTokenTimes decodes packed token times and skips those out of range.
-func unpackTokenTimes(packed []byte) (map[Key]Pace, error) {
-	tokenTimes := make(map[Key]Pace)
+func unpackTokenTimes(packed []byte) (map[Key]TokenTimeEstimate, error) {
+	tokenTimes := make(map[Key]TokenTimeEstimate)
 	for len(packed) > 0 {
 		key, rest, err := unpackKey(packed)
 		if err != nil {
@@ -132,7 +132,7 @@
 		if units == 0 || units > uint64(maximumTokenTime/tokenTimeUnit) || samples == 0 {
 			continue
 		}
-		tokenTimes[key] = Pace{TokenTime: time.Duration(units) * tokenTimeUnit, Samples: int(min(samples, maximumSamples))}
+		tokenTimes[key] = TokenTimeEstimate{TokenTime: time.Duration(units) * tokenTimeUnit, Samples: int(min(samples, maximumSamples))}
 	}
 	return tokenTimes, nil
 }
