--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -218,13 +218,13 @@
 		return result{response: response}
 	}
 	fasthttp.ReleaseResponse(response)
-	return result{err: sortError(err)}
+	return result{err: classifyError(err)}
 }
 
-// sortError makes sure that a request for which no connection was had is
+// classifyError makes sure that a request for which no connection was had is
 // reported as not sent, and that every time-out is context.DeadlineExceeded:
 // the request's own timer and that of the context race for the same moment.
-func sortError(err error) error {
+func classifyError(err error) error {
 	var notSent *NotSentError
 	if errors.As(err, &notSent) {
 		return notSent
--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -61,9 +61,9 @@
 
 // client returns a client of the server.
 func (s *server) client() *httpclient.Client {
-	made := httpclient.New(httpclient.Options{Address: s.listener.Addr().String(), Timeout: time.Minute})
-	DeferCleanup(made.Close)
-	return made
+	created := httpclient.New(httpclient.Options{Address: s.listener.Addr().String(), Timeout: time.Minute})
+	DeferCleanup(created.Close)
+	return created
 }
 
 // reply writes a whole answer.
@@ -133,9 +133,9 @@
 			return false
 		})
 		client := s.client()
-		hurried, cancel := context.WithCancel(ctx)
+		cancellable, cancel := context.WithCancel(ctx)
 		time.AfterFunc(10*time.Millisecond, cancel)
-		Expect(client.Do(hurried, "GET", "/", nil, nil)).To(MatchError(context.Canceled))
+		Expect(client.Do(cancellable, "GET", "/", nil, nil)).To(MatchError(context.Canceled))
 		close(release)
 		Expect(s.listener.Close()).To(Succeed())
 		client.Close()
--- a/httpclient/idle.go
+++ b/httpclient/idle.go
@@ -17,15 +17,15 @@
 type idleConn struct {
 	net.Conn
 	probe connection.Probe
-	// answered is set once something was read: what is written next begins a
+	// responseRead is set once something was read: what is written next begins a
 	// request on a connection that may have been idle.
-	answered bool
+	responseRead bool
 }
 
 // newIdleConn wraps a connection. One without a descriptor stays as it is.
 func newIdleConn(conn net.Conn) net.Conn {
-	probe, has := connection.NewProbe(conn)
-	if !has {
+	probe, hasDescriptor := connection.NewProbe(conn)
+	if !hasDescriptor {
 		return conn
 	}
 	return &idleConn{Conn: conn, probe: probe}
@@ -33,15 +33,15 @@
 
 // Read implements net.Conn.
 func (c *idleConn) Read(buffer []byte) (int, error) {
-	c.answered = true
+	c.responseRead = true
 	return c.Conn.Read(buffer)
 }
 
 // Write implements net.Conn.
 func (c *idleConn) Write(text []byte) (int, error) {
-	if c.answered && c.probe.Closed() {
+	if c.responseRead && c.probe.Closed() {
 		return 0, &NotSentError{Cause: errClosedIdle}
 	}
-	c.answered = false
+	c.responseRead = false
 	return c.Conn.Write(text)
 }
--- a/httpclient/pool.go
+++ b/httpclient/pool.go
@@ -19,21 +19,21 @@
 func (p *Pool) Client(address string) *Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.clients[address]
-	if known == nil {
+	client := p.clients[address]
+	if client == nil {
 		options := p.options
 		options.Address = address
-		known = New(options)
-		p.clients[address] = known
+		client = New(options)
+		p.clients[address] = client
 	}
-	return known
+	return client
 }
 
 // Close closes the idle connections of every client.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, known := range p.clients {
-		known.Close()
+	for _, client := range p.clients {
+		client.Close()
 	}
 }
--- a/httpclient/silence_test.go
+++ b/httpclient/silence_test.go
@@ -29,7 +29,7 @@
 				received++
 				return nil
 			})
-			Expect(err).To(MatchError(httpclient.ErrSilent))
+			Expect(err).To(MatchError(httpclient.ErrUnresponsive))
 			Expect(received).To(Equal(lines))
 			Eventually(hungUp).WithContext(ctx).Should(BeClosed())
 		},
--- a/httpclient/stream.go
+++ b/httpclient/stream.go
@@ -17,13 +17,13 @@
 // and maximumLine the longest line that is taken, in bytes.
 const (
 	lineBufferSize = 4 << 10
-	maximumLine    = 8 << 20
+	maxLineBytes   = 8 << 20
 )
 
-// ErrSilent says that the server has sent nothing for longer than
+// ErrUnresponsive says that the server has sent nothing for longer than
 // Options.Silence, as one does whose zone was cut off. The request may have
 // taken effect.
-var ErrSilent = errors.New("the server has fallen silent")
+var ErrUnresponsive = errors.New("the server has fallen silent")
 
 // lineBuffers holds buffers for reuse: most streams need no larger one.
 var lineBuffers = sync.Pool{New: func() any { return new([lineBufferSize]byte) }}
@@ -34,20 +34,20 @@
 // end of the answer, receive's error, or the error that cut the answer; the
 // end of the context, and a silent server, close the connection.
 func (c *Client) Lines(ctx context.Context, path string, message any, receive func(line []byte) error) error {
-	watched, cancel := context.WithCancelCause(ctx)
+	watchedContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(c.options.Silence, func() { cancel(ErrSilent) })
-	defer silence.Stop()
-	heard := func() { silence.Reset(c.options.Silence) }
-	err := c.readLines(watched, path, message, heard, receive)
-	if errors.Is(context.Cause(watched), ErrSilent) && errors.Is(err, context.Canceled) {
-		return fmt.Errorf("%s: %w for %s", path, ErrSilent, c.options.Silence)
+	silenceTimer := time.AfterFunc(c.options.Silence, func() { cancel(ErrUnresponsive) })
+	defer silenceTimer.Stop()
+	onLine := func() { silenceTimer.Reset(c.options.Silence) }
+	err := c.readLines(watchedContext, path, message, onLine, receive)
+	if errors.Is(context.Cause(watchedContext), ErrUnresponsive) && errors.Is(err, context.Canceled) {
+		return fmt.Errorf("%s: %w for %s", path, ErrUnresponsive, c.options.Silence)
 	}
 	return err
 }
 
 // readLines is Lines with a function that is told of each line.
-func (c *Client) readLines(ctx context.Context, path string, message any, heard func(), receive func(line []byte) error) error {
+func (c *Client) readLines(ctx context.Context, path string, message any, onLine func(), receive func(line []byte) error) error {
 	response, err := c.roundTrip(ctx, fasthttp.MethodPost, path, message, true)
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 		return fmt.Errorf("%s: no answer to read", path)
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(body, maximumLine))
+		text, _ := io.ReadAll(io.LimitReader(body, maxLineBytes))
 		return &StatusError{Status: response.StatusCode(), Body: string(text)}
 	}
 	interrupted := make(chan struct{})
@@ -67,7 +67,7 @@
 		defer close(interrupted)
 		_ = body.CloseWithError(ctx.Err())
 	})
-	err = scanLines(body, heard, receive)
+	err = scanLines(body, onLine, receive)
 	if !stop() {
 		<-interrupted
 		return ctx.Err()
@@ -76,13 +76,13 @@
 }
 
 // scanLines calls receive for each line that is not empty.
-func scanLines(reader io.Reader, heard func(), receive func(line []byte) error) error {
+func scanLines(reader io.Reader, onLine func(), receive func(line []byte) error) error {
 	buffer := lineBuffers.Get().(*[lineBufferSize]byte)
 	defer lineBuffers.Put(buffer)
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(buffer[:0], maximumLine)
+	scanner.Buffer(buffer[:0], maxLineBytes)
 	for scanner.Scan() {
-		heard()
+		onLine()
 		line := bytes.TrimSpace(scanner.Bytes())
 		if len(line) == 0 {
 			continue
--- a/link/breaker.go
+++ b/link/breaker.go
@@ -59,13 +59,13 @@
 // Breaker refuses requests to a peer that keeps failing. Each allowed request
 // reports Success or Failure once.
 type Breaker struct {
-	config   BreakerConfig
-	state    BreakerState
-	failures int
-	openTime time.Duration
-	until    time.Time
-	trials   int
-	tried    time.Time
+	config    BreakerConfig
+	state     BreakerState
+	failures  int
+	openTime  time.Duration
+	openUntil time.Time
+	trials    int
+	lastTrial time.Time
 }
 
 // NewBreaker returns a closed breaker.
@@ -85,20 +85,20 @@
 		return false
 	}
 	b.state = BreakerHalfOpen
-	if b.trials > 0 && now.Sub(b.tried) >= b.config.TrialTimeout {
+	if b.trials > 0 && now.Sub(b.lastTrial) >= b.config.TrialTimeout {
 		b.trials = 0
 	}
 	if b.trials >= b.config.Trials {
 		return false
 	}
 	b.trials++
-	b.tried = now
+	b.lastTrial = now
 	return true
 }
 
 // State returns the state at now.
 func (b *Breaker) State(now time.Time) BreakerState {
-	if b.state == BreakerOpen && !now.Before(b.until) {
+	if b.state == BreakerOpen && !now.Before(b.openUntil) {
 		return BreakerHalfOpen
 	}
 	return b.state
@@ -129,5 +129,5 @@
 	b.state = BreakerOpen
 	b.failures = 0
 	b.trials = 0
-	b.until = now.Add(b.openTime)
+	b.openUntil = now.Add(b.openTime)
 }
--- a/link/linkhttp/config.go
+++ b/link/linkhttp/config.go
@@ -46,10 +46,10 @@
 }
 
 // DefaultConfig returns the settings used in production.
-func DefaultConfig(self machine.ID, place zone.Name, token string) Config {
+func DefaultConfig(self machine.ID, zoneName zone.Name, token string) Config {
 	return Config{
 		Self:           self,
-		Zone:           place,
+		Zone:           zoneName,
 		Token:          token,
 		DialTimeout:    time.Second,
 		RequestTimeout: 2 * time.Second,
--- a/link/linkhttp/handler.go
+++ b/link/linkhttp/handler.go
@@ -16,8 +16,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// bearer is the authorization scheme, with its blank.
-const bearer = "Bearer "
+// bearerPrefix is the authorization scheme, with its blank.
+const bearerPrefix = "Bearer "
 
 // Handler returns the handler of Path. It calls receive for each message from
 // the server's goroutines; receive must not block for long.
@@ -41,7 +41,7 @@
 // Authorized reports whether the request carries the peer token.
 func (t *Transport) Authorized(request *fasthttp.RequestCtx) bool {
 	header := request.Request.Header.Peek(fasthttp.HeaderAuthorization)
-	token, ok := bytes.CutPrefix(header, []byte(bearer))
+	token, ok := bytes.CutPrefix(header, []byte(bearerPrefix))
 	if !ok {
 		return false
 	}
@@ -94,31 +94,31 @@
 	}
 	known := messages[:0]
 	for i, message := range messages {
-		if err := check(message, self); err != nil {
+		if err := validateMessage(message, self); err != nil {
 			return nil, fmt.Errorf("$[%d]: %w", i, err)
 		}
-		if kinds(message) > 0 {
+		if countKinds(message) > 0 {
 			known = append(known, message)
 		}
 	}
 	return known, nil
 }
 
-func check(message link.Message, self machine.ID) error {
+func validateMessage(message link.Message, self machine.ID) error {
 	if message.From == "" {
 		return errors.New("no sender")
 	}
 	if message.To != self {
 		return fmt.Errorf("meant for %q, this is %q", message.To, self)
 	}
-	if count := kinds(message); count > 1 {
+	if count := countKinds(message); count > 1 {
 		return fmt.Errorf("%d kinds of message, want 1", count)
 	}
 	return nil
 }
 
-// kinds counts the parts of the union that are set.
-func kinds(message link.Message) int {
+// countKinds counts the parts of the union that are set.
+func countKinds(message link.Message) int {
 	count := 0
 	for _, set := range []bool{
 		message.Membership != nil,
--- a/link/linkhttp/lane.go
+++ b/link/linkhttp/lane.go
@@ -55,20 +55,20 @@
 // first batch the breaker was asked already.
 func (l *lane) run() {
 	defer l.transport.senders.Done()
-	for batch := l.takeFirst(); len(batch) > 0; {
-		err := l.post(batch)
-		batch = l.next(len(batch), err)
+	for batch := l.firstBatch(); len(batch) > 0; {
+		err := l.sendBatch(batch)
+		batch = l.nextBatch(len(batch), err)
 	}
 }
 
-func (l *lane) takeFirst() []link.Message {
+func (l *lane) firstBatch() []link.Message {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
-	return l.takeLocked()
+	return l.takeBatchLocked()
 }
 
-// next notes the result of a batch and takes the next one.
-func (l *lane) next(sent int, err error) []link.Message {
+// nextBatch notes the result of a batch and takes the next one.
+func (l *lane) nextBatch(sent int, err error) []link.Message {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
 	if err != nil {
@@ -82,10 +82,10 @@
 		l.transport.counters.dropped.Add(int64(len(l.queue)))
 		l.queue = nil
 	}
-	return l.takeLocked()
+	return l.takeBatchLocked()
 }
 
-func (l *lane) takeLocked() []link.Message {
+func (l *lane) takeBatchLocked() []link.Message {
 	count := min(len(l.queue), l.transport.config.BatchMessages)
 	if count == 0 {
 		l.sending = false
@@ -97,8 +97,8 @@
 	return batch
 }
 
-// post sends a batch as one request, or as several when it is large.
-func (l *lane) post(batch []link.Message) error {
+// sendBatch sends a batch as one request, or as several when it is large.
+func (l *lane) sendBatch(batch []link.Message) error {
 	body := []byte{'['}
 	for _, message := range batch {
 		encoded, err := json.Marshal(message)
@@ -128,7 +128,7 @@
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI("http://" + l.peer.address + Path)
 	request.Header.SetContentType("application/json")
-	request.Header.Set(fasthttp.HeaderAuthorization, bearer+config.Token)
+	request.Header.Set(fasthttp.HeaderAuthorization, bearerPrefix+config.Token)
 	request.Header.Set(HeaderZone, string(config.Zone))
 	request.SetBodyRaw(body)
 	if err := l.peer.client.DoTimeout(request, response, config.RequestTimeout); err != nil {
--- a/link/linkhttp/transport.go
+++ b/link/linkhttp/transport.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// Keep forgets all peers except the given ones, with their connections. The
+// Retain forgets all peers except the given ones, with their connections. The
 // caller names the machines that are known when their set changes.
-func (t *Transport) Keep(known []machine.Machine) {
+func (t *Transport) Retain(known []machine.Machine) {
 	wanted := make(map[machine.ID]bool, len(known))
 	for _, entry := range known {
 		wanted[entry.ID] = true
@@ -106,7 +106,7 @@
 	defer t.mutex.Unlock()
 	for id, held := range t.peers {
 		if !wanted[id] {
-			t.forget(id, held)
+			t.removePeer(id, held)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		return known, nil
 	}
 	if ok {
-		t.forget(to.ID, known)
+		t.removePeer(to.ID, known)
 	}
 	created := &peer{address: to.Address, client: t.newClient(to.Address)}
 	var err error
@@ -138,7 +138,7 @@
 	return created, nil
 }
 
-func (t *Transport) forget(id machine.ID, known *peer) {
+func (t *Transport) removePeer(id machine.ID, known *peer) {
 	delete(t.peers, id)
 	known.control.clear()
 	known.bulk.clear()
@@ -164,19 +164,19 @@
 		MaxIdleConnDuration:           t.config.IdleTimeout,
 		ReadTimeout:                   t.config.RequestTimeout,
 		WriteTimeout:                  t.config.RequestTimeout,
-		MaxResponseBodySize:           maximumAnswer,
+		MaxResponseBodySize:           maxAnswerBytes,
 		NoDefaultUserAgentHeader:      true,
 		DisableHeaderNamesNormalizing: true,
-		RetryIfErr:                    retryStale,
+		RetryIfErr:                    retryClosedIdle,
 	}
 }
 
-// maximumAnswer bounds the body of an answer, which is empty or a reason.
-const maximumAnswer = 4 << 10
+// maxAnswerBytes bounds the body of an answer, which is empty or a reason.
+const maxAnswerBytes = 4 << 10
 
-// retryStale permits one more attempt when the peer had closed the kept
+// retryClosedIdle permits one more attempt when the peer had closed the kept
 // connection before it read the request.
-func retryStale(_ *fasthttp.Request, attempts int, err error) (resetTimeout, retry bool) {
+func retryClosedIdle(_ *fasthttp.Request, attempts int, err error) (resetTimeout, retry bool) {
 	return false, attempts == 1 && errors.Is(err, fasthttp.ErrConnectionClosed)
 }
 
--- a/link/linkhttp/transport_test.go
+++ b/link/linkhttp/transport_test.go
@@ -135,10 +135,10 @@
 		Eventually(func() error { return first.Send(gone, probe(1)) }).Should(MatchError(ErrBreakerOpen))
 
 		second := newEndpoint(DefaultConfig("gone", "zone-b", token))
-		reborn := second.Machine
-		first.Keep([]machine.Machine{reborn})
+		restarted := second.Machine
+		first.Retain([]machine.Machine{restarted})
 		Eventually(func() bool {
-			_ = first.Send(reborn, probe(2))
+			_ = first.Send(restarted, probe(2))
 			return len(second.received) > 0
 		}).Should(BeTrue())
 	})
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -78,7 +78,7 @@
 // runTool sends one tool call. Anything but the service's own word leaves the
 // outcome unknown, unless nothing was sent.
 func (n *Node) runTool(ctx context.Context, action control.SendAttempt) control.AttemptEnded {
-	n.transcripts.beginKnown(action.Attempt.CallRef, action.Call.Input, action.Prompt)
+	n.transcripts.beginIfCached(action.Attempt.CallRef, action.Call.Input, action.Prompt)
 	request := tool.Request{Key: action.Key, Tool: action.Call.Tool, Input: action.Call.Input}
 	output, err := n.tools.Tool(action.Backend).Run(ctx, request)
 	ended := control.AttemptEnded{Backend: action.Backend.ID, Outcome: program.Outcome{Attempt: action.Attempt, Epoch: action.Epoch}}
@@ -120,8 +120,8 @@
 	}
 }
 
-// errCutShort marks an answer that ended before the engine said it was whole.
-var errCutShort = errors.New("the engine's answer was cut short")
+// errIncompleteAnswer marks an answer that ended before the engine said it was whole.
+var errIncompleteAnswer = errors.New("the engine's answer was cut short")
 
 // runModel sends one model call and passes its tokens to the readers as they
 // come. The attempt succeeds only if the answer is whole.
@@ -133,7 +133,7 @@
 		ended.Outcome.Error = api.Refuse(api.CodeStoreUnavailable, "the program's history cannot be read: %v", err).After(0)
 		return ended
 	}
-	n.importFirst(ctx, action)
+	n.importBeforeSend(ctx, action)
 	answer := modelAnswer{node: n, attempt: action.Attempt, buffer: buffer, started: time.Now()}
 	err = n.generate(ctx, n.engines.Engine(action.Backend), n.generateRequest(action, prompt), &answer)
 	if err != nil {
--- a/node/history.go
+++ b/node/history.go
@@ -17,12 +17,12 @@
 
 // The pauses before a read of the log is repeated.
 const (
-	firstReadPause   = 20 * time.Millisecond
-	longestReadPause = 500 * time.Millisecond
+	minReadRetryDelay = 20 * time.Millisecond
+	maxReadRetryDelay = 500 * time.Millisecond
 )
 
-// historyReads bounds how many records of one request are read at once.
-const historyReads = 16
+// maxConcurrentReads bounds how many records of one request are read at once.
+const maxConcurrentReads = 16
 
 // fetchHistory reads calls back from the log and replies with them.
 func (n *Node) fetchHistory(action control.FetchHistory) {
@@ -54,7 +54,7 @@
 func (n *Node) readCalls(ctx context.Context, id partition.ID, owner api.ProgramID, locations []program.CallLocation) ([]api.Call, error) {
 	calls := make([]api.Call, len(locations))
 	failures := make([]error, len(locations))
-	slots := make(chan struct{}, historyReads)
+	slots := make(chan struct{}, maxConcurrentReads)
 	var group sync.WaitGroup
 	for i, location := range locations {
 		slots <- struct{}{}
@@ -79,7 +79,7 @@
 	if err != nil {
 		return api.Call{}, err
 	}
-	call := describeAccepted(owner, accepted)
+	call := callFromAccepted(owner, accepted)
 	call.Status = location.Status
 	if !location.Status.Terminal() {
 		return call, nil
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	if record.Accepted == nil || record.Program != owner || record.Accepted.Sequence != location.Sequence {
-		return nil, misplaced(id, owner, location.Sequence, location.AcceptedOffset)
+		return nil, wrongRecordError(id, owner, location.Sequence, location.AcceptedOffset)
 	}
 	return record.Accepted, nil
 }
@@ -115,18 +115,18 @@
 		return nil, err
 	}
 	if record.Ended == nil || record.Program != owner || record.Ended.Sequence != location.Sequence {
-		return nil, misplaced(id, owner, location.Sequence, location.EndedOffset)
+		return nil, wrongRecordError(id, owner, location.Sequence, location.EndedOffset)
 	}
 	return record.Ended, nil
 }
 
-// misplaced says that an offset holds something else than the index has it.
-func misplaced(id partition.ID, owner api.ProgramID, sequence, offset uint64) error {
+// wrongRecordError says that an offset holds something else than the index has it.
+func wrongRecordError(id partition.ID, owner api.ProgramID, sequence, offset uint64) error {
 	return fmt.Errorf("offset %d of partition %s does not hold call %d of program %s", offset, id, sequence, owner)
 }
 
-// describeAccepted is a call as the record that accepted it tells it.
-func describeAccepted(owner api.ProgramID, accepted *program.Accepted) api.Call {
+// callFromAccepted is a call as the record that accepted it tells it.
+func callFromAccepted(owner api.ProgramID, accepted *program.Accepted) api.Call {
 	return api.Call{
 		Program:  owner,
 		Sequence: accepted.Sequence,
@@ -139,12 +139,12 @@
 // readRecord reads one record back from the log. A read that fails is repeated
 // until the context ends: of many reads of one history, none may fail for good.
 func (n *Node) readRecord(ctx context.Context, id partition.ID, offset uint64) (program.Record, error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstReadPause, longestReadPause
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval, delays.MaxInterval = minReadRetryDelay, maxReadRetryDelay
 	encoded, err := backoff.Retry(ctx, func() ([][]byte, error) {
 		entries, _, err := n.log.Read(ctx, id.String(), offset, 1)
 		return entries, err
-	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(delays), backoff.WithMaxElapsedTime(0))
 	if err != nil {
 		return program.Record{}, err
 	}
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -18,13 +18,13 @@
 // flakyLog holds one entry and loses the answers of the first reads.
 type flakyLog struct {
 	infra.Log
-	lost  int
-	entry []byte
+	lostAnswers int
+	entry       []byte
 }
 
 func (l *flakyLog) Read(context.Context, string, uint64, int) ([][]byte, uint64, error) {
-	if l.lost > 0 {
-		l.lost--
+	if l.lostAnswers > 0 {
+		l.lostAnswers--
 		return nil, 0, errors.New("the answer was lost")
 	}
 	return [][]byte{l.entry}, 1, nil
@@ -38,7 +38,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		entry, err := json.Marshal(recordlog.Entry{Kind: recordlog.KindRecord, Payload: payload})
 		Expect(err).NotTo(HaveOccurred())
-		reader := &Node{log: &flakyLog{lost: 3, entry: entry}}
+		reader := &Node{log: &flakyLog{lostAnswers: 3, entry: entry}}
 		calls, err := reader.readCalls(context.Background(), partition.ID{}, "a", []program.CallLocation{{Sequence: 1, Status: api.StatusRunning}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(calls).To(HaveLen(1))
--- a/node/loop.go
+++ b/node/loop.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// eventQueue is how many events may wait for the control goroutine.
-	eventQueue = 8192
-	// eventBatch bounds the events taken before their actions are performed.
-	eventBatch = 256
-	// longestSleep bounds the time between two steps.
-	longestSleep = time.Second
+	// eventQueueLength is how many events may wait for the control goroutine.
+	eventQueueLength = 8192
+	// maxEventBatch bounds the events taken before their actions are performed.
+	maxEventBatch = 256
+	// maxSleep bounds the time between two steps.
+	maxSleep = time.Second
 )
 
 // run is the control goroutine. It alone touches the core: it takes events,
@@ -50,7 +50,7 @@
 }
 
 func (n *Node) drainEvents() {
-	for range eventBatch {
+	for range maxEventBatch {
 		select {
 		case event := <-n.events:
 			n.step(event)
@@ -63,7 +63,7 @@
 // untilWake returns how long the control goroutine may sleep. It counts from
 // the last step, so that inspections, however frequent, do not put off a tick.
 func (n *Node) untilWake() time.Duration {
-	wake := n.lastStep.Add(longestSleep)
+	wake := n.lastStep.Add(maxSleep)
 	if next := n.core.NextWake(); !next.IsZero() && next.Before(wake) {
 		wake = next
 	}
@@ -88,10 +88,10 @@
 
 // inspect runs a function on the control goroutine and waits for it. It
 // reports false when the node has stopped.
-func (n *Node) inspect(look func(*control.Core)) bool {
+func (n *Node) inspect(fn func(*control.Core)) bool {
 	done := make(chan struct{})
 	select {
-	case n.inspections <- func(core *control.Core) { look(core); close(done) }:
+	case n.inspections <- func(core *control.Core) { fn(core); close(done) }:
 	case <-n.loopDone:
 		return false
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -88,7 +88,7 @@
 	attempts    *attemptTable
 	streams     *streamTable
 	transcripts *transcripts
-	waiting     *waitingTable
+	pending     *pendingTable
 	verdicts    *verdictTable
 	tree        atomic.Pointer[contract.Tree]
 	routing     atomic.Pointer[control.Routing]
@@ -113,13 +113,13 @@
 		logger:      dependencies.Logger,
 		context:     ctx,
 		cancel:      cancel,
-		events:      make(chan control.Event, eventQueue),
+		events:      make(chan control.Event, eventQueueLength),
 		inspections: make(chan func(*control.Core)),
 		loopDone:    make(chan struct{}),
 		handedOver:  make(chan struct{}),
 		attempts:    newAttemptTable(),
 		streams:     newStreamTable(),
-		waiting:     newWaitingTable(),
+		pending:     newPendingTable(),
 		verdicts:    newVerdictTable(),
 	}
 	node.transcripts = newTranscripts(config.TranscriptBytes, node.readCalls)
--- a/node/operator.go
+++ b/node/operator.go
@@ -18,8 +18,8 @@
 // errStopped answers operators of a node whose control goroutine has ended.
 var errStopped = errors.New("the node has stopped")
 
-// look runs a function on the control goroutine, for operators.
-func (n *Node) look(inspect func(*control.Core)) error {
+// query runs a function on the control goroutine, for operators.
+func (n *Node) query(inspect func(*control.Core)) error {
 	if !n.inspect(inspect) {
 		return Error.Wrap(errStopped)
 	}
@@ -29,7 +29,7 @@
 // Alive returns an error when the control goroutine does not answer.
 func (n *Node) Alive(ctx context.Context) error {
 	answered := make(chan error, 1)
-	go func() { answered <- n.look(func(*control.Core) {}) }()
+	go func() { answered <- n.query(func(*control.Core) {}) }()
 	select {
 	case err := <-answered:
 		return err
@@ -44,7 +44,7 @@
 // Freshness says how sure the node is of its settings.
 func (n *Node) Freshness(context.Context) (contract.Freshness, error) {
 	var freshness contract.Freshness
-	err := n.look(func(core *control.Core) { freshness = core.Freshness(time.Now()) })
+	err := n.query(func(core *control.Core) { freshness = core.Freshness(time.Now()) })
 	return freshness, err
 }
 
@@ -69,7 +69,7 @@
 // has heard.
 func (n *Node) SettingsStatus(context.Context) ([]operator.NodeSettings, error) {
 	var statuses []operator.NodeSettings
-	err := n.look(func(core *control.Core) {
+	err := n.query(func(core *control.Core) {
 		for _, known := range core.SettingsOfPeers(time.Now()) {
 			statuses = append(statuses, operator.NodeSettings(known))
 		}
@@ -80,7 +80,7 @@
 // Nodes returns the nodes that this node knows, and what it owns itself.
 func (n *Node) Nodes(context.Context) ([]operator.NodeState, error) {
 	var states []operator.NodeState
-	err := n.look(func(core *control.Core) {
+	err := n.query(func(core *control.Core) {
 		for _, known := range core.Machines() {
 			if known.Kind != machine.KindNode {
 				continue
@@ -98,7 +98,7 @@
 // Backends returns the back ends that this node knows.
 func (n *Node) Backends(context.Context) ([]machine.Machine, error) {
 	var backends []machine.Machine
-	err := n.look(func(core *control.Core) { backends = core.Backends() })
+	err := n.query(func(core *control.Core) { backends = core.Backends() })
 	return backends, err
 }
 
@@ -114,7 +114,7 @@
 	var snapshot operator.Snapshot
 	now := time.Now()
 	// A node that has stopped reports zeros.
-	_ = n.look(func(core *control.Core) {
+	_ = n.query(func(core *control.Core) {
 		for _, owned := range core.Owned() {
 			snapshot.OwnedPartitions++
 			snapshot.Programs += owned.Programs
--- a/node/orders.go
+++ b/node/orders.go
@@ -56,9 +56,9 @@
 	n.importPrefix(n.context, action.Owner, action.From.ID, action.To)
 }
 
-// importFirst has the chosen engine fetch the program's prefix, when the
+// importBeforeSend has the chosen engine fetch the program's prefix, when the
 // decision counts on it. Without it the engine computes the prompt itself.
-func (n *Node) importFirst(ctx context.Context, action control.SendAttempt) {
+func (n *Node) importBeforeSend(ctx context.Context, action control.SendAttempt) {
 	if action.ImportFrom.ID != "" {
 		n.importPrefix(ctx, action.Attempt.Program, action.ImportFrom.ID, action.Backend)
 	}
--- a/node/orders_test.go
+++ b/node/orders_test.go
@@ -15,18 +15,18 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// forgetfulLog takes every append and loses the answers of the first ones.
-type forgetfulLog struct {
+// lossyLog takes every append and loses the answers of the first ones.
+type lossyLog struct {
 	infra.Log
-	lost     int
-	appended uint64
+	lostAnswers int
+	appended    uint64
 }
 
-func (l *forgetfulLog) Append(context.Context, string, [][]byte) (uint64, error) {
+func (l *lossyLog) Append(context.Context, string, [][]byte) (uint64, error) {
 	offset := l.appended
 	l.appended++
-	if l.lost > 0 {
-		l.lost--
+	if l.lostAnswers > 0 {
+		l.lostAnswers--
 		return 0, errors.New("the answer was lost")
 	}
 	return offset, nil
@@ -35,8 +35,8 @@
 // fencedEngine takes an order only if its fence is above all it has seen.
 type fencedEngine struct {
 	engine.Client
-	highest uint64
-	taken   []engine.Order
+	highest  uint64
+	accepted []engine.Order
 }
 
 func (e *fencedEngine) Engine(machine.Machine) engine.Client { return e }
@@ -46,7 +46,7 @@
 		return errors.New("the fence is too low")
 	}
 	e.highest = order.Fence
-	e.taken = append(e.taken, order)
+	e.accepted = append(e.accepted, order)
 	return nil
 }
 
@@ -59,10 +59,10 @@
 	}
 
 	It("fences each order by its place in the log, also after a lost answer", func() {
-		logService, engines := &forgetfulLog{lost: 1}, &fencedEngine{}
+		logService, engines := &lossyLog{lostAnswers: 1}, &fencedEngine{}
 		first, second := nodeWith(logService, engines), nodeWith(logService, engines)
 		first.orderModel(control.OrderModel{Load: "birch-8b"})
 		second.orderModel(control.OrderModel{Unload: "birch-8b"})
-		Expect(engines.taken).To(Equal([]engine.Order{{Fence: 2, Load: "birch-8b"}, {Fence: 3, Unload: "birch-8b"}}))
+		Expect(engines.accepted).To(Equal([]engine.Order{{Fence: 2, Load: "birch-8b"}, {Fence: 3, Unload: "birch-8b"}}))
 	})
 })
--- a/node/owned.go
+++ b/node/owned.go
@@ -10,7 +10,7 @@
 // Owned describes the partitions that this node owns or is taking over.
 func (n *Node) Owned(context.Context) ([]control.PartitionStatus, error) {
 	var statuses []control.PartitionStatus
-	err := n.look(func(core *control.Core) { statuses = core.Owned() })
+	err := n.query(func(core *control.Core) { statuses = core.Owned() })
 	return statuses, err
 }
 
--- a/node/perform.go
+++ b/node/perform.go
@@ -52,12 +52,12 @@
 	case control.FetchHistory:
 		go n.fetchHistory(action)
 	default:
-		n.note(action)
+		n.observe(action)
 	}
 }
 
-// note takes the actions that only tell what happened.
-func (n *Node) note(action control.Action) {
+// observe takes the actions that only tell what happened.
+func (n *Node) observe(action control.Action) {
 	switch action := action.(type) {
 	case control.SettingsVerdict:
 		n.verdicts.deliver(action.Verdict)
@@ -70,7 +70,7 @@
 		n.transcripts.finish(action.Call)
 		n.metrics.CallFinished(action.Call)
 	case control.ProgramFinished:
-		n.transcripts.forget(action.Program.ID)
+		n.transcripts.evict(action.Program.ID)
 		n.metrics.ProgramFinished(action.Program, action.EndedAt.Sub(action.CreatedAt))
 	case control.PartitionChanged:
 		n.partitionChanged(action)
@@ -88,7 +88,7 @@
 		return
 	}
 	n.streams.closePartition(action.Partition)
-	n.transcripts.forgetPartition(action.Partition)
+	n.transcripts.evictPartition(action.Partition)
 	n.logger.Info().Str("partition", action.Partition.String()).Msg("partition: given up")
 }
 
--- a/node/ready.go
+++ b/node/ready.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/control"
 )
 
-// readyPoll is how often AwaitReady looks.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is how often AwaitReady looks.
+const readyPollInterval = 20 * time.Millisecond
 
 // NotReady lists why callers should not be sent to this node yet.
 func (n *Node) NotReady(context.Context) []string {
@@ -22,7 +22,7 @@
 
 // AwaitReady waits until the node may serve callers.
 func (n *Node) AwaitReady(ctx context.Context) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for len(n.NotReady(ctx)) > 0 {
 		select {
--- a/node/resume.go
+++ b/node/resume.go
@@ -27,27 +27,27 @@
 // would compute the prompt again and hold two engines. When the stream cannot
 // be resumed, the error of the first cut is returned: the request was sent.
 func (n *Node) generate(ctx context.Context, client engine.Client, request engine.GenerateRequest, answer *modelAnswer) error {
-	cut := n.generateOnce(ctx, client, request, answer)
+	firstErr := n.generateOnce(ctx, client, request, answer)
 	for _, delay := range resumeDelays {
-		if cut == nil || !resumable(cut) || !wait.For(ctx, delay) {
-			return cut
+		if firstErr == nil || !resumable(firstErr) || !wait.For(ctx, delay) {
+			return firstErr
 		}
 		request.ResumeFrom = answer.text.Len()
-		again := n.generateOnce(ctx, client, request, answer)
-		if again == nil {
+		resumeErr := n.generateOnce(ctx, client, request, answer)
+		if resumeErr == nil {
 			return nil
 		}
-		if !resumable(again) {
-			return cut
+		if !resumable(resumeErr) {
+			return firstErr
 		}
 	}
-	return cut
+	return firstErr
 }
 
 func (n *Node) generateOnce(ctx context.Context, client engine.Client, request engine.GenerateRequest, answer *modelAnswer) error {
 	err := client.Generate(ctx, request, answer.receive)
 	if err == nil && answer.last == nil {
-		return errCutShort
+		return errIncompleteAnswer
 	}
 	return err
 }
@@ -60,6 +60,6 @@
 	if errors.As(err, &notSent) || errors.As(err, &failed) {
 		return false
 	}
-	givenUp := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
-	return !givenUp && !errors.Is(err, httpclient.ErrSilent)
+	contextEnded := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
+	return !contextEnded && !errors.Is(err, httpclient.ErrUnresponsive)
 }
--- a/node/resume_test.go
+++ b/node/resume_test.go
@@ -19,24 +19,24 @@
 // wholeAnswer is what the cutting engine generates.
 const wholeAnswer = "the seal of pallet seven is whole"
 
-// cuttingEngine cuts its stream after some bytes, as often as cuts says, and
+// interruptedEngine cuts its stream after some bytes, as often as cuts says, and
 // afterwards fails with the error, if there is one.
-type cuttingEngine struct {
+type interruptedEngine struct {
 	engine.Client
-	cuts     int
-	after    error
-	requests []engine.GenerateRequest
+	interruptions int
+	finalErr      error
+	requests      []engine.GenerateRequest
 }
 
-func (e *cuttingEngine) Engine(machine.Machine) engine.Client { return e }
+func (e *interruptedEngine) Engine(machine.Machine) engine.Client { return e }
 
-func (e *cuttingEngine) Generate(_ context.Context, request engine.GenerateRequest, receive func(engine.Chunk) error) error {
+func (e *interruptedEngine) Generate(_ context.Context, request engine.GenerateRequest, receive func(engine.Chunk) error) error {
 	e.requests = append(e.requests, request)
-	if len(e.requests) > e.cuts && e.after != nil {
-		return e.after
+	if len(e.requests) > e.interruptions && e.finalErr != nil {
+		return e.finalErr
 	}
 	rest := wholeAnswer[request.ResumeFrom:]
-	if len(e.requests) <= e.cuts {
+	if len(e.requests) <= e.interruptions {
 		_ = receive(engine.Chunk{Offset: request.ResumeFrom, Text: rest[:5]})
 		return errors.New("the connection was reset")
 	}
@@ -44,7 +44,7 @@
 }
 
 var _ = Describe("A model call whose stream is cut", func() {
-	run := func(engines *cuttingEngine) control.AttemptEnded {
+	run := func(engines *interruptedEngine) control.AttemptEnded {
 		node := &Node{engines: engines, metrics: operator.NewMetrics(), transcripts: newTranscripts(1, nil)}
 		attempt := program.AttemptRef{CallRef: program.CallRef{Program: "demo.0.00000000000000aa", Sequence: 1}, Attempt: 1}
 		buffer := stream.NewBuffer()
@@ -55,7 +55,7 @@
 	}
 
 	It("goes on by its name from where it ended", func() {
-		engines := &cuttingEngine{cuts: 2}
+		engines := &interruptedEngine{interruptions: 2}
 		ended := run(engines)
 		Expect(ended.Outcome.Status).To(Equal(api.StatusSucceeded), "%+v", ended.Outcome.Error)
 		Expect(ended.Outcome.Output).To(Equal(wholeAnswer))
@@ -65,7 +65,7 @@
 	})
 
 	It("ends as failed, not as unsent, when the engine is gone meanwhile", func() {
-		engines := &cuttingEngine{cuts: 1, after: &engine.NotSentError{Cause: errors.New("refused")}}
+		engines := &interruptedEngine{interruptions: 1, finalErr: &engine.NotSentError{Cause: errors.New("refused")}}
 		ended := run(engines)
 		Expect(ended.Outcome.Status).To(Equal(api.StatusFailed))
 		Expect(engines.requests).To(HaveLen(2))
--- a/node/service.go
+++ b/node/service.go
@@ -22,7 +22,7 @@
 func (n *Node) Caller(token string) (contract.Path, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
-		return "", withoutSettings()
+		return "", noSettingsError()
 	}
 	scope, known := tree.Caller(contract.HashToken(token))
 	if !known {
@@ -31,8 +31,8 @@
 	return scope, nil
 }
 
-// withoutSettings refuses what a node that has just started cannot decide.
-func withoutSettings() *api.Error {
+// noSettingsError refuses what a node that has just started cannot decide.
+func noSettingsError() *api.Error {
 	refusal := api.Refuse(api.CodeSettingsStale, "this node has just started and has no settings yet")
 	return refusal.After(ownerRetryMilliseconds)
 }
@@ -41,7 +41,7 @@
 func (n *Node) NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
-		return "", withoutSettings()
+		return "", noSettingsError()
 	}
 	resolved, err := tree.Resolve(branch)
 	if err != nil {
@@ -72,24 +72,24 @@
 
 // Do performs the request on the control goroutine and waits for the reply.
 func (n *Node) Do(ctx context.Context, request control.Request) control.Reply {
-	handle, replies := n.waiting.open(request)
+	handle, replies := n.pending.open(request)
 	n.post(control.RequestReceived{Handle: handle, Request: request})
 	select {
 	case reply := <-replies:
 		return reply
 	case <-ctx.Done():
-		n.waiting.close(handle)
+		n.pending.close(handle)
 		n.post(control.RequestAbandoned{Handle: handle})
-		return control.Reply{Error: gaveUp(ctx.Err())}
+		return control.Reply{Error: noReplyError(ctx.Err())}
 	case <-n.loopDone:
-		n.waiting.close(handle)
-		return control.Reply{Error: gaveUp(context.Canceled)}
+		n.pending.close(handle)
+		return control.Reply{Error: noReplyError(context.Canceled)}
 	}
 }
 
-// gaveUp is the answer when waiting ends before the reply comes. The request
+// noReplyError is the answer when waiting ends before the reply comes. The request
 // may have been recorded; its key tells.
-func gaveUp(err error) *api.Error {
+func noReplyError(err error) *api.Error {
 	refusal := &api.Error{Code: codeOf(err), Message: "the reply did not come in time", Ran: api.RanOutcomeUnknown}
 	return refusal.After(0)
 }
@@ -100,46 +100,46 @@
 // PeerToken authenticates nodes to each other.
 func (n *Node) PeerToken() string { return n.config.PeerToken }
 
-// waitingRequest is a request whose reply has not come.
-type waitingRequest struct {
+// pendingRequest is a request whose reply has not come.
+type pendingRequest struct {
 	request control.Request
 	replies chan control.Reply
 }
 
-// waitingTable matches replies to the requests that wait for them.
-type waitingTable struct {
+// pendingTable matches replies to the requests that wait for them.
+type pendingTable struct {
 	mutex    sync.Mutex
 	last     uint64
-	requests map[uint64]waitingRequest
+	requests map[uint64]pendingRequest
 }
 
-func newWaitingTable() *waitingTable {
-	return &waitingTable{requests: make(map[uint64]waitingRequest)}
+func newPendingTable() *pendingTable {
+	return &pendingTable{requests: make(map[uint64]pendingRequest)}
 }
 
-func (t *waitingTable) open(request control.Request) (uint64, <-chan control.Reply) {
+func (t *pendingTable) open(request control.Request) (uint64, <-chan control.Reply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.last++
 	replies := make(chan control.Reply, 1)
-	t.requests[t.last] = waitingRequest{request: request, replies: replies}
+	t.requests[t.last] = pendingRequest{request: request, replies: replies}
 	return t.last, replies
 }
 
 // close forgets a request and returns it, if it still waited.
-func (t *waitingTable) close(handle uint64) (waitingRequest, bool) {
+func (t *pendingTable) close(handle uint64) (pendingRequest, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	waiting, ok := t.requests[handle]
+	pending, ok := t.requests[handle]
 	delete(t.requests, handle)
-	return waiting, ok
+	return pending, ok
 }
 
 // answer gives a reply to the request that waits for it. A call that has not
 // ended gets its buffer here, before the action that finishes it, so that a
 // caller can attach as soon as it knows the call.
 func (n *Node) answer(action control.Answer) {
-	waiting, ok := n.waiting.close(action.Handle)
+	pending, ok := n.pending.close(action.Handle)
 	if !ok {
 		return
 	}
@@ -150,5 +150,5 @@
 	if action.Reply.Error != nil {
 		n.metrics.Refused(action.Reply.Error)
 	}
-	waiting.replies <- action.Reply
+	pending.replies <- action.Reply
 }
--- a/node/settings.go
+++ b/node/settings.go
@@ -13,8 +13,8 @@
 // settingsPath is where a node gives its peers the settings that it holds.
 const settingsPath = "/internal/v1/settings"
 
-// maximumSettings bounds a copy of the settings, in bytes.
-const maximumSettings = 64 << 20
+// maxSettingsBytes bounds a copy of the settings, in bytes.
+const maxSettingsBytes = 64 << 20
 
 // fetchSettings gets the settings that a peer holds.
 func (n *Node) fetchSettings(action control.FetchSettings) {
@@ -25,7 +25,7 @@
 		Token:            n.config.PeerToken,
 		Zone:             string(n.config.Control.Self.Zone),
 		Timeout:          n.config.StoreTimeout,
-		MaxResponseBytes: maximumSettings,
+		MaxResponseBytes: maxSettingsBytes,
 	})
 	defer client.Close()
 	var data json.RawMessage
--- a/node/streams.go
+++ b/node/streams.go
@@ -57,7 +57,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for call, buffer := range t.buffers {
-		if of, err := partition.OfProgram(call.Program); err == nil && of == id {
+		if programPartition, err := partition.OfProgram(call.Program); err == nil && programPartition == id {
 			buffer.Close()
 			delete(t.buffers, call)
 		}
--- a/node/transcripts.go
+++ b/node/transcripts.go
@@ -96,9 +96,9 @@
 	t.running[call.Program] = runningCall{sequence: call.Sequence, text: text, calls: calls}
 }
 
-// beginKnown is begin for a call that needs no prompt: it notes the call only
+// beginIfCached is begin for a call that needs no prompt: it notes the call only
 // if the history before it is known without a read.
-func (t *transcripts) beginKnown(call program.CallRef, input string, locations []program.CallLocation) {
+func (t *transcripts) beginIfCached(call program.CallRef, input string, locations []program.CallLocation) {
 	known := ""
 	if len(locations) > 0 {
 		cached, missing := t.lookUp(call.Program, locations)
@@ -143,41 +143,41 @@
 func (t *transcripts) store(entry *transcript) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.drop(entry.program)
+	t.removeLocked(entry.program)
 	t.entries[entry.program] = t.order.PushFront(entry)
 	t.size += len(entry.text)
 	for t.size > t.limit && t.order.Len() > 0 {
-		t.drop(t.order.Back().Value.(*transcript).program)
+		t.removeLocked(t.order.Back().Value.(*transcript).program)
 	}
 }
 
-// forget drops a program that is gone.
-func (t *transcripts) forget(owner api.ProgramID) {
+// evict drops a program that is gone.
+func (t *transcripts) evict(owner api.ProgramID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.drop(owner)
+	t.removeLocked(owner)
 	delete(t.running, owner)
 }
 
-// forgetPartition drops every program of a partition that was given up: its
+// evictPartition drops every program of a partition that was given up: its
 // next owner may record another history.
-func (t *transcripts) forgetPartition(id partition.ID) {
+func (t *transcripts) evictPartition(id partition.ID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for owner := range t.entries {
-		if of, err := partition.OfProgram(owner); err == nil && of == id {
-			t.drop(owner)
+		if programPartition, err := partition.OfProgram(owner); err == nil && programPartition == id {
+			t.removeLocked(owner)
 		}
 	}
 	for owner := range t.running {
-		if of, err := partition.OfProgram(owner); err == nil && of == id {
+		if programPartition, err := partition.OfProgram(owner); err == nil && programPartition == id {
 			delete(t.running, owner)
 		}
 	}
 }
 
-// drop removes an entry. The mutex is held.
-func (t *transcripts) drop(owner api.ProgramID) {
+// removeLocked removes an entry. The mutex is held.
+func (t *transcripts) removeLocked(owner api.ProgramID) {
 	element, ok := t.entries[owner]
 	if !ok {
 		return
--- a/node/wire.go
+++ b/node/wire.go
@@ -38,7 +38,7 @@
 		newEngines,
 		newTools,
 		newTransport,
-		newCommander,
+		newManagedEngines,
 		newPolicy,
 		newControlConfig,
 		operator.NewMetrics,
@@ -99,25 +99,25 @@
 	return linkhttp.New(settings)
 }
 
-// commander tells the scheduler which engines its node commands. The node is
+// managedEngines tells the scheduler which engines its node commands. The node is
 // built after the scheduler and is filled in by newNode.
-type commander struct{ node *Node }
+type managedEngines struct{ node *Node }
 
-func newCommander() *commander { return &commander{} }
+func newManagedEngines() *managedEngines { return &managedEngines{} }
 
-// commands runs on the control goroutine, as the scheduler does.
-func (c *commander) commands(id machine.ID) bool { return c.node != nil && c.node.core.Attends(id) }
+// managed runs on the control goroutine, as the scheduler does.
+func (c *managedEngines) managed(id machine.ID) bool { return c.node != nil && c.node.core.Attends(id) }
 
 // newNode builds the node and makes it known to its scheduler.
-func newNode(settings Config, dependencies Dependencies, commands *commander) (*Node, error) {
+func newNode(settings Config, dependencies Dependencies, managed *managedEngines) (*Node, error) {
 	node, err := New(settings, dependencies)
-	commands.node = node
+	managed.node = node
 	return node, err
 }
 
-func newPolicy(file *config.File, random *rand.Rand, commands *commander) (schedule.Policy, error) {
+func newPolicy(file *config.File, random *rand.Rand, managed *managedEngines) (schedule.Policy, error) {
 	settings := schedule.DefaultConfig()
-	settings.ManagesEngine = commands.commands
+	settings.ManagesEngine = managed.managed
 	settings.Self = file.Node.Zone
 	settings.Random = random
 	settings.LinkDelay = func(to zone.Name) time.Duration { return file.Links.Delay(file.Node.Zone, to) }
@@ -164,9 +164,9 @@
 	}
 }
 
-// transcriptBytes bounds the cache of program histories. Half of a node's
+// maxTranscriptBytes bounds the cache of program histories. Half of a node's
 // memory budget of 256 MB is left to everything else.
-const transcriptBytes = 64 << 20
+const maxTranscriptBytes = 64 << 20
 
 func newConfig(file *config.File, settings control.Config) Config {
 	return Config{
@@ -174,14 +174,14 @@
 		PeerToken:       file.PeerToken,
 		StoreTimeout:    file.Timings.LogTimeout,
 		BackendTimeout:  backendTimeout,
-		TranscriptBytes: transcriptBytes,
+		TranscriptBytes: maxTranscriptBytes,
 	}
 }
 
-// keptRefusals is how many refusals a node keeps to explain.
-const keptRefusals = 4096
+// refusalLogSize is how many refusals a node keeps to explain.
+const refusalLogSize = 4096
 
-func newRefusals() *operator.RefusalLog { return operator.NewRefusalLog(keptRefusals) }
+func newRefusals() *operator.RefusalLog { return operator.NewRefusalLog(refusalLogSize) }
 
 func newOperator(
 	file *config.File, node *Node, callers *gateway.Gateway, transport *linkhttp.Transport,
