--- a/node/attempts.go
+++ b/node/attempts.go
@@ -16,7 +16,7 @@
 	"birchwood.example/birchwood/tool"
 )
 
-// attemptTable knows how to cancel each attempt that runs on this node.
+// attemptTable holds the cancel function of each attempt that runs on this node.
 type attemptTable struct {
 	mutex   sync.Mutex
 	cancels map[program.AttemptRef]context.CancelFunc
@@ -32,7 +32,7 @@
 	t.cancels[attempt] = cancel
 }
 
-// cancel stops an attempt; one that has ended already is left alone.
+// cancel stops an attempt. It does nothing if the attempt has already ended.
 func (t *attemptTable) cancel(attempt program.AttemptRef) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// startAttempt runs an attempt on a goroutine of its own and posts its
-// outcome, whatever happens, once.
+// startAttempt runs an attempt on its own goroutine and posts its outcome
+// exactly once, also after a failure.
 func (n *Node) startAttempt(action control.SendAttempt) {
 	ctx, cancel := context.WithCancel(n.context)
 	if !action.Deadline.IsZero() {
@@ -61,8 +61,8 @@
 	n.attempts.add(action.Attempt, cancel)
 	run := n.runTool
 	if action.Call.Kind == api.CallModel {
-		// The buffer is made here, on the control goroutine, so that it is
-		// made before the action that finishes the call.
+		// The buffer is created here, on the control goroutine, so that it
+		// exists before the action that finishes the call.
 		buffer := n.streams.ensure(action.Attempt.CallRef)
 		buffer.Restart(action.Attempt.Attempt)
 		run = func(ctx context.Context, action control.SendAttempt) control.AttemptEnded {
@@ -75,8 +75,8 @@
 	}()
 }
 
-// runTool sends one tool call. Anything but the service's own word leaves the
-// outcome unknown, unless nothing was sent.
+// runTool sends one tool call. The outcome is known only if the service
+// reported it or nothing was sent; any other error leaves it unknown.
 func (n *Node) runTool(ctx context.Context, action control.SendAttempt) control.AttemptEnded {
 	n.transcripts.beginIfCached(action.Attempt.CallRef, action.Call.Input, action.Prompt)
 	request := tool.Request{Key: action.Key, Tool: action.Call.Tool, Input: action.Call.Input}
@@ -91,8 +91,8 @@
 	return ended
 }
 
-// classify turns an error of a back end into a status and what callers see.
-// otherwise is the status when the error leaves the outcome open.
+// classify maps a back end's error to a call status and the error that callers
+// see. otherwise is the status for errors that do not determine the outcome.
 func classify(err error, otherwise api.CallStatus) (api.CallStatus, *api.Error) {
 	var notSent *engine.NotSentError
 	if errors.As(err, &notSent) {
@@ -120,11 +120,12 @@
 	}
 }
 
-// errIncompleteAnswer marks an answer that ended before the engine said it was whole.
+// errIncompleteAnswer reports an answer that ended without the engine's final
+// chunk.
 var errIncompleteAnswer = errors.New("the engine's answer was cut short")
 
-// runModel sends one model call and passes its tokens to the readers as they
-// come. The attempt succeeds only if the answer is whole.
+// runModel sends one model call and streams its tokens to the readers. The
+// attempt succeeds only if the answer is complete.
 func (n *Node) runModel(ctx context.Context, action control.SendAttempt, buffer *stream.Buffer) control.AttemptEnded {
 	ended := control.AttemptEnded{Backend: action.Backend.ID, Outcome: program.Outcome{Attempt: action.Attempt, Epoch: action.Epoch}}
 	prompt, err := n.transcripts.prompt(ctx, action.Partition, action.Attempt.CallRef, action.Call.Input, action.Prompt)
@@ -172,7 +173,8 @@
 	last    *engine.Chunk
 }
 
-// receive takes one chunk. A gap means that the answer cannot be whole.
+// receive adds one chunk. It fails on a gap between chunks, because the answer
+// would be incomplete.
 func (a *modelAnswer) receive(chunk engine.Chunk) error {
 	if chunk.Error != "" {
 		return &answerError{chunk.Error}
--- a/node/history.go
+++ b/node/history.go
@@ -15,16 +15,17 @@
 	"birchwood.example/birchwood/program"
 )
 
-// The pauses before a read of the log is repeated.
+// Bounds of the exponential backoff between reads of a log record.
 const (
 	minReadRetryDelay = 20 * time.Millisecond
 	maxReadRetryDelay = 500 * time.Millisecond
 )
 
-// maxConcurrentReads bounds how many records of one request are read at once.
+// maxConcurrentReads bounds how many calls of one request are read
+// concurrently.
 const maxConcurrentReads = 16
 
-// fetchHistory reads calls back from the log and replies with them.
+// fetchHistory reads calls from the log and replies with them.
 func (n *Node) fetchHistory(action control.FetchHistory) {
 	ctx, cancel := context.WithTimeout(n.context, n.config.StoreTimeout)
 	defer cancel()
@@ -36,7 +37,7 @@
 	if err != nil {
 		refusal := api.Refuse(api.CodeStoreUnavailable, "the history cannot be read back now: %v", err)
 		if action.Single {
-			// The call that cannot be shown has run.
+			// The call has ended; only its outcome cannot be read now.
 			refusal.Ran = api.RanOutcomeUnknown
 		}
 		return control.Reply{Error: refusal.After(storeRetryMilliseconds)}
@@ -47,10 +48,12 @@
 	return control.Reply{History: &api.History{Program: action.Program, Calls: calls, Next: action.Next}}
 }
 
-// storeRetryMilliseconds is when to ask again while the log cannot be read.
+// storeRetryMilliseconds is the retry-after delay of a caller while the log
+// cannot be read.
 const storeRetryMilliseconds = 1000
 
-// readCalls reads the located calls, a few at a time, in their order.
+// readCalls reads the calls at the given locations, at most maxConcurrentReads
+// at a time, and returns them in order.
 func (n *Node) readCalls(ctx context.Context, id partition.ID, owner api.ProgramID, locations []program.CallLocation) ([]api.Call, error) {
 	calls := make([]api.Call, len(locations))
 	failures := make([]error, len(locations))
@@ -72,8 +75,8 @@
 	return calls, nil
 }
 
-// readCall puts a call together from the record that accepted it and the one
-// that ended it, if it has ended.
+// readCall assembles a call from the record that accepted it and, if it has
+// ended, the record of its end.
 func (n *Node) readCall(ctx context.Context, id partition.ID, owner api.ProgramID, location program.CallLocation) (api.Call, error) {
 	accepted, err := n.readAccepted(ctx, id, owner, location)
 	if err != nil {
@@ -120,12 +123,13 @@
 	return record.Ended, nil
 }
 
-// wrongRecordError says that an offset holds something else than the index has it.
+// wrongRecordError reports that an offset does not hold the record that the
+// index has for it.
 func wrongRecordError(id partition.ID, owner api.ProgramID, sequence, offset uint64) error {
 	return fmt.Errorf("offset %d of partition %s does not hold call %d of program %s", offset, id, sequence, owner)
 }
 
-// callFromAccepted is a call as the record that accepted it tells it.
+// callFromAccepted returns the call described by the record that accepted it.
 func callFromAccepted(owner api.ProgramID, accepted *program.Accepted) api.Call {
 	return api.Call{
 		Program:  owner,
@@ -136,8 +140,8 @@
 	}
 }
 
-// readRecord reads one record back from the log. A read that fails is repeated
-// until the context ends: of many reads of one history, none may fail for good.
+// readRecord reads one record from the log. It retries until the context ends,
+// because one failed read would fail the whole history.
 func (n *Node) readRecord(ctx context.Context, id partition.ID, offset uint64) (program.Record, error) {
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval, delays.MaxInterval = minReadRetryDelay, maxReadRetryDelay
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -15,7 +15,7 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// flakyLog holds one entry and loses the answers of the first reads.
+// flakyLog holds one entry. The first reads fail as if their answers were lost.
 type flakyLog struct {
 	infra.Log
 	lostAnswers int
--- a/node/loop.go
+++ b/node/loop.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// eventQueueLength is how many events may wait for the control goroutine.
+	// eventQueueLength is the number of events that may be queued for the
+	// control goroutine.
 	eventQueueLength = 8192
-	// maxEventBatch bounds the events taken before their actions are performed.
+	// maxEventBatch bounds the events processed before their actions are
+	// performed.
 	maxEventBatch = 256
-	// maxSleep bounds the time between two steps.
+	// maxSleep is the longest time between two steps.
 	maxSleep = time.Second
 )
 
-// run is the control goroutine. It alone touches the core: it takes events,
-// steps the core, and starts the actions on other goroutines.
+// run is the control goroutine, the only one that accesses the core. It feeds
+// events to the core and performs the resulting actions.
 func (n *Node) run(ctx context.Context) {
 	defer close(n.loopDone)
 	n.step(control.Tick{})
@@ -41,7 +43,8 @@
 	}
 }
 
-// step measures the control time, which has a budget on every node.
+// step passes an event to the core and records the time taken, since each node
+// has a budget for control time.
 func (n *Node) step(event control.Event) {
 	started := time.Now()
 	n.core.Step(started, event)
@@ -60,8 +63,8 @@
 	}
 }
 
-// untilWake returns how long the control goroutine may sleep. It counts from
-// the last step, so that inspections, however frequent, do not put off a tick.
+// untilWake returns how long the control goroutine may sleep. The time counts
+// from the last step, so that frequent inspections do not delay a tick.
 func (n *Node) untilWake() time.Duration {
 	wake := n.lastStep.Add(maxSleep)
 	if next := n.core.NextWake(); !next.IsZero() && next.Before(wake) {
@@ -77,8 +80,8 @@
 	n.publishRouting()
 }
 
-// post hands an event to the control goroutine. It gives up when the node has
-// stopped.
+// post queues an event for the control goroutine. It drops the event when the
+// node has stopped.
 func (n *Node) post(event control.Event) {
 	select {
 	case n.events <- event:
@@ -86,8 +89,8 @@
 	}
 }
 
-// inspect runs a function on the control goroutine and waits for it. It
-// reports false when the node has stopped.
+// inspect runs a function on the control goroutine and waits for it to return.
+// It returns false if the node has stopped.
 func (n *Node) inspect(fn func(*control.Core)) bool {
 	done := make(chan struct{})
 	select {
--- a/node/node.go
+++ b/node/node.go
@@ -26,7 +26,7 @@
 	Send(to machine.Machine, message link.Message) error
 }
 
-// Metrics is what a Node measures.
+// Metrics records the measurements of a Node.
 type Metrics interface {
 	ControlStep(time.Duration)
 	StoreAppend(time.Duration, error)
@@ -51,7 +51,7 @@
 	TranscriptBytes int
 }
 
-// Dependencies are the parts that a Node works with.
+// Dependencies are the services and clients that a Node uses.
 type Dependencies struct {
 	Log       infra.Log
 	Machines  infra.MachineList
@@ -62,8 +62,9 @@
 	Logger    *log.Logger
 }
 
-// Node drives one Core: it feeds the core events, performs its actions, and
-// serves the gateway. Its exported methods are safe for concurrent use.
+// Node runs one Core: it passes events to the core, performs the core's actions
+// and implements gateway.Service. Its exported methods are safe for concurrent
+// use.
 type Node struct {
 	config    Config
 	core      *control.Core
@@ -75,14 +76,16 @@
 	metrics   Metrics
 	logger    *log.Logger
 
-	// context ends when the node stops; every goroutine works under it.
+	// context ends when the node stops. The node's goroutines run under it.
 	context     context.Context
 	cancel      context.CancelFunc
 	events      chan control.Event
 	inspections chan func(*control.Core)
 	loopDone    chan struct{}
-	// lastStep is when the core was stepped last; the control goroutine owns it.
-	lastStep   time.Time
+	// lastStep is the time of the core's last step. Only the control goroutine
+	// accesses it.
+	lastStep time.Time
+	// handedOver is closed when the planned stop is complete.
 	handedOver chan struct{}
 
 	attempts    *attemptTable
@@ -94,7 +97,7 @@
 	routing     atomic.Pointer[control.Routing]
 }
 
-// New returns a node that does nothing until Start.
+// New returns a node that is idle until Start.
 func New(config Config, dependencies Dependencies) (*Node, error) {
 	core, err := control.New(config.Control)
 	if err != nil {
@@ -128,12 +131,12 @@
 	return node, nil
 }
 
-// Start begins the control goroutine.
+// Start starts the control goroutine.
 func (n *Node) Start() {
 	go n.run(n.context)
 }
 
-// Receive takes a control message from a peer.
+// Receive handles a control message from a peer.
 func (n *Node) Receive(message link.Message) {
 	n.post(control.MessageReceived{Message: message})
 }
@@ -152,19 +155,19 @@
 	}
 }
 
-// Close ends every goroutine of the node and takes its entry off the machine
-// list.
+// Close removes the node's entry from the machine list and ends the node's
+// goroutines. It waits for the control goroutine only.
 func (n *Node) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), n.config.StoreTimeout)
 	defer cancel()
 	if err := n.machines.Withdraw(ctx, n.config.Control.Self.ID); err != nil {
-		n.logger.Warn().Err(err).Msg("machines: the list did not remove this node's entry")
+		n.logger.Warn().Err(err).Msg("machines: removing this node's entry from the list failed")
 	}
 	n.cancel()
 	<-n.loopDone
 }
 
-// publishRouting makes the present routing visible to the gateway.
+// publishRouting makes the current routing available to the gateway.
 func (n *Node) publishRouting() {
 	if n.core.RoutingChanged() {
 		n.routing.Store(n.core.Routing())
--- a/node/operator.go
+++ b/node/operator.go
@@ -15,10 +15,11 @@
 	"birchwood.example/birchwood/operator"
 )
 
-// errStopped answers operators of a node whose control goroutine has ended.
+// errStopped is returned to operators when the control goroutine has ended.
 var errStopped = errors.New("the node has stopped")
 
-// query runs a function on the control goroutine, for operators.
+// query runs a function on the control goroutine. It returns an error if the
+// node has stopped.
 func (n *Node) query(inspect func(*control.Core)) error {
 	if !n.inspect(inspect) {
 		return Error.Wrap(errStopped)
@@ -26,7 +27,8 @@
 	return nil
 }
 
-// Alive returns an error when the control goroutine does not answer.
+// Alive returns an error if the control goroutine has stopped or does not respond
+// before the context ends.
 func (n *Node) Alive(ctx context.Context) error {
 	answered := make(chan error, 1)
 	go func() { answered <- n.query(func(*control.Core) {}) }()
@@ -38,18 +40,20 @@
 	}
 }
 
-// Settings returns the tree in force on this node.
+// Settings returns the settings tree in force on this node.
 func (n *Node) Settings() *contract.Tree { return n.tree.Load() }
 
-// Freshness says how sure the node is of its settings.
+// Freshness returns how recently this node's settings were confirmed to be
+// current.
 func (n *Node) Freshness(context.Context) (contract.Freshness, error) {
 	var freshness contract.Freshness
 	err := n.query(func(core *control.Core) { freshness = core.Freshness(time.Now()) })
 	return freshness, err
 }
 
-// SettingsHistory returns the changes at the offsets from on and the offset
-// after the last record that exists. A record that is no change is left out.
+// SettingsHistory returns at most limit changes, starting at offset from, and
+// the offset after the last existing record. It skips records that are not
+// changes.
 func (n *Node) SettingsHistory(ctx context.Context, from uint64, limit int) ([]contract.Change, uint64, error) {
 	records, end, err := n.log.Read(ctx, contract.StreamName, from, limit)
 	if err != nil {
@@ -65,8 +69,8 @@
 	return changes, end, nil
 }
 
-// SettingsStatus tells which revision each node holds, as far as this node
-// has heard.
+// SettingsStatus returns the revision that each node holds according to the
+// reports that this node has received.
 func (n *Node) SettingsStatus(context.Context) ([]operator.NodeSettings, error) {
 	var statuses []operator.NodeSettings
 	err := n.query(func(core *control.Core) {
@@ -77,7 +81,8 @@
 	return statuses, err
 }
 
-// Nodes returns the nodes that this node knows, and what it owns itself.
+// Nodes returns the nodes known to this node. Only its own entry has the number
+// of owned partitions.
 func (n *Node) Nodes(context.Context) ([]operator.NodeState, error) {
 	var states []operator.NodeState
 	err := n.query(func(core *control.Core) {
@@ -95,21 +100,21 @@
 	return states, err
 }
 
-// Backends returns the back ends that this node knows.
+// Backends returns the back ends known to this node.
 func (n *Node) Backends(context.Context) ([]machine.Machine, error) {
 	var backends []machine.Machine
 	err := n.query(func(core *control.Core) { backends = core.Backends() })
 	return backends, err
 }
 
-// DrainNode begins the planned stop of a node: this one, or a peer that is
-// told by a message.
+// DrainNode begins the planned stop of this node, or sends a peer a message to
+// begin its own.
 func (n *Node) DrainNode(_ context.Context, id machine.ID) error {
 	n.post(control.DrainRequested{Node: id})
 	return nil
 }
 
-// snapshot is what a scrape of the metrics reads.
+// snapshot returns the node's state for a scrape of the metrics.
 func (n *Node) snapshot() operator.Snapshot {
 	var snapshot operator.Snapshot
 	now := time.Now()
@@ -135,9 +140,9 @@
 	return snapshot
 }
 
-// DrainBackend sends no new work to a back end any more: it adds the back end
-// to the root's drained ones. Operators who do so at the same time cannot
-// undo each other's change, so that a lost race is tried again.
+// DrainBackend stops new work from being sent to a back end by adding it to the
+// root's drained back ends. A change that conflicts with a concurrent one is
+// rejected, so that neither overwrites the other; DrainBackend then retries.
 func (n *Node) DrainBackend(ctx context.Context, id machine.ID) error {
 	for range drainAttempts {
 		tree := n.tree.Load()
@@ -160,5 +165,6 @@
 	return Error.New("back end %s was not drained: other changes of the root won %d times", id, drainAttempts)
 }
 
-// drainAttempts bounds how often DrainBackend tries again after a lost race.
+// drainAttempts is how many times DrainBackend tries in all when its changes
+// conflict with others.
 const drainAttempts = 5
--- a/node/orders_test.go
+++ b/node/orders_test.go
@@ -15,7 +15,7 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// lossyLog takes every append and loses the answers of the first ones.
+// lossyLog accepts every append and loses the answers to the first ones.
 type lossyLog struct {
 	infra.Log
 	lostAnswers int
@@ -32,7 +32,8 @@
 	return offset, nil
 }
 
-// fencedEngine takes an order only if its fence is above all it has seen.
+// fencedEngine accepts an order only if its fence is higher than all previous
+// ones.
 type fencedEngine struct {
 	engine.Client
 	highest  uint64
--- a/node/owned.go
+++ b/node/owned.go
@@ -14,7 +14,8 @@
 	return statuses, err
 }
 
-// AcceptLoss lets a partition's stalled recovery on this node go on.
+// AcceptLoss lets a partition's stalled recovery on this node continue without
+// the mirrors that have lost their records.
 func (n *Node) AcceptLoss(_ context.Context, id partition.ID) error {
 	n.post(control.LossAccepted{Partition: id})
 	return nil
--- a/node/perform.go
+++ b/node/perform.go
@@ -15,8 +15,8 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// perform starts one action. What waits for I/O runs on a goroutine of its
-// own; the rest is done here, in the order of the actions.
+// perform starts one action. Actions that wait for I/O run on their own
+// goroutine; all others are done synchronously, in order.
 func (n *Node) perform(action control.Action) {
 	switch action := action.(type) {
 	case control.AppendStream:
@@ -56,7 +56,7 @@
 	}
 }
 
-// observe takes the actions that only tell what happened.
+// observe handles the actions that only report an event of the core.
 func (n *Node) observe(action control.Action) {
 	switch action := action.(type) {
 	case control.SettingsVerdict:
@@ -75,7 +75,7 @@
 	case control.PartitionChanged:
 		n.partitionChanged(action)
 	case control.PartitionUnreadable:
-		n.logger.Error().Err(action.Err).Msg("partition: a record cannot be read, the partition stays closed")
+		n.logger.Error().Err(action.Err).Msg("partition: unreadable record, the partition stays closed")
 	case control.StopComplete:
 		n.logger.Info().Msg("control: everything is handed over")
 		close(n.handedOver)
@@ -89,7 +89,7 @@
 	}
 	n.streams.closePartition(action.Partition)
 	n.transcripts.evictPartition(action.Partition)
-	n.logger.Info().Str("partition", action.Partition.String()).Msg("partition: given up")
+	n.logger.Info().Str("partition", action.Partition.String()).Msg("partition: no longer owned")
 }
 
 func (n *Node) appendStream(action control.AppendStream) {
@@ -112,13 +112,13 @@
 func encodeEntry(entry recordlog.Entry) []byte {
 	encoded, err := json.Marshal(entry)
 	if err != nil {
-		panic("node: an entry has no JSON form: " + err.Error())
+		panic("node: encode log entry: " + err.Error())
 	}
 	return encoded
 }
 
-// decodeEntry reads an entry of a stream. Bytes that are not an entry become
-// one of no kind, which every reader skips as void.
+// decodeEntry decodes an entry of a stream. If the bytes are not an entry, it
+// returns one without a kind, which every reader skips as void.
 func decodeEntry(encoded []byte) recordlog.Entry {
 	var entry recordlog.Entry
 	if err := json.Unmarshal(encoded, &entry); err != nil {
@@ -147,7 +147,7 @@
 	defer cancel()
 	changes, end, err := n.log.Read(ctx, contract.StreamName, action.Read.From, action.Read.Maximum)
 	if err != nil {
-		n.logger.Warn().Err(err).Msg("settings: the stream was not read")
+		n.logger.Warn().Err(err).Msg("settings: reading the settings stream failed")
 	}
 	n.post(control.SettingsRead{Result: contract.ReadDone{Request: action.Read.Request, From: action.Read.From, Changes: changes, End: end, Err: err}})
 }
@@ -156,11 +156,11 @@
 	ctx, cancel := context.WithTimeout(n.context, n.config.StoreTimeout)
 	defer cancel()
 	if err := n.machines.Announce(ctx, action.Self); err != nil {
-		n.logger.Warn().Err(err).Msg("machines: the list did not take this node's entry")
+		n.logger.Warn().Err(err).Msg("machines: announcing this node in the list failed")
 	}
 	listed, err := n.machines.Machines(ctx)
 	if err != nil {
-		n.logger.Warn().Err(err).Msg("machines: the list was not had")
+		n.logger.Warn().Err(err).Msg("machines: reading the list failed")
 	}
 	n.post(control.MachinesListed{Machines: listed, Err: err})
 }
@@ -205,10 +205,10 @@
 	n.post(control.PrefixReleased{Backend: action.Backend.ID, Owner: action.Owner, Err: err})
 }
 
-// send hands a message to the transport. One that cannot be queued is lost,
-// as any message may be; the parts repeat what matters.
+// send passes a message to the transport and drops it if it cannot be queued.
+// Any message may be lost; senders repeat those that matter.
 func (n *Node) send(action control.SendMessage) {
 	if err := n.transport.Send(action.To, action.Message); err != nil {
-		n.logger.Debug().Str("peer", string(action.To.ID)).Err(err).Msg("link: a message was dropped")
+		n.logger.Debug().Str("peer", string(action.To.ID)).Err(err).Msg("link: message dropped")
 	}
 }
--- a/node/process.go
+++ b/node/process.go
@@ -16,7 +16,7 @@
 	"birchwood.example/birchwood/operator"
 )
 
-// Process is a node with its HTTP surfaces, ready to serve.
+// Process is a node with its HTTP servers, ready to serve.
 type Process struct {
 	Node      *Node
 	gateway   *gateway.Gateway
@@ -27,7 +27,7 @@
 	failed    chan error
 }
 
-// newProcess puts the callers' routes and the peers' route on one server.
+// newProcess combines the routes of callers and peers on one server.
 func newProcess(node *Node, callers *gateway.Gateway, operators *operator.Server, transport *linkhttp.Transport, logger *log.Logger) *Process {
 	server := callers.Server()
 	callerHandler := server.Handler
@@ -48,7 +48,7 @@
 	}
 }
 
-// servePeer lets only peers through.
+// servePeer calls the handler only if the request carries the peer token.
 func servePeer(ctx *fasthttp.RequestCtx, transport *linkhttp.Transport, handler fasthttp.RequestHandler) {
 	if !transport.Authorized(ctx) {
 		ctx.Error("peer token required", fasthttp.StatusUnauthorized)
@@ -57,8 +57,8 @@
 	handler(ctx)
 }
 
-// Start begins to serve callers and peers on one listener and operators on
-// the other.
+// Start starts the node and serves callers and peers on one listener and
+// operators on the other.
 func (p *Process) Start(callers, operators net.Listener) {
 	p.Node.Start()
 	go func() { p.failed <- p.callers.Serve(callers) }()
@@ -67,16 +67,16 @@
 	p.logger.Info().Str("address", operators.Addr().String()).Msg("operator: serving operators")
 }
 
-// Failed delivers the error with which serving ended.
+// Failed returns a channel that receives a server's error when it stops serving.
 func (p *Process) Failed() <-chan error { return p.failed }
 
-// Drained is closed when a planned stop, asked for by an operator or by Stop,
-// has handed everything over.
+// Drained returns a channel that is closed when a planned stop, requested by an
+// operator or by Stop, has handed over all partitions.
 func (p *Process) Drained() <-chan struct{} { return p.Node.handedOver }
 
-// Stop is the planned stop: partitions are handed over after their running
-// attempts, requests in flight are finished or relayed, and then the process
-// lets go of its listeners. Nothing is cut unless the context ends first.
+// Stop performs the planned stop: it hands partitions over after their running
+// attempts, finishes or relays requests in flight, and then closes the
+// listeners. Attempts and requests are aborted only if the context ends first.
 func (p *Process) Stop(ctx context.Context) error {
 	p.logger.Info().Msg("gateway: draining")
 	p.gateway.Drain()
@@ -89,7 +89,7 @@
 	return errors.Join(drained, finished, closed)
 }
 
-// newRandom returns a source seeded by the clock and the machine's name.
+// newRandom returns a random source seeded from the clock and the machine's ID.
 func newRandom(id machine.ID) *rand.Rand {
 	var seed uint64
 	for _, letter := range []byte(id) {
--- a/node/ready.go
+++ b/node/ready.go
@@ -7,10 +7,10 @@
 	"birchwood.example/birchwood/control"
 )
 
-// readyPollInterval is how often AwaitReady looks.
+// readyPollInterval is the interval at which AwaitReady checks NotReady.
 const readyPollInterval = 20 * time.Millisecond
 
-// NotReady lists why callers should not be sent to this node yet.
+// NotReady returns the reasons why callers should not be sent to this node yet.
 func (n *Node) NotReady(context.Context) []string {
 	var reasons []string
 	reached := n.inspect(func(core *control.Core) { reasons = core.NotReady(time.Now()) })
--- a/node/resume.go
+++ b/node/resume.go
@@ -10,22 +10,23 @@
 	"birchwood.example/birchwood/internal/wait"
 )
 
-// resumeDelays are the pauses before a cut stream is asked for again. They are
-// short beside an answer: an engine that does not come back is left to the next
-// attempt, at another engine.
+// resumeDelays are the delays before an interrupted stream is resumed. They are
+// short compared to the duration of an answer: if the engine stays unreachable,
+// the next attempt uses another engine.
 var resumeDelays = []time.Duration{100 * time.Millisecond, 400 * time.Millisecond}
 
-// answerError is a failure that the engine itself reported, or an answer that
-// cannot be whole: asking for the rest of the stream does not help.
+// answerError is a failure reported by the engine, or a gap in the answer.
+// Resuming the stream does not help in either case.
 type answerError struct{ message string }
 
 // Error describes the failure.
 func (e *answerError) Error() string { return e.message }
 
-// generate gets one answer. A stream that is cut goes on where it ended, by
-// its name: the engine has not stopped for it, and starting anew elsewhere
-// would compute the prompt again and hold two engines. When the stream cannot
-// be resumed, the error of the first cut is returned: the request was sent.
+// generate receives one answer. It resumes an interrupted stream by its name at
+// the point of the interruption, because the engine continues generating, and
+// restarting elsewhere would prefill the prompt again and occupy two engines. If
+// the stream cannot be resumed, generate returns the error of the first
+// interruption, so that the request counts as sent.
 func (n *Node) generate(ctx context.Context, client engine.Client, request engine.GenerateRequest, answer *modelAnswer) error {
 	firstErr := n.generateOnce(ctx, client, request, answer)
 	for _, delay := range resumeDelays {
@@ -52,8 +53,9 @@
 	return err
 }
 
-// resumable reports whether the engine may still hold the stream: it was sent,
-// nobody has given it up, and the engine neither failed it nor fell silent.
+// resumable reports whether the engine may still hold the stream after err: the
+// request was sent, the context has not ended, and the engine neither reported a
+// failure nor became unresponsive.
 func resumable(err error) bool {
 	var notSent *engine.NotSentError
 	var failed *answerError
--- a/node/resume_test.go
+++ b/node/resume_test.go
@@ -16,11 +16,11 @@
 	"birchwood.example/birchwood/stream"
 )
 
-// wholeAnswer is what the cutting engine generates.
+// wholeAnswer is the answer that interruptedEngine generates.
 const wholeAnswer = "the seal of pallet seven is whole"
 
-// interruptedEngine cuts its stream after some bytes, as often as cuts says, and
-// afterwards fails with the error, if there is one.
+// interruptedEngine interrupts its first streams, as many as interruptions says,
+// after five bytes. Later requests fail with finalErr, if it is set.
 type interruptedEngine struct {
 	engine.Client
 	interruptions int
--- a/node/service.go
+++ b/node/service.go
@@ -13,12 +13,10 @@
 	"birchwood.example/birchwood/stream"
 )
 
-// Node is the gateway's service.
 var _ gateway.Service = (*Node)(nil)
 
-// Caller returns the branch that a caller's bearer token is tied to.
-// The refusal of a node that has no settings yet invites a retry: it knows no
-// token at all.
+// Caller returns the branch that lists a caller's bearer token. A node without
+// settings cannot check any token, so its refusal permits a retry.
 func (n *Node) Caller(token string) (contract.Path, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
@@ -31,13 +29,15 @@
 	return scope, nil
 }
 
-// noSettingsError refuses what a node that has just started cannot decide.
+// noSettingsError refuses a request that cannot be decided because the node has
+// just started and has no settings.
 func noSettingsError() *api.Error {
 	refusal := api.Refuse(api.CodeSettingsStale, "this node has just started and has no settings yet")
 	return refusal.After(ownerRetryMilliseconds)
 }
 
-// NewProgram returns the id that a branch and key always name.
+// NewProgram returns the program ID for a branch and key. The same branch and
+// key always give the same ID.
 func (n *Node) NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
@@ -53,7 +53,7 @@
 	return partition.NewProgramID(string(branch), n.config.Control.PartitionsPerBranch, key), nil
 }
 
-// Route finds the node that owns a program's partition.
+// Route returns the node that owns a program's partition.
 func (n *Node) Route(id api.ProgramID) (gateway.Route, *api.Error) {
 	partitionID, err := partition.OfProgram(id)
 	if err != nil {
@@ -67,10 +67,11 @@
 	return gateway.Route{Local: owner.ID == n.config.Control.Self.ID, Owner: owner.ID, Address: owner.Address}, nil
 }
 
-// ownerRetryMilliseconds is when to ask again while no owner is known.
+// ownerRetryMilliseconds is the retry-after delay of a caller while no owner is
+// known or the node has no settings.
 const ownerRetryMilliseconds = 1000
 
-// Do performs the request on the control goroutine and waits for the reply.
+// Do passes the request to the control goroutine and waits for the reply.
 func (n *Node) Do(ctx context.Context, request control.Request) control.Reply {
 	handle, replies := n.pending.open(request)
 	n.post(control.RequestReceived{Handle: handle, Request: request})
@@ -87,26 +88,26 @@
 	}
 }
 
-// noReplyError is the answer when waiting ends before the reply comes. The request
-// may have been recorded; its key tells.
+// noReplyError is the answer when the wait ends before the reply. The request may
+// have been recorded; a retry with the same key shows whether it was.
 func noReplyError(err error) *api.Error {
 	refusal := &api.Error{Code: codeOf(err), Message: "the reply did not come in time", Ran: api.RanOutcomeUnknown}
 	return refusal.After(0)
 }
 
-// Stream returns the answer that is being generated on this node.
+// Stream returns the buffer of an answer that is being generated on this node.
 func (n *Node) Stream(call program.CallRef) (*stream.Buffer, bool) { return n.streams.get(call) }
 
-// PeerToken authenticates nodes to each other.
+// PeerToken returns the token that authenticates nodes to each other.
 func (n *Node) PeerToken() string { return n.config.PeerToken }
 
-// pendingRequest is a request whose reply has not come.
+// pendingRequest is a request that has not been answered yet.
 type pendingRequest struct {
 	request control.Request
 	replies chan control.Reply
 }
 
-// pendingTable matches replies to the requests that wait for them.
+// pendingTable matches replies to pending requests by their handles.
 type pendingTable struct {
 	mutex    sync.Mutex
 	last     uint64
@@ -126,7 +127,7 @@
 	return t.last, replies
 }
 
-// close forgets a request and returns it, if it still waited.
+// close removes a request and returns it, if it was still pending.
 func (t *pendingTable) close(handle uint64) (pendingRequest, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -135,9 +136,9 @@
 	return pending, ok
 }
 
-// answer gives a reply to the request that waits for it. A call that has not
-// ended gets its buffer here, before the action that finishes it, so that a
-// caller can attach as soon as it knows the call.
+// answer delivers a reply to its pending request. For a model call that has not
+// ended, it first creates the buffer, before the action that finishes the call,
+// so that the caller can attach to the stream as soon as it has the reply.
 func (n *Node) answer(action control.Answer) {
 	pending, ok := n.pending.close(action.Handle)
 	if !ok {
--- a/node/settings.go
+++ b/node/settings.go
@@ -10,13 +10,13 @@
 	"birchwood.example/birchwood/httpclient"
 )
 
-// settingsPath is where a node gives its peers the settings that it holds.
+// settingsPath is the path at which a node serves its settings to peers.
 const settingsPath = "/internal/v1/settings"
 
-// maxSettingsBytes bounds a copy of the settings, in bytes.
+// maxSettingsBytes bounds the size of a copy of the settings.
 const maxSettingsBytes = 64 << 20
 
-// fetchSettings gets the settings that a peer holds.
+// fetchSettings requests a copy of a peer's settings.
 func (n *Node) fetchSettings(action control.FetchSettings) {
 	ctx, cancel := context.WithTimeout(n.context, n.config.StoreTimeout)
 	defer cancel()
@@ -31,13 +31,13 @@
 	var data json.RawMessage
 	err := client.Do(ctx, fasthttp.MethodGet, settingsPath, nil, &data)
 	if err != nil {
-		n.logger.Warn().Str("peer", string(action.Peer.ID)).Err(err).Msg("settings: a peer's copy was not had")
+		n.logger.Warn().Str("peer", string(action.Peer.ID)).Err(err).Msg("settings: fetching a peer's copy failed")
 	}
 	n.post(control.SettingsFetched{Data: data, Err: err})
 }
 
-// serveSettings answers a peer that cannot read the settings stream. The
-// caller has checked the peer's token.
+// serveSettings sends this node's settings to a peer that cannot read the
+// settings stream. The caller has checked the peer token.
 func (n *Node) serveSettings(ctx *fasthttp.RequestCtx) {
 	data, err := n.tree.Load().Export()
 	if err != nil {
--- a/node/streams.go
+++ b/node/streams.go
@@ -9,7 +9,8 @@
 	"birchwood.example/birchwood/stream"
 )
 
-// streamTable holds the answers that are being generated on this node.
+// streamTable holds the buffers of the answers that are being generated on this
+// node.
 type streamTable struct {
 	mutex   sync.Mutex
 	buffers map[program.CallRef]*stream.Buffer
@@ -19,7 +20,7 @@
 	return &streamTable{buffers: make(map[program.CallRef]*stream.Buffer)}
 }
 
-// ensure returns the call's buffer, made anew if there is none.
+// ensure returns the call's buffer, creating it if there is none.
 func (t *streamTable) ensure(call program.CallRef) *stream.Buffer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -38,9 +39,9 @@
 	return buffer, ok
 }
 
-// finish closes the buffer of a call whose end is durable and forgets it:
-// readers that hold it get the rest and the call, later ones are served from
-// the call's record.
+// finish closes and removes the buffer of a call whose end is durable. Readers
+// that hold the buffer get its remaining text and the call; later ones are
+// served from the call's record.
 func (t *streamTable) finish(call api.Call) {
 	ref := program.CallRef{Program: call.Program, Sequence: call.Sequence}
 	t.mutex.Lock()
@@ -51,8 +52,8 @@
 	}
 }
 
-// closePartition ends every answer of a partition that was given up, so that
-// its readers ask the next owner.
+// closePartition closes the buffers of a partition that the node no longer owns,
+// so that their readers turn to the new owner.
 func (t *streamTable) closePartition(id partition.ID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/node/transcripts.go
+++ b/node/transcripts.go
@@ -13,25 +13,28 @@
 	"birchwood.example/birchwood/program"
 )
 
-// transcript is a program's history as text, up to a call.
+// transcript is the text of a program's history up to a call.
 type transcript struct {
 	program api.ProgramID
 	text    string
-	last    uint64
-	calls   int
+	// last is the sequence number of the last call in text, and calls the
+	// number of calls.
+	last  uint64
+	calls int
 }
 
-// transcripts caches the histories of the programs that ran lately, so that
-// the next turn's prompt need not be read back from the log. Its size in
-// bytes is bounded; the least recently used go first.
+// transcripts caches the histories of recently active programs, so that the
+// prompt of a program's next turn need not be read from the log. The size in
+// bytes is bounded; the least recently used entries are evicted first.
 type transcripts struct {
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// limit and size are in bytes of text.
 	limit   int
 	size    int
 	order   *list.List // of *transcript, most recently used first
 	entries map[api.ProgramID]*list.Element
-	// running holds, for each call that was sent, the history up to it with
-	// its input: what finish needs to go on without reading the log.
+	// running holds each program's last sent call with the history up to and
+	// including its input, which finish extends without reading the log.
 	running map[api.ProgramID]runningCall
 	read    historyReader
 }
@@ -43,16 +46,16 @@
 	calls    int
 }
 
-// historyReader reads calls back from a partition's stream.
+// historyReader reads calls from a partition's stream.
 type historyReader func(ctx context.Context, id partition.ID, program api.ProgramID, locations []program.CallLocation) ([]api.Call, error)
 
 func newTranscripts(limit int, read historyReader) *transcripts {
 	return &transcripts{limit: limit, order: list.New(), entries: make(map[api.ProgramID]*list.Element), running: make(map[api.ProgramID]runningCall), read: read}
 }
 
-// prompt returns the text of the located calls, inputs and outputs in order,
-// followed by the input of the call that is about to be sent. While the log
-// cannot be read it tries again until the context ends.
+// prompt returns the inputs and outputs of the calls at the given locations, in
+// order, followed by the input of the call that is about to be sent. If the log
+// cannot be read, it retries until the context ends.
 func (t *transcripts) prompt(ctx context.Context, id partition.ID, call program.CallRef, input string, locations []program.CallLocation) (string, error) {
 	history, err := t.history(ctx, id, call.Program, locations)
 	if err != nil {
@@ -63,7 +66,7 @@
 	return text, nil
 }
 
-// history returns the text of the located calls.
+// history returns the text of the calls at the given locations.
 func (t *transcripts) history(ctx context.Context, id partition.ID, owner api.ProgramID, locations []program.CallLocation) (string, error) {
 	if len(locations) == 0 {
 		return "", nil
@@ -89,15 +92,16 @@
 	return text.String(), nil
 }
 
-// begin notes what a call that is about to be sent adds to the history.
+// begin records the history, including its input, of a call that is about to be
+// sent.
 func (t *transcripts) begin(call program.CallRef, text string, calls int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.running[call.Program] = runningCall{sequence: call.Sequence, text: text, calls: calls}
 }
 
-// beginIfCached is begin for a call that needs no prompt: it notes the call only
-// if the history before it is known without a read.
+// beginIfCached is begin for a call that needs no prompt. It records the call only
+// if the preceding history is cached.
 func (t *transcripts) beginIfCached(call program.CallRef, input string, locations []program.CallLocation) {
 	known := ""
 	if len(locations) > 0 {
@@ -110,7 +114,7 @@
 	t.begin(call, known+input, len(locations))
 }
 
-// finish extends a program's transcript by a call that succeeded, as it was
+// finish extends a program's transcript by a call whose success has been
 // recorded, so that the next prompt needs no read of the log.
 func (t *transcripts) finish(call api.Call) {
 	t.mutex.Lock()
@@ -123,8 +127,8 @@
 	t.store(&transcript{program: call.Program, text: running.text + call.Output, last: call.Sequence, calls: running.calls + 1})
 }
 
-// lookUp returns the cached text that begins the history, and the locations
-// that it does not cover.
+// lookUp returns the cached prefix of the history and the locations that it does
+// not cover.
 func (t *transcripts) lookUp(owner api.ProgramID, locations []program.CallLocation) (string, []program.CallLocation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -151,7 +155,7 @@
 	}
 }
 
-// evict drops a program that is gone.
+// evict removes a program that has ended.
 func (t *transcripts) evict(owner api.ProgramID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -159,8 +163,8 @@
 	delete(t.running, owner)
 }
 
-// evictPartition drops every program of a partition that was given up: its
-// next owner may record another history.
+// evictPartition removes the programs of a partition that the node no longer
+// owns, because the new owner may record a different history.
 func (t *transcripts) evictPartition(id partition.ID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/node/verdicts.go
+++ b/node/verdicts.go
@@ -9,7 +9,8 @@
 	"birchwood.example/birchwood/control"
 )
 
-// verdictTable matches verdicts to the operators that wait for them.
+// verdictTable delivers verdicts to the operators' requests that wait for them,
+// by the ID of the change.
 type verdictTable struct {
 	mutex   sync.Mutex
 	waiting map[string]chan contract.Verdict
@@ -42,10 +43,10 @@
 	}
 }
 
-// ChangeSettings appends a change to the settings stream and returns the
-// verdict that every node reaches by folding it. An error leaves the outcome
-// open: the change may still be in the stream, and the same change, with the
-// same id, may be sent again.
+// ChangeSettings appends a change to the settings stream and returns the verdict
+// that every node reaches by applying it. After an error the outcome is unknown:
+// the change may be in the stream. It is safe to send the same change again with
+// the same ID.
 func (n *Node) ChangeSettings(ctx context.Context, change contract.Change) (contract.Verdict, error) {
 	encoded, err := json.Marshal(change)
 	if err != nil {
--- a/node/wire.go
+++ b/node/wire.go
@@ -25,7 +25,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Wire builds a node's process from its settings file. It opens nothing yet.
+// Wire builds a node's process from its settings file. It opens no listeners or
+// connections.
 func Wire(file *config.File, logger *log.Logger) (*Process, error) {
 	container := dig.New()
 	constructors := []any{
@@ -61,7 +62,7 @@
 	return process, Error.Wrap(dig.RootCause(err))
 }
 
-// newSelf takes the start time as the incarnation, which thus grows with each
+// newSelf uses the start time as the incarnation, so that it increases with each
 // start of the process.
 func newSelf(file *config.File) machine.Machine {
 	return file.Node.Machine(uint64(time.Now().UnixNano()))
@@ -89,8 +90,7 @@
 	return toolhttp.NewDialer(httpclient.Options{Zone: string(file.Node.Zone), Timeout: backendTimeout})
 }
 
-// backendTimeout bounds a request to a back end that has no deadline of its
-// own.
+// backendTimeout bounds a request to a back end that has no deadline.
 const backendTimeout = 5 * time.Second
 
 func newTransport(file *config.File) (*linkhttp.Transport, error) {
@@ -99,16 +99,17 @@
 	return linkhttp.New(settings)
 }
 
-// managedEngines tells the scheduler which engines its node commands. The node is
-// built after the scheduler and is filled in by newNode.
+// managedEngines reports to the scheduler which engines its node manages. The
+// node is built after the scheduler; newNode sets it.
 type managedEngines struct{ node *Node }
 
 func newManagedEngines() *managedEngines { return &managedEngines{} }
 
-// managed runs on the control goroutine, as the scheduler does.
+// managed reports whether the node manages an engine. Like the scheduler, it runs
+// on the control goroutine.
 func (c *managedEngines) managed(id machine.ID) bool { return c.node != nil && c.node.core.Attends(id) }
 
-// newNode builds the node and makes it known to its scheduler.
+// newNode builds the node and makes it available to its scheduler.
 func newNode(settings Config, dependencies Dependencies, managed *managedEngines) (*Node, error) {
 	node, err := New(settings, dependencies)
 	managed.node = node
@@ -165,7 +166,7 @@
 }
 
 // maxTranscriptBytes bounds the cache of program histories. Half of a node's
-// memory budget of 256 MB is left to everything else.
+// memory budget of 256 MB is reserved for everything else.
 const maxTranscriptBytes = 64 << 20
 
 func newConfig(file *config.File, settings control.Config) Config {
@@ -178,7 +179,8 @@
 	}
 }
 
-// refusalLogSize is how many refusals a node keeps to explain.
+// refusalLogSize is the number of recent refusals that a node keeps, so that
+// they can be looked up and explained.
 const refusalLogSize = 4096
 
 func newRefusals() *operator.RefusalLog { return operator.NewRefusalLog(refusalLogSize) }
