--- a/link/breaker.go
+++ b/link/breaker.go
@@ -6,36 +6,37 @@
 	"birchwood.example/birchwood/findings"
 )
 
-// BreakerState tells what a Breaker does with requests.
+// BreakerState is the state of a Breaker.
 type BreakerState string
 
 // The states of a Breaker.
 const (
-	// BreakerClosed: requests pass.
+	// BreakerClosed allows all requests.
 	BreakerClosed BreakerState = "closed"
-	// BreakerOpen: requests are refused.
+	// BreakerOpen refuses all requests.
 	BreakerOpen BreakerState = "open"
-	// BreakerHalfOpen: a few requests pass, to try the peer.
+	// BreakerHalfOpen allows a few trial requests.
 	BreakerHalfOpen BreakerState = "half_open"
 )
 
-// BreakerConfig sets up a Breaker.
+// BreakerConfig configures a Breaker.
 type BreakerConfig struct {
-	// Failures is how many failures in a row open the breaker.
+	// Failures is the number of consecutive failures that open the breaker.
 	Failures int
-	// OpenTime is how long the breaker stays open the first time. It doubles
-	// with each trial that fails.
+	// OpenTime is how long the breaker stays open at first. The time doubles
+	// with each failed trial.
 	OpenTime time.Duration
-	// MaximumOpenTime bounds the doubling.
+	// MaximumOpenTime bounds the doubled open time.
 	MaximumOpenTime time.Duration
-	// Trials is how many requests may be in flight while half open.
+	// Trials is the number of requests that may be in flight while half open.
 	Trials int
-	// TrialTimeout is how long a trial may stay without a result before its
-	// place is given to another.
+	// TrialTimeout is how long a trial may go without a result before another
+	// trial may take its place.
 	TrialTimeout time.Duration
 }
 
-// DefaultBreakerConfig opens after five failures, for half a second at first.
+// DefaultBreakerConfig returns a configuration that opens after five consecutive
+// failures, for half a second at first.
 func DefaultBreakerConfig() BreakerConfig {
 	return BreakerConfig{
 		Failures:        5,
@@ -56,8 +57,8 @@
 	return found.Err()
 }
 
-// Breaker refuses requests to a peer that keeps failing. Each allowed request
-// reports Success or Failure once.
+// Breaker is a circuit breaker: it refuses requests to a peer that keeps failing.
+// The caller must call Success or Failure once for each allowed request.
 type Breaker struct {
 	config    BreakerConfig
 	state     BreakerState
@@ -104,7 +105,7 @@
 	return b.state
 }
 
-// Success notes a request that was answered: the breaker closes.
+// Success records an answered request and closes the breaker.
 func (b *Breaker) Success() {
 	b.state = BreakerClosed
 	b.failures = 0
@@ -112,11 +113,11 @@
 	b.openTime = b.config.OpenTime
 }
 
-// Failure notes a request that failed.
+// Failure records a failed request.
 func (b *Breaker) Failure(now time.Time) {
 	switch b.state {
 	case BreakerOpen:
-		// A request from before the breaker opened.
+		// The request was sent before the breaker opened.
 		return
 	case BreakerHalfOpen:
 		b.openTime = min(2*b.openTime, b.config.MaximumOpenTime)
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,15 +1,14 @@
-// Package link carries messages between nodes and holds the rule that keeps a
-// failing peer from harming the others.
+// Package link defines the messages between nodes and a circuit breaker that
+// keeps a failing peer from affecting the others.
 //
-// Message is what nodes say to each other. A transport, such as the one in
-// linkhttp, may lose, repeat, delay or reorder messages; every receiver is
-// written for that.
+// Message is a control message between two nodes. A transport, such as the one
+// in linkhttp, may lose, duplicate, delay or reorder messages; every receiver
+// must tolerate that.
 //
-// Breaker stops requests to a peer that keeps failing and tries it again later
-// with a few. It is a small pure state machine: time is passed in, the caller
-// does the I/O, and it is not safe for concurrent use.
+// Breaker stops requests to a peer that keeps failing and later tries it again
+// with a few requests. It is a pure state machine: the caller passes in the time
+// and does the I/O. It is not safe for concurrent use.
 //
-// The rules for retries stand in package retry. What travels with a caller's
-// request from node to node, its deadline and its hops, stands in package
-// gateway.
+// The rules for retries are in package retry. The deadline and the hop count that
+// accompany a caller's request from node to node are handled by package gateway.
 package link
--- a/link/linkhttp/config.go
+++ b/link/linkhttp/config.go
@@ -9,43 +9,43 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Path is where peers post their messages.
+// Path is the path to which peers post their messages.
 const Path = "/internal/v1/messages"
 
-// HeaderZone names the sender's zone.
+// HeaderZone is the header field with the sender's zone.
 const HeaderZone = "X-Zone"
 
-// Config sets up a Transport.
+// Config configures a Transport.
 type Config struct {
-	// Self and Zone are this node's.
+	// Self and Zone are this node's ID and zone.
 	Self machine.ID
 	Zone zone.Name
-	// Token is the secret that all nodes of the deployment share.
+	// Token is the secret shared by all nodes of the deployment.
 	Token string
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
-	// RequestTimeout bounds one request with its answer.
+	// RequestTimeout bounds the time of one request, including its answer.
 	RequestTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept. The server's
-	// must be longer.
+	// IdleTimeout is how long an idle connection stays open. The server's idle
+	// timeout must be longer.
 	IdleTimeout time.Duration
-	// QueueMessages bounds the messages that wait in one lane of a peer.
+	// QueueMessages bounds the number of messages queued in one lane of a peer.
 	QueueMessages int
-	// BatchMessages bounds the messages of one request.
+	// BatchMessages bounds the number of messages in one request.
 	BatchMessages int
-	// BatchBytes is the size of a body beyond which no further message is
-	// added to it.
+	// BatchBytes limits the size of a body. A single larger message is sent
+	// alone.
 	BatchBytes int
 	// MaximumBody bounds the bodies that the handler accepts, in bytes.
 	MaximumBody int
-	// Breaker is the circuit breaker of each lane.
+	// Breaker configures the circuit breaker of each lane.
 	Breaker link.BreakerConfig
-	// Permits reports whether messages pass from one zone to another. Nil
+	// Permits reports whether messages may pass from one zone to another. Nil
 	// permits all.
 	Permits func(from, to zone.Name) bool
 }
 
-// DefaultConfig returns the settings used in production.
+// DefaultConfig returns the production settings.
 func DefaultConfig(self machine.ID, zoneName zone.Name, token string) Config {
 	return Config{
 		Self:           self,
--- a/link/linkhttp/counters.go
+++ b/link/linkhttp/counters.go
@@ -7,22 +7,22 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Counters are totals since the start. Bytes include the HTTP headers, not
-// those of TCP and IP.
+// Counters are totals since the start. Bytes include HTTP headers, but not TCP
+// and IP headers.
 type Counters struct {
-	// BytesSent counts requests sent and answers given.
+	// BytesSent counts the bytes of requests to peers and of answers to theirs.
 	BytesSent int64
-	// BytesReceived counts answers received and requests taken in.
+	// BytesReceived counts the bytes of peers' answers and requests.
 	BytesReceived    int64
 	MessagesSent     int64
 	MessagesReceived int64
-	// Dropped counts messages that were never sent, at a full queue or an
+	// Dropped counts messages that were not sent because of a full queue or an
 	// open circuit breaker.
 	Dropped int64
-	// Failed counts messages of requests without a good answer. They may
-	// have arrived.
+	// Failed counts messages in requests that were not answered with success.
+	// They may have been delivered.
 	Failed int64
-	// Refused counts requests from peers that were not taken in.
+	// Refused counts requests from peers that were refused.
 	Refused int64
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// countedConnection counts what passes through a client's connection.
+// countedConnection counts the bytes of a client's connection.
 type countedConnection struct {
 	net.Conn
 	counters *counters
@@ -68,9 +68,9 @@
 	return count, err
 }
 
-// countExchange counts a request taken in and its answer. The connection is
-// the server's, so the sizes are those of the parsed header and of the answer
-// as it will be written, without the date.
+// countExchange counts the bytes of a peer's request and of the answer to it. The
+// server's connection is not accessible, so the sizes are those of the parsed
+// header and of the answer as it will be written, without the Date field.
 func (c *counters) countExchange(request *fasthttp.RequestCtx) {
 	received := len(request.Request.Header.Header()) + len(request.Request.Body())
 	sent := len(request.Response.Header.Header()) + len(request.Response.Body())
--- a/link/linkhttp/doc.go
+++ b/link/linkhttp/doc.go
@@ -3,27 +3,26 @@
 //
 // # Sending
 //
-// Transport.Send puts a message into a bounded queue of its peer and returns.
-// Each peer has two lanes with a connection of their own, opened when needed
-// and kept alive: small messages, such as probes, never wait behind large
-// ones, such as records for mirrors. A lane sends what has queued up as one
-// request, so that a burst costs few round trips. A lane without messages
-// holds no goroutine.
+// Transport.Send adds a message to a bounded queue of the peer and returns. Each
+// peer has two lanes, each with its own connection, opened on demand and kept
+// alive, so that small messages, such as probes, never wait behind large ones,
+// such as records for mirrors. A lane sends its queued messages in batches, so
+// that a burst takes few round trips. An empty lane has no goroutine.
 //
-// A message may be lost, at a full queue, an open circuit breaker or a failed
-// request, and it may arrive twice, when a connection broke after the peer
-// had read the request. Receivers are written for that; nothing is retried
-// here, except that a request that met a connection closed by the idle peer
-// is sent once more on a new one.
+// A message may be lost to a full queue, an open circuit breaker or a failed
+// request, and it may arrive twice if a connection breaks after the peer has read
+// the request. Receivers must tolerate both. The transport does not retry, except
+// that it resends a request once if the peer had closed the idle connection.
 //
 // # Receiving
 //
 // Transport.Handler serves Path. It checks the peer token in constant time,
-// bounds the body, refuses messages for other nodes, passes over what a newer
-// version has added, and hands each message to the receiver. Messages own their memory.
+// bounds the body, refuses messages for other nodes, ignores fields and kinds of
+// message that a newer version has added, and passes each message to the
+// receiver. Messages own their memory.
 //
-// # Cuts
+// # Network partitions
 //
-// Config.Permits is the switch by which tests and stand-ins cut zones from
-// each other, one way or both ways. Both sides ask it.
+// With Config.Permits, tests and stand-ins simulate network partitions between
+// zones, in one or both directions. Both the sender and the receiver check it.
 package linkhttp
--- a/link/linkhttp/handler.go
+++ b/link/linkhttp/handler.go
@@ -16,11 +16,11 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// bearerPrefix is the authorization scheme, with its blank.
+// bearerPrefix is the authorization scheme with the space after it.
 const bearerPrefix = "Bearer "
 
-// Handler returns the handler of Path. It calls receive for each message from
-// the server's goroutines; receive must not block for long.
+// Handler returns the handler of Path. It calls receive for each message on the
+// server's goroutines; receive must not block for long.
 func (t *Transport) Handler(receive func(link.Message)) fasthttp.RequestHandler {
 	return func(request *fasthttp.RequestCtx) {
 		messages, refusal := t.accept(request)
@@ -45,13 +45,14 @@
 	if !ok {
 		return false
 	}
-	// The hashes have one length, so that the time tells nothing of it.
+	// Hashing gives both values the same length, so that the comparison time
+	// does not reveal the token's length.
 	given := sha256.Sum256(token)
 	wanted := sha256.Sum256([]byte(t.config.Token))
 	return subtle.ConstantTimeCompare(given[:], wanted[:]) == 1
 }
 
-// refusal is why a request is not taken in.
+// refusal is the status and reason with which a request is refused.
 type refusal struct {
 	status int
 	reason string
@@ -80,9 +81,9 @@
 	return messages, nil
 }
 
-// decode reads a batch. Either all of it is good or none is taken. Fields and
-// kinds of message that a newer version has added are passed over, so that the
-// nodes of a deployment can be replaced one by one.
+// decode decodes a batch. If any message is invalid, it rejects the whole batch.
+// It ignores fields and kinds of message that a newer version has added, so that
+// the nodes of a deployment can be upgraded one by one.
 func decode(body []byte, self machine.ID) ([]link.Message, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	var messages []link.Message
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// countKinds counts the parts of the union that are set.
+// countKinds returns how many members of the message's union are set.
 func countKinds(message link.Message) int {
 	count := 0
 	for _, set := range []bool{
--- a/link/linkhttp/lane.go
+++ b/link/linkhttp/lane.go
@@ -11,14 +11,14 @@
 	"birchwood.example/birchwood/link"
 )
 
-// lane is the queue of one kind of message to one peer. The transport's mutex
-// guards it.
+// lane is the queue of control or of bulk messages to one peer. The transport's
+// mutex guards it.
 type lane struct {
 	transport *Transport
 	peer      *peer
 	breaker   *link.Breaker
 	queue     []link.Message
-	// sending is set while a goroutine empties the queue.
+	// sending is true while a goroutine sends the queue's messages.
 	sending bool
 }
 
@@ -30,7 +30,7 @@
 	return &lane{transport: t, peer: owner, breaker: breaker}, nil
 }
 
-// enqueue adds a message and makes sure that a goroutine sends it.
+// enqueue adds a message and starts a sending goroutine if there is none.
 func (l *lane) enqueue(message link.Message) error {
 	if len(l.queue) >= l.transport.config.QueueMessages {
 		return ErrQueueFull
@@ -51,8 +51,8 @@
 	l.queue = nil
 }
 
-// run sends batches until the queue is empty or the breaker opens. For the
-// first batch the breaker was asked already.
+// run sends batches until the queue is empty or the breaker opens. enqueue has
+// already checked the breaker for the first batch.
 func (l *lane) run() {
 	defer l.transport.senders.Done()
 	for batch := l.firstBatch(); len(batch) > 0; {
@@ -67,7 +67,8 @@
 	return l.takeBatchLocked()
 }
 
-// nextBatch notes the result of a batch and takes the next one.
+// nextBatch records the result of a batch and returns the next one. It drops the
+// queue if the breaker is open.
 func (l *lane) nextBatch(sent int, err error) []link.Message {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
@@ -97,7 +98,8 @@
 	return batch
 }
 
-// sendBatch sends a batch as one request, or as several when it is large.
+// sendBatch sends a batch as one request, or as several if it exceeds
+// BatchBytes.
 func (l *lane) sendBatch(batch []link.Message) error {
 	body := []byte{'['}
 	for _, message := range batch {
--- a/link/linkhttp/transport.go
+++ b/link/linkhttp/transport.go
@@ -15,15 +15,15 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("link")
 
-// The reasons for which Send drops a message.
+// The errors with which Send drops a message.
 var (
-	ErrQueueFull   = errors.New("too many messages wait for this peer")
-	ErrBreakerOpen = errors.New("the peer keeps failing")
+	ErrQueueFull   = errors.New("the send queue of this peer is full")
+	ErrBreakerOpen = errors.New("the circuit breaker of this peer is open")
 	ErrClosed      = errors.New("the transport is closed")
 )
 
-// Transport sends messages to peers and receives theirs. It is safe for
-// concurrent use.
+// Transport sends messages to peers and receives messages from them. It is safe
+// for concurrent use.
 type Transport struct {
 	config   Config
 	counters counters
@@ -35,7 +35,7 @@
 	senders sync.WaitGroup
 }
 
-// peer is what is kept for one other node.
+// peer holds the client and lanes of one other node.
 type peer struct {
 	address string
 	client  *fasthttp.HostClient
@@ -43,7 +43,7 @@
 	bulk    *lane
 }
 
-// New returns a transport without connections.
+// New returns a transport. It opens connections on demand.
 func New(config Config) (*Transport, error) {
 	if err := config.validate(); err != nil {
 		return nil, Error.Wrap(err)
@@ -52,13 +52,13 @@
 }
 
 // Send queues a message for a node and returns. It sets the message's sender
-// and receiver. The caller must not change what the message points to. An
-// error says that the message was dropped; without one it may still be lost.
+// and receiver. The caller must not modify data that the message refers to. An
+// error means that the message was dropped; without one it may still be lost.
 func (t *Transport) Send(to machine.Machine, message link.Message) error {
 	message.From = t.config.Self
 	message.To = to.ID
 	if !t.config.permits(t.config.Zone, to.Zone) {
-		// A cut link loses messages without a word.
+		// A network partition loses messages without an error.
 		return nil
 	}
 	t.mutex.Lock()
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Close drops what waits, ends the lanes and closes idle connections. It
-// returns after the requests that are under way.
+// Close drops queued messages, stops the lanes and closes idle connections. It
+// waits for requests in flight.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	t.closed = true
@@ -95,8 +95,8 @@
 	}
 }
 
-// Retain forgets all peers except the given ones, with their connections. The
-// caller names the machines that are known when their set changes.
+// Retain removes all peers except the given ones and closes their idle
+// connections. The caller passes the known machines when their set changes.
 func (t *Transport) Retain(known []machine.Machine) {
 	wanted := make(map[machine.ID]bool, len(known))
 	for _, entry := range known {
@@ -111,13 +111,13 @@
 	}
 }
 
-// Counters returns what was sent and received so far.
+// Counters returns the totals of what was sent and received.
 func (t *Transport) Counters() Counters {
 	return t.counters.read()
 }
 
-// peerOf returns the peer's state, made anew when its address has changed.
-// The mutex is held.
+// peerOf returns the state of a peer, creating it for a new peer or a new
+// address. The caller holds the mutex.
 func (t *Transport) peerOf(to machine.Machine) (*peer, error) {
 	known, ok := t.peers[to.ID]
 	if ok && known.address == to.Address {
@@ -145,7 +145,8 @@
 	known.client.CloseIdleConnections()
 }
 
-// laneOf keeps large messages away from small ones.
+// laneOf returns the lane for a message. Small messages use the control lane, so
+// that they do not wait behind large ones.
 func (p *peer) laneOf(message link.Message) *lane {
 	if message.Membership != nil || message.Load != nil || message.Drain {
 		return p.control
@@ -153,7 +154,7 @@
 	return p.bulk
 }
 
-// connectionsPerPeer is one for each lane.
+// connectionsPerPeer allows one connection for each lane.
 const connectionsPerPeer = 2
 
 func (t *Transport) newClient(address string) *fasthttp.HostClient {
@@ -171,11 +172,12 @@
 	}
 }
 
-// maxAnswerBytes bounds the body of an answer, which is empty or a reason.
+// maxAnswerBytes bounds the body of an answer, which is empty or gives the reason
+// of a refusal.
 const maxAnswerBytes = 4 << 10
 
-// retryClosedIdle permits one more attempt when the peer had closed the kept
-// connection before it read the request.
+// retryClosedIdle allows one retry if the peer had closed the idle connection
+// before it read the request.
 func retryClosedIdle(_ *fasthttp.Request, attempts int, err error) (resetTimeout, retry bool) {
 	return false, attempts == 1 && errors.Is(err, fasthttp.ErrConnectionClosed)
 }
--- a/link/message.go
+++ b/link/message.go
@@ -8,34 +8,34 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// Message is one control message between two nodes, a tagged union: exactly
-// one of the optional fields besides Settings is set. It travels as JSON over HTTP/1.1.
+// Message is one control message between two nodes, a tagged union: at most one
+// of the optional fields besides Settings is set. It is encoded as JSON.
 type Message struct {
 	From machine.ID `json:"from"`
 	To   machine.ID `json:"to"`
-	// Settings tells what the sender holds of the settings and how sure it is
-	// of them. It goes with each membership message, and alone when the sender
-	// has made a change.
+	// Settings reports which settings the sender holds and how recently they
+	// were confirmed. It accompanies each membership message, and is sent alone
+	// when the sender has made a change.
 	Settings   *contract.Report   `json:"settings,omitempty"`
 	Membership *machine.Message   `json:"membership,omitempty"`
 	Partition  *partition.Message `json:"partition,omitempty"`
 	Sweep      *SweepMessage      `json:"sweep,omitempty"`
 	Load       *LoadMessage       `json:"load,omitempty"`
-	// Drain asks the receiver to begin its planned stop.
+	// Drain requests that the receiver begin its planned stop.
 	Drain bool `json:"drain,omitempty"`
 }
 
-// SweepMessage asks the owners of partitions which programs are gone
-// (Question), or answers it.
+// SweepMessage asks the owner of partitions which of the Queried programs are
+// gone, or answers with Gone.
 type SweepMessage struct {
 	Backend  machine.ID      `json:"backend"`
 	Question []api.ProgramID `json:"question,omitempty"`
-	// Gone are the programs that the sender owns the partition of and that
-	// have ended or never existed.
+	// Gone lists the programs in partitions of the sender that have ended or
+	// never existed.
 	Gone []api.ProgramID `json:"gone,omitempty"`
 }
 
-// LoadMessage carries load reports that the sender's attendants hold.
+// LoadMessage carries load reports of back ends that the sender manages.
 type LoadMessage struct {
 	Loads []schedule.Load `json:"loads"`
 }
