--- a/connection/doc.go
+++ b/connection/doc.go
@@ -1,8 +1,9 @@
-// Package connection looks at a TCP connection without reading from it.
+// Package connection checks whether the peer has closed a TCP connection, without
+// consuming data.
 //
-// An HTTP client has to know, before it sends a request on a kept connection,
-// whether the server closed it meanwhile: then nothing was sent, while a
-// failure later leaves the request's outcome unknown. An HTTP server has to
-// know, while a handler waits, whether the caller has hung up. Neither can read
-// a byte to find out.
+// An HTTP client needs this before it sends a request on an idle connection: if
+// the server has closed the connection, nothing was sent, whereas a later failure
+// leaves the outcome of the request unknown. An HTTP server needs it to detect,
+// while a handler runs, that the client has disconnected. Neither may consume a
+// byte for the check.
 package connection
--- a/connection/probe.go
+++ b/connection/probe.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// Probe looks at one connection. It is safe for concurrent use, also beside
-// readers and writers of the connection.
+// Probe checks one connection. It is safe for concurrent use, also with readers
+// and writers of the connection.
 type Probe struct {
 	raw syscall.RawConn
 }
 
-// NewProbe returns the probe of a connection, or false when the connection has
-// no descriptor to look at.
+// NewProbe returns a probe of a connection, or false if the connection has no
+// file descriptor.
 func NewProbe(conn net.Conn) (Probe, bool) {
 	socket, hasDescriptor := conn.(syscall.Conn)
 	if !hasDescriptor {
@@ -23,9 +23,9 @@
 	return Probe{raw: raw}, err == nil
 }
 
-// Closed reports whether the peer has closed the connection or it broke. It
-// looks at the next byte without taking it: bytes that wait to be read, and
-// none so far, both mean that the connection is open.
+// Closed reports whether the peer has closed the connection or the connection has
+// failed. It peeks at the next byte without consuming it: a connection with unread
+// bytes, or with none so far, counts as open.
 func (p Probe) Closed() bool {
 	closed := false
 	var next [1]byte
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -1,6 +1,6 @@
-// Package eventstream cuts a stream of server-sent events into its events, byte
-// for byte, and reads what a scheduler needs of each: the id and the data. It
-// performs no I/O.
+// Package eventstream splits a stream of server-sent events into events,
+// preserving their bytes, and parses the id and data fields of each. It performs
+// no I/O.
 package eventstream
 
 import (
@@ -8,28 +8,29 @@
 	"strconv"
 )
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	// Raw is the event as it came, with the blank line that ends it. It is
-	// valid until the next call of Write.
+	// Raw is the event as received, including the blank line that ends it. It
+	// is valid until the next call of Write.
 	Raw []byte
-	// ID is the value of its id field, and HasID whether it had a number there.
+	// ID is the value of the id field. HasID reports whether there is an id
+	// field with a number.
 	ID    int64
 	HasID bool
-	// Data joins the values of its data fields with line feeds, and HasData
-	// tells an empty value from none.
+	// Data holds the values of the data fields, joined by line feeds. HasData
+	// distinguishes an empty value from a missing field.
 	Data    []byte
 	HasData bool
 }
 
-// Splitter cuts a stream into events. The zero value is ready.
+// Splitter splits a stream into events. The zero value is ready to use.
 type Splitter struct {
 	buffer []byte
-	// start is where the first event that was not taken begins.
+	// start is the offset in buffer of the next event.
 	start int
 }
 
-// Write adds bytes of the stream.
+// Write appends bytes of the stream.
 func (s *Splitter) Write(piece []byte) {
 	if s.start > 0 {
 		s.buffer = append(s.buffer[:0], s.buffer[s.start:]...)
@@ -38,7 +39,7 @@
 	s.buffer = append(s.buffer, piece...)
 }
 
-// Next returns the next whole event, or false.
+// Next returns the next complete event, or false if there is none yet.
 func (s *Splitter) Next() (Event, bool) {
 	rest := s.buffer[s.start:]
 	length := eventLength(rest)
@@ -49,11 +50,11 @@
 	return parse(rest[:length]), true
 }
 
-// Rest returns the bytes after the last whole event.
+// Rest returns the bytes after the last event that Next returned.
 func (s *Splitter) Rest() []byte { return s.buffer[s.start:] }
 
-// eventLength returns the length of the event that the bytes begin with, up to
-// and including its blank line, or 0 if it is not whole.
+// eventLength returns the length of the first event in raw, including its blank
+// line, or 0 if the event is incomplete.
 func eventLength(raw []byte) int {
 	length := 0
 	for {
--- a/findings/findings.go
+++ b/findings/findings.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// List holds what is wrong with one subject.
+// List holds the findings about one subject.
 type List struct {
 	subject string
 	errors  []error
@@ -40,17 +40,17 @@
 	l.errors = append(l.errors, fmt.Errorf("%s: %s: %w", l.subject, field, cause))
 }
 
-// number is what has a size: counts, shares and durations.
+// number covers counts, shares and durations.
 type number interface {
 	~int | ~int64 | ~float64
 }
 
-// Positive requires more than zero.
+// Positive adds a finding unless the value is more than zero.
 func Positive[N number](l *List, field string, value N) {
 	l.Require(value > 0, field, "got %v, want more than 0", value)
 }
 
-// AtLeast requires the minimum or more.
+// AtLeast adds a finding if the value is less than the minimum.
 func AtLeast[N number](l *List, field string, value, minimum N) {
 	l.Require(value >= minimum, field, "got %v, want at least %v", value, minimum)
 }
--- a/header/header.go
+++ b/header/header.go
@@ -1,6 +1,6 @@
-// Package header holds the names of the header fields that a deployment's
-// clients and replicas use. The names belong to the deployment's platform;
-// everything else speaks of them by the fields of Names.
+// Package header defines the HTTP header fields that the project reads or writes.
+// The names of the fields between a deployment's clients and replicas are set by
+// the deployment's platform; all other code refers to them by the fields of Names.
 package header
 
 // Names are the header fields of one deployment. A field that the deployment
@@ -8,43 +8,46 @@
 type Names struct {
 	// RequestID identifies one client attempt; replicas echo it.
 	RequestID string
-	// Deadline is how many milliseconds the sender will wait.
+	// Deadline is how long the sender waits, in milliseconds.
 	Deadline string
 	// ExpectReplica names the only replica that may run the request.
 	ExpectReplica string
 	// NotExecuted marks an answer to a request that the replica did not run.
 	NotExecuted string
-	// ColdLeft is how many milliseconds the replica that answers stays cold.
+	// ColdLeft is how long the answering replica stays cold, in milliseconds.
 	ColdLeft string
 	// Seal is the replica's signature of its answer.
 	Seal string
 	// Urgency ranks a request at an engine; 0 is the most urgent.
 	Urgency string
-	// LastEvent is the id of the last event that the client has.
+	// LastEvent is the ID of the last event that the client has received.
 	LastEvent string
 	// PromptPrefix lists the parts of a prompt.
 	PromptPrefix string
-	// TokenCounts holds the tokens of the prompt, and the most that come out.
+	// TokenCounts holds the number of prompt tokens and the maximum number of
+	// output tokens.
 	TokenCounts string
-	// LengthHint is the client's guess at the tokens that come out.
+	// LengthHint is the client's estimate of the number of output tokens.
 	LengthHint string
-	// Program and Session identify the agent program and its line of turns.
+	// Program and Session identify the agent program and its session, a
+	// sequence of turns that continue each other.
 	Program string
 	Session string
-	// Finish is how many milliseconds the program still has.
+	// Finish is how long the program has left to finish, in milliseconds.
 	Finish string
-	// TokenBudget is what the turns of the program may generate in all.
+	// TokenBudget is the total number of tokens that the program's turns may
+	// generate.
 	TokenBudget string
-	// PreviousTurn names the turn that this one goes on from.
+	// PreviousTurn identifies the turn that this one continues.
 	PreviousTurn string
-	// Affinity names the object that a request concerns.
+	// Affinity identifies the object that a request concerns.
 	Affinity string
-	// Key is the key by which a client's tenant is known, and Tenant is where the
-	// replica reads that tenant's name. Neither is passed on from clients.
+	// APIKey is the key that identifies a client's tenant, and Tenant gives the
+	// replica the tenant's name. Neither is forwarded from clients.
 	Key    string
 	Tenant string
-	// Reserved are the other fields that direct a replica and that only the
-	// system sets. What clients send in them reaches no replica.
+	// Reserved lists the other fields that control a replica and that only the
+	// system sets. Clients' values of these fields are not forwarded to replicas.
 	Reserved []string
 }
 
--- a/header/trailer.go
+++ b/header/trailer.go
@@ -6,14 +6,14 @@
 	"io"
 )
 
-// maximumTrailerLines bounds the trailer of a body in chunks.
+// maximumTrailerLines bounds the trailer of a chunked body.
 const maximumTrailerLines = 32
 
-// ErrTrailer says that the trailer of a body in chunks does not end.
+// ErrTrailer reports that the trailer of a chunked body has too many lines.
 var ErrTrailer = errors.New("the trailer is too long")
 
-// SkipTrailer reads what follows the last chunk of a body, up to and including
-// the empty line. It returns io.ErrUnexpectedEOF where that line is missing.
+// SkipTrailer reads the trailer after the last chunk of a body, including the
+// empty line that ends it. It returns io.ErrUnexpectedEOF if that line is missing.
 func SkipTrailer(reader *bufio.Reader) error {
 	for range maximumTrailerLines {
 		line, err := reader.ReadSlice('\n')
