--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -11,9 +11,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Header names of the protocols between the system and its platform.
+// Header fields of the protocols between the system and its platform.
 const (
-	// HeaderZone names the caller's zone.
+	// HeaderZone is the header field with the caller's zone.
 	HeaderZone = "X-Zone"
 )
 
@@ -23,15 +23,16 @@
 	defaultDialTimeout      = time.Second
 	defaultMaxConnections   = 4096
 	defaultMaxResponseBytes = 64 << 20
-	// defaultSilence is ten times what engines let pass between two lines.
+	// defaultSilence is ten times the longest interval between two lines
+	// of an engine.
 	defaultSilence = 5 * time.Second
-	// idleTimeout is shorter than what servers keep idle connections for, so
-	// that a connection is seldom closed under a request.
+	// idleTimeout is shorter than the servers' idle timeouts, so that a server
+	// rarely closes a connection on which a request is being sent.
 	idleTimeout = 5 * time.Second
 )
 
-// Options describe one server and the limits towards it. Zero fields get a
-// default.
+// Options describe one server and the client's limits for it. Zero limits are
+// replaced by defaults.
 type Options struct {
 	// Address is "ip:port".
 	Address string
@@ -42,8 +43,8 @@
 	// Timeout bounds a request whose context has no deadline.
 	Timeout     time.Duration
 	DialTimeout time.Duration
-	// Silence is the longest time without a line, empty ones included, in
-	// which the answer to Lines is still waited for, its beginning too.
+	// Silence is the longest time that Lines waits for a line, including the
+	// first one. Empty lines count.
 	Silence          time.Duration
 	MaxConnections   int
 	MaxResponseBytes int
@@ -55,8 +56,8 @@
 	host    *fasthttp.HostClient
 }
 
-// NotSentError says that no connection to the server could be had: nothing
-// was sent.
+// NotSentError reports that nothing of the request was sent, for example because
+// no connection to the server could be opened.
 type NotSentError struct{ Cause error }
 
 // Error describes the failure.
@@ -74,9 +75,9 @@
 // Error describes the answer.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// WithoutEffect reports whether the status promises that the server did
-// nothing: the request was refused (4xx except a time-out) or the server is
-// unavailable (503).
+// WithoutEffect reports whether the status guarantees that the request had no
+// effect: the request was refused (4xx except 408) or the server is unavailable
+// (503).
 func (e *StatusError) WithoutEffect() bool {
 	if e.Status == fasthttp.StatusServiceUnavailable {
 		return true
@@ -85,7 +86,7 @@
 	return isClientError && e.Status != fasthttp.StatusRequestTimeout
 }
 
-// New returns a client of one server.
+// New returns a client for one server.
 func New(options Options) *Client {
 	options = options.withDefaults()
 	dialer := net.Dialer{Timeout: options.DialTimeout}
@@ -107,7 +108,7 @@
 	return &Client{options: options, host: host}
 }
 
-// withDefaults fills the zero fields.
+// withDefaults replaces zero limits by their defaults.
 func (o Options) withDefaults() Options {
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -130,8 +131,8 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.host.CloseIdleConnections() }
 
-// Do sends body as JSON, unless it is nil, and decodes the answer into
-// answer, unless that is nil. The path may hold a query.
+// Do sends body as JSON, unless it is nil, and decodes the response into answer,
+// unless that is nil. The path may contain a query.
 func (c *Client) Do(ctx context.Context, method, path string, body, answer any) error {
 	response, err := c.roundTrip(ctx, method, path, body, false)
 	if err != nil {
@@ -150,15 +151,14 @@
 	return nil
 }
 
-// result is what a request's goroutine hands back.
+// result is the result of a request's goroutine.
 type result struct {
 	response *fasthttp.Response
 	err      error
 }
 
-// roundTrip sends the request on a goroutine of its own, so that the end of
-// the context frees the caller at once. The goroutine itself ends with the
-// answer or at the request's timeout.
+// roundTrip sends the request on its own goroutine and returns as soon as the
+// context ends. The goroutine ends with the answer or at the request's timeout.
 func (c *Client) roundTrip(ctx context.Context, method, path string, body any, stream bool) (*fasthttp.Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Cause: err}
@@ -180,7 +180,7 @@
 	}
 }
 
-// request builds the request; it is released by send.
+// request builds the request, which send releases.
 func (c *Client) request(ctx context.Context, method, path string, body any) (*fasthttp.Request, error) {
 	request := fasthttp.AcquireRequest()
 	request.Header.SetMethod(method)
@@ -208,7 +208,7 @@
 	return request, nil
 }
 
-// send performs the request and sorts its failure.
+// send performs the request and classifies its error.
 func (c *Client) send(request *fasthttp.Request, stream bool) result {
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
@@ -221,9 +221,9 @@
 	return result{err: classifyError(err)}
 }
 
-// classifyError makes sure that a request for which no connection was had is
-// reported as not sent, and that every time-out is context.DeadlineExceeded:
-// the request's own timer and that of the context race for the same moment.
+// classifyError reports a request that got no connection as not sent, and every
+// timeout as context.DeadlineExceeded: the timers of the request and of the
+// context expire at the same time, so either error may occur.
 func classifyError(err error) error {
 	var notSent *NotSentError
 	if errors.As(err, &notSent) {
@@ -238,7 +238,7 @@
 	return err
 }
 
-// discard frees an answer that nobody waits for any more.
+// discard releases an answer that the caller no longer waits for.
 func discard(done <-chan result) {
 	late := <-done
 	if late.response == nil {
@@ -248,7 +248,7 @@
 	fasthttp.ReleaseResponse(late.response)
 }
 
-// statusError returns the answer's error status as an error.
+// statusError returns a *StatusError unless the status is 2xx.
 func statusError(response *fasthttp.Response) error {
 	status := response.StatusCode()
 	if status >= fasthttp.StatusOK && status < fasthttp.StatusMultipleChoices {
--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -17,8 +17,8 @@
 	"birchwood.example/birchwood/httpclient"
 )
 
-// server answers each request by the handler; a handler that reports false
-// closes the connection after the request was read.
+// server answers each request with the handler. If the handler returns false, the
+// server closes the connection after reading the request.
 type server struct {
 	listener net.Listener
 	requests atomic.Int64
@@ -59,14 +59,14 @@
 	}
 }
 
-// client returns a client of the server.
+// client returns a client for the server.
 func (s *server) client() *httpclient.Client {
 	created := httpclient.New(httpclient.Options{Address: s.listener.Addr().String(), Timeout: time.Minute})
 	DeferCleanup(created.Close)
 	return created
 }
 
-// reply writes a whole answer.
+// reply writes an answer, or the beginning of one.
 func reply(connection net.Conn, text string) bool {
 	_, err := io.WriteString(connection, text)
 	return err == nil
@@ -139,7 +139,7 @@
 		close(release)
 		Expect(s.listener.Close()).To(Succeed())
 		client.Close()
-		// The library's cleaner of idle connections sleeps a little longer.
+		// fasthttp's goroutine that closes idle connections ends a little later.
 		cleaner := gleak.IgnoringInBacktrace("fasthttp.(*HostClient).connsCleaner")
 		Eventually(gleak.Goroutines).WithTimeout(5 * time.Second).ShouldNot(gleak.HaveLeaked(before, cleaner))
 	})
--- a/httpclient/doc.go
+++ b/httpclient/doc.go
@@ -1,13 +1,13 @@
-// Package httpclient sends JSON requests over HTTP/1.1 with fasthttp. It is
-// the one place that sets the client's limits and decides what a failed
-// request says about the other side:
+// Package httpclient sends JSON requests over HTTP/1.1 with fasthttp. It sets the
+// client's limits and classifies failed requests by their possible effect on the
+// server:
 //
-//   - a *NotSentError: no connection was made, so nothing can have happened;
-//   - a *StatusError: the other side answered with an error status;
-//   - any other error: the request was at least partly written, and what
-//     became of it is unknown.
+//   - *NotSentError: nothing was sent, so the request had no effect;
+//   - *StatusError: the server answered with an error status;
+//   - any other error: the request may have been sent, at least in part, and its
+//     outcome is unknown.
 //
-// The client never repeats a request by itself. fasthttp would repeat some
-// requests when a kept-alive connection turns out to be closed; a request
-// that may run at most once must not be repeated below the layer that knows.
+// The client never retries a request. By default, fasthttp retries some requests
+// if an idle connection turns out to be closed. Whether a request may be repeated
+// is decided by the caller, because some requests may run at most once.
 package httpclient
--- a/httpclient/idle.go
+++ b/httpclient/idle.go
@@ -7,22 +7,23 @@
 	"birchwood.example/birchwood/connection"
 )
 
-// errClosedIdle says that the server closed a connection between two requests.
+// errClosedIdle reports that the server closed a connection between two requests.
 var errClosedIdle = errors.New("the server has closed the idle connection")
 
-// idleConn notices, before the first byte of a request, that the server closed
-// the connection while it was idle. Nothing of such a request was sent, and
-// nothing can come of it; without the look its outcome would be unknown. One
-// goroutine at a time uses a connection.
+// idleConn checks, before the first byte of a request is written, whether the
+// server has closed the idle connection. Such a request fails as not sent; without
+// the check its outcome would be unknown. A connection is used by one goroutine at
+// a time.
 type idleConn struct {
 	net.Conn
 	probe connection.Probe
-	// responseRead is set once something was read: what is written next begins a
-	// request on a connection that may have been idle.
+	// responseRead is true after a read: the next write begins a request on a
+	// connection that may have been idle.
 	responseRead bool
 }
 
-// newIdleConn wraps a connection. One without a descriptor stays as it is.
+// newIdleConn wraps a connection. It returns a connection without a file
+// descriptor unchanged.
 func newIdleConn(conn net.Conn) net.Conn {
 	probe, hasDescriptor := connection.NewProbe(conn)
 	if !hasDescriptor {
--- a/httpclient/pool.go
+++ b/httpclient/pool.go
@@ -2,20 +2,20 @@
 
 import "sync"
 
-// Pool keeps one client per address, all with the same limits and identity.
-// It is safe for concurrent use.
+// Pool holds one client per address, all with the same limits, token and zone. It
+// is safe for concurrent use.
 type Pool struct {
 	options Options
 	mutex   sync.Mutex
 	clients map[string]*Client
 }
 
-// NewPool returns a pool without clients. The options' Address is not used.
+// NewPool returns an empty pool. It ignores the Address of the options.
 func NewPool(options Options) *Pool {
 	return &Pool{options: options, clients: make(map[string]*Client)}
 }
 
-// Client returns the client of an address, made at the first call.
+// Client returns the client of an address, creating it on the first call.
 func (p *Pool) Client(address string) *Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/httpclient/stream.go
+++ b/httpclient/stream.go
@@ -13,26 +13,26 @@
 	"github.com/valyala/fasthttp"
 )
 
-// lineBufferSize is the first size of the buffer that lines are read into,
-// and maximumLine the longest line that is taken, in bytes.
+// lineBufferSize is the initial size of the buffer for lines, and maxLineBytes
+// the length of the longest line that is accepted, in bytes.
 const (
 	lineBufferSize = 4 << 10
 	maxLineBytes   = 8 << 20
 )
 
-// ErrUnresponsive says that the server has sent nothing for longer than
-// Options.Silence, as one does whose zone was cut off. The request may have
-// taken effect.
+// ErrUnresponsive reports that the server has sent nothing for longer than
+// Options.Silence, for example because of a network partition. The request may
+// have taken effect.
 var ErrUnresponsive = errors.New("the server has fallen silent")
 
-// lineBuffers holds buffers for reuse: most streams need no larger one.
+// lineBuffers holds reusable buffers. Most streams need no larger one.
 var lineBuffers = sync.Pool{New: func() any { return new([lineBufferSize]byte) }}
 
 // Lines sends message as JSON and calls receive for each line of the answer,
-// without the line break. Empty lines, which keep the connection alive, are
-// skipped. The line is valid during the call only. Lines returns nil at the
-// end of the answer, receive's error, or the error that cut the answer; the
-// end of the context, and a silent server, close the connection.
+// without the line break. It skips empty lines, which servers send as keep-alives.
+// The line is valid only during the call. Lines returns nil at the end of the
+// answer, receive's error, or the error that interrupted the answer. It closes the
+// connection when the context ends or the server is unresponsive.
 func (c *Client) Lines(ctx context.Context, path string, message any, receive func(line []byte) error) error {
 	watchedContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -46,7 +46,8 @@
 	return err
 }
 
-// readLines is Lines with a function that is told of each line.
+// readLines implements Lines. It also calls onLine for each line, empty ones
+// included.
 func (c *Client) readLines(ctx context.Context, path string, message any, onLine func(), receive func(line []byte) error) error {
 	response, err := c.roundTrip(ctx, fasthttp.MethodPost, path, message, true)
 	if err != nil {
@@ -75,7 +76,8 @@
 	return err
 }
 
-// scanLines calls receive for each line that is not empty.
+// scanLines calls onLine for each line and receive for each line that is not
+// empty.
 func scanLines(reader io.Reader, onLine func(), receive func(line []byte) error) error {
 	buffer := lineBuffers.Get().(*[lineBufferSize]byte)
 	defer lineBuffers.Put(buffer)
