--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -147,11 +147,11 @@
 
 var _ = Describe("Lines", func() {
 	It("gives each line as it comes, and closes the connection when the context ends", func(ctx SpecContext) {
-		hungUp := make(chan struct{})
+		disconnected := make(chan struct{})
 		s := serve(func(connection net.Conn) bool {
 			reply(connection, streamHead+"6\r\n{\"a\"}\n\r\n1\r\n\n\r\n")
 			_, _ = connection.Read(make([]byte, 1))
-			close(hungUp)
+			close(disconnected)
 			return false
 		})
 		reading, cancel := context.WithCancel(ctx)
@@ -163,6 +163,6 @@
 		})
 		Expect(err).To(MatchError(context.Canceled))
 		Expect(lines).To(Equal([]string{`{"a"}`}))
-		Eventually(hungUp).WithTimeout(5 * time.Second).Should(BeClosed())
+		Eventually(disconnected).WithTimeout(5 * time.Second).Should(BeClosed())
 	}, SpecTimeout(10*time.Second))
 })
--- a/httpclient/silence_test.go
+++ b/httpclient/silence_test.go
@@ -13,11 +13,11 @@
 var _ = Describe("A server that falls silent", func() {
 	DescribeTable("is given up, and its connection closed",
 		func(ctx SpecContext, answer string, lines int) {
-			hungUp := make(chan struct{})
+			disconnected := make(chan struct{})
 			s := serve(func(connection net.Conn) bool {
 				reply(connection, answer)
 				_, _ = connection.Read(make([]byte, 1))
-				close(hungUp)
+				close(disconnected)
 				return false
 			})
 			client := httpclient.New(httpclient.Options{
@@ -31,7 +31,7 @@
 			})
 			Expect(err).To(MatchError(httpclient.ErrUnresponsive))
 			Expect(received).To(Equal(lines))
-			Eventually(hungUp).WithContext(ctx).Should(BeClosed())
+			Eventually(disconnected).WithContext(ctx).Should(BeClosed())
 		},
 		Entry("before it answers", "", 0, SpecTimeout(10*time.Second)),
 		Entry("in the middle of its answer", streamHead+"6\r\n{\"a\"}\n\r\n", 1, SpecTimeout(10*time.Second)),
--- a/link/linkhttp/transport_test.go
+++ b/link/linkhttp/transport_test.go
@@ -152,10 +152,10 @@
 		config = DefaultConfig("second", "zone-b", token)
 		config.Permits = permits
 		second := newEndpoint(config)
-		unaware := newEndpoint(DefaultConfig("third", "zone-a", token))
+		unrestricted := newEndpoint(DefaultConfig("third", "zone-a", token))
 		cut.Store(true)
 		Expect(first.Send(second.Machine, probe(1))).To(Succeed())
-		Expect(unaware.Send(second.Machine, probe(2))).To(Succeed())
+		Expect(unrestricted.Send(second.Machine, probe(2))).To(Succeed())
 		Expect(second.Send(first.Machine, probe(3))).To(Succeed())
 		Eventually(first.received).Should(Receive())
 		Eventually(func() int64 { return second.Counters().Refused }).Should(Equal(int64(1)))
