--- a/node/transcripts.go
+++ b/node/transcripts.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// removeLocked removes an entry. The mutex is held.
+// removeLocked removes an entry. The caller holds the mutex.
 func (t *transcripts) removeLocked(owner api.ProgramID) {
 	element, ok := t.entries[owner]
 	if !ok {
