--- a/link/linkhttp/lane.go
+++ b/link/linkhttp/lane.go
@@ -11,14 +11,14 @@
 	"birchwood.example/birchwood/link"
 )
 
-// lane is the queue of one kind of message to one peer. The transport's mutex
-// guards it.
+// lane is the queue of control or of bulk messages to one peer. The transport's
+// mutex guards it.
 type lane struct {
 	transport *Transport
 	peer      *peer
 	breaker   *link.Breaker
 	queue     []link.Message
-	// sending is set while a goroutine empties the queue.
+	// sending is true while a goroutine sends the queue's messages.
 	sending bool
 }
 
@@ -30,7 +30,7 @@
 	return &lane{transport: t, peer: owner, breaker: breaker}, nil
 }
 
-// enqueue adds a message and makes sure that a goroutine sends it.
+// enqueue adds a message and starts a sending goroutine if there is none.
 func (l *lane) enqueue(message link.Message) error {
 	if len(l.queue) >= l.transport.config.QueueMessages {
 		return ErrQueueFull
@@ -51,24 +51,25 @@
 	l.queue = nil
 }
 
-// run sends batches until the queue is empty or the breaker opens. For the
-// first batch the breaker was asked already.
+// run sends batches until the queue is empty or the breaker opens. enqueue has
+// already checked the breaker for the first batch.
 func (l *lane) run() {
 	defer l.transport.senders.Done()
-	for batch := l.takeFirst(); len(batch) > 0; {
-		err := l.post(batch)
-		batch = l.next(len(batch), err)
+	for batch := l.firstBatch(); len(batch) > 0; {
+		err := l.sendBatch(batch)
+		batch = l.nextBatch(len(batch), err)
 	}
 }
 
-func (l *lane) takeFirst() []link.Message {
+func (l *lane) firstBatch() []link.Message {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
-	return l.takeLocked()
+	return l.takeBatchLocked()
 }
 
-// next notes the result of a batch and takes the next one.
-func (l *lane) next(sent int, err error) []link.Message {
+// nextBatch records the result of a batch and returns the next one. It drops the
+// queue if the breaker is open.
+func (l *lane) nextBatch(sent int, err error) []link.Message {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
 	if err != nil {
@@ -82,10 +83,10 @@
 		l.transport.counters.dropped.Add(int64(len(l.queue)))
 		l.queue = nil
 	}
-	return l.takeLocked()
+	return l.takeBatchLocked()
 }
 
-func (l *lane) takeLocked() []link.Message {
+func (l *lane) takeBatchLocked() []link.Message {
 	count := min(len(l.queue), l.transport.config.BatchMessages)
 	if count == 0 {
 		l.sending = false
@@ -97,8 +98,9 @@
 	return batch
 }
 
-// post sends a batch as one request, or as several when it is large.
-func (l *lane) post(batch []link.Message) error {
+// sendBatch sends a batch as one request, or as several if it exceeds
+// BatchBytes.
+func (l *lane) sendBatch(batch []link.Message) error {
 	body := []byte{'['}
 	for _, message := range batch {
 		encoded, err := json.Marshal(message)
@@ -128,7 +130,7 @@
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI("http://" + l.peer.address + Path)
 	request.Header.SetContentType("application/json")
-	request.Header.Set(fasthttp.HeaderAuthorization, bearer+config.Token)
+	request.Header.Set(fasthttp.HeaderAuthorization, bearerPrefix+config.Token)
 	request.Header.Set(HeaderZone, string(config.Zone))
 	request.SetBodyRaw(body)
 	if err := l.peer.client.DoTimeout(request, response, config.RequestTimeout); err != nil {
