--- a/control/attendant.go
+++ b/control/attendant.go
@@ -250,9 +250,9 @@
 		}
 	}
 	for _, owner := range sortedMachines(questions) {
-		sweep := link.SweepMessage{Backend: event.Backend, Question: questions[owner]}
+		sweep := link.SweepMessage{Backend: event.Backend, Queried: questions[owner]}
 		if owner == c.config.Self.ID {
-			c.releaseGone(event.Backend, c.gone(event.Backend, sweep.Question))
+			c.releaseGone(event.Backend, c.gone(event.Backend, sweep.Queried))
 			continue
 		}
 		c.sendTo(owner, link.Message{Sweep: &sweep})
@@ -261,8 +261,8 @@
 
 // stepSweep answers a sweep's question, or releases what an owner says is gone.
 func (c *Core) stepSweep(_ time.Time, from machine.ID, sweep link.SweepMessage) {
-	if len(sweep.Question) > 0 {
-		if gone := c.gone(sweep.Backend, sweep.Question); len(gone) > 0 {
+	if len(sweep.Queried) > 0 {
+		if gone := c.gone(sweep.Backend, sweep.Queried); len(gone) > 0 {
 			c.sendTo(from, link.Message{Sweep: &link.SweepMessage{Backend: sweep.Backend, Gone: gone}})
 		}
 	}
--- a/link/message.go
+++ b/link/message.go
@@ -28,8 +28,8 @@
 // SweepMessage asks the owner of partitions which of the Queried programs are
 // gone, or answers with Gone.
 type SweepMessage struct {
-	Backend  machine.ID      `json:"backend"`
-	Question []api.ProgramID `json:"question,omitempty"`
+	Backend machine.ID      `json:"backend"`
+	Queried []api.ProgramID `json:"question,omitempty"`
 	// Gone lists the programs in partitions of the sender that have ended or
 	// never existed.
 	Gone []api.ProgramID `json:"gone,omitempty"`
