--- a/edge/handle.go
+++ b/edge/handle.go
@@ -179,7 +179,7 @@
 // withheldFields returns the fields of clients that no replica gets: what only the
 // system sets, and what concerns the client and the system alone.
 func withheldFields(names header.Names) []string {
-	return append([]string{names.Deadline, names.ExpectReplica, names.Urgency, names.Key, names.Tenant}, names.Reserved...)
+	return append([]string{names.Deadline, names.ExpectReplica, names.Urgency, names.APIKey, names.Tenant}, names.Reserved...)
 }
 
 func appendField(fields []byte, name, value string) []byte {
--- a/edge/keys.go
+++ b/edge/keys.go
@@ -106,10 +106,10 @@
 		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether keys are still valid is not certain at present")
 		return false
 	}
-	keys := r.exchange.Values(n.adapter.Names.Key)
+	keys := r.exchange.Values(n.adapter.Names.APIKey)
 	if len(keys) != 1 || keys[0] == "" {
 		n.metrics.keyRefused(keyMissing)
-		r.fail(fasthttp.StatusUnauthorized, "want one key in "+n.adapter.Names.Key, 0)
+		r.fail(fasthttp.StatusUnauthorized, "want one key in "+n.adapter.Names.APIKey, 0)
 		return false
 	}
 	if known, found := table.Tenants.Lookup(keys[0]); found {
--- a/header/header.go
+++ b/header/header.go
@@ -44,7 +44,7 @@
 	Affinity string
 	// APIKey is the key that identifies a client's tenant, and Tenant gives the
 	// replica the tenant's name. Neither is forwarded from clients.
-	Key    string
+	APIKey string
 	Tenant string
 	// Reserved lists the other fields that control a replica and that only the
 	// system sets. Clients' values of these fields are not forwarded to replicas.
--- a/soak/load.go
+++ b/soak/load.go
@@ -301,7 +301,7 @@
 func fieldsOf(sent promise.Sent) map[string]string {
 	names := platform.Names()
 	fields := map[string]string{
-		names.RequestID: sent.ID, names.Deadline: strconv.FormatInt(deadline.Milliseconds(), 10), names.Key: sent.Key,
+		names.RequestID: sent.ID, names.Deadline: strconv.FormatInt(deadline.Milliseconds(), 10), names.APIKey: sent.Key,
 		names.Tenant: forged,
 	}
 	for _, name := range names.Reserved {
--- a/soak/system.go
+++ b/soak/system.go
@@ -180,7 +180,7 @@
 		ID: run.ID, Replica: replica.ID, Zone: replica.Zone, Tenant: run.Header.Get(names.Tenant),
 		Body: run.Body,
 	}
-	for _, name := range append([]string{names.Key}, names.Reserved...) {
+	for _, name := range append([]string{names.APIKey}, names.Reserved...) {
 		if run.Header.Get(name) != "" {
 			seen.Forged = append(seen.Forged, name)
 		}
