--- a/edge/admission_test.go
+++ b/edge/admission_test.go
@@ -26,9 +26,9 @@
 	go func() {
 		for input := range node.control.inbox {
 			switch input := input.(type) {
-			case lookup:
+			case ownerLookup:
 				input.answer <- node.self
-			case question:
+			case partitionRequest:
 				if input.request.Settle != nil {
 					settled <- *input.request.Settle
 					input.answer <- coordinator.Reply{Status: coordinator.ReplyDone}
@@ -40,10 +40,10 @@
 		}
 	}()
 	r := &requestState{
-		exchange: &ingress.Exchange{Cancel: &upstream.Cancel{}}, id: "t", program: "p", session: "s", most: 100, budget: 100,
+		exchange: &ingress.Exchange{Cancel: &upstream.Cancel{}}, id: "t", program: "p", session: "s", maxTokens: 100, budget: 100,
 		deadline: time.Now().Add(time.Minute), route: &routing.Route{},
 	}
-	_, err := node.askAdmission(ctx, r, &coordinator.AdmitRequest{Turn: node.turnOf(r)})
+	_, err := node.requestAdmission(ctx, r, &coordinator.AdmitRequest{Turn: node.turnOf(r)})
 	g.Expect(err).To(HaveOccurred())
 	var end ledger.Settlement
 	g.Eventually(settled).WithTimeout(time.Minute).Should(Receive(&end))
--- a/edge/appending.go
+++ b/edge/appending.go
@@ -17,7 +17,7 @@
 // answered in their time go on beside the next one, and the first answer counts: the store
 // takes a repeated append once and gives it the answer of the first, so that one which is
 // slow need not be asked for anew.
-type appending struct {
+type appendCall struct {
 	node      *Node
 	partition int
 	writer    recordstore.Writer
@@ -27,7 +27,7 @@
 
 // newAppending returns an append of records under an epoch. A batch without records renews
 // the record of the owner, so that the store checks the epoch.
-func (n *Node) newAppending(partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record) *appending {
+func (n *Node) newAppendCall(partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record) *appendCall {
 	records := make([]recordstore.Record, 0, len(batch)+1)
 	if len(batch) == 0 {
 		records = append(records, n.ownerRecord(epoch))
@@ -35,27 +35,27 @@
 	for _, record := range batch {
 		records = append(records, recordstore.Record{Key: record.Key, Value: record.Value})
 	}
-	return &appending{
+	return &appendCall{
 		node: n, partition: partition, writer: writerOf(partition, epoch, sequence), records: records, answers: make(chan error),
 	}
 }
 
 // try sends the append once more, and waits for any answer for so long, or until the store
 // answers again after an outage in which the append was sent.
-func (a *appending) try(ctx context.Context, patience time.Duration, regained <-chan struct{}) error {
-	most := patience
+func (a *appendCall) try(ctx context.Context, timeout time.Duration, regained <-chan struct{}) error {
+	maximum := timeout
 	if a.node.settings.uses(AwaitLateAppends) {
-		most = appendTimeout
+		maximum = appendTimeout
 	}
-	go a.send(ctx, most)
-	return a.await(ctx, patience, regained)
+	go a.send(ctx, maximum)
+	return a.await(ctx, timeout, regained)
 }
 
 // send makes one call to the store. That the store answered is noted once the answer was
 // handed over, so that the append is not sent again for it.
-func (a *appending) send(ctx context.Context, most time.Duration) {
+func (a *appendCall) send(ctx context.Context, timeout time.Duration) {
 	begun := time.Now()
-	callCtx, cancel := context.WithTimeout(ctx, most)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := a.node.adapter.Store.Append(callCtx, ledgerStream(a.partition), a.writer, a.records)
 	if err == nil {
@@ -65,12 +65,12 @@
 	case a.answers <- err:
 	case <-ctx.Done():
 	}
-	a.node.noteStore(err)
+	a.node.recordStoreCall(err)
 }
 
 // await waits for an answer of any try, or until the store is regained.
-func (a *appending) await(ctx context.Context, patience time.Duration, regained <-chan struct{}) error {
-	timer := time.NewTimer(patience)
+func (a *appendCall) await(ctx context.Context, timeout time.Duration, regained <-chan struct{}) error {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case err := <-a.answers:
@@ -85,7 +85,7 @@
 }
 
 // answered reports whether a try's outcome ends the append.
-func answered(err error) bool {
+func conclusive(err error) bool {
 	var fenced *recordstore.FencedError
 	return err == nil || errors.As(err, &fenced)
 }
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -14,14 +14,14 @@
 )
 
 // maximumOffers bounds the replicas that one request is offered to.
-const maximumOffers = 6
+const maximumAttempts = 6
 
 // hangSuspicion is from when on a request that had no answer counts against
 // its replica when its time is up.
-const hangSuspicion = time.Second
+const suspectAfter = time.Second
 
 // resultOf tells an answer from one that tells of the replica's own fault.
-func resultOf(status int) replica.Result {
+func resultForStatus(status int) replica.Result {
 	if status >= fasthttp.StatusInternalServerError {
 		return replica.ResultErred
 	}
@@ -30,12 +30,12 @@
 
 // again settles where a request runs next whose run broke off: elsewhere, or,
 // once it has run on as many replicas as it may, on the same one.
-func (r *requestState) again(entry replica.Entry, runs int) {
+func (r *requestState) retry(entry replica.Entry, runs int) {
 	if runs < r.route.Attempts() {
 		r.excluded = append(r.excluded, entry.ID)
 		return
 	}
-	r.only = entry.ID
+	r.onlyReplica = entry.ID
 }
 
 func failureReason(err error) string {
@@ -47,18 +47,18 @@
 
 // chooseReplica picks the next replica for the request and counts it there.
 func (n *Node) chooseReplica(r *requestState, table *routing.Table) (replica.Entry, error) {
-	n.noteProgress(r)
-	asked := n.choiceOf(r)
-	asked.MaxPerNode, asked.Draw = n.perNode(table, r.service), n.draw()
-	asked.Connected = func(entry replica.Entry) bool { return n.pool.Free(targetOf(entry)) }
-	choice, err := n.chooseWithin(r, asked)
+	n.updateProgress(r)
+	request := n.selectionRequest(r)
+	request.MaxPerNode, request.Draw = n.maxPerNode(table, r.service), n.draw()
+	request.Connected = func(entry replica.Entry) bool { return n.pool.Free(targetOf(entry)) }
+	choice, err := n.chooseWithinColdRates(r, request)
 	if err != nil {
-		n.metrics.placeRefused(err)
+		n.metrics.choiceRefused(err)
 		return replica.Entry{}, err
 	}
 	r.choice = choice
 	if choice.LeftEvacuatedZone {
-		n.metrics.lineMoved()
+		n.metrics.sessionMoved()
 	}
 	r.attempts++
 	r.sentAt = time.Now()
@@ -66,37 +66,37 @@
 }
 
 // choiceOf describes the request to the choice of a replica.
-func (n *Node) choiceOf(r *requestState) *replica.Request {
+func (n *Node) selectionRequest(r *requestState) *replica.Request {
 	return &replica.Request{
-		Service: r.service, Program: r.program, Prompt: r.prompt, Preferred: r.preferred, PreferredCached: r.preferredKept,
-		Only: r.only, Constraint: r.homes, Excluded: r.excluded, ExpectedTokens: n.expectedTokens(r), SpeedBias: r.haste,
+		Service: r.service, Program: r.program, Prompt: r.prompt, Preferred: r.preferred, PreferredCached: r.preferredCached,
+		Only: r.onlyReplica, Constraint: r.constraint, Excluded: r.excluded, ExpectedTokens: n.expectedTokens(r), SpeedBias: r.speedBias,
 	}
 }
 
 // reject notes that a replica did not run the request.
-func (n *Node) reject(r *requestState, entry replica.Entry, result replica.Result) {
+func (n *Node) attemptRejected(r *requestState, entry replica.Entry, result replica.Result) {
 	n.replicas.ended(entry.ID, result)
-	n.returnCold(r, entry.ID)
-	if r.only == entry.ID && result == replica.ResultFailed {
+	n.refundColdGrant(r, entry.ID)
+	if r.onlyReplica == entry.ID && result == replica.ResultFailed {
 		// No connection: the replica has ended or is cut off.
-		r.only = ""
+		r.onlyReplica = ""
 	}
 	r.excluded = append(r.excluded, entry.ID)
 }
 
 // abandoned ends a request whose client has left or whose time is up. The
 // replica has been told by the closed connection.
-func (n *Node) abandoned(r *requestState, entry replica.Entry) bool {
+func (n *Node) endIfAbandoned(r *requestState, entry replica.Entry) bool {
 	if errors.Is(r.exchange.Cancel.Cause(), ingress.ErrClientGone) {
 		n.replicas.ended(entry.ID, replica.ResultCancelled)
-		r.giveUp("the client has left")
+		r.abort("the client has left")
 		return true
 	}
-	if r.left() > 0 {
+	if r.timeLeft() > 0 {
 		return false
 	}
 	result := replica.ResultCancelled
-	if time.Since(r.sentAt) > hangSuspicion {
+	if time.Since(r.sentAt) > suspectAfter {
 		result = replica.ResultTimedOut
 	}
 	n.replicas.ended(entry.ID, result)
@@ -105,27 +105,27 @@
 }
 
 // refuse ends a request for which there is no replica (left).
-func (n *Node) refuse(r *requestState, err error, runs int) {
+func (n *Node) failWithoutReplica(r *requestState, err error, runs int) {
 	if err == nil {
-		err = errOffered
+		err = errAllRefused
 	}
 	reason := err.Error()
 	if runs > 0 {
 		r.fail(fasthttp.StatusBadGateway, reason, 0)
 		return
 	}
-	n.turnAway(r, n.refusalOf(r, err), reason)
+	n.refuse(r, n.refusalFor(r, err), reason)
 }
 
 // refusalOf tells why there is no replica (left) for a request that has not run.
-func (n *Node) refusalOf(r *requestState, err error) dispatch.Refusal {
+func (n *Node) refusalFor(r *requestState, err error) dispatch.Refusal {
 	switch {
 	case errors.Is(err, replica.ErrEvacuated):
 		return dispatch.Refusal{Cause: dispatch.CauseEvacuated}
 	case !errors.Is(err, replica.ErrNoReplica) || len(r.excluded) > 0:
 		return dispatch.Refusal{Cause: dispatch.CauseRejected}
 	case !n.syncedReplicas.Load():
-		return dispatch.Refusal{Cause: dispatch.CauseStarting, EndsIn: n.comeBackAtStart()}
+		return dispatch.Refusal{Cause: dispatch.CauseStarting, EndsIn: n.retryAfterStart()}
 	default:
 		return dispatch.Refusal{Cause: dispatch.CauseNoReplica}
 	}
@@ -137,7 +137,7 @@
 }
 
 // sound reports whether the answer may be passed on: a success is signed.
-func (n *Node) sound(response *upstream.Response) bool {
+func (n *Node) mayRelay(response *upstream.Response) bool {
 	status := response.Status()
 	if status < fasthttp.StatusOK || status >= fasthttp.StatusMultipleChoices {
 		return true
--- a/edge/call.go
+++ b/edge/call.go
@@ -21,11 +21,11 @@
 	table   *routing.Table
 
 	// flying are the attempts that have no result yet, the newest last.
-	flying  []*callAttempt
-	results chan callResult
+	inFlight []*callAttempt
+	results  chan callResult
 	// runs counts the attempts that may have run, and offers all of them.
-	runs   int
-	offers int
+	runs     int
+	attempts int
 	// repeats counts the attempts that were sent beside another one.
 	repeats int
 }
@@ -62,49 +62,49 @@
 
 // perform runs the call and answers the client.
 func (c *callRun) perform() {
-	defer c.abandonRest()
-	defer c.noteRuns()
+	defer c.cancelInFlight()
+	defer c.recordRuns()
 	for {
-		if len(c.flying) == 0 {
-			if err := c.launch(); err != nil {
-				c.node.refuse(c.request, err, c.runs)
+		if len(c.inFlight) == 0 {
+			if err := c.startAttempt(); err != nil {
+				c.node.failWithoutReplica(c.request, err, c.runs)
 				return
 			}
 		}
 		result, came := c.await()
 		if !came {
-			c.repeat()
+			c.repeatLate()
 			continue
 		}
-		if c.take(result) {
+		if c.handleResult(result) {
 			return
 		}
 	}
 }
 
 // noteRuns tells whether a replica may have run the call.
-func (c *callRun) noteRuns() {
+func (c *callRun) recordRuns() {
 	if c.runs > 0 {
-		c.request.noteRun()
+		c.request.markRun()
 	}
 }
 
 // launch sends the call to the replica that is best now.
-func (c *callRun) launch() error {
+func (c *callRun) startAttempt() error {
 	n, r := c.node, c.request
-	if c.offers >= maximumOffers || r.left() <= 0 {
-		return errOffered
+	if c.attempts >= maximumAttempts || r.timeLeft() <= 0 {
+		return errAllRefused
 	}
-	r.beside = len(c.flying) > 0
+	r.attemptInFlight = len(c.inFlight) > 0
 	entry, err := n.chooseReplica(r, c.table)
 	if err != nil {
 		return err
 	}
-	c.offers++
+	c.attempts++
 	c.runs++
 	attempt := &callAttempt{choice: r.choice, sentAt: r.sentAt, cancel: r.exchange.Cancel}
-	c.flying = append(c.flying, attempt)
-	request := n.outgoing(r, entry, r.exchange.Body, "")
+	c.inFlight = append(c.inFlight, attempt)
+	request := n.replicaRequest(r, entry, r.exchange.Body, "")
 	if !c.repeatable() {
 		c.results <- n.performCall(attempt, request)
 		return nil
@@ -119,7 +119,7 @@
 	response, err := n.pool.Send(targetOf(attempt.choice.Entry), request, attempt.cancel)
 	result := callResult{attempt: attempt, response: response, err: err}
 	if err == nil {
-		n.hearCold(attempt.choice.Entry.ID, response)
+		n.observeColdStatus(attempt.choice.Entry.ID, response)
 		result.body, result.err = response.ReadAll()
 	}
 	return result
@@ -135,7 +135,7 @@
 	if !c.repeatable() || c.repeats >= maximumRepeats {
 		return <-c.results, true
 	}
-	newest := c.flying[len(c.flying)-1]
+	newest := c.inFlight[len(c.inFlight)-1]
 	timer := time.NewTimer(time.Until(newest.sentAt.Add(c.node.lateAfter(c.request.route))))
 	defer timer.Stop()
 	select {
@@ -148,82 +148,82 @@
 
 // repeat sends the call once more beside those that are late: elsewhere, or,
 // once it is on as many replicas as it may be, to the same one.
-func (c *callRun) repeat() {
+func (c *callRun) repeatLate() {
 	c.repeats++
 	r := c.request
-	again := dispatch.DecideRepeat(c.late())
-	c.node.metrics.callLate(again.String())
-	if again != dispatch.RepeatSent || !c.node.calls.mayRepeat() {
+	retry := dispatch.DecideRepeat(c.lateCall())
+	c.node.metrics.callLate(retry.String())
+	if retry != dispatch.RepeatSent || !c.node.callStats.mayRepeat() {
 		return
 	}
-	newest := c.flying[len(c.flying)-1]
-	r.again(newest.choice.Entry, c.runs)
-	if err := c.launch(); err == nil {
+	newest := c.inFlight[len(c.inFlight)-1]
+	r.retry(newest.choice.Entry, c.runs)
+	if err := c.startAttempt(); err == nil {
 		r.repeats++
 		c.node.metrics.callRepeated()
 	}
 }
 
 // late returns what the decision to send the call again rests on.
-func (c *callRun) late() *dispatch.LateCall {
-	late := &dispatch.LateCall{Left: c.request.left()}
-	if c.node.settings.uses(RepeatIntoRoom) {
-		late.TypicalDuration = c.node.calls.usual(c.request.route)
-		late.Utilisation = c.node.replicas.pressure(c.node.choiceOf(c.request))
+func (c *callRun) lateCall() *dispatch.LateCall {
+	lateCall := &dispatch.LateCall{Left: c.request.timeLeft()}
+	if c.node.settings.uses(RepeatWithCapacity) {
+		lateCall.TypicalDuration = c.node.callStats.typicalDuration(c.request.route)
+		lateCall.Utilisation = c.node.replicas.minUtilisation(c.node.selectionRequest(c.request))
 	}
-	return late
+	return lateCall
 }
 
 // take takes a result in. It reports whether the request is over.
-func (c *callRun) take(result callResult) (over bool) {
+func (c *callRun) handleResult(result callResult) (over bool) {
 	n, r := c.node, c.request
-	c.land(result.attempt)
+	c.removeInFlight(result.attempt)
 	entry := result.attempt.choice.Entry
 	if upstream.NotSent(result.err) {
-		return c.notRun(result.attempt, replica.ResultFailed)
+		return c.attemptNotRun(result.attempt, replica.ResultFailed)
 	}
 	if result.err == nil && n.notExecuted(result.response) {
-		return c.notRun(result.attempt, replica.ResultRejected)
+		return c.attemptNotRun(result.attempt, replica.ResultRejected)
 	}
-	if result.err == nil && n.sound(result.response) {
+	if result.err == nil && n.mayRelay(result.response) {
 		r.choice = result.attempt.choice
 		status := result.response.Status()
-		n.replicas.ended(entry.ID, resultOf(status))
-		n.calls.answered(r.route, time.Since(result.attempt.sentAt), status)
+		n.replicas.ended(entry.ID, resultForStatus(status))
+		n.callStats.observeAnswer(r.route, time.Since(result.attempt.sentAt), status)
 		r.status = status
 		r.reason = "answered"
 		r.exchange.Relay(&result.response.Header, result.body)
 		return true
 	}
-	return c.brokeOff(result)
+	return c.attemptFailed(result)
 }
 
 // notRun takes in that an attempt certainly did not run.
-func (c *callRun) notRun(attempt *callAttempt, result replica.Result) (over bool) {
+func (c *callRun) attemptNotRun(attempt *callAttempt, result replica.Result) (over bool) {
 	n, r := c.node, c.request
 	c.runs--
-	if len(c.flying) > 0 {
+	if len(c.inFlight) > 0 {
 		// The others go on; a replica more might be one too many.
 		n.replicas.ended(attempt.choice.Entry.ID, result)
 		c.repeats = maximumRepeats
 		return false
 	}
-	if result == replica.ResultFailed && n.abandoned(r, attempt.choice.Entry) {
+	if result == replica.ResultFailed && n.endIfAbandoned(r, attempt.choice.Entry) {
 		return true
 	}
-	n.reject(r, attempt.choice.Entry, result)
+	n.attemptRejected(r, attempt.choice.Entry, result)
 	return false
 }
 
 // brokeOff takes in that an attempt that may have run has no whole answer.
-func (c *callRun) brokeOff(result callResult) (over bool) {
+func (c *callRun) attemptFailed(result callResult) (over bool) {
 	n, r := c.node, c.request
 	entry := result.attempt.choice.Entry
-	if len(c.flying) > 0 && r.exchange.Cancel.Cause() == nil {
+	if len(c.inFlight) > 0 && r.exchange.Cancel.Cause() == nil {
 		n.replicas.ended(entry.ID, replica.ResultFailed)
 		return false
 	}
-	if n.abandoned(r, entry) {
+	if n.endIfAbandoned(r, entry) {
 		return true
 	}
 	n.replicas.ended(entry.ID, replica.ResultFailed)
@@ -231,15 +231,15 @@
 		r.fail(fasthttp.StatusBadGateway, failureReason(result.err), 0)
 		return true
 	}
-	r.again(entry, c.runs)
+	r.retry(entry, c.runs)
 	return false
 }
 
 // land takes an attempt that has ended off those that fly.
-func (c *callRun) land(attempt *callAttempt) {
-	for index, flying := range c.flying {
-		if flying == attempt {
-			c.flying = append(c.flying[:index], c.flying[index+1:]...)
+func (c *callRun) removeInFlight(attempt *callAttempt) {
+	for index, inFlight := range c.inFlight {
+		if inFlight == attempt {
+			c.inFlight = append(c.inFlight[:index], c.inFlight[index+1:]...)
 			return
 		}
 	}
@@ -247,10 +247,10 @@
 
 // abandonRest ends the attempts that nobody waits for any more. Their replicas
 // are told by the closed connections.
-func (c *callRun) abandonRest() {
+func (c *callRun) cancelInFlight() {
 	left := c.request.exchange.Cancel.Cause() != nil
-	for _, attempt := range c.flying {
-		attempt.cancel.Trigger(errOvertaken)
+	for _, attempt := range c.inFlight {
+		attempt.cancel.Trigger(errSuperseded)
 		result := replica.ResultCancelled
 		if !left && time.Since(attempt.sentAt) >= c.node.lateAfter(c.request.route) {
 			result = replica.ResultTimedOut
--- a/edge/calls.go
+++ b/edge/calls.go
@@ -14,38 +14,38 @@
 
 // calls guards what this node has learnt of the times of calls, and bounds how
 // many of them are sent again.
-type calls struct {
-	mutex    sync.Mutex
-	lateness *replica.LatencyTracker
-	budget   *retry.Budget
+type callStats struct {
+	mutex     sync.Mutex
+	latencies *replica.LatencyTracker
+	budget    *retry.Budget
 }
 
 // Calls that are sent beside a late one are bounded by those that were answered.
 const (
 	repeatsPerAnswer = 0.1
-	repeatsSaved     = 10
+	repeatCapacity   = 10
 )
 
 // lateUnknown is the share of a route's time after which a call is late while
 // nothing is known of the route's times and the operator names no objective.
-const lateUnknown = 4
+const defaultLateDivisor = 4
 
 // errOffered says that a request was offered to as many replicas as it may be.
-var errOffered = errors.New("every replica refused the request")
+var errAllRefused = errors.New("every replica refused the request")
 
 // errOvertaken says that another attempt of the same request was answered first.
-var errOvertaken = errors.New("another attempt was answered first")
+var errSuperseded = errors.New("another attempt was answered first")
 
-func newCalls() (*calls, error) {
-	budget, err := retry.NewBudget(retry.BudgetConfig{PerSuccess: repeatsPerAnswer, Capacity: repeatsSaved})
+func newCallStats() (*callStats, error) {
+	budget, err := retry.NewBudget(retry.BudgetConfig{PerSuccess: repeatsPerAnswer, Capacity: repeatCapacity})
 	if err != nil {
 		return nil, err
 	}
-	return &calls{lateness: replica.NewLatencyTracker(), budget: budget}, nil
+	return &callStats{latencies: replica.NewLatencyTracker(), budget: budget}, nil
 }
 
 // answered takes in how long a call took that was answered.
-func (c *calls) answered(route *routing.Route, took time.Duration, status int) {
+func (c *callStats) observeAnswer(route *routing.Route, took time.Duration, status int) {
 	if status >= fasthttp.StatusInternalServerError {
 		return
 	}
@@ -53,32 +53,32 @@
 	defer c.mutex.Unlock()
 	c.budget.Success()
 	if route.Repeatable() {
-		c.lateness.Observe(time.Now(), route.Name, took)
+		c.latencies.Observe(time.Now(), route.Name, took)
 	}
 }
 
 // mayRepeat reports whether one more call may be sent beside a late one, and
 // counts it.
-func (c *calls) mayRepeat() bool {
+func (c *callStats) mayRepeat() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.budget.Withdraw()
 }
 
 // usual returns what a call of the route takes as a rule; 0 where that is not known.
-func (c *calls) usual(route *routing.Route) time.Duration {
+func (c *callStats) typicalDuration(route *routing.Route) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lateness.Median(route.Name)
+	return c.latencies.Median(route.Name)
 }
 
 // lateAfter returns how long after its start a call of the route is late.
 func (n *Node) lateAfter(route *routing.Route) time.Duration {
 	otherwise := route.LatencyObjective
 	if otherwise <= 0 {
-		otherwise = route.Timeout / lateUnknown
+		otherwise = route.Timeout / defaultLateDivisor
 	}
-	n.calls.mutex.Lock()
-	defer n.calls.mutex.Unlock()
-	return n.calls.lateness.LateAfter(route.Name, otherwise)
+	n.callStats.mutex.Lock()
+	defer n.callStats.mutex.Unlock()
+	return n.callStats.latencies.LateAfter(route.Name, otherwise)
 }
--- a/edge/charge.go
+++ b/edge/charge.go
@@ -15,14 +15,14 @@
 const (
 	// chargePatience is how long a request waits for the node that counts for its
 	// tenant: until the loss of a node is noticed and another one counts.
-	chargePatience = ownerPatience
+	chargeTimeout = ownerLookupTimeout
 	// chargePatienceShare bounds that by a part of the request's time.
-	chargePatienceShare = 0.5
+	chargeTimeoutShare = 0.5
 )
 
 // charge is how a request counts to its tenant's limit.
 type charge struct {
-	asked   coordinator.Charge
+	request coordinator.Charge
 	answer  chan coordinator.Charged
 	outcome coordinator.Charged
 	// ran is set once a replica may have run the request.
@@ -32,18 +32,18 @@
 // beginCharge asks for the request to be counted, where its tenant has a limit. The
 // answer is taken by endCharge.
 func (n *Node) beginCharge(ctx context.Context, r *requestState) {
-	if r.tenant == nil || r.tenant.Limit.Unlimited() || !n.settings.uses(KeepQuotas) {
+	if r.tenant == nil || r.tenant.Limit.Unlimited() || !n.settings.uses(EnforceLimits) {
 		return
 	}
 	r.charge = &charge{
-		asked: coordinator.Charge{Tenant: r.tenant.Name, Request: tenant.Request{
+		request: coordinator.Charge{Tenant: r.tenant.Name, Request: tenant.Request{
 			ID: r.id, Program: r.exchange.Field(n.adapter.Names.Program), Route: r.route.Name,
 			Limit: r.tenant.Limit, Version: r.version,
 		}},
 		answer: make(chan coordinator.Charged, 1),
 	}
-	patience := min(chargePatience, time.Duration(chargePatienceShare*float64(max(0, r.left()))))
-	n.control.charge(ctx, r.charge, patience)
+	timeout := min(chargeTimeout, time.Duration(chargeTimeoutShare*float64(max(0, r.timeLeft()))))
+	n.control.charge(ctx, r.charge, timeout)
 }
 
 // endCharge waits for the answer of beginCharge. If it returns false, the request was
@@ -56,11 +56,11 @@
 	case r.charge.outcome = <-r.charge.answer:
 	case <-ctx.Done():
 		// The answer may still come; settleCharge takes it.
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseLimit}, "the time of the request was up before it was counted")
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseLimit}, "the time of the request was up before it was counted")
 		return false
 	}
 	n.metrics.charged(string(r.charge.outcome.Status))
-	n.shares.heard(r)
+	n.shares.observe(r)
 	switch r.charge.outcome.Status {
 	case coordinator.ChargeGranted:
 		return true
@@ -68,45 +68,45 @@
 		r.fail(fasthttp.StatusTooManyRequests, "the tenant's limit of "+strconv.FormatFloat(r.tenant.Limit.Rate, 'g', -1, 64)+
 			" requests a second is reached", r.charge.outcome.Decision.RetryAfter)
 	default:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseLimit}, "the node that counts the tenant's requests does not answer")
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseLimit}, "the node that counts the tenant's requests does not answer")
 	}
 	return false
 }
 
 // settleCharge gives back what was granted for a request that did not run.
-func (n *Node) settleCharge(r *requestState) {
-	held := r.charge
+func (n *Node) refundUnusedCharge(r *requestState) {
+	counted := r.charge
 	switch {
-	case held == nil || held.ran:
-	case held.outcome.Status == coordinator.ChargeGranted:
-		n.returnCharge(held)
-	case held.outcome.Status == "":
+	case counted == nil || counted.ran:
+	case counted.outcome.Status == coordinator.ChargeGranted:
+		n.refundCharge(counted)
+	case counted.outcome.Status == "":
 		// The request ended before its answer came.
-		n.run(func(ctx context.Context) { n.awaitReturn(ctx, held) })
+		n.run(func(ctx context.Context) { n.refundLateCharge(ctx, counted) })
 	}
 }
 
 // awaitReturn gives a grant back that comes after its request has ended. None comes
 // after the patience of its question.
-func (n *Node) awaitReturn(ctx context.Context, held *charge) {
-	waitCtx, cancel := context.WithTimeout(ctx, 2*chargePatience)
+func (n *Node) refundLateCharge(ctx context.Context, counted *charge) {
+	waitCtx, cancel := context.WithTimeout(ctx, 2*chargeTimeout)
 	defer cancel()
 	select {
-	case outcome := <-held.answer:
+	case outcome := <-counted.answer:
 		if outcome.Status == coordinator.ChargeGranted {
-			n.returnCharge(held)
+			n.refundCharge(counted)
 		}
 	case <-waitCtx.Done():
 	}
 }
 
-func (n *Node) returnCharge(held *charge) {
-	n.metrics.charged(chargeReturned)
-	n.control.post(coordinator.ChargeRefunded{Charge: held.asked})
+func (n *Node) refundCharge(counted *charge) {
+	n.metrics.charged(chargeRefunded)
+	n.control.post(coordinator.ChargeRefunded{Charge: counted.request})
 }
 
 // noteRun notes that a replica may have run the request.
-func (r *requestState) noteRun() {
+func (r *requestState) markRun() {
 	if r.charge != nil {
 		r.charge.ran = true
 	}
--- a/edge/cold.go
+++ b/edge/cold.go
@@ -17,21 +17,21 @@
 	// coldPatience is how long a request waits for the node that counts what a cold
 	// replica gets: a way across zones and back, asked twice. Another replica is chosen
 	// then.
-	coldPatience = 100 * time.Millisecond
+	coldChargeTimeout = 100 * time.Millisecond
 	// coldFresh is within what time of its question a grant is used: one that a node
 	// reads later, because it stood still, would be sent in another second than the one
 	// it was counted in.
-	coldFresh = 150 * time.Millisecond
+	coldGrantLifetime = 150 * time.Millisecond
 	// coldSilence is how long a cold replica is passed over whose counting node did not
 	// answer: so that only few requests wait in vain until its loss is noticed.
-	coldSilence = 250 * time.Millisecond
+	coldUnresponsivePause = 250 * time.Millisecond
 	// leastColdPause is how long a cold replica is passed over at least that is at its
 	// rate: it bounds what many nodes with much to send ask of the one that counts, and
 	// still leaves them far more questions than there are grants.
-	leastColdPause = 100 * time.Millisecond
+	minimumColdPause = 100 * time.Millisecond
 	// maximumColdAsks bounds the cold replicas that are asked for in one choice; warm
 	// ones alone are chosen from then on.
-	maximumColdAsks = 3
+	maximumColdRequests = 3
 	// coldWait is how long a request waits in all where every replica is cold and at
 	// its rate, and coldWaitStep how long at once: about the time in which a replica's
 	// rate grows by one request.
@@ -40,37 +40,37 @@
 )
 
 // chooseWithin picks the best replica, within the rates of those that are cold.
-func (n *Node) chooseWithin(r *requestState, request *replica.Request) (replica.Choice, error) {
+func (n *Node) chooseWithinColdRates(r *requestState, request *replica.Request) (replica.Choice, error) {
 	waitUntil := time.Now()
-	if !r.beside {
-		waitUntil = waitUntil.Add(min(coldWait, r.left()/2))
+	if !r.attemptInFlight {
+		waitUntil = waitUntil.Add(min(coldWait, r.timeLeft()/2))
 	}
-	for asked := 0; ; {
-		request.WarmOnly = asked >= maximumColdAsks
+	for requested := 0; ; {
+		request.WarmOnly = requested >= maximumColdRequests
 		choice, err := n.replicas.choose(request)
 		switch {
 		case errors.Is(err, replica.ErrColdRate) && time.Now().Add(coldWaitStep).Before(waitUntil):
 			if !wait.For(n.ctx, coldWaitStep) {
 				return choice, err
 			}
-			asked = 0
+			requested = 0
 		case err != nil || choice.ColdRate == 0:
 			return choice, err
-		case n.askCold(r, &choice):
-			n.replicas.confirm(choice.Entry.ID, request)
+		case n.requestColdGrant(r, &choice):
+			n.replicas.confirmReservation(choice.Entry.ID, request)
 			return choice, nil
 		default:
-			n.replicas.withdraw(choice.Entry.ID)
-			asked++
+			n.replicas.releaseReservation(choice.Entry.ID)
+			requested++
 		}
 	}
 }
 
 // askCold asks whether a cold replica may get the request now. If not, the replica is
 // passed over for a while.
-func (n *Node) askCold(r *requestState, choice *replica.Choice) bool {
-	asked := &charge{
-		asked: coordinator.Charge{Replica: string(choice.Entry.ID), Request: tenant.Request{
+func (n *Node) requestColdGrant(r *requestState, choice *replica.Choice) bool {
+	request := &charge{
+		request: coordinator.Charge{Replica: string(choice.Entry.ID), Request: tenant.Request{
 			ID:    n.nextOffer(),
 			Limit: tenant.Limit{Rate: choice.ColdRate}, Version: r.version,
 		}},
@@ -78,24 +78,24 @@
 	}
 	n.metrics.coldCharged(coldAsked)
 	begun := time.Now()
-	n.awaitCold(asked)
-	status, pause := string(asked.outcome.Status), max(asked.outcome.Decision.RetryAfter, leastColdPause)
-	granted := asked.outcome.Status == coordinator.ChargeGranted
+	n.awaitColdGrant(request)
+	status, pause := string(request.outcome.Status), max(request.outcome.Decision.RetryAfter, minimumColdPause)
+	granted := request.outcome.Status == coordinator.ChargeGranted
 	switch {
-	case granted && time.Since(begun) > coldFresh:
-		n.control.post(coordinator.ChargeRefunded{Charge: asked.asked})
+	case granted && time.Since(begun) > coldGrantLifetime:
+		n.control.post(coordinator.ChargeRefunded{Charge: request.request})
 		status, granted = coldStale, false
-	case asked.outcome.Status == coordinator.ChargeUnknown:
-		pause = coldSilence
+	case request.outcome.Status == coordinator.ChargeUnknown:
+		pause = coldUnresponsivePause
 	}
 	n.metrics.coldCharged(status)
 	if granted {
-		r.coldGrant = &asked.asked
+		r.coldGrant = &request.request
 		return true
 	}
 	n.replicas.pauseCold(choice.Entry.ID, pause)
 	n.logger.Debug().Str("request", r.id).Str("replica", string(choice.Entry.ID)).Str("status", status).
-		Str("owner", string(asked.outcome.Owner)).Dur("pause", pause).Msg("replicas: cold, not granted")
+		Str("owner", string(request.outcome.Owner)).Dur("pause", pause).Msg("replicas: cold, not granted")
 	return false
 }
 
@@ -106,29 +106,29 @@
 }
 
 // awaitCold asks a question and takes its answer, or that there is none in time.
-func (n *Node) awaitCold(asked *charge) {
-	ctx, cancel := context.WithTimeout(n.ctx, coldFresh)
+func (n *Node) awaitColdGrant(request *charge) {
+	ctx, cancel := context.WithTimeout(n.ctx, coldGrantLifetime)
 	defer cancel()
-	n.control.charge(ctx, asked, coldPatience)
+	n.control.charge(ctx, request, coldChargeTimeout)
 	select {
-	case asked.outcome = <-asked.answer:
+	case request.outcome = <-request.answer:
 	case <-ctx.Done():
-		asked.outcome.Status = coordinator.ChargeUnknown
+		request.outcome.Status = coordinator.ChargeUnknown
 	}
 }
 
 // returnCold gives back the grant of a request that a cold replica did not run.
-func (n *Node) returnCold(r *requestState, id replica.ID) {
+func (n *Node) refundColdGrant(r *requestState, id replica.ID) {
 	if r.coldGrant == nil || r.coldGrant.Replica != string(id) {
 		return
 	}
-	n.metrics.coldCharged(coldReturned)
+	n.metrics.coldCharged(coldRefunded)
 	n.control.post(coordinator.ChargeRefunded{Charge: *r.coldGrant})
 	r.coldGrant = nil
 }
 
 // hearCold takes in what an answer says of how long its replica stays cold.
-func (n *Node) hearCold(id replica.ID, response *upstream.Response) {
+func (n *Node) observeColdStatus(id replica.ID, response *upstream.Response) {
 	if n.adapter.Names.ColdLeft == "" {
 		return
 	}
@@ -141,24 +141,24 @@
 		n.logger.Warn().Str("replica", string(id)).Bytes("left", value).Err(err).Msg("replicas: cold time not understood")
 		return
 	}
-	n.replicas.hearCold(id, left)
+	n.replicas.observeColdStatus(id, left)
 }
 
 // noteColdTurns writes which replicas turned cold or warm.
-func (n *Node) noteColdTurns(now time.Time) {
-	turns, count := n.replicas.coldTurns(now)
+func (n *Node) logColdTransitions(now time.Time) {
+	transitions, count := n.replicas.coldTransitions(now)
 	n.metrics.replicasCold(count)
-	for _, turn := range turns {
+	for _, transition := range transitions {
 		message := "replicas: turned warm"
-		if turn.Cold {
+		if transition.Cold {
 			message = "replicas: turned cold"
 		}
-		n.logger.Info().Str("replica", string(turn.ID)).Time("until", turn.Until).Str("source", turn.Source).Msg(message)
+		n.logger.Info().Str("replica", string(transition.ID)).Time("until", transition.Until).Str("source", transition.Source).Msg(message)
 	}
 }
 
 // confirm counts a request at a cold replica that was reserved there.
-func (r *replicas) confirm(id replica.ID, request *replica.Request) {
+func (r *replicas) confirmReservation(id replica.ID, request *replica.Request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.Release(id)
@@ -166,7 +166,7 @@
 }
 
 // withdraw takes back what was reserved at a cold replica.
-func (r *replicas) withdraw(id replica.ID) {
+func (r *replicas) releaseReservation(id replica.ID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.Release(id)
@@ -180,7 +180,7 @@
 }
 
 // hearCold takes in what an answer says of how long its replica stays cold.
-func (r *replicas) hearCold(id replica.ID, left time.Duration) {
+func (r *replicas) observeColdStatus(id replica.ID, left time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
@@ -188,7 +188,7 @@
 		return
 	}
 	if entry, known := r.set.EntryAt(now, id); known {
-		r.tell(replica.Change{Entry: &entry})
+		r.publish(replica.Change{Entry: &entry})
 	}
 }
 
@@ -210,7 +210,7 @@
 }
 
 // coldTurns returns the replicas that turned cold or warm, and how many are cold.
-func (r *replicas) coldTurns(now time.Time) ([]replica.ColdTransition, int) {
+func (r *replicas) coldTransitions(now time.Time) ([]replica.ColdTransition, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.ColdTransitions(now)
--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -34,7 +34,7 @@
 func answerCold(node *Node, asked *[]coordinator.Charge, statuses ...coordinator.ChargeStatus) {
 	go func() {
 		for _, status := range statuses {
-			question, isCharge := (<-node.control.inbox).(chargeQuestion)
+			question, isCharge := (<-node.control.inbox).(chargeRequest)
 			if !isCharge {
 				return
 			}
@@ -45,7 +45,7 @@
 }
 
 func coldRequest() *requestState {
-	return &requestState{id: "q", version: 3, deadline: time.Now().Add(time.Hour), beside: true}
+	return &requestState{id: "q", version: 3, deadline: time.Now().Add(time.Hour), attemptInFlight: true}
 }
 
 // TestColdReplicaIsAskedFor before a request goes to it, and the next best is chosen at
@@ -57,17 +57,17 @@
 	var asked []coordinator.Charge
 	answerCold(node, &asked, coordinator.ChargeRefused, coordinator.ChargeGranted)
 	request := coldRequest()
-	choice, err := node.chooseWithin(request, &replica.Request{Service: "s"})
+	choice, err := node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(asked).To(HaveLen(2))
 	g.Expect(asked[0].Replica).To(Equal("r0"))
 	g.Expect(asked[0].Request.Limit).To(Equal(tenant.Limit{Rate: 28}))
 	g.Expect(asked[0].Request.Version).To(BeEquivalentTo(3))
 	g.Expect(choice.Entry.ID).To(BeEquivalentTo("r1"))
-	g.Expect(node.replicas.own()).To(Equal(map[string]int{"r1": 1}))
+	g.Expect(node.replicas.ownRequests()).To(Equal(map[string]int{"r1": 1}))
 	// The refused one is not asked for again until it may be.
 	answerCold(node, &asked, coordinator.ChargeGranted)
-	choice, err = node.chooseWithin(request, &replica.Request{Service: "s"})
+	choice, err = node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Entry.ID).To(BeEquivalentTo("r1"))
 	g.Expect(asked).To(HaveLen(3))
@@ -82,7 +82,7 @@
 	var asked []coordinator.Charge
 	answerCold(node, &asked, coordinator.ChargeGranted, coordinator.ChargeGranted)
 	for range 2 {
-		_, err := node.chooseWithin(coldRequest(), &replica.Request{Service: "s"})
+		_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
 	g.Expect(asked).To(HaveLen(2))
@@ -96,9 +96,9 @@
 	defer node.Kill()
 	var asked []coordinator.Charge
 	answerCold(node, &asked, coordinator.ChargeUnknown)
-	_, err := node.chooseWithin(coldRequest(), &replica.Request{Service: "s"})
+	_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 	g.Expect(err).To(MatchError(replica.ErrColdRate))
-	g.Expect(node.replicas.own()).To(BeEmpty())
+	g.Expect(node.replicas.ownRequests()).To(BeEmpty())
 }
 
 // TestColdGrantIsGivenBack where the replica did not run the request.
@@ -109,11 +109,11 @@
 	var asked []coordinator.Charge
 	answerCold(node, &asked, coordinator.ChargeGranted)
 	request := coldRequest()
-	choice, err := node.chooseWithin(request, &replica.Request{Service: "s"})
+	choice, err := node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
-	node.reject(request, choice.Entry, replica.ResultRejected)
+	node.attemptRejected(request, choice.Entry, replica.ResultRejected)
 	g.Expect(<-node.control.inbox).To(Equal(coordinator.ChargeRefunded{Charge: asked[0]}))
-	node.reject(request, choice.Entry, replica.ResultRejected)
+	node.attemptRejected(request, choice.Entry, replica.ResultRejected)
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
 
@@ -122,7 +122,7 @@
 	g := NewWithT(t)
 	node := coldNode(g, []Mechanism{LimitCold}, "r0")
 	defer node.Kill()
-	_, err := node.chooseWithin(coldRequest(), &replica.Request{Service: "s"})
+	_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
@@ -133,15 +133,15 @@
 	node := coldNode(g, nil)
 	defer node.Kill()
 	node.replicas.put(replica.Entry{ID: "r0", Service: "s", Status: replica.StatusReady, Slots: 4})
-	before, _, _ := node.replicas.since(&relayQuestion{}, false)
+	before, _, _ := node.replicas.since(&relayRequest{}, false)
 	g.Expect(before[0].Entry.Cold.Remaining).To(BeZero())
 	for _, value := range []string{"", "soon", "0"} {
-		node.hearCold("r0", answerWith(value))
+		node.observeColdStatus("r0", answerWith(value))
 		g.Expect(node.ColdReplicas()).To(BeZero(), value)
 	}
-	node.hearCold("r0", answerWith("3600000"))
+	node.observeColdStatus("r0", answerWith("3600000"))
 	g.Expect(node.ColdReplicas()).To(Equal(1))
-	changes, _, _ := node.replicas.since(&relayQuestion{since: 1}, true)
+	changes, _, _ := node.replicas.since(&relayRequest{since: 1}, true)
 	g.Expect(changes).To(HaveLen(1))
 	g.Expect(changes[0].Entry.Cold.Remaining).To(BeNumerically("~", time.Hour, time.Minute))
 }
--- a/edge/contact.go
+++ b/edge/contact.go
@@ -7,7 +7,7 @@
 
 // contact is what a node knows of its contact with the store. It is safe for
 // concurrent use.
-type contact struct {
+type storeContact struct {
 	mutex sync.Mutex
 	// last is when the store answered last, and regained when it did after it
 	// had been lost; zero where it never was.
@@ -16,7 +16,7 @@
 	// failing says that calls have failed since the store answered last.
 	failing bool
 	// trustedUntil is until when a read that waits at the store may take.
-	trustedUntil time.Time
+	pendingUntil time.Time
 	// regain is closed when the store answers again after it was lost; nil while nobody
 	// waits for that.
 	regain chan struct{}
@@ -32,11 +32,11 @@
 	// A node may notice the return more than a second late, and a replica that
 	// left meanwhile must not get requests for longer than one that the node was
 	// told of; what comes back later is chosen again then.
-	doubtFor = 1500 * time.Millisecond
+	removalDeferral = 1500 * time.Millisecond
 )
 
 // note takes in an answer of the store.
-func (c *contact) note(now time.Time) {
+func (c *storeContact) recordAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if now.Sub(c.last) >= contactLifetime {
@@ -51,7 +51,7 @@
 
 // nextRegain returns what is closed when the store answers for the first time after it was
 // lost. A call that was sent before that may never be answered.
-func (c *contact) nextRegain() <-chan struct{} {
+func (c *storeContact) nextRegain() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.regain == nil {
@@ -61,49 +61,49 @@
 }
 
 // fail takes in that a call got no answer of the store.
-func (c *contact) fail() {
+func (c *storeContact) recordFailure() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.failing = true
 }
 
 // fails reports whether calls have failed since the store answered last.
-func (c *contact) fails() bool {
+func (c *storeContact) isFailing() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.failing
 }
 
 // at returns when the store answered last.
-func (c *contact) at() time.Time {
+func (c *storeContact) lastAnswer() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.last
 }
 
 // reached reports whether the store answered lately.
-func (c *contact) reached(now time.Time) bool { return now.Sub(c.at()) < contactLifetime }
+func (c *storeContact) reached(now time.Time) bool { return now.Sub(c.lastAnswer()) < contactLifetime }
 
 // trust takes in until when a read that waits may take, or that none does any more.
-func (c *contact) trust(until time.Time) {
+func (c *storeContact) setPending(until time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.trustedUntil = until
+	c.pendingUntil = until
 }
 
 // trusted reports whether a read waits that has not failed.
-func (c *contact) trusted(now time.Time) bool {
+func (c *storeContact) pending(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return now.Before(c.trustedUntil)
+	return now.Before(c.pendingUntil)
 }
 
 // doubtUntil returns until when replicas that are not listed are kept.
-func (c *contact) doubtUntil() time.Time {
+func (c *storeContact) deferRemovalsUntil() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.regained.IsZero() {
 		return time.Time{}
 	}
-	return c.regained.Add(doubtFor)
+	return c.regained.Add(removalDeferral)
 }
--- a/edge/control.go
+++ b/edge/control.go
@@ -15,40 +15,40 @@
 	core  *coordinator.Core
 	inbox chan any
 	// replies are the requests that wait, by id. Only the loop uses them.
-	replies map[uint64]chan<- coordinator.Reply
-	nextID  uint64
+	pendingReplies map[uint64]chan<- coordinator.Reply
+	nextID         uint64
 	// charges are the charges that wait, by id. Only the loop uses them.
-	charges map[uint64]chan<- coordinator.Charged
+	pendingCharges map[uint64]chan<- coordinator.Charged
 	// reached and live are what was noted last of the store and of the nodes.
-	reached bool
-	live    int
+	storeReached bool
+	liveNodes    int
 	// leased is whether keys were honoured when that was noted last.
 	leased bool
 	// kept is what was noted last of the space that partitions take, and nextKept when
 	// it is looked at again.
-	kept     map[int]int
-	nextKept time.Time
+	storedBytes     map[int]int
+	nextStoredBytes time.Time
 }
 
 // inboxSize bounds the inputs that wait for the control goroutine.
 const inboxSize = 1024
 
 // question is a request of a goroutine of this process.
-type question struct {
+type partitionRequest struct {
 	partition int
 	request   coordinator.Request
 	answer    chan<- coordinator.Reply
 }
 
 // chargeQuestion is a request of a client that is to be counted.
-type chargeQuestion struct {
-	charge   coordinator.Charge
-	patience time.Duration
-	answer   chan<- coordinator.Charged
+type chargeRequest struct {
+	charge  coordinator.Charge
+	timeout time.Duration
+	answer  chan<- coordinator.Charged
 }
 
 // lookup asks who owns a partition.
-type lookup struct {
+type ownerLookup struct {
 	partition int
 	answer    chan<- machine.Machine
 }
@@ -60,25 +60,25 @@
 
 // nodeList is the answer to a directoryLookup. Whole says that the list was read.
 type nodeList struct {
-	nodes []machine.Machine
-	whole bool
+	nodes    []machine.Machine
+	complete bool
 }
 
 // peerList asks for the live peers that reach the store.
-type peerList struct {
-	answer chan<- peerCount
+type peerLookup struct {
+	answer chan<- peerSet
 }
 
 // peerCount is the answer to a peerList: the peers that reach the store, and
 // how many nodes are live, this one included.
-type peerCount struct {
+type peerSet struct {
 	peers []machine.Machine
 	live  int
 }
 
 func newControl(node *Node, core *coordinator.Core) *control {
-	return &control{node: node, core: core, inbox: make(chan any, inboxSize), replies: make(map[uint64]chan<- coordinator.Reply),
-		charges: make(map[uint64]chan<- coordinator.Charged), reached: true}
+	return &control{node: node, core: core, inbox: make(chan any, inboxSize), pendingReplies: make(map[uint64]chan<- coordinator.Reply),
+		pendingCharges: make(map[uint64]chan<- coordinator.Charged), storeReached: true}
 }
 
 // post hands an event to the loop. It blocks while the inbox is full.
@@ -90,16 +90,16 @@
 }
 
 // ask has the core answer a request about a partition.
-func (c *control) ask(ctx context.Context, partition int, request coordinator.Request) (coordinator.Reply, error) {
+func (c *control) call(ctx context.Context, partition int, request coordinator.Request) (coordinator.Reply, error) {
 	answer := make(chan coordinator.Reply, 1)
-	return exchange(ctx, c, question{partition: partition, request: request, answer: answer}, answer)
+	return roundTrip(ctx, c, partitionRequest{partition: partition, request: request, answer: answer}, answer)
 }
 
 // charge asks for a request to be counted. Its answer channel gets one answer, unless
 // the context ends first.
-func (c *control) charge(ctx context.Context, asked *charge, patience time.Duration) {
+func (c *control) charge(ctx context.Context, request *charge, timeout time.Duration) {
 	select {
-	case c.inbox <- chargeQuestion{charge: asked.asked, patience: patience, answer: asked.answer}:
+	case c.inbox <- chargeRequest{charge: request.request, timeout: timeout, answer: request.answer}:
 	case <-ctx.Done():
 	}
 }
@@ -107,26 +107,26 @@
 // owner returns the node that serves a partition.
 func (c *control) owner(ctx context.Context, partition int) (machine.Machine, error) {
 	answer := make(chan machine.Machine, 1)
-	return exchange(ctx, c, lookup{partition: partition, answer: answer}, answer)
+	return roundTrip(ctx, c, ownerLookup{partition: partition, answer: answer}, answer)
 }
 
 // directory returns the nodes that this one knows of.
 func (c *control) directory(ctx context.Context) (nodeList, error) {
 	answer := make(chan nodeList, 1)
-	return exchange(ctx, c, directoryLookup{answer: answer}, answer)
+	return roundTrip(ctx, c, directoryLookup{answer: answer}, answer)
 }
 
 // livePeers returns the live peers that reach the store.
-func (c *control) livePeers(ctx context.Context) (peerCount, error) {
-	answer := make(chan peerCount, 1)
-	return exchange(ctx, c, peerList{answer: answer}, answer)
+func (c *control) livePeers(ctx context.Context) (peerSet, error) {
+	answer := make(chan peerSet, 1)
+	return roundTrip(ctx, c, peerLookup{answer: answer}, answer)
 }
 
 // exchange puts a question into the inbox and waits for its answer.
-func exchange[A any](ctx context.Context, c *control, question any, answer <-chan A) (A, error) {
+func roundTrip[A any](ctx context.Context, c *control, request any, answer <-chan A) (A, error) {
 	var none A
 	select {
-	case c.inbox <- question:
+	case c.inbox <- request:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
@@ -143,7 +143,7 @@
 
 // keptPeriod is the time between two looks at the space that partitions take, which
 // visits all that they keep.
-const keptPeriod = 5 * time.Second
+const storedBytesPeriod = 5 * time.Second
 
 // loop runs the core until the context ends.
 func (c *control) loop(ctx context.Context) {
@@ -155,7 +155,7 @@
 		case <-ctx.Done():
 			return
 		case input := <-c.inbox:
-			c.take(input)
+			c.handleInput(input)
 		case <-timer.C:
 			now := time.Now()
 			if !now.Before(nextLoads) {
@@ -165,13 +165,13 @@
 			c.core.Step(now, coordinator.Tick{})
 			timer.Reset(time.Until(c.core.NextWake(now)))
 		}
-		c.perform()
+		c.performReady()
 	}
 }
 
 // report tells the core what this node knows of itself.
 func (c *control) report(now time.Time) {
-	loads := coordinator.Loads{Counts: c.node.replicas.own(), Reports: c.node.replicas.report()}
+	loads := coordinator.Loads{Counts: c.node.replicas.ownRequests(), Reports: c.node.replicas.report()}
 	loads.Evacuations = c.node.evacuations.version()
 	if table := c.node.routes.Current(); table != nil {
 		loads.Version = table.Version
@@ -180,79 +180,79 @@
 	c.core.Step(now, loads)
 	c.node.liveNodes.Store(int32(c.core.LiveCount()))
 	c.node.replicas.setNodes(c.core.LiveCount())
-	c.noteRoles(c.core.Roles())
-	c.endWaitForLostReader()
-	c.node.noteIsolation(now, c.core.Isolated(now))
-	c.reportKept(now)
+	c.setRoles(c.core.Roles())
+	c.cancelLostReader()
+	c.node.setIsolated(now, c.core.Isolated(now))
+	c.reportStoredBytes(now)
 	c.core.Step(now, c.node.contactNow())
-	c.noteDependencies()
-	c.node.noteColdTurns(now)
+	c.logDependencyChanges()
+	c.node.logColdTransitions(now)
 }
 
 // noteRoles takes in what nodes do for others. A node that may have to take a partition
 // over from now on looks at once whether it reaches the store.
-func (c *control) noteRoles(roles coordinator.Roles) {
+func (c *control) setRoles(roles coordinator.Roles) {
 	before := c.node.roles.Swap(&roles)
 	if !roles.MayOwnPartition || (before != nil && before.MayOwnPartition) {
 		return
 	}
-	if end := c.node.watching.Load(); end != nil {
-		(*end)()
+	if cancel := c.node.cancelWatch.Load(); cancel != nil {
+		(*cancel)()
 	}
 }
 
 // endWaitForLostReader ends the wait for the first answer of a reader that is not live.
-func (c *control) endWaitForLostReader() {
-	if asked := c.node.askedReader.Load(); asked != nil && !c.core.IsLive(asked.id) {
-		asked.end()
+func (c *control) cancelLostReader() {
+	if asked := c.node.pendingReader.Load(); asked != nil && !c.core.IsLive(asked.id) {
+		asked.stop()
 	}
 }
 
 // reportKept sets the metrics of what partitions take in the store.
-func (c *control) reportKept(now time.Time) {
-	if now.Before(c.nextKept) {
+func (c *control) reportStoredBytes(now time.Time) {
+	if now.Before(c.nextStoredBytes) {
 		return
 	}
-	c.nextKept = now.Add(keptPeriod)
-	kept := c.core.KeptBytes()
-	for partition := range c.kept {
-		if _, still := kept[partition]; !still {
-			c.node.metrics.keptBytes(partition, 0)
+	c.nextStoredBytes = now.Add(storedBytesPeriod)
+	storedBytes := c.core.KeptBytes()
+	for partition := range c.storedBytes {
+		if _, listed := storedBytes[partition]; !listed {
+			c.node.metrics.setStoredBytes(partition, 0)
 		}
 	}
-	for partition, bytes := range kept {
-		c.node.metrics.keptBytes(partition, bytes)
+	for partition, bytes := range storedBytes {
+		c.node.metrics.setStoredBytes(partition, bytes)
 	}
-	c.kept = kept
+	c.storedBytes = storedBytes
 }
 
 // noteDependencies writes when the store or nodes are lost or regained.
-func (c *control) noteDependencies() {
-	if reached := c.node.reachesStore(); reached != c.reached {
-		c.reached = reached
+func (c *control) logDependencyChanges() {
+	if storeReached := c.node.reachesStore(); storeReached != c.storeReached {
+		c.storeReached = storeReached
 		entry, message := c.node.logger.Info(), "store: regained"
-		if !reached {
+		if !storeReached {
 			entry, message = c.node.logger.Warn(), "store: lost"
 		}
 		entry.Msg(message)
 	}
 	if leased := c.node.leased(); c.node.needsProofs() && leased != c.leased {
 		c.leased = leased
-		age, _ := c.node.proof.age(time.Now())
+		age, _ := c.node.freshnessProof.age(time.Now())
 		entry, message := c.node.logger.Info(), "keys: lease regained"
 		if !leased {
 			entry, message = c.node.logger.Warn(), "keys: lease lost"
 		}
 		entry.Dur("proof", age).Msg(message)
 	}
-	if live := c.core.LiveCount(); live != c.live {
-		c.node.logger.Info().Int("live", live).Int("before", c.live).Msg("nodes: changed")
-		c.live = live
+	if liveNodes := c.core.LiveCount(); liveNodes != c.liveNodes {
+		c.node.logger.Info().Int("live", liveNodes).Int("before", c.liveNodes).Msg("nodes: changed")
+		c.liveNodes = liveNodes
 	}
 }
 
 // take passes one input to the core.
-func (c *control) take(input any) {
+func (c *control) handleInput(input any) {
 	now := time.Now()
 	switch input := input.(type) {
 	case coordinator.Event:
@@ -260,39 +260,39 @@
 		if _, listed := input.(coordinator.NodeListRead); listed {
 			// Whom this node follows hangs on its role.
 			c.report(now)
-			c.node.noteDirectory()
+			c.node.markNodeListKnown()
 		}
-	case question:
+	case partitionRequest:
 		c.nextID++
-		c.replies[c.nextID] = input.answer
+		c.pendingReplies[c.nextID] = input.answer
 		c.core.Step(now, coordinator.RequestReceived{ID: c.nextID, Partition: input.partition, Request: input.request})
-	case chargeQuestion:
+	case chargeRequest:
 		c.nextID++
-		c.charges[c.nextID] = input.answer
-		c.core.Step(now, coordinator.ChargeRequested{ID: c.nextID, Charge: input.charge, Timeout: input.patience})
-	case lookup:
+		c.pendingCharges[c.nextID] = input.answer
+		c.core.Step(now, coordinator.ChargeRequested{ID: c.nextID, Charge: input.charge, Timeout: input.timeout})
+	case ownerLookup:
 		owner, _ := c.core.Owner(now, input.partition)
 		input.answer <- owner
 	case directoryLookup:
-		nodes, whole := c.core.Directory()
-		input.answer <- nodeList{nodes: slices.Clone(nodes), whole: whole}
-	case peerList:
-		input.answer <- peerCount{peers: c.core.Peers(now), live: c.core.LiveCount()}
+		nodes, complete := c.core.Directory()
+		input.answer <- nodeList{nodes: slices.Clone(nodes), complete: complete}
+	case peerLookup:
+		input.answer <- peerSet{peers: c.core.Peers(now), live: c.core.LiveCount()}
 	}
 }
 
 // perform carries out what the core has ready.
-func (c *control) perform() {
+func (c *control) performReady() {
 	ready := c.core.Ready()
 	for _, reply := range ready.Replies {
-		if answer, waiting := c.replies[reply.ID]; waiting {
-			delete(c.replies, reply.ID)
+		if answer, waiting := c.pendingReplies[reply.ID]; waiting {
+			delete(c.pendingReplies, reply.ID)
 			answer <- reply
 		}
 	}
 	for _, charged := range ready.Charged {
-		if answer, waiting := c.charges[charged.ID]; waiting {
-			delete(c.charges, charged.ID)
+		if answer, waiting := c.pendingCharges[charged.ID]; waiting {
+			delete(c.pendingCharges, charged.ID)
 			answer <- charged
 		}
 	}
@@ -300,7 +300,7 @@
 		c.node.peers.send(message)
 	}
 	for _, stopped := range ready.Stopped {
-		c.node.takeovers.end(stopped)
+		c.node.takeovers.stop(stopped)
 	}
 	for _, takeover := range ready.Takeovers {
 		c.node.takeOver(takeover)
@@ -309,15 +309,15 @@
 		c.node.append(one)
 	}
 	for _, load := range ready.Loads {
-		c.node.replicas.setPeer(load.Node, load.Counts)
-		c.node.hearVersion(load.From, load.Version, load.Evacuations)
+		c.node.replicas.setPeerLoads(load.Node, load.Counts)
+		c.node.observeVersion(load.From, load.Version, load.Evacuations)
 	}
-	c.node.hearTotals(&ready)
+	c.node.applyTotals(&ready)
 	for _, newer := range ready.NewerPeers {
-		c.node.hearVersion(newer.From, newer.Version, 0)
+		c.node.observeVersion(newer.From, newer.Version, 0)
 	}
-	if !ready.FreshAsOf.IsZero() && c.node.settings.uses(ProvePeers) {
-		c.node.proof.note(ready.FreshAsOf)
+	if !ready.FreshAsOf.IsZero() && c.node.settings.uses(ShareProofs) {
+		c.node.freshnessProof.record(ready.FreshAsOf)
 	}
 	for _, change := range ready.Changes {
 		c.node.logChange(change)
--- a/edge/datagram.go
+++ b/edge/datagram.go
@@ -74,7 +74,7 @@
 
 // datagramPause follows an error of the socket, so that one that lasts does not take
 // the processor.
-const datagramPause = 50 * time.Millisecond
+const datagramErrorPause = 50 * time.Millisecond
 
 // serve takes messages in until the socket closes.
 func (d *datagrams) serve() error {
@@ -90,7 +90,7 @@
 		}
 		if err != nil {
 			d.node.logger.Warn().Err(err).Msg("peers: datagram not received")
-			wait.For(d.node.ctx, datagramPause)
+			wait.For(d.node.ctx, datagramErrorPause)
 			continue
 		}
 		var message coordinator.PeerMessage
--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -34,7 +34,7 @@
 	entry = r.logTenant(entry)
 	entry = r.logProgram(entry)
 	entry = r.logWait(entry)
-	r.logChoice(entry).Dur("first", r.firstAfter).Msg("request: ended")
+	r.logChoice(entry).Dur("first", r.timeToFirstEvent).Msg("request: ended")
 }
 
 // logTenant adds whose the request is, and how it counted to a limit.
@@ -51,38 +51,38 @@
 
 // logProgram adds the program of the request, and what its owner said of a turn.
 func (r *requestState) logProgram(entry *log.Entry) *log.Entry {
-	if !r.finish.IsZero() {
-		entry = entry.Dur("finish", r.finish.Sub(r.exchange.Arrived))
+	if !r.finishBy.IsZero() {
+		entry = entry.Dur("finish", r.finishBy.Sub(r.exchange.Arrived))
 	}
 	switch {
 	case r.program == "" && r.charge != nil:
-		return entry.Str("program", r.charge.asked.Request.Program)
+		return entry.Str("program", r.charge.request.Request.Program)
 	case r.program == "":
 		return entry
 	default:
 		return entry.Str("program", r.program).Str("session", r.session).Int("partition", r.partition).
 			Str("owner", r.owner).Str("verdict", string(r.admission.Verdict)).Int("settled", r.admission.SettledTokens).
-			Int("open", r.admission.OpenTokens).Int("most", r.most).Int("budget", r.budget).Int("tokens", r.tokens).
-			Dur("need", r.need).Int("urgency", r.urgency)
+			Int("open", r.admission.OpenTokens).Int("most", r.maxTokens).Int("budget", r.budget).Int("tokens", r.tokens).
+			Dur("need", r.expectedRemaining).Int("urgency", r.urgency)
 	}
 }
 
 // logWait adds how long the request waited here, or when its client is to come back.
 func (r *requestState) logWait(entry *log.Entry) *log.Entry {
-	if r.waited > 0 {
-		entry = entry.Dur("waited", r.waited)
+	if r.queuedFor > 0 {
+		entry = entry.Dur("waited", r.queuedFor)
 	}
 	if r.cause == "" {
 		return entry
 	}
-	return entry.Str("cause", r.cause).Dur("comeBack", r.comeBack)
+	return entry.Str("cause", r.cause).Dur("comeBack", r.retryAfter)
 }
 
 // logChoice adds what the choice of the replica rested on.
 func (r *requestState) logChoice(entry *log.Entry) *log.Entry {
 	choice := &r.choice
 	return entry.Int("missing", choice.UncachedTokens).Int("load", choice.Load).Dur("predicted", choice.Predicted).
-		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.haste).
+		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.speedBias).
 		Bool("left", choice.LeftEvacuatedZone)
 }
 
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -26,24 +26,24 @@
 const (
 	pathNodes = "/peer/nodes"
 	// directoryRank stands for a partition in the ranking of those that read all.
-	directoryRank = -3
+	directoryRankKey = -3
 	// directoryReaders is how many of a partition's nodes may be asked for the list, the
 	// one that ranks first before the others.
 	directoryReaders = 4
 	// directoryAll is how many nodes a partition names at most in a fleet in which each
 	// node reads all partitions.
-	directoryAll = 3
+	directoryReadAllMaximum = 3
 	// directoryReads is how many partitions are read at the same time.
-	directoryReads = 6
+	directoryConcurrentReads = 6
 	// directoryPatience is how long a node that starts waits for the list of nodes, and
 	// as much longer as half of it by chance, before it goes on without.
-	directoryPatience = 3 * time.Second
+	directoryWait = 3 * time.Second
 	// listPatience bounds the answer to a question for the list: some 400 KB for 2,000
 	// nodes, which a slow link sends to forty others in that time.
-	listPatience = 8 * time.Second
+	nodeListTimeout = 8 * time.Second
 	// joinPauseFirst and joinPauseMost space the tries of a node that starts.
-	joinPauseFirst = 60 * time.Millisecond
-	joinPauseMost  = 2 * time.Second
+	joinMinimumBackoff = 60 * time.Millisecond
+	joinMaximumBackoff = 2 * time.Second
 	// nodesPeriodFirst and nodesPeriod are the first and the longest time between two
 	// reads of the list: nodes that start together publish their records within seconds.
 	nodesPeriodFirst = 2 * time.Second
@@ -61,10 +61,10 @@
 // awaitDirectory waits until this node has the list of nodes, and so knows whom to follow.
 // One that does not get it goes on without, later than most have it.
 func (n *Node) awaitDirectory(ctx context.Context) {
-	patience := directoryPatience + time.Duration(n.draw()*float64(directoryPatience)/2)
+	timeout := directoryWait + time.Duration(n.draw()*float64(directoryWait)/2)
 	select {
-	case <-n.listed:
-	case <-time.After(patience):
+	case <-n.nodeListKnown:
+	case <-time.After(timeout):
 	case <-ctx.Done():
 	}
 }
@@ -72,21 +72,21 @@
 // followNodes publishes this node's address and learns those of the others.
 func (n *Node) followNodes(ctx context.Context) {
 	n.control.post(coordinator.PeerReceived{Message: coordinator.PeerMessage{From: n.self}})
-	n.greet(n.settings.Seeds)
+	n.announce(n.settings.Seeds)
 	n.publishSelf(ctx)
-	backoff := n.backoffOf(joinPauseFirst, joinPauseMost)
+	backoff := n.backoffOf(joinMinimumBackoff, joinMaximumBackoff)
 	pause, digest := nodesPeriodFirst, ""
 	var near neighbours
-	for turn := 0; ctx.Err() == nil; turn++ {
-		n.readNeighbours(ctx, &near, turn)
-		next, err := n.learnNodes(ctx, near.nodes, turn, digest)
+	for try := 0; ctx.Err() == nil; try++ {
+		n.readNeighbours(ctx, &near, try)
+		next, err := n.refreshNodes(ctx, near.nodes, try, digest)
 		if err != nil {
-			n.logger.Warn().Int("turn", turn).Int("near", len(near.nodes)).Err(err).Msg("nodes: list not learned")
+			n.logger.Warn().Int("turn", try).Int("near", len(near.nodes)).Err(err).Msg("nodes: list not learned")
 			wait.For(ctx, backoff.Next())
 			continue
 		}
 		backoff.Reset()
-		digest, turn = next, -1
+		digest, try = next, -1
 		n.watchNeighbours(ctx, &near, pause)
 		pause = min(2*pause, nodesPeriod)
 	}
@@ -101,20 +101,20 @@
 }
 
 // note takes in a record of the partition that was written since.
-func (near *neighbours) note(nodes []machine.Machine) {
+func (near *neighbours) update(nodes []machine.Machine) {
 	for _, node := range nodes {
-		place := slices.IndexFunc(near.nodes, func(known machine.Machine) bool { return known.ID == node.ID })
-		if place < 0 {
+		index := slices.IndexFunc(near.nodes, func(known machine.Machine) bool { return known.ID == node.ID })
+		if index < 0 {
 			near.nodes = append(near.nodes, node)
 			continue
 		}
-		near.nodes[place] = node
+		near.nodes[index] = node
 	}
 }
 
 // readNeighbours reads the partition at first, and again while the list is not learned.
-func (n *Node) readNeighbours(ctx context.Context, near *neighbours, turn int) {
-	if near.read && turn == 0 {
+func (n *Node) readNeighbours(ctx context.Context, near *neighbours, try int) {
+	if near.read && try == 0 {
 		return
 	}
 	nodes, next, err := n.readNodes(ctx, n.nodePartition())
@@ -142,7 +142,7 @@
 		return
 	}
 	n.run(func(ctx context.Context) {
-		backoff := n.backoffOf(joinPauseFirst, joinPauseMost)
+		backoff := n.backoffOf(joinMinimumBackoff, joinMaximumBackoff)
 		for wait.For(ctx, backoff.Next()) {
 			if n.publish(ctx, value) {
 				return
@@ -157,26 +157,26 @@
 	stream := recordstore.Stream{Name: recordstore.StreamNodes, Partition: n.nodePartition()}
 	records := []recordstore.Record{{Key: n.settings.Node, Value: value}}
 	err := n.adapter.Store.Append(callCtx, stream, recordstore.Writer{}, records)
-	n.noteStore(err)
+	n.recordStoreCall(err)
 	return err == nil
 }
 
 // learnNodes learns the list of nodes: of the store where this node ranks first among
 // those near, or the fleet is small, else of another node. It returns the list's digest.
-func (n *Node) learnNodes(ctx context.Context, near []machine.Machine, turn int, digest string) (string, error) {
+func (n *Node) refreshNodes(ctx context.Context, near []machine.Machine, try int, digest string) (string, error) {
 	ranked := rankDirectory(near)
 	first := len(ranked) > 0 && ranked[0].ID == n.self.ID
-	if first || (len(near) > 0 && len(near) <= directoryAll) || turn >= 2*directoryReaders {
+	if first || (len(near) > 0 && len(near) <= directoryReadAllMaximum) || try >= 2*directoryReaders {
 		return "", n.readAllNodes(ctx)
 	}
 	others := slices.DeleteFunc(ranked, func(node machine.Machine) bool { return node.ID == n.self.ID })
-	if len(others) > 0 && (turn%3 != 2 || len(n.settings.Seeds) == 0) {
-		return n.askNodes(ctx, others[turn%len(others)].Address, digest)
+	if len(others) > 0 && (try%3 != 2 || len(n.settings.Seeds) == 0) {
+		return n.fetchNodes(ctx, others[try%len(others)].Address, digest)
 	}
 	if len(n.settings.Seeds) == 0 {
 		return "", Error.New("no other node is known")
 	}
-	return n.askNodes(ctx, n.settings.Seeds[int(n.draw()*float64(len(n.settings.Seeds)))], digest)
+	return n.fetchNodes(ctx, n.settings.Seeds[int(n.draw()*float64(len(n.settings.Seeds)))], digest)
 }
 
 // rankDirectory returns the nodes of a partition that are to have the list, the one that is
@@ -187,9 +187,9 @@
 		candidates = append(candidates, ownership.Node{ID: string(node.ID), Weight: node.Weight})
 	}
 	var ranked []machine.Machine
-	for _, id := range ownership.TopNodes(directoryRank, ownership.Eligible(candidates), directoryReaders) {
-		place := slices.IndexFunc(near, func(node machine.Machine) bool { return string(node.ID) == id })
-		ranked = append(ranked, near[place])
+	for _, id := range ownership.TopNodes(directoryRankKey, ownership.Eligible(candidates), directoryReaders) {
+		index := slices.IndexFunc(near, func(node machine.Machine) bool { return string(node.ID) == id })
+		ranked = append(ranked, near[index])
 	}
 	return ranked
 }
@@ -208,12 +208,12 @@
 func (n *Node) readAllNodes(ctx context.Context) error {
 	parts := make([][]machine.Machine, n.settings.Partitions)
 	failures := make([]error, len(parts))
-	places := make(chan struct{}, directoryReads)
+	slots := make(chan struct{}, directoryConcurrentReads)
 	var reads sync.WaitGroup
 	for partition := range parts {
-		places <- struct{}{}
+		slots <- struct{}{}
 		reads.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			parts[partition], _, failures[partition] = n.readNodes(ctx, partition)
 		})
 	}
@@ -221,27 +221,27 @@
 	if err := errors.Join(failures...); err != nil {
 		return err
 	}
-	n.takeNodes("store", slices.Concat(parts...))
+	n.applyNodes("store", slices.Concat(parts...))
 	return nil
 }
 
 // takeNodes takes the list of nodes over.
-func (n *Node) takeNodes(source string, nodes []machine.Machine) {
+func (n *Node) applyNodes(source string, nodes []machine.Machine) {
 	n.logger.Info().Str("source", source).Int("nodes", len(nodes)).Dur("after", time.Since(n.started)).Msg("nodes: list read")
 	n.control.post(coordinator.NodeListRead{Nodes: nodes})
 }
 
 // noteDirectory takes in that this node knows the list of nodes, and its role.
-func (n *Node) noteDirectory() { n.listedOnce.Do(func() { close(n.listed) }) }
+func (n *Node) markNodeListKnown() { n.nodeListOnce.Do(func() { close(n.nodeListKnown) }) }
 
 // askNodes asks another node for the list.
-func (n *Node) askNodes(ctx context.Context, address, digest string) (string, error) {
-	return n.askNodesWithin(ctx, address, digest, listPatience)
+func (n *Node) fetchNodes(ctx context.Context, address, digest string) (string, error) {
+	return n.fetchNodesWithin(ctx, address, digest, nodeListTimeout)
 }
 
 // askNodesWithin asks another node for the list, and waits for so long at most.
-func (n *Node) askNodesWithin(ctx context.Context, address, digest string, patience time.Duration) (string, error) {
-	callCtx, cancel := context.WithTimeout(ctx, patience)
+func (n *Node) fetchNodesWithin(ctx context.Context, address, digest string, timeout time.Duration) (string, error) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var page nodePage
 	err := n.peers.client(address).Do(callCtx, fasthttp.MethodGet, pathNodes+"?digest="+digest, nil, &page)
@@ -249,7 +249,7 @@
 		return "", err
 	}
 	if page.Digest != digest {
-		n.takeNodes(address, page.Nodes)
+		n.applyNodes(address, page.Nodes)
 	}
 	return page.Digest, nil
 }
@@ -259,7 +259,7 @@
 	askCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
 	defer cancel()
 	known, err := p.node.control.directory(askCtx)
-	if err != nil || !known.whole {
+	if err != nil || !known.complete {
 		ctx.Error("the list of nodes is not known here", fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -301,7 +301,7 @@
 
 // greet tells peers that are known by address alone of this node. They answer
 // with statuses.
-func (n *Node) greet(addresses []string) {
+func (n *Node) announce(addresses []string) {
 	for _, address := range addresses {
 		if address == n.settings.Peers {
 			continue
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -23,7 +23,7 @@
 	return e.state.Version()
 }
 
-func (e *evacuations) current(at time.Time) {
+func (e *evacuations) markCurrent(at time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.state.MarkCurrent(at)
@@ -44,15 +44,15 @@
 			zones = append(zones, name)
 		}
 	}
-	n.changeEvacuations("store", func(state *evacuation.State, now time.Time) []evacuation.Change {
+	n.updateEvacuations("store", func(state *evacuation.State, now time.Time) []evacuation.Change {
 		return state.Reset(now, end, zones)
 	})
 }
 
 // noteEvacuation takes over one record of the configuration's stream.
-func (n *Node) noteEvacuation(record recordstore.Record) {
+func (n *Node) applyEvacuation(record recordstore.Record) {
 	name, evacuated, ok := n.adapter.Translator.Evacuation(record.Key, record.Value)
-	n.changeEvacuations("store", func(state *evacuation.State, now time.Time) []evacuation.Change {
+	n.updateEvacuations("store", func(state *evacuation.State, now time.Time) []evacuation.Change {
 		if !ok {
 			state.Advance(record.Offset + 1)
 			return nil
@@ -62,15 +62,15 @@
 }
 
 // adoptEvacuations takes over what a peer knew when it was asked, if that is newer.
-func (n *Node) adoptEvacuations(from machine.Machine, asked time.Time, told evacuation.Snapshot) {
-	n.changeEvacuations("peer "+string(from.ID), func(state *evacuation.State, _ time.Time) []evacuation.Change {
-		return state.Adopt(asked, told)
+func (n *Node) adoptEvacuations(from machine.Machine, asked time.Time, received evacuation.Snapshot) {
+	n.updateEvacuations("peer "+string(from.ID), func(state *evacuation.State, _ time.Time) []evacuation.Change {
+		return state.Adopt(asked, received)
 	})
 }
 
 // changeEvacuations changes what is known of evacuated zones, and has the choice of
 // replicas follow.
-func (n *Node) changeEvacuations(source string, change func(*evacuation.State, time.Time) []evacuation.Change) {
+func (n *Node) updateEvacuations(source string, change func(*evacuation.State, time.Time) []evacuation.Change) {
 	n.evacuations.mutex.Lock()
 	defer n.evacuations.mutex.Unlock()
 	now := time.Now()
@@ -81,12 +81,12 @@
 	zones := n.evacuations.state.Zones()
 	n.replicas.setEvacuated(zones)
 	n.metrics.evacuated(len(zones))
-	for _, one := range changes {
+	for _, changed := range changes {
 		message := "zones: evacuation ended"
-		if one.Evacuated {
+		if changed.Evacuated {
 			message = "zones: evacuation began"
 		}
-		n.logger.Info().Str("evacuated", string(one.Zone)).Uint64("version", n.evacuations.state.Version()).
-			Dur("age", now.Sub(one.Since)).Str("source", source).Msg(message)
+		n.logger.Info().Str("evacuated", string(changed.Zone)).Uint64("version", n.evacuations.state.Version()).
+			Dur("age", now.Sub(changed.Since)).Str("source", source).Msg(message)
 	}
 }
--- a/edge/evacuations_test.go
+++ b/edge/evacuations_test.go
@@ -58,18 +58,18 @@
 	node := placeNode(g)
 	defer node.Kill()
 	node.applyConfigurations(nil, 4)
-	node.configurationCurrent(time.Now())
+	node.configurationCaughtUp(time.Now())
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("here")))
-	node.configurationChanged(evacuate("-here", "{}", 4))
+	node.applyConfigurationRecord(evacuate("-here", "{}", 4))
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("far")))
-	node.configurationChanged(evacuate("-here", "", 5))
+	node.applyConfigurationRecord(evacuate("-here", "", 5))
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("here")))
-	node.configurationChanged(evacuate("-here", "{}", 6))
+	node.applyConfigurationRecord(evacuate("-here", "{}", 6))
 	node.applyConfigurations([]recordstore.Record{evacuate("-here", "{}", 6)}, 5)
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("far")))
 	node.applyConfigurations(nil, 8)
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("here")), "the record is gone")
-	node.configurationChanged(evacuate("else", "{}", 9))
+	node.applyConfigurationRecord(evacuate("else", "{}", 9))
 	g.Expect(node.evacuations.version()).To(Equal(uint64(10)))
 }
 
@@ -98,9 +98,9 @@
 	request := &requestState{
 		route: &routing.Route{Regions: []zone.Region{"home", "away"}, Retain: true}, tenant: &tenant.Tenant{Regions: []zone.Region{"away"}},
 	}
-	g.Expect(node.bindHomes(request)).To(BeTrue())
-	g.Expect(request.homes.Placement()).To(Equal(zone.NewPlacement("far")))
-	g.Expect(node.choiceOf(request).Constraint).To(Equal(request.homes))
+	g.Expect(node.constrainZones(request)).To(BeTrue())
+	g.Expect(request.constraint.Placement()).To(Equal(zone.NewPlacement("far")))
+	g.Expect(node.selectionRequest(request).Constraint).To(Equal(request.constraint))
 }
 
 // TestHistoriesOutside of a request's homes are not remembered.
@@ -110,8 +110,8 @@
 	defer node.Kill()
 	for id, region := range map[string]zone.Region{"a": "home", "b": "away"} {
 		request := &requestState{id: id, route: &routing.Route{Regions: []zone.Region{region}}}
-		g.Expect(node.bindHomes(request)).To(BeTrue())
-		node.remember(request, []byte("words"))
+		g.Expect(node.constrainZones(request)).To(BeTrue())
+		node.cacheChain(request, []byte("words"))
 		_, found := node.chains.get(time.Now(), id)
 		g.Expect(found).To(Equal(region == "home"))
 	}
@@ -123,14 +123,14 @@
 	ahead, node := placeNode(g), placeNode(g)
 	defer ahead.Kill()
 	defer node.Kill()
-	ahead.configurationChanged(evacuate("-here", "{}", 6))
+	ahead.applyConfigurationRecord(evacuate("-here", "{}", 6))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	go func() { _ = ahead.peers.serve(listener) }()
 	from := machine.Machine{ID: "ahead", Address: listener.Addr().String()}
-	node.hearVersion(from, 0, 0)
+	node.observeVersion(from, 0, 0)
 	g.Expect(node.config.fetching).To(BeFalse(), "nothing newer")
-	node.hearVersion(from, 0, ahead.evacuations.version())
+	node.observeVersion(from, 0, ahead.evacuations.version())
 	g.Eventually(node.evacuations.version).WithTimeout(30 * time.Second).Should(Equal(uint64(7)))
 	g.Expect(chosenAt(g, node)).To(Equal(replica.ID("far")))
 }
@@ -140,7 +140,7 @@
 	g := NewWithT(t)
 	node := placeNode(g)
 	defer node.Kill()
-	node.configurationChanged(evacuate("-here", "{}", 6))
+	node.applyConfigurationRecord(evacuate("-here", "{}", 6))
 	now := time.Now()
 	peer := machine.Machine{
 		ID: "peer", Kind: machine.KindNode, Zone: "far", Address: "127.0.0.1:1", Status: machine.StatusLive, Incarnation: 1,
@@ -171,15 +171,15 @@
 	keep, admit := &coordinator.Request{Keep: &coordinator.KeepRequest{}}, &coordinator.Request{Admit: &coordinator.AdmitRequest{}}
 	settle := &coordinator.Request{Settle: nil, Find: &coordinator.FindRequest{}}
 	request := &requestState{route: &routing.Route{Retain: true, Regions: []zone.Region{"home"}}}
-	g.Expect(node.bindHomes(request)).To(BeTrue())
+	g.Expect(node.constrainZones(request)).To(BeTrue())
 	near, far := machine.Machine{ID: "p", Zone: "here"}, machine.Machine{ID: "q", Zone: "far"}
 	for _, asked := range []*coordinator.Request{keep, admit} {
-		g.Expect(node.mayAsk(request, near, asked)).To(BeTrue())
-		g.Expect(node.mayAsk(request, far, asked)).To(BeFalse())
-		g.Expect(node.mayAsk(request, node.self, asked)).To(BeTrue())
+		g.Expect(node.mayCallOwner(request, near, asked)).To(BeTrue())
+		g.Expect(node.mayCallOwner(request, far, asked)).To(BeFalse())
+		g.Expect(node.mayCallOwner(request, node.self, asked)).To(BeTrue())
 	}
-	g.Expect(node.mayAsk(request, far, settle)).To(BeTrue(), "no body goes along")
+	g.Expect(node.mayCallOwner(request, far, settle)).To(BeTrue(), "no body goes along")
 	free := &requestState{route: &routing.Route{Retain: true}}
-	g.Expect(node.mayAsk(free, far, keep)).To(BeTrue())
-	g.Expect(node.mayAsk(&requestState{}, far, admit)).To(BeTrue(), "a question beside a request")
+	g.Expect(node.mayCallOwner(free, far, keep)).To(BeTrue())
+	g.Expect(node.mayCallOwner(&requestState{}, far, admit)).To(BeTrue(), "a question beside a request")
 }
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -17,9 +17,9 @@
 	// configurationWait and replicasWait are how long one read waits for a
 	// record. Replicas write all the time, and their reads also show that the
 	// store is reached.
-	configurationWait      = 2 * time.Second
-	configurationWaitAlone = 800 * time.Millisecond
-	replicasWait           = 700 * time.Millisecond
+	configurationWait       = 2 * time.Second
+	configurationWaitReader = 800 * time.Millisecond
+	replicasWait            = 700 * time.Millisecond
 	// tailSlack is how much later its answer may come.
 	tailSlack = 800 * time.Millisecond
 	// configurationPause and replicasPause are the least times between reads.
@@ -113,15 +113,15 @@
 }
 
 // configurationChanged takes over one record of the configuration's stream.
-func (n *Node) configurationChanged(record recordstore.Record) {
-	n.noteEvacuation(record)
+func (n *Node) applyConfigurationRecord(record recordstore.Record) {
+	n.applyEvacuation(record)
 	n.applyConfiguration(record.Key, record.Value, "store")
 }
 
 // configurationCurrent follows each time that all of the configuration's stream was read.
-func (n *Node) configurationCurrent(asOf time.Time) {
-	n.evacuations.current(time.Now())
-	n.noteProof(asOf)
+func (n *Node) configurationCaughtUp(asOf time.Time) {
+	n.evacuations.markCurrent(time.Now())
+	n.recordProof(asOf)
 }
 
 // followConfiguration keeps the configuration up to date from the store, unless this node
@@ -129,20 +129,20 @@
 func (n *Node) followConfiguration(ctx context.Context) {
 	n.awaitDirectory(ctx)
 	for ctx.Err() == nil {
-		n.follow(ctx, recordstore.Stream{Name: recordstore.StreamConfiguration}, follower{
+		n.followStream(ctx, recordstore.Stream{Name: recordstore.StreamConfiguration}, streamHandler{
 			wait: n.configurationWait, pause: n.configurationPause, synced: &n.syncedConfiguration,
 			reset:   n.applyConfigurations,
-			change:  n.configurationChanged,
-			current: n.configurationCurrent,
-			over:    func() bool { return n.role() == roleFollower },
+			change:  n.applyConfigurationRecord,
+			current: n.configurationCaughtUp,
+			ended:   func() bool { return n.role() == roleFollower },
 		})
-		wait.For(ctx, rolePause)
+		wait.For(ctx, roleCheckInterval)
 	}
 }
 
 // rolePause is the time between two looks at whether a node that follows others is still
 // to do so.
-const rolePause = 200 * time.Millisecond
+const roleCheckInterval = 200 * time.Millisecond
 
 // configurationWait is how long a read of the configuration's stream waits. A
 // node that reads no other stream learns from it that the store is reached.
@@ -151,7 +151,7 @@
 		return 0
 	}
 	if n.role() == roleReader {
-		return configurationWaitAlone
+		return configurationWaitReader
 	}
 	return configurationWait
 }
@@ -162,23 +162,23 @@
 func (n *Node) configurationPause() time.Duration {
 	switch {
 	case n.provesForZone():
-		n.unproven.Store(0)
+		n.readsWithoutProof.Store(0)
 		return provingPause
 	case !n.lacksProof():
-		n.unproven.Store(0)
+		n.readsWithoutProof.Store(0)
 		return configurationPause
 	default:
-		doublings := min(n.unproven.Add(1)-1, unprovenDoublings)
+		doublings := min(n.readsWithoutProof.Add(1)-1, maximumProofDoublings)
 		return time.Duration((0.5 + n.draw()) * float64(configurationPause<<doublings))
 	}
 }
 
 // unprovenDoublings bounds the growth of the pause between two reads for a proof, at some
 // two seconds: 2,000 nodes then ask a thousand times a second.
-const unprovenDoublings = 5
+const maximumProofDoublings = 5
 
 // follower takes in a stream: all of it, and each change.
-type follower struct {
+type streamHandler struct {
 	// wait is how long a read waits for a record, and pause the least time
 	// between two reads.
 	wait   func() time.Duration
@@ -190,41 +190,41 @@
 	// current is called whenever all was taken in that the stream held at a time,
 	// and over ends the following; nil where that does not matter.
 	current func(asOf time.Time)
-	over    func() bool
+	ended   func() bool
 	// synced is set once the stream was read whole.
 	synced *atomic.Bool
 }
 
-func (f *follower) done() bool { return f.over != nil && f.over() }
+func (f *streamHandler) done() bool { return f.ended != nil && f.ended() }
 
-func (f *follower) takePage(records []recordstore.Record) {
+func (f *streamHandler) handlePage(records []recordstore.Record) {
 	if f.page != nil {
 		f.page(records)
 	}
 }
 
-func (f *follower) caughtUp(asOf time.Time) {
+func (f *streamHandler) caughtUp(asOf time.Time) {
 	if f.current != nil {
 		f.current(asOf)
 	}
 }
 
 // follow reads a stream whole and then its tail, anew after a gap.
-func (n *Node) follow(ctx context.Context, stream recordstore.Stream, to follower) {
+func (n *Node) followStream(ctx context.Context, stream recordstore.Stream, handler streamHandler) {
 	backoff := n.backoff()
-	for ctx.Err() == nil && !to.done() {
+	for ctx.Err() == nil && !handler.done() {
 		asked := time.Now()
-		records, next, err := n.readPages(ctx, stream, to.takePage)
+		records, next, err := n.readPages(ctx, stream, handler.handlePage)
 		if err != nil {
 			n.logger.Warn().Str("stream", string(stream.Name)).Err(err).Msg("store: stream not read")
 			wait.For(ctx, backoff.Next())
 			continue
 		}
 		backoff.Reset()
-		to.reset(records, next)
-		to.caughtUp(asked)
-		to.synced.Store(true)
-		n.followTail(ctx, stream, next, time.Now().Add(n.resyncAfter(len(records))), to)
+		handler.reset(records, next)
+		handler.caughtUp(asked)
+		handler.synced.Store(true)
+		n.followTail(ctx, stream, next, time.Now().Add(n.resyncAfter(len(records))), handler)
 	}
 }
 
@@ -236,16 +236,16 @@
 
 // followTail reads a stream's tail until a gap, or until it is to be read
 // whole again.
-func (n *Node) followTail(ctx context.Context, stream recordstore.Stream, next uint64, resync time.Time, to follower) {
+func (n *Node) followTail(ctx context.Context, stream recordstore.Stream, next uint64, resync time.Time, handler streamHandler) {
 	backoff := n.backoff()
-	for ctx.Err() == nil && !to.done() && time.Now().Before(resync) {
-		patience := to.wait()
+	for ctx.Err() == nil && !handler.done() && time.Now().Before(resync) {
+		timeout := handler.wait()
 		asked := time.Now()
 		regained := n.store.nextRegain()
-		callCtx, cancel := context.WithTimeout(ctx, patience+tailSlack)
-		tail, err := n.tailUntil(callCtx, stream, next, patience, regained)
+		callCtx, cancel := context.WithTimeout(ctx, timeout+tailSlack)
+		tail, err := n.tailUntil(callCtx, stream, next, timeout, regained)
 		cancel()
-		n.noteRead(storeRead{stream: stream, kind: kindTail, attempt: 1, sentAt: asked}, err)
+		n.recordRead(storeRead{stream: stream, kind: kindTail, attempt: 1, sentAt: asked}, err)
 		switch {
 		case errors.Is(err, recordstore.ErrGap):
 			return
@@ -257,10 +257,10 @@
 		}
 		backoff.Reset()
 		for _, record := range tail.Records {
-			to.change(record)
+			handler.change(record)
 		}
-		to.caughtUp(asked)
+		handler.caughtUp(asked)
 		next = tail.Next
-		wait.For(ctx, to.pause())
+		wait.For(ctx, handler.pause())
 	}
 }
--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -10,7 +10,7 @@
 
 // hearTotals takes in what all other nodes have under way, and writes which collectors
 // were taken and lost.
-func (n *Node) hearTotals(ready *coordinator.Ready) {
+func (n *Node) applyTotals(ready *coordinator.Ready) {
 	for _, change := range ready.Collectors {
 		if change.Silent != "" {
 			n.logger.Warn().Str("collector", string(change.Silent)).Msg("loads: collector does not answer")
@@ -18,12 +18,12 @@
 		}
 		n.logger.Info().Str("collector", string(change.Collector)).Msg("loads: collector taken")
 	}
-	for _, unread := range ready.Rejected {
-		n.logger.Warn().Str("from", string(unread.From)).Err(unread.Err).Msg("loads: message not understood")
+	for _, rejected := range ready.Rejected {
+		n.logger.Warn().Str("from", string(rejected.From)).Err(rejected.Err).Msg("loads: message not understood")
 	}
 	for _, outbound := range ready.Messages {
-		if said := outbound.Message.Gather; said != nil {
-			n.metrics.gatherSent(string(said.Kind), len(said.Counts)+len(said.Paces))
+		if loads := outbound.Message.Gather; loads != nil {
+			n.metrics.gatherSent(string(loads.Kind), len(loads.Counts)+len(loads.Paces))
 		}
 	}
 	if ready.Totals == nil {
@@ -31,7 +31,7 @@
 	}
 	now := time.Now()
 	n.metrics.gathered(now.Sub(ready.Totals.At))
-	n.replicas.takeTotals(now, ready.Totals)
+	n.replicas.applyLoadTotals(now, ready.Totals)
 }
 
 // report returns what this node has under way and measured, by replica.
@@ -42,31 +42,31 @@
 }
 
 // takeTotals takes in what all other nodes have, of the replicas that this one knows.
-func (r *replicas) takeTotals(now time.Time, totals *gather.Totals) {
+func (r *replicas) applyLoadTotals(now time.Time, totals *gather.Totals) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	word := replica.LoadSummary{Nodes: totals.Nodes, At: totals.At, Partial: totals.Partial}
-	word.Totals = make(map[replica.ID]replica.Total, len(totals.Counts))
+	summary := replica.LoadSummary{Nodes: totals.Nodes, At: totals.At, Partial: totals.Partial}
+	summary.Totals = make(map[replica.ID]replica.Total, len(totals.Counts))
 	for key, count := range totals.Counts {
-		if id := r.keyed[key]; id != "" {
-			word.Totals[id] = replica.Total{Requests: float64(count)}
+		if id := r.byKey[key]; id != "" {
+			summary.Totals[id] = replica.Total{Requests: float64(count)}
 		}
 	}
-	for key, pace := range totals.Paces {
+	for key, tokenTime := range totals.Paces {
 		_, counted := totals.Counts[key]
-		if id := r.keyed[key]; id != "" && (counted || !totals.Partial) {
-			word.Totals[id] = replica.Total{Requests: float64(totals.Counts[key]), TokenTime: pace.TokenTime, Samples: pace.Samples}
+		if id := r.byKey[key]; id != "" && (counted || !totals.Partial) {
+			summary.Totals[id] = replica.Total{Requests: float64(totals.Counts[key]), TokenTime: tokenTime.TokenTime, Samples: tokenTime.Samples}
 		}
 	}
-	r.set.ApplyLoadSummary(now, word)
+	r.set.ApplyLoadSummary(now, summary)
 }
 
 // key notes under which key messages name a replica. Two that share one are not heard of.
 // The mutex is held.
 func (r *replicas) key(id replica.ID) {
 	key := gather.KeyOf(id)
-	if other, known := r.keyed[key]; known && other != id {
+	if other, known := r.byKey[key]; known && other != id {
 		id = ""
 	}
-	r.keyed[key] = id
+	r.byKey[key] = id
 }
--- a/edge/gathered_test.go
+++ b/edge/gathered_test.go
@@ -21,7 +21,7 @@
 	}
 	g.Expect(configOf(Settings{}).DisableGathering).To(BeFalse())
 	g.Expect(configOf(without(GatherLoads)).DisableGathering).To(BeTrue())
-	g.Expect(configOf(without(CountPeers)).DisableGathering).To(BeTrue())
+	g.Expect(configOf(without(CountPeerLoads)).DisableGathering).To(BeTrue())
 }
 
 // TestTotalsOfOtherLists are taken in for the replicas that this node knows alone.
@@ -35,7 +35,7 @@
 	}
 	now := time.Now()
 	totals := &gather.Totals{Nodes: 8, At: now, Counts: map[gather.Key]int{gather.KeyOf("a"): 5, gather.KeyOf("c"): 7}}
-	replicas.takeTotals(now, totals)
+	replicas.applyLoadTotals(now, totals)
 	choice, err := replicas.set.Select(now, &replica.Request{Service: "s", Only: "a"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Load).To(Equal(5))
--- a/edge/handle.go
+++ b/edge/handle.go
@@ -20,10 +20,10 @@
 // Times of the answers of this node's own.
 const (
 	// comeBackSoon follows a state that lasts some hundred milliseconds.
-	comeBackSoon = 150 * time.Millisecond
+	retrySoon = 150 * time.Millisecond
 	// comeBackAfterOutage follows one that lasts seconds: a program that is
 	// refused a few times in a row gives up.
-	comeBackAfterOutage = 1200 * time.Millisecond
+	retryAfterOutage = 1200 * time.Millisecond
 	// writeSlack is how long after its deadline an answer may still be written.
 	writeSlack = 300 * time.Millisecond
 )
@@ -34,7 +34,7 @@
 	defer n.endRequest(request)
 	table := n.routes.Current()
 	if table == nil {
-		n.turnAway(request, dispatch.Refusal{Cause: dispatch.CauseStarting, EndsIn: n.comeBackAtStart()}, "no configuration is known yet")
+		n.refuse(request, dispatch.Refusal{Cause: dispatch.CauseStarting, EndsIn: n.retryAfterStart()}, "no configuration is known yet")
 		return
 	}
 	request.version = table.Version
@@ -44,21 +44,21 @@
 		request.fail(fasthttp.StatusNotFound, "no route for this host and path", 0)
 		return
 	}
-	if problem := n.read(request); problem != "" {
+	if problem := n.readFields(request); problem != "" {
 		request.fail(fasthttp.StatusBadRequest, problem, 0)
 		return
 	}
 	if !n.authenticate(request, table) {
 		return
 	}
-	if !n.bindHomes(request) {
+	if !n.constrainZones(request) {
 		return
 	}
-	defer n.settleCharge(request)
+	defer n.refundUnusedCharge(request)
 	exchange.SetWriteDeadline(request.deadline.Add(writeSlack))
 	service, ok := request.route.Choose(n.draw())
 	if !ok {
-		n.turnAway(request, dispatch.Refusal{Cause: dispatch.CauseNoReplica}, "the route has no service")
+		n.refuse(request, dispatch.Refusal{Cause: dispatch.CauseNoReplica}, "the route has no service")
 		return
 	}
 	request.service = service
@@ -73,14 +73,14 @@
 func (n *Node) endRequest(r *requestState) {
 	if r.status == fasthttp.StatusOK && r.kind() == routing.KindStream {
 		now := time.Now()
-		n.returns.served(now)
-		n.standings.end(now, r)
+		n.refusals.observeServed(now)
+		n.scheduling.turnEnded(now, r)
 	}
 	n.logOutcome(r)
 }
 
 // read takes the request's fields in, or says what is wrong with them.
-func (n *Node) read(r *requestState) (problem string) {
+func (n *Node) readFields(r *requestState) (problem string) {
 	names := n.adapter.Names
 	if r.id == "" {
 		return names.RequestID + " is missing"
@@ -97,18 +97,18 @@
 	if r.route.Kind != routing.KindStream {
 		return ""
 	}
-	return n.readTurn(r)
+	return n.readTurnFields(r)
 }
 
 // readTurn takes in the fields of a turn.
-func (n *Node) readTurn(r *requestState) (problem string) {
+func (n *Node) readTurnFields(r *requestState) (problem string) {
 	names := n.adapter.Names
 	var err error
 	if r.prompt, err = parsePrompt(r.exchange.Field(names.PromptPrefix)); err != nil {
 		return fmt.Sprintf("%s: %v", names.PromptPrefix, err)
 	}
 	if value := r.exchange.Field(names.TokenCounts); value != "" {
-		if _, r.most, err = parseTokenCounts(value); err != nil {
+		if _, r.maxTokens, err = parseTokenCounts(value); err != nil {
 			return fmt.Sprintf("%s: %v", names.TokenCounts, err)
 		}
 	}
@@ -132,19 +132,19 @@
 	if value := r.exchange.Field(names.Finish); value != "" {
 		left, err := parseTimeLeft(value)
 		if err == nil {
-			r.finish = r.exchange.Arrived.Add(left)
+			r.finishBy = r.exchange.Arrived.Add(left)
 		}
-		n.noteHint(r, names.Finish, err)
+		n.logInvalidHint(r, names.Finish, err)
 	}
 	if value := r.exchange.Field(names.LengthHint); value != "" {
 		var err error
-		r.expected, err = parseCount(value)
-		n.noteHint(r, names.LengthHint, err)
+		r.lengthHint, err = parseCount(value)
+		n.logInvalidHint(r, names.LengthHint, err)
 	}
 }
 
 // noteHint writes that a hint is passed over, if it is not of its form.
-func (n *Node) noteHint(r *requestState, field string, err error) {
+func (n *Node) logInvalidHint(r *requestState, field string, err error) {
 	if err == nil {
 		return
 	}
@@ -152,14 +152,14 @@
 }
 
 // outgoing builds the request that a replica gets.
-func (n *Node) outgoing(r *requestState, entry replica.Entry, body []byte, lastEvent string) *upstream.Request {
+func (n *Node) replicaRequest(r *requestState, entry replica.Entry, body []byte, lastEvent string) *upstream.Request {
 	names := n.adapter.Names
-	without := n.withheld
+	without := n.strippedFields
 	if lastEvent != "" {
 		without = append(slices.Clone(without), names.LastEvent)
 	}
 	fields := r.exchange.ForwardedFields(without...)
-	fields = appendField(fields, names.Deadline, strconv.FormatInt(max(1, r.left().Milliseconds()), 10))
+	fields = appendField(fields, names.Deadline, strconv.FormatInt(max(1, r.timeLeft().Milliseconds()), 10))
 	fields = appendField(fields, names.ExpectReplica, string(entry.ID))
 	if r.route.Kind == routing.KindStream {
 		fields = appendField(fields, names.Urgency, strconv.Itoa(r.urgency))
@@ -178,7 +178,7 @@
 
 // withheldFields returns the fields of clients that no replica gets: what only the
 // system sets, and what concerns the client and the system alone.
-func withheldFields(names header.Names) []string {
+func fieldsToStrip(names header.Names) []string {
 	return append([]string{names.Deadline, names.ExpectReplica, names.Urgency, names.Key, names.Tenant}, names.Reserved...)
 }
 
@@ -191,15 +191,15 @@
 
 // perNode bounds this node's connections to one replica: its share of what
 // the replica accepts from all nodes.
-func (n *Node) perNode(table *routing.Table, service string) int {
+func (n *Node) maxPerNode(table *routing.Table, service string) int {
 	limit := table.Services[service].MaxConnections
 	if limit <= 0 {
 		return 0
 	}
 	nodes := max(1, int(n.liveNodes.Load()))
-	return max(1, limit*connectionShare/100/nodes)
+	return max(1, limit*connectionSharePercent/100/nodes)
 }
 
 // connectionShare is the part of a replica's connections that is used, in
 // hundredths: the nodes' views of their number differ for a while.
-const connectionShare = 85
+const connectionSharePercent = 85
--- a/edge/isolation.go
+++ b/edge/isolation.go
@@ -8,26 +8,26 @@
 
 // divertedAfter is how long the platform takes to send new connections elsewhere once
 // this node says that it is not ready: it asks once a second, and twice.
-const divertedAfter = 3 * time.Second
+const diversionDelay = 3 * time.Second
 
 // comeBackElsewhere is when a client that is refused by an isolated node is to come
 // back: on a new connection, once that leads to another node. A program that comes back
 // sooner uses its tries up on nodes that cannot serve it.
-func comeBackElsewhere(isolatedFor time.Duration) time.Duration {
-	return min(max(divertedAfter-isolatedFor, comeBackSoon), comeBackAfterOutage)
+func retryElsewhere(isolatedFor time.Duration) time.Duration {
+	return min(max(diversionDelay-isolatedFor, retrySoon), retryAfterOutage)
 }
 
 // contactNow is what this node knows of its contact with the store.
 func (n *Node) contactNow() coordinator.StoreContact {
 	return coordinator.StoreContact{
-		Reached: n.reachesStore(), Last: n.store.at(), Failing: n.settings.uses(NoticeCuts) && n.store.fails(),
+		Reached: n.reachesStore(), Last: n.store.lastAnswer(), Failing: n.settings.uses(DetectIsolationEarly) && n.store.isFailing(),
 	}
 }
 
 // noteIsolation takes in whether this node is cut off from the store and from most of
 // the zones. Its clients are sent elsewhere then: programs that they bring here would
 // wait for owners that cannot be reached.
-func (n *Node) noteIsolation(now time.Time, isolated bool) {
+func (n *Node) setIsolated(now time.Time, isolated bool) {
 	since := n.isolatedSince.Load()
 	if isolated == (since != nil) {
 		return
@@ -39,5 +39,5 @@
 		return
 	}
 	n.isolatedSince.Store(&now)
-	n.logger.Warn().Time("contact", n.store.at()).Msg("nodes: cut off from the store and from most zones")
+	n.logger.Warn().Time("contact", n.store.lastAnswer()).Msg("nodes: cut off from the store and from most zones")
 }
--- a/edge/isolation_test.go
+++ b/edge/isolation_test.go
@@ -11,9 +11,9 @@
 // and no longer.
 func TestComeBackElsewhere(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(comeBackElsewhere(0)).To(Equal(comeBackAfterOutage))
-	g.Expect(comeBackElsewhere(divertedAfter - 500*time.Millisecond)).To(Equal(500 * time.Millisecond))
-	g.Expect(comeBackElsewhere(time.Minute)).To(Equal(comeBackSoon))
+	g.Expect(retryElsewhere(0)).To(Equal(retryAfterOutage))
+	g.Expect(retryElsewhere(diversionDelay - 500*time.Millisecond)).To(Equal(500 * time.Millisecond))
+	g.Expect(retryElsewhere(time.Minute)).To(Equal(retrySoon))
 }
 
 // TestIsolatedNodeIsNotReady while it lasts.
@@ -22,11 +22,11 @@
 	node := datagramNode(g)
 	defer node.Kill()
 	now := time.Now()
-	node.noteIsolation(now, true)
+	node.setIsolated(now, true)
 	g.Expect(node.isolatedSince.Load()).NotTo(BeNil())
 	g.Expect(node.ready()).To(BeFalse())
-	node.noteIsolation(now.Add(time.Second), true)
+	node.setIsolated(now.Add(time.Second), true)
 	g.Expect(*node.isolatedSince.Load()).To(Equal(now), "counts from when it began")
-	node.noteIsolation(now.Add(2*time.Second), false)
+	node.setIsolated(now.Add(2*time.Second), false)
 	g.Expect(node.isolatedSince.Load()).To(BeNil())
 }
--- a/edge/join.go
+++ b/edge/join.go
@@ -11,12 +11,12 @@
 const (
 	// askPauseMost is the longest time between two questions for the list of a node that
 	// starts: a few small messages a second, also where all nodes start at once.
-	askPauseMost = 300 * time.Millisecond
+	peerQueryMaximumBackoff = 300 * time.Millisecond
 	// askPatience bounds the first answer, and askPatienceMost those of later tries: a
 	// node beyond a cut is given up soon, and the list of a large fleet has time to pass
 	// a slow link.
-	askPatience     = 500 * time.Millisecond
-	askPatienceMost = listPatience
+	peerQueryTimeout        = 500 * time.Millisecond
+	peerQueryMaximumTimeout = nodeListTimeout
 )
 
 // joinThroughPeers asks the nodes that this one hears of for their list of nodes, one
@@ -26,27 +26,27 @@
 	if !n.settings.uses(AskForList) {
 		return
 	}
-	backoff := n.backoffOf(joinPauseFirst, askPauseMost)
-	patience := askPatience
-	for wait.For(ctx, backoff.Next()) && !n.hasList() {
+	backoff := n.backoffOf(joinMinimumBackoff, peerQueryMaximumBackoff)
+	timeout := peerQueryTimeout
+	for wait.For(ctx, backoff.Next()) && !n.hasNodeList() {
 		peer, found := n.anyPeerOrSeed(ctx)
 		if !found {
 			continue
 		}
 		asked := time.Now()
-		if _, err := n.askNodesWithin(ctx, peer.Address, "", patience); err == nil {
+		if _, err := n.fetchNodesWithin(ctx, peer.Address, "", timeout); err == nil {
 			return
 		}
-		if time.Since(asked) >= patience {
-			patience = min(2*patience, askPatienceMost)
+		if time.Since(asked) >= timeout {
+			timeout = min(2*timeout, peerQueryMaximumTimeout)
 		}
 	}
 }
 
 // hasList reports whether this node has a list of nodes.
-func (n *Node) hasList() bool {
+func (n *Node) hasNodeList() bool {
 	select {
-	case <-n.listed:
+	case <-n.nodeListKnown:
 		return true
 	default:
 		return false
--- a/edge/keys.go
+++ b/edge/keys.go
@@ -25,19 +25,19 @@
 	leaseShare = 0.98
 	// lookPause is the least time between two looks into the store for keys that are
 	// not known, so that clients with wrong keys cost few calls.
-	lookPause = 250 * time.Millisecond
+	unknownKeyReadPause = 250 * time.Millisecond
 	// lookTimeout bounds one look, and with it how long a request with a key that is
 	// not known waits for its answer.
-	lookTimeout = 300 * time.Millisecond
+	unknownKeyReadTimeout = 300 * time.Millisecond
 	// proofEnough is the age of a proof up to which a key that is not known is
 	// refused though the store cannot be asked: what a node in touch reaches while
 	// its read of the configuration waits.
-	proofEnough = configurationWait + 200*time.Millisecond
+	sufficientProofAge = configurationWait + 200*time.Millisecond
 )
 
 // proof is when a node's configuration was last proven to be the newest. It is safe
 // for concurrent use.
-type proof struct {
+type freshnessProof struct {
 	// epoch is a time before any proof that counts: a peer may have had its proof
 	// before this process began.
 	epoch time.Time
@@ -45,17 +45,19 @@
 	at atomic.Int64
 	// lookedAt is when the store was asked last because of a key that was not
 	// known, since epoch in nanoseconds.
-	lookedAt atomic.Int64
+	storeReadAt atomic.Int64
 }
 
 // proofHorizon is how long before the process began proofs may lie: longer than any
 // operator's bound.
 const proofHorizon = 2 * time.Hour
 
-func newProof(now time.Time) *proof { return &proof{epoch: now.Add(-proofHorizon)} }
+func newFreshnessProof(now time.Time) *freshnessProof {
+	return &freshnessProof{epoch: now.Add(-proofHorizon)}
+}
 
 // note takes in that the configuration which the node holds was the newest at a time.
-func (p *proof) note(at time.Time) {
+func (p *freshnessProof) record(at time.Time) {
 	since := int64(at.Sub(p.epoch))
 	for known := p.at.Load(); since > known; known = p.at.Load() {
 		if p.at.CompareAndSwap(known, since) {
@@ -65,7 +67,7 @@
 }
 
 // age returns how long ago the last proof was, or false before the first one.
-func (p *proof) age(now time.Time) (time.Duration, bool) {
+func (p *freshnessProof) age(now time.Time) (time.Duration, bool) {
 	at := p.at.Load()
 	if at == 0 {
 		return 0, false
@@ -74,10 +76,10 @@
 }
 
 // mayLook reports whether the store may be asked again because of a key.
-func (p *proof) mayLook(now time.Time) bool {
+func (p *freshnessProof) allowRead(now time.Time) bool {
 	since := int64(now.Sub(p.epoch))
-	last := p.lookedAt.Load()
-	return (last == 0 || since-last >= int64(lookPause)) && p.lookedAt.CompareAndSwap(last, since)
+	last := p.storeReadAt.Load()
+	return (last == 0 || since-last >= int64(unknownKeyReadPause)) && p.storeReadAt.CompareAndSwap(last, since)
 }
 
 // keyLease is how old a proof may be for keys to be honoured.
@@ -99,11 +101,11 @@
 	if r.route.Public {
 		return true
 	}
-	age, _ := n.proof.age(time.Now())
+	age, _ := n.freshnessProof.age(time.Now())
 	r.proofAge = age
 	if n.settings.uses(LeaseKeys) && !n.leased() {
 		n.metrics.keyRefused(keyLeaseOver)
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether keys are still valid is not certain at present")
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether keys are still valid is not certain at present")
 		return false
 	}
 	keys := r.exchange.Values(n.adapter.Names.Key)
@@ -114,15 +116,15 @@
 	}
 	if known, found := table.Tenants.Lookup(keys[0]); found {
 		r.tenant, r.scope = known, tenant.ScopeOf(known)
-		n.metrics.keyHonoured(age)
+		n.metrics.keyAccepted(age)
 		return true
 	}
-	return n.lookAgain(r, keys[0])
+	return n.recheckKey(r, keys[0])
 }
 
 // lookAgain answers a request whose key is not known, unless a newer configuration
 // knows it: the operator may have added it since this node last heard.
-func (n *Node) lookAgain(r *requestState, key string) bool {
+func (n *Node) recheckKey(r *requestState, key string) bool {
 	current := n.readConfigurationNow()
 	table := n.routes.Current()
 	if table.Tenants == nil {
@@ -133,11 +135,11 @@
 		r.tenant, r.version, r.scope = known, table.Version, tenant.ScopeOf(known)
 		return true
 	}
-	age, _ := n.proof.age(time.Now())
+	age, _ := n.freshnessProof.age(time.Now())
 	r.proofAge = age
-	if !current && age > proofEnough {
+	if !current && age > sufficientProofAge {
 		n.metrics.keyRefused(keyUncertain)
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether the key is valid is not certain at present")
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether the key is valid is not certain at present")
 		return false
 	}
 	n.metrics.keyRefused(keyUnknown)
@@ -149,10 +151,10 @@
 // change. It reports whether the store answered.
 func (n *Node) readConfigurationNow() bool {
 	asked := time.Now()
-	if !n.proof.mayLook(asked) {
+	if !n.freshnessProof.allowRead(asked) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, unknownKeyReadTimeout)
 	defer cancel()
 	records, end, err := n.readNewest(ctx, recordstore.Stream{Name: recordstore.StreamConfiguration})
 	if err != nil {
@@ -160,13 +162,13 @@
 		return false
 	}
 	n.applyConfigurations(records, end)
-	n.noteProof(asked)
+	n.recordProof(asked)
 	return true
 }
 
 // noteProof takes in that the configuration held here was the newest at a time.
-func (n *Node) noteProof(at time.Time) {
-	n.proof.note(at)
+func (n *Node) recordProof(at time.Time) {
+	n.freshnessProof.record(at)
 	if n.needsProofs() {
 		n.control.post(coordinator.FreshnessProven{At: at, Version: n.routes.Current().Version})
 	}
@@ -183,7 +185,7 @@
 // one.
 func (n *Node) provesForZone() bool {
 	roles := n.roles.Load()
-	if !n.needsProofs() || roles == nil || !n.settings.uses(ProvePeers) {
+	if !n.needsProofs() || roles == nil || !n.settings.uses(ShareProofs) {
 		return false
 	}
 	return includes(roles.Readers, n.self.ID)
@@ -191,20 +193,20 @@
 
 // proofLate is the age of a proof from which on a node reads the configuration without
 // waiting for a change: its peers have had nothing newer for longer than they ask for.
-const proofLate = 1500 * time.Millisecond
+const lateProofAge = 1500 * time.Millisecond
 
 // lacksProof reports whether this node needs a proof sooner than a read that waits
 // brings one.
 func (n *Node) lacksProof() bool {
-	if !n.needsProofs() || !n.settings.uses(ProvePeers) {
+	if !n.needsProofs() || !n.settings.uses(ShareProofs) {
 		return false
 	}
-	age, proven := n.proof.age(time.Now())
-	return !proven || age > proofLate
+	age, proven := n.freshnessProof.age(time.Now())
+	return !proven || age > lateProofAge
 }
 
 // leased reports whether this node may honour keys.
 func (n *Node) leased() bool {
-	age, proven := n.proof.age(time.Now())
+	age, proven := n.freshnessProof.age(time.Now())
 	return proven && age <= n.settings.keyLease()
 }
--- a/edge/ledgers.go
+++ b/edge/ledgers.go
@@ -27,13 +27,13 @@
 
 // Times of the calls to the store.
 const (
-	appendTimeout    = 1200 * time.Millisecond
-	appendTimeoutMin = 60 * time.Millisecond
-	appendFactor     = 6
-	appendRetryFirst = 15 * time.Millisecond
-	appendRetryMost  = 300 * time.Millisecond
+	appendTimeout        = 1200 * time.Millisecond
+	appendTimeoutMin     = 60 * time.Millisecond
+	appendFactor         = 6
+	appendMinimumBackoff = 15 * time.Millisecond
+	appendMaximumBackoff = 300 * time.Millisecond
 	// slowAppend is from when on an append is written to the log.
-	slowAppend = 700 * time.Millisecond
+	slowAppendThreshold = 700 * time.Millisecond
 )
 
 func ledgerStream(partition int) recordstore.Stream {
@@ -62,7 +62,7 @@
 func (n *Node) readPages(ctx context.Context, stream recordstore.Stream, take func([]recordstore.Record)) (records []recordstore.Record, end uint64, err error) {
 	after := ""
 	for page := 0; ; page++ {
-		read, err := n.readPage(ctx, stream, after, newestTries)
+		read, err := n.readPage(ctx, stream, after, newestRetry)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -79,7 +79,9 @@
 }
 
 // backoff spaces the retries of one call to the store.
-func (n *Node) backoff() *retry.Backoff { return n.backoffOf(appendRetryFirst, appendRetryMost) }
+func (n *Node) backoff() *retry.Backoff {
+	return n.backoffOf(appendMinimumBackoff, appendMaximumBackoff)
+}
 
 // backoffOf spaces the retries of one call between two bounds.
 func (n *Node) backoffOf(first, most time.Duration) *retry.Backoff {
@@ -97,7 +99,7 @@
 		err := n.appendRecords(ctx, batch.Partition, batch.Epoch, batch.Sequence, batch.Records, 0)
 		took := time.Since(begun)
 		n.metrics.appended(took)
-		if took > slowAppend || err != nil {
+		if took > slowAppendThreshold || err != nil {
 			n.logger.Warn().Int("partition", batch.Partition).Uint64("epoch", uint64(batch.Epoch)).Dur("took", took).
 				Int("records", len(batch.Records)).Err(err).Msg("ledger: append was late or refused")
 		}
@@ -122,18 +124,18 @@
 func (n *Node) appendRecords(ctx context.Context, partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record, attempts int) error {
 	tries, cancel := context.WithCancel(ctx)
 	defer cancel()
-	appending := n.newAppending(partition, epoch, sequence, batch)
+	call := n.newAppendCall(partition, epoch, sequence, batch)
 	backoff := n.backoff()
 	for attempt := 1; ; attempt++ {
 		regained := n.store.nextRegain()
-		err := appending.try(tries, n.appendPatience(attempt), regained)
-		if !answered(err) && !errors.Is(err, errStoreRegained) && attempt != attempts {
+		err := call.try(tries, n.appendTryTimeout(attempt), regained)
+		if !conclusive(err) && !errors.Is(err, errStoreRegained) && attempt != attempts {
 			pause := backoff.Next()
 			if isFull(err) {
 				n.makeSpace(ctx, partition, epoch)
 				pause = fullPause
 			}
-			if late := appending.await(tries, pause, regained); answered(late) || errors.Is(late, errStoreRegained) {
+			if late := call.await(tries, pause, regained); conclusive(late) || errors.Is(late, errStoreRegained) {
 				err = late
 			}
 		}
@@ -142,9 +144,9 @@
 			continue
 		}
 		if err == nil {
-			n.appendedTo(partition, appending.records)
+			n.recordAppend(partition, call.records)
 		}
-		if answered(err) || attempt == attempts {
+		if conclusive(err) || attempt == attempts {
 			return err
 		}
 		if ctx.Err() != nil {
@@ -155,30 +157,30 @@
 
 // appendPatience bounds one try of an append: one whose answer was lost is
 // repeated soon, which the store counts once.
-func (n *Node) appendPatience(attempt int) time.Duration {
+func (n *Node) appendTryTimeout(attempt int) time.Duration {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
-	return n.patience.Timeout(attempt)
+	return n.adaptiveAppendTimeout.Timeout(attempt)
 }
 
 func (n *Node) observeAppend(took time.Duration) {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
-	n.patience.Observe(took)
+	n.adaptiveAppendTimeout.Observe(took)
 }
 
 // noteStore counts a call to the store, and notes that it answered. A store that
 // turns every call away is not reached, however fast it does so.
-func (n *Node) noteStore(err error) {
+func (n *Node) recordStoreCall(err error) {
 	n.metrics.storeCall(err)
 	var refused *recordstore.RefusedError
 	var fenced *recordstore.FencedError
 	answered := errors.As(err, &refused) && !refused.Unavailable()
 	if err == nil || answered || errors.As(err, &fenced) || errors.Is(err, recordstore.ErrGap) {
-		n.store.note(time.Now())
+		n.store.recordAnswer(time.Now())
 		return
 	}
 	if !errors.Is(err, context.Canceled) {
-		n.store.fail()
+		n.store.recordFailure()
 	}
 }
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -18,34 +18,34 @@
 	AskForList Mechanism = "ask-for-list"
 	// AssumeShared estimates which parts that many programs share other nodes had
 	// engines read.
-	AssumeShared Mechanism = "assume-shared"
+	EstimateSharedPrompts Mechanism = "assume-shared"
 	// AwaitLateAppends takes the answer of an append also after it was sent again.
 	AwaitLateAppends Mechanism = "await-late-appends"
 	// BeginAgain lets programs begin before the store has their first mark also at an
 	// owner that followed a lost one.
-	BeginAgain Mechanism = "begin-again"
+	BeginAfterFailure Mechanism = "begin-again"
 	// BeginUnrecorded lets programs begin before the store has their first mark.
 	BeginUnrecorded Mechanism = "begin-unrecorded"
 	// CountKept has the owner tell how much of a line of turns its last replica keeps.
-	CountKept Mechanism = "count-kept"
+	ReportCachedTokens Mechanism = "count-kept"
 	// CountPeers counts what other nodes have under way at replicas.
-	CountPeers Mechanism = "count-peers"
+	CountPeerLoads Mechanism = "count-peers"
 	// CountTogether has one node count a tenant's requests for the fleet; without it
 	// each node counts to its own part of the limit.
-	CountTogether Mechanism = "count-together"
+	CountCentrally Mechanism = "count-together"
 	// DoubtUnlisted keeps replicas that the store lacks after an outage.
-	DoubtUnlisted Mechanism = "doubt-unlisted"
+	DeferRemovals Mechanism = "doubt-unlisted"
 	// EstimateLoads estimates the requests of nodes that were not heard lately.
 	EstimateLoads Mechanism = "estimate-loads"
 	// FinishPrograms has programs under way go before new ones at a tenant's limit.
-	FinishPrograms Mechanism = "finish-programs"
+	PreferStartedPrograms Mechanism = "finish-programs"
 	// FollowLines keeps a line of turns where its last turn was served.
-	FollowLines Mechanism = "follow-lines"
+	KeepSessions Mechanism = "follow-lines"
 	// FollowOwner has a turn that waits for the log go on with the partition's new owner
 	// as soon as one is known.
 	FollowOwner Mechanism = "follow-owner"
 	// FollowPrompts estimates which parts of prompts each engine keeps.
-	FollowPrompts Mechanism = "follow-prompts"
+	TrackCachedPrompts Mechanism = "follow-prompts"
 	// FollowReaders has most nodes of a large fleet follow the replicas through
 	// others.
 	FollowReaders Mechanism = "follow-readers"
@@ -53,7 +53,7 @@
 	GatherLoads Mechanism = "gather-loads"
 	// GrantTurnAfterLoss grants one turn beyond a budget that a lost owner's mark
 	// used up.
-	GrantTurnAfterLoss Mechanism = "grant-turn-after-loss"
+	GrantTurnAfterFailure Mechanism = "grant-turn-after-loss"
 	// HandOver has a partition's owner give it up in order.
 	HandOver Mechanism = "hand-over"
 	// HoldBack has nothing of an answer go out before its turn is kept, where the log took
@@ -63,7 +63,7 @@
 	// its program's.
 	KeepAside Mechanism = "keep-aside"
 	// KeepQuotas holds tenants to their limits.
-	KeepQuotas Mechanism = "keep-quotas"
+	EnforceLimits Mechanism = "keep-quotas"
 	// LeaseKeys honours keys only while what is known of them is proven to be recent.
 	LeaseKeys Mechanism = "lease-keys"
 	// LimitCold bounds what all nodes together send to a cold replica in a second.
@@ -75,7 +75,7 @@
 	OrderBySlack Mechanism = "order-by-slack"
 	// NoticeCuts has a node that hears no other zone count as cut off as soon as its calls
 	// to the store have failed for some time, before it counts as not reaching the store.
-	NoticeCuts Mechanism = "notice-cuts"
+	DetectIsolationEarly Mechanism = "notice-cuts"
 	// PreferConnections prefers replicas to which a connection is free.
 	PreferConnections Mechanism = "prefer-connections"
 	// PreferRegion prefers replicas of the node's own region.
@@ -84,7 +84,7 @@
 	PreferZone Mechanism = "prefer-zone"
 	// ProvePeers takes peers' word of how lately their configuration was proven to be
 	// the newest, and has the readers of each zone read it often.
-	ProvePeers Mechanism = "prove-peers"
+	ShareProofs Mechanism = "prove-peers"
 	// ReadAccountsFirst has a takeover's pages with accounts not wait for pages of kept
 	// turns of other takeovers.
 	ReadAccountsFirst Mechanism = "read-accounts-first"
@@ -92,38 +92,38 @@
 	// tenant's limit.
 	// RankPrograms has programs that come for the first time begin before those that come
 	// back at a tenant's limit.
-	RankPrograms Mechanism = "rank-programs"
+	RankRetriesLast Mechanism = "rank-programs"
 	// RecallChains keeps the chains of turns that this node served, so that the
 	// owner need not send them when their lines go on here.
-	RecallChains Mechanism = "recall-chains"
+	CacheChains Mechanism = "recall-chains"
 	// RedirectCharges has a request that counts to a limit follow the view of the node that
 	// was asked, which may have heard sooner who counts.
 	RedirectCharges Mechanism = "redirect-charges"
 	// RefuseWhenFull has new programs wait while all replicas are full.
 	RefuseWhenFull Mechanism = "refuse-when-full"
 	// RememberFaults avoids replicas that erred or did not answer.
-	RememberFaults Mechanism = "remember-faults"
+	AvoidFaultyReplicas Mechanism = "remember-faults"
 	// RememberReplicas has the record of a kept turn name the replica that served
 	// it, so that its line goes on there also at a new owner.
-	RememberReplicas Mechanism = "remember-replicas"
+	RecordReplica Mechanism = "remember-replicas"
 	// RepeatIntoRoom sends late calls again only where a replica has room and an answer
 	// can come in time.
-	RepeatIntoRoom Mechanism = "repeat-into-room"
+	RepeatWithCapacity Mechanism = "repeat-into-room"
 	// RepeatLateCalls sends a call that may run more than once again when its
 	// answer is late.
 	RepeatLateCalls Mechanism = "repeat-late-calls"
 	// SpreadReturns has those who are refused together come back one after the other, in
 	// the order in which they are to be served.
-	SpreadReturns Mechanism = "spread-returns"
+	SpreadRetries Mechanism = "spread-returns"
 	// ShareByTenant divides the replicas' room among tenants while there is too little.
 	ShareByTenant Mechanism = "share-by-tenant"
 	// SuspectSilent passes over replicas that failed to answer.
-	SuspectSilent Mechanism = "suspect-silent"
+	AvoidUnresponsiveReplicas Mechanism = "suspect-silent"
 	// WaitForRoom has new programs wait at their node, in order, while the replicas are
 	// full; without it they are refused at once.
-	WaitForRoom Mechanism = "wait-for-room"
+	QueueNewPrograms Mechanism = "wait-for-room"
 	// WeighPace places turns by how fast replicas are.
-	WeighPace Mechanism = "weigh-pace"
+	WeighTokenTimes Mechanism = "weigh-pace"
 	// WeighSlack places turns by how their programs stand against their time.
 	WeighSlack Mechanism = "weigh-slack"
 )
@@ -132,49 +132,49 @@
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		AskForList,
-		AssumeShared,
+		EstimateSharedPrompts,
 		AwaitLateAppends,
-		BeginAgain,
+		BeginAfterFailure,
 		BeginUnrecorded,
-		CountKept,
-		CountPeers,
-		CountTogether,
-		DoubtUnlisted,
+		ReportCachedTokens,
+		CountPeerLoads,
+		CountCentrally,
+		DeferRemovals,
 		EstimateLoads,
-		FinishPrograms,
-		FollowLines,
+		PreferStartedPrograms,
+		KeepSessions,
 		FollowOwner,
-		FollowPrompts,
+		TrackCachedPrompts,
 		FollowReaders,
 		GatherLoads,
-		GrantTurnAfterLoss,
+		GrantTurnAfterFailure,
 		HandOver,
 		HoldBack,
 		KeepAside,
-		KeepQuotas,
+		EnforceLimits,
 		LeaseKeys,
 		LimitCold,
 		MarkAhead,
-		NoticeCuts,
+		DetectIsolationEarly,
 		OrderBySlack,
 		PreferConnections,
 		PreferRegion,
 		PreferZone,
-		ProvePeers,
-		RankPrograms,
+		ShareProofs,
+		RankRetriesLast,
 		ReadAccountsFirst,
-		RecallChains,
+		CacheChains,
 		RedirectCharges,
 		RefuseWhenFull,
-		RememberFaults,
-		RememberReplicas,
-		RepeatIntoRoom,
+		AvoidFaultyReplicas,
+		RecordReplica,
+		RepeatWithCapacity,
 		RepeatLateCalls,
 		ShareByTenant,
-		SpreadReturns,
-		SuspectSilent,
-		WaitForRoom,
-		WeighPace,
+		SpreadRetries,
+		AvoidUnresponsiveReplicas,
+		QueueNewPrograms,
+		WeighTokenTimes,
 		WeighSlack,
 	}
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -17,69 +17,69 @@
 
 // Metrics holds what a node measures. It is safe for concurrent use.
 type Metrics struct {
-	set     *metrics.Set
-	appends *metrics.PrometheusHistogram
-	proofs  *metrics.PrometheusHistogram
-	dropped *metrics.Counter
-	failed  *metrics.Counter
-	repeats *metrics.Counter
-	misses  *metrics.Counter
+	set         *metrics.Set
+	appends     *metrics.PrometheusHistogram
+	proofs      *metrics.PrometheusHistogram
+	dropped     *metrics.Counter
+	failed      *metrics.Counter
+	repeats     *metrics.Counter
+	ownerMisses *metrics.Counter
 	// asides are the turns that were kept in another partition.
-	asides *metrics.Counter
+	otherPartition *metrics.Counter
 	// datagrams are counted by how they ended.
 	datagrams [datagramEnds]*metrics.Counter
 	// cold is how many replicas this node holds cold.
 	cold *metrics.Gauge
 	// linesDropped follows dropLines, which counts lines of the log that were
 	// dropped; nil where nobody counts them.
-	linesDropped *metrics.Counter
-	dropLines    func() uint64
+	logLinesDropped      *metrics.Counter
+	countLogLinesDropped func() uint64
 }
 
 // The names of the metrics, without labels.
 const (
-	metricAnswers    = "birchwood_edge_answers_total"
-	metricLatency    = "birchwood_edge_request_seconds"
-	metricAppends    = "birchwood_edge_append_seconds"
-	metricCalls      = "birchwood_edge_store_calls_total"
-	metricReads      = "birchwood_edge_store_read_seconds"
-	metricUnanswered = "birchwood_edge_store_reads_unanswered_total"
-	metricDropped    = "birchwood_edge_peer_messages_dropped_total"
-	metricFailed     = "birchwood_edge_peer_messages_failed_total"
-	metricPartitions = "birchwood_edge_partition_changes_total"
-	metricRepeats    = "birchwood_edge_calls_repeated_total"
-	metricLogDropped = "birchwood_edge_log_lines_dropped_total"
-	metricDatagrams  = "birchwood_edge_datagrams_total"
-	metricMisses     = "birchwood_edge_owner_misses_total"
-	metricAsides     = "birchwood_edge_turns_kept_aside_total"
-	metricKeys       = "birchwood_edge_keys_refused_total"
-	metricProofs     = "birchwood_edge_key_proof_seconds"
-	metricCharges    = "birchwood_edge_charges_total"
-	metricEvacuated  = "birchwood_edge_evacuated_zones"
-	metricPlaces     = "birchwood_edge_place_refusals_total"
-	metricLeft       = "birchwood_edge_lines_moved_total"
-	metricColdCharge = "birchwood_edge_cold_charges_total"
-	metricCold       = "birchwood_edge_replicas_cold"
-	metricTakeovers  = "birchwood_edge_takeovers_total"
-	metricTaking     = "birchwood_edge_takeover_seconds"
-	metricTakenBytes = "birchwood_edge_takeover_bytes_total"
-	metricKept       = "birchwood_edge_kept_bytes"
-	metricFull       = "birchwood_edge_store_full_total"
-	metricUnusable   = "birchwood_edge_replica_entries_refused_total"
-	metricPredicted  = "birchwood_edge_turn_prediction_ratio"
-	metricPace       = "birchwood_edge_token_seconds"
-	metricShares     = "birchwood_edge_share_refusals_total"
-	metricLate       = "birchwood_edge_calls_late_total"
-	metricTrims      = "birchwood_edge_store_trims_total"
-	metricTurnedAway = "birchwood_edge_turned_away_total"
-	metricComeBack   = "birchwood_edge_come_back_seconds"
-	metricWaiting    = "birchwood_edge_waiting_requests"
-	metricWaitingAge = "birchwood_edge_waiting_oldest_seconds"
-	metricAdmitted   = "birchwood_edge_admissions_total"
-	metricWaited     = "birchwood_edge_waited_seconds"
-	metricGathered   = "birchwood_edge_loads_age_seconds"
-	metricGather     = "birchwood_edge_loads_messages_total"
-	metricGatherSize = "birchwood_edge_loads_bytes_total"
+	metricAnswers            = "birchwood_edge_answers_total"
+	metricLatency            = "birchwood_edge_request_seconds"
+	metricAppends            = "birchwood_edge_append_seconds"
+	metricCalls              = "birchwood_edge_store_calls_total"
+	metricReads              = "birchwood_edge_store_read_seconds"
+	metricUnanswered         = "birchwood_edge_store_reads_unanswered_total"
+	metricDropped            = "birchwood_edge_peer_messages_dropped_total"
+	metricFailed             = "birchwood_edge_peer_messages_failed_total"
+	metricPartitions         = "birchwood_edge_partition_changes_total"
+	metricRepeats            = "birchwood_edge_calls_repeated_total"
+	metricLogDropped         = "birchwood_edge_log_lines_dropped_total"
+	metricDatagrams          = "birchwood_edge_datagrams_total"
+	metricOwnerMisses        = "birchwood_edge_owner_misses_total"
+	metricOtherPartition     = "birchwood_edge_turns_kept_aside_total"
+	metricKeys               = "birchwood_edge_keys_refused_total"
+	metricProofs             = "birchwood_edge_key_proof_seconds"
+	metricCharges            = "birchwood_edge_charges_total"
+	metricEvacuated          = "birchwood_edge_evacuated_zones"
+	metricConstraintRefusals = "birchwood_edge_place_refusals_total"
+	metricSessionsMoved      = "birchwood_edge_lines_moved_total"
+	metricColdCharge         = "birchwood_edge_cold_charges_total"
+	metricCold               = "birchwood_edge_replicas_cold"
+	metricTakeovers          = "birchwood_edge_takeovers_total"
+	metricTakeoverTime       = "birchwood_edge_takeover_seconds"
+	metricTakeoverBytes      = "birchwood_edge_takeover_bytes_total"
+	metricStoredBytes        = "birchwood_edge_kept_bytes"
+	metricFull               = "birchwood_edge_store_full_total"
+	metricEntriesRejected    = "birchwood_edge_replica_entries_refused_total"
+	metricPredicted          = "birchwood_edge_turn_prediction_ratio"
+	metricTokenTime          = "birchwood_edge_token_seconds"
+	metricShares             = "birchwood_edge_share_refusals_total"
+	metricLate               = "birchwood_edge_calls_late_total"
+	metricTrims              = "birchwood_edge_store_trims_total"
+	metricRefused            = "birchwood_edge_turned_away_total"
+	metricRetryAfter         = "birchwood_edge_come_back_seconds"
+	metricWaiting            = "birchwood_edge_waiting_requests"
+	metricWaitingAge         = "birchwood_edge_waiting_oldest_seconds"
+	metricAdmitted           = "birchwood_edge_admissions_total"
+	metricWaited             = "birchwood_edge_waited_seconds"
+	metricGathered           = "birchwood_edge_loads_age_seconds"
+	metricGather             = "birchwood_edge_loads_messages_total"
+	metricGatherSize         = "birchwood_edge_loads_bytes_total"
 )
 
 // latencyBuckets are for times that clients feel, in seconds.
@@ -102,17 +102,17 @@
 func newMetrics(dropped func() uint64) *Metrics {
 	set := metrics.NewSet()
 	made := &Metrics{
-		set:          set,
-		appends:      set.NewPrometheusHistogramExt(metricAppends, appendBuckets),
-		proofs:       set.NewPrometheusHistogramExt(metricProofs, proofBuckets),
-		dropped:      set.NewCounter(metricDropped),
-		failed:       set.NewCounter(metricFailed),
-		repeats:      set.NewCounter(metricRepeats),
-		misses:       set.NewCounter(metricMisses),
-		asides:       set.NewCounter(metricAsides),
-		cold:         set.NewGauge(metricCold, nil),
-		linesDropped: set.NewCounter(metricLogDropped),
-		dropLines:    dropped,
+		set:                  set,
+		appends:              set.NewPrometheusHistogramExt(metricAppends, appendBuckets),
+		proofs:               set.NewPrometheusHistogramExt(metricProofs, proofBuckets),
+		dropped:              set.NewCounter(metricDropped),
+		failed:               set.NewCounter(metricFailed),
+		repeats:              set.NewCounter(metricRepeats),
+		ownerMisses:          set.NewCounter(metricOwnerMisses),
+		otherPartition:       set.NewCounter(metricOtherPartition),
+		cold:                 set.NewGauge(metricCold, nil),
+		logLinesDropped:      set.NewCounter(metricLogDropped),
+		countLogLinesDropped: dropped,
 	}
 	for end := range made.datagrams {
 		made.datagrams[end] = set.NewCounter(fmt.Sprintf("%s{end=%q}", metricDatagrams, datagramEnd(end)))
@@ -122,8 +122,8 @@
 
 // write writes all metrics as text.
 func (m *Metrics) write(to io.Writer) {
-	if m.dropLines != nil {
-		m.linesDropped.Set(m.dropLines())
+	if m.countLogLinesDropped != nil {
+		m.logLinesDropped.Set(m.countLogLinesDropped())
 	}
 	m.set.WritePrometheus(to)
 }
@@ -143,9 +143,9 @@
 }
 
 // paced takes in how fast the replicas of a service are.
-func (m *Metrics) paced(service string, paces replica.TokenTimeRange) {
-	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"fastest\"}", metricPace, service), nil).Set(paces.Fastest.Seconds())
-	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"slowest\"}", metricPace, service), nil).Set(paces.Slowest.Seconds())
+func (m *Metrics) setTokenTimes(service string, times replica.TokenTimeRange) {
+	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"fastest\"}", metricTokenTime, service), nil).Set(times.Fastest.Seconds())
+	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"slowest\"}", metricTokenTime, service), nil).Set(times.Slowest.Seconds())
 }
 
 // storeCall counts a call to the platform's store, by outcome.
@@ -170,15 +170,15 @@
 }
 
 // takeoverEnded takes in a takeover, by outcome, with what it read.
-func (m *Metrics) takeoverEnded(outcome string, read restored, took time.Duration) {
+func (m *Metrics) takeoverEnded(outcome string, read readTotals, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{outcome=%q}", metricTakeovers, outcome)).Inc()
-	m.set.GetOrCreatePrometheusHistogramExt(metricTaking, appendBuckets).Update(took.Seconds())
-	m.set.GetOrCreateCounter(metricTakenBytes).Add(read.bytes)
+	m.set.GetOrCreatePrometheusHistogramExt(metricTakeoverTime, appendBuckets).Update(took.Seconds())
+	m.set.GetOrCreateCounter(metricTakeoverBytes).Add(read.bytes)
 }
 
 // keptBytes sets how much a partition's newest records take in the store, about.
-func (m *Metrics) keptBytes(partition, bytes int) {
-	m.set.GetOrCreateGauge(fmt.Sprintf("%s{partition=\"%d\"}", metricKept, partition), nil).Set(float64(bytes))
+func (m *Metrics) setStoredBytes(partition, bytes int) {
+	m.set.GetOrCreateGauge(fmt.Sprintf("%s{partition=\"%d\"}", metricStoredBytes, partition), nil).Set(float64(bytes))
 }
 
 // storeFull counts an append that the store refused because it is full.
@@ -194,7 +194,7 @@
 }
 
 // entryRefused counts an entry of the list that names no replica to use.
-func (m *Metrics) entryRefused() { m.set.GetOrCreateCounter(metricUnusable).Inc() }
+func (m *Metrics) entryRejected() { m.set.GetOrCreateCounter(metricEntriesRejected).Inc() }
 
 // gathered takes in how old the loads of other nodes are as a collector told them.
 func (m *Metrics) gathered(age time.Duration) {
@@ -247,10 +247,10 @@
 func (m *Metrics) datagram(end datagramEnd) { m.datagrams[end].Inc() }
 
 // ownerMissed counts a question to a node that does not serve the partition.
-func (m *Metrics) ownerMissed() { m.misses.Inc() }
+func (m *Metrics) ownerMissed() { m.ownerMisses.Inc() }
 
 // waiting takes in how many requests wait for room, and how long the oldest has.
-func (m *Metrics) waiting(count int, oldest time.Duration) {
+func (m *Metrics) waitQueue(count int, oldest time.Duration) {
 	m.set.GetOrCreateGauge(metricWaiting, nil).Set(float64(count))
 	m.set.GetOrCreateGauge(metricWaitingAge, nil).Set(oldest.Seconds())
 }
@@ -263,13 +263,13 @@
 
 // turnedAway counts a request that was refused, by cause, with the time after which its
 // caller is to come back.
-func (m *Metrics) turnedAway(cause string, comeBack time.Duration) {
-	m.set.GetOrCreateCounter(fmt.Sprintf("%s{cause=%q}", metricTurnedAway, cause)).Inc()
-	m.set.GetOrCreatePrometheusHistogramExt(metricComeBack, latencyBuckets).Update(comeBack.Seconds())
+func (m *Metrics) refused(cause string, retryAfter time.Duration) {
+	m.set.GetOrCreateCounter(fmt.Sprintf("%s{cause=%q}", metricRefused, cause)).Inc()
+	m.set.GetOrCreatePrometheusHistogramExt(metricRetryAfter, latencyBuckets).Update(retryAfter.Seconds())
 }
 
 // keptAside counts a turn that was kept in another partition than its program's.
-func (m *Metrics) keptAside() { m.asides.Inc() }
+func (m *Metrics) storedInOtherPartition() { m.otherPartition.Inc() }
 
 // partitionChanged counts partitions won and lost.
 func (m *Metrics) partitionChanged(owned bool) {
@@ -294,10 +294,10 @@
 }
 
 // keyHonoured takes in how old the proof was by which a key was honoured.
-func (m *Metrics) keyHonoured(age time.Duration) { m.proofs.Update(age.Seconds()) }
+func (m *Metrics) keyAccepted(age time.Duration) { m.proofs.Update(age.Seconds()) }
 
 // chargeReturned is the label of a grant that was given back.
-const chargeReturned = "returned"
+const chargeRefunded = "returned"
 
 // charged counts how a request counted to its tenant's limit.
 func (m *Metrics) charged(status string) {
@@ -311,34 +311,34 @@
 
 // The reasons for which a request has no place.
 const (
-	placeNoRegion  = "no such region"
-	placeOutside   = "no replica in its regions"
-	placeEvacuated = "zones evacuated"
-	placeOwner     = "owner outside its regions"
+	constraintNoRegion  = "no such region"
+	constraintOutside   = "no replica in its regions"
+	constraintEvacuated = "zones evacuated"
+	constraintOwner     = "owner outside its regions"
 )
 
 // placeRefusedFor counts a request for which there was no place that may serve it.
-func (m *Metrics) placeRefusedFor(reason string) {
-	m.set.GetOrCreateCounter(fmt.Sprintf("%s{reason=%q}", metricPlaces, reason)).Inc()
+func (m *Metrics) constraintRefused(reason string) {
+	m.set.GetOrCreateCounter(fmt.Sprintf("%s{reason=%q}", metricConstraintRefusals, reason)).Inc()
 }
 
 // placeRefused counts a choice that failed for the places of replicas.
-func (m *Metrics) placeRefused(err error) {
+func (m *Metrics) choiceRefused(err error) {
 	if errors.Is(err, replica.ErrEvacuated) {
-		m.placeRefusedFor(placeEvacuated)
+		m.constraintRefused(constraintEvacuated)
 	}
 	if errors.Is(err, replica.ErrOutsideRegions) {
-		m.placeRefusedFor(placeOutside)
+		m.constraintRefused(constraintOutside)
 	}
 }
 
 // lineMoved counts a turn that was sent elsewhere than its line's last one.
-func (m *Metrics) lineMoved() { m.set.GetOrCreateCounter(metricLeft).Inc() }
+func (m *Metrics) sessionMoved() { m.set.GetOrCreateCounter(metricSessionsMoved).Inc() }
 
 // The labels of charges of cold replicas, besides those of coordinator.ChargeStatus.
 const (
 	coldAsked    = "asked"
-	coldReturned = "returned"
+	coldRefunded = "returned"
 	// coldStale is a grant that was read too late to be used.
 	coldStale = "stale"
 )
@@ -370,7 +370,7 @@
 		n.logger.Error().Err(err).Msg("edge: metrics not served")
 		return
 	}
-	server := &fasthttp.Server{NoDefaultServerHeader: true, Logger: silent{}, Handler: func(ctx *fasthttp.RequestCtx) {
+	server := &fasthttp.Server{NoDefaultServerHeader: true, Logger: discardLogger{}, Handler: func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) != "/"+path {
 			ctx.SetStatusCode(fasthttp.StatusNotFound)
 			return
--- a/edge/node.go
+++ b/edge/node.go
@@ -38,13 +38,13 @@
 	routes routing.LatestTable
 	config latestConfiguration
 	// evacuations is what this node knows of evacuated zones.
-	evacuations evacuations
-	replicas    *replicas
-	pool        *upstream.Pool
-	calls       *calls
-	placing     *placing
-	shares      *shares
-	chains      *chains
+	evacuations   evacuations
+	replicas      *replicas
+	pool          *upstream.Pool
+	callStats     *callStats
+	turnEstimates *turnEstimates
+	shares        *shares
+	chains        *chains
 	// takeovers are those under way here.
 	takeovers *takeovers
 	// space is what the partitions take in the store.
@@ -54,29 +54,29 @@
 	peers   *peers
 	metrics *Metrics
 	// waiting are the requests that wait for room.
-	waiting *waiting
+	waitQueue *waitQueue
 	// standings know how much longer programs take.
-	standings *standings
+	scheduling *scheduling
 	// returns spreads the times at which refused callers come back.
-	returns returns
+	refusals refusals
 	// coldOffers counts the offers to cold replicas, for their ids.
 	coldOffers atomic.Uint64
 	// withheld are the fields of clients that no replica gets.
-	withheld []string
+	strippedFields []string
 
 	// randomMutex guards random, which draws for traffic, and patience, which
 	// bounds the appends.
-	randomMutex sync.Mutex
-	random      *rand.Rand
-	patience    retry.AdaptiveTimeout
+	randomMutex           sync.Mutex
+	random                *rand.Rand
+	adaptiveAppendTimeout retry.AdaptiveTimeout
 
-	store contact
-	proof *proof
+	store          storeContact
+	freshnessProof *freshnessProof
 	// listedAt is when the list of replicas was last that of the store, in
 	// nanoseconds since started.
-	started  time.Time
-	listedAt atomic.Int64
-	stopping atomic.Bool
+	started      time.Time
+	replicasAsOf atomic.Int64
+	stopping     atomic.Bool
 	// The streams that were read whole.
 	syncedConfiguration atomic.Bool
 	syncedReplicas      atomic.Bool
@@ -84,23 +84,23 @@
 	roles atomic.Pointer[coordinator.Roles]
 	// following is set while this node follows another one, and relayedAt is when that
 	// one answered last, in nanoseconds since started.
-	following atomic.Bool
-	relayedAt atomic.Int64
+	following        atomic.Bool
+	readerAnsweredAt atomic.Int64
 	// holdsAll says that this node holds all replicas that the store lists, and not a
 	// part of them.
-	holdsAll atomic.Bool
+	holdsAllReplicas atomic.Bool
 	// unproven counts the reads in a row that brought no proof in time.
-	unproven atomic.Int64
+	readsWithoutProof atomic.Int64
 	// unusable are the entries of the list that name no replica to use.
 	unusable unusableEntries
 	// listed is closed once this node has the list of nodes.
-	listed     chan struct{}
-	listedOnce sync.Once
+	nodeListKnown chan struct{}
+	nodeListOnce  sync.Once
 	// watching ends the read by which a follower notes that the store is reached; nil
 	// while there is none.
-	watching atomic.Pointer[context.CancelFunc]
+	cancelWatch atomic.Pointer[context.CancelFunc]
 	// askedReader is the reader whose first answer is waited for; nil while none is.
-	askedReader atomic.Pointer[askedReader]
+	pendingReader atomic.Pointer[pendingReader]
 	// liveNodes is how many nodes are live, this one included.
 	liveNodes atomic.Int32
 	// isolatedSince is since when the node has reached neither the store nor most of
@@ -116,19 +116,19 @@
 const (
 	// memoryShare is the share of the memory bound that the heap may take before
 	// the collector works harder.
-	memoryShare = 0.7
+	heapLimitShare = 0.7
 	// heapGrowth is how much the heap may grow before a collection, in
 	// hundredths of what the last one left.
-	heapGrowth = 25
+	gcPercent = 25
 )
 
 // New builds a node. It opens nothing yet.
 func New(settings Settings, adapter Adapter, logger *log.Logger) (*Node, error) {
 	if settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * memoryShare))
-		debug.SetGCPercent(heapGrowth)
+		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * heapLimitShare))
+		debug.SetGCPercent(gcPercent)
 	}
-	repeats, err := newCalls()
+	stats, err := newCallStats()
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -144,25 +144,25 @@
 			Address: settings.Peers, Status: machine.StatusLive, Incarnation: uint64(now.UnixNano()),
 			Weight: settings.Cores * settings.LinkMegabits,
 		},
-		replicas:  newReplicas(&settings),
-		pool:      upstream.NewPool(upstream.DefaultConfig(adapter.Names)),
-		calls:     repeats,
-		placing:   newPlacing(),
-		shares:    newShares(),
-		chains:    newChains(settings.uses(RecallChains)),
-		takeovers: newTakeovers(),
-		space:     newSpace(),
-		standings: newStandings(),
-		waiting:   newWaiting(&settings),
-		metrics:   newMetrics(settings.LogLinesDropped),
-		random:    random,
-		patience:  retry.AdaptiveTimeout{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
-		store:     contact{last: now},
-		proof:     newProof(now),
-		started:   now,
-		withheld:  withheldFields(adapter.Names),
-		failed:    make(chan error, 4),
-		listed:    make(chan struct{}),
+		replicas:              newReplicas(&settings),
+		pool:                  upstream.NewPool(upstream.DefaultConfig(adapter.Names)),
+		callStats:             stats,
+		turnEstimates:         newTurnEstimates(),
+		shares:                newShares(),
+		chains:                newChains(settings.uses(CacheChains)),
+		takeovers:             newTakeovers(),
+		space:                 newSpace(),
+		scheduling:            newScheduling(),
+		waitQueue:             newWaitQueue(&settings),
+		metrics:               newMetrics(settings.LogLinesDropped),
+		random:                random,
+		adaptiveAppendTimeout: retry.AdaptiveTimeout{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
+		store:                 storeContact{last: now},
+		freshnessProof:        newFreshnessProof(now),
+		started:               now,
+		strippedFields:        fieldsToStrip(adapter.Names),
+		failed:                make(chan error, 4),
+		nodeListKnown:         make(chan struct{}),
 	}
 	node.replicas.forget = node.pool.Forget
 	node.ctx, node.cancel = context.WithCancel(context.Background())
@@ -182,16 +182,16 @@
 
 // The clients' connections get half of the memory at most.
 const (
-	connectionBytes       = 48 << 10
-	connectionsOfMemory   = 2
-	connectionsWhenUnsure = 2048
+	connectionBytes           = 48 << 10
+	connectionMemoryDivisor   = 2
+	defaultMaximumConnections = 2048
 )
 
 func maximumConnections(settings Settings) int {
 	if settings.MemoryBytes == 0 {
-		return connectionsWhenUnsure
+		return defaultMaximumConnections
 	}
-	return int(settings.MemoryBytes / connectionsOfMemory / connectionBytes)
+	return int(settings.MemoryBytes / connectionMemoryDivisor / connectionBytes)
 }
 
 // Programs may use a part of their budgets before the log knows of them, so that
@@ -201,9 +201,9 @@
 	// againShare is what is left where an owner follows a lost one, of budgets from
 	// againBudget on: ten turns of the users' deployments at their most. Two losses in
 	// a row leave five twelfths of such a budget.
-	againShare    = 1.0 / 4
-	againBudget   = 6000
-	unrecordedFor = 8 * time.Second
+	afterFailureShare     = 1.0 / 4
+	afterFailureMinBudget = 6000
+	ownershipProofTTL     = 8 * time.Second
 )
 
 // coreConfig returns the core's settings, within what the store takes.
@@ -211,15 +211,15 @@
 	config := coordinator.DefaultConfig(self, settings.Partitions, random)
 	if settings.uses(BeginUnrecorded) {
 		config.Ledger.UnrecordedShare = unrecordedShare
-		config.Ledger.OwnershipProofTTL = unrecordedFor
-		if settings.uses(BeginAgain) {
-			config.Ledger.AfterFailureShare, config.Ledger.AfterFailureMinBudget = againShare, againBudget
+		config.Ledger.OwnershipProofTTL = ownershipProofTTL
+		if settings.uses(BeginAfterFailure) {
+			config.Ledger.AfterFailureShare, config.Ledger.AfterFailureMinBudget = afterFailureShare, afterFailureMinBudget
 		}
 	}
 	if !settings.uses(MarkAhead) {
 		config.Ledger.MarkAheadShare, config.Ledger.MarkAheadTurns = 0, 0
 	}
-	config.Ledger.ExtraTurnAfterFailure = settings.uses(GrantTurnAfterLoss)
+	config.Ledger.ExtraTurnAfterFailure = settings.uses(GrantTurnAfterFailure)
 	config.SkipHandover = !settings.uses(HandOver)
 	if settings.Quota.Window > 0 {
 		config.Tenants = settings.Quota
@@ -227,11 +227,11 @@
 	if settings.ColdReplicas.Window > 0 {
 		config.ColdReplicas = settings.ColdReplicas
 	}
-	config.Tenants.ArrivalOrder = !settings.uses(FinishPrograms)
-	config.Tenants.RetriesAsNew = !settings.uses(RankPrograms)
-	config.CountLocally = !settings.uses(CountTogether)
+	config.Tenants.ArrivalOrder = !settings.uses(PreferStartedPrograms)
+	config.Tenants.RetriesAsNew = !settings.uses(RankRetriesLast)
+	config.CountLocally = !settings.uses(CountCentrally)
 	config.IgnoreRedirects = !settings.uses(RedirectCharges)
-	config.DisableGathering = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
+	config.DisableGathering = !settings.uses(GatherLoads) || !settings.uses(CountPeerLoads)
 	if settings.RecordBytes > 0 {
 		config.Ledger.RecordBytes = min(config.Ledger.RecordBytes, settings.RecordBytes/2)
 	}
@@ -310,9 +310,9 @@
 const (
 	// unlistedAfter is when the platform has noticed that the node is not
 	// ready any more and sends no new connections.
-	unlistedAfter = 3 * time.Second
+	readinessPropagation = 3 * time.Second
 	// killSlack is how long before the kill the process ends.
-	killSlack = 700 * time.Millisecond
+	exitMargin = 700 * time.Millisecond
 )
 
 // Stop ends the node: it is no longer ready, gives its partitions up, closes
@@ -325,8 +325,8 @@
 	n.logger.Info().Int("active", n.clients.Active()).Msg("edge: stopping")
 	n.control.post(coordinator.Leave{})
 	n.clients.Drain()
-	end := begun.Add(max(n.settings.Grace-killSlack, 0))
-	wait.Until(n.ctx, minTime(begun.Add(unlistedAfter), end))
+	end := begun.Add(max(n.settings.Grace-exitMargin, 0))
+	wait.Until(n.ctx, minTime(begun.Add(readinessPropagation), end))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	err := n.clients.Shutdown(ctx)
--- a/edge/overload.go
+++ b/edge/overload.go
@@ -5,8 +5,8 @@
 // way in the replicas' memory, which costs prefill and adds to the load. The
 // most urgent routes are refused later than others.
 const (
-	fullPressure       = 1.25
-	fullPressureUrgent = 1.6
+	fullUtilisation       = 1.25
+	fullUtilisationUrgent = 1.6
 )
 
 // overloaded reports whether a program that has not begun is to wait.
@@ -14,9 +14,9 @@
 	if !n.settings.uses(RefuseWhenFull) {
 		return false
 	}
-	limit := fullPressure
+	limit := fullUtilisation
 	if r.priority() == 0 {
-		limit = fullPressureUrgent
+		limit = fullUtilisationUrgent
 	}
-	return n.replicas.pressure(n.choiceOf(r)) >= limit
+	return n.replicas.minUtilisation(n.selectionRequest(r)) >= limit
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -132,7 +132,7 @@
 }
 
 // ask has another node answer a request about a partition.
-func (p *peers) ask(ctx context.Context, to machine.Machine, partition int, request coordinator.Request) (coordinator.Reply, error) {
+func (p *peers) call(ctx context.Context, to machine.Machine, partition int, request coordinator.Request) (coordinator.Reply, error) {
 	var reply coordinator.Reply
 	err := p.client(to.Address).Do(ctx, fasthttp.MethodPost, pathRequest, peerRequest{Partition: partition, Request: request}, &reply)
 	return reply, err
@@ -174,7 +174,7 @@
 	routes.GET(pathNodes, p.receiveNodes)
 	server := &fasthttp.Server{
 		Handler: routes.Handler, MaxRequestBodySize: peerBodyBytes, NoDefaultServerHeader: true, CloseOnShutdown: true,
-		Logger: silent{},
+		Logger: discardLogger{},
 	}
 	go func() {
 		<-p.node.ctx.Done()
@@ -184,10 +184,10 @@
 }
 
 // silent drops the library's own log lines about broken connections.
-type silent struct{}
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func (p *peers) receiveMessage(ctx *fasthttp.RequestCtx) {
 	var message coordinator.PeerMessage
@@ -210,7 +210,7 @@
 	}
 	askCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
 	defer cancel()
-	reply, err := p.node.control.ask(askCtx, request.Partition, request.Request)
+	reply, err := p.node.control.call(askCtx, request.Partition, request.Request)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
@@ -220,7 +220,7 @@
 
 func (p *peers) receiveState(ctx *fasthttp.RequestCtx) {
 	// The age goes first: a configuration that is read after it is no older.
-	age, proven := p.node.proof.age(time.Now())
+	age, proven := p.node.freshnessProof.age(time.Now())
 	state := peerState{
 		Configuration: p.node.config.raw(),
 		Proven:        proven, ProofAgeMS: age.Milliseconds() + 1,
--- a/edge/peerstate.go
+++ b/edge/peerstate.go
@@ -25,15 +25,15 @@
 		if n.reachesStore() {
 			continue
 		}
-		n.learnFromPeer(ctx)
+		n.fetchFromPeer(ctx)
 	}
 }
 
-func (n *Node) learnFromPeer(ctx context.Context) {
+func (n *Node) fetchFromPeer(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, peerStatePeriod)
 	defer cancel()
 	if from, found := n.anyPeer(callCtx); found {
-		n.takeState(callCtx, from)
+		n.applyPeerState(callCtx, from)
 	}
 }
 
@@ -47,7 +47,7 @@
 }
 
 // takeState takes over what a peer knows.
-func (n *Node) takeState(ctx context.Context, from machine.Machine) {
+func (n *Node) applyPeerState(ctx context.Context, from machine.Machine) {
 	asked := time.Now()
 	// In a large fleet each node holds a part of the replicas, of a reader.
 	replicas := !n.reachesStore() && !n.large()
@@ -57,7 +57,7 @@
 		return
 	}
 	n.adoptEvacuations(from, asked, state.Evacuations)
-	n.takeConfiguration(from, asked, &state)
+	n.applyPeerConfiguration(from, asked, &state)
 	if !replicas || n.reachesStore() || len(state.Replicas) == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 
 // takeConfiguration takes over a peer's configuration, and its proof that this was the
 // newest, if it knows one.
-func (n *Node) takeConfiguration(from machine.Machine, asked time.Time, state *peerState) {
+func (n *Node) applyPeerConfiguration(from machine.Machine, asked time.Time, state *peerState) {
 	if len(state.Configuration) == 0 {
 		return
 	}
@@ -82,13 +82,13 @@
 	}
 	n.applyConfiguration(raw.Key, raw.Value, "peer "+string(from.ID))
 	if state.Proven {
-		n.noteProof(asked.Add(-time.Duration(state.ProofAgeMS) * time.Millisecond))
+		n.recordProof(asked.Add(-time.Duration(state.ProofAgeMS) * time.Millisecond))
 	}
 }
 
 // hearVersion fetches a configuration, or word of evacuated zones, that a peer holds and
 // this node does not.
-func (n *Node) hearVersion(from machine.Machine, version, evacuations uint64) {
+func (n *Node) observeVersion(from machine.Machine, version, evacuations uint64) {
 	n.config.mutex.Lock()
 	defer n.config.mutex.Unlock()
 	news := version > n.config.version || evacuations > n.evacuations.version()
@@ -104,7 +104,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, peerStatePeriod)
 		defer cancel()
 		if version > n.configVersion() || evacuations > n.evacuations.version() {
-			n.takeState(callCtx, from)
+			n.applyPeerState(callCtx, from)
 		}
 		n.config.mutex.Lock()
 		n.config.fetching = false
--- a/edge/placing.go
+++ b/edge/placing.go
@@ -10,30 +10,30 @@
 
 // placing guards what this node has learnt of turns: how long they are, and how much time
 // their programs have.
-type placing struct {
+type turnEstimates struct {
 	mutex   sync.Mutex
 	lengths *dispatch.Lengths
 	slack   *dispatch.Slack
 }
 
-func newPlacing() *placing {
-	return &placing{lengths: dispatch.NewLengths(), slack: dispatch.NewSlack()}
+func newTurnEstimates() *turnEstimates {
+	return &turnEstimates{lengths: dispatch.NewLengths(), slack: dispatch.NewSlack()}
 }
 
 // noteProgress notes how the request's program stands against its time, and how the request
 // takes the fast replicas of its service by that. A turn is noted once.
-func (n *Node) noteProgress(r *requestState) {
+func (n *Node) updateProgress(r *requestState) {
 	if len(r.prompt) == 0 || r.attempts > 0 {
 		return
 	}
-	n.placing.mutex.Lock()
-	defer n.placing.mutex.Unlock()
+	n.turnEstimates.mutex.Lock()
+	defer n.turnEstimates.mutex.Unlock()
 	now := time.Now()
 	r.progress = dispatch.ProgressEven
-	if !r.finish.IsZero() {
-		r.progress = n.placing.slack.Observe(r.routeName(), len(r.prompt), r.finish.Sub(now))
+	if !r.finishBy.IsZero() {
+		r.progress = n.turnEstimates.slack.Observe(r.routeName(), len(r.prompt), r.finishBy.Sub(now))
 	}
-	r.haste = n.placing.slack.SpeedBias(now, r.service, r.priority(), r.progress)
+	r.speedBias = n.turnEstimates.slack.SpeedBias(now, r.service, r.priority(), r.progress)
 }
 
 // expectedTokens returns how many tokens a turn will have, or 0 for other requests and
@@ -42,16 +42,16 @@
 	if len(r.prompt) == 0 {
 		return 0
 	}
-	n.placing.mutex.Lock()
-	defer n.placing.mutex.Unlock()
-	return n.placing.lengths.Expected(r.routeName(), r.expected, r.most)
+	n.turnEstimates.mutex.Lock()
+	defer n.turnEstimates.mutex.Unlock()
+	return n.turnEstimates.lengths.Expected(r.routeName(), r.lengthHint, r.maxTokens)
 }
 
 // observeLength takes in how many tokens a turn had.
 func (n *Node) observeLength(r *requestState) {
-	n.placing.mutex.Lock()
-	defer n.placing.mutex.Unlock()
-	n.placing.lengths.Observe(time.Now(), r.routeName(), r.tokens)
+	n.turnEstimates.mutex.Lock()
+	defer n.turnEstimates.mutex.Unlock()
+	n.turnEstimates.lengths.Observe(time.Now(), r.routeName(), r.tokens)
 }
 
 // streamTimes follows when the events of one answer came, for the pace of its replica.
@@ -78,7 +78,7 @@
 }
 
 // token returns the time of a token, or 0 where that was not measured.
-func (s *streamTimes) token(tokens int) time.Duration {
+func (s *streamTimes) tokenTime(tokens int) time.Duration {
 	between := tokens - s.firstTokens
 	if s.first.IsZero() || between <= 0 || s.last.Before(s.heldUntil.Add(heldMargin)) {
 		return 0
@@ -90,13 +90,13 @@
 func (t *turnRun) observeTurn(entry replica.Entry) {
 	r, n := t.request, t.node
 	n.observeLength(r)
-	token := t.times.token(r.tokens)
-	if token <= 0 || t.runs > 1 {
+	tokenTime := t.times.tokenTime(r.tokens)
+	if tokenTime <= 0 || t.runs > 1 {
 		return
 	}
-	sample := replica.Sample{Load: r.choice.Load, Token: token, UncachedTokens: r.choice.UncachedTokens, TimeToFirstEvent: t.times.first.Sub(r.sentAt)}
-	if paces, known := n.replicas.observe(entry, sample); known {
-		n.metrics.paced(entry.Service, paces)
+	sample := replica.Sample{Load: r.choice.Load, Token: tokenTime, UncachedTokens: r.choice.UncachedTokens, TimeToFirstEvent: t.times.first.Sub(r.sentAt)}
+	if tokenTimes, known := n.replicas.observe(entry, sample); known {
+		n.metrics.setTokenTimes(entry.Service, tokenTimes)
 	}
 	if r.choice.Predicted > 0 {
 		n.metrics.predicted(r.choice.Predicted, t.times.last.Sub(r.sentAt))
--- a/edge/placing_test.go
+++ b/edge/placing_test.go
@@ -16,32 +16,32 @@
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
 	var times streamTimes
-	g.Expect(times.token(0)).To(BeZero())
+	g.Expect(times.tokenTime(0)).To(BeZero())
 	times.note(start, 25)
-	g.Expect(times.token(25)).To(BeZero(), "one event")
+	g.Expect(times.tokenTime(25)).To(BeZero(), "one event")
 	times.note(start.Add(100*time.Millisecond), 75)
 	times.note(start.Add(200*time.Millisecond), 125)
-	g.Expect(times.token(125)).To(Equal(2 * time.Millisecond))
+	g.Expect(times.tokenTime(125)).To(Equal(2 * time.Millisecond))
 	times.heldUntil = start.Add(50 * time.Millisecond)
-	g.Expect(times.token(125)).To(Equal(2*time.Millisecond), "the rest came after the wait")
+	g.Expect(times.tokenTime(125)).To(Equal(2*time.Millisecond), "the rest came after the wait")
 	times.heldUntil = start.Add(198 * time.Millisecond)
-	g.Expect(times.token(125)).To(BeZero(), "the rest came during the wait")
+	g.Expect(times.tokenTime(125)).To(BeZero(), "the rest came during the wait")
 }
 
 // TestNoteStand notes a turn once, and nothing of a request without a prompt.
 func TestNoteStand(t *testing.T) {
 	g := NewWithT(t)
-	node := &Node{placing: newPlacing()}
+	node := &Node{turnEstimates: newTurnEstimates()}
 	for range 20 {
-		usual := &requestState{route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finish: time.Now().Add(3 * time.Second)}
-		node.noteProgress(usual)
+		usual := &requestState{route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now().Add(3 * time.Second)}
+		node.updateProgress(usual)
 		g.Expect(usual.progress).To(Equal(dispatch.ProgressEven))
 	}
-	late := &requestState{route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finish: time.Now().Add(time.Second)}
-	node.noteProgress(late)
+	late := &requestState{route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now().Add(time.Second)}
+	node.updateProgress(late)
 	g.Expect(late.progress).To(Equal(dispatch.ProgressBehind))
-	g.Expect(late.haste).To(Equal(1))
-	again := &requestState{attempts: 1, route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finish: time.Now()}
-	node.noteProgress(again)
-	g.Expect(again.haste).To(BeZero())
+	g.Expect(late.speedBias).To(Equal(1))
+	again := &requestState{attempts: 1, route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now()}
+	node.updateProgress(again)
+	g.Expect(again.speedBias).To(BeZero())
 }
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -13,27 +13,27 @@
 )
 
 // noteListed notes how old the list of replicas is.
-func (n *Node) noteListed(age time.Duration) {
-	n.listedAt.Store(int64(time.Since(n.started) - age))
+func (n *Node) setListAge(age time.Duration) {
+	n.replicasAsOf.Store(int64(time.Since(n.started) - age))
 }
 
 // listAge returns how long ago the list of replicas was that of the store.
 func (n *Node) listAge() time.Duration {
-	return time.Since(n.started) - time.Duration(n.listedAt.Load())
+	return time.Since(n.started) - time.Duration(n.replicasAsOf.Load())
 }
 
 // relay is where a node stands that follows a reader.
-type relay struct {
-	reader machine.Machine
-	turn   int
+type readerCursor struct {
+	reader      machine.Machine
+	readerIndex int
 	// life and next are where it stands at the reader, with its part of the list; life 0
 	// asks for the whole of that.
-	life, next uint64
-	part       bool
-	group      replica.Group
+	incarnation, next uint64
+	part              bool
+	group             replica.Group
 	// unsure says that the reader still read, and that what this node holds may differ
 	// from the whole list.
-	unsure bool
+	uncertain bool
 	// failures counts the questions in a row without an answer.
 	failures int
 	// servedAt is when a reader answered last.
@@ -41,53 +41,53 @@
 }
 
 // leave has the next question go to the next reader.
-func (r *relay) leave() {
-	r.turn++
-	r.life, r.next = 0, 0
+func (r *readerCursor) nextReader() {
+	r.readerIndex++
+	r.incarnation, r.next = 0, 0
 }
 
 // followReaders follows the replicas through readers for as long as that is the
 // way of this node and one of them serves.
 func (n *Node) followReaders(ctx context.Context) {
 	defer n.following.Store(false)
-	at := relay{servedAt: time.Now()}
-	backoff := n.backoffOf(readerPauseFirst, readerPauseMost)
+	cursor := readerCursor{servedAt: time.Now()}
+	backoff := n.backoffOf(readerMinimumBackoff, readerMaximumBackoff)
 	for ctx.Err() == nil {
 		readers := n.readersToFollow()
-		if len(readers) == 0 || n.stranded(&at, len(readers)) {
+		if len(readers) == 0 || n.readsStoreItself(&cursor, len(readers)) {
 			return
 		}
-		at.reader = readers[at.turn%len(readers)]
-		at.hold(n.role() == roleFollower, n.ownGroup())
-		question := n.relayQuestion(&at)
+		cursor.reader = readers[cursor.readerIndex%len(readers)]
+		cursor.setGroup(n.role() == roleFollower, n.ownGroup())
+		request := n.relayRequest(&cursor)
 		asked := time.Now()
-		answer, err := n.askReader(ctx, at.reader, question)
+		answer, err := n.queryReader(ctx, cursor.reader, request)
 		if err != nil {
-			n.logger.Warn().Str("reader", string(at.reader.ID)).Int("failures", at.failures).Err(err).Msg("replicas: reader not followed")
-			at.failures++
-			at.leave()
-			if at.failures%len(readers) == 0 {
+			n.logger.Warn().Str("reader", string(cursor.reader.ID)).Int("failures", cursor.failures).Err(err).Msg("replicas: reader not followed")
+			cursor.failures++
+			cursor.nextReader()
+			if cursor.failures%len(readers) == 0 {
 				wait.For(ctx, backoff.Next())
 			}
 			continue
 		}
 		backoff.Reset()
-		at.failures, at.servedAt = 0, time.Now()
-		n.relayedAt.Store(int64(time.Since(n.started)))
-		at.note(&answer, n.replicas.count() > 0)
-		n.takeRelay(at.reader, asked, question.part, &answer)
-		n.noteFollowing(at.reader)
-		if !answer.Partial && answer.age() > relayAge && n.fresherReader(ctx, &at, readers, answer.age()) {
-			at.life, at.next = 0, 0
+		cursor.failures, cursor.servedAt = 0, time.Now()
+		n.readerAnsweredAt.Store(int64(time.Since(n.started)))
+		cursor.advance(&answer, n.replicas.count() > 0)
+		n.applyRelay(cursor.reader, asked, request.part, &answer)
+		n.logFollowing(cursor.reader)
+		if !answer.Partial && answer.age() > maximumListAge && n.switchToFresherReader(ctx, &cursor, readers, answer.age()) {
+			cursor.incarnation, cursor.next = 0, 0
 		}
 	}
 }
 
 // hold has the next question be about a part of the list, or all of it. Where that changes,
 // the numbers that were heard mean nothing.
-func (r *relay) hold(part bool, group replica.Group) {
+func (r *readerCursor) setGroup(part bool, group replica.Group) {
 	if part != r.part || (part && group != r.group) {
-		r.life, r.next = 0, 0
+		r.incarnation, r.next = 0, 0
 	}
 	r.part, r.group = part, group
 }
@@ -96,22 +96,22 @@
 // Once a reader has read all that still read, the whole list is asked for again: by a node
 // that may hold replicas which are not in it, and by one that passes the whole list on
 // itself and has to know that it holds all.
-func (r *relay) note(answer *relayAnswer, held bool) {
-	r.life, r.next = answer.Life, answer.Next
+func (r *readerCursor) advance(answer *relayAnswer, held bool) {
+	r.incarnation, r.next = answer.ReaderIncarnation, answer.Next
 	switch {
 	case answer.Partial:
-		r.unsure = r.unsure || !r.part || (answer.Whole && held)
+		r.uncertain = r.uncertain || !r.part || (answer.Whole && held)
 	case answer.Whole:
-		r.unsure = false
-	case r.unsure:
-		r.life, r.next = 0, 0
+		r.uncertain = false
+	case r.uncertain:
+		r.incarnation, r.next = 0, 0
 	}
 }
 
 // learnTotal asks the readers of this zone, and the sources, how many replicas there are, by
 // which a node that starts knows whether it is to follow them or to read the store. Of a
 // small fleet that has just started nobody knows.
-func (n *Node) learnTotal(ctx context.Context) {
+func (n *Node) fetchTotal(ctx context.Context) {
 	roles := n.roles.Load()
 	if roles == nil || !n.settings.uses(FollowReaders) {
 		return
@@ -123,7 +123,7 @@
 		if reader.ID == n.self.ID {
 			continue
 		}
-		answer, err := n.askReader(ctx, reader, relayQuestion{ageOnly: true})
+		answer, err := n.queryReader(ctx, reader, relayRequest{ageOnly: true})
 		if err == nil {
 			n.replicas.setTotal(answer.Total)
 		}
@@ -133,44 +133,44 @@
 // stranded reports whether no reader has served for so long that this node is to read
 // the store itself. Followers, of which there are many, wait longer for one than readers,
 // and each a little longer or shorter than the others.
-func (n *Node) stranded(at *relay, readers int) bool {
-	if at.failures <= readers {
+func (n *Node) readsStoreItself(cursor *readerCursor, readers int) bool {
+	if cursor.failures <= readers {
 		return false
 	}
-	patience := strandedAfter
+	delay := followerFallbackDelay
 	if n.role() == roleReader {
-		patience = readerStrandedAfter
+		delay = readerFallbackDelay
 	}
-	return time.Since(at.servedAt) > patience+time.Duration(n.draw()*float64(patience))
+	return time.Since(cursor.servedAt) > delay+time.Duration(n.draw()*float64(delay))
 }
 
 // fresherReader looks for a reader whose list is younger, and turns to it: the next one, or
 // one of the others. While the store is down for all there is none, and the follower stays
 // where it is.
-func (n *Node) fresherReader(ctx context.Context, at *relay, readers []machine.Machine, age time.Duration) bool {
+func (n *Node) switchToFresherReader(ctx context.Context, cursor *readerCursor, readers []machine.Machine, age time.Duration) bool {
 	for _, offset := range []int{1, 1 + int(n.draw()*float64(len(readers)-1))} {
-		other := readers[(at.turn+offset)%len(readers)]
-		answer, err := n.askReader(ctx, other, relayQuestion{ageOnly: true})
-		if err == nil && answer.age() < age-relayAge/2 {
-			n.logger.Info().Str("reader", string(at.reader.ID)).Dur("age", age).Str("next", string(other.ID)).
+		other := readers[(cursor.readerIndex+offset)%len(readers)]
+		answer, err := n.queryReader(ctx, other, relayRequest{ageOnly: true})
+		if err == nil && answer.age() < age-maximumListAge/2 {
+			n.logger.Info().Str("reader", string(cursor.reader.ID)).Dur("age", age).Str("next", string(other.ID)).
 				Dur("its", answer.age()).Msg("replicas: reader's list is old")
-			at.turn += offset
+			cursor.readerIndex += offset
 			return true
 		}
 	}
-	wait.For(ctx, readerPauseMost)
+	wait.For(ctx, readerMaximumBackoff)
 	return false
 }
 
 // relayQuestion returns the next question to a reader.
-func (n *Node) relayQuestion(at *relay) relayQuestion {
-	question := relayQuestion{life: at.life, since: at.next, evacuations: n.evacuations.version(), version: n.configVersion()}
-	question.wait = sourceWait
-	if at.part {
-		question.wait = relayWait
-		question.part, question.group = true, at.group
+func (n *Node) relayRequest(cursor *readerCursor) relayRequest {
+	request := relayRequest{incarnation: cursor.incarnation, since: cursor.next, evacuations: n.evacuations.version(), version: n.configVersion()}
+	request.wait = sourceWait
+	if cursor.part {
+		request.wait = relayWait
+		request.part, request.group = true, cursor.group
 	}
-	return question
+	return request
 }
 
 func (n *Node) configVersion() uint64 {
@@ -181,7 +181,7 @@
 }
 
 // noteFollowing writes when this node begins to follow a reader.
-func (n *Node) noteFollowing(reader machine.Machine) {
+func (n *Node) logFollowing(reader machine.Machine) {
 	if !n.following.Swap(true) {
 		n.logger.Info().Str("reader", string(reader.ID)).Int("replicas", n.replicas.count()).Int("listed", n.replicas.total()).
 			Msg("replicas: following a reader")
@@ -195,49 +195,49 @@
 func (n *Node) Replicas() int { return n.replicas.count() }
 
 // askedReader is a reader whose first answer this node waits for, and what ends that.
-type askedReader struct {
-	id  machine.ID
-	end context.CancelFunc
+type pendingReader struct {
+	id   machine.ID
+	stop context.CancelFunc
 }
 
 // askReader asks a reader for what has changed. A first answer is waited for long, since it
 // would be sent in vain if it were given up and asked for again, but no longer than the
 // reader lives.
-func (n *Node) askReader(ctx context.Context, reader machine.Machine, question relayQuestion) (relayAnswer, error) {
-	first := question.life == 0 && !question.ageOnly
-	patience := question.wait + relaySlack
+func (n *Node) queryReader(ctx context.Context, reader machine.Machine, request relayRequest) (relayAnswer, error) {
+	first := request.incarnation == 0 && !request.ageOnly
+	timeout := request.wait + relaySlack
 	if first {
-		patience = firstPatience
+		timeout = firstAnswerTimeout
 	}
-	callCtx, cancel := context.WithTimeout(ctx, patience)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if first {
-		n.askedReader.Store(&askedReader{id: reader.ID, end: cancel})
-		defer n.askedReader.Store(nil)
+		n.pendingReader.Store(&pendingReader{id: reader.ID, stop: cancel})
+		defer n.pendingReader.Store(nil)
 	}
 	var answer relayAnswer
-	err := n.peers.client(reader.Address).Do(callCtx, fasthttp.MethodGet, question.path(), nil, &answer)
+	err := n.peers.client(reader.Address).Do(callCtx, fasthttp.MethodGet, request.path(), nil, &answer)
 	return answer, err
 }
 
 // manyChanges is from how many changes in one answer on a line is written for all of them
 // and not for each.
-const manyChanges = 16
+const bulkLogThreshold = 16
 
 // takeRelay takes over a reader's answer about all replicas, or a part.
-func (n *Node) takeRelay(reader machine.Machine, asked time.Time, part bool, answer *relayAnswer) {
-	n.takeRelayedConfiguration(reader, asked, answer)
+func (n *Node) applyRelay(reader machine.Machine, asked time.Time, part bool, answer *relayAnswer) {
+	n.applyRelayedConfiguration(reader, asked, answer)
 	n.replicas.setTotal(answer.Total)
-	if answer.Whole || len(answer.Changes) >= manyChanges {
-		n.takeList(reader, part, answer)
+	if answer.Whole || len(answer.Changes) >= bulkLogThreshold {
+		n.applyList(reader, part, answer)
 	} else {
-		n.takeChanges(answer.Changes)
+		n.applyChanges(answer.Changes)
 	}
-	n.noteListed(answer.age())
+	n.setListAge(answer.age())
 }
 
 // takeChanges takes a few changes over.
-func (n *Node) takeChanges(changes []replica.Change) {
+func (n *Node) applyChanges(changes []replica.Change) {
 	for _, change := range changes {
 		if change.Entry == nil {
 			n.removeReplica(change.Gone, "gone from the reader's list")
@@ -248,7 +248,7 @@
 }
 
 // takeList takes many changes over, or a whole list.
-func (n *Node) takeList(reader machine.Machine, part bool, answer *relayAnswer) {
+func (n *Node) applyList(reader machine.Machine, part bool, answer *relayAnswer) {
 	listed := make(map[replica.ID]bool, len(answer.Changes))
 	changed, removed := 0, 0
 	for _, change := range answer.Changes {
@@ -264,7 +264,7 @@
 		}
 	}
 	if answer.Whole {
-		n.holdsAll.Store(!part && !answer.Partial)
+		n.holdsAllReplicas.Store(!part && !answer.Partial)
 		if !answer.Partial {
 			removed += n.dropUnlisted(listed, n.removeQuietly)
 		}
@@ -275,7 +275,7 @@
 
 // takeRelayedConfiguration takes over a reader's configuration, its proof that this is the
 // newest, and its word of evacuated zones.
-func (n *Node) takeRelayedConfiguration(reader machine.Machine, asked time.Time, answer *relayAnswer) {
+func (n *Node) applyRelayedConfiguration(reader machine.Machine, asked time.Time, answer *relayAnswer) {
 	if answer.Evacuations != nil {
 		n.adoptEvacuations(reader, asked, *answer.Evacuations)
 	}
@@ -287,6 +287,6 @@
 	}
 	n.syncedConfiguration.Store(true)
 	if answer.Proven {
-		n.noteProof(asked.Add(-time.Duration(answer.ProofAgeMS) * time.Millisecond))
+		n.recordProof(asked.Add(-time.Duration(answer.ProofAgeMS) * time.Millisecond))
 	}
 }
--- a/edge/reader_test.go
+++ b/edge/reader_test.go
@@ -21,20 +21,20 @@
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
 	reader := machine.Machine{ID: "reader", Kind: machine.KindNode, Zone: "z", Address: listener.Addr().String(), Status: machine.StatusLive, Incarnation: 1}
-	node.control.take(coordinator.NodesDiscovered{Nodes: []machine.Machine{reader}})
+	node.control.handleInput(coordinator.NodesDiscovered{Nodes: []machine.Machine{reader}})
 	ended := make(chan error, 1)
 	go func() {
-		_, err := node.askReader(node.ctx, reader, relayQuestion{wait: relayWait})
+		_, err := node.queryReader(node.ctx, reader, relayRequest{wait: relayWait})
 		ended <- err
 	}()
 	silent, err := listener.Accept()
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = silent.Close() }()
-	node.control.endWaitForLostReader()
+	node.control.cancelLostReader()
 	g.Consistently(ended, 0).ShouldNot(Receive(), "the reader lives")
 	other := machine.Machine{ID: "other", Kind: machine.KindNode, Zone: "z", Incarnation: 1}
 	news := &machine.Message{Kind: machine.MessageAnnounce, Updates: []machine.Update{{ID: reader.ID, Incarnation: reader.Incarnation, Status: machine.StatusDead}}}
-	node.control.take(coordinator.PeerReceived{Message: coordinator.PeerMessage{From: other, Membership: news}})
-	node.control.endWaitForLostReader()
+	node.control.handleInput(coordinator.PeerReceived{Message: coordinator.PeerMessage{From: other, Membership: news}})
+	node.control.cancelLostReader()
 	g.Expect(<-ended).To(MatchError(context.Canceled))
 }
--- a/edge/readiness.go
+++ b/edge/readiness.go
@@ -11,19 +11,19 @@
 // What a node that starts has read after its start, as a rule: in a small fleet all of the
 // store's lists, in a large one what its reader passes on.
 const (
-	startUsually      = 300 * time.Millisecond
-	startUsuallyLarge = 1500 * time.Millisecond
+	typicalStart      = 300 * time.Millisecond
+	typicalStartLarge = 1500 * time.Millisecond
 )
 
 // comeBackAtStart is when a client that is refused by a node that has just started is to
 // come back. It is here because most nodes start: else the platform sends it to others. A
 // client that comes back sooner uses its few tries up before anybody can serve it.
-func (n *Node) comeBackAtStart() time.Duration {
-	usually := startUsually
+func (n *Node) retryAfterStart() time.Duration {
+	typical := typicalStart
 	if n.role() != roleAlone {
-		usually = startUsuallyLarge
+		typical = typicalStartLarge
 	}
-	return max(usually-time.Since(n.started), comeBackSoon)
+	return max(typical-time.Since(n.started), retrySoon)
 }
 
 // ready reports whether the node can serve clients. One that is cut off cannot:
@@ -40,7 +40,7 @@
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		}
 	})
-	server := &fasthttp.Server{Handler: routes.Handler, NoDefaultServerHeader: true, CloseOnShutdown: true, Logger: silent{}}
+	server := &fasthttp.Server{Handler: routes.Handler, NoDefaultServerHeader: true, CloseOnShutdown: true, Logger: discardLogger{}}
 	go func() {
 		<-n.ctx.Done()
 		_ = listener.Close()
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -26,34 +26,34 @@
 	relaySlack = 300 * time.Millisecond
 	// firstPatience is how much later a first answer may come, which holds all of a
 	// part: a reader with a slow link sends those of a hundred followers in that time.
-	firstPatience = 8 * time.Second
+	firstAnswerTimeout = 8 * time.Second
 	// gatherChanges is how long a reader waits for further changes after one, so that
 	// many that come close together cost its followers one answer.
-	gatherChanges = 100 * time.Millisecond
+	changeBatchWindow = 100 * time.Millisecond
 	// relayAge is the age of a list from which on another reader is looked for: three
 	// times what a source and a reader add to it as a rule, half a second.
-	relayAge = 1500 * time.Millisecond
+	maximumListAge = 1500 * time.Millisecond
 	// storeTurn is how long a node follows the store that no reader serves.
-	storeTurn = 1500 * time.Millisecond
+	directReadPeriod = 1500 * time.Millisecond
 	// strandedAfter is how long a follower looks for a reader until it reads the store
 	// itself: all followers at once would take the store's whole capacity, and their
 	// readers are ranked anew sooner.
-	strandedAfter = 8 * time.Second
+	followerFallbackDelay = 8 * time.Second
 	// readerStrandedAfter is the same for the few readers: a source that starts has read
 	// the whole list in that time.
-	readerStrandedAfter = time.Second
+	readerFallbackDelay = time.Second
 	// maximumRelayWait bounds the wait that another node may ask for.
 	maximumRelayWait = 5 * time.Second
 	// readerPauseFirst and readerPauseMost space the questions while no reader serves.
-	readerPauseFirst = 50 * time.Millisecond
-	readerPauseMost  = time.Second
+	readerMinimumBackoff = 50 * time.Millisecond
+	readerMaximumBackoff = time.Second
 )
 
 // relayAnswer is a reader's answer: the changes since the number that was asked
 // for, or the whole list.
 type relayAnswer struct {
 	// Life names the reader's process; numbers of another one mean nothing.
-	Life uint64 `json:"life"`
+	ReaderIncarnation uint64 `json:"life"`
 	// Next is the number to ask for next.
 	Next  uint64 `json:"next"`
 	Whole bool   `json:"whole,omitempty"`
@@ -79,10 +79,10 @@
 func (a *relayAnswer) age() time.Duration { return time.Duration(a.AgeMS) * time.Millisecond }
 
 // relayQuestion is what a follower asks a reader.
-type relayQuestion struct {
+type relayRequest struct {
 	// life and since are where the follower stands; life 0 asks for the whole list.
-	life, since uint64
-	wait        time.Duration
+	incarnation, since uint64
+	wait               time.Duration
 	// part says that the follower is of a group, and holds its part alone.
 	part  bool
 	group replica.Group
@@ -96,9 +96,9 @@
 	ageOnly bool
 }
 
-func (q *relayQuestion) path() string {
+func (q *relayRequest) path() string {
 	query := url.Values{
-		"life": {strconv.FormatUint(q.life, 10)}, "since": {strconv.FormatUint(q.since, 10)},
+		"life": {strconv.FormatUint(q.incarnation, 10)}, "since": {strconv.FormatUint(q.since, 10)},
 		"wait": {strconv.FormatInt(q.wait.Milliseconds(), 10)}, "version": {strconv.FormatUint(q.version, 10)},
 		"evacuations": {strconv.FormatUint(q.evacuations, 10)}, "partial": {"taken"},
 	}
@@ -114,10 +114,10 @@
 
 // parseRelayQuestion reads a question. A node of an earlier version asks without a
 // group, and gets all replicas; it names no configuration, and waits for none.
-func parseRelayQuestion(query *fasthttp.Args) (relayQuestion, error) {
-	var q relayQuestion
+func parseRelayRequest(query *fasthttp.Args) (relayRequest, error) {
+	var q relayRequest
 	var lifeErr, sinceErr, waitErr, groupErr error
-	q.life, lifeErr = strconv.ParseUint(string(query.Peek("life")), 10, 64)
+	q.incarnation, lifeErr = strconv.ParseUint(string(query.Peek("life")), 10, 64)
 	q.since, sinceErr = strconv.ParseUint(string(query.Peek("since")), 10, 64)
 	milliseconds, waitErr := query.GetUint("wait")
 	q.wait = min(time.Duration(milliseconds)*time.Millisecond, maximumRelayWait)
@@ -137,60 +137,60 @@
 // receiveReplicas answers a node that follows this one. A node that has not read the list
 // itself has none to pass on.
 func (p *peers) receiveReplicas(ctx *fasthttp.RequestCtx) {
-	question, err := parseRelayQuestion(ctx.QueryArgs())
+	request, err := parseRelayRequest(ctx.QueryArgs())
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	node := p.node
-	partial := !node.holdsAll.Load()
-	if partial && (question.ageOnly || !question.takesPartial || !node.mayServePart()) {
+	partial := !node.holdsAllReplicas.Load()
+	if partial && (request.ageOnly || !request.takesPartial || !node.mayServePart()) {
 		ctx.Error("the whole list of replicas was not read here", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	own := node.self.Incarnation
-	known := question.life == own
-	if question.ageOnly {
-		writeJSON(ctx, relayAnswer{Life: own, AgeMS: node.listAge().Milliseconds(), Total: node.replicas.total()})
+	known := request.incarnation == own
+	if request.ageOnly {
+		writeJSON(ctx, relayAnswer{ReaderIncarnation: own, AgeMS: node.listAge().Milliseconds(), Total: node.replicas.total()})
 		return
 	}
 	if known {
-		node.awaitRelay(&question)
+		node.awaitChanges(&request)
 	}
-	answer := relayAnswer{Life: own, Partial: partial}
+	answer := relayAnswer{ReaderIncarnation: own, Partial: partial}
 	// The age and the proof go first: what is read after them is no older.
-	age, proven := node.proof.age(time.Now())
+	age, proven := node.freshnessProof.age(time.Now())
 	answer.Proven, answer.ProofAgeMS = proven, age.Milliseconds()+1
 	answer.AgeMS = node.listAge().Milliseconds()
-	if question.version < node.configVersion() {
+	if request.version < node.configVersion() {
 		answer.Configuration = node.config.newest()
 	}
-	if question.evacuations < node.evacuations.version() {
+	if request.evacuations < node.evacuations.version() {
 		snapshot := node.evacuations.snapshot(time.Now())
 		answer.Evacuations = &snapshot
 	}
-	answer.Changes, answer.Next, answer.Whole = node.replicas.since(&question, known)
+	answer.Changes, answer.Next, answer.Whole = node.replicas.since(&request, known)
 	answer.Total = node.replicas.total()
 	writeJSON(ctx, answer)
 }
 
 // partialLeast is how many replicas a reader passes on at the least before it has read all:
 // fewer would get the requests of all nodes.
-const partialLeast = 256
+const minimumPartialReplicas = 256
 
 // mayServePart reports whether this node, which has not read the whole list, passes on what
 // it has: a source or reader that reads it. A follower holds its own part for good.
 func (n *Node) mayServePart() bool {
 	reads := n.role() == roleSource || n.role() == roleReader
-	return reads && n.replicas.count() >= partialLeast
+	return reads && n.replicas.count() >= minimumPartialReplicas
 }
 
 // awaitRelay waits until there is news for a follower, or its time is up.
-func (n *Node) awaitRelay(question *relayQuestion) {
-	until := time.Now().Add(question.wait)
-	for question.version >= n.configVersion() && question.evacuations >= n.evacuations.version() {
+func (n *Node) awaitChanges(request *relayRequest) {
+	until := time.Now().Add(request.wait)
+	for request.version >= n.configVersion() && request.evacuations >= n.evacuations.version() {
 		left := time.Until(until)
-		if left <= 0 || n.ctx.Err() != nil || n.replicas.await(n.ctx, question, left) {
+		if left <= 0 || n.ctx.Err() != nil || n.replicas.await(n.ctx, request, left) {
 			return
 		}
 	}
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -17,7 +17,7 @@
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
-	node.holdsAll.Store(true)
+	node.holdsAllReplicas.Store(true)
 	for query, status := range map[string]int{
 		"life=1&since=0&wait=0":  fasthttp.StatusOK,
 		"life=x&since=0&wait=0":  fasthttp.StatusBadRequest,
@@ -46,10 +46,10 @@
 	g.Expect(ask()).To(Equal(fasthttp.StatusServiceUnavailable))
 	entry := replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1}
 	whole := relayAnswer{Whole: true, Changes: []replica.Change{{Entry: &entry}}}
-	node.takeRelay(machine.Machine{ID: "source"}, time.Now(), true, &whole)
+	node.applyRelay(machine.Machine{ID: "source"}, time.Now(), true, &whole)
 	g.Expect(node.syncedReplicas.Load()).To(BeTrue())
 	g.Expect(ask()).To(Equal(fasthttp.StatusServiceUnavailable))
-	node.takeRelay(machine.Machine{ID: "source"}, time.Now(), false, &whole)
+	node.applyRelay(machine.Machine{ID: "source"}, time.Now(), false, &whole)
 	g.Expect(ask()).To(Equal(fasthttp.StatusOK))
 }
 
@@ -58,31 +58,31 @@
 func TestWhereAFollowerStands(t *testing.T) {
 	g := NewWithT(t)
 	group := replica.Group{Zone: "a"}
-	at := relay{}
-	at.hold(true, group)
-	at.note(&relayAnswer{Life: 5, Next: 9, Whole: true}, true)
-	at.hold(true, group)
-	g.Expect(at.life).To(Equal(uint64(5)))
-	at.hold(true, replica.Group{Zone: "a", Number: 1})
-	g.Expect(at.life).To(BeZero(), "another group")
-	at.note(&relayAnswer{Life: 5, Next: 9, Whole: true}, true)
-	at.hold(false, group)
-	g.Expect(at.life).To(BeZero(), "all of the list")
+	at := readerCursor{}
+	at.setGroup(true, group)
+	at.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
+	at.setGroup(true, group)
+	g.Expect(at.incarnation).To(Equal(uint64(5)))
+	at.setGroup(true, replica.Group{Zone: "a", Number: 1})
+	g.Expect(at.incarnation).To(BeZero(), "another group")
+	at.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
+	at.setGroup(false, group)
+	g.Expect(at.incarnation).To(BeZero(), "all of the list")
 
-	at.note(&relayAnswer{Life: 6, Next: 1, Whole: true, Partial: true}, true)
-	at.note(&relayAnswer{Life: 6, Next: 4, Partial: true}, true)
-	g.Expect(at.life).To(Equal(uint64(6)))
-	at.note(&relayAnswer{Life: 6, Next: 8}, true)
-	g.Expect(at.life).To(BeZero(), "replicas of before may be gone")
-	at.note(&relayAnswer{Life: 6, Next: 8, Whole: true}, true)
-	at.note(&relayAnswer{Life: 6, Next: 9}, true)
-	g.Expect(at.life).To(Equal(uint64(6)))
+	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true}, true)
+	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 4, Partial: true}, true)
+	g.Expect(at.incarnation).To(Equal(uint64(6)))
+	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8}, true)
+	g.Expect(at.incarnation).To(BeZero(), "replicas of before may be gone")
+	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true}, true)
+	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 9}, true)
+	g.Expect(at.incarnation).To(Equal(uint64(6)))
 
-	fresh := relay{}
-	fresh.hold(true, group)
-	fresh.note(&relayAnswer{Life: 6, Next: 1, Whole: true, Partial: true}, false)
-	fresh.note(&relayAnswer{Life: 6, Next: 8}, true)
-	g.Expect(fresh.life).To(Equal(uint64(6)), "a node that held nothing")
+	fresh := readerCursor{}
+	fresh.setGroup(true, group)
+	fresh.advance(&relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true}, false)
+	fresh.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8}, true)
+	g.Expect(fresh.incarnation).To(Equal(uint64(6)), "a node that held nothing")
 }
 
 // TestFormerVersionsQuestion has a node of the former version wait for changes of the
@@ -93,7 +93,7 @@
 	defer node.Kill()
 	var query fasthttp.Args
 	query.Parse("life=1&since=0&wait=700")
-	question, err := parseRelayQuestion(&query)
+	question, err := parseRelayRequest(&query)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(question.part).To(BeFalse())
 	g.Expect(question.takesPartial).To(BeFalse())
@@ -109,17 +109,17 @@
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
 	entry := replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1}
-	at := relay{}
-	at.hold(false, replica.Group{})
+	at := readerCursor{}
+	at.setGroup(false, replica.Group{})
 	take := func(answer relayAnswer) {
-		at.note(&answer, node.replicas.count() > 0)
-		node.takeRelay(machine.Machine{ID: "source"}, time.Now(), false, &answer)
+		at.advance(&answer, node.replicas.count() > 0)
+		node.applyRelay(machine.Machine{ID: "source"}, time.Now(), false, &answer)
 	}
-	take(relayAnswer{Life: 6, Next: 1, Whole: true, Partial: true, Changes: []replica.Change{{Entry: &entry}}})
-	g.Expect(node.holdsAll.Load()).To(BeFalse())
-	take(relayAnswer{Life: 6, Next: 8})
-	g.Expect(at.life).To(BeZero(), "the whole list is asked for")
-	take(relayAnswer{Life: 6, Next: 8, Whole: true, Changes: []replica.Change{{Entry: &entry}}})
-	g.Expect(node.holdsAll.Load()).To(BeTrue())
-	g.Expect(at.life).To(Equal(uint64(6)))
+	take(relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true, Changes: []replica.Change{{Entry: &entry}}})
+	g.Expect(node.holdsAllReplicas.Load()).To(BeFalse())
+	take(relayAnswer{ReaderIncarnation: 6, Next: 8})
+	g.Expect(at.incarnation).To(BeZero(), "the whole list is asked for")
+	take(relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true, Changes: []replica.Change{{Entry: &entry}}})
+	g.Expect(node.holdsAllReplicas.Load()).To(BeTrue())
+	g.Expect(at.incarnation).To(Equal(uint64(6)))
 }
--- a/edge/reload.go
+++ b/edge/reload.go
@@ -28,7 +28,7 @@
 			changed = append(changed, field.name)
 		}
 	}
-	n.greet(slices.DeleteFunc(slices.Clone(settings.Seeds), func(seed string) bool {
+	n.announce(slices.DeleteFunc(slices.Clone(settings.Seeds), func(seed string) bool {
 		return strings.EqualFold(seed, known.Peers)
 	}))
 	return changed
--- a/edge/replicalist.go
+++ b/edge/replicalist.go
@@ -12,20 +12,20 @@
 // fleet, through others.
 func (n *Node) followReplicas(ctx context.Context) {
 	n.awaitDirectory(ctx)
-	n.learnTotal(ctx)
+	n.fetchTotal(ctx)
 	for ctx.Err() == nil {
 		n.followReaders(ctx)
 		begun, changed := time.Now(), 0
-		n.follow(ctx, recordstore.Stream{Name: recordstore.StreamReplicas}, follower{
+		n.followStream(ctx, recordstore.Stream{Name: recordstore.StreamReplicas}, streamHandler{
 			wait: func() time.Duration { return replicasWait }, pause: n.replicasPause, synced: &n.syncedReplicas,
-			page: func(records []recordstore.Record) { changed += n.takePage(records) },
+			page: func(records []recordstore.Record) { changed += n.applyPage(records) },
 			reset: func(records []recordstore.Record, _ uint64) {
 				n.resetReplicas(records, changed)
 				changed = 0
 			},
 			change:  func(record recordstore.Record) { n.applyReplica(record.Key, record.Value) },
-			current: n.replicasCurrent,
-			over:    func() bool { return time.Since(begun) > storeTurn && len(n.readersToFollow()) > 0 },
+			current: n.replicasCaughtUp,
+			ended:   func() bool { return time.Since(begun) > directReadPeriod && len(n.readersToFollow()) > 0 },
 		})
 	}
 }
@@ -41,7 +41,7 @@
 // takePage takes a page of the list over, before the others are read: a node that starts
 // can serve with the first few hundred of ten thousand replicas, a second earlier. It
 // returns how many records changed anything.
-func (n *Node) takePage(records []recordstore.Record) (changed int) {
+func (n *Node) applyPage(records []recordstore.Record) (changed int) {
 	for _, record := range records {
 		if entry, ok := n.decodeReplica(record.Key, record.Value); ok && n.replicas.put(entry) {
 			changed++
@@ -54,14 +54,14 @@
 // were taken over as they came.
 func (n *Node) resetReplicas(records []recordstore.Record, changed int) {
 	n.replicas.setTotal(0)
-	n.holdsAll.Store(true)
+	n.holdsAllReplicas.Store(true)
 	listed := make(map[replica.ID]bool, len(records))
 	for _, record := range records {
 		if len(record.Value) > 0 {
 			listed[replica.ID(record.Key)] = true
 		}
 	}
-	removed := n.dropUnlisted(listed, n.unlistQuietly)
+	removed := n.dropUnlisted(listed, n.handleUnlistedQuietly)
 	n.logList("store", len(listed), changed, removed)
 }
 
@@ -79,7 +79,7 @@
 func (n *Node) applyReplica(key string, value []byte) {
 	if len(value) == 0 {
 		n.unusable.forget(replica.ID(key))
-		n.unlist(replica.ID(key), "gone from the list")
+		n.handleUnlisted(replica.ID(key), "gone from the list")
 		return
 	}
 	if entry, ok := n.decodeReplica(key, value); ok {
@@ -94,7 +94,7 @@
 	}
 	entry, err := n.adapter.Translator.Replica(key, value)
 	if err != nil {
-		n.refuseEntry(replica.ID(key), err)
+		n.rejectEntry(replica.ID(key), err)
 		return replica.Entry{}, false
 	}
 	n.unusable.forget(entry.ID)
@@ -103,8 +103,8 @@
 
 // refuseEntry takes in that an entry names no replica to use: whoever stood there before
 // is not to be used either. It is written once, and not with each of its heartbeats.
-func (n *Node) refuseEntry(id replica.ID, reason error) {
-	n.metrics.entryRefused()
+func (n *Node) rejectEntry(id replica.ID, reason error) {
+	n.metrics.entryRejected()
 	if n.unusable.note(id) {
 		n.logger.Warn().Str("replica", string(id)).Err(reason).Msg("replicas: entry not understood")
 	}
@@ -120,28 +120,28 @@
 
 // unlist takes in that the store does not list a replica. After an outage that
 // does not say that it is gone.
-func (n *Node) unlist(id replica.ID, reason string) {
-	if !n.mayLive(id) {
+func (n *Node) handleUnlisted(id replica.ID, reason string) {
+	if !n.mayDeferRemoval(id) {
 		n.removeReplica(id, reason)
 	}
 }
 
 // unlistQuietly is unlist without a line in the log. It reports whether the replica was
 // removed.
-func (n *Node) unlistQuietly(id replica.ID) (removed bool) {
-	return !n.mayLive(id) && n.removeQuietly(id)
+func (n *Node) handleUnlistedQuietly(id replica.ID) (removed bool) {
+	return !n.mayDeferRemoval(id) && n.removeQuietly(id)
 }
 
 // mayLive reports whether a replica that is not listed is kept for a while.
-func (n *Node) mayLive(id replica.ID) bool {
-	until := n.store.doubtUntil()
-	return n.settings.uses(DoubtUnlisted) && time.Now().Before(until) && n.replicas.doubt(id, until)
+func (n *Node) mayDeferRemoval(id replica.ID) bool {
+	until := n.store.deferRemovalsUntil()
+	return n.settings.uses(DeferRemovals) && time.Now().Before(until) && n.replicas.deferRemoval(id, until)
 }
 
 // replicasCurrent follows each time that all of the replicas' stream was read.
-func (n *Node) replicasCurrent(time.Time) {
-	n.noteListed(0)
-	for _, id := range n.replicas.doubted() {
+func (n *Node) replicasCaughtUp(time.Time) {
+	n.setListAge(0)
+	for _, id := range n.replicas.dueRemovals() {
 		n.removeReplica(id, "not listed again after an outage")
 	}
 }
