--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -21,16 +21,16 @@
 	// views are the parts of the list that followers have asked for lately.
 	views map[replica.Group]*view
 	// firstOfView is the first number of the newest view.
-	firstOfView uint64
+	lastViewNumber uint64
 	// forget is told what to keep no connections to; nil in tests of the list alone.
 	forget func(upstream.Target)
 	// listed is how many replicas the store lists, as a reader told; 0 where this
 	// node holds all itself.
-	listed int
+	totalListed int
 	// changed is closed and replaced at each change of the list.
 	changed chan struct{}
 	// keyed are the replicas by the keys that messages about loads name them by.
-	keyed map[gather.Key]replica.ID
+	byKey map[gather.Key]replica.ID
 }
 
 // view is a part of the list with when it was asked for, and chosen, last.
@@ -41,7 +41,7 @@
 }
 
 // numbersOfView is how many changes a view may number: more than it ever sees.
-const numbersOfView = 1 << 32
+const viewNumberRange = 1 << 32
 
 // viewLifetime is for how long a part is kept up to date that nobody asks for.
 const viewLifetime = 10 * time.Second
@@ -49,26 +49,26 @@
 func newReplicas(settings *Settings) *replicas {
 	config := replica.DefaultConfig(settings.Zone)
 	config.Regions, config.LeaveWithin = settings.Regions, settings.LeaveWithin
-	config.Disabled = partsWithout(settings)
+	config.Disabled = disabledFactors(settings)
 	return &replicas{set: replica.NewSet(config), views: make(map[replica.Group]*view), changed: make(chan struct{}),
-		keyed: make(map[gather.Key]replica.ID)}
+		byKey: make(map[gather.Key]replica.ID)}
 }
 
 // partsWithout returns the parts of the choice that are switched off.
-func partsWithout(settings *Settings) replica.SelectionFactors {
+func disabledFactors(settings *Settings) replica.SelectionFactors {
 	return replica.SelectionFactors{
-		CachedPrompts: !settings.uses(FollowPrompts),
-		SharedParts:   !settings.uses(AssumeShared),
-		LastReplica:   !settings.uses(FollowLines),
-		PeerLoads:     !settings.uses(CountPeers),
+		CachedPrompts: !settings.uses(TrackCachedPrompts),
+		SharedParts:   !settings.uses(EstimateSharedPrompts),
+		LastReplica:   !settings.uses(KeepSessions),
+		PeerLoads:     !settings.uses(CountPeerLoads),
 		Estimates:     !settings.uses(EstimateLoads),
 		Zones:         !settings.uses(PreferZone),
 		Regions:       !settings.uses(PreferRegion),
 		Connections:   !settings.uses(PreferConnections),
-		Faults:        !settings.uses(RememberFaults),
-		Suspicion:     !settings.uses(SuspectSilent),
+		Faults:        !settings.uses(AvoidFaultyReplicas),
+		Suspicion:     !settings.uses(AvoidUnresponsiveReplicas),
 		Cold:          !settings.uses(LimitCold),
-		TokenTimes:    !settings.uses(WeighPace),
+		TokenTimes:    !settings.uses(WeighTokenTimes),
 		Slack:         !settings.uses(WeighSlack),
 	}
 }
@@ -103,7 +103,7 @@
 	return r.set.TokenTimeRange(entry.Service)
 }
 
-func (r *replicas) pressure(request *replica.Request) float64 {
+func (r *replicas) minUtilisation(request *replica.Request) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.MinUtilisation(time.Now(), request)
@@ -131,16 +131,16 @@
 	if known && r.forget != nil && (after.Incarnation != before.Incarnation || after.Address != before.Address) {
 		r.forget(targetOf(before))
 	}
-	r.tell(replica.Change{Entry: &entry})
+	r.publish(replica.Change{Entry: &entry})
 	return true
 }
 
 // tell has those that follow this node's list hear of a change. The mutex is
 // held.
-func (r *replicas) tell(change replica.Change) {
+func (r *replicas) publish(change replica.Change) {
 	r.feed.Add(change)
-	for _, one := range r.views {
-		one.Apply(change)
+	for _, view := range r.views {
+		view.Apply(change)
 	}
 	r.wakeFollowers()
 }
@@ -160,9 +160,9 @@
 
 // await waits for changes of the list, or until the time is up. It reports whether there
 // are some for the follower.
-func (r *replicas) await(ctx context.Context, question *relayQuestion, wait time.Duration) (news bool) {
+func (r *replicas) await(ctx context.Context, request *relayRequest, wait time.Duration) (news bool) {
 	r.mutex.Lock()
-	news = r.nextOf(question) != question.since
+	news = r.nextOf(request) != request.since
 	changed := r.changed
 	r.mutex.Unlock()
 	if news {
@@ -172,7 +172,7 @@
 	defer timer.Stop()
 	select {
 	case <-changed:
-		pause.For(ctx, min(wait, gatherChanges))
+		pause.For(ctx, min(wait, changeBatchWindow))
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -181,11 +181,11 @@
 
 // nextOf returns the number of the next change of what a follower holds. The mutex is
 // held.
-func (r *replicas) nextOf(question *relayQuestion) uint64 {
-	if !question.part {
+func (r *replicas) nextOf(request *relayRequest) uint64 {
+	if !request.part {
 		return r.feed.Next()
 	}
-	return r.viewOf(question.group).Next()
+	return r.viewOf(request.group).Next()
 }
 
 // viewOf returns the part of a group, chosen anew where replicas came or went. The mutex
@@ -194,12 +194,12 @@
 	now := time.Now()
 	found := r.views[group]
 	if found == nil {
-		r.firstOfView += numbersOfView
-		found = &view{View: replica.NewView(r.set, group, r.firstOfView), chosenAt: now}
+		r.lastViewNumber += viewNumberRange
+		found = &view{View: replica.NewView(r.set, group, r.lastViewNumber), chosenAt: now}
 		r.views[group] = found
 	}
 	found.askedAt = now
-	if now.Sub(found.chosenAt) >= gatherChanges {
+	if now.Sub(found.chosenAt) >= changeBatchWindow {
 		found.chosenAt = now
 		found.Refresh(now, r.set)
 	}
@@ -213,19 +213,19 @@
 
 // since returns what changed for a follower since it asked last, or all that it is to
 // hold where that is not known, and the number to ask for next.
-func (r *replicas) since(question *relayQuestion, known bool) (changes []replica.Change, next uint64, whole bool) {
+func (r *replicas) since(request *relayRequest, known bool) (changes []replica.Change, next uint64, whole bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
-	if question.part {
-		changes, next, whole = r.viewOf(question.group).Since(now, r.set, question.since, known)
+	if request.part {
+		changes, next, whole = r.viewOf(request.group).Since(now, r.set, request.since, known)
 		if !whole {
 			changes = r.renewCold(changes)
 		}
 		return changes, next, whole
 	}
 	if known {
-		if kept, found := r.feed.Since(question.since); found {
+		if kept, found := r.feed.Since(request.since); found {
 			return r.renewCold(kept), r.feed.Next(), false
 		}
 	}
@@ -239,25 +239,25 @@
 func (r *replicas) setTotal(total int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.listed = total
+	r.totalListed = total
 }
 
 // total returns how many replicas the store lists, as far as this node knows.
 func (r *replicas) total() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return max(r.listed, r.set.Count())
+	return max(r.totalListed, r.set.Count())
 }
 
 // doubt keeps a replica that is not listed for a while, if it may live.
-func (r *replicas) doubt(id replica.ID, until time.Time) bool {
+func (r *replicas) deferRemoval(id replica.ID, until time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.DeferRemoval(id, until)
 }
 
 // doubted returns the replicas whose doubt is over.
-func (r *replicas) doubted() []replica.ID {
+func (r *replicas) dueRemovals() []replica.ID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.DueRemovals(time.Now())
@@ -275,8 +275,8 @@
 	defer r.mutex.Unlock()
 	entry, known := r.set.Remove(id)
 	if known {
-		delete(r.keyed, gather.KeyOf(id))
-		r.tell(replica.Change{Gone: id})
+		delete(r.byKey, gather.KeyOf(id))
+		r.publish(replica.Change{Gone: id})
 	}
 	return entry, known
 }
@@ -294,7 +294,7 @@
 	return r.set.Entries(time.Now())
 }
 
-func (r *replicas) setPeer(peer string, counts map[string]int) {
+func (r *replicas) setPeerLoads(peer string, counts map[string]int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	loads := make(map[replica.ID]int, len(counts))
@@ -312,7 +312,7 @@
 }
 
 // own returns this node's requests under way, by replica.
-func (r *replicas) own() map[string]int {
+func (r *replicas) ownRequests() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts := make(map[string]int)
--- a/edge/request.go
+++ b/edge/request.go
@@ -34,7 +34,7 @@
 	// newest, when the key was looked up.
 	proofAge time.Duration
 	// homes bounds where the request may be served and its data may be.
-	homes zone.Constraint
+	constraint zone.Constraint
 	// charge is how the request counts to its tenant's limit; nil where there is
 	// none.
 	charge *charge
@@ -48,50 +48,50 @@
 	// repeats counts the attempts that were sent beside a late one.
 	repeats int
 	// beside says that an attempt is under way while the next is chosen.
-	beside bool
+	attemptInFlight bool
 	// sentAt is when the last attempt began.
 	sentAt   time.Time
 	excluded []replica.ID
 	// only is the one replica that may run the request again.
-	only       replica.ID
-	status     int
-	reason     string
-	firstAfter time.Duration
+	onlyReplica      replica.ID
+	status           int
+	reason           string
+	timeToFirstEvent time.Duration
 	// waited is how long the request waited here for room.
-	waited time.Duration
+	queuedFor time.Duration
 	// cause and comeBack are why the request was turned away and what its caller was
 	// told.
-	cause    string
-	comeBack time.Duration
+	cause      string
+	retryAfter time.Duration
 
 	// The fields below belong to turns of programs. The ids are as the client names
 	// them: replicas and logs get them so. Owners and caches get those of turnID,
 	// programID and previousID.
-	program  string
-	session  string
-	previous string
-	most     int
-	budget   int
+	program   string
+	session   string
+	previous  string
+	maxTokens int
+	budget    int
 	// expected is the client's guess at the tokens that come out; 0 where it makes none.
-	expected int
+	lengthHint int
 	// finish is when the program is to be over; zero where the client does not say.
-	finish time.Time
+	finishBy time.Time
 	// need is how much longer the program takes as a rule, and urgency the rank that
 	// engines get with the turn.
-	need    time.Duration
-	urgency int
+	expectedRemaining time.Duration
+	urgency           int
 	// stand is how the program stands against it, and haste how the turn takes the fast
 	// replicas by that.
 	progress  dispatch.Progress
-	haste     int
+	speedBias int
 	partition int
 	owner     string
 	admission ledger.Admission
 	preferred replica.ID
 	// preferredKept is how many tokens of the line of turns the preferred replica has
 	// in its memory; 0 where that is not known.
-	preferredKept int
-	tokens        int
+	preferredCached int
+	tokens          int
 }
 
 // turnID is what all nodes know the turn by.
@@ -105,7 +105,7 @@
 
 // formerID is what the previous turn is known by if it was kept before ids had a
 // scope, or "".
-func (r *requestState) formerID() string { return r.scope.Unscoped(r.previous) }
+func (r *requestState) unscopedPreviousID() string { return r.scope.Unscoped(r.previous) }
 
 func (r *requestState) kind() routing.Kind {
 	if r.route == nil {
@@ -137,14 +137,14 @@
 }
 
 // giveUp ends the exchange without an answer.
-func (r *requestState) giveUp(reason string) {
+func (r *requestState) abort(reason string) {
 	r.status = 0
 	r.reason = reason
 	r.exchange.Break()
 }
 
 // left is the time until the request's deadline.
-func (r *requestState) left() time.Duration { return time.Until(r.deadline) }
+func (r *requestState) timeLeft() time.Duration { return time.Until(r.deadline) }
 
 // errField says that a field's value is not of its form.
 var errField = errors.New("not a number that is at least zero")
@@ -182,7 +182,7 @@
 }
 
 // parseTokenCounts reads the tokens of the prompt and the most that come out.
-func parseTokenCounts(value string) (prompt, most int, err error) {
+func parseTokenCounts(value string) (prompt, maxTokens int, err error) {
 	first, second, found := strings.Cut(value, ",")
 	if !found {
 		return 0, 0, errField
@@ -190,8 +190,8 @@
 	if prompt, err = parseCount(first); err != nil {
 		return 0, 0, err
 	}
-	most, err = parseCount(second)
-	return prompt, most, err
+	maxTokens, err = parseCount(second)
+	return prompt, maxTokens, err
 }
 
 // errPrompt says that a list of prompt parts is not of its form.
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -11,13 +11,13 @@
 
 // returns follows this node's refusals, so that those who are refused together do not
 // come back together. It is safe for concurrent use.
-type returns struct {
+type refusals struct {
 	mutex sync.Mutex
 	state dispatch.RefusalTracker
 }
 
 // refuse notes a refusal and returns when the caller is to come back.
-func (s *returns) refuse(now time.Time, refusal *dispatch.Refusal) time.Duration {
+func (s *refusals) observeRefusal(now time.Time, refusal *dispatch.Refusal) time.Duration {
 	s.mutex.Lock()
 	s.state.ObserveRefusal(now, refusal)
 	s.mutex.Unlock()
@@ -25,14 +25,14 @@
 }
 
 // served notes that a turn was served.
-func (s *returns) served(now time.Time) {
+func (s *refusals) observeServed(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.state.ObserveServed(now)
 }
 
 // pace returns how many turns were served here in the last second.
-func (s *returns) pace(now time.Time) float64 {
+func (s *refusals) serviceRate(now time.Time) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.ServiceRate(now)
@@ -40,31 +40,31 @@
 
 // turnAway answers that the request was not run, and when to come back. The caller fills
 // in what it knows of the cause; what concerns the request is added here.
-func (n *Node) turnAway(r *requestState, refusal dispatch.Refusal, reason string) {
+func (n *Node) refuse(r *requestState, refusal dispatch.Refusal, reason string) {
 	now := time.Now()
 	if r.route != nil {
-		refusal.Left, refusal.Begun = max(r.deadline.Sub(now), 0), r.begun()
+		refusal.Left, refusal.Begun = max(r.deadline.Sub(now), 0), r.programStarted()
 		refusal.Urgency = r.priority()
 	}
 	if refusal.Cause.DependsOnStore() && !n.store.reached(now) {
-		refusal.Lasted = max(refusal.Lasted, now.Sub(n.store.at()))
+		refusal.Lasted = max(refusal.Lasted, now.Sub(n.store.lastAnswer()))
 	}
-	r.comeBack = n.comeBackAfter(&refusal)
+	r.retryAfter = n.chooseRetryAfter(&refusal)
 	r.cause = refusal.Cause.String()
-	n.metrics.turnedAway(r.cause, r.comeBack)
-	r.fail(fasthttp.StatusServiceUnavailable, reason, r.comeBack)
+	n.metrics.refused(r.cause, r.retryAfter)
+	r.fail(fasthttp.StatusServiceUnavailable, reason, r.retryAfter)
 }
 
 // comeBackAfter returns when the caller of a refused request is to come back.
-func (n *Node) comeBackAfter(refusal *dispatch.Refusal) time.Duration {
-	if !n.settings.uses(SpreadReturns) {
+func (n *Node) chooseRetryAfter(refusal *dispatch.Refusal) time.Duration {
+	if !n.settings.uses(SpreadRetries) {
 		return refusal.RetryAfter()
 	}
 	refusal.Draw = n.draw()
-	return n.returns.refuse(time.Now(), refusal)
+	return n.refusals.observeRefusal(time.Now(), refusal)
 }
 
 // begun reports whether the request's program is known to be under way.
-func (r *requestState) begun() bool {
+func (r *requestState) programStarted() bool {
 	return r.previous != "" || r.admission.Verdict != "" && !r.admission.NewProgram
 }
--- a/edge/returns_test.go
+++ b/edge/returns_test.go
@@ -14,12 +14,12 @@
 // one time where it is switched off.
 func TestSpreadReturns(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(SpreadReturns)} {
+	for _, settings := range []Settings{{}, without(SpreadRetries)} {
 		node := &Node{settings: settings, random: rand.New(rand.NewPCG(7, 8))}
 		told := map[time.Duration]bool{}
 		for range 10 {
-			told[node.comeBackAfter(&dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable, Left: time.Minute})] = true
+			told[node.chooseRetryAfter(&dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable, Left: time.Minute})] = true
 		}
-		g.Expect(len(told)).To(Equal(map[bool]int{true: 10, false: 1}[settings.uses(SpreadReturns)]))
+		g.Expect(len(told)).To(Equal(map[bool]int{true: 10, false: 1}[settings.uses(SpreadRetries)]))
 	}
 }
--- a/edge/role.go
+++ b/edge/role.go
@@ -79,7 +79,7 @@
 	case roleReader:
 		return roles.Sources
 	case roleFollower:
-		return n.spread(*roles)
+		return n.orderReaders(*roles)
 	default:
 		return nil
 	}
@@ -87,7 +87,7 @@
 
 // spread orders the readers of this zone so that its nodes divide among them, and puts
 // those of other zones behind, where they serve if all of this zone are lost.
-func (n *Node) spread(roles coordinator.Roles) []machine.Machine {
+func (n *Node) orderReaders(roles coordinator.Roles) []machine.Machine {
 	place := int(xxhash.Sum64String(n.settings.Node) & 0xffff)
 	ordered := rotate(roles.Readers, place)
 	return append(ordered, rotate(roles.RemoteReaders, place/2)...)
@@ -104,7 +104,7 @@
 
 // groupNodes is how many nodes of a zone hold the same replicas at most. The replicas of
 // its own zone that a node holds serve that many at the load that they are built for.
-const groupNodes = 256
+const maximumGroupNodes = 256
 
 // ownGroup returns this node's group in its zone.
 func (n *Node) ownGroup() replica.Group {
@@ -112,6 +112,6 @@
 	if roles := n.roles.Load(); roles != nil {
 		near = roles.Near
 	}
-	number := int(xxhash.Sum64String(n.settings.Node) % uint64(1+near/groupNodes))
+	number := int(xxhash.Sum64String(n.settings.Node) % uint64(1+near/maximumGroupNodes))
 	return replica.Group{Zone: n.settings.Zone, Number: number}
 }
--- a/edge/role_test.go
+++ b/edge/role_test.go
@@ -39,7 +39,7 @@
 	for index := range 200 {
 		settings := Settings{Node: fmt.Sprintf("front-%d", index), Zone: "a"}
 		node := &Node{settings: settings}
-		order := node.spread(roles)
+		order := node.orderReaders(roles)
 		g.Expect(order).To(HaveLen(4))
 		g.Expect(order[:2]).To(ConsistOf(roles.Readers[0], roles.Readers[1]))
 		first[order[0].ID]++
@@ -66,7 +66,7 @@
 		}
 	}
 	g.Expect(float64(asked) / 15 * nodes).To(BeNumerically("<", 2_500))
-	node.proof.note(time.Now().Add(time.Hour))
+	node.freshnessProof.record(time.Now().Add(time.Hour))
 	g.Expect(node.configurationPause()).To(Equal(configurationPause))
 }
 
@@ -79,14 +79,14 @@
 	now := time.Now()
 	node.started = now.Add(-time.Hour)
 	node.store.last = now.Add(-10 * time.Second)
-	node.relayedAt.Store(int64(time.Since(node.started)))
+	node.readerAnsweredAt.Store(int64(time.Since(node.started)))
 	g.Expect(node.reachesStore()).To(BeFalse())
-	node.store.trust(now.Add(time.Minute))
+	node.store.setPending(now.Add(time.Minute))
 	g.Expect(node.reachesStore()).To(BeTrue())
-	node.relayedAt.Store(int64(time.Since(node.started) - 3*time.Second))
+	node.readerAnsweredAt.Store(int64(time.Since(node.started) - 3*time.Second))
 	g.Expect(node.reachesStore()).To(BeFalse(), "cut off from all")
-	node.relayedAt.Store(int64(time.Since(node.started)))
-	node.store.trust(time.Time{})
+	node.readerAnsweredAt.Store(int64(time.Since(node.started)))
+	node.store.setPending(time.Time{})
 	g.Expect(node.reachesStore()).To(BeFalse(), "the read failed")
 }
 
@@ -112,10 +112,10 @@
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
 	node.started = time.Now()
-	g.Expect(node.comeBackAtStart()).To(BeNumerically("~", startUsually, startUsually/2))
+	g.Expect(node.retryAfterStart()).To(BeNumerically("~", typicalStart, typicalStart/2))
 	node.roles.Store(&coordinator.Roles{})
 	node.liveNodes.Store(984)
-	g.Expect(node.comeBackAtStart()).To(BeNumerically(">", startUsually))
+	g.Expect(node.retryAfterStart()).To(BeNumerically(">", typicalStart))
 	node.started = time.Now().Add(-time.Minute)
-	g.Expect(node.comeBackAtStart()).To(Equal(comeBackSoon))
+	g.Expect(node.retryAfterStart()).To(Equal(retrySoon))
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -33,14 +33,14 @@
 	// runs counts the runs that may have begun.
 	runs int
 	// kept says that the owner has kept, and so settled, the turn.
-	kept bool
+	stored bool
 	// times follows when events came, and readAt is when the last piece was read.
-	times  streamTimes
-	readAt time.Time
+	times      streamTimes
+	lastReadAt time.Time
 	// held is the answer so far, where nothing of it goes out until the turn is kept, and
 	// released says that it goes out.
-	held     []byte
-	released bool
+	heldOutput []byte
+	released   bool
 }
 
 // pieceBytes is the most that is read of a stream at once.
@@ -53,10 +53,10 @@
 func (t *turnRun) perform(ctx context.Context) {
 	r := t.request
 	defer t.settle()
-	for offer := 0; ; offer++ {
+	for attempts := 0; ; attempts++ {
 		entry, err := t.node.chooseReplica(r, t.table)
-		if err != nil || offer >= maximumOffers || r.left() <= 0 {
-			t.node.refuse(r, err, t.runs)
+		if err != nil || attempts >= maximumAttempts || r.timeLeft() <= 0 {
+			t.node.failWithoutReplica(r, err, t.runs)
 			return
 		}
 		if t.attempt(ctx, entry) {
@@ -68,12 +68,12 @@
 // settle tells the owner how the turn ended, unless it knows.
 func (t *turnRun) settle() {
 	if t.runs > 0 {
-		t.request.noteRun()
+		t.request.markRun()
 	}
-	if t.holdsBack() && !t.released {
+	if t.holdsOutput() && !t.released {
 		t.request.tokens = 0
 	}
-	if t.request.needsOwner() && !t.kept {
+	if t.request.needsOwner() && !t.stored {
 		t.node.settle(t.request)
 	}
 }
@@ -83,26 +83,26 @@
 func (t *turnRun) attempt(ctx context.Context, entry replica.Entry) (over bool) {
 	r, n := t.request, t.node
 	r.urgency = n.urgency(r, t.table)
-	response, err := n.pool.Send(targetOf(entry), n.outgoing(r, entry, t.body(), t.resumeFrom()), r.exchange.Cancel)
+	response, err := n.pool.Send(targetOf(entry), n.replicaRequest(r, entry, t.body(), t.resumeFrom()), r.exchange.Cancel)
 	if upstream.NotSent(err) {
-		if n.abandoned(r, entry) {
+		if n.endIfAbandoned(r, entry) {
 			return true
 		}
-		n.reject(r, entry, replica.ResultFailed)
+		n.attemptRejected(r, entry, replica.ResultFailed)
 		return false
 	}
 	if err != nil {
 		t.runs++
 		return t.afterFailure(entry, err)
 	}
-	n.hearCold(entry.ID, response)
+	n.observeColdStatus(entry.ID, response)
 	if n.notExecuted(response) {
 		_, _ = response.ReadAll()
-		n.reject(r, entry, replica.ResultRejected)
+		n.attemptRejected(r, entry, replica.ResultRejected)
 		return false
 	}
 	t.runs++
-	if response.Status() != fasthttp.StatusOK || !n.sound(response) {
+	if response.Status() != fasthttp.StatusOK || !n.mayRelay(response) {
 		return t.relayFailure(entry, response)
 	}
 	if err := t.relay(ctx, response); err != nil {
@@ -137,13 +137,13 @@
 func (t *turnRun) relayFailure(entry replica.Entry, response *upstream.Response) bool {
 	r, n := t.request, t.node
 	body, err := response.ReadAll()
-	if err != nil || !n.sound(response) {
+	if err != nil || !n.mayRelay(response) {
 		return t.afterFailure(entry, err)
 	}
-	n.replicas.ended(entry.ID, resultOf(response.Status()))
+	n.replicas.ended(entry.ID, resultForStatus(response.Status()))
 	r.status = response.Status()
 	if r.exchange.Begun() {
-		r.giveUp("the replica that was to continue answered " + strconv.Itoa(response.Status()))
+		r.abort("the replica that was to continue answered " + strconv.Itoa(response.Status()))
 		return true
 	}
 	r.reason = "answered"
@@ -153,7 +153,7 @@
 
 // errDisorder says that a continued stream does not go on where the first run
 // broke off.
-var errDisorder = errors.New("the stream does not go on where it broke off")
+var errEventOrder = errors.New("the stream does not go on where it broke off")
 
 // clientError marks a failure to write to the client.
 type clientError struct{ cause error }
@@ -167,7 +167,7 @@
 	piece := make([]byte, pieceBytes)
 	for {
 		read, err := response.Read(piece)
-		t.readAt = time.Now()
+		t.lastReadAt = time.Now()
 		t.splitter.Write(piece[:read])
 		if relayErr := t.relayEvents(ctx, response); relayErr != nil {
 			return relayErr
@@ -192,7 +192,7 @@
 			continue
 		}
 		if event.HasID && t.hasLastEvent && event.ID != t.lastEvent+1 && t.runs > 1 {
-			return errDisorder
+			return errEventOrder
 		}
 		if err := t.relayEvent(ctx, response, event); err != nil {
 			return err
@@ -202,14 +202,14 @@
 
 func (t *turnRun) relayEvent(ctx context.Context, response *upstream.Response, event eventstream.Event) error {
 	r := t.request
-	if !r.exchange.Begun() && !t.holdsBack() {
-		if err := t.begin(ctx, response); err != nil {
+	if !r.exchange.Begun() && !t.holdsOutput() {
+		if err := t.beginResponse(ctx, response); err != nil {
 			return err
 		}
 	}
 	if event.HasData {
 		r.tokens += t.tokensPerEvent()
-		t.times.note(t.readAt, r.tokens)
+		t.times.note(t.lastReadAt, r.tokens)
 		if r.route.Retain {
 			t.output = append(append(t.output, event.Data...), '\n')
 		}
@@ -217,20 +217,20 @@
 	if event.HasID {
 		t.lastEvent, t.hasLastEvent = event.ID, true
 	}
-	return t.send(event.Raw)
+	return t.writeOrHold(event.Raw)
 }
 
 // holdsBack reports whether the answer waits until the turn is kept: where that was not to
 // be had when the turn was admitted, its tokens would be handed out for nothing if it comes
 // too late, and the budget would lack them when the client asks again.
-func (t *turnRun) holdsBack() bool {
+func (t *turnRun) holdsOutput() bool {
 	return t.grant.stalled && t.request.route.Retain && t.node.settings.uses(HoldBack)
 }
 
 // send passes a part of the answer on, or holds it back.
-func (t *turnRun) send(part []byte) error {
-	if t.holdsBack() {
-		t.held = append(t.held, part...)
+func (t *turnRun) writeOrHold(part []byte) error {
+	if t.holdsOutput() {
+		t.heldOutput = append(t.heldOutput, part...)
 		return nil
 	}
 	if err := t.request.exchange.Write(part); err != nil {
@@ -240,7 +240,7 @@
 }
 
 // begin sends the head, once the turn's tokens are durably counted.
-func (t *turnRun) begin(ctx context.Context, response *upstream.Response) error {
+func (t *turnRun) beginResponse(ctx context.Context, response *upstream.Response) error {
 	r := t.request
 	if t.grant.recorded != nil {
 		select {
@@ -254,7 +254,7 @@
 		}
 		t.times.heldUntil = time.Now()
 	}
-	r.firstAfter = time.Since(r.exchange.Arrived)
+	r.timeToFirstEvent = time.Since(r.exchange.Arrived)
 	r.status = response.Status()
 	if err := r.exchange.BeginStream(&response.Header); err != nil {
 		return &clientError{cause: err}
@@ -264,14 +264,14 @@
 
 // release sends an answer that was held back, now that the turn is kept.
 func (t *turnRun) release(ctx context.Context, response *upstream.Response) error {
-	if !t.holdsBack() {
+	if !t.holdsOutput() {
 		return nil
 	}
-	if err := t.begin(ctx, response); err != nil {
+	if err := t.beginResponse(ctx, response); err != nil {
 		return err
 	}
 	t.released = true
-	if err := t.request.exchange.Write(t.held); err != nil {
+	if err := t.request.exchange.Write(t.heldOutput); err != nil {
 		return &clientError{cause: err}
 	}
 	return nil
@@ -286,19 +286,19 @@
 func (t *turnRun) complete(ctx context.Context, response *upstream.Response) error {
 	r := t.request
 	response.Finish()
-	if !r.exchange.Begun() && !t.holdsBack() {
-		if err := t.begin(ctx, response); err != nil {
+	if !r.exchange.Begun() && !t.holdsOutput() {
+		if err := t.beginResponse(ctx, response); err != nil {
 			return err
 		}
 	}
 	if rest := t.splitter.Rest(); len(rest) > 0 {
-		if err := t.send(rest); err != nil {
+		if err := t.writeOrHold(rest); err != nil {
 			return err
 		}
 	}
 	if r.route.Retain {
 		r.status = response.Status()
-		if err := t.keep(ctx); err != nil {
+		if err := t.store(ctx); err != nil {
 			return err
 		}
 	}
@@ -313,15 +313,15 @@
 }
 
 // keptTurn returns the turn as its owner is to keep it, without its base.
-func (t *turnRun) keptTurn() ledger.StoredTurn {
+func (t *turnRun) storedTurn() ledger.StoredTurn {
 	r := t.request
-	kept := ledger.StoredTurn{
+	stored := ledger.StoredTurn{
 		ID: r.turnID(), Program: r.programID(), Previous: r.previousID(), Input: r.exchange.Body, Output: t.output, Retain: r.route.RetainFor,
 	}
-	if t.node.settings.uses(RememberReplicas) {
-		kept.Replica = string(r.choice.Entry.ID)
+	if t.node.settings.uses(RecordReplica) {
+		stored.Replica = string(r.choice.Entry.ID)
 	}
-	return kept
+	return stored
 }
 
 // chain returns what an engine has to read before a turn that goes on from this
@@ -331,10 +331,10 @@
 }
 
 // notKeptError says that a turn came whole but could not be kept in time.
-type notKeptError struct{}
+type notStoredError struct{}
 
 // Error describes the failure.
-func (*notKeptError) Error() string { return "the turn could not be kept in time" }
+func (*notStoredError) Error() string { return "the turn could not be kept in time" }
 
 // afterFailure decides what follows a run that broke off: another run that
 // continues it, or the end of the answer.
@@ -343,14 +343,14 @@
 	var client *clientError
 	if errors.As(err, &client) {
 		n.replicas.ended(entry.ID, replica.ResultCancelled)
-		r.giveUp(err.Error())
+		r.abort(err.Error())
 		return true
 	}
-	if n.abandoned(r, entry) {
+	if n.endIfAbandoned(r, entry) {
 		return true
 	}
-	var notKept *notKeptError
-	if errors.As(err, &notKept) || errors.Is(err, errNotCounted) {
+	var notStored *notStoredError
+	if errors.As(err, &notStored) || errors.Is(err, errNotCounted) {
 		n.replicas.ended(entry.ID, replica.ResultCancelled)
 		r.fail(fasthttp.StatusBadGateway, err.Error(), 0)
 		return true
@@ -360,6 +360,6 @@
 		r.fail(fasthttp.StatusBadGateway, failureReason(err), 0)
 		return true
 	}
-	r.again(entry, t.runs)
+	r.retry(entry, t.runs)
 	return false
 }
--- a/edge/share.go
+++ b/edge/share.go
@@ -17,7 +17,7 @@
 func newShares() *shares { return &shares{known: dispatch.NewShares()} }
 
 // heard takes in what the node that counts for a request's tenant told of its programs.
-func (s *shares) heard(r *requestState) {
+func (s *shares) observe(r *requestState) {
 	outcome := &r.charge.outcome
 	if outcome.Status == coordinator.ChargeUnknown || outcome.Decision.Programs == 0 {
 		return
@@ -27,10 +27,10 @@
 	s.known.Observe(time.Now(), r.tenant.Name, outcome.Decision.Programs, r.tenant.Limit.Rate)
 }
 
-func (s *shares) over(tenant string, full float64) bool {
+func (s *shares) over(tenant string, utilisation float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.known.Over(time.Now(), tenant, full)
+	return s.known.Over(time.Now(), tenant, utilisation)
 }
 
 // overShare reports whether a program that has not begun is to wait since its tenant has
@@ -39,8 +39,8 @@
 	if r.charge == nil || !n.settings.uses(ShareByTenant) {
 		return false
 	}
-	full := n.replicas.pressure(n.choiceOf(r))
-	if !n.shares.over(r.tenant.Name, full) {
+	utilisation := n.replicas.minUtilisation(n.selectionRequest(r))
+	if !n.shares.over(r.tenant.Name, utilisation) {
 		return false
 	}
 	n.metrics.shareRefused()
--- a/edge/share_test.go
+++ b/edge/share_test.go
@@ -25,7 +25,7 @@
 			request.charge = &charge{outcome: coordinator.Charged{
 				Status: coordinator.ChargeGranted, Decision: tenant.Decision{Granted: true, Programs: programs},
 			}}
-			node.shares.heard(request)
+			node.shares.observe(request)
 			return request
 		}
 		hot, usual := of("hot", 100), of("usual", 5)
@@ -44,19 +44,19 @@
 // switched off.
 func TestRepeatIntoRoom(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(RepeatIntoRoom)} {
-		repeats, err := newCalls()
+	for _, settings := range []Settings{{}, without(RepeatWithCapacity)} {
+		repeats, err := newCallStats()
 		g.Expect(err).NotTo(HaveOccurred())
-		node := &Node{settings: settings, replicas: newReplicas(&settings), calls: repeats}
+		node := &Node{settings: settings, replicas: newReplicas(&settings), callStats: repeats}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
 		run := &callRun{node: node, request: &requestState{service: "s", route: &routing.Route{}, deadline: time.Now().Add(time.Hour)}}
-		g.Expect(dispatch.DecideRepeat(run.late())).To(Equal(dispatch.RepeatSent))
+		g.Expect(dispatch.DecideRepeat(run.lateCall())).To(Equal(dispatch.RepeatSent))
 		_, err = node.replicas.choose(&replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 		want := dispatch.RepeatSent
-		if settings.uses(RepeatIntoRoom) {
+		if settings.uses(RepeatWithCapacity) {
 			want = dispatch.RepeatFull
 		}
-		g.Expect(dispatch.DecideRepeat(run.late())).To(Equal(want))
+		g.Expect(dispatch.DecideRepeat(run.lateCall())).To(Equal(want))
 	}
 }
--- a/edge/silentstore_test.go
+++ b/edge/silentstore_test.go
@@ -158,7 +158,7 @@
 	node := keyNode(g, Settings{}, false)
 	store := newOutageStore(silent)
 	node.adapter.Store, node.adapter.Translator = store, versionTranslator{}
-	node.noteDirectory()
+	node.markNodeListKnown()
 	node.run(node.followConfiguration)
 	node.run(node.followReplicas)
 	return node, store
@@ -190,7 +190,7 @@
 			node, err := New(Settings{Node: fmt.Sprint("n-", number), Zone: "z", Partitions: 1}, Adapter{Store: store, Translator: versionTranslator{}}, quietLogger)
 			g.Expect(err).NotTo(HaveOccurred())
 			defer node.Kill()
-			node.noteDirectory()
+			node.markNodeListKnown()
 			node.run(node.followConfiguration)
 		}
 		time.Sleep(2 * resyncPeriod)
--- a/edge/space.go
+++ b/edge/space.go
@@ -47,7 +47,7 @@
 func (s *space) appended(now time.Time, partition, bytes int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one := s.of(now, partition)
+	one := s.entry(now, partition)
 	one.appended += bytes
 	if one.appended < trimBytes || now.Sub(one.trimmedAt) < trimPeriod {
 		return false
@@ -65,7 +65,7 @@
 		s.loggedFull = now
 		logged = true
 	}
-	one := s.of(now, partition)
+	one := s.entry(now, partition)
 	if now.Sub(one.trimmedAt) < trimPeriodFull {
 		return false, logged
 	}
@@ -74,7 +74,7 @@
 }
 
 // of returns a partition's entry. The mutex is held.
-func (s *space) of(now time.Time, partition int) *partitionSpace {
+func (s *space) entry(now time.Time, partition int) *partitionSpace {
 	one := s.partitions[partition]
 	if one == nil {
 		one = &partitionSpace{trimmedAt: now}
@@ -90,7 +90,7 @@
 }
 
 // appendedTo counts an append, and has the partition trimmed now and then.
-func (n *Node) appendedTo(partition int, records []recordstore.Record) {
+func (n *Node) recordAppend(partition int, records []recordstore.Record) {
 	bytes := 0
 	for _, record := range records {
 		bytes += len(record.Key) + len(record.Value)
@@ -109,7 +109,7 @@
 	if err == nil {
 		err = n.adapter.Store.Trim(callCtx, stream, end)
 	}
-	n.noteStore(err)
+	n.recordStoreCall(err)
 	n.metrics.trimmed(err)
 	if err != nil {
 		n.logger.Warn().Int("partition", partition).Uint64("end", end).Err(err).Msg("ledger: not trimmed")
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -12,60 +12,60 @@
 
 // standings hold what this node knows of programs under way, for the order in which
 // turns that compete are served. They are safe for concurrent use.
-type standings struct {
-	mutex sync.Mutex
-	usual *dispatch.RemainingTimeEstimator
+type scheduling struct {
+	mutex     sync.Mutex
+	remaining *dispatch.RemainingTimeEstimator
 	// bands are those of the newest configuration that was used.
-	bands atomic.Pointer[bandsOf]
+	bands atomic.Pointer[tableBands]
 }
 
 // bandsOf holds the ranges of urgencies of one configuration, by service.
-type bandsOf struct {
+type tableBands struct {
 	table    *routing.Table
 	services map[string]dispatch.Bands
 }
 
-func newStandings() *standings { return &standings{usual: dispatch.NewRemainingTimeEstimator()} }
+func newScheduling() *scheduling { return &scheduling{remaining: dispatch.NewRemainingTimeEstimator()} }
 
 // begin takes in that a turn of a program came.
-func (s *standings) begin(now time.Time, r *requestState) {
+func (s *scheduling) turnBegan(now time.Time, r *requestState) {
 	if r.program == "" {
 		return
 	}
 	granted := time.Duration(0)
-	if !r.begun() && !r.finish.IsZero() {
-		granted = r.finish.Sub(now)
+	if !r.programStarted() && !r.finishBy.IsZero() {
+		granted = r.finishBy.Sub(now)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.usual.Begin(now, r.route.Name, r.programID(), granted)
-	r.need = s.usual.Remaining(r.route.Name, r.programID())
+	s.remaining.Begin(now, r.route.Name, r.programID(), granted)
+	r.expectedRemaining = s.remaining.Remaining(r.route.Name, r.programID())
 }
 
 // end takes in that a turn of a program was served.
-func (s *standings) end(now time.Time, r *requestState) {
+func (s *scheduling) turnEnded(now time.Time, r *requestState) {
 	if r.program == "" {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.usual.End(now, r.programID())
+	s.remaining.End(now, r.programID())
 }
 
 // standing returns what counts where the turn competes with others.
-func (r *requestState) standing(now time.Time) *dispatch.SchedulingState {
-	standing := &dispatch.SchedulingState{Begun: r.begun(), ExpectedRemaining: r.need}
-	if !r.finish.IsZero() {
-		standing.Left, standing.HasFinish = r.finish.Sub(now), true
+func (r *requestState) schedulingState(now time.Time) *dispatch.SchedulingState {
+	schedulingState := &dispatch.SchedulingState{Begun: r.programStarted(), ExpectedRemaining: r.expectedRemaining}
+	if !r.finishBy.IsZero() {
+		schedulingState.Left, schedulingState.HasFinish = r.finishBy.Sub(now), true
 	}
-	return standing
+	return schedulingState
 }
 
 // bandsFor returns the ranges of urgencies at a service's replicas.
-func (s *standings) bandsFor(table *routing.Table, service string) dispatch.Bands {
+func (s *scheduling) bandsFor(table *routing.Table, service string) dispatch.Bands {
 	known := s.bands.Load()
 	if known == nil || known.table != table {
-		known = &bandsOf{table: table, services: make(map[string]dispatch.Bands, len(table.Services))}
+		known = &tableBands{table: table, services: make(map[string]dispatch.Bands, len(table.Services))}
 		var tenants []int
 		if table.Tenants != nil {
 			tenants = table.Tenants.Priorities()
@@ -85,5 +85,5 @@
 	if !competes || !n.settings.uses(OrderBySlack) {
 		return min(max(0, r.priority()), dispatch.LeastUrgency)
 	}
-	return n.standings.bandsFor(table, r.service).Urgency(r.priority(), r.standing(time.Now()))
+	return n.scheduling.bandsFor(table, r.service).Urgency(r.priority(), r.schedulingState(time.Now()))
 }
--- a/edge/standing_test.go
+++ b/edge/standing_test.go
@@ -22,10 +22,10 @@
 	}, []routing.Service{{Name: "engine"}}, routing.Limits{})
 	begun := func(left time.Duration) *requestState {
 		return &requestState{
-			route: table.Match("b", "/"), service: "engine", previous: "t", finish: time.Now().Add(left), need: time.Second, choice: full,
+			route: table.Match("b", "/"), service: "engine", previous: "t", finishBy: time.Now().Add(left), expectedRemaining: time.Second, choice: full,
 		}
 	}
-	node := &Node{standings: newStandings()}
+	node := &Node{scheduling: newScheduling()}
 	idle := begun(0)
 	idle.choice.Load = 3
 	g.Expect(node.urgency(idle, table)).To(Equal(1), "a place is free")
@@ -43,11 +43,11 @@
 	directory, err := tenant.NewDirectory([]tenant.Tenant{{Name: "a", Priority: 3, Keys: []string{"x", "y"}}, {Name: "b", Priority: 7, Keys: []string{"z"}}})
 	g.Expect(err).NotTo(HaveOccurred())
 	table.Tenants = directory
-	node := &Node{standings: newStandings()}
+	node := &Node{scheduling: newScheduling()}
 	late := time.Now().Add(-time.Second)
 	full := replica.Choice{Entry: replica.Entry{Slots: 4}, Load: 4}
-	urgent := &requestState{route: &routing.Route{Priority: 9}, tenant: &tenant.Tenant{Priority: 3}, service: "engine", finish: late, choice: full}
-	other := &requestState{route: &routing.Route{}, tenant: &tenant.Tenant{Priority: 7}, service: "engine", finish: late, choice: full}
+	urgent := &requestState{route: &routing.Route{Priority: 9}, tenant: &tenant.Tenant{Priority: 3}, service: "engine", finishBy: late, choice: full}
+	other := &requestState{route: &routing.Route{}, tenant: &tenant.Tenant{Priority: 7}, service: "engine", finishBy: late, choice: full}
 	g.Expect(node.urgency(urgent, table)).To(Equal(6))
 	g.Expect(node.urgency(other, table)).To(Equal(9))
 }
--- a/edge/storewatch.go
+++ b/edge/storewatch.go
@@ -16,13 +16,13 @@
 const (
 	// heirWait is how long a node waits there that may have to take a partition over, and
 	// watchWait how long the others do.
-	heirWait  = 700 * time.Millisecond
-	watchWait = 8 * time.Second
+	ownerWatchWait = 700 * time.Millisecond
+	watchWait      = 8 * time.Second
 	// watchPause is the least time between two such reads of the others.
 	watchPause = time.Second
 	// relayTrust is how long after the last answer of a reader a read that still waits
 	// counts as contact with the store: a node that is cut off from all hears neither.
-	relayTrust = 2 * time.Second
+	relayTrustPeriod = 2 * time.Second
 )
 
 // watchNeighbours follows the partition with this node's record for a while, and notes
@@ -30,10 +30,10 @@
 func (n *Node) watchNeighbours(ctx context.Context, near *neighbours, span time.Duration) {
 	until := time.Now().Add(span)
 	stream := recordstore.Stream{Name: recordstore.StreamNodes, Partition: n.nodePartition()}
-	backoff := n.backoffOf(appendRetryFirst, joinPauseMost)
+	backoff := n.backoffOf(appendMinimumBackoff, joinMaximumBackoff)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		if n.role() != roleFollower || !near.read {
-			wait.For(ctx, rolePause)
+			wait.For(ctx, roleCheckInterval)
 			continue
 		}
 		tail, err := n.watchTail(ctx, stream, near.next)
@@ -47,7 +47,7 @@
 			wait.For(ctx, backoff.Next())
 		default:
 			backoff.Reset()
-			n.takeNeighbours(near, tail)
+			n.applyNeighbours(near, tail)
 			wait.For(ctx, n.watchPause())
 		}
 	}
@@ -55,29 +55,29 @@
 
 // watchTail waits for a record of the partition.
 func (n *Node) watchTail(ctx context.Context, stream recordstore.Stream, next uint64) (recordstore.Tail, error) {
-	patience := watchWait
-	if n.heir() {
-		patience = heirWait
+	timeout := watchWait
+	if n.mayOwnPartition() {
+		timeout = ownerWatchWait
 	}
-	callCtx, cancel := context.WithTimeout(ctx, patience+tailSlack)
+	callCtx, cancel := context.WithTimeout(ctx, timeout+tailSlack)
 	defer cancel()
-	n.watching.Store(&cancel)
-	n.store.trust(time.Now().Add(patience + tailSlack))
-	tail, err := n.tailUntil(callCtx, stream, next, patience, nil)
-	n.watching.Store(nil)
+	n.cancelWatch.Store(&cancel)
+	n.store.setPending(time.Now().Add(timeout + tailSlack))
+	tail, err := n.tailUntil(callCtx, stream, next, timeout, nil)
+	n.cancelWatch.Store(nil)
 	if errors.Is(err, context.Canceled) {
 		return tail, err
 	}
 	if err != nil {
-		n.store.trust(time.Time{})
+		n.store.setPending(time.Time{})
 	}
-	n.noteStore(err)
+	n.recordStoreCall(err)
 	return tail, err
 }
 
 // tailUntil reads a stream's tail until the context ends, or the store is regained, though
 // the store's client may wait for its answer longer. A nil channel is never regained.
-func (n *Node) tailUntil(ctx context.Context, stream recordstore.Stream, next uint64, patience time.Duration,
+func (n *Node) tailUntil(ctx context.Context, stream recordstore.Stream, next uint64, timeout time.Duration,
 	regained <-chan struct{}) (recordstore.Tail, error) {
 	type result struct {
 		tail recordstore.Tail
@@ -85,7 +85,7 @@
 	}
 	answered := make(chan result, 1)
 	go func() {
-		tail, err := n.adapter.Store.Tail(ctx, stream, next, patience)
+		tail, err := n.adapter.Store.Tail(ctx, stream, next, timeout)
 		answered <- result{tail: tail, err: err}
 	}()
 	select {
@@ -99,23 +99,23 @@
 }
 
 // takeNeighbours takes the records over that were written to the partition.
-func (n *Node) takeNeighbours(near *neighbours, tail recordstore.Tail) {
+func (n *Node) applyNeighbours(near *neighbours, tail recordstore.Tail) {
 	near.next = tail.Next
 	if nodes := n.decodeNodes(tail.Records); len(nodes) > 0 {
-		near.note(nodes)
+		near.update(nodes)
 		n.control.post(coordinator.NodesDiscovered{Nodes: nodes})
 	}
 }
 
 func (n *Node) watchPause() time.Duration {
-	if n.heir() {
+	if n.mayOwnPartition() {
 		return configurationPause
 	}
 	return watchPause
 }
 
 // heir reports whether this node may have to take a partition over.
-func (n *Node) heir() bool {
+func (n *Node) mayOwnPartition() bool {
 	roles := n.roles.Load()
 	return roles != nil && roles.MayOwnPartition
 }
@@ -127,6 +127,6 @@
 	if n.store.reached(now) {
 		return true
 	}
-	heard := now.Sub(n.started) - time.Duration(n.relayedAt.Load())
-	return n.store.trusted(now) && heard < relayTrust
+	sinceReader := now.Sub(n.started) - time.Duration(n.readerAnsweredAt.Load())
+	return n.store.pending(now) && sinceReader < relayTrustPeriod
 }
--- a/edge/storewatch_test.go
+++ b/edge/storewatch_test.go
@@ -40,8 +40,8 @@
 	}
 	go look()
 	g.Expect(<-store.asked).To(Equal(watchWait))
-	node.control.noteRoles(coordinator.Roles{MayOwnPartition: true})
+	node.control.setRoles(coordinator.Roles{MayOwnPartition: true})
 	g.Expect(<-ended).To(MatchError(context.Canceled))
 	go look()
-	g.Expect(<-store.asked).To(Equal(heirWait))
+	g.Expect(<-store.asked).To(Equal(ownerWatchWait))
 }
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -37,7 +37,7 @@
 	g.Expect(all.SkipHandover).To(BeFalse())
 	g.Expect(configOf(without(BeginUnrecorded)).Ledger.UnrecordedShare).To(BeZero())
 	g.Expect(configOf(without(MarkAhead)).Ledger.MarkAheadTurns).To(BeZero())
-	g.Expect(configOf(without(GrantTurnAfterLoss)).Ledger.ExtraTurnAfterFailure).To(BeFalse())
+	g.Expect(configOf(without(GrantTurnAfterFailure)).Ledger.ExtraTurnAfterFailure).To(BeFalse())
 	g.Expect(configOf(without(HandOver)).SkipHandover).To(BeTrue())
 }
 
@@ -45,14 +45,14 @@
 func TestSwitchesOfTheChoice(t *testing.T) {
 	g := NewWithT(t)
 	for mechanism, parts := range map[Mechanism]replica.SelectionFactors{
-		FollowPrompts: {CachedPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
-		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, RememberFaults: {Faults: true},
-		SuspectSilent: {Suspicion: true}, WeighPace: {TokenTimes: true}, WeighSlack: {Slack: true},
+		TrackCachedPrompts: {CachedPrompts: true}, KeepSessions: {LastReplica: true}, CountPeerLoads: {PeerLoads: true},
+		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, AvoidFaultyReplicas: {Faults: true},
+		AvoidUnresponsiveReplicas: {Suspicion: true}, WeighTokenTimes: {TokenTimes: true}, WeighSlack: {Slack: true},
 	} {
 		settings := without(mechanism)
-		g.Expect(partsWithout(&settings)).To(Equal(parts), string(mechanism))
+		g.Expect(disabledFactors(&settings)).To(Equal(parts), string(mechanism))
 	}
-	g.Expect(partsWithout(&Settings{})).To(Equal(replica.SelectionFactors{}))
+	g.Expect(disabledFactors(&Settings{})).To(Equal(replica.SelectionFactors{}))
 }
 
 // TestRefuseWhenFull lets new programs in while replicas are full where it is
@@ -76,14 +76,14 @@
 // it is switched off.
 func TestDoubtUnlisted(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(DoubtUnlisted)} {
+	for _, settings := range []Settings{{}, without(DeferRemovals)} {
 		node := &Node{settings: settings, replicas: newReplicas(&settings), logger: quietLogger, pool: upstream.NewPool(upstream.Config{})}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
 		// The store was away, and is back.
-		node.store.note(time.Now().Add(-time.Minute))
-		node.store.note(time.Now())
-		node.unlist("r", "gone from the list")
-		g.Expect(node.replicas.count()).To(Equal(map[bool]int{true: 1, false: 0}[settings.uses(DoubtUnlisted)]))
+		node.store.recordAnswer(time.Now().Add(-time.Minute))
+		node.store.recordAnswer(time.Now())
+		node.handleUnlisted("r", "gone from the list")
+		g.Expect(node.replicas.count()).To(Equal(map[bool]int{true: 1, false: 0}[settings.uses(DeferRemovals)]))
 	}
 }
 
@@ -103,10 +103,10 @@
 // TestRememberReplicas has a kept turn name no replica where it is switched off.
 func TestRememberReplicas(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(RememberReplicas)} {
+	for _, settings := range []Settings{{}, without(RecordReplica)} {
 		request := &requestState{id: "t", route: &routing.Route{}, exchange: &ingress.Exchange{}}
 		request.choice.Entry.ID = "r1"
 		run := &turnRun{node: &Node{settings: settings}, request: request}
-		g.Expect(run.keptTurn().Replica).To(Equal(map[bool]string{true: "r1", false: ""}[settings.uses(RememberReplicas)]))
+		g.Expect(run.storedTurn().Replica).To(Equal(map[bool]string{true: "r1", false: ""}[settings.uses(RecordReplica)]))
 	}
 }
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -19,42 +19,42 @@
 	takeoverPages = 2
 	// takeoverFirst bounds the first pages beside them. A node serves a partition from
 	// its first page or two on, which do not wait for kept turns of the others.
-	takeoverFirst = 4
+	takeoverAccountPages = 4
 )
 
 // takeoverTries are those of a page of a takeover. A takeover that is given up in an outage
 // has to claim its partition again after it.
-var takeoverTries = pageTries{attempts: 6, first: appendTimeout, most: 10 * time.Second, throughOutages: true}
+var takeoverRetry = pageRetry{attempts: 6, firstTimeout: appendTimeout, maximumTimeout: 10 * time.Second, throughOutages: true}
 
 // takeovers are those under way on this node. It is safe for concurrent use.
 type takeovers struct {
 	// pages are the places to read a page in, and first those for first pages alone.
-	pages chan struct{}
-	first chan struct{}
+	pageSlots    chan struct{}
+	accountSlots chan struct{}
 
-	mutex sync.Mutex
-	stop  map[coordinator.Stopped]context.CancelFunc
+	mutex   sync.Mutex
+	cancels map[coordinator.Stopped]context.CancelFunc
 }
 
 func newTakeovers() *takeovers {
 	return &takeovers{
-		pages: make(chan struct{}, takeoverPages), first: make(chan struct{}, takeoverFirst),
-		stop: make(map[coordinator.Stopped]context.CancelFunc),
+		pageSlots: make(chan struct{}, takeoverPages), accountSlots: make(chan struct{}, takeoverAccountPages),
+		cancels: make(map[coordinator.Stopped]context.CancelFunc),
 	}
 }
 
 // place waits until a page may be read, and returns what ends that. Pages with accounts
 // have places that others do not take.
-func (t *takeovers) place(ctx context.Context, accounts bool) (free func(), err error) {
-	var first chan<- struct{}
+func (t *takeovers) acquireSlot(ctx context.Context, accounts bool) (release func(), err error) {
+	var accountSlots chan<- struct{}
 	if accounts {
-		first = t.first
+		accountSlots = t.accountSlots
 	}
 	select {
-	case t.pages <- struct{}{}:
-		return func() { <-t.pages }, nil
-	case first <- struct{}{}:
-		return func() { <-t.first }, nil
+	case t.pageSlots <- struct{}{}:
+		return func() { <-t.pageSlots }, nil
+	case accountSlots <- struct{}{}:
+		return func() { <-t.accountSlots }, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -66,22 +66,22 @@
 	name := coordinator.Stopped{Partition: takeover.Partition, Epoch: takeover.Epoch}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.stop[name] = cancel
-	return ctx, func() { t.end(name) }
+	t.cancels[name] = cancel
+	return ctx, func() { t.stop(name) }
 }
 
 // end has a takeover read no more.
-func (t *takeovers) end(name coordinator.Stopped) {
+func (t *takeovers) stop(name coordinator.Stopped) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if cancel, known := t.stop[name]; known {
+	if cancel, known := t.cancels[name]; known {
 		cancel()
-		delete(t.stop, name)
+		delete(t.cancels, name)
 	}
 }
 
 // restored is what a takeover has read.
-type restored struct {
+type readTotals struct {
 	records, bytes, pages int
 }
 
@@ -97,23 +97,23 @@
 
 func (n *Node) claimAndRead(ctx context.Context, takeover coordinator.Takeover) coordinator.TakeoverEnded {
 	begun := time.Now()
-	taken := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch, Outcome: coordinator.OutcomeFailed}
+	ended := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch, Outcome: coordinator.OutcomeFailed}
 	entry := n.logger.Info().Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch))
-	if moved := n.moved(ctx, takeover, &taken); moved {
-		entry.Uint64("end", taken.End).Int("outcome", int(taken.Outcome)).Msg("ledger: claim put off, another owner may live")
-		return taken
+	if putOff := n.putOff(ctx, takeover, &ended); putOff {
+		entry.Uint64("end", ended.End).Int("outcome", int(ended.Outcome)).Msg("ledger: claim put off, another owner may live")
+		return ended
 	}
 	entry.Bool("contested", takeover.Contested).Msg("ledger: claim begun")
 	err := n.appendRecords(ctx, takeover.Partition, takeover.Epoch, 0, nil, takeoverAttempts)
 	var fenced *recordstore.FencedError
 	if errors.As(err, &fenced) {
-		taken.Outcome = coordinator.OutcomeFenced
-		n.metrics.takeoverEnded("fenced", restored{}, time.Since(begun))
+		ended.Outcome = coordinator.OutcomeFenced
+		n.metrics.takeoverEnded("fenced", readTotals{}, time.Since(begun))
 		n.logger.Info().Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).
 			Str("reason", fenced.Reason).Msg("ledger: claim fenced")
-		return taken
+		return ended
 	}
-	var read restored
+	var read readTotals
 	if err == nil {
 		n.control.post(coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch})
 		read, err = n.readLedger(ctx, takeover)
@@ -123,38 +123,38 @@
 	if err != nil {
 		outcome, entry = "given_up", n.logger.Warn().Err(err)
 	} else {
-		taken.Outcome = coordinator.OutcomeDone
+		ended.Outcome = coordinator.OutcomeDone
 	}
 	n.metrics.takeoverEnded(outcome, read, took)
 	entry.Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).Int("records", read.records).
 		Int("bytes", read.bytes).Int("pages", read.pages).Dur("took", took).Str("outcome", outcome).Msg("ledger: takeover ended")
-	return taken
+	return ended
 }
 
 // moved reports whether a contested claim is not to be made now: the log does not end
 // where it did, or does not tell.
-func (n *Node) moved(ctx context.Context, takeover coordinator.Takeover, taken *coordinator.TakeoverEnded) bool {
+func (n *Node) putOff(ctx context.Context, takeover coordinator.Takeover, ended *coordinator.TakeoverEnded) bool {
 	if !takeover.Contested {
 		return false
 	}
 	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	end, err := n.adapter.Store.End(callCtx, ledgerStream(takeover.Partition))
-	n.noteStore(err)
+	n.recordStoreCall(err)
 	if err != nil {
 		return true
 	}
 	if end == takeover.ExpectedEnd {
 		return false
 	}
-	taken.Outcome, taken.End = coordinator.OutcomeLogAdvanced, end
+	ended.Outcome, ended.End = coordinator.OutcomeLogAdvanced, end
 	return true
 }
 
 // readLedger reads the newest record of each key of a partition, and hands each page
 // to the core.
-func (n *Node) readLedger(ctx context.Context, takeover coordinator.Takeover) (restored, error) {
-	var read restored
+func (n *Node) readLedger(ctx context.Context, takeover coordinator.Takeover) (readTotals, error) {
+	var read readTotals
 	after := ""
 	for {
 		page, err := n.readTakeoverPage(ctx, ledgerStream(takeover.Partition), after)
@@ -179,10 +179,10 @@
 // readTakeoverPage reads a page once it is its turn.
 func (n *Node) readTakeoverPage(ctx context.Context, stream recordstore.Stream, after string) (recordstore.Page, error) {
 	accounts := n.settings.uses(ReadAccountsFirst) && !ledger.SortsAfterAccounts(after)
-	free, err := n.takeovers.place(ctx, accounts)
+	release, err := n.takeovers.acquireSlot(ctx, accounts)
 	if err != nil {
 		return recordstore.Page{}, err
 	}
-	defer free()
-	return n.readPage(ctx, stream, after, takeoverTries)
+	defer release()
+	return n.readPage(ctx, stream, after, takeoverRetry)
 }
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -14,7 +14,7 @@
 	cancel()
 	places := newTakeovers()
 	take := func(accounts bool) func() {
-		free, err := places.place(context.Background(), accounts)
+		free, err := places.acquireSlot(context.Background(), accounts)
 		g.Expect(err).NotTo(HaveOccurred())
 		return free
 	}
@@ -22,11 +22,11 @@
 	for range takeoverPages {
 		taken = append(taken, take(false))
 	}
-	for range takeoverFirst {
+	for range takeoverAccountPages {
 		taken = append(taken, take(true))
 	}
 	for _, accounts := range []bool{false, true} {
-		_, err := places.place(over, accounts)
+		_, err := places.acquireSlot(over, accounts)
 		g.Expect(err).To(MatchError(context.Canceled), "all places are taken")
 	}
 	for _, free := range taken {
@@ -35,6 +35,6 @@
 	for range takeoverPages {
 		take(false)
 	}
-	_, err := places.place(over, false)
+	_, err := places.acquireSlot(over, false)
 	g.Expect(err).To(MatchError(context.Canceled), "kept turns have the places that are theirs")
 }
--- a/edge/tenancy_test.go
+++ b/edge/tenancy_test.go
@@ -25,7 +25,7 @@
 	defer without.Kill()
 	plain := &requestState{id: "x", program: "p", previous: "y", route: &routing.Route{}}
 	g.Expect(without.authenticate(plain, without.routes.Current())).To(BeTrue())
-	g.Expect([]string{plain.turnID(), plain.programID(), plain.previousID(), plain.formerID()}).To(Equal([]string{"x", "p", "y", ""}))
+	g.Expect([]string{plain.turnID(), plain.programID(), plain.previousID(), plain.unscopedPreviousID()}).To(Equal([]string{"x", "p", "y", ""}))
 
 	with := keyNode(g, Settings{}, true)
 	defer with.Kill()
@@ -33,7 +33,7 @@
 	g.Expect(with.authenticate(public, with.routes.Current())).To(BeTrue())
 	g.Expect(public.turnID()).NotTo(Equal("x"))
 	g.Expect(public.previousID()).NotTo(Equal("y"))
-	g.Expect(public.formerID()).To(Equal("y"))
+	g.Expect(public.unscopedPreviousID()).To(Equal("y"))
 	first := &requestState{id: "x", previous: "y", scope: tenant.ScopeOf(tenantsOfTests[0])}
 	second := &requestState{id: "x", previous: "y", scope: tenant.ScopeOf(tenantsOfTests[1])}
 	g.Expect(first.turnID()).NotTo(Equal(second.turnID()))
@@ -67,7 +67,7 @@
 	r := &requestState{
 		exchange: &ingress.Exchange{Body: []byte(owner.Name + strconv.Itoa(int(ids)) + ";")}, id: strconv.Itoa(int(ids % 4)),
 		program: strconv.Itoa(int(ids / 4 % 2)), previous: strconv.Itoa(int(ids / 8 % 4)), scope: tenant.ScopeOf(owner),
-		session: "s", most: 100, budget: 350, tokens: 10 * int(ids/32), deadline: w.now.Add(time.Second),
+		session: "s", maxTokens: 100, budget: 350, tokens: 10 * int(ids/32), deadline: w.now.Add(time.Second),
 		route: &routing.Route{Retain: true, RetainFor: time.Minute},
 	}
 	run := &turnRun{node: w.node, request: r, output: []byte("out;")}
@@ -82,7 +82,7 @@
 		w.books.Settle(w.now, *w.node.settlementOf(r))
 		return answer{}
 	case 2:
-		w.books.StoreTurn(w.now, run.keptTurn())
+		w.books.StoreTurn(w.now, run.storedTurn())
 		w.node.chains.put(w.now, r.turnID(), run.chain())
 		return answer{}
 	default:
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -20,11 +20,11 @@
 // Times of the questions to owners.
 const (
 	// ownerPatience is how long a turn waits for an owner to be there.
-	ownerPatience = 900 * time.Millisecond
+	ownerLookupTimeout = 900 * time.Millisecond
 	// ownerTimeout bounds one question that is answered from memory.
-	ownerTimeout = 400 * time.Millisecond
+	ownerCallTimeout = 400 * time.Millisecond
 	// ownerPause is the wait before an owner is looked for again.
-	ownerPause = 30 * time.Millisecond
+	ownerRetryPause = 30 * time.Millisecond
 	// settleTimeout bounds how long a settlement is tried.
 	settleTimeout = 5 * time.Second
 )
@@ -50,7 +50,7 @@
 	defer cancel()
 	if since := n.isolatedSince.Load(); since != nil && r.needsOwner() {
 		lasted := time.Since(*since)
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseIsolated, Lasted: lasted, EndsIn: comeBackElsewhere(lasted)},
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseIsolated, Lasted: lasted, EndsIn: retryElsewhere(lasted)},
 			"this node reaches neither the store nor most of the zones")
 		return
 	}
@@ -65,13 +65,13 @@
 		}
 		return
 	}
-	n.standings.begin(time.Now(), r)
+	n.scheduling.turnBegan(time.Now(), r)
 	if r.admission.NewProgram && n.overShare(r) {
 		n.settle(r)
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseFull}, "the replicas are full, and the tenant has more than its share of them")
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseFull}, "the replicas are full, and the tenant has more than its share of them")
 		return
 	}
-	if !n.awaitRoom(ctx, r, len(granted.chain)) {
+	if !n.awaitCapacity(ctx, r, len(granted.chain)) {
 		n.settle(r)
 		return
 	}
@@ -94,10 +94,10 @@
 	if r.route.Retain {
 		previous = r.previousID()
 	}
-	ask := &coordinator.AdmitRequest{Turn: n.turnOf(r), Previous: previous}
+	admit := &coordinator.AdmitRequest{Turn: n.turnOf(r), Previous: previous}
 	var found grant
-	found.chain, ask.HasChain = n.chains.get(time.Now(), previous)
-	reply, err := n.askAdmission(ctx, r, ask)
+	found.chain, admit.HasChain = n.chains.get(time.Now(), previous)
+	reply, err := n.requestAdmission(ctx, r, admit)
 	if err == nil && reply.Status == coordinator.ReplyAbsent {
 		chain, status := n.findChain(ctx, r)
 		if status != coordinator.ReplyDone {
@@ -105,24 +105,24 @@
 			return grant{}, false
 		}
 		found.chain = chain
-		ask.HasChain = true
-		reply, err = n.askAdmission(ctx, r, ask)
+		admit.HasChain = true
+		reply, err = n.requestAdmission(ctx, r, admit)
 	}
 	if err != nil {
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseNoOwner, Lasted: time.Since(r.exchange.Arrived)}, err.Error())
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseNoOwner, Lasted: time.Since(r.exchange.Arrived)}, err.Error())
 		return grant{}, false
 	}
-	if !ask.HasChain {
+	if !admit.HasChain {
 		found.chain = reply.Chain
 	}
-	return n.takeReply(ctx, r, reply, found)
+	return n.applyAdmission(ctx, r, reply, found)
 }
 
 // askAdmission asks the owner for the turn. One that was not heard may have granted it,
 // or grants it once a takeover is over, to nobody: it is told that the turn is over, so
 // that the program's budget does not wait for it.
-func (n *Node) askAdmission(ctx context.Context, r *requestState, ask *coordinator.AdmitRequest) (coordinator.Reply, error) {
-	reply, err := n.askOwner(ctx, r, r.partition, coordinator.Request{Admit: ask}, ownerPatience)
+func (n *Node) requestAdmission(ctx context.Context, r *requestState, admit *coordinator.AdmitRequest) (coordinator.Reply, error) {
+	reply, err := n.callOwner(ctx, r, r.partition, coordinator.Request{Admit: admit}, ownerLookupTimeout)
 	if err != nil {
 		n.settle(r)
 	}
@@ -133,12 +133,12 @@
 func (n *Node) turnOf(r *requestState) ledger.Turn {
 	return ledger.Turn{
 		ID: r.turnID(), Program: r.programID(), Unscoped: r.scope.Unscoped(r.program), Session: r.session,
-		MaxTokens: r.most, Budget: r.budget, Timeout: max(0, r.left()), Retain: r.route.RetainFor, StoreOnSuccess: r.route.Retain,
+		MaxTokens: r.maxTokens, Budget: r.budget, Timeout: max(0, r.timeLeft()), Retain: r.route.RetainFor, StoreOnSuccess: r.route.Retain,
 	}
 }
 
 // takeReply turns the owner's reply into a grant or an answer.
-func (n *Node) takeReply(ctx context.Context, r *requestState, reply coordinator.Reply, found grant) (grant, bool) {
+func (n *Node) applyAdmission(ctx context.Context, r *requestState, reply coordinator.Reply, found grant) (grant, bool) {
 	if reply.Status != coordinator.ReplyDone || reply.Admission == nil {
 		n.answerUnadmitted(r, reply.Status)
 		return grant{}, false
@@ -149,12 +149,12 @@
 		r.fail(fasthttp.StatusPaymentRequired, "the program's token budget is spent", 0)
 		return grant{}, false
 	case ledger.VerdictBusy:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseBudgetHeld}, "other turns of the program hold the rest of its budget")
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseBudgetHeld}, "other turns of the program hold the rest of its budget")
 		return grant{}, false
 	}
 	found.epoch, found.stalled = reply.Epoch, reply.Stalled
 	r.preferred = replica.ID(r.admission.Replica)
-	r.preferredKept = r.admission.CachedTokens
+	r.preferredCached = r.admission.CachedTokens
 	if r.admission.Position > 0 {
 		found.recorded = n.awaitRecorded(ctx, r, reply.Epoch, r.admission.Position)
 	}
@@ -165,11 +165,11 @@
 func (n *Node) answerUnadmitted(r *requestState, status coordinator.ReplyStatus) {
 	switch status {
 	case coordinator.ReplyFull:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreFull}, "the store is full and takes no record of the turn")
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseStoreFull}, "the store is full and takes no record of the turn")
 	case coordinator.ReplyStalled:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable}, "the program's partition answered "+string(status))
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable}, "the program's partition answered "+string(status))
 	default:
-		n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseNoOwner}, "the program's partition answered "+string(status))
+		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseNoOwner}, "the program's partition answered "+string(status))
 	}
 }
 
@@ -180,53 +180,53 @@
 		r.fail(fasthttp.StatusNotFound, "no such previous turn", 0)
 		return
 	}
-	n.turnAway(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether the previous turn is kept is not certain at present")
+	n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether the previous turn is kept is not certain at present")
 }
 
 // askOwner asks the owner of a partition, and looks for it anew for as long as
 // the patience lasts.
-func (n *Node) askOwner(ctx context.Context, r *requestState, partition int, request coordinator.Request, patience time.Duration) (coordinator.Reply, error) {
-	until := time.Now().Add(patience)
+func (n *Node) callOwner(ctx context.Context, r *requestState, partition int, request coordinator.Request, timeout time.Duration) (coordinator.Reply, error) {
+	until := time.Now().Add(timeout)
 	for {
-		reply, err := n.askOnce(ctx, r, partition, request)
+		reply, err := n.callOwnerOnce(ctx, r, partition, request)
 		if err == nil && reply.Status != coordinator.ReplyNotOwner {
 			return reply, nil
 		}
-		if errors.Is(err, errOwnerOutside) {
+		if errors.Is(err, errOwnerOutsideZones) {
 			return coordinator.Reply{}, err
 		}
-		if ctx.Err() != nil || r.exchange.Cancel.Cause() != nil || time.Now().Add(ownerPause).After(until) {
+		if ctx.Err() != nil || r.exchange.Cancel.Cause() != nil || time.Now().Add(ownerRetryPause).After(until) {
 			return coordinator.Reply{}, errNoOwner
 		}
-		wait.For(ctx, ownerPause)
+		wait.For(ctx, ownerRetryPause)
 	}
 }
 
 // askOnce asks the node that owns the partition as far as is known.
-func (n *Node) askOnce(ctx context.Context, r *requestState, partition int, request coordinator.Request) (coordinator.Reply, error) {
-	callCtx, cancel := context.WithTimeout(ctx, timeoutOf(request))
+func (n *Node) callOwnerOnce(ctx context.Context, r *requestState, partition int, request coordinator.Request) (coordinator.Reply, error) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout(request))
 	defer cancel()
 	owner, err := n.control.owner(callCtx, partition)
 	if err != nil {
 		return coordinator.Reply{}, err
 	}
-	if !n.mayAsk(r, owner, &request) {
-		n.metrics.placeRefusedFor(placeOwner)
-		return coordinator.Reply{}, errOwnerOutside
+	if !n.mayCallOwner(r, owner, &request) {
+		n.metrics.constraintRefused(constraintOwner)
+		return coordinator.Reply{}, errOwnerOutsideZones
 	}
 	r.owner = string(owner.ID)
 	if owner.ID == n.self.ID {
-		return n.control.ask(callCtx, partition, request)
+		return n.control.call(callCtx, partition, request)
 	}
-	reply, err := n.peers.ask(callCtx, owner, partition, request)
+	reply, err := n.peers.call(callCtx, owner, partition, request)
 	if err == nil && reply.Status == coordinator.ReplyNotOwner {
-		n.noteNotOwner(owner.ID, partition, reply)
+		n.reportNotOwner(owner.ID, partition, reply)
 	}
 	return reply, err
 }
 
 // noteNotOwner tells the core that a node does not serve a partition, or who does.
-func (n *Node) noteNotOwner(asked machine.ID, partition int, reply coordinator.Reply) {
+func (n *Node) reportNotOwner(asked machine.ID, partition int, reply coordinator.Reply) {
 	n.metrics.ownerMissed()
 	entry := n.logger.Info().Int("partition", partition).Str("asked", string(asked))
 	if reply.Owner != nil && reply.Owner.Partition == partition {
@@ -239,26 +239,26 @@
 }
 
 // timeoutOf bounds a question: those that wait for the log may take longer.
-func timeoutOf(request coordinator.Request) time.Duration {
+func callTimeout(request coordinator.Request) time.Duration {
 	if request.Await != nil || request.Keep != nil {
 		return peerRequestTimeout
 	}
 	if request.Find != nil {
-		return 2 * ownerTimeout
+		return 2 * ownerCallTimeout
 	}
-	return ownerTimeout
+	return ownerCallTimeout
 }
 
 // findChain looks for the previous turn in all partitions. It is certainly absent
 // only if every owner has said so, and knows whose turns it keeps.
 func (n *Node) findChain(ctx context.Context, r *requestState) ([]byte, coordinator.ReplyStatus) {
-	find := &coordinator.FindRequest{Turn: r.previousID(), Unscoped: r.formerID()}
+	find := &coordinator.FindRequest{Turn: r.previousID(), Unscoped: r.unscopedPreviousID()}
 	answers := make(chan coordinator.Reply, n.settings.Partitions)
 	for partition := range n.settings.Partitions {
 		go func() {
 			// Each search has a state of its own to note the owner in.
 			search := &requestState{exchange: r.exchange}
-			reply, err := n.askOwner(ctx, search, partition, coordinator.Request{Find: find}, ownerPatience)
+			reply, err := n.callOwner(ctx, search, partition, coordinator.Request{Find: find}, ownerLookupTimeout)
 			if err != nil {
 				reply.Status = coordinator.ReplyLost
 			}
@@ -291,14 +291,14 @@
 	go func() {
 		for ctx.Err() == nil {
 			await := &coordinator.AwaitRequest{Epoch: epoch, Position: position}
-			reply, err := n.askWhileOwner(ctx, search, partition, coordinator.Request{Await: await})
+			reply, err := n.callWhileOwner(ctx, search, partition, coordinator.Request{Await: await})
 			if err == nil && reply.Status == coordinator.ReplyDone {
 				done <- nil
 				return
 			}
-			wait.For(ctx, ownerPause)
+			wait.For(ctx, ownerRetryPause)
 			admit := &coordinator.AdmitRequest{Turn: turn}
-			reply, err = n.askOwner(ctx, search, partition, coordinator.Request{Admit: admit}, ownerPatience)
+			reply, err = n.callOwner(ctx, search, partition, coordinator.Request{Admit: admit}, ownerLookupTimeout)
 			if err != nil || reply.Admission == nil {
 				continue
 			}
@@ -326,11 +326,11 @@
 		settleCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 		defer cancel()
 		for settleCtx.Err() == nil {
-			reply, err := n.askOnce(settleCtx, search, partition, coordinator.Request{Settle: settlement})
+			reply, err := n.callOwnerOnce(settleCtx, search, partition, coordinator.Request{Settle: settlement})
 			if err == nil && reply.Status == coordinator.ReplyDone {
 				return
 			}
-			wait.For(settleCtx, comeBackSoon)
+			wait.For(settleCtx, retrySoon)
 		}
 	})
 }
@@ -339,7 +339,7 @@
 	settlement := &ledger.Settlement{Turn: r.turnID(), Program: r.programID(), Session: r.session, Grant: r.admission.Grant, Tokens: r.tokens}
 	if r.status == fasthttp.StatusOK {
 		settlement.Replica = string(r.choice.Entry.ID)
-		if n.settings.uses(CountKept) {
+		if n.settings.uses(ReportCachedTokens) {
 			settlement.CachedTokens = replica.Tokens(r.prompt) + r.tokens
 		}
 	}
--- a/edge/waiting_test.go
+++ b/edge/waiting_test.go
@@ -19,8 +19,8 @@
 // requests. Tests look for room themselves.
 func fullNode(g *WithT, settings Settings) *Node {
 	node := &Node{
-		settings: settings, logger: quietLogger, metrics: newMetrics(nil), replicas: newReplicas(&settings), waiting: newWaiting(&settings),
-		standings: newStandings(),
+		settings: settings, logger: quietLogger, metrics: newMetrics(nil), replicas: newReplicas(&settings), waitQueue: newWaitQueue(&settings),
+		scheduling: newScheduling(),
 	}
 	// No goroutine looks for room.
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,8 +45,8 @@
 // join has a turn wait, and returns its verdict to come.
 func join(g *WithT, node *Node, r *requestState) chan dispatch.Verdict {
 	now := time.Now()
-	one := &dispatch.Waiting{SchedulingState: *r.standing(now), Since: now, Bytes: 1}
-	admission, verdict := node.joinWaiting(now, r, one)
+	one := &dispatch.Waiting{SchedulingState: *r.schedulingState(now), Since: now, Bytes: 1}
+	admission, verdict := node.enqueue(now, r, one)
 	g.Expect(admission.Verdict).To(Equal(dispatch.VerdictWait))
 	return verdict
 }
@@ -57,22 +57,22 @@
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
 	waits := join(g, node, freshTurn())
-	g.Expect(node.stepWaiting(time.Now())).To(BeTrue())
+	g.Expect(node.serveQueue(time.Now())).To(BeTrue())
 	g.Expect(waits).To(BeEmpty())
 	leaver := freshTurn()
 	leaves := join(g, node, leaver)
 	leaver.exchange.Cancel.Trigger(ingress.ErrClientGone)
-	g.Expect(node.stepWaiting(time.Now())).To(BeTrue())
+	g.Expect(node.serveQueue(time.Now())).To(BeTrue())
 	g.Expect(<-leaves).To(Equal(dispatch.VerdictRefuse))
 	node.replicas.ended("r", replica.ResultAnswered)
-	g.Expect(node.stepWaiting(time.Now())).To(BeFalse())
+	g.Expect(node.serveQueue(time.Now())).To(BeFalse())
 	g.Expect(<-waits).To(Equal(dispatch.VerdictRun))
 	_, err := node.replicas.choose(&replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	over := join(g, node, freshTurn())
-	g.Expect(node.stepWaiting(time.Now().Add(time.Minute))).To(BeFalse())
+	g.Expect(node.serveQueue(time.Now().Add(time.Minute))).To(BeFalse())
 	g.Expect(<-over).To(Equal(dispatch.VerdictRefuse))
-	g.Expect(node.waiting.held).To(BeEmpty())
+	g.Expect(node.waitQueue.requests).To(BeEmpty())
 }
 
 // TestWaitEndsWithTheRequest leaves nothing behind.
@@ -83,8 +83,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	g.Expect(node.awaitVerdict(ctx, 1, verdict)).To(Equal(dispatch.VerdictRefuse))
-	g.Expect(node.waiting.held).To(BeEmpty())
-	g.Expect(node.waiting.queue.Len()).To(BeZero())
+	g.Expect(node.waitQueue.requests).To(BeEmpty())
+	g.Expect(node.waitQueue.queue.Len()).To(BeZero())
 }
 
 // TestWhoNeedNotWait lets programs under way go on whatever the load, and new ones while
@@ -94,15 +94,15 @@
 	node := fullNode(g, Settings{})
 	begun := freshTurn()
 	begun.admission.NewProgram = false
-	g.Expect(node.awaitRoom(context.Background(), begun, 0)).To(BeTrue())
+	g.Expect(node.awaitCapacity(context.Background(), begun, 0)).To(BeTrue())
 	node = fullNode(g, without(RefuseWhenFull))
-	g.Expect(node.awaitRoom(context.Background(), freshTurn(), 0)).To(BeTrue())
+	g.Expect(node.awaitCapacity(context.Background(), freshTurn(), 0)).To(BeTrue())
 }
 
 // TestWaitForRoomOff has nobody wait where it is switched off.
 func TestWaitForRoomOff(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(WaitForRoom)} {
+	for _, settings := range []Settings{{}, without(QueueNewPrograms)} {
 		node := fullNode(g, settings)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
@@ -110,14 +110,14 @@
 			defer close(ended)
 			// The answer has no connection to go to.
 			defer func() { _ = recover() }()
-			node.awaitRoom(ctx, freshTurn(), 0)
+			node.awaitCapacity(ctx, freshTurn(), 0)
 		}()
 		waits := func() int {
-			node.waiting.mutex.Lock()
-			defer node.waiting.mutex.Unlock()
-			return node.waiting.queue.Len()
+			node.waitQueue.mutex.Lock()
+			defer node.waitQueue.mutex.Unlock()
+			return node.waitQueue.queue.Len()
 		}
-		if settings.uses(WaitForRoom) {
+		if settings.uses(QueueNewPrograms) {
 			g.Eventually(waits).WithTimeout(time.Minute).Should(Equal(1))
 		}
 		cancel()
