--- a/edge/adapter.go
+++ b/edge/adapter.go
@@ -8,24 +8,24 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Adapter is what a node needs of its platform. A package of its own
-// implements it for one platform; it translates and decides nothing.
+// Adapter connects a node with its platform. Each platform implements it in its own
+// package, which translates formats and makes no decisions.
 type Adapter struct {
 	Store      recordstore.Store
 	Translator Translator
 	Names      header.Names
-	// ReadyPath is where the platform asks whether the node is ready.
+	// ReadyPath is the path of the platform's readiness probe.
 	ReadyPath string
 }
 
-// Translator reads the values of the store's streams.
+// Translator decodes the values of the store's streams.
 type Translator interface {
-	// Configuration reads a record of the configuration's stream. It returns
-	// nil for a record that is no configuration.
+	// Configuration decodes a record of the configuration stream. It returns nil for a
+	// record that is not a configuration.
 	Configuration(key string, value []byte) (*routing.Table, error)
-	// Evacuation reads a record of the configuration's stream that tells whether a zone
-	// is evacuated. It returns false for a record that is something else.
+	// Evacuation decodes a record of the configuration stream that says whether a zone is
+	// evacuated. It returns ok == false for other records.
 	Evacuation(key string, value []byte) (name zone.Name, evacuated, ok bool)
-	// Replica reads a record of the replicas' stream.
+	// Replica decodes a record of the replica stream.
 	Replica(key string, value []byte) (replica.Entry, error)
 }
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -13,14 +13,14 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// maximumOffers bounds the replicas that one request is offered to.
+// maximumAttempts bounds the replicas that one request is sent to.
 const maximumAttempts = 6
 
-// hangSuspicion is from when on a request that had no answer counts against
-// its replica when its time is up.
+// suspectAfter is the minimum time that an attempt must have been unanswered for its
+// replica to be counted as timed out when the request's deadline passes.
 const suspectAfter = time.Second
 
-// resultOf tells an answer from one that tells of the replica's own fault.
+// resultForStatus tells an answer from an error of the replica itself.
 func resultForStatus(status int) replica.Result {
 	if status >= fasthttp.StatusInternalServerError {
 		return replica.ResultErred
@@ -28,8 +28,8 @@
 	return replica.ResultAnswered
 }
 
-// again settles where a request runs next whose run broke off: elsewhere, or,
-// once it has run on as many replicas as it may, on the same one.
+// retry decides where a request runs next after a run that broke off: on another replica,
+// or, once it has run on as many replicas as its route permits, on the same one.
 func (r *requestState) retry(entry replica.Entry, runs int) {
 	if runs < r.route.Attempts() {
 		r.excluded = append(r.excluded, entry.ID)
@@ -45,7 +45,7 @@
 	return err.Error()
 }
 
-// chooseReplica picks the next replica for the request and counts it there.
+// chooseReplica selects the next replica for the request and counts the request there.
 func (n *Node) chooseReplica(r *requestState, table *routing.Table) (replica.Entry, error) {
 	n.updateProgress(r)
 	request := n.selectionRequest(r)
@@ -65,7 +65,7 @@
 	return choice.Entry, nil
 }
 
-// choiceOf describes the request to the choice of a replica.
+// selectionRequest describes the request for the selection of a replica.
 func (n *Node) selectionRequest(r *requestState) *replica.Request {
 	return &replica.Request{
 		Service: r.service, Program: r.program, Prompt: r.prompt, Preferred: r.preferred, PreferredCached: r.preferredCached,
@@ -73,7 +73,7 @@
 	}
 }
 
-// reject notes that a replica did not run the request.
+// attemptRejected records that a replica did not run the request.
 func (n *Node) attemptRejected(r *requestState, entry replica.Entry, result replica.Result) {
 	n.replicas.ended(entry.ID, result)
 	n.refundColdGrant(r, entry.ID)
@@ -84,8 +84,8 @@
 	r.excluded = append(r.excluded, entry.ID)
 }
 
-// abandoned ends a request whose client has left or whose time is up. The
-// replica has been told by the closed connection.
+// endIfAbandoned ends a request whose client has left or whose deadline has passed, and
+// reports whether it did. The replica has already been notified by the closed connection.
 func (n *Node) endIfAbandoned(r *requestState, entry replica.Entry) bool {
 	if errors.Is(r.exchange.Cancel.Cause(), ingress.ErrClientGone) {
 		n.replicas.ended(entry.ID, replica.ResultCancelled)
@@ -104,7 +104,8 @@
 	return true
 }
 
-// refuse ends a request for which there is no replica (left).
+// failWithoutReplica ends a request for which no replica is (left) available. A nil error
+// means that every attempt was refused.
 func (n *Node) failWithoutReplica(r *requestState, err error, runs int) {
 	if err == nil {
 		err = errAllRefused
@@ -117,7 +118,7 @@
 	n.refuse(r, n.refusalFor(r, err), reason)
 }
 
-// refusalOf tells why there is no replica (left) for a request that has not run.
+// refusalFor returns why there is no replica for a request that has not run.
 func (n *Node) refusalFor(r *requestState, err error) dispatch.Refusal {
 	switch {
 	case errors.Is(err, replica.ErrEvacuated):
@@ -131,12 +132,13 @@
 	}
 }
 
-// notExecuted reports whether the answer promises that the request was not run.
+// notExecuted reports whether the answer guarantees that the request was not run.
 func (n *Node) notExecuted(response *upstream.Response) bool {
 	return response.Status() == fasthttp.StatusMisdirectedRequest || len(response.Header.Peek(n.adapter.Names.NotExecuted)) > 0
 }
 
-// sound reports whether the answer may be passed on: a success is signed.
+// mayRelay reports whether the answer may be relayed to the client: a successful one only
+// if it is signed.
 func (n *Node) mayRelay(response *upstream.Response) bool {
 	status := response.Status()
 	if status < fasthttp.StatusOK || status >= fasthttp.StatusMultipleChoices {
--- a/edge/call.go
+++ b/edge/call.go
@@ -12,25 +12,25 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// callRun is the run of one request whose answer is passed on whole, over as
-// many replicas as it takes. A request that may run more than once is sent again
-// when its answer is late; the first answer counts. One goroutine owns it.
+// callRun runs one request whose answer is relayed whole, on as many replicas as it takes.
+// A request that may run more than once is sent again (hedged) when its answer is late; the
+// first answer counts. callRun is used by one goroutine.
 type callRun struct {
 	node    *Node
 	request *requestState
 	table   *routing.Table
 
-	// flying are the attempts that have no result yet, the newest last.
+	// inFlight are the attempts without a result, the newest last.
 	inFlight []*callAttempt
 	results  chan callResult
-	// runs counts the attempts that may have run, and offers all of them.
+	// runs counts the attempts that may have run, attempts all of them.
 	runs     int
 	attempts int
-	// repeats counts the attempts that were sent beside another one.
+	// repeats counts the attempts that were sent while another one was in flight.
 	repeats int
 }
 
-// callAttempt is a call sent to one replica.
+// callAttempt is one attempt, at one replica.
 type callAttempt struct {
 	choice replica.Choice
 	sentAt time.Time
@@ -45,10 +45,10 @@
 	err      error
 }
 
-// maximumRepeats bounds how often one call is sent beside an attempt that is late.
+// maximumRepeats bounds how often a late call is sent again.
 const maximumRepeats = 2
 
-// serveCall serves a request whose answer is passed on whole.
+// serveCall serves a request whose answer is relayed whole.
 func (n *Node) serveCall(r *requestState, table *routing.Table) {
 	ctx, cancel := context.WithDeadline(n.ctx, r.deadline)
 	defer cancel()
@@ -82,14 +82,14 @@
 	}
 }
 
-// noteRuns tells whether a replica may have run the call.
+// recordRuns marks the request as run if a replica may have run it.
 func (c *callRun) recordRuns() {
 	if c.runs > 0 {
 		c.request.markRun()
 	}
 }
 
-// launch sends the call to the replica that is best now.
+// startAttempt sends the call to the currently best replica.
 func (c *callRun) startAttempt() error {
 	n, r := c.node, c.request
 	if c.attempts >= maximumAttempts || r.timeLeft() <= 0 {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// performCall sends a call and reads its whole answer.
+// performCall sends a call and reads the whole answer.
 func (n *Node) performCall(attempt *callAttempt, request *upstream.Request) callResult {
 	response, err := n.pool.Send(targetOf(attempt.choice.Entry), request, attempt.cancel)
 	result := callResult{attempt: attempt, response: response, err: err}
@@ -125,7 +125,7 @@
 	return result
 }
 
-// repeatable reports whether the call may be sent beside itself.
+// repeatable reports whether the call may be sent while an attempt is in flight.
 func (c *callRun) repeatable() bool {
 	return c.request.route.Repeatable() && c.node.settings.uses(RepeatLateCalls)
 }
@@ -146,8 +146,8 @@
 	}
 }
 
-// repeat sends the call once more beside those that are late: elsewhere, or,
-// once it is on as many replicas as it may be, to the same one.
+// repeatLate sends a late call once more: to another replica, or, once it is on as many
+// replicas as its route permits, to the same one.
 func (c *callRun) repeatLate() {
 	c.repeats++
 	r := c.request
@@ -164,7 +164,7 @@
 	}
 }
 
-// late returns what the decision to send the call again rests on.
+// lateCall returns the inputs of the decision to repeat the call.
 func (c *callRun) lateCall() *dispatch.LateCall {
 	lateCall := &dispatch.LateCall{Left: c.request.timeLeft()}
 	if c.node.settings.uses(RepeatWithCapacity) {
@@ -174,7 +174,7 @@
 	return lateCall
 }
 
-// take takes a result in. It reports whether the request is over.
+// handleResult handles the end of an attempt. It reports whether the request is over.
 func (c *callRun) handleResult(result callResult) (over bool) {
 	n, r := c.node, c.request
 	c.removeInFlight(result.attempt)
@@ -198,7 +198,7 @@
 	return c.attemptFailed(result)
 }
 
-// notRun takes in that an attempt certainly did not run.
+// attemptNotRun handles an attempt that certainly did not run.
 func (c *callRun) attemptNotRun(attempt *callAttempt, result replica.Result) (over bool) {
 	n, r := c.node, c.request
 	c.runs--
@@ -215,7 +215,7 @@
 	return false
 }
 
-// brokeOff takes in that an attempt that may have run has no whole answer.
+// attemptFailed handles an attempt that may have run but has no complete answer.
 func (c *callRun) attemptFailed(result callResult) (over bool) {
 	n, r := c.node, c.request
 	entry := result.attempt.choice.Entry
@@ -235,7 +235,7 @@
 	return false
 }
 
-// land takes an attempt that has ended off those that fly.
+// removeInFlight removes an attempt that has ended from those in flight.
 func (c *callRun) removeInFlight(attempt *callAttempt) {
 	for index, inFlight := range c.inFlight {
 		if inFlight == attempt {
@@ -245,8 +245,8 @@
 	}
 }
 
-// abandonRest ends the attempts that nobody waits for any more. Their replicas
-// are told by the closed connections.
+// cancelInFlight cancels the attempts whose result is no longer needed. Their replicas
+// notice the closed connections.
 func (c *callRun) cancelInFlight() {
 	left := c.request.exchange.Cancel.Cause() != nil
 	for _, attempt := range c.inFlight {
--- a/edge/calls.go
+++ b/edge/calls.go
@@ -12,28 +12,29 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// calls guards what this node has learnt of the times of calls, and bounds how
-// many of them are sent again.
+// callStats holds the latency estimates of calls and the budget that bounds how many of
+// them are sent again. It is safe for concurrent use.
 type callStats struct {
 	mutex     sync.Mutex
 	latencies *replica.LatencyTracker
 	budget    *retry.Budget
 }
 
-// Calls that are sent beside a late one are bounded by those that were answered.
+// The budget of repeats: late calls may be repeated in proportion to the answered ones.
 const (
 	repeatsPerAnswer = 0.1
 	repeatCapacity   = 10
 )
 
-// lateUnknown is the share of a route's time after which a call is late while
-// nothing is known of the route's times and the operator names no objective.
+// defaultLateDivisor is the divisor of a route's timeout that gives the time after which a
+// call is late, as long as there are no latency estimates and the operator has set no
+// objective.
 const defaultLateDivisor = 4
 
-// errOffered says that a request was offered to as many replicas as it may be.
+// errAllRefused says that the maximum number of replicas refused a request.
 var errAllRefused = errors.New("every replica refused the request")
 
-// errOvertaken says that another attempt of the same request was answered first.
+// errSuperseded says that another attempt of the same request was answered first.
 var errSuperseded = errors.New("another attempt was answered first")
 
 func newCallStats() (*callStats, error) {
@@ -44,7 +45,7 @@
 	return &callStats{latencies: replica.NewLatencyTracker(), budget: budget}, nil
 }
 
-// answered takes in how long a call took that was answered.
+// observeAnswer records the duration of an answered call.
 func (c *callStats) observeAnswer(route *routing.Route, took time.Duration, status int) {
 	if status >= fasthttp.StatusInternalServerError {
 		return
@@ -57,15 +58,14 @@
 	}
 }
 
-// mayRepeat reports whether one more call may be sent beside a late one, and
-// counts it.
+// mayRepeat takes one repeat from the budget, and reports whether there was one left.
 func (c *callStats) mayRepeat() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.budget.Withdraw()
 }
 
-// usual returns what a call of the route takes as a rule; 0 where that is not known.
+// typicalDuration returns the median duration of the route's calls, or 0 if unknown.
 func (c *callStats) typicalDuration(route *routing.Route) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/edge/doc.go
+++ b/edge/doc.go
@@ -1,22 +1,23 @@
-// Package edge is a node that serves the clients of agent programs in front of
-// replicas, with all lasting state in the platform's store.
+// Package edge implements a node, which serves the clients of agent programs in front of
+// the replicas. All durable state is in the platform's store.
 //
-// Any node takes any request and sends it to a replica itself; a stream passes
-// through that node alone. From the owner of the program's partition it needs
-// one small answer per turn: whether the budget holds the turn, and, on routes
-// whose turns are kept, what the engine has to read before the new input.
+// Any node accepts any request and forwards it to a replica itself; a stream passes through
+// that node only. Per turn it makes one small call to the owner of the program's partition,
+// which decides whether the budget permits the turn and, on routes that store turns,
+// returns the input that the engine has to read before the new one.
 //
-// A Node runs these goroutines besides those of its connections:
+// Besides the goroutines of its connections, a Node runs the following:
 //
-//   - control drives the coordinator.Core, alone (control.go);
-//   - followers read the configuration, the replicas and the nodes from the
-//     store (follow.go, replicalist.go, directory.go), in a large fleet from
-//     other nodes (role.go, reader.go, relay.go), or from a peer while this
-//     node alone is cut off (peerstate.go);
-//   - one per takeover and append under way speaks to the store (ledgers.go);
+//   - control runs the coordinator.Core, on one goroutine (control.go);
+//   - followers read the configuration, the replicas and the nodes from the store
+//     (follow.go, replicalist.go, directory.go), in a large fleet from other nodes
+//     (role.go, reader.go, relay.go), or from a peer while only this node is partitioned
+//     off (peerstate.go);
+//   - each takeover and append in progress calls the store on its own goroutine
+//     (ledgers.go, takeover.go);
 //   - the servers of clients, peers and readiness.
 //
-// The handling of one request starts in handle.go: call.go serves requests
-// whose answer is whole, turn.go and run.go streams, and attempt.go holds what
-// both need of one attempt. mechanisms.go names what can be switched off.
+// The handling of a request starts in handle.go: call.go serves requests whose answer is
+// relayed whole, turn.go and run.go serve streams, and attempt.go has what both need for
+// one attempt. mechanisms.go lists what can be switched off.
 package edge
--- a/edge/handle.go
+++ b/edge/handle.go
@@ -17,18 +17,18 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// Times of the answers of this node's own.
+// Delays of answers that this node produces itself.
 const (
-	// comeBackSoon follows a state that lasts some hundred milliseconds.
+	// retrySoon follows a condition that lasts some hundred milliseconds.
 	retrySoon = 150 * time.Millisecond
-	// comeBackAfterOutage follows one that lasts seconds: a program that is
-	// refused a few times in a row gives up.
+	// retryAfterOutage follows a condition that lasts seconds. A shorter delay would use up
+	// the retries of a program, which gives up after a few refusals in a row.
 	retryAfterOutage = 1200 * time.Millisecond
-	// writeSlack is how long after its deadline an answer may still be written.
+	// writeSlack is how long after the request's deadline its answer may still be written.
 	writeSlack = 300 * time.Millisecond
 )
 
-// handle serves one request of a client.
+// handle serves one client request.
 func (n *Node) handle(exchange *ingress.Exchange) {
 	request := &requestState{exchange: exchange}
 	defer n.endRequest(request)
@@ -69,7 +69,7 @@
 	n.serveCall(request, table)
 }
 
-// endRequest takes in how a request ended.
+// endRequest records the outcome of a request.
 func (n *Node) endRequest(r *requestState) {
 	if r.status == fasthttp.StatusOK && r.kind() == routing.KindStream {
 		now := time.Now()
@@ -79,7 +79,8 @@
 	n.logOutcome(r)
 }
 
-// read takes the request's fields in, or says what is wrong with them.
+// readFields parses the header fields of the request and returns a description of the first
+// invalid one, or "".
 func (n *Node) readFields(r *requestState) (problem string) {
 	names := n.adapter.Names
 	if r.id == "" {
@@ -100,7 +101,7 @@
 	return n.readTurnFields(r)
 }
 
-// readTurn takes in the fields of a turn.
+// readTurnFields parses the header fields of a turn.
 func (n *Node) readTurnFields(r *requestState) (problem string) {
 	names := n.adapter.Names
 	var err error
@@ -125,8 +126,8 @@
 	return ""
 }
 
-// readHints takes in what the client says of the turn's length and of its program's
-// end. Both are estimates: a turn with one that is not of its form is served without.
+// readHints parses the client's estimates of the turn's length and the program's end. Since
+// they are only estimates, a turn with an invalid one is served without it.
 func (n *Node) readHints(r *requestState) {
 	names := n.adapter.Names
 	if value := r.exchange.Field(names.Finish); value != "" {
@@ -143,7 +144,7 @@
 	}
 }
 
-// noteHint writes that a hint is passed over, if it is not of its form.
+// logInvalidHint logs that an invalid hint is ignored. It does nothing if err is nil.
 func (n *Node) logInvalidHint(r *requestState, field string, err error) {
 	if err == nil {
 		return
@@ -151,7 +152,7 @@
 	n.logger.Warn().Str("request", r.id).Str("field", field).Err(err).Msg("request: hint passed over")
 }
 
-// outgoing builds the request that a replica gets.
+// replicaRequest builds the request that is sent to a replica.
 func (n *Node) replicaRequest(r *requestState, entry replica.Entry, body []byte, lastEvent string) *upstream.Request {
 	names := n.adapter.Names
 	without := n.strippedFields
@@ -176,8 +177,9 @@
 	}
 }
 
-// withheldFields returns the fields of clients that no replica gets: what only the
-// system sets, and what concerns the client and the system alone.
+// fieldsToStrip returns the client's header fields that are not forwarded to replicas:
+// those that only the system may set, and those that concern only the client and the
+// system.
 func fieldsToStrip(names header.Names) []string {
 	return append([]string{names.Deadline, names.ExpectReplica, names.Urgency, names.Key, names.Tenant}, names.Reserved...)
 }
@@ -189,8 +191,8 @@
 	return append(fields, "\r\n"...)
 }
 
-// perNode bounds this node's connections to one replica: its share of what
-// the replica accepts from all nodes.
+// maxPerNode returns the limit on this node's connections to one replica: its share of the
+// connections that the replica accepts from all nodes.
 func (n *Node) maxPerNode(table *routing.Table, service string) int {
 	limit := table.Services[service].MaxConnections
 	if limit <= 0 {
@@ -200,6 +202,7 @@
 	return max(1, limit*connectionSharePercent/100/nodes)
 }
 
-// connectionShare is the part of a replica's connections that is used, in
-// hundredths: the nodes' views of their number differ for a while.
+// connectionSharePercent is the part of a replica's connections that the nodes use, in
+// percent. The rest is a margin, because the nodes' views of how many of them are live
+// differ for a while.
 const connectionSharePercent = 85
--- a/edge/node.go
+++ b/edge/node.go
@@ -27,8 +27,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("edge")
 
-// Node is one node of the system. New builds it, Start has it serve, and Stop
-// ends it without cutting a request.
+// Node is one node of the system. New creates it, Start makes it serve, and Stop ends it
+// without cutting off requests.
 type Node struct {
 	settings Settings
 	adapter  Adapter
@@ -37,7 +37,7 @@
 
 	routes routing.LatestTable
 	config latestConfiguration
-	// evacuations is what this node knows of evacuated zones.
+	// evacuations is what this node knows about evacuated zones.
 	evacuations   evacuations
 	replicas      *replicas
 	pool          *upstream.Pool
@@ -45,66 +45,67 @@
 	turnEstimates *turnEstimates
 	shares        *shares
 	chains        *chains
-	// takeovers are those under way here.
+	// takeovers are the takeovers in progress at this node.
 	takeovers *takeovers
-	// space is what the partitions take in the store.
+	// space tracks how much the partitions occupy in the store.
 	space   *space
 	clients *ingress.Server
 	control *control
 	peers   *peers
 	metrics *Metrics
-	// waiting are the requests that wait for room.
+	// waitQueue holds the requests that wait for capacity.
 	waitQueue *waitQueue
-	// standings know how much longer programs take.
+	// scheduling holds the remaining-time estimates of programs.
 	scheduling *scheduling
-	// returns spreads the times at which refused callers come back.
+	// refusals spreads the times at which refused callers retry.
 	refusals refusals
-	// coldOffers counts the offers to cold replicas, for their ids.
+	// coldOffers numbers the charges for cold replicas, to give them unique ids.
 	coldOffers atomic.Uint64
-	// withheld are the fields of clients that no replica gets.
+	// strippedFields are the header fields of clients that are not forwarded to replicas.
 	strippedFields []string
 
-	// randomMutex guards random, which draws for traffic, and patience, which
-	// bounds the appends.
+	// randomMutex guards random, used for request handling, and adaptiveAppendTimeout,
+	// which bounds each try of an append.
 	randomMutex           sync.Mutex
 	random                *rand.Rand
 	adaptiveAppendTimeout retry.AdaptiveTimeout
 
 	store          storeContact
 	freshnessProof *freshnessProof
-	// listedAt is when the list of replicas was last that of the store, in
+	// replicasAsOf is when the list of replicas was last equal to that of the store, in
 	// nanoseconds since started.
 	started      time.Time
 	replicasAsOf atomic.Int64
 	stopping     atomic.Bool
-	// The streams that were read whole.
+	// syncedConfiguration and syncedReplicas say that the stream was read completely.
 	syncedConfiguration atomic.Bool
 	syncedReplicas      atomic.Bool
-	// roles are what nodes do for others in a large fleet.
+	// roles are the tasks that nodes perform for others in a large fleet.
 	roles atomic.Pointer[coordinator.Roles]
-	// following is set while this node follows another one, and relayedAt is when that
-	// one answered last, in nanoseconds since started.
+	// following is set while this node follows another one, and readerAnsweredAt is when
+	// that node answered last, in nanoseconds since started.
 	following        atomic.Bool
 	readerAnsweredAt atomic.Int64
-	// holdsAll says that this node holds all replicas that the store lists, and not a
-	// part of them.
+	// holdsAllReplicas says that this node holds all replicas that the store lists, rather
+	// than a part of them.
 	holdsAllReplicas atomic.Bool
-	// unproven counts the reads in a row that brought no proof in time.
+	// readsWithoutProof counts the consecutive reads of the configuration that did not
+	// yield a freshness proof in time.
 	readsWithoutProof atomic.Int64
-	// unusable are the entries of the list that name no replica to use.
+	// unusable are the entries of the list of replicas that are invalid.
 	unusable unusableEntries
-	// listed is closed once this node has the list of nodes.
+	// nodeListKnown is closed once this node has the list of nodes.
 	nodeListKnown chan struct{}
 	nodeListOnce  sync.Once
-	// watching ends the read by which a follower notes that the store is reached; nil
-	// while there is none.
+	// cancelWatch cancels the read by which a follower checks that the store can be
+	// reached; nil while there is none.
 	cancelWatch atomic.Pointer[context.CancelFunc]
-	// askedReader is the reader whose first answer is waited for; nil while none is.
+	// pendingReader is the reader whose first answer is awaited; nil while there is none.
 	pendingReader atomic.Pointer[pendingReader]
-	// liveNodes is how many nodes are live, this one included.
+	// liveNodes is the number of live nodes, including this one.
 	liveNodes atomic.Int32
-	// isolatedSince is since when the node has reached neither the store nor most of
-	// the zones it knows; nil while it does.
+	// isolatedSince is since when the node has reached neither the store nor most of the
+	// zones it knows; nil while it reaches them.
 	isolatedSince atomic.Pointer[time.Time]
 
 	ctx    context.Context
@@ -112,17 +113,17 @@
 	failed chan error
 }
 
-// A node's memory is dear and its heap small, so that the collector costs little.
+// The garbage collector trades memory for processor time: a node has little memory and a
+// small heap, so collecting often costs little.
 const (
-	// memoryShare is the share of the memory bound that the heap may take before
-	// the collector works harder.
+	// heapLimitShare is the soft memory limit as a share of Settings.MemoryBytes.
 	heapLimitShare = 0.7
-	// heapGrowth is how much the heap may grow before a collection, in
-	// hundredths of what the last one left.
+	// gcPercent is how much the heap may grow before the next collection, in percent of
+	// what the last one left.
 	gcPercent = 25
 )
 
-// New builds a node. It opens nothing yet.
+// New creates a node. It opens no sockets yet.
 func New(settings Settings, adapter Adapter, logger *log.Logger) (*Node, error) {
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * heapLimitShare))
@@ -180,7 +181,7 @@
 	return node, nil
 }
 
-// The clients' connections get half of the memory at most.
+// The clients' connections may take up to half of the memory.
 const (
 	connectionBytes           = 48 << 10
 	connectionMemoryDivisor   = 2
@@ -194,19 +195,19 @@
 	return int(settings.MemoryBytes / connectionMemoryDivisor / connectionBytes)
 }
 
-// Programs may use a part of their budgets before the log knows of them, so that
-// they can begin and end while the store takes no records.
+// Programs may use a part of their budgets before the log has a record of them, so that
+// they can begin and end while the store accepts no records.
 const (
 	unrecordedShare = 1.0 / 3
-	// againShare is what is left where an owner follows a lost one, of budgets from
-	// againBudget on: ten turns of the users' deployments at their most. Two losses in
-	// a row leave five twelfths of such a budget.
+	// afterFailureShare is the share that remains if the previous owner failed, for budgets
+	// of at least afterFailureMinBudget tokens: the maximum of ten turns in the users'
+	// deployments. Two failures in a row leave five twelfths of such a budget.
 	afterFailureShare     = 1.0 / 4
 	afterFailureMinBudget = 6000
 	ownershipProofTTL     = 8 * time.Second
 )
 
-// coreConfig returns the core's settings, within what the store takes.
+// coreConfig returns the configuration of the coordinator, within the limits of the store.
 func coreConfig(settings Settings, self machine.Machine, random *rand.Rand) coordinator.Config {
 	config := coordinator.DefaultConfig(self, settings.Partitions, random)
 	if settings.uses(BeginUnrecorded) {
@@ -241,8 +242,7 @@
 	return config
 }
 
-// limits returns the limits in force, or those used before any configuration
-// is known.
+// limits returns the limits in force, or defaults before any configuration is known.
 func (n *Node) limits() routing.Limits {
 	if table := n.routes.Current(); table != nil {
 		return table.Limits
@@ -250,7 +250,7 @@
 	return routing.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 }
 
-// draw returns a uniform number from 0 to 1.
+// draw returns a uniformly distributed random number in [0, 1).
 func (n *Node) draw() float64 {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
@@ -289,7 +289,7 @@
 	return nil
 }
 
-// serve runs a server until its listener closes.
+// serve runs a server until its listener is closed.
 func (n *Node) serve(name string, serve func() error) {
 	go func() {
 		if err := serve(); err != nil && !n.stopping.Load() {
@@ -298,25 +298,25 @@
 	}()
 }
 
-// run starts a goroutine that ends with the node.
+// run starts a goroutine whose context ends with the node.
 func (n *Node) run(loop func(ctx context.Context)) {
 	go loop(n.ctx)
 }
 
-// Failed yields the error of a server that ended by itself.
+// Failed returns a channel that yields the error of a server that ended unexpectedly.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// The steps of a planned stop, from its beginning.
+// The steps of a planned stop, measured from its beginning.
 const (
-	// unlistedAfter is when the platform has noticed that the node is not
-	// ready any more and sends no new connections.
+	// readinessPropagation is how long the platform takes to notice that the node is not
+	// ready and to stop sending new connections.
 	readinessPropagation = 3 * time.Second
-	// killSlack is how long before the kill the process ends.
+	// exitMargin is how long before the kill the process exits.
 	exitMargin = 700 * time.Millisecond
 )
 
-// Stop ends the node: it is no longer ready, gives its partitions up, closes
-// connections as their answers end, and waits for those under way.
+// Stop ends the node: it reports that it is not ready, releases its partitions, closes
+// connections as their answers end, and waits for the requests in progress.
 func (n *Node) Stop() {
 	begun := time.Now()
 	if n.stopping.Swap(true) {
@@ -334,7 +334,7 @@
 	n.logger.Info().Bool("cut", err != nil).Dur("took", time.Since(begun)).Msg("edge: stopped")
 }
 
-// Kill ends the node at once, as the loss of its process does.
+// Kill ends the node at once, like a crash of its process.
 func (n *Node) Kill() {
 	n.stopping.Store(true)
 	n.cancel()
--- a/edge/request.go
+++ b/edge/request.go
@@ -17,7 +17,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// requestState is one client request while this node handles it.
+// requestState is the state of one client request while this node handles it.
 type requestState struct {
 	exchange *ingress.Exchange
 	id       string
@@ -26,85 +26,85 @@
 	service  string
 	deadline time.Time
 	prompt   []replica.Part
-	// tenant is whose key the client showed; nil where none is needed.
+	// tenant is the tenant that the client's key identifies; nil where no key is needed.
 	tenant *tenant.Tenant
-	// scope is whose the ids of the request are.
+	// scope is the namespace of the request's ids.
 	scope tenant.Scope
-	// proofAge is how long ago what this node knows of keys was proven to be the
-	// newest, when the key was looked up.
+	// proofAge is the age of this node's freshness proof of the keys at the time the key
+	// was looked up.
 	proofAge time.Duration
-	// homes bounds where the request may be served and its data may be.
+	// constraint limits the zones in which the request may be served and its data stored.
 	constraint zone.Constraint
-	// charge is how the request counts to its tenant's limit; nil where there is
+	// charge is how the request counts towards its tenant's rate limit; nil where there is
 	// none.
 	charge *charge
-	// coldGrant is how the last offer to a cold replica counts to its rate; nil where
-	// there was none.
+	// coldGrant is the grant for the last attempt at a cold replica, which counts towards
+	// that replica's rate; nil where there is none.
 	coldGrant *coordinator.Charge
 
-	// The fields below follow the handling, for the log.
+	// The fields below record the handling, for the log.
 	choice   replica.Choice
 	attempts int
-	// repeats counts the attempts that were sent beside a late one.
+	// repeats counts the hedged attempts, sent while a late one was in flight.
 	repeats int
-	// beside says that an attempt is under way while the next is chosen.
+	// attemptInFlight says that an attempt is in flight while the next replica is selected.
 	attemptInFlight bool
 	// sentAt is when the last attempt began.
 	sentAt   time.Time
 	excluded []replica.ID
-	// only is the one replica that may run the request again.
+	// onlyReplica is the one replica that may run the request again; empty if any may.
 	onlyReplica      replica.ID
 	status           int
 	reason           string
 	timeToFirstEvent time.Duration
-	// waited is how long the request waited here for room.
+	// queuedFor is how long the request was queued at this node.
 	queuedFor time.Duration
-	// cause and comeBack are why the request was turned away and what its caller was
-	// told.
+	// cause is why the request was refused, and retryAfter the delay that its caller was
+	// given.
 	cause      string
 	retryAfter time.Duration
 
-	// The fields below belong to turns of programs. The ids are as the client names
-	// them: replicas and logs get them so. Owners and caches get those of turnID,
-	// programID and previousID.
+	// The fields below belong to turns of programs. The ids are those of the client, which
+	// replicas and logs use; owners and caches use turnID, programID and previousID
+	// instead.
 	program   string
 	session   string
 	previous  string
 	maxTokens int
 	budget    int
-	// expected is the client's guess at the tokens that come out; 0 where it makes none.
+	// lengthHint is the client's estimate of the output tokens; 0 if there is none.
 	lengthHint int
-	// finish is when the program is to be over; zero where the client does not say.
+	// finishBy is when the program has to be finished; zero if the client does not say.
 	finishBy time.Time
-	// need is how much longer the program takes as a rule, and urgency the rank that
-	// engines get with the turn.
+	// expectedRemaining is the typical remaining time of the program, and urgency the rank
+	// that engines get with the turn.
 	expectedRemaining time.Duration
 	urgency           int
-	// stand is how the program stands against it, and haste how the turn takes the fast
-	// replicas by that.
+	// progress compares the program's progress with its finish time, and speedBias is the
+	// resulting preference for fast replicas.
 	progress  dispatch.Progress
 	speedBias int
 	partition int
 	owner     string
 	admission ledger.Admission
 	preferred replica.ID
-	// preferredKept is how many tokens of the line of turns the preferred replica has
-	// in its memory; 0 where that is not known.
+	// preferredCached is how many tokens of the session the preferred replica has in its KV
+	// cache; 0 if unknown.
 	preferredCached int
 	tokens          int
 }
 
-// turnID is what all nodes know the turn by.
+// turnID returns the id of the turn that is unique among all tenants.
 func (r *requestState) turnID() string { return r.scope.Qualify(r.id) }
 
-// programID is what all nodes know the turn's program by.
+// programID returns the id of the turn's program that is unique among all tenants.
 func (r *requestState) programID() string { return r.scope.Qualify(r.program) }
 
-// previousID is what all nodes know the kept turn by that this one goes on from, or "".
+// previousID returns the unique id of the stored turn that this one continues, or "".
 func (r *requestState) previousID() string { return r.scope.Qualify(r.previous) }
 
-// formerID is what the previous turn is known by if it was kept before ids had a
-// scope, or "".
+// unscopedPreviousID returns the id under which the previous turn was stored if that
+// happened before ids had a scope, or "".
 func (r *requestState) unscopedPreviousID() string { return r.scope.Unscoped(r.previous) }
 
 func (r *requestState) kind() routing.Kind {
@@ -121,7 +121,8 @@
 	return r.route.Name
 }
 
-// priority ranks the request: its tenant's rank goes before its route's.
+// priority returns the rank of the request. A tenant's priority overrides that of the
+// route.
 func (r *requestState) priority() int {
 	if r.tenant != nil {
 		return r.tenant.Priority
@@ -136,23 +137,23 @@
 	r.exchange.Fail(status, reason, wait)
 }
 
-// giveUp ends the exchange without an answer.
+// abort breaks the exchange off without completing an answer.
 func (r *requestState) abort(reason string) {
 	r.status = 0
 	r.reason = reason
 	r.exchange.Break()
 }
 
-// left is the time until the request's deadline.
+// timeLeft returns the time until the request's deadline.
 func (r *requestState) timeLeft() time.Duration { return time.Until(r.deadline) }
 
-// errField says that a field's value is not of its form.
+// errField reports a header field that is not a valid number.
 var errField = errors.New("not a number that is at least zero")
 
-// maximumMilliseconds bounds a time that a client names.
+// maximumMilliseconds bounds a duration that a client sets (one day).
 const maximumMilliseconds = 24 * 60 * 60 * 1000
 
-// parseMilliseconds reads a time; fractions are allowed.
+// parseMilliseconds parses a duration in milliseconds, which may have a fraction.
 func parseMilliseconds(value string) (time.Duration, error) {
 	number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(number) || number < 0 {
@@ -161,7 +162,8 @@
 	return time.Duration(min(number, maximumMilliseconds) * float64(time.Millisecond)), nil
 }
 
-// parseTimeLeft reads how much time is left of something, which may be over.
+// parseTimeLeft parses a remaining time in milliseconds; it is negative if the time is
+// over.
 func parseTimeLeft(value string) (time.Duration, error) {
 	value = strings.TrimSpace(value)
 	text, over := strings.CutPrefix(value, "-")
@@ -172,7 +174,7 @@
 	return left, err
 }
 
-// parseCount reads a whole number that is at least zero.
+// parseCount parses an integer that is at least zero.
 func parseCount(value string) (int, error) {
 	number, err := strconv.Atoi(strings.TrimSpace(value))
 	if err != nil || number < 0 {
@@ -181,7 +183,8 @@
 	return number, nil
 }
 
-// parseTokenCounts reads the tokens of the prompt and the most that come out.
+// parseTokenCounts parses the number of prompt tokens and the maximum number of output
+// tokens.
 func parseTokenCounts(value string) (prompt, maxTokens int, err error) {
 	first, second, found := strings.Cut(value, ",")
 	if !found {
@@ -194,10 +197,10 @@
 	return prompt, maxTokens, err
 }
 
-// errPrompt says that a list of prompt parts is not of its form.
+// errPrompt reports an invalid list of prompt parts.
 var errPrompt = errors.New("want a list of ID:TOKENS")
 
-// parsePrompt reads the parts of a prompt.
+// parsePrompt parses the parts of a prompt.
 func parsePrompt(value string) ([]replica.Part, error) {
 	if strings.TrimSpace(value) == "" {
 		return nil, nil
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -7,55 +7,55 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Settings are what a node is told at its start. They come from an adapter.
+// Settings are the parameters of a node that are fixed at its start. An adapter provides
+// them.
 type Settings struct {
-	// Node names the node, and Zone the place it is in.
+	// Node names the node, and Zone the zone that it runs in.
 	Node string
 	Zone string
-	// Regions tells the regions of zones; empty where they are not known.
+	// Regions maps zones to regions; empty if unknown.
 	Regions zone.Topology
-	// LeaveWithin is within what time no requests are sent to a zone that is
-	// evacuated; with 0 all leave at once.
+	// LeaveWithin is how long after the evacuation of a zone began the last requests may be
+	// sent there; 0 moves all of them at once.
 	LeaveWithin time.Duration
-	// Clients, Readiness and Peers are the "ip:port" that the node listens on.
+	// Clients, Readiness and Peers are the "ip:port" addresses that the node listens on.
 	Clients   string
 	Readiness string
 	Peers     string
-	// Metrics is "port/path" of the metrics on the node's address, or "".
+	// Metrics is "port/path" of the metrics endpoint on the node's address, or "".
 	Metrics string
-	// Seeds are addresses of peers, which may be stale.
+	// Seeds are addresses of peers, some of which may be outdated.
 	Seeds []string
 	// Store is the address of the platform's store.
 	Store string
-	// Partitions is how many partitions programs are dealt to.
+	// Partitions is the number of partitions that programs are distributed over.
 	Partitions int
-	// RecordBytes and AppendBytes bound one record and one append.
+	// RecordBytes and AppendBytes are the maximum sizes of a record and of an append.
 	RecordBytes int
 	AppendBytes int
-	// MemoryBytes bounds the process's memory.
+	// MemoryBytes is the memory limit of the process; 0 if there is none.
 	MemoryBytes int64
-	// Cores is the node's share of processors, and LinkMegabits what its link
-	// carries in a second; 0 where that is not known.
+	// Cores is the node's share of processors, and LinkMegabits the capacity of its link in
+	// Mbit/s; 0 if unknown.
 	Cores        float64
 	LinkMegabits float64
-	// RelayAbove is the product of nodes and replicas from which on nodes follow
-	// the replicas through others; 0 takes a sound one.
+	// RelayAbove is the product of nodes and replicas from which on nodes follow the
+	// replicas through others; 0 selects the default.
 	RelayAbove int
-	// KeyLease is within what time a key that the operator took away works nowhere;
-	// 0 takes a sound one. A node that has had no proof for as long that what it
-	// knows of keys is the newest honours none.
+	// KeyLease is the time within which a key that the operator removed stops working on
+	// all nodes; 0 selects the default. A node accepts no keys once its last proof that its
+	// list of keys was the newest is that old.
 	KeyLease time.Duration
-	// Quota tells how the limits of tenants are judged; its zero value takes a
-	// sound one.
+	// Quota configures how tenants' rate limits are enforced; the zero value selects the
+	// default.
 	Quota tenant.Config
-	// ColdReplicas tells how what cold replicas get is judged; its zero value takes a
-	// sound one.
+	// ColdReplicas configures how the rates of cold replicas are enforced; the zero value
+	// selects the default.
 	ColdReplicas tenant.Config
-	// Without lists the mechanisms that are switched off.
+	// Disabled lists the mechanisms that are switched off.
 	Without []Mechanism
-	// Grace is the time between the request to stop and the kill.
+	// Grace is the time between the stop signal and the kill.
 	Grace time.Duration
-	// LogLinesDropped returns how many lines of the log were dropped; nil
-	// where that is not counted.
+	// LogLinesDropped returns how many log lines were dropped; nil if that is not counted.
 	LogLinesDropped func() uint64
 }
