--- a/edge/appending.go
+++ b/edge/appending.go
@@ -10,13 +10,14 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// errNoAnswerYet says that a try of a call has not been answered in its time.
+// errNoAnswerYet says that a try was not answered within its timeout. Its answer may still
+// arrive.
 var errNoAnswerYet = errors.New("the store has not answered yet")
 
-// appending is an append that is repeated until the store answers. Tries that were not
-// answered in their time go on beside the next one, and the first answer counts: the store
-// takes a repeated append once and gives it the answer of the first, so that one which is
-// slow need not be asked for anew.
+// appendCall is an append that is repeated until the store answers. Tries that time out
+// continue concurrently with the next one, and the first answer counts: the store applies a
+// repeated append once and gives it the answer of the first, so that a slow one need not be
+// repeated in vain.
 type appendCall struct {
 	node      *Node
 	partition int
@@ -25,8 +26,8 @@
 	answers   chan error
 }
 
-// newAppending returns an append of records under an epoch. A batch without records renews
-// the record of the owner, so that the store checks the epoch.
+// newAppendCall returns an append of records under an epoch. An empty batch rewrites the
+// owner record, so that the store checks the epoch.
 func (n *Node) newAppendCall(partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record) *appendCall {
 	records := make([]recordstore.Record, 0, len(batch)+1)
 	if len(batch) == 0 {
@@ -40,8 +41,8 @@
 	}
 }
 
-// try sends the append once more, and waits for any answer for so long, or until the store
-// answers again after an outage in which the append was sent.
+// try sends the append once more, and waits for an answer to any try until the timeout, or
+// until the store answers again after an outage during which the append was sent.
 func (a *appendCall) try(ctx context.Context, timeout time.Duration, regained <-chan struct{}) error {
 	maximum := timeout
 	if a.node.settings.uses(AwaitLateAppends) {
@@ -51,8 +52,8 @@
 	return a.await(ctx, timeout, regained)
 }
 
-// send makes one call to the store. That the store answered is noted once the answer was
-// handed over, so that the append is not sent again for it.
+// send makes one call to the store. It records the answer with recordStoreCall only after
+// handing it over, so that the end of an outage does not cause the append to be sent again.
 func (a *appendCall) send(ctx context.Context, timeout time.Duration) {
 	begun := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
@@ -68,7 +69,7 @@
 	a.node.recordStoreCall(err)
 }
 
-// await waits for an answer of any try, or until the store is regained.
+// await waits for the answer to any try, or until the store answers again after an outage.
 func (a *appendCall) await(ctx context.Context, timeout time.Duration, regained <-chan struct{}) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -84,7 +85,7 @@
 	}
 }
 
-// answered reports whether a try's outcome ends the append.
+// conclusive reports whether the outcome of a try ends the append.
 func conclusive(err error) bool {
 	var fenced *recordstore.FencedError
 	return err == nil || errors.As(err, &fenced)
--- a/edge/chains.go
+++ b/edge/chains.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// chains are those of turns that this node served lately, as the owners keep
-// them. A line of turns mostly goes on at the node that served its last turn,
-// which then needs not be sent the chain. It is safe for concurrent use.
+// chains caches the chains of turns that this node served recently, in the form in which
+// the owners keep them. A session usually continues at the node that served its last turn,
+// so that the owner need not send the chain. It is safe for concurrent use.
 type chains struct {
 	enabled bool
 
 	mutex sync.Mutex
 	byID  map[string]keptChain
-	// order names the chains from the oldest on, and bytes is their size.
+	// order has the ids of the turns from the oldest on, and bytes is the total size of the
+	// chains.
 	order []string
 	bytes int
 }
@@ -23,8 +24,8 @@
 	at    time.Time
 }
 
-// The chains that a node keeps: those of the pauses that people and tools make,
-// within little memory.
+// Bounds of the cache: it covers the pauses of people and tools between turns, with little
+// memory.
 const (
 	chainsFor   = 8 * time.Second
 	chainsBytes = 512 << 10
@@ -34,7 +35,8 @@
 	return &chains{enabled: enabled, byID: make(map[string]keptChain)}
 }
 
-// put keeps the chain that the next turn after the given one reads.
+// put caches the chain that an engine has to read before a turn that continues the given
+// one.
 func (c *chains) put(now time.Time, turn string, chain []byte) {
 	if !c.enabled || len(chain) > chainsBytes {
 		return
@@ -52,7 +54,7 @@
 	}
 }
 
-// get returns the chain of a turn, if it is kept here.
+// get returns the chain of a turn if it is cached.
 func (c *chains) get(now time.Time, turn string) ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/edge/charge.go
+++ b/edge/charge.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// chargePatience is how long a request waits for the node that counts for its
-	// tenant: until the loss of a node is noticed and another one counts.
+	// chargeTimeout is how long a request waits for its tenant's counting node: long enough
+	// for the failure of a node to be detected and another one to take over the counting.
 	chargeTimeout = ownerLookupTimeout
-	// chargePatienceShare bounds that by a part of the request's time.
+	// chargeTimeoutShare limits that to a share of the request's remaining time.
 	chargeTimeoutShare = 0.5
 )
 
-// charge is how a request counts to its tenant's limit.
+// charge is how a request counts towards a rate limit.
 type charge struct {
 	request coordinator.Charge
 	answer  chan coordinator.Charged
@@ -29,8 +29,8 @@
 	ran bool
 }
 
-// beginCharge asks for the request to be counted, where its tenant has a limit. The
-// answer is taken by endCharge.
+// beginCharge requests a grant from the counting node if the request's tenant has a rate
+// limit. endCharge receives the answer.
 func (n *Node) beginCharge(ctx context.Context, r *requestState) {
 	if r.tenant == nil || r.tenant.Limit.Unlimited() || !n.settings.uses(EnforceLimits) {
 		return
@@ -46,7 +46,7 @@
 	n.control.charge(ctx, r.charge, timeout)
 }
 
-// endCharge waits for the answer of beginCharge. If it returns false, the request was
+// endCharge waits for the answer to beginCharge. If it returns false, the request has been
 // answered.
 func (n *Node) endCharge(ctx context.Context, r *requestState) bool {
 	if r.charge == nil {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// settleCharge gives back what was granted for a request that did not run.
+// refundUnusedCharge refunds the grant of a request that did not run.
 func (n *Node) refundUnusedCharge(r *requestState) {
 	counted := r.charge
 	switch {
@@ -86,8 +86,8 @@
 	}
 }
 
-// awaitReturn gives a grant back that comes after its request has ended. None comes
-// after the patience of its question.
+// refundLateCharge refunds a grant that arrives after its request has ended. None arrives
+// after the timeout of the charge.
 func (n *Node) refundLateCharge(ctx context.Context, counted *charge) {
 	waitCtx, cancel := context.WithTimeout(ctx, 2*chargeTimeout)
 	defer cancel()
@@ -105,7 +105,7 @@
 	n.control.post(coordinator.ChargeRefunded{Charge: counted.request})
 }
 
-// noteRun notes that a replica may have run the request.
+// markRun records that a replica may have run the request.
 func (r *requestState) markRun() {
 	if r.charge != nil {
 		r.charge.ran = true
--- a/edge/cold.go
+++ b/edge/cold.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// coldPatience is how long a request waits for the node that counts what a cold
-	// replica gets: a way across zones and back, asked twice. Another replica is chosen
-	// then.
+	// coldChargeTimeout is how long a request waits for the node that counts the requests
+	// of a cold replica: two round trips between zones. Another replica is selected after
+	// that.
 	coldChargeTimeout = 100 * time.Millisecond
-	// coldFresh is within what time of its question a grant is used: one that a node
-	// reads later, because it stood still, would be sent in another second than the one
-	// it was counted in.
+	// coldGrantLifetime is how long after the request for it a grant may be used. A grant
+	// that is read later, for example after the process was suspended, would be used in
+	// another second than the one it was counted in.
 	coldGrantLifetime = 150 * time.Millisecond
-	// coldSilence is how long a cold replica is passed over whose counting node did not
-	// answer: so that only few requests wait in vain until its loss is noticed.
+	// coldUnresponsivePause is how long a cold replica is skipped whose counting node did
+	// not answer, so that few requests wait in vain before the node's failure is detected.
 	coldUnresponsivePause = 250 * time.Millisecond
-	// leastColdPause is how long a cold replica is passed over at least that is at its
-	// rate: it bounds what many nodes with much to send ask of the one that counts, and
-	// still leaves them far more questions than there are grants.
+	// minimumColdPause is the minimum time that a cold replica is skipped when it is at its
+	// rate. It limits the load that many busy nodes put on the counting node, and still
+	// allows far more requests for grants than there are grants.
 	minimumColdPause = 100 * time.Millisecond
-	// maximumColdAsks bounds the cold replicas that are asked for in one choice; warm
-	// ones alone are chosen from then on.
+	// maximumColdRequests bounds the cold replicas for which a grant is requested in one
+	// selection; after that, only warm ones are considered.
 	maximumColdRequests = 3
-	// coldWait is how long a request waits in all where every replica is cold and at
-	// its rate, and coldWaitStep how long at once: about the time in which a replica's
-	// rate grows by one request.
+	// coldWait is how long a request waits in total if every replica is cold and at its
+	// rate, and coldWaitStep the time between two tries: about the time in which a
+	// replica's rate grows by one request.
 	coldWait     = 150 * time.Millisecond
 	coldWaitStep = 40 * time.Millisecond
 )
 
-// chooseWithin picks the best replica, within the rates of those that are cold.
+// chooseWithinColdRates selects the best replica within the rates of the cold ones.
 func (n *Node) chooseWithinColdRates(r *requestState, request *replica.Request) (replica.Choice, error) {
 	waitUntil := time.Now()
 	if !r.attemptInFlight {
@@ -66,8 +66,8 @@
 	}
 }
 
-// askCold asks whether a cold replica may get the request now. If not, the replica is
-// passed over for a while.
+// requestColdGrant reports whether a cold replica may be sent the request now. If not, the
+// replica is skipped for a while.
 func (n *Node) requestColdGrant(r *requestState, choice *replica.Choice) bool {
 	request := &charge{
 		request: coordinator.Charge{Replica: string(choice.Entry.ID), Request: tenant.Request{
@@ -99,13 +99,15 @@
 	return false
 }
 
-// nextOffer returns an id that no other offer of any node has, also none before a new
-// start. A client's id would not do: one that is used again is granted for nothing.
+// nextOffer returns an id that is unique among the charges of all nodes and of all
+// processes of this node. A client's id would not do: a repeated id is granted without
+// being counted again.
 func (n *Node) nextOffer() string {
 	return n.settings.Node + "/" + strconv.FormatUint(n.self.Incarnation, 36) + "/" + strconv.FormatUint(n.coldOffers.Add(1), 36)
 }
 
-// awaitCold asks a question and takes its answer, or that there is none in time.
+// awaitColdGrant requests a charge and waits for the answer; without one in time, the
+// status is ChargeUnknown.
 func (n *Node) awaitColdGrant(request *charge) {
 	ctx, cancel := context.WithTimeout(n.ctx, coldGrantLifetime)
 	defer cancel()
@@ -117,7 +119,7 @@
 	}
 }
 
-// returnCold gives back the grant of a request that a cold replica did not run.
+// refundColdGrant refunds the grant of a request that a cold replica did not run.
 func (n *Node) refundColdGrant(r *requestState, id replica.ID) {
 	if r.coldGrant == nil || r.coldGrant.Replica != string(id) {
 		return
@@ -127,7 +129,7 @@
 	r.coldGrant = nil
 }
 
-// hearCold takes in what an answer says of how long its replica stays cold.
+// observeColdStatus reads from an answer how long its replica stays cold.
 func (n *Node) observeColdStatus(id replica.ID, response *upstream.Response) {
 	if n.adapter.Names.ColdLeft == "" {
 		return
@@ -144,7 +146,7 @@
 	n.replicas.observeColdStatus(id, left)
 }
 
-// noteColdTurns writes which replicas turned cold or warm.
+// logColdTransitions logs which replicas turned cold or warm.
 func (n *Node) logColdTransitions(now time.Time) {
 	transitions, count := n.replicas.coldTransitions(now)
 	n.metrics.replicasCold(count)
@@ -157,7 +159,7 @@
 	}
 }
 
-// confirm counts a request at a cold replica that was reserved there.
+// confirmReservation turns the reservation at a cold replica into a request in progress.
 func (r *replicas) confirmReservation(id replica.ID, request *replica.Request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -165,21 +167,21 @@
 	r.set.Began(time.Now(), id, request)
 }
 
-// withdraw takes back what was reserved at a cold replica.
+// releaseReservation releases the reservation at a cold replica.
 func (r *replicas) releaseReservation(id replica.ID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.Release(id)
 }
 
-// pauseCold has a cold replica passed over that is at its rate.
+// pauseCold makes the selection skip a cold replica that is at its rate.
 func (r *replicas) pauseCold(id replica.ID, pause time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.PauseCold(time.Now(), id, pause)
 }
 
-// hearCold takes in what an answer says of how long its replica stays cold.
+// observeColdStatus updates how long a replica stays cold.
 func (r *replicas) observeColdStatus(id replica.ID, left time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -192,8 +194,8 @@
 	}
 }
 
-// renewCold has changes that are passed on tell how long replicas stay cold from now. The
-// mutex is held.
+// renewCold updates the remaining cold times in changes that are passed on. The caller must
+// hold the mutex.
 func (r *replicas) renewCold(changes []replica.Change) []replica.Change {
 	now := time.Now()
 	for index, change := range changes {
@@ -209,14 +211,15 @@
 	return changes
 }
 
-// coldTurns returns the replicas that turned cold or warm, and how many are cold.
+// coldTransitions returns the replicas that turned cold or warm, and the number of cold
+// ones.
 func (r *replicas) coldTransitions(now time.Time) ([]replica.ColdTransition, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.ColdTransitions(now)
 }
 
-// ColdReplicas returns how many replicas this node holds cold.
+// ColdReplicas returns the number of replicas that this node considers cold.
 func (n *Node) ColdReplicas() int {
 	n.replicas.mutex.Lock()
 	defer n.replicas.mutex.Unlock()
--- a/edge/contact.go
+++ b/edge/contact.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// contact is what a node knows of its contact with the store. It is safe for
-// concurrent use.
+// storeContact tracks whether this node reaches the store. It is safe for concurrent use.
 type storeContact struct {
 	mutex sync.Mutex
-	// last is when the store answered last, and regained when it did after it
-	// had been lost; zero where it never was.
+	// last is when the store answered last, and regained when it first answered after the
+	// last outage; zero if there was none.
 	last     time.Time
 	regained time.Time
-	// failing says that calls have failed since the store answered last.
+	// failing says that calls have failed since the store last answered.
 	failing bool
-	// trustedUntil is until when a read that waits at the store may take.
+	// pendingUntil is the latest time at which a long-polling read may end; zero if none is
+	// waiting.
 	pendingUntil time.Time
-	// regain is closed when the store answers again after it was lost; nil while nobody
-	// waits for that.
+	// regain is closed when the store answers again after an outage; nil if nobody waits
+	// for that.
 	regain chan struct{}
 }
 
 const (
-	// contactLifetime is how long after its last answer the store counts as
-	// reached. A quiet node hears it once in replicasWait and replicasPause;
-	// replicas write together, so that no read may end sooner.
+	// contactLifetime is how long after its last answer the store counts as reached. An
+	// otherwise idle node gets an answer every replicasWait plus replicasPause: replicas
+	// write their records at the same time, so that no read may end sooner.
 	contactLifetime = 1500 * time.Millisecond
-	// doubtFor is how long after its return the store may lack replicas that
-	// live: they write again with their next heartbeat, within about two seconds.
-	// A node may notice the return more than a second late, and a replica that
-	// left meanwhile must not get requests for longer than one that the node was
-	// told of; what comes back later is chosen again then.
+	// removalDeferral is how long after an outage the store may lack records of live
+	// replicas: they write again with their next heartbeat, within about two seconds. A
+	// node may notice the end of the outage more than a second late, and a replica that
+	// left during it must not get requests for longer than one that is known to be leaving.
+	// A live replica that is removed too early is used again once it is listed.
 	removalDeferral = 1500 * time.Millisecond
 )
 
-// note takes in an answer of the store.
+// recordAnswer records an answer of the store.
 func (c *storeContact) recordAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -49,8 +49,8 @@
 	c.last, c.failing = now, false
 }
 
-// nextRegain returns what is closed when the store answers for the first time after it was
-// lost. A call that was sent before that may never be answered.
+// nextRegain returns a channel that is closed at the store's first answer after an outage.
+// A call that was sent before that may never be answered.
 func (c *storeContact) nextRegain() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -60,45 +60,46 @@
 	return c.regain
 }
 
-// fail takes in that a call got no answer of the store.
+// recordFailure records that the store did not answer a call.
 func (c *storeContact) recordFailure() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.failing = true
 }
 
-// fails reports whether calls have failed since the store answered last.
+// isFailing reports whether calls have failed since the store last answered.
 func (c *storeContact) isFailing() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.failing
 }
 
-// at returns when the store answered last.
+// lastAnswer returns when the store last answered.
 func (c *storeContact) lastAnswer() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.last
 }
 
-// reached reports whether the store answered lately.
+// reached reports whether the store answered within contactLifetime.
 func (c *storeContact) reached(now time.Time) bool { return now.Sub(c.lastAnswer()) < contactLifetime }
 
-// trust takes in until when a read that waits may take, or that none does any more.
+// setPending records how long the current long-polling read may take, or with a zero time
+// that there is none.
 func (c *storeContact) setPending(until time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.pendingUntil = until
 }
 
-// trusted reports whether a read waits that has not failed.
+// pending reports whether a long-polling read is waiting that has not failed.
 func (c *storeContact) pending(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return now.Before(c.pendingUntil)
 }
 
-// doubtUntil returns until when replicas that are not listed are kept.
+// deferRemovalsUntil returns until when unlisted replicas are kept.
 func (c *storeContact) deferRemovalsUntil() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/edge/datagram.go
+++ b/edge/datagram.go
@@ -11,21 +11,21 @@
 	"birchwood.example/birchwood/internal/wait"
 )
 
-// maximumDatagram is the largest message that goes as a datagram, in bytes. A
-// status and eight updates take about half of it. It is more than one Ethernet
-// frame: a message that is cut into three is lost more often, and what asks for
-// that not to happen goes over a connection.
+// maximumDatagram is the maximum size of a message that is sent as a datagram, in bytes. A
+// status and eight updates take about half of it. It exceeds one Ethernet frame: a message
+// that is split into three fragments is lost more often, but messages that must not be lost
+// are sent over a connection.
 const maximumDatagram = 4096
 
-// datagrams exchanges the messages of the failure detector with other nodes. They
-// are many, go to a random peer each, and may be lost: a connection for each would
-// cost a node more than all the rest that it does while idle.
+// datagrams exchanges the messages of the failure detector with other nodes. There are many
+// of them, each goes to a random peer, and they may be lost. Sending each over a connection
+// of its own would cost an idle node more than everything else it does.
 type datagrams struct {
 	node *Node
 	conn *net.UDPConn
 }
 
-// listenDatagrams opens the socket on the address of the node's peers.
+// listenDatagrams opens the socket on the node's peer address.
 func listenDatagrams(node *Node) (*datagrams, error) {
 	address, err := netip.ParseAddrPort(node.settings.Peers)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return &datagrams{node: node, conn: conn}, nil
 }
 
-// send sends a message, or reports false where it has to go over a connection.
+// send sends a message, or returns false if it has to be sent over a connection.
 func (d *datagrams) send(outbound *coordinator.Outbound) bool {
 	if !mayBeLost(&outbound.Message) {
 		return false
@@ -60,8 +60,8 @@
 	return true
 }
 
-// mayBeLost reports whether a message is asked for again, or does without, where it
-// does not arrive.
+// mayBeLost reports whether the loss of a message is tolerated: it is either requested
+// again or not needed.
 func mayBeLost(message *coordinator.PeerMessage) bool {
 	if message.Handover != nil {
 		return false
@@ -72,11 +72,11 @@
 	return message.Charge != nil || message.Proof != nil || message.Gather != nil
 }
 
-// datagramPause follows an error of the socket, so that one that lasts does not take
-// the processor.
+// datagramErrorPause is the pause after a socket error, so that a persistent one does not
+// keep a processor busy.
 const datagramErrorPause = 50 * time.Millisecond
 
-// serve takes messages in until the socket closes.
+// serve receives messages until the socket is closed.
 func (d *datagrams) serve() error {
 	go func() {
 		<-d.node.ctx.Done()
--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/coordinator"
 )
 
-// logChange writes a partition won or lost.
+// logChange logs that a partition was won or lost.
 func (n *Node) logChange(change coordinator.Change) {
 	n.metrics.partitionChanged(change.Owned)
 	n.logger.Info().Int("partition", change.Partition).Uint64("epoch", uint64(change.Epoch)).Bool("owned", change.Owned).
@@ -17,7 +17,7 @@
 		Bool("inherited", change.Inherited).Msg("ledger: ownership changed")
 }
 
-// logOutcome writes how a request ended: what decided it, and how fresh that was.
+// logOutcome logs how a request ended, with the inputs of the decisions and their age.
 func (n *Node) logOutcome(r *requestState) {
 	took := time.Since(r.exchange.Arrived)
 	status := strconv.Itoa(r.status)
@@ -37,7 +37,7 @@
 	r.logChoice(entry).Dur("first", r.timeToFirstEvent).Msg("request: ended")
 }
 
-// logTenant adds whose the request is, and how it counted to a limit.
+// logTenant adds the tenant of the request and how it counted towards the rate limit.
 func (r *requestState) logTenant(entry *log.Entry) *log.Entry {
 	if r.tenant != nil {
 		entry = entry.Str("tenant", r.tenant.Name).Dur("proof", r.proofAge)
@@ -49,7 +49,7 @@
 	return entry.Str("charge", string(outcome.Status)).Str("counted", string(outcome.Owner)).Float64("balance", outcome.Decision.Balance)
 }
 
-// logProgram adds the program of the request, and what its owner said of a turn.
+// logProgram adds the program of the request, and the owner's decision on a turn.
 func (r *requestState) logProgram(entry *log.Entry) *log.Entry {
 	if !r.finishBy.IsZero() {
 		entry = entry.Dur("finish", r.finishBy.Sub(r.exchange.Arrived))
@@ -67,7 +67,7 @@
 	}
 }
 
-// logWait adds how long the request waited here, or when its client is to come back.
+// logWait adds how long the request was queued, or the retry delay of a refusal.
 func (r *requestState) logWait(entry *log.Entry) *log.Entry {
 	if r.queuedFor > 0 {
 		entry = entry.Dur("waited", r.queuedFor)
@@ -78,7 +78,7 @@
 	return entry.Str("cause", r.cause).Dur("comeBack", r.retryAfter)
 }
 
-// logChoice adds what the choice of the replica rested on.
+// logChoice adds the inputs of the selection of the replica.
 func (r *requestState) logChoice(entry *log.Entry) *log.Entry {
 	choice := &r.choice
 	return entry.Int("missing", choice.UncachedTokens).Int("load", choice.Load).Dur("predicted", choice.Predicted).
@@ -86,5 +86,5 @@
 		Bool("left", choice.LeftEvacuatedZone)
 }
 
-// failedStatus is the least status that tells of a failure.
+// failedStatus is the lowest status that is logged as a failure.
 const failedStatus = 400
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -10,8 +10,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// evacuations guards what this node knows of evacuated zones. The zero value knows
-// nothing.
+// evacuations holds what this node knows about evacuated zones. It is safe for concurrent
+// use, and the zero value is empty.
 type evacuations struct {
 	mutex sync.Mutex
 	state evacuation.State
@@ -35,8 +35,8 @@
 	return e.state.Snapshot(now)
 }
 
-// resetEvacuations takes over all records of the configuration's stream: a zone of
-// which there is none is not evacuated.
+// resetEvacuations applies all records of the configuration stream. A zone without a record
+// is not evacuated.
 func (n *Node) resetEvacuations(records []recordstore.Record, end uint64) {
 	var zones []zone.Name
 	for _, record := range records {
@@ -49,7 +49,7 @@
 	})
 }
 
-// noteEvacuation takes over one record of the configuration's stream.
+// applyEvacuation applies one record of the configuration stream.
 func (n *Node) applyEvacuation(record recordstore.Record) {
 	name, evacuated, ok := n.adapter.Translator.Evacuation(record.Key, record.Value)
 	n.updateEvacuations("store", func(state *evacuation.State, now time.Time) []evacuation.Change {
@@ -61,15 +61,15 @@
 	})
 }
 
-// adoptEvacuations takes over what a peer knew when it was asked, if that is newer.
+// adoptEvacuations applies what a peer knew when it was queried, if that is newer.
 func (n *Node) adoptEvacuations(from machine.Machine, asked time.Time, received evacuation.Snapshot) {
 	n.updateEvacuations("peer "+string(from.ID), func(state *evacuation.State, _ time.Time) []evacuation.Change {
 		return state.Adopt(asked, received)
 	})
 }
 
-// changeEvacuations changes what is known of evacuated zones, and has the choice of
-// replicas follow.
+// updateEvacuations updates the evacuated zones and passes them on to the selection of
+// replicas.
 func (n *Node) updateEvacuations(source string, change func(*evacuation.State, time.Time) []evacuation.Change) {
 	n.evacuations.mutex.Lock()
 	defer n.evacuations.mutex.Unlock()
--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// hearTotals takes in what all other nodes have under way, and writes which collectors
-// were taken and lost.
+// applyTotals applies the requests in progress of all other nodes, and logs changes of the
+// collectors.
 func (n *Node) applyTotals(ready *coordinator.Ready) {
 	for _, change := range ready.Collectors {
 		if change.Silent != "" {
@@ -34,14 +34,15 @@
 	n.replicas.applyLoadTotals(now, ready.Totals)
 }
 
-// report returns what this node has under way and measured, by replica.
+// report returns this node's requests in progress and its measurements, by replica.
 func (r *replicas) report() map[replica.ID]replica.Report {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.Report(time.Now())
 }
 
-// takeTotals takes in what all other nodes have, of the replicas that this one knows.
+// applyLoadTotals applies the totals of all other nodes to the replicas that this node
+// knows.
 func (r *replicas) applyLoadTotals(now time.Time, totals *gather.Totals) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -61,8 +62,8 @@
 	r.set.ApplyLoadSummary(now, summary)
 }
 
-// key notes under which key messages name a replica. Two that share one are not heard of.
-// The mutex is held.
+// key records the key under which messages refer to a replica. If two replicas share a key,
+// messages about it are ignored. The caller must hold the mutex.
 func (r *replicas) key(id replica.ID) {
 	key := gather.KeyOf(id)
 	if other, known := r.byKey[key]; known && other != id {
--- a/edge/join.go
+++ b/edge/join.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// askPauseMost is the longest time between two questions for the list of a node that
-	// starts: a few small messages a second, also where all nodes start at once.
+	// peerQueryMaximumBackoff is the maximum time between two queries for the node list by
+	// a node that starts: a few small messages a second, even if all nodes start at once.
 	peerQueryMaximumBackoff = 300 * time.Millisecond
-	// askPatience bounds the first answer, and askPatienceMost those of later tries: a
-	// node beyond a cut is given up soon, and the list of a large fleet has time to pass
-	// a slow link.
+	// peerQueryTimeout bounds the first query, and peerQueryMaximumTimeout those of later
+	// tries: a node behind a network partition is given up soon, and the list of a large
+	// fleet has enough time on a slow link.
 	peerQueryTimeout        = 500 * time.Millisecond
 	peerQueryMaximumTimeout = nodeListTimeout
 )
 
-// joinThroughPeers asks the nodes that this one hears of for their list of nodes, one
-// after the other, until it has a list from anywhere: where the store is slow, those that
-// did not stop have it much sooner.
+// joinThroughPeers queries known nodes for their list of nodes, one after the other, until
+// this node has a list from any source. If the store is slow, nodes that did not restart
+// have the list much sooner.
 func (n *Node) joinThroughPeers(ctx context.Context) {
 	if !n.settings.uses(AskForList) {
 		return
@@ -43,7 +43,7 @@
 	}
 }
 
-// hasList reports whether this node has a list of nodes.
+// hasNodeList reports whether this node has a list of nodes.
 func (n *Node) hasNodeList() bool {
 	select {
 	case <-n.nodeListKnown:
@@ -53,8 +53,8 @@
 	}
 }
 
-// anyPeerOrSeed returns a peer by chance, or a seed where none is heard of. Of a seed only
-// the address is known.
+// anyPeerOrSeed returns a random peer, or a random seed if no peer is known. Of a seed,
+// only the address is known.
 func (n *Node) anyPeerOrSeed(ctx context.Context) (peer machine.Machine, found bool) {
 	if peer, found = n.anyPeer(ctx); found {
 		return peer, true
--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -13,26 +13,30 @@
 )
 
 const (
-	// asideAfter is how long a whole turn waits to be kept in its program's partition
-	// until others are asked as well: longer than an append takes while the store works,
-	// and short against what callers have left.
+	// otherPartitionDelay is how long a complete turn waits to be stored in its program's
+	// partition before other partitions are tried. It is longer than an append takes while
+	// the store works, and short compared with the time that callers have left.
 	otherPartitionDelay = 500 * time.Millisecond
-	// asidePatience bounds one question for that, and asideTries how many partitions are
-	// asked: the store may be away from all, which each question costs a body.
+	// otherPartitionTimeout bounds one such call, and otherPartitionTries the number of
+	// partitions: if the store is unavailable to all of them, each call transfers the body
+	// in vain.
 	otherPartitionTimeout = 600 * time.Millisecond
 	otherPartitionTries   = 3
-	// stalledPause is the wait before an owner is asked again whose log took no records.
+	// stalledPause is the pause before another call to an owner whose log accepted no
+	// records.
 	stalledPause = 100 * time.Millisecond
-	// ownerLook is the time between two looks whether the owner that is waited for is
-	// still the one.
+	// ownerPollInterval is the time between two checks whether the node that was called
+	// still owns the partition.
 	ownerPollInterval = 200 * time.Millisecond
 )
 
-// errOwnerChanged says that another node owns the partition than the one that was asked.
+// errOwnerChanged says that the partition now belongs to another node than the one that was
+// called.
 var errOwnerChanged = errors.New("another node owns the partition by now")
 
-// keep has the turn kept by the owner of the program's partition, whoever it is by now,
-// or beside that by the owner of another one, if the log takes no records of the former.
+// store has the turn stored by the current owner of the program's partition. If that takes
+// long, it also tries the owners of other partitions, in case the log of the former accepts
+// no records.
 func (t *turnRun) store(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -58,14 +62,14 @@
 	return nil
 }
 
-// search is a state to ask owners with beside the handling of the request.
+// searchState returns a separate state for calls to owners, which may run concurrently.
 func (t *turnRun) searchState() *requestState {
 	r := t.request
 	return &requestState{exchange: r.exchange, route: r.route, constraint: r.constraint}
 }
 
-// keepAtHome has the owner of the program's partition keep the turn. The chain goes along
-// only where the owner does not hold the previous turn.
+// storeAtOwner has the owner of the program's partition store the turn. The chain is sent
+// only if the owner does not hold the previous turn.
 func (t *turnRun) storeAtOwner(ctx context.Context, search *requestState, keepRequest coordinator.KeepRequest) (stored bool) {
 	for ctx.Err() == nil && search.exchange.Cancel.Cause() == nil {
 		reply, err := t.node.callWhileOwner(ctx, search, t.request.partition, coordinator.Request{Keep: &keepRequest})
@@ -83,9 +87,10 @@
 	return false
 }
 
-// keepAside has the owners of other partitions keep the turn, one after the other, once it
-// has waited for long. Whoever looks for a turn that its program's partition does not hold
-// asks all partitions. What the program used is settled with its own owner.
+// storeInOtherPartition has the owners of other partitions store the turn, one after the
+// other, once storing it has taken otherPartitionDelay. A node that looks for a turn that
+// is not in its program's partition searches all partitions. The tokens that the program
+// used are settled with its own owner.
 func (t *turnRun) storeInOtherPartition(ctx context.Context, search *requestState, keepRequest coordinator.KeepRequest) (stored bool) {
 	n, partitions := t.node, t.node.settings.Partitions
 	if !n.settings.uses(KeepAside) || !wait.For(ctx, otherPartitionDelay) {
@@ -108,24 +113,24 @@
 	return false
 }
 
-// asidePartition returns the partition that a try of keeping a turn aside asks: never the
-// program's own one, and others for each turn.
+// otherPartition returns the partition for one try: never the program's own, and different
+// ones for each turn.
 func otherPartition(home int, turn string, try, partitions int) int {
 	others := uint64(partitions - 1)
 	step := (xxhash.Sum64String(turn) + uint64(try)) % others
 	return (home + 1 + int(step)) % partitions
 }
 
-// askWithin is askOnce with an end of its own.
+// callOwnerWithin is callOwnerOnce with a timeout.
 func (n *Node) callOwnerWithin(ctx context.Context, r *requestState, partition int, request coordinator.Request, timeout time.Duration) (coordinator.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return n.callOwnerOnce(ctx, r, partition, request)
 }
 
-// askWhileOwner is askOnce for questions that wait for the log. It ends once another node
-// is known to own the partition: the one that was asked may be lost or cut off, and would
-// be waited for in vain.
+// callWhileOwner is callOwnerOnce for calls that wait for the log. It ends once another
+// node is known to own the partition: the one that was called may have failed or be
+// partitioned off, and would not answer.
 func (n *Node) callWhileOwner(ctx context.Context, r *requestState, partition int, request coordinator.Request) (coordinator.Reply, error) {
 	if !n.settings.uses(FollowOwner) {
 		return n.callOwnerOnce(ctx, r, partition, request)
@@ -140,8 +145,8 @@
 	return n.callOwnerOnce(ctx, r, partition, request)
 }
 
-// watchOwner looks now and again who owns a partition until the context ends, and ends it
-// once that is another node.
+// watchOwner polls the owner of a partition, and ends the context once that is another
+// node.
 func (n *Node) watchOwner(ctx context.Context, partition int, asked machine.ID, end context.CancelCauseFunc) {
 	for wait.For(ctx, ownerPollInterval) {
 		owner, err := n.control.owner(ctx, partition)
--- a/edge/ledgers.go
+++ b/edge/ledgers.go
@@ -15,24 +15,24 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// ownerKey is the key of the record that names a partition's owner. It sorts
-// before the keys of the ledger.
+// ownerKey is the key of the record that names a partition's owner. It sorts before the
+// keys of the ledger.
 const ownerKey = "!owner"
 
-// ownerValue is that record.
+// ownerValue is the value of that record.
 type ownerValue struct {
 	Node  string          `json:"node"`
 	Epoch ownership.Epoch `json:"epoch"`
 }
 
-// Times of the calls to the store.
+// Timeouts and backoff of the calls to the store.
 const (
 	appendTimeout        = 1200 * time.Millisecond
 	appendTimeoutMin     = 60 * time.Millisecond
 	appendFactor         = 6
 	appendMinimumBackoff = 15 * time.Millisecond
 	appendMaximumBackoff = 300 * time.Millisecond
-	// slowAppend is from when on an append is written to the log.
+	// slowAppendThreshold is the duration from which on an append is logged.
 	slowAppendThreshold = 700 * time.Millisecond
 )
 
@@ -52,13 +52,13 @@
 	return recordstore.Record{Key: ownerKey, Value: value}
 }
 
-// readNewest reads all pages of a stream's newest records. The end is that of
-// the first page, so that no later change is missed.
+// readNewest reads all pages of a stream's newest records. The returned end is that of the
+// first page, so that no later change is missed.
 func (n *Node) readNewest(ctx context.Context, stream recordstore.Stream) (records []recordstore.Record, end uint64, err error) {
 	return n.readPages(ctx, stream, func([]recordstore.Record) {})
 }
 
-// readPages is readNewest, and hands each page over as it comes.
+// readPages is readNewest, and also passes each page to take as soon as it is read.
 func (n *Node) readPages(ctx context.Context, stream recordstore.Stream, take func([]recordstore.Record)) (records []recordstore.Record, end uint64, err error) {
 	after := ""
 	for page := 0; ; page++ {
@@ -78,12 +78,12 @@
 	}
 }
 
-// backoff spaces the retries of one call to the store.
+// backoff returns the backoff for the retries of one call to the store.
 func (n *Node) backoff() *retry.Backoff {
 	return n.backoffOf(appendMinimumBackoff, appendMaximumBackoff)
 }
 
-// backoffOf spaces the retries of one call between two bounds.
+// backoffOf returns the backoff for the retries of one call, between two bounds.
 func (n *Node) backoffOf(first, most time.Duration) *retry.Backoff {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
@@ -91,8 +91,8 @@
 	return &retry.Backoff{Minimum: first, Maximum: most, Random: random}
 }
 
-// append writes a batch, repeats it until the store has answered, and tells
-// the core how it ended.
+// append writes a batch, repeats it until the store has answered, and reports the outcome
+// to the core.
 func (n *Node) append(batch coordinator.Append) {
 	n.run(func(ctx context.Context) {
 		begun := time.Now()
@@ -117,10 +117,10 @@
 	})
 }
 
-// appendRecords appends under an epoch until the store acknowledges or fences,
-// the context ends, or the attempts are used up (0 sets no bound). They count anew
-// once the store answers again after an outage. A batch without records renews the
-// record of the owner, so that the store checks the epoch.
+// appendRecords appends under an epoch until the store acknowledges or fences the append,
+// the context ends, or the attempts are used up (0 means no limit). The attempts are
+// counted anew after an outage of the store. An empty batch rewrites the owner record, so
+// that the store checks the epoch.
 func (n *Node) appendRecords(ctx context.Context, partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record, attempts int) error {
 	tries, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -155,8 +155,8 @@
 	}
 }
 
-// appendPatience bounds one try of an append: one whose answer was lost is
-// repeated soon, which the store counts once.
+// appendTryTimeout returns the timeout of one try of an append. It is short, since the
+// store applies a repeated append once and its answer may have been lost.
 func (n *Node) appendTryTimeout(attempt int) time.Duration {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
@@ -169,8 +169,8 @@
 	n.adaptiveAppendTimeout.Observe(took)
 }
 
-// noteStore counts a call to the store, and notes that it answered. A store that
-// turns every call away is not reached, however fast it does so.
+// recordStoreCall counts a call to the store, and records whether the store answered. A
+// store that refuses every call as unavailable is not reached, however fast it answers.
 func (n *Node) recordStoreCall(err error) {
 	n.metrics.storeCall(err)
 	var refused *recordstore.RefusedError
--- a/edge/placing.go
+++ b/edge/placing.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// placing guards what this node has learnt of turns: how long they are, and how much time
-// their programs have.
+// turnEstimates holds this node's estimates of the length of turns and of the time that
+// their programs have left. It is safe for concurrent use.
 type turnEstimates struct {
 	mutex   sync.Mutex
 	lengths *dispatch.Lengths
@@ -20,8 +20,8 @@
 	return &turnEstimates{lengths: dispatch.NewLengths(), slack: dispatch.NewSlack()}
 }
 
-// noteProgress notes how the request's program stands against its time, and how the request
-// takes the fast replicas of its service by that. A turn is noted once.
+// updateProgress compares the program's progress with its finish time, and derives the
+// request's preference for fast replicas from it. It counts each turn once.
 func (n *Node) updateProgress(r *requestState) {
 	if len(r.prompt) == 0 || r.attempts > 0 {
 		return
@@ -36,8 +36,8 @@
 	r.speedBias = n.turnEstimates.slack.SpeedBias(now, r.service, r.priority(), r.progress)
 }
 
-// expectedTokens returns how many tokens a turn will have, or 0 for other requests and
-// where nothing is known.
+// expectedTokens returns the expected number of output tokens of a turn, or 0 for other
+// requests and if there is no estimate.
 func (n *Node) expectedTokens(r *requestState) int {
 	if len(r.prompt) == 0 {
 		return 0
@@ -47,29 +47,30 @@
 	return n.turnEstimates.lengths.Expected(r.routeName(), r.lengthHint, r.maxTokens)
 }
 
-// observeLength takes in how many tokens a turn had.
+// observeLength records the number of output tokens of a turn.
 func (n *Node) observeLength(r *requestState) {
 	n.turnEstimates.mutex.Lock()
 	defer n.turnEstimates.mutex.Unlock()
 	n.turnEstimates.lengths.Observe(time.Now(), r.routeName(), r.tokens)
 }
 
-// streamTimes follows when the events of one answer came, for the pace of its replica.
+// streamTimes records when the events of one answer arrived, to measure the replica's token
+// time.
 type streamTimes struct {
-	// first and last are when the first and the last event that holds tokens came, and
-	// firstTokens how many the answer had with the first.
+	// first and last are when the first and the last event with tokens arrived, and
+	// firstTokens is the number of tokens including the first event.
 	first, last time.Time
 	firstTokens int
-	// heldUntil is when this node began to read on after it had waited for a record:
-	// what came meanwhile says nothing of when it did.
+	// heldUntil is when this node resumed reading after it had waited for a record. Events
+	// that arrived during the wait were read late, so that their times are unknown.
 	heldUntil time.Time
 }
 
-// heldMargin is how long after such a wait the last event has to come: it was not
-// among those that had come before.
+// heldMargin is how long after such a wait the last event must arrive for the measurement
+// to count, which shows that it was not buffered during the wait.
 const heldMargin = 5 * time.Millisecond
 
-// note takes in that an event came.
+// note records the arrival of an event.
 func (s *streamTimes) note(now time.Time, tokens int) {
 	if s.first.IsZero() {
 		s.first, s.firstTokens = now, tokens
@@ -77,7 +78,7 @@
 	s.last = now
 }
 
-// token returns the time of a token, or 0 where that was not measured.
+// tokenTime returns the mean time per token, or 0 if it was not measured.
 func (s *streamTimes) tokenTime(tokens int) time.Duration {
 	between := tokens - s.firstTokens
 	if s.first.IsZero() || between <= 0 || s.last.Before(s.heldUntil.Add(heldMargin)) {
@@ -86,7 +87,7 @@
 	return s.last.Sub(s.first) / time.Duration(between)
 }
 
-// observeTurn takes in what a whole answer says of its replica and of its route.
+// observeTurn updates the estimates of the replica and the route from a complete answer.
 func (t *turnRun) observeTurn(entry replica.Entry) {
 	r, n := t.request, t.node
 	n.observeLength(r)
--- a/edge/readiness.go
+++ b/edge/readiness.go
@@ -8,16 +8,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// What a node that starts has read after its start, as a rule: in a small fleet all of the
-// store's lists, in a large one what its reader passes on.
+// The typical times until a starting node has read what it needs: in a small fleet all
+// lists of the store, in a large one what its reader passes on.
 const (
 	typicalStart      = 300 * time.Millisecond
 	typicalStartLarge = 1500 * time.Millisecond
 )
 
-// comeBackAtStart is when a client that is refused by a node that has just started is to
-// come back. It is here because most nodes start: else the platform sends it to others. A
-// client that comes back sooner uses its few tries up before anybody can serve it.
+// retryAfterStart returns the delay after which a client that was refused by a starting
+// node should retry. The client has reached a starting node because most nodes are
+// starting; otherwise the platform would have sent it to another one. A client that retries
+// sooner uses up its few tries before any node can serve it.
 func (n *Node) retryAfterStart() time.Duration {
 	typical := typicalStart
 	if n.role() != roleAlone {
@@ -26,13 +27,13 @@
 	return max(typical-time.Since(n.started), retrySoon)
 }
 
-// ready reports whether the node can serve clients. One that is cut off cannot:
-// it would refuse turns that other nodes could serve.
+// ready reports whether the node can serve clients. An isolated node cannot: it would
+// refuse turns that other nodes could serve.
 func (n *Node) ready() bool {
 	return !n.stopping.Load() && n.isolatedSince.Load() == nil && n.syncedConfiguration.Load() && n.syncedReplicas.Load() && n.routes.Current() != nil
 }
 
-// serveReadiness answers the platform's question for readiness.
+// serveReadiness serves the platform's readiness probe.
 func (n *Node) serveReadiness(listener net.Listener) error {
 	routes := router.New()
 	routes.GET(n.adapter.ReadyPath, func(ctx *fasthttp.RequestCtx) {
--- a/edge/reload.go
+++ b/edge/reload.go
@@ -6,9 +6,8 @@
 	"strings"
 )
 
-// Reload takes over settings that may change while the node runs: the seeds.
-// It returns the names of those that differ, also where only a restart takes
-// them over.
+// Reload applies the settings that may change while the node runs, which are the seeds. It
+// returns the names of all settings that differ, including those that require a restart.
 func (n *Node) Reload(settings Settings) (changed []string) {
 	known := n.settings
 	for _, field := range []struct {
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -9,14 +9,15 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// returns follows this node's refusals, so that those who are refused together do not
-// come back together. It is safe for concurrent use.
+// refusals tracks this node's refusals, so that callers that are refused together do not
+// retry together. It is safe for concurrent use.
 type refusals struct {
 	mutex sync.Mutex
 	state dispatch.RefusalTracker
 }
 
-// refuse notes a refusal and returns when the caller is to come back.
+// observeRefusal records a refusal and returns the delay after which its caller should
+// retry.
 func (s *refusals) observeRefusal(now time.Time, refusal *dispatch.Refusal) time.Duration {
 	s.mutex.Lock()
 	s.state.ObserveRefusal(now, refusal)
@@ -24,22 +25,22 @@
 	return refusal.RetryAfter()
 }
 
-// served notes that a turn was served.
+// observeServed records that a turn was served.
 func (s *refusals) observeServed(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.state.ObserveServed(now)
 }
 
-// pace returns how many turns were served here in the last second.
+// serviceRate returns how many turns this node served in the last second.
 func (s *refusals) serviceRate(now time.Time) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.ServiceRate(now)
 }
 
-// turnAway answers that the request was not run, and when to come back. The caller fills
-// in what it knows of the cause; what concerns the request is added here.
+// refuse answers that the request was not run, with the delay after which to retry. The
+// caller sets what is known about the cause; refuse adds the properties of the request.
 func (n *Node) refuse(r *requestState, refusal dispatch.Refusal, reason string) {
 	now := time.Now()
 	if r.route != nil {
@@ -55,7 +56,8 @@
 	r.fail(fasthttp.StatusServiceUnavailable, reason, r.retryAfter)
 }
 
-// comeBackAfter returns when the caller of a refused request is to come back.
+// chooseRetryAfter returns the delay after which the caller of a refused request should
+// retry.
 func (n *Node) chooseRetryAfter(refusal *dispatch.Refusal) time.Duration {
 	if !n.settings.uses(SpreadRetries) {
 		return refusal.RetryAfter()
@@ -64,7 +66,7 @@
 	return n.refusals.observeRefusal(time.Now(), refusal)
 }
 
-// begun reports whether the request's program is known to be under way.
+// programStarted reports whether the request's program is known to have started.
 func (r *requestState) programStarted() bool {
 	return r.previous != "" || r.admission.Verdict != "" && !r.admission.NewProgram
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -17,7 +17,7 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// turnRun is the run of one admitted turn, over as many replicas as it takes.
+// turnRun is the run of one admitted turn, on as many replicas as it takes.
 type turnRun struct {
 	node    *Node
 	request *requestState
@@ -25,25 +25,25 @@
 	grant   grant
 
 	splitter eventstream.Splitter
-	// lastEvent is the id of the last event that the client has.
+	// lastEvent is the id of the last event that was sent to the client or held for it.
 	lastEvent    int64
 	hasLastEvent bool
-	// output is what the next turn's engine reads of the answer.
+	// output is the part of the answer that the engine reads before the next turn.
 	output []byte
 	// runs counts the runs that may have begun.
 	runs int
-	// kept says that the owner has kept, and so settled, the turn.
+	// stored says that the owner has stored, and thereby settled, the turn.
 	stored bool
-	// times follows when events came, and readAt is when the last piece was read.
+	// times records when events arrived, and lastReadAt when the stream was last read.
 	times      streamTimes
 	lastReadAt time.Time
-	// held is the answer so far, where nothing of it goes out until the turn is kept, and
-	// released says that it goes out.
+	// heldOutput is the answer so far if nothing of it may be sent until the turn is
+	// stored, and released says that it may now be sent.
 	heldOutput []byte
 	released   bool
 }
 
-// pieceBytes is the most that is read of a stream at once.
+// pieceBytes is the size of the buffer for reads of a stream.
 const pieceBytes = 4096
 
 // maximumRuns bounds the runs of one turn.
@@ -65,7 +65,7 @@
 	}
 }
 
-// settle tells the owner how the turn ended, unless it knows.
+// settle reports the end of the turn to the owner, unless storing it has done so.
 func (t *turnRun) settle() {
 	if t.runs > 0 {
 		t.request.markRun()
@@ -78,8 +78,8 @@
 	}
 }
 
-// attempt sends the turn to one replica. It reports whether the request was
-// answered; if not, another attempt may follow.
+// attempt sends the turn to one replica. It reports whether the request was answered; if
+// not, another attempt may follow.
 func (t *turnRun) attempt(ctx context.Context, entry replica.Entry) (over bool) {
 	r, n := t.request, t.node
 	r.urgency = n.urgency(r, t.table)
@@ -114,8 +114,8 @@
 	return true
 }
 
-// body returns what the replica gets: on routes whose turns are kept, the
-// chain goes before the new input.
+// body returns the request body for the replica. On routes that store turns, it is the
+// chain followed by the new input.
 func (t *turnRun) body() []byte {
 	if len(t.grant.chain) == 0 {
 		return t.request.exchange.Body
@@ -125,7 +125,7 @@
 	return append(body, t.request.exchange.Body...)
 }
 
-// resumeFrom returns the last event that the client has, or "".
+// resumeFrom returns the id of the last event that the client has, or "".
 func (t *turnRun) resumeFrom() string {
 	if !t.hasLastEvent {
 		return ""
@@ -133,7 +133,7 @@
 	return strconv.FormatInt(t.lastEvent, 10)
 }
 
-// relayFailure passes on a replica's answer that is no stream.
+// relayFailure relays a replica's answer that is not a stream.
 func (t *turnRun) relayFailure(entry replica.Entry, response *upstream.Response) bool {
 	r, n := t.request, t.node
 	body, err := response.ReadAll()
@@ -151,17 +151,17 @@
 	return true
 }
 
-// errDisorder says that a continued stream does not go on where the first run
-// broke off.
+// errEventOrder says that a continued stream does not resume where the previous run broke
+// off.
 var errEventOrder = errors.New("the stream does not go on where it broke off")
 
-// clientError marks a failure to write to the client.
+// clientError is a failure to write to the client.
 type clientError struct{ cause error }
 
 // Error describes the failure.
 func (e *clientError) Error() string { return "client: " + e.cause.Error() }
 
-// relay passes the stream on, event by event, and completes the answer.
+// relay relays the stream event by event and completes the answer.
 func (t *turnRun) relay(ctx context.Context, response *upstream.Response) error {
 	t.splitter = eventstream.Splitter{}
 	piece := make([]byte, pieceBytes)
@@ -181,7 +181,7 @@
 	}
 }
 
-// relayEvents passes on the whole events that have come.
+// relayEvents relays the complete events that have been read.
 func (t *turnRun) relayEvents(ctx context.Context, response *upstream.Response) error {
 	for {
 		event, whole := t.splitter.Next()
@@ -220,14 +220,15 @@
 	return t.writeOrHold(event.Raw)
 }
 
-// holdsBack reports whether the answer waits until the turn is kept: where that was not to
-// be had when the turn was admitted, its tokens would be handed out for nothing if it comes
-// too late, and the budget would lack them when the client asks again.
+// holdsOutput reports whether the answer is held until the turn is stored. It is if the log
+// accepted no records when the turn was admitted: a turn that could not be stored in time
+// would otherwise have used its tokens in vain, and they would be missing from the budget
+// when the client repeats the request.
 func (t *turnRun) holdsOutput() bool {
 	return t.grant.stalled && t.request.route.Retain && t.node.settings.uses(HoldBack)
 }
 
-// send passes a part of the answer on, or holds it back.
+// writeOrHold sends a part of the answer to the client, or holds it.
 func (t *turnRun) writeOrHold(part []byte) error {
 	if t.holdsOutput() {
 		t.heldOutput = append(t.heldOutput, part...)
@@ -239,7 +240,7 @@
 	return nil
 }
 
-// begin sends the head, once the turn's tokens are durably counted.
+// beginResponse sends the response header, once the turn's tokens are durably counted.
 func (t *turnRun) beginResponse(ctx context.Context, response *upstream.Response) error {
 	r := t.request
 	if t.grant.recorded != nil {
@@ -262,7 +263,7 @@
 	return nil
 }
 
-// release sends an answer that was held back, now that the turn is kept.
+// release sends a held answer, now that the turn is stored.
 func (t *turnRun) release(ctx context.Context, response *upstream.Response) error {
 	if !t.holdsOutput() {
 		return nil
@@ -281,8 +282,8 @@
 	return max(1, t.table.Services[t.request.service].TokensPerEvent)
 }
 
-// complete ends an answer that came whole. On routes whose turns are kept, the
-// turn is durable before the client can have the end.
+// complete ends an answer that was received whole. On routes that store turns, the turn is
+// durable before the client gets the end of the answer.
 func (t *turnRun) complete(ctx context.Context, response *upstream.Response) error {
 	r := t.request
 	response.Finish()
@@ -312,7 +313,7 @@
 	return nil
 }
 
-// keptTurn returns the turn as its owner is to keep it, without its base.
+// storedTurn returns the turn as the owner stores it, without its base.
 func (t *turnRun) storedTurn() ledger.StoredTurn {
 	r := t.request
 	stored := ledger.StoredTurn{
@@ -324,20 +325,19 @@
 	return stored
 }
 
-// chain returns what an engine has to read before a turn that goes on from this
-// one.
+// chain returns the input that an engine has to read before a turn that continues this one.
 func (t *turnRun) chain() []byte {
 	return slices.Concat(t.grant.chain, t.request.exchange.Body, t.output)
 }
 
-// notKeptError says that a turn came whole but could not be kept in time.
+// notStoredError says that a turn was received whole but could not be stored in time.
 type notStoredError struct{}
 
 // Error describes the failure.
 func (*notStoredError) Error() string { return "the turn could not be kept in time" }
 
-// afterFailure decides what follows a run that broke off: another run that
-// continues it, or the end of the answer.
+// afterFailure handles a run that broke off: another run may continue the answer, or it
+// ends.
 func (t *turnRun) afterFailure(entry replica.Entry, err error) (over bool) {
 	r, n := t.request, t.node
 	var client *clientError
--- a/edge/share.go
+++ b/edge/share.go
@@ -8,7 +8,8 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// shares guards what this node knows of the tenants' shares of the replicas' room.
+// shares holds what this node knows about the tenants' shares of the replicas' capacity. It
+// is safe for concurrent use.
 type shares struct {
 	mutex sync.Mutex
 	known *dispatch.Shares
@@ -16,7 +17,8 @@
 
 func newShares() *shares { return &shares{known: dispatch.NewShares()} }
 
-// heard takes in what the node that counts for a request's tenant told of its programs.
+// observe records the number of the tenant's programs, as reported by the tenant's counting
+// node.
 func (s *shares) observe(r *requestState) {
 	outcome := &r.charge.outcome
 	if outcome.Status == coordinator.ChargeUnknown || outcome.Decision.Programs == 0 {
@@ -33,8 +35,8 @@
 	return s.known.Over(time.Now(), tenant, utilisation)
 }
 
-// overShare reports whether a program that has not begun is to wait since its tenant has
-// more than its share of replicas that are full.
+// overShare reports whether a new program has to wait because the replicas are full and its
+// tenant has more than its share of them.
 func (n *Node) overShare(r *requestState) bool {
 	if r.charge == nil || !n.settings.uses(ShareByTenant) {
 		return false
--- a/edge/space.go
+++ b/edge/space.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// trimBytes is how much is appended to a partition before its owner drops what
-	// newer records of the same keys replaced, and trimPeriod the least time between
-	// two such calls: each costs two calls to the store.
+	// trimBytes is how much is appended to a partition before its owner drops superseded
+	// records, and trimPeriod the minimum time between two trims, since each takes two
+	// calls to the store.
 	trimBytes  = 2 << 20
 	trimPeriod = 10 * time.Second
-	// trimPeriodFull is that time while the store is full.
+	// trimPeriodFull is the same period while the store is full.
 	trimPeriodFull = 2 * time.Second
-	// fullPause is the wait before an append is repeated that a full store refused:
-	// space comes back as records expire, within seconds.
+	// fullPause is the pause before an append is repeated that a full store refused: space
+	// becomes free within seconds as records expire.
 	fullPause = 500 * time.Millisecond
-	// fullLogPeriod is the least time between two lines of the log about that.
+	// fullLogPeriod is the minimum time between two log lines about a full store.
 	fullLogPeriod = 5 * time.Second
 )
 
-// space is what this node knows of the space that its partitions take in the store. It
-// is safe for concurrent use.
+// space tracks the space that this node's partitions take in the store. It is safe for
+// concurrent use.
 type space struct {
 	mutex      sync.Mutex
 	partitions map[int]*partitionSpace
 	loggedFull time.Time
 }
 
-// partitionSpace is what was appended to a partition since it was trimmed.
+// partitionSpace is what was appended to a partition since its last trim.
 type partitionSpace struct {
 	appended  int
 	trimmedAt time.Time
@@ -42,8 +42,8 @@
 
 func newSpace() *space { return &space{partitions: make(map[int]*partitionSpace)} }
 
-// appended counts what was appended to a partition, and reports whether it is to be
-// trimmed now.
+// appended counts bytes appended to a partition, and reports whether it should be trimmed
+// now.
 func (s *space) appended(now time.Time, partition, bytes int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,8 +56,8 @@
 	return true
 }
 
-// full reports whether a partition is to be trimmed now, and whether it is to be logged
-// that the store is full.
+// full reports whether a partition should be trimmed now because the store is full, and
+// whether to log that it is full.
 func (s *space) full(now time.Time, partition int) (trim, logged bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -73,7 +73,7 @@
 	return true, logged
 }
 
-// of returns a partition's entry. The mutex is held.
+// entry returns the entry of a partition. The caller must hold the mutex.
 func (s *space) entry(now time.Time, partition int) *partitionSpace {
 	one := s.partitions[partition]
 	if one == nil {
@@ -89,7 +89,7 @@
 	return errors.As(err, &refused) && refused.Full()
 }
 
-// appendedTo counts an append, and has the partition trimmed now and then.
+// recordAppend counts an append, and trims the partition from time to time.
 func (n *Node) recordAppend(partition int, records []recordstore.Record) {
 	bytes := 0
 	for _, record := range records {
@@ -100,7 +100,7 @@
 	}
 }
 
-// trim drops the records of a partition that newer ones of the same keys replaced.
+// trim drops the superseded records of a partition.
 func (n *Node) trim(ctx context.Context, partition int) {
 	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -116,7 +116,7 @@
 	}
 }
 
-// makeSpace takes in that the store was too full for an append.
+// makeSpace handles an append that the store refused because it is full.
 func (n *Node) makeSpace(ctx context.Context, partition int, epoch ownership.Epoch) {
 	n.metrics.storeFull()
 	trim, logged := n.space.full(time.Now(), partition)
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -10,16 +10,16 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// standings hold what this node knows of programs under way, for the order in which
-// turns that compete are served. They are safe for concurrent use.
+// scheduling holds what this node knows about running programs, to order competing turns.
+// It is safe for concurrent use.
 type scheduling struct {
 	mutex     sync.Mutex
 	remaining *dispatch.RemainingTimeEstimator
-	// bands are those of the newest configuration that was used.
+	// bands are the urgency ranges of the latest configuration that was used.
 	bands atomic.Pointer[tableBands]
 }
 
-// bandsOf holds the ranges of urgencies of one configuration, by service.
+// tableBands holds the urgency ranges of one configuration by service.
 type tableBands struct {
 	table    *routing.Table
 	services map[string]dispatch.Bands
@@ -27,7 +27,7 @@
 
 func newScheduling() *scheduling { return &scheduling{remaining: dispatch.NewRemainingTimeEstimator()} }
 
-// begin takes in that a turn of a program came.
+// turnBegan records that a turn of a program arrived.
 func (s *scheduling) turnBegan(now time.Time, r *requestState) {
 	if r.program == "" {
 		return
@@ -42,7 +42,7 @@
 	r.expectedRemaining = s.remaining.Remaining(r.route.Name, r.programID())
 }
 
-// end takes in that a turn of a program was served.
+// turnEnded records that a turn of a program was served.
 func (s *scheduling) turnEnded(now time.Time, r *requestState) {
 	if r.program == "" {
 		return
@@ -52,7 +52,7 @@
 	s.remaining.End(now, r.programID())
 }
 
-// standing returns what counts where the turn competes with others.
+// schedulingState returns what decides the order in which competing turns are served.
 func (r *requestState) schedulingState(now time.Time) *dispatch.SchedulingState {
 	schedulingState := &dispatch.SchedulingState{Begun: r.programStarted(), ExpectedRemaining: r.expectedRemaining}
 	if !r.finishBy.IsZero() {
@@ -61,7 +61,7 @@
 	return schedulingState
 }
 
-// bandsFor returns the ranges of urgencies at a service's replicas.
+// bandsFor returns the urgency ranges at a service's replicas.
 func (s *scheduling) bandsFor(table *routing.Table, service string) dispatch.Bands {
 	known := s.bands.Load()
 	if known == nil || known.table != table {
@@ -78,8 +78,8 @@
 	return known.services[service]
 }
 
-// urgency returns the rank that an engine gets with the turn: its priority, unless the
-// engine that was chosen has no place free, so that turns compete there.
+// urgency returns the rank that an engine gets with the turn. It is the turn's priority,
+// unless the selected engine has no free slot, so that turns compete there.
 func (n *Node) urgency(r *requestState, table *routing.Table) int {
 	competes := r.choice.Entry.Slots > 0 && r.choice.Load >= r.choice.Entry.Slots
 	if !competes || !n.settings.uses(OrderBySlack) {
--- a/edge/storeread.go
+++ b/edge/storeread.go
@@ -9,17 +9,17 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// readKind names a kind of read, for the log and the metrics.
+// readKind is a kind of read, in the log and the metrics.
 type readKind string
 
-// The kinds of reads: a page of the newest records, and what comes after an offset.
+// The kinds of reads: a page of the newest records, and the records after an offset.
 const (
 	kindNewest readKind = "newest"
 	kindTail   readKind = "tail"
 )
 
-// slowRead is from when on a try of a read that had no answer is logged. One that fails
-// sooner was turned away, and is only counted.
+// slowReadThreshold is the duration from which on an unanswered try of a read is logged.
+// One that fails sooner was refused, and is only counted.
 const slowReadThreshold = 500 * time.Millisecond
 
 // storeRead is one try of a read of the store.
@@ -31,13 +31,13 @@
 	sentAt  time.Time
 }
 
-// errStoreRegained says that a read is to be sent again: the store answers again, and the
-// read was sent before that.
+// errStoreRegained says that a read has to be repeated, because it was sent before an
+// outage of the store ended.
 var errStoreRegained = errors.New("the store answers again after the read was sent")
 
-// noteRead counts a try of a read by how it ended. A try without an answer is logged with
-// when it was sent, and with whether the store has answered other calls since: a store that
-// is slow, one that is silent and an answer that was lost look alike otherwise.
+// recordRead counts a try of a read by its outcome. An unanswered try is logged with the
+// time it was sent and whether the store has answered other calls since: otherwise a slow
+// store, an unresponsive one and a lost answer look alike.
 func (n *Node) recordRead(read storeRead, err error) {
 	took := time.Since(read.sentAt)
 	if errors.Is(err, errStoreRegained) {
@@ -56,8 +56,8 @@
 		Bool("answered_others_since", answeredAt.After(read.sentAt)).Err(err).Msg("store: read not answered")
 }
 
-// unanswered reports whether a call to the store ended without an answer, and was not given
-// up here.
+// unanswered reports whether a call to the store ended without an answer, and was not
+// cancelled by this node.
 func unanswered(err error) bool {
 	var refused *recordstore.RefusedError
 	switch {
@@ -68,25 +68,25 @@
 	}
 }
 
-// pageTries bounds the tries to read one page of a stream's newest records: how many there
-// are in a row, after how long without an answer the second is sent, and the longest time
-// between two, which is also how long each may take.
+// pageRetry limits the tries to read one page of a stream's newest records: the number of
+// consecutive attempts, the time after which the second is sent, and the maximum time
+// between two, which is also the timeout of each.
 type pageRetry struct {
 	attempts                     int
 	firstTimeout, maximumTimeout time.Duration
-	// throughOutages has the reading last until the store is back: tries that had no answer
-	// while the store answered no other call either do not count.
+	// throughOutages makes the read last until the end of an outage: unanswered tries do
+	// not count while the store answers no other call either.
 	throughOutages bool
 }
 
-// newestTries are those of a stream that is followed. They end in an outage, so that a node
-// whose role changes meanwhile turns to other nodes.
+// newestRetry is for streams that are followed. Such a read ends in an outage, so that a
+// node whose role changes meanwhile turns to other nodes.
 var newestRetry = pageRetry{attempts: 6, firstTimeout: appendTimeout, maximumTimeout: 5 * time.Second}
 
-// next returns how long a try may go without an answer before another is sent, after one
-// that had so long. The time doubles while the store answers other calls, since a page that
-// is asked for twice keeps a slow store slow. A store that answers nothing is asked at a
-// steady pace: its return is to be noticed soon, however long it was away.
+// nextTimeout returns how long the next try may be unanswered before another is sent. The
+// timeout doubles while the store answers other calls, since requesting a page twice keeps
+// a slow store slow. An unresponsive store is tried at a constant interval, so that its
+// return is noticed soon, however long the outage lasts.
 func (t pageRetry) nextTimeout(timeout time.Duration, storeReached bool) time.Duration {
 	if !storeReached {
 		return t.firstTimeout
@@ -94,8 +94,8 @@
 	return min(2*timeout, t.maximumTimeout)
 }
 
-// pageReading is a page that is asked for until the store answers. Tries that were not
-// answered in their time go on beside the next one, and the first page that comes counts.
+// pageRead is a read of a page that is repeated until the store answers. Tries that time
+// out continue concurrently with the next one, and the first page counts.
 type pageRead struct {
 	node           *Node
 	stream         recordstore.Stream
@@ -104,16 +104,16 @@
 	answers        chan pageAnswer
 }
 
-// pageAnswer is how one try ended.
+// pageAnswer is the outcome of one try.
 type pageAnswer struct {
 	read storeRead
 	page recordstore.Page
 	err  error
 }
 
-// readPage reads the page of a stream's newest records that follows a key. Once the store
-// answers again after an outage the page is asked for anew at once: no try that was sent
-// before has to be answered.
+// readPage reads the page of a stream's newest records that follows a key. After an outage
+// of the store the page is requested again at once, since tries that were sent before may
+// never be answered.
 func (n *Node) readPage(ctx context.Context, stream recordstore.Stream, after string, retry pageRetry) (recordstore.Page, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -144,7 +144,7 @@
 	}
 }
 
-// try asks for the page once more, and waits for so long for an answer to any try.
+// try requests the page once more, and waits until the timeout for an answer to any try.
 func (p *pageRead) try(ctx context.Context, attempt int, timeout time.Duration) pageAnswer {
 	regained := p.node.store.nextRegain()
 	read := storeRead{stream: p.stream, kind: kindNewest, attempt: attempt, sentAt: time.Now()}
--- a/edge/storewatch.go
+++ b/edge/storewatch.go
@@ -10,23 +10,23 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// A follower reads nothing of the store that tells it whether it still reaches it. It
-// waits at the partition with its own record instead, where hardly anything is written:
-// an answer, or the end of the connection, tells.
+// A follower of a large fleet reads nothing from the store that would show whether the
+// store can be reached. It therefore long-polls the partition with its own record, to which
+// little is written: an answer, or the end of the connection, shows it.
 const (
-	// heirWait is how long a node waits there that may have to take a partition over, and
-	// watchWait how long the others do.
+	// ownerWatchWait is the long-poll time of a node that may have to take a partition
+	// over, and watchWait that of the others.
 	ownerWatchWait = 700 * time.Millisecond
 	watchWait      = 8 * time.Second
-	// watchPause is the least time between two such reads of the others.
+	// watchPause is the minimum time between two such reads of the other nodes.
 	watchPause = time.Second
-	// relayTrust is how long after the last answer of a reader a read that still waits
-	// counts as contact with the store: a node that is cut off from all hears neither.
+	// relayTrustPeriod is how long after a reader's last answer a waiting read still counts
+	// as contact with the store: a completely isolated node gets an answer from neither.
 	relayTrustPeriod = 2 * time.Second
 )
 
-// watchNeighbours follows the partition with this node's record for a while, and notes
-// whether the store is reached. Nodes that read other streams learn that from these.
+// watchNeighbours follows the partition with this node's record for a while, to check that
+// the store can be reached. Nodes that read other streams learn that from these.
 func (n *Node) watchNeighbours(ctx context.Context, near *neighbours, span time.Duration) {
 	until := time.Now().Add(span)
 	stream := recordstore.Stream{Name: recordstore.StreamNodes, Partition: n.nodePartition()}
@@ -75,8 +75,9 @@
 	return tail, err
 }
 
-// tailUntil reads a stream's tail until the context ends, or the store is regained, though
-// the store's client may wait for its answer longer. A nil channel is never regained.
+// tailUntil reads the tail of a stream until the context ends or the store answers again
+// after an outage, even if the store's client waits longer. A nil regained channel disables
+// the latter.
 func (n *Node) tailUntil(ctx context.Context, stream recordstore.Stream, next uint64, timeout time.Duration,
 	regained <-chan struct{}) (recordstore.Tail, error) {
 	type result struct {
@@ -98,7 +99,7 @@
 	}
 }
 
-// takeNeighbours takes the records over that were written to the partition.
+// applyNeighbours applies new records of the partition.
 func (n *Node) applyNeighbours(near *neighbours, tail recordstore.Tail) {
 	near.next = tail.Next
 	if nodes := n.decodeNodes(tail.Records); len(nodes) > 0 {
@@ -114,14 +115,14 @@
 	return watchPause
 }
 
-// heir reports whether this node may have to take a partition over.
+// mayOwnPartition reports whether this node may have to take a partition over.
 func (n *Node) mayOwnPartition() bool {
 	roles := n.roles.Load()
 	return roles != nil && roles.MayOwnPartition
 }
 
-// reachesStore reports whether the store answered lately, or a read of it still waits
-// on a node that hears others.
+// reachesStore reports whether the store answered recently, or a read of it is still
+// waiting and a reader answered recently.
 func (n *Node) reachesStore() bool {
 	now := time.Now()
 	if n.store.reached(now) {
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -14,21 +14,23 @@
 const (
 	// takeoverAttempts bounds the tries of one claim.
 	takeoverAttempts = 6
-	// takeoverPages bounds the pages that a node reads at once for its takeovers:
-	// more would each take longer, and none would be there early.
+	// takeoverPages bounds the pages that a node reads concurrently for its takeovers: with
+	// more, each would take longer and none would complete early.
 	takeoverPages = 2
-	// takeoverFirst bounds the first pages beside them. A node serves a partition from
-	// its first page or two on, which do not wait for kept turns of the others.
+	// takeoverAccountPages bounds the additional concurrent reads of first pages. A node
+	// can serve a partition from its first page or two on, so these do not wait for the
+	// stored turns of other partitions.
 	takeoverAccountPages = 4
 )
 
-// takeoverTries are those of a page of a takeover. A takeover that is given up in an outage
-// has to claim its partition again after it.
+// takeoverRetry is for the pages of a takeover. It lasts through outages, because a
+// takeover that is given up has to claim its partition again.
 var takeoverRetry = pageRetry{attempts: 6, firstTimeout: appendTimeout, maximumTimeout: 10 * time.Second, throughOutages: true}
 
-// takeovers are those under way on this node. It is safe for concurrent use.
+// takeovers are the takeovers in progress at this node. It is safe for concurrent use.
 type takeovers struct {
-	// pages are the places to read a page in, and first those for first pages alone.
+	// pageSlots are the semaphore for reads of pages, and accountSlots one for pages with
+	// accounts only.
 	pageSlots    chan struct{}
 	accountSlots chan struct{}
 
@@ -43,8 +45,8 @@
 	}
 }
 
-// place waits until a page may be read, and returns what ends that. Pages with accounts
-// have places that others do not take.
+// acquireSlot waits until a page may be read, and returns the function that releases the
+// slot. Pages with accounts may also use slots that are reserved for them.
 func (t *takeovers) acquireSlot(ctx context.Context, accounts bool) (release func(), err error) {
 	var accountSlots chan<- struct{}
 	if accounts {
@@ -60,7 +62,7 @@
 	}
 }
 
-// begin returns the context of a takeover, and what ends it.
+// begin returns the context of a takeover, and the function that ends it.
 func (t *takeovers) begin(ctx context.Context, takeover coordinator.Takeover) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	name := coordinator.Stopped{Partition: takeover.Partition, Epoch: takeover.Epoch}
@@ -70,7 +72,7 @@
 	return ctx, func() { t.stop(name) }
 }
 
-// end has a takeover read no more.
+// stop cancels the reads of a takeover.
 func (t *takeovers) stop(name coordinator.Stopped) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -80,13 +82,13 @@
 	}
 }
 
-// restored is what a takeover has read.
+// readTotals is the amount that a takeover has read.
 type readTotals struct {
 	records, bytes, pages int
 }
 
-// takeOver claims a partition and reads it, and tells the core of its progress and
-// how it ended.
+// takeOver claims a partition and reads its log, and reports the progress and the outcome
+// to the core.
 func (n *Node) takeOver(takeover coordinator.Takeover) {
 	n.run(func(ctx context.Context) {
 		reading, end := n.takeovers.begin(ctx, takeover)
@@ -131,8 +133,8 @@
 	return ended
 }
 
-// moved reports whether a contested claim is not to be made now: the log does not end
-// where it did, or does not tell.
+// putOff reports whether a contested claim must be put off: the log has advanced, which
+// shows that another owner may be live, or its end could not be read.
 func (n *Node) putOff(ctx context.Context, takeover coordinator.Takeover, ended *coordinator.TakeoverEnded) bool {
 	if !takeover.Contested {
 		return false
@@ -151,8 +153,8 @@
 	return true
 }
 
-// readLedger reads the newest record of each key of a partition, and hands each page
-// to the core.
+// readLedger reads the newest record of each key of a partition, and passes each page to
+// the core.
 func (n *Node) readLedger(ctx context.Context, takeover coordinator.Takeover) (readTotals, error) {
 	var read readTotals
 	after := ""
@@ -176,7 +178,7 @@
 	}
 }
 
-// readTakeoverPage reads a page once it is its turn.
+// readTakeoverPage reads a page once a slot is free.
 func (n *Node) readTakeoverPage(ctx context.Context, stream recordstore.Stream, after string) (recordstore.Page, error) {
 	accounts := n.settings.uses(ReadAccountsFirst) && !ledger.SortsAfterAccounts(after)
 	release, err := n.takeovers.acquireSlot(ctx, accounts)
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -17,29 +17,29 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// Times of the questions to owners.
+// Timeouts of the calls to owners.
 const (
-	// ownerPatience is how long a turn waits for an owner to be there.
+	// ownerLookupTimeout is how long a turn waits until its partition has an owner.
 	ownerLookupTimeout = 900 * time.Millisecond
-	// ownerTimeout bounds one question that is answered from memory.
+	// ownerCallTimeout bounds one call that is answered from memory.
 	ownerCallTimeout = 400 * time.Millisecond
-	// ownerPause is the wait before an owner is looked for again.
+	// ownerRetryPause is the pause before the owner is looked up again.
 	ownerRetryPause = 30 * time.Millisecond
-	// settleTimeout bounds how long a settlement is tried.
+	// settleTimeout bounds the attempts to report a settlement.
 	settleTimeout = 5 * time.Second
 )
 
 // errNoOwner says that no owner of the partition was found in time.
 var errNoOwner = errors.New("the program's partition has no owner at present")
 
-// grant is what the owner said of a turn that may run.
+// grant is the owner's permission to run a turn.
 type grant struct {
 	epoch ownership.Epoch
 	chain []byte
-	// recorded yields nil once the turn's tokens are durably counted; nil
-	// itself where nothing has to be waited for.
+	// recorded yields nil once the turn's tokens are durably counted; recorded itself is
+	// nil if there is nothing to wait for.
 	recorded <-chan error
-	// stalled says that the log did not take records of the partition when the turn was
+	// stalled says that the log accepted no records of the partition when the turn was
 	// admitted.
 	stalled bool
 }
@@ -79,13 +79,13 @@
 	run.perform(ctx)
 }
 
-// needsOwner reports whether the turn concerns its program's owner.
+// needsOwner reports whether the turn involves the owner of its program's partition.
 func (r *requestState) needsOwner() bool {
 	return r.program != "" && (r.budget > 0 || r.route.Retain)
 }
 
-// admitTurn asks the owner whether the turn may run. If it returns false, the
-// request was answered.
+// admitTurn requests admission of the turn from the owner. If it returns false, the request
+// has been answered.
 func (n *Node) admitTurn(ctx context.Context, r *requestState) (grant, bool) {
 	if !r.needsOwner() {
 		return grant{}, true
@@ -118,9 +118,9 @@
 	return n.applyAdmission(ctx, r, reply, found)
 }
 
-// askAdmission asks the owner for the turn. One that was not heard may have granted it,
-// or grants it once a takeover is over, to nobody: it is told that the turn is over, so
-// that the program's budget does not wait for it.
+// requestAdmission requests admission from the owner. An owner whose reply was lost may
+// have granted the turn, or may grant it once a takeover is over. It is therefore sent a
+// settlement, so that the grant does not hold a part of the program's budget.
 func (n *Node) requestAdmission(ctx context.Context, r *requestState, admit *coordinator.AdmitRequest) (coordinator.Reply, error) {
 	reply, err := n.callOwner(ctx, r, r.partition, coordinator.Request{Admit: admit}, ownerLookupTimeout)
 	if err != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// takeReply turns the owner's reply into a grant or an answer.
+// applyAdmission converts the owner's reply into a grant, or answers the request.
 func (n *Node) applyAdmission(ctx context.Context, r *requestState, reply coordinator.Reply, found grant) (grant, bool) {
 	if reply.Status != coordinator.ReplyDone || reply.Admission == nil {
 		n.answerUnadmitted(r, reply.Status)
@@ -161,7 +161,7 @@
 	return found, true
 }
 
-// answerUnadmitted answers a turn that its partition's owner did not admit.
+// answerUnadmitted answers a turn that the owner of its partition did not admit.
 func (n *Node) answerUnadmitted(r *requestState, status coordinator.ReplyStatus) {
 	switch status {
 	case coordinator.ReplyFull:
@@ -173,8 +173,8 @@
 	}
 }
 
-// answerNoChain answers a turn whose previous turn was not found: only what is
-// certain becomes "no such turn".
+// answerNoChain answers a turn whose previous turn was not found. It answers "no such turn"
+// only if the absence is certain.
 func (n *Node) answerNoChain(r *requestState, status coordinator.ReplyStatus) {
 	if status == coordinator.ReplyAbsent {
 		r.fail(fasthttp.StatusNotFound, "no such previous turn", 0)
@@ -183,8 +183,7 @@
 	n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseUnproven}, "whether the previous turn is kept is not certain at present")
 }
 
-// askOwner asks the owner of a partition, and looks for it anew for as long as
-// the patience lasts.
+// callOwner calls the owner of a partition, and looks the owner up again until the timeout.
 func (n *Node) callOwner(ctx context.Context, r *requestState, partition int, request coordinator.Request, timeout time.Duration) (coordinator.Reply, error) {
 	until := time.Now().Add(timeout)
 	for {
@@ -202,7 +201,7 @@
 	}
 }
 
-// askOnce asks the node that owns the partition as far as is known.
+// callOwnerOnce calls the node that owns the partition according to this node's view.
 func (n *Node) callOwnerOnce(ctx context.Context, r *requestState, partition int, request coordinator.Request) (coordinator.Reply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout(request))
 	defer cancel()
@@ -225,7 +224,8 @@
 	return reply, err
 }
 
-// noteNotOwner tells the core that a node does not serve a partition, or who does.
+// reportNotOwner reports to the core that a node does not serve a partition, or which node
+// does.
 func (n *Node) reportNotOwner(asked machine.ID, partition int, reply coordinator.Reply) {
 	n.metrics.ownerMissed()
 	entry := n.logger.Info().Int("partition", partition).Str("asked", string(asked))
@@ -238,7 +238,7 @@
 	n.control.post(coordinator.OwnershipDenied{Partition: partition, Node: asked})
 }
 
-// timeoutOf bounds a question: those that wait for the log may take longer.
+// callTimeout returns the timeout of a call. Calls that wait for the log get more time.
 func callTimeout(request coordinator.Request) time.Duration {
 	if request.Await != nil || request.Keep != nil {
 		return peerRequestTimeout
@@ -249,14 +249,15 @@
 	return ownerCallTimeout
 }
 
-// findChain looks for the previous turn in all partitions. It is certainly absent
-// only if every owner has said so, and knows whose turns it keeps.
+// findChain looks for the previous turn in all partitions. The turn is certainly absent
+// only if every owner has replied that it does not hold it, and has a complete view of the
+// turns that it stores.
 func (n *Node) findChain(ctx context.Context, r *requestState) ([]byte, coordinator.ReplyStatus) {
 	find := &coordinator.FindRequest{Turn: r.previousID(), Unscoped: r.unscopedPreviousID()}
 	answers := make(chan coordinator.Reply, n.settings.Partitions)
 	for partition := range n.settings.Partitions {
 		go func() {
-			// Each search has a state of its own to note the owner in.
+			// Each search records the owner in a state of its own.
 			search := &requestState{exchange: r.exchange}
 			reply, err := n.callOwner(ctx, search, partition, coordinator.Request{Find: find}, ownerLookupTimeout)
 			if err != nil {
@@ -281,8 +282,8 @@
 // errNotCounted says that the turn's tokens could not be counted durably.
 var errNotCounted = errors.New("the tokens of the turn could not be recorded")
 
-// awaitRecorded waits beside the run until the position is durable. If the
-// owner is lost meanwhile, the new one counts the turn.
+// awaitRecorded returns a channel that yields nil once the position is durable. It waits
+// concurrently with the run. If the owner fails meanwhile, the new owner counts the turn.
 func (n *Node) awaitRecorded(ctx context.Context, r *requestState, epoch ownership.Epoch, position uint64) <-chan error {
 	done := make(chan error, 1)
 	turn := n.turnOf(r)
@@ -316,8 +317,7 @@
 	return done
 }
 
-// settle tells the owner how a turn ended, beside the handling of the next
-// request.
+// settle reports the end of a turn to the owner, on a goroutine of its own.
 func (n *Node) settle(r *requestState) {
 	settlement := n.settlementOf(r)
 	search := &requestState{exchange: r.exchange}
--- a/edge/unusable.go
+++ b/edge/unusable.go
@@ -6,18 +6,18 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// maximumUnusable bounds the entries that are remembered as unusable. The lines about
-// more than that repeat with their heartbeats, which the log's own bound holds.
+// maximumUnusable bounds the invalid entries that are remembered. Beyond that, log lines
+// about them repeat with each heartbeat, which the log's own rate limit bounds.
 const maximumUnusable = 4096
 
-// unusableEntries are the entries of the list that name no replica to use, and of which a
-// line was written. The zero value holds none. It is safe for concurrent use.
+// unusableEntries are the invalid entries of the replica list that have been logged. The
+// zero value is empty. It is safe for concurrent use.
 type unusableEntries struct {
 	mutex sync.Mutex
 	ids   map[replica.ID]bool
 }
 
-// note adds an entry. It reports whether it is news.
+// note adds an entry, and reports whether it is new.
 func (u *unusableEntries) note(id replica.ID) (news bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -33,7 +33,7 @@
 	return true
 }
 
-// forget drops an entry that is usable now, or gone.
+// forget removes an entry that has become valid or is gone.
 func (u *unusableEntries) forget(id replica.ID) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	// waitingRequests bounds the requests that wait here for room: more than a node is
-	// given places for in the longest wait.
+	// queueMaximumRequests bounds the queued requests. It exceeds the number that a node
+	// starts within the longest wait.
 	queueMaximumRequests = 256
-	// waitingShare is the part of the node's memory that they may take, and
-	// waitingBytes what they may where that has no bound.
+	// queueMemoryShare is the part of the node's memory that queued requests may take, and
+	// queueDefaultBytes their limit if the memory is not limited.
 	queueMemoryShare  = 1. / 32
 	queueDefaultBytes = 16 << 20
-	// waitingOverhead is what a request that waits holds beside its body and its chain.
+	// queuedRequestOverhead is the memory that a queued request takes besides its body and
+	// its chain.
 	queuedRequestOverhead = 16 << 10
-	// waitingStep is how often room is looked for while requests wait: a small part of
-	// a turn, and one request goes on in each.
+	// queuePollInterval is the time between two checks for capacity while requests are
+	// queued. It is short compared with a turn, since each check starts at most one
+	// request.
 	queuePollInterval = 5 * time.Millisecond
 )
 
-// waiting holds the requests that wait at this node for room. It is safe for concurrent
-// use.
+// waitQueue holds the requests that wait at this node for capacity at the replicas. It is
+// safe for concurrent use.
 type waitQueue struct {
 	mutex sync.Mutex
 	queue *dispatch.Queue
-	// held are the requests of the queue.
+	// requests are the queued requests by their id in the queue.
 	requests map[uint64]*queuedRequest
 	lastID   uint64
-	// pumped says that room is looked for.
+	// polling says that a goroutine serves the queue.
 	polling bool
 }
 
-// waitingRequest is a request with where its verdict goes.
+// queuedRequest is a queued request with the channel that receives its verdict.
 type queuedRequest struct {
 	request *requestState
 	verdict chan dispatch.Verdict
@@ -51,8 +53,8 @@
 	return &waitQueue{queue: dispatch.NewQueue(limits), requests: make(map[uint64]*queuedRequest)}
 }
 
-// awaitRoom has a turn of an engine wait until there is room for it. If it returns false,
-// the request was answered: it has not run.
+// awaitCapacity holds a new program's turn until the replicas have capacity for it. If it
+// returns false, the request has been answered without running.
 func (n *Node) awaitCapacity(ctx context.Context, r *requestState, chainBytes int) bool {
 	if !n.settings.uses(QueueNewPrograms) {
 		if r.admission.NewProgram && n.overloaded(r) {
@@ -79,11 +81,11 @@
 	return n.applyVerdict(r, &admission)
 }
 
-// reasonFull tells callers why their program does not begin.
+// reasonFull tells callers why their program does not start.
 const reasonFull = "the replicas are full, and programs under way go first"
 
-// joinWaiting decides on a turn, and has it wait if that is the verdict; what comes of it
-// is sent to the returned channel, which is nil otherwise.
+// enqueue decides on a turn, and queues it if the verdict is to wait. The returned channel
+// then receives the final verdict; otherwise it is nil.
 func (n *Node) enqueue(now time.Time, r *requestState, entry *dispatch.Waiting) (dispatch.Admission, chan dispatch.Verdict) {
 	utilisation := n.replicas.utilisation(n.selectionRequest(r))
 	utilisation.CompletionRate = n.refusals.serviceRate(now)
@@ -109,7 +111,8 @@
 	return admission, verdict
 }
 
-// tell ends the wait of a request that has left the queue. The mutex is held.
+// resolve ends the wait of a request that has left the queue. The caller must hold the
+// mutex.
 func (w *waitQueue) resolve(id uint64, verdict dispatch.Verdict) {
 	if queued := w.requests[id]; queued != nil {
 		delete(w.requests, id)
@@ -117,7 +120,7 @@
 	}
 }
 
-// awaitVerdict waits for what comes of a request that waits.
+// awaitVerdict waits for the verdict on a queued request.
 func (n *Node) awaitVerdict(ctx context.Context, id uint64, verdict chan dispatch.Verdict) dispatch.Verdict {
 	select {
 	case decided := <-verdict:
@@ -132,7 +135,7 @@
 	}
 }
 
-// pumpWaiting lets requests go on as room comes, until none waits.
+// pollQueue starts queued requests as capacity becomes available, until the queue is empty.
 func (n *Node) pollQueue(ctx context.Context) {
 	for wait.For(ctx, queuePollInterval) {
 		if !n.serveQueue(time.Now()) {
@@ -141,8 +144,8 @@
 	}
 }
 
-// stepWaiting ends the waits that are over, and lets the first request go on if there is
-// room. It reports whether any request still waits.
+// serveQueue ends the waits that have expired, and starts the first request if there is
+// capacity. It reports whether the queue still holds a request.
 func (n *Node) serveQueue(now time.Time) bool {
 	w := n.waitQueue
 	w.mutex.Lock()
@@ -165,13 +168,13 @@
 	return w.polling
 }
 
-// roomOf returns the room for a request that waits.
+// utilisationFor returns the utilisation of the replicas that may serve a queued request.
 func (n *Node) utilisationFor(id uint64) *dispatch.Utilisation {
 	utilisation := n.replicas.utilisation(n.selectionRequest(n.waitQueue.requests[id].request))
 	return &utilisation
 }
 
-// noteVerdict writes the verdict, and answers a turn that does not run.
+// applyVerdict logs the verdict, and answers a turn that does not run.
 func (n *Node) applyVerdict(r *requestState, admission *dispatch.Admission) bool {
 	n.metrics.admitted(admission.Verdict.String(), r.queuedFor)
 	if admission.Verdict == dispatch.VerdictRun && admission.Bound == 0 {
@@ -191,7 +194,7 @@
 	return false
 }
 
-// room returns how full the replicas are for a request.
+// utilisation returns the utilisation of the replicas that may serve a request.
 func (r *replicas) utilisation(request *replica.Request) dispatch.Utilisation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
