--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -78,7 +78,7 @@
 	n.replicas.ended(entry.ID, result)
 	n.refundColdGrant(r, entry.ID)
 	if r.onlyReplica == entry.ID && result == replica.ResultFailed {
-		// No connection: the replica has ended or is cut off.
+		// No connection: the replica has ended or cannot be reached.
 		r.onlyReplica = ""
 	}
 	r.excluded = append(r.excluded, entry.ID)
--- a/edge/call.go
+++ b/edge/call.go
@@ -203,7 +203,7 @@
 	n, r := c.node, c.request
 	c.runs--
 	if len(c.inFlight) > 0 {
-		// The others go on; a replica more might be one too many.
+		// The other attempts continue; no further replica is added.
 		n.replicas.ended(attempt.choice.Entry.ID, result)
 		c.repeats = maximumRepeats
 		return false
--- a/edge/charge.go
+++ b/edge/charge.go
@@ -55,7 +55,7 @@
 	select {
 	case r.charge.outcome = <-r.charge.answer:
 	case <-ctx.Done():
-		// The answer may still come; settleCharge takes it.
+		// The answer may still arrive; refundUnusedCharge handles it.
 		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseLimit}, "the time of the request was up before it was counted")
 		return false
 	}
@@ -81,7 +81,7 @@
 	case counted.outcome.Status == coordinator.ChargeGranted:
 		n.refundCharge(counted)
 	case counted.outcome.Status == "":
-		// The request ended before its answer came.
+		// The request ended before its answer arrived.
 		n.run(func(ctx context.Context) { n.refundLateCharge(ctx, counted) })
 	}
 }
--- a/edge/control.go
+++ b/edge/control.go
@@ -9,68 +9,68 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// control drives the coordinator's core on one goroutine.
+// control runs the coordinator's core on one goroutine.
 type control struct {
 	node  *Node
 	core  *coordinator.Core
 	inbox chan any
-	// replies are the requests that wait, by id. Only the loop uses them.
+	// pendingReplies are the waiting requests by id. Only the loop uses them.
 	pendingReplies map[uint64]chan<- coordinator.Reply
 	nextID         uint64
-	// charges are the charges that wait, by id. Only the loop uses them.
+	// pendingCharges are the waiting charges by id. Only the loop uses them.
 	pendingCharges map[uint64]chan<- coordinator.Charged
-	// reached and live are what was noted last of the store and of the nodes.
+	// storeReached and liveNodes are the last logged states of the store and of the nodes.
 	storeReached bool
 	liveNodes    int
-	// leased is whether keys were honoured when that was noted last.
+	// leased is whether keys were accepted when that was last logged.
 	leased bool
-	// kept is what was noted last of the space that partitions take, and nextKept when
-	// it is looked at again.
+	// storedBytes is the last reported size of the partitions in the store, and
+	// nextStoredBytes when it is next reported.
 	storedBytes     map[int]int
 	nextStoredBytes time.Time
 }
 
-// inboxSize bounds the inputs that wait for the control goroutine.
+// inboxSize is the capacity of the control goroutine's inbox.
 const inboxSize = 1024
 
-// question is a request of a goroutine of this process.
+// partitionRequest is a request about a partition from a goroutine of this process.
 type partitionRequest struct {
 	partition int
 	request   coordinator.Request
 	answer    chan<- coordinator.Reply
 }
 
-// chargeQuestion is a request of a client that is to be counted.
+// chargeRequest is a client request to be counted.
 type chargeRequest struct {
 	charge  coordinator.Charge
 	timeout time.Duration
 	answer  chan<- coordinator.Charged
 }
 
-// lookup asks who owns a partition.
+// ownerLookup requests the owner of a partition.
 type ownerLookup struct {
 	partition int
 	answer    chan<- machine.Machine
 }
 
-// directoryLookup asks for the nodes that this one knows of.
+// directoryLookup requests the nodes that this one knows.
 type directoryLookup struct {
 	answer chan<- nodeList
 }
 
-// nodeList is the answer to a directoryLookup. Whole says that the list was read.
+// nodeList is the answer to a directoryLookup. complete says that the whole list was read.
 type nodeList struct {
 	nodes    []machine.Machine
 	complete bool
 }
 
-// peerList asks for the live peers that reach the store.
+// peerLookup requests the live peers that reach the store.
 type peerLookup struct {
 	answer chan<- peerSet
 }
 
-// peerCount is the answer to a peerList: the peers that reach the store, and
-// how many nodes are live, this one included.
+// peerSet is the answer to a peerLookup: the peers that reach the store, and the number of
+// live nodes, including this one.
 type peerSet struct {
 	peers []machine.Machine
 	live  int
@@ -81,7 +81,7 @@
 		pendingCharges: make(map[uint64]chan<- coordinator.Charged), storeReached: true}
 }
 
-// post hands an event to the loop. It blocks while the inbox is full.
+// post passes an event to the loop. It blocks while the inbox is full.
 func (c *control) post(event coordinator.Event) {
 	select {
 	case c.inbox <- event:
@@ -89,13 +89,13 @@
 	}
 }
 
-// ask has the core answer a request about a partition.
+// call has the core answer a request about a partition.
 func (c *control) call(ctx context.Context, partition int, request coordinator.Request) (coordinator.Reply, error) {
 	answer := make(chan coordinator.Reply, 1)
 	return roundTrip(ctx, c, partitionRequest{partition: partition, request: request, answer: answer}, answer)
 }
 
-// charge asks for a request to be counted. Its answer channel gets one answer, unless
+// charge requests that a request is counted. Its answer channel receives one answer, unless
 // the context ends first.
 func (c *control) charge(ctx context.Context, request *charge, timeout time.Duration) {
 	select {
@@ -110,7 +110,7 @@
 	return roundTrip(ctx, c, ownerLookup{partition: partition, answer: answer}, answer)
 }
 
-// directory returns the nodes that this one knows of.
+// directory returns the nodes that this one knows.
 func (c *control) directory(ctx context.Context) (nodeList, error) {
 	answer := make(chan nodeList, 1)
 	return roundTrip(ctx, c, directoryLookup{answer: answer}, answer)
@@ -122,7 +122,7 @@
 	return roundTrip(ctx, c, peerLookup{answer: answer}, answer)
 }
 
-// exchange puts a question into the inbox and waits for its answer.
+// roundTrip sends a request to the inbox and waits for its answer.
 func roundTrip[A any](ctx context.Context, c *control, request any, answer <-chan A) (A, error) {
 	var none A
 	select {
@@ -141,8 +141,8 @@
 // loadPeriod is the time between two reports of this node's loads to the core.
 const loadPeriod = 100 * time.Millisecond
 
-// keptPeriod is the time between two looks at the space that partitions take, which
-// visits all that they keep.
+// storedBytesPeriod is the time between two reports of the size of the partitions in the
+// store, each of which iterates over all their records.
 const storedBytesPeriod = 5 * time.Second
 
 // loop runs the core until the context ends.
@@ -169,7 +169,7 @@
 	}
 }
 
-// report tells the core what this node knows of itself.
+// report passes this node's own state to the core.
 func (c *control) report(now time.Time) {
 	loads := coordinator.Loads{Counts: c.node.replicas.ownRequests(), Reports: c.node.replicas.report()}
 	loads.Evacuations = c.node.evacuations.version()
@@ -189,8 +189,8 @@
 	c.node.logColdTransitions(now)
 }
 
-// noteRoles takes in what nodes do for others. A node that may have to take a partition
-// over from now on looks at once whether it reaches the store.
+// setRoles sets the nodes' roles. A node that may have to take a partition over from now on
+// checks at once whether it reaches the store.
 func (c *control) setRoles(roles coordinator.Roles) {
 	before := c.node.roles.Swap(&roles)
 	if !roles.MayOwnPartition || (before != nil && before.MayOwnPartition) {
@@ -201,14 +201,14 @@
 	}
 }
 
-// endWaitForLostReader ends the wait for the first answer of a reader that is not live.
+// cancelLostReader cancels the first request to a reader that is no longer live.
 func (c *control) cancelLostReader() {
 	if asked := c.node.pendingReader.Load(); asked != nil && !c.core.IsLive(asked.id) {
 		asked.stop()
 	}
 }
 
-// reportKept sets the metrics of what partitions take in the store.
+// reportStoredBytes updates the metrics of the size of the partitions in the store.
 func (c *control) reportStoredBytes(now time.Time) {
 	if now.Before(c.nextStoredBytes) {
 		return
@@ -226,7 +226,7 @@
 	c.storedBytes = storedBytes
 }
 
-// noteDependencies writes when the store or nodes are lost or regained.
+// logDependencyChanges logs when the store, the key lease or nodes are lost or regained.
 func (c *control) logDependencyChanges() {
 	if storeReached := c.node.reachesStore(); storeReached != c.storeReached {
 		c.storeReached = storeReached
@@ -251,14 +251,14 @@
 	}
 }
 
-// take passes one input to the core.
+// handleInput passes one input to the core.
 func (c *control) handleInput(input any) {
 	now := time.Now()
 	switch input := input.(type) {
 	case coordinator.Event:
 		c.core.Step(now, input)
 		if _, listed := input.(coordinator.NodeListRead); listed {
-			// Whom this node follows hangs on its role.
+			// This node's role depends on the list, and decides which nodes it follows.
 			c.report(now)
 			c.node.markNodeListKnown()
 		}
@@ -281,7 +281,7 @@
 	}
 }
 
-// perform carries out what the core has ready.
+// performReady carries out the actions that the core has ready.
 func (c *control) performReady() {
 	ready := c.core.Ready()
 	for _, reply := range ready.Replies {
--- a/edge/datagram.go
+++ b/edge/datagram.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	if _, err := d.conn.WriteToUDPAddrPort(body, to); err != nil {
-		// As good as lost: the failure detector asks through others.
+		// Treated as a lost datagram: the failure detector probes through other nodes.
 		d.node.metrics.datagram(datagramDropped)
 		return true
 	}
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -19,47 +19,48 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// The nodes' records are dealt to the partitions of their stream. A node reads the
-// partition of its own record. The node that ranks first among those listed there reads
-// all partitions, and the others have the list of it: what the store sends grows with the
-// nodes, and not with nodes times nodes.
+// The nodes' records are distributed over the partitions of their stream. Each node reads
+// the partition with its own record. The node that ranks first among those listed there
+// reads all partitions, and the others get the list from it. The load on the store so grows
+// with the number of nodes rather than with its square.
 const (
 	pathNodes = "/peer/nodes"
-	// directoryRank stands for a partition in the ranking of those that read all.
+	// directoryRankKey stands for a partition in the ranking of the nodes that read all
+	// partitions.
 	directoryRankKey = -3
-	// directoryReaders is how many of a partition's nodes may be asked for the list, the
-	// one that ranks first before the others.
+	// directoryReaders is how many nodes of a partition may be asked for the list, the one
+	// that ranks first before the others.
 	directoryReaders = 4
-	// directoryAll is how many nodes a partition names at most in a fleet in which each
-	// node reads all partitions.
+	// directoryReadAllMaximum is the maximum number of nodes in a partition at which each
+	// node reads all partitions itself.
 	directoryReadAllMaximum = 3
-	// directoryReads is how many partitions are read at the same time.
+	// directoryConcurrentReads is the number of partitions that are read concurrently.
 	directoryConcurrentReads = 6
-	// directoryPatience is how long a node that starts waits for the list of nodes, and
-	// as much longer as half of it by chance, before it goes on without.
+	// directoryWait is how long a starting node waits for the list of nodes, plus a random
+	// part of up to half of it, before it continues without.
 	directoryWait = 3 * time.Second
-	// listPatience bounds the answer to a question for the list: some 400 KB for 2,000
-	// nodes, which a slow link sends to forty others in that time.
+	// nodeListTimeout bounds a query for the list: some 400 KB for 2,000 nodes, which a
+	// node with a slow link can send to forty others in that time.
 	nodeListTimeout = 8 * time.Second
-	// joinPauseFirst and joinPauseMost space the tries of a node that starts.
+	// joinMinimumBackoff and joinMaximumBackoff space the tries of a starting node.
 	joinMinimumBackoff = 60 * time.Millisecond
 	joinMaximumBackoff = 2 * time.Second
-	// nodesPeriodFirst and nodesPeriod are the first and the longest time between two
+	// nodesPeriodFirst and nodesPeriod are the first and the longest period between two
 	// reads of the list: nodes that start together publish their records within seconds.
 	nodesPeriodFirst = 2 * time.Second
 	nodesPeriod      = 15 * time.Second
 )
 
-// nodePage is the answer to a question for the list of nodes.
+// nodePage is the answer to a query for the list of nodes.
 type nodePage struct {
-	// Digest tells one list from another. An answer to a question that names the
-	// same one has no nodes.
+	// Digest identifies the list. If the query has the same digest, the answer has no
+	// nodes.
 	Digest string            `json:"digest"`
 	Nodes  []machine.Machine `json:"nodes,omitempty"`
 }
 
-// awaitDirectory waits until this node has the list of nodes, and so knows whom to follow.
-// One that does not get it goes on without, later than most have it.
+// awaitDirectory waits until this node has the list of nodes, from which it derives the
+// nodes to follow. Without a list it continues after a time in which most nodes get theirs.
 func (n *Node) awaitDirectory(ctx context.Context) {
 	timeout := directoryWait + time.Duration(n.draw()*float64(directoryWait)/2)
 	select {
@@ -69,7 +70,7 @@
 	}
 }
 
-// followNodes publishes this node's address and learns those of the others.
+// followNodes publishes this node's address and keeps the list of nodes up to date.
 func (n *Node) followNodes(ctx context.Context) {
 	n.control.post(coordinator.PeerReceived{Message: coordinator.PeerMessage{From: n.self}})
 	n.announce(n.settings.Seeds)
@@ -95,12 +96,13 @@
 // neighbours are the nodes whose records are in the same partition as this node's.
 type neighbours struct {
 	nodes []machine.Machine
-	// read says that the partition was read, and next is where its tail begins.
+	// read says that the partition was read, and next is the offset at which its tail
+	// begins.
 	read bool
 	next uint64
 }
 
-// note takes in a record of the partition that was written since.
+// update applies new records of the partition.
 func (near *neighbours) update(nodes []machine.Machine) {
 	for _, node := range nodes {
 		index := slices.IndexFunc(near.nodes, func(known machine.Machine) bool { return known.ID == node.ID })
@@ -112,7 +114,8 @@
 	}
 }
 
-// readNeighbours reads the partition at first, and again while the list is not learned.
+// readNeighbours reads the partition at first, and again after each failed refresh of the
+// list.
 func (n *Node) readNeighbours(ctx context.Context, near *neighbours, try int) {
 	if near.read && try == 0 {
 		return
@@ -126,13 +129,13 @@
 	n.control.post(coordinator.NodesDiscovered{Nodes: nodes})
 }
 
-// nodePartition returns the partition of the nodes' stream that has this node's record.
+// nodePartition returns the partition of the node stream that has this node's record.
 func (n *Node) nodePartition() int {
 	return ownership.PartitionOf(n.settings.Node, n.settings.Partitions)
 }
 
-// publishSelf writes this node's record, and goes on trying if it has to: others learn of
-// the node through its messages meanwhile.
+// publishSelf writes this node's record, and keeps trying in the background if that fails:
+// until then, others learn about the node from its messages.
 func (n *Node) publishSelf(ctx context.Context) {
 	value, err := json.Marshal(n.self)
 	if err != nil {
@@ -161,8 +164,9 @@
 	return err == nil
 }
 
-// learnNodes learns the list of nodes: of the store where this node ranks first among
-// those near, or the fleet is small, else of another node. It returns the list's digest.
+// refreshNodes refreshes the list of nodes: from the store if this node ranks first in its
+// partition or the fleet is small, otherwise from another node. It returns the list's
+// digest.
 func (n *Node) refreshNodes(ctx context.Context, near []machine.Machine, try int, digest string) (string, error) {
 	ranked := rankDirectory(near)
 	first := len(ranked) > 0 && ranked[0].ID == n.self.ID
@@ -179,8 +183,8 @@
 	return n.fetchNodes(ctx, n.settings.Seeds[int(n.draw()*float64(len(n.settings.Seeds)))], digest)
 }
 
-// rankDirectory returns the nodes of a partition that are to have the list, the one that is
-// to read it of the store first.
+// rankDirectory returns the nodes of a partition that should have the list. The first one
+// reads it from the store.
 func rankDirectory(near []machine.Machine) []machine.Machine {
 	candidates := make([]ownership.Node, 0, len(near))
 	for _, node := range near {
@@ -194,7 +198,7 @@
 	return ranked
 }
 
-// readNodes reads one partition of the nodes' stream.
+// readNodes reads one partition of the node stream.
 func (n *Node) readNodes(ctx context.Context, partition int) (nodes []machine.Machine, next uint64, err error) {
 	records, next, err := n.readNewest(ctx, recordstore.Stream{Name: recordstore.StreamNodes, Partition: partition})
 	if err != nil {
@@ -203,8 +207,8 @@
 	return n.decodeNodes(records), next, nil
 }
 
-// readAllNodes reads the list of nodes of the store, a few partitions at a time: all other
-// nodes of this one's partition wait for it.
+// readAllNodes reads the list of nodes from the store, several partitions at a time,
+// because all other nodes of this one's partition wait for it.
 func (n *Node) readAllNodes(ctx context.Context) error {
 	parts := make([][]machine.Machine, n.settings.Partitions)
 	failures := make([]error, len(parts))
@@ -225,21 +229,21 @@
 	return nil
 }
 
-// takeNodes takes the list of nodes over.
+// applyNodes passes a list of nodes to the core.
 func (n *Node) applyNodes(source string, nodes []machine.Machine) {
 	n.logger.Info().Str("source", source).Int("nodes", len(nodes)).Dur("after", time.Since(n.started)).Msg("nodes: list read")
 	n.control.post(coordinator.NodeListRead{Nodes: nodes})
 }
 
-// noteDirectory takes in that this node knows the list of nodes, and its role.
+// markNodeListKnown records that this node has the list of nodes, and thereby its role.
 func (n *Node) markNodeListKnown() { n.nodeListOnce.Do(func() { close(n.nodeListKnown) }) }
 
-// askNodes asks another node for the list.
+// fetchNodes queries another node for the list.
 func (n *Node) fetchNodes(ctx context.Context, address, digest string) (string, error) {
 	return n.fetchNodesWithin(ctx, address, digest, nodeListTimeout)
 }
 
-// askNodesWithin asks another node for the list, and waits for so long at most.
+// fetchNodesWithin is fetchNodes with a timeout.
 func (n *Node) fetchNodesWithin(ctx context.Context, address, digest string, timeout time.Duration) (string, error) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -254,7 +258,7 @@
 	return page.Digest, nil
 }
 
-// receiveNodes answers a question for the list of nodes.
+// receiveNodes answers a query for the list of nodes.
 func (p *peers) receiveNodes(ctx *fasthttp.RequestCtx) {
 	askCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
 	defer cancel()
@@ -270,7 +274,7 @@
 	writeJSON(ctx, page)
 }
 
-// digestOf tells lists of nodes apart that name other nodes, or other processes of them.
+// digestOf returns a digest of the nodes' ids and incarnations.
 func digestOf(nodes []machine.Machine) string {
 	hash := xxhash.New()
 	for _, node := range nodes {
@@ -281,8 +285,8 @@
 	return strconv.FormatUint(hash.Sum64(), 36)
 }
 
-// decodeNodes reads the nodes' records. One that is not understood is another version's
-// and passed over: its node is learned of through its peers.
+// decodeNodes decodes the nodes' records. A record that cannot be decoded is from another
+// version and is skipped; the node is discovered through its peers instead.
 func (n *Node) decodeNodes(records []recordstore.Record) []machine.Machine {
 	var nodes []machine.Machine
 	for _, record := range records {
@@ -299,8 +303,8 @@
 	return nodes
 }
 
-// greet tells peers that are known by address alone of this node. They answer
-// with statuses.
+// announce sends this node's status to peers of which only the address is known. They
+// answer with statuses of their own.
 func (n *Node) announce(addresses []string) {
 	for _, address := range addresses {
 		if address == n.settings.Peers {
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -12,55 +12,55 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// Times of the followers.
+// Periods and timeouts of the followers.
 const (
-	// configurationWait and replicasWait are how long one read waits for a
-	// record. Replicas write all the time, and their reads also show that the
-	// store is reached.
+	// configurationWait and replicasWait are the long-poll times of a read. Replicas write
+	// all the time, so that their reads also show that the store is reached.
 	configurationWait       = 2 * time.Second
 	configurationWaitReader = 800 * time.Millisecond
 	replicasWait            = 700 * time.Millisecond
-	// tailSlack is how much later its answer may come.
+	// tailSlack is added to the long-poll time for the timeout of the call.
 	tailSlack = 800 * time.Millisecond
-	// configurationPause and replicasPause are the least times between reads.
+	// configurationPause and replicasPause are the minimum times between two reads.
 	configurationPause = 50 * time.Millisecond
 	replicasPause      = 400 * time.Millisecond
-	// sourcePause is that of the few nodes that read for all others: the age of what
-	// these know begins with it.
+	// sourcePause is used instead by the few sources, which read for all other nodes: it
+	// adds to the age of what those know.
 	sourcePause = 200 * time.Millisecond
-	// provingPause is the time between two reads of the readers of a zone while the
-	// configuration holds keys; the others have their proofs from these. A read proves
-	// what was the newest when it was sent, so that these do not wait for a change. Of
-	// six readers, one was answered some 50 ms ago at any time.
+	// provingPause is the time between two reads by a zone's readers while the
+	// configuration has keys; the other nodes get their freshness proofs from them. A read
+	// proves which configuration was the newest when it was sent, so these reads do not
+	// wait for a change. Of six readers, one has been answered within about 50 ms at any
+	// time.
 	provingPause = 300 * time.Millisecond
-	// resyncPeriod is how often a stream is read whole again, in case a record was missed
-	// unnoticed, and resyncPerRecord is how much later that is for each of its records: a
-	// whole read of ten thousand takes a second, in which no change is heard.
+	// resyncPeriod is how often a stream is read completely again, in case a change was
+	// missed, and resyncPerRecord the additional time per record: a complete read of ten
+	// thousand takes a second, in which no changes are received.
 	resyncPeriod    = 15 * time.Second
 	resyncPerRecord = 10 * time.Millisecond
-	// resyncSpread is the share of that time by which it is shorter or longer by chance, so
-	// that nodes that started together do not all read whole when the store fails.
+	// resyncSpread is the share by which that period varies randomly, so that nodes that
+	// started together do not all read completely at the moment when the store fails.
 	resyncSpread = 0.25
 )
 
-// latestConfiguration keeps the newest configuration as it was stored, so that
-// peers can be told of it.
+// latestConfiguration holds the newest configuration in its stored form, to pass it on to
+// peers.
 type latestConfiguration struct {
 	mutex   sync.Mutex
 	key     string
 	value   []byte
 	version uint64
-	// fetching is set while a peer is asked for a newer one.
+	// fetching is set while a newer configuration is fetched from a peer.
 	fetching bool
 }
 
-// rawConfiguration is a configuration as nodes pass it on.
+// rawConfiguration is a configuration in the form in which nodes pass it on.
 type rawConfiguration struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 }
 
-// newest returns the newest configuration, or nil before the first.
+// newest returns the newest configuration, or nil if there is none yet.
 func (l *latestConfiguration) newest() *rawConfiguration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -82,8 +82,8 @@
 	return encoded
 }
 
-// applyConfiguration takes over a record of the configuration's stream if it
-// is newer than what is in force.
+// applyConfiguration applies a record of the configuration stream if it is newer than the
+// configuration in force.
 func (n *Node) applyConfiguration(key string, value []byte, source string) {
 	table, err := n.adapter.Translator.Configuration(key, value)
 	if err != nil {
@@ -103,8 +103,8 @@
 	n.logger.Info().Uint64("version", table.Version).Str("source", source).Msg("config: in force")
 }
 
-// applyConfigurations takes over all records of the configuration's stream, as the
-// store has them at an offset.
+// applyConfigurations applies all records of the configuration stream, as the store had
+// them at an offset.
 func (n *Node) applyConfigurations(records []recordstore.Record, end uint64) {
 	n.resetEvacuations(records, end)
 	for _, record := range records {
@@ -112,20 +112,20 @@
 	}
 }
 
-// configurationChanged takes over one record of the configuration's stream.
+// applyConfigurationRecord applies one record of the configuration stream.
 func (n *Node) applyConfigurationRecord(record recordstore.Record) {
 	n.applyEvacuation(record)
 	n.applyConfiguration(record.Key, record.Value, "store")
 }
 
-// configurationCurrent follows each time that all of the configuration's stream was read.
+// configurationCaughtUp is called each time the configuration stream was read to its end.
 func (n *Node) configurationCaughtUp(asOf time.Time) {
 	n.evacuations.markCurrent(time.Now())
 	n.recordProof(asOf)
 }
 
 // followConfiguration keeps the configuration up to date from the store, unless this node
-// has it of a reader.
+// gets it from a reader.
 func (n *Node) followConfiguration(ctx context.Context) {
 	n.awaitDirectory(ctx)
 	for ctx.Err() == nil {
@@ -140,12 +140,12 @@
 	}
 }
 
-// rolePause is the time between two looks at whether a node that follows others is still
-// to do so.
+// roleCheckInterval is how often a node that follows others checks whether its role has
+// changed.
 const roleCheckInterval = 200 * time.Millisecond
 
-// configurationWait is how long a read of the configuration's stream waits. A
-// node that reads no other stream learns from it that the store is reached.
+// configurationWait returns the long-poll time of a read of the configuration stream. A
+// reader reads no other stream, so that only these reads show that the store is reached.
 func (n *Node) configurationWait() time.Duration {
 	if n.provesForZone() || n.lacksProof() {
 		return 0
@@ -156,9 +156,9 @@
 	return configurationWait
 }
 
-// configurationPause is the least time between two reads of the configuration's stream.
-// While this node lacks a proof it grows: all nodes lack theirs together when the store is
-// slow, and what they ask for would keep it so.
+// configurationPause returns the minimum time between two reads of the configuration
+// stream. It grows while this node lacks a freshness proof: if the store is slow, all nodes
+// lack theirs together, and their reads would keep it slow.
 func (n *Node) configurationPause() time.Duration {
 	switch {
 	case n.provesForZone():
@@ -173,25 +173,26 @@
 	}
 }
 
-// unprovenDoublings bounds the growth of the pause between two reads for a proof, at some
-// two seconds: 2,000 nodes then ask a thousand times a second.
+// maximumProofDoublings limits the growth of the pause between two reads for a proof, to
+// some two seconds: 2,000 nodes then send a thousand reads a second.
 const maximumProofDoublings = 5
 
-// follower takes in a stream: all of it, and each change.
+// streamHandler handles the records of a stream that is followed.
 type streamHandler struct {
-	// wait is how long a read waits for a record, and pause the least time
-	// between two reads.
+	// wait returns the long-poll time of a read, and pause the minimum time between two
+	// reads. reset is called with all records after a complete read, and change with each
+	// later one.
 	wait   func() time.Duration
 	pause  func() time.Duration
 	reset  func(records []recordstore.Record, end uint64)
 	change func(recordstore.Record)
-	// page, unless it is nil, is called with each page of a whole read as it comes.
+	// page, unless nil, is called with each page of a complete read as soon as it is read.
 	page func(records []recordstore.Record)
-	// current is called whenever all was taken in that the stream held at a time,
-	// and over ends the following; nil where that does not matter.
+	// current is called whenever the stream was read to its end, and ended reports whether
+	// to stop following; both may be nil.
 	current func(asOf time.Time)
 	ended   func() bool
-	// synced is set once the stream was read whole.
+	// synced is set once the stream was read completely.
 	synced *atomic.Bool
 }
 
@@ -209,7 +210,8 @@
 	}
 }
 
-// follow reads a stream whole and then its tail, anew after a gap.
+// followStream reads a stream completely and then follows its tail. It starts again after a
+// gap.
 func (n *Node) followStream(ctx context.Context, stream recordstore.Stream, handler streamHandler) {
 	backoff := n.backoff()
 	for ctx.Err() == nil && !handler.done() {
@@ -228,14 +230,15 @@
 	}
 }
 
-// resyncAfter returns how long after a whole read of so many records the next one is due.
+// resyncAfter returns how long after a complete read of that many records the next one is
+// due.
 func (n *Node) resyncAfter(records int) time.Duration {
 	period := resyncPeriod + time.Duration(records)*resyncPerRecord
 	return time.Duration((1 + resyncSpread*(2*n.draw()-1)) * float64(period))
 }
 
-// followTail reads a stream's tail until a gap, or until it is to be read
-// whole again.
+// followTail follows the tail of a stream until a gap, or until the next complete read is
+// due.
 func (n *Node) followTail(ctx context.Context, stream recordstore.Stream, next uint64, resync time.Time, handler streamHandler) {
 	backoff := n.backoff()
 	for ctx.Err() == nil && !handler.done() && time.Now().Before(resync) {
--- a/edge/keys.go
+++ b/edge/keys.go
@@ -14,49 +14,49 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// A node honours keys only while it can prove that what it knows of them was the
-// newest a short time ago: an operator who takes a key away is told so by the store,
-// and no node may honour it for long after that, whatever the node can reach.
+// A node accepts keys only while it can prove that its list of keys was the newest a short
+// time ago. An operator who removes a key gets a confirmation from the store, and no node
+// may accept the key for long after that, whatever the node can reach.
 const (
-	// defaultKeyLease is the lease where the operator names no bound.
+	// defaultKeyLease is the lease if the operator sets no bound.
 	defaultKeyLease = 5 * time.Second
-	// leaseShare is the part of the operator's bound that is used: clocks run at
+	// leaseShare is the part of the operator's bound that is used, because clocks run at
 	// slightly different rates.
 	leaseShare = 0.98
-	// lookPause is the least time between two looks into the store for keys that are
-	// not known, so that clients with wrong keys cost few calls.
+	// unknownKeyReadPause is the minimum time between two reads of the store because of
+	// unknown keys, so that clients with wrong keys cause few calls.
 	unknownKeyReadPause = 250 * time.Millisecond
-	// lookTimeout bounds one look, and with it how long a request with a key that is
-	// not known waits for its answer.
+	// unknownKeyReadTimeout bounds one such read, and thereby how long a request with an
+	// unknown key waits for its answer.
 	unknownKeyReadTimeout = 300 * time.Millisecond
-	// proofEnough is the age of a proof up to which a key that is not known is
-	// refused though the store cannot be asked: what a node in touch reaches while
-	// its read of the configuration waits.
+	// sufficientProofAge is the age of a proof up to which an unknown key is refused even
+	// if the store cannot be read: the age that a connected node reaches while its read of
+	// the configuration waits.
 	sufficientProofAge = configurationWait + 200*time.Millisecond
 )
 
-// proof is when a node's configuration was last proven to be the newest. It is safe
-// for concurrent use.
+// freshnessProof records when a node's configuration was last proven to be the newest. It
+// is safe for concurrent use.
 type freshnessProof struct {
-	// epoch is a time before any proof that counts: a peer may have had its proof
-	// before this process began.
+	// epoch is the origin of the times below. It is earlier than any proof that counts,
+	// since a peer may have had its proof before this process began.
 	epoch time.Time
-	// at is when the last proof was, since epoch in nanoseconds; 0 before the first.
+	// at is the time of the last proof, in nanoseconds since epoch; 0 if there is none.
 	at atomic.Int64
-	// lookedAt is when the store was asked last because of a key that was not
-	// known, since epoch in nanoseconds.
+	// storeReadAt is when the store was last read because of an unknown key, in nanoseconds
+	// since epoch.
 	storeReadAt atomic.Int64
 }
 
-// proofHorizon is how long before the process began proofs may lie: longer than any
-// operator's bound.
+// proofHorizon is how long before the start of the process a proof may date from. It
+// exceeds any operator's bound.
 const proofHorizon = 2 * time.Hour
 
 func newFreshnessProof(now time.Time) *freshnessProof {
 	return &freshnessProof{epoch: now.Add(-proofHorizon)}
 }
 
-// note takes in that the configuration which the node holds was the newest at a time.
+// record records that the node's configuration was the newest at a time.
 func (p *freshnessProof) record(at time.Time) {
 	since := int64(at.Sub(p.epoch))
 	for known := p.at.Load(); since > known; known = p.at.Load() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// age returns how long ago the last proof was, or false before the first one.
+// age returns the age of the last proof, or false if there is none.
 func (p *freshnessProof) age(now time.Time) (time.Duration, bool) {
 	at := p.at.Load()
 	if at == 0 {
@@ -75,14 +75,14 @@
 	return now.Sub(p.epoch) - time.Duration(at), true
 }
 
-// mayLook reports whether the store may be asked again because of a key.
+// allowRead reports whether the store may be read again because of an unknown key.
 func (p *freshnessProof) allowRead(now time.Time) bool {
 	since := int64(now.Sub(p.epoch))
 	last := p.storeReadAt.Load()
 	return (last == 0 || since-last >= int64(unknownKeyReadPause)) && p.storeReadAt.CompareAndSwap(last, since)
 }
 
-// keyLease is how old a proof may be for keys to be honoured.
+// keyLease returns the maximum age of a proof with which keys are accepted.
 func (s *Settings) keyLease() time.Duration {
 	bound := s.KeyLease
 	if bound <= 0 {
@@ -91,8 +91,8 @@
 	return time.Duration(leaseShare * float64(bound))
 }
 
-// authenticate finds the tenant whose key the request shows. If it returns false, the
-// request was answered.
+// authenticate looks up the tenant of the request's key. If it returns false, the request
+// has been answered.
 func (n *Node) authenticate(r *requestState, table *routing.Table) bool {
 	if table.Tenants == nil {
 		return true
@@ -122,8 +122,8 @@
 	return n.recheckKey(r, keys[0])
 }
 
-// lookAgain answers a request whose key is not known, unless a newer configuration
-// knows it: the operator may have added it since this node last heard.
+// recheckKey answers a request with an unknown key, unless a newer configuration has the
+// key: the operator may have added it since this node last read the configuration.
 func (n *Node) recheckKey(r *requestState, key string) bool {
 	current := n.readConfigurationNow()
 	table := n.routes.Current()
@@ -147,8 +147,8 @@
 	return false
 }
 
-// readConfigurationNow reads the configuration beside the read that waits for its next
-// change. It reports whether the store answered.
+// readConfigurationNow reads the configuration independently of the read that waits for its
+// next change. It reports whether the store answered.
 func (n *Node) readConfigurationNow() bool {
 	asked := time.Now()
 	if !n.freshnessProof.allowRead(asked) {
@@ -166,7 +166,7 @@
 	return true
 }
 
-// noteProof takes in that the configuration held here was the newest at a time.
+// recordProof records that this node's configuration was the newest at a time.
 func (n *Node) recordProof(at time.Time) {
 	n.freshnessProof.record(at)
 	if n.needsProofs() {
@@ -174,15 +174,14 @@
 	}
 }
 
-// needsProofs reports whether the configuration in force holds keys, so that its age
-// matters.
+// needsProofs reports whether the configuration in force has keys, which require freshness
+// proofs.
 func (n *Node) needsProofs() bool {
 	table := n.routes.Current()
 	return table != nil && table.Tenants != nil
 }
 
-// provesForZone reports whether the other nodes of the zone have their proofs from this
-// one.
+// provesForZone reports whether the other nodes of the zone get their proofs from this one.
 func (n *Node) provesForZone() bool {
 	roles := n.roles.Load()
 	if !n.needsProofs() || roles == nil || !n.settings.uses(ShareProofs) {
@@ -191,12 +190,13 @@
 	return includes(roles.Readers, n.self.ID)
 }
 
-// proofLate is the age of a proof from which on a node reads the configuration without
-// waiting for a change: its peers have had nothing newer for longer than they ask for.
+// lateProofAge is the age of a proof from which on a node reads the configuration without
+// long polling. It exceeds the age at which a node requests a proof from its peers, which
+// therefore had no newer one.
 const lateProofAge = 1500 * time.Millisecond
 
-// lacksProof reports whether this node needs a proof sooner than a read that waits
-// brings one.
+// lacksProof reports whether this node needs a proof sooner than a long-polling read
+// provides one.
 func (n *Node) lacksProof() bool {
 	if !n.needsProofs() || !n.settings.uses(ShareProofs) {
 		return false
@@ -205,7 +205,7 @@
 	return !proven || age > lateProofAge
 }
 
-// leased reports whether this node may honour keys.
+// leased reports whether this node may accept keys.
 func (n *Node) leased() bool {
 	age, proven := n.freshnessProof.age(time.Now())
 	return proven && age <= n.settings.keyLease()
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -7,128 +7,129 @@
 	"birchwood.example/birchwood/findings"
 )
 
-// Mechanism names a part of how a node decides that can be switched off, so
-// that its worth can be measured.
+// Mechanism names a part of a node's decision making that can be switched off, to measure
+// its effect.
 type Mechanism string
 
-// The mechanisms. All are on unless Settings.Without lists them.
+// The mechanisms. All are on unless listed in Settings.Disabled.
 const (
-	// AskForList has a node that starts ask the nodes that it hears of for the list of
-	// nodes, beside what it reads of the store.
+	// AskPeersForNodes makes a starting node query known peers for the list of nodes,
+	// besides reading it from the store.
 	AskForList Mechanism = "ask-for-list"
-	// AssumeShared estimates which parts that many programs share other nodes had
-	// engines read.
+	// EstimateSharedPrompts estimates which prompt parts that many programs share are in
+	// the engines' caches because of requests from other nodes.
 	EstimateSharedPrompts Mechanism = "assume-shared"
-	// AwaitLateAppends takes the answer of an append also after it was sent again.
+	// AwaitLateAppends accepts the answer of an append even after the append was sent
+	// again.
 	AwaitLateAppends Mechanism = "await-late-appends"
-	// BeginAgain lets programs begin before the store has their first mark also at an
-	// owner that followed a lost one.
+	// BeginAfterFailure extends BeginUnrecorded to an owner whose predecessor failed.
 	BeginAfterFailure Mechanism = "begin-again"
-	// BeginUnrecorded lets programs begin before the store has their first mark.
+	// BeginUnrecorded lets programs begin before their first mark is in the store.
 	BeginUnrecorded Mechanism = "begin-unrecorded"
-	// CountKept has the owner tell how much of a line of turns its last replica keeps.
+	// ReportCachedTokens makes the owner report how many tokens of a session its last
+	// replica has cached.
 	ReportCachedTokens Mechanism = "count-kept"
-	// CountPeers counts what other nodes have under way at replicas.
+	// CountPeerLoads includes the requests of other nodes in the loads of replicas.
 	CountPeerLoads Mechanism = "count-peers"
-	// CountTogether has one node count a tenant's requests for the fleet; without it
-	// each node counts to its own part of the limit.
+	// CountCentrally makes one node count a tenant's requests for the whole fleet; without
+	// it, each node enforces its own part of the limit.
 	CountCentrally Mechanism = "count-together"
-	// DoubtUnlisted keeps replicas that the store lacks after an outage.
+	// DeferRemovals keeps replicas for a while that are missing in the store after an
+	// outage.
 	DeferRemovals Mechanism = "doubt-unlisted"
-	// EstimateLoads estimates the requests of nodes that were not heard lately.
+	// EstimateLoads estimates the requests of nodes whose loads were not received recently.
 	EstimateLoads Mechanism = "estimate-loads"
-	// FinishPrograms has programs under way go before new ones at a tenant's limit.
+	// PreferStartedPrograms prefers started programs to new ones at a tenant's limit.
 	PreferStartedPrograms Mechanism = "finish-programs"
-	// FollowLines keeps a line of turns where its last turn was served.
+	// KeepSessions sends the turns of a session to the replica that served the last one.
 	KeepSessions Mechanism = "follow-lines"
-	// FollowOwner has a turn that waits for the log go on with the partition's new owner
-	// as soon as one is known.
+	// FollowOwner makes a turn that waits for the log continue with the partition's new
+	// owner as soon as one is known.
 	FollowOwner Mechanism = "follow-owner"
-	// FollowPrompts estimates which parts of prompts each engine keeps.
+	// TrackCachedPrompts estimates which prompt parts are in the cache of each engine.
 	TrackCachedPrompts Mechanism = "follow-prompts"
-	// FollowReaders has most nodes of a large fleet follow the replicas through
-	// others.
+	// FollowReaders makes most nodes of a large fleet get the replicas from other nodes.
 	FollowReaders Mechanism = "follow-readers"
-	// GatherLoads has collectors gather what the nodes of a large fleet have under way.
+	// GatherLoads makes collectors gather the requests in progress of all nodes in a large
+	// fleet.
 	GatherLoads Mechanism = "gather-loads"
-	// GrantTurnAfterLoss grants one turn beyond a budget that a lost owner's mark
-	// used up.
+	// GrantTurnAfterFailure grants one turn beyond a budget that was used up by the mark of
+	// a failed owner.
 	GrantTurnAfterFailure Mechanism = "grant-turn-after-loss"
-	// HandOver has a partition's owner give it up in order.
+	// HandOver makes a partition's owner release it in an orderly handover.
 	HandOver Mechanism = "hand-over"
-	// HoldBack has nothing of an answer go out before its turn is kept, where the log took
-	// no records when the turn was admitted.
+	// HoldUntilStored holds an answer until its turn is stored, if the log accepted no
+	// records when the turn was admitted.
 	HoldBack Mechanism = "hold-back"
-	// KeepAside has a turn kept in another partition where the log takes no records of
-	// its program's.
+	// StoreInOtherPartition stores a turn in another partition if the log accepts no
+	// records of its program's partition.
 	KeepAside Mechanism = "keep-aside"
-	// KeepQuotas holds tenants to their limits.
+	// EnforceLimits enforces the rate limits of tenants.
 	EnforceLimits Mechanism = "keep-quotas"
-	// LeaseKeys honours keys only while what is known of them is proven to be recent.
+	// LeaseKeys accepts keys only while this node has a recent freshness proof for them.
 	LeaseKeys Mechanism = "lease-keys"
-	// LimitCold bounds what all nodes together send to a cold replica in a second.
+	// LimitColdReplicas limits the rate of requests from all nodes together to a cold
+	// replica.
 	LimitCold Mechanism = "limit-cold"
 	// MarkAhead raises marks beyond what a program needs at once.
 	MarkAhead Mechanism = "mark-ahead"
-	// OrderBySlack has engines that are full serve the programs first that have the least
-	// time to spare, within their priority.
+	// OrderBySlack makes full engines first serve the programs with the least slack, within
+	// their priority.
 	OrderBySlack Mechanism = "order-by-slack"
-	// NoticeCuts has a node that hears no other zone count as cut off as soon as its calls
-	// to the store have failed for some time, before it counts as not reaching the store.
+	// DetectIsolationEarly makes a node that receives nothing from other zones count as
+	// isolated once its calls to the store have failed for some time, before the store
+	// counts as unreachable.
 	DetectIsolationEarly Mechanism = "notice-cuts"
-	// PreferConnections prefers replicas to which a connection is free.
+	// PreferConnections prefers replicas to which there is an idle connection.
 	PreferConnections Mechanism = "prefer-connections"
-	// PreferRegion prefers replicas of the node's own region.
+	// PreferRegion prefers replicas in the node's own region.
 	PreferRegion Mechanism = "prefer-region"
-	// PreferZone prefers replicas of the node's own zone.
+	// PreferZone prefers replicas in the node's own zone.
 	PreferZone Mechanism = "prefer-zone"
-	// ProvePeers takes peers' word of how lately their configuration was proven to be
-	// the newest, and has the readers of each zone read it often.
+	// ShareProofs accepts freshness proofs of the configuration from peers, and makes the
+	// readers of each zone read it often.
 	ShareProofs Mechanism = "prove-peers"
-	// ReadAccountsFirst has a takeover's pages with accounts not wait for pages of kept
-	// turns of other takeovers.
+	// ReadAccountsFirst reads a takeover's pages with accounts without waiting for other
+	// takeovers' pages of stored turns.
 	ReadAccountsFirst Mechanism = "read-accounts-first"
-	// RankPrograms has programs that are further go first among those under way at a
-	// tenant's limit.
-	// RankPrograms has programs that come for the first time begin before those that come
-	// back at a tenant's limit.
+	// RankRetriesLast starts programs that arrive for the first time before retrying ones
+	// at a tenant's limit.
 	RankRetriesLast Mechanism = "rank-programs"
-	// RecallChains keeps the chains of turns that this node served, so that the
-	// owner need not send them when their lines go on here.
+	// CacheChains caches the chains of turns that this node served, so that the owner need
+	// not send them when their sessions continue here.
 	CacheChains Mechanism = "recall-chains"
-	// RedirectCharges has a request that counts to a limit follow the view of the node that
-	// was asked, which may have heard sooner who counts.
+	// RedirectCharges makes a charge follow the redirect of a node that knows another
+	// counting node, because its view may be newer.
 	RedirectCharges Mechanism = "redirect-charges"
-	// RefuseWhenFull has new programs wait while all replicas are full.
+	// RefuseWhenFull makes new programs wait while all replicas are full.
 	RefuseWhenFull Mechanism = "refuse-when-full"
-	// RememberFaults avoids replicas that erred or did not answer.
+	// AvoidFaultyReplicas avoids replicas that returned errors or did not answer.
 	AvoidFaultyReplicas Mechanism = "remember-faults"
-	// RememberReplicas has the record of a kept turn name the replica that served
-	// it, so that its line goes on there also at a new owner.
+	// RecordReplica names the replica that served a turn in the turn's record, so that the
+	// session continues there even at a new owner.
 	RecordReplica Mechanism = "remember-replicas"
-	// RepeatIntoRoom sends late calls again only where a replica has room and an answer
-	// can come in time.
+	// RepeatWithCapacity repeats late calls only if a replica has capacity and an answer
+	// can arrive in time.
 	RepeatWithCapacity Mechanism = "repeat-into-room"
-	// RepeatLateCalls sends a call that may run more than once again when its
-	// answer is late.
+	// RepeatLateCalls repeats a call that may run more than once when its answer is late.
 	RepeatLateCalls Mechanism = "repeat-late-calls"
-	// SpreadReturns has those who are refused together come back one after the other, in
-	// the order in which they are to be served.
+	// SpreadRetries spreads the retry times of callers that are refused together, in the
+	// order in which they should be served.
 	SpreadRetries Mechanism = "spread-returns"
-	// ShareByTenant divides the replicas' room among tenants while there is too little.
+	// ShareByTenant divides the capacity of the replicas among tenants while it is short.
 	ShareByTenant Mechanism = "share-by-tenant"
-	// SuspectSilent passes over replicas that failed to answer.
+	// AvoidUnresponsiveReplicas skips replicas that failed to answer.
 	AvoidUnresponsiveReplicas Mechanism = "suspect-silent"
-	// WaitForRoom has new programs wait at their node, in order, while the replicas are
-	// full; without it they are refused at once.
+	// QueueNewPrograms queues new programs at their node while the replicas are full;
+	// without it they are refused at once.
 	QueueNewPrograms Mechanism = "wait-for-room"
-	// WeighPace places turns by how fast replicas are.
+	// WeighTokenTimes includes the replicas' token times in the placement of turns.
 	WeighTokenTimes Mechanism = "weigh-pace"
-	// WeighSlack places turns by how their programs stand against their time.
+	// WeighSlack includes the slack of the programs in the placement of turns.
 	WeighSlack Mechanism = "weigh-slack"
 )
 
-// Mechanisms returns all mechanisms, in the order of their names.
+// Mechanisms returns all mechanisms, ordered by their strings.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		AskForList,
@@ -179,8 +180,8 @@
 	}
 }
 
-// ParseMechanisms reads a list of mechanisms separated by commas, or returns
-// every finding about it.
+// ParseMechanisms parses a comma-separated list of mechanisms, or returns all findings
+// about it.
 func ParseMechanisms(place, list string) ([]Mechanism, error) {
 	if list == "" {
 		return nil, nil
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -15,7 +15,7 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// Metrics holds what a node measures. It is safe for concurrent use.
+// Metrics holds the metrics of a node. It is safe for concurrent use.
 type Metrics struct {
 	set         *metrics.Set
 	appends     *metrics.PrometheusHistogram
@@ -24,14 +24,15 @@
 	failed      *metrics.Counter
 	repeats     *metrics.Counter
 	ownerMisses *metrics.Counter
-	// asides are the turns that were kept in another partition.
+	// otherPartition counts the turns that were stored in another partition than their
+	// program's.
 	otherPartition *metrics.Counter
 	// datagrams are counted by how they ended.
 	datagrams [datagramEnds]*metrics.Counter
-	// cold is how many replicas this node holds cold.
+	// cold is the number of replicas that this node considers cold.
 	cold *metrics.Gauge
-	// linesDropped follows dropLines, which counts lines of the log that were
-	// dropped; nil where nobody counts them.
+	// logLinesDropped is set from countLogLinesDropped, which counts dropped log lines; nil
+	// if that is not counted.
 	logLinesDropped      *metrics.Counter
 	countLogLinesDropped func() uint64
 }
@@ -82,23 +83,23 @@
 	metricGatherSize         = "birchwood_edge_loads_bytes_total"
 )
 
-// latencyBuckets are for times that clients feel, in seconds.
+// latencyBuckets are for latencies that clients see, in seconds.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
-// ratioBuckets are for times by what they were predicted to be.
+// ratioBuckets are for ratios of actual to predicted durations.
 var ratioBuckets = []float64{.25, .5, .7, .85, 1, 1.2, 1.5, 2, 3, 5, 10}
 
-// appendBuckets are for appends to the log, in seconds.
+// appendBuckets are for durations of appends to the log, in seconds.
 var appendBuckets = []float64{.002, .005, .01, .02, .05, .1, .25, 1, 5}
 
-// proofBuckets are for the ages of proofs that keys are valid, in seconds.
+// proofBuckets are for ages of freshness proofs of keys, in seconds.
 var proofBuckets = []float64{.1, .5, 1, 1.5, 2, 2.5, 3, 4, 5}
 
-// loadsBuckets are for the ages of what is known of other nodes' loads, in seconds.
+// loadsBuckets are for ages of the known loads of other nodes, in seconds.
 var loadsBuckets = []float64{.025, .05, .1, .15, .2, .3, .5, 1, 2}
 
-// newMetrics returns the metrics of a node. Dropped, if any, counts lines of the
-// log that were dropped.
+// newMetrics returns the metrics of a node. The dropped function, if not nil, returns the
+// number of dropped log lines.
 func newMetrics(dropped func() uint64) *Metrics {
 	set := metrics.NewSet()
 	made := &Metrics{
@@ -134,15 +135,16 @@
 	m.set.GetOrCreatePrometheusHistogramExt(fmt.Sprintf("%s{kind=%q}", metricLatency, kind), latencyBuckets).Update(took.Seconds())
 }
 
-// appended takes in the time of an append, repetitions included.
+// appended records the duration of an append, including retries.
 func (m *Metrics) appended(took time.Duration) { m.appends.Update(took.Seconds()) }
 
-// predicted takes in how long a turn took, by what was predicted when it was placed.
+// predicted records the ratio of a turn's duration to the prediction made when it was
+// placed.
 func (m *Metrics) predicted(predicted, took time.Duration) {
 	m.set.GetOrCreatePrometheusHistogramExt(metricPredicted, ratioBuckets).Update(float64(took) / float64(predicted))
 }
 
-// paced takes in how fast the replicas of a service are.
+// setTokenTimes sets the range of token times of a service's replicas.
 func (m *Metrics) setTokenTimes(service string, times replica.TokenTimeRange) {
 	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"fastest\"}", metricTokenTime, service), nil).Set(times.Fastest.Seconds())
 	m.set.GetOrCreateGauge(fmt.Sprintf("%s{service=%q,replicas=\"slowest\"}", metricTokenTime, service), nil).Set(times.Slowest.Seconds())
@@ -157,8 +159,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{outcome=%q}", metricCalls, outcome)).Inc()
 }
 
-// storeRead takes in one try of a read of the store: how long its answer took, or that none
-// came.
+// storeRead records one try of a read of the store: its duration, or that it was not
+// answered.
 func (m *Metrics) storeRead(read storeRead, took time.Duration, err error) {
 	switch {
 	case unanswered(err):
@@ -169,14 +171,14 @@
 	}
 }
 
-// takeoverEnded takes in a takeover, by outcome, with what it read.
+// takeoverEnded records a takeover, by outcome, with the amount that it read.
 func (m *Metrics) takeoverEnded(outcome string, read readTotals, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{outcome=%q}", metricTakeovers, outcome)).Inc()
 	m.set.GetOrCreatePrometheusHistogramExt(metricTakeoverTime, appendBuckets).Update(took.Seconds())
 	m.set.GetOrCreateCounter(metricTakeoverBytes).Add(read.bytes)
 }
 
-// keptBytes sets how much a partition's newest records take in the store, about.
+// setStoredBytes sets the approximate size of a partition's newest records in the store.
 func (m *Metrics) setStoredBytes(partition, bytes int) {
 	m.set.GetOrCreateGauge(fmt.Sprintf("%s{partition=\"%d\"}", metricStoredBytes, partition), nil).Set(float64(bytes))
 }
@@ -193,25 +195,25 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{outcome=%q}", metricTrims, outcome)).Inc()
 }
 
-// entryRefused counts an entry of the list that names no replica to use.
+// entryRejected counts an invalid entry of the replica list.
 func (m *Metrics) entryRejected() { m.set.GetOrCreateCounter(metricEntriesRejected).Inc() }
 
-// gathered takes in how old the loads of other nodes are as a collector told them.
+// gathered records the age of the other nodes' loads as reported by a collector.
 func (m *Metrics) gathered(age time.Duration) {
 	m.set.GetOrCreatePrometheusHistogramExt(metricGathered, loadsBuckets).Update(age.Seconds())
 }
 
-// gatherSent counts a message about loads, by kind, and the bytes of what it lists.
+// gatherSent counts a message about loads, by kind, and the size of its lists in bytes.
 func (m *Metrics) gatherSent(kind string, bytes int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{kind=%q}", metricGather, kind)).Inc()
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{kind=%q}", metricGatherSize, kind)).Add(bytes)
 }
 
-// shareRefused counts a program that did not begin since its tenant has more than its
-// share of full replicas.
+// shareRefused counts a program that was refused because the replicas are full and its
+// tenant has more than its share of them.
 func (m *Metrics) shareRefused() { m.set.GetOrCreateCounter(metricShares).Inc() }
 
-// callLate counts a call whose answer was late, by whether it goes out again.
+// callLate counts a call whose answer was late, by whether it is sent again.
 func (m *Metrics) callLate(verdict string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{verdict=%q}", metricLate, verdict)).Inc()
 }
@@ -219,16 +221,16 @@
 // callRepeated counts a call sent again because its answer was late.
 func (m *Metrics) callRepeated() { m.repeats.Inc() }
 
-// messageDropped counts a message to a peer dropped because too many waited.
+// messageDropped counts a message to a peer that was dropped because its queue was full.
 func (m *Metrics) messageDropped() { m.dropped.Inc() }
 
-// messageFailed counts a message to a peer that was not taken.
+// messageFailed counts a message to a peer that could not be delivered.
 func (m *Metrics) messageFailed() { m.failed.Inc() }
 
-// datagramEnd is how a datagram ended here.
+// datagramEnd is the outcome of a datagram at this node.
 type datagramEnd int
 
-// The ends of a datagram.
+// The outcomes of a datagram.
 const (
 	datagramSent datagramEnd = iota
 	datagramDropped
@@ -242,36 +244,36 @@
 	return [datagramEnds]string{"sent", "dropped", "received", "refused"}[e]
 }
 
-// datagram counts a datagram. Twenty a second are sent, so that its counters are
-// made once.
+// datagram counts a datagram. About twenty a second are sent, so the counters are created
+// once.
 func (m *Metrics) datagram(end datagramEnd) { m.datagrams[end].Inc() }
 
-// ownerMissed counts a question to a node that does not serve the partition.
+// ownerMissed counts a request to a node that does not serve the partition.
 func (m *Metrics) ownerMissed() { m.ownerMisses.Inc() }
 
-// waiting takes in how many requests wait for room, and how long the oldest has.
+// waitQueue sets the number of queued requests, and how long the oldest has waited.
 func (m *Metrics) waitQueue(count int, oldest time.Duration) {
 	m.set.GetOrCreateGauge(metricWaiting, nil).Set(float64(count))
 	m.set.GetOrCreateGauge(metricWaitingAge, nil).Set(oldest.Seconds())
 }
 
-// admitted counts a new program's turn by what was decided, with how long it waited.
+// admitted counts a new program's turn by its verdict, and records how long it was queued.
 func (m *Metrics) admitted(verdict string, waited time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{verdict=%q}", metricAdmitted, verdict)).Inc()
 	m.set.GetOrCreatePrometheusHistogramExt(metricWaited, latencyBuckets).Update(waited.Seconds())
 }
 
-// turnedAway counts a request that was refused, by cause, with the time after which its
-// caller is to come back.
+// refused counts a refused request, by cause, and records its retry delay.
 func (m *Metrics) refused(cause string, retryAfter time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{cause=%q}", metricRefused, cause)).Inc()
 	m.set.GetOrCreatePrometheusHistogramExt(metricRetryAfter, latencyBuckets).Update(retryAfter.Seconds())
 }
 
-// keptAside counts a turn that was kept in another partition than its program's.
+// storedInOtherPartition counts a turn that was stored in another partition than its
+// program's.
 func (m *Metrics) storedInOtherPartition() { m.otherPartition.Inc() }
 
-// partitionChanged counts partitions won and lost.
+// partitionChanged counts a partition won or lost.
 func (m *Metrics) partitionChanged(owned bool) {
 	change := "lost"
 	if owned {
@@ -280,7 +282,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{change=%q}", metricPartitions, change)).Inc()
 }
 
-// The reasons for which a request's key is refused.
+// The reasons for which a request is refused because of its key.
 const (
 	keyMissing   = "missing"
 	keyUnknown   = "unknown"
@@ -293,23 +295,23 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{reason=%q}", metricKeys, reason)).Inc()
 }
 
-// keyHonoured takes in how old the proof was by which a key was honoured.
+// keyAccepted records the age of the freshness proof with which a key was accepted.
 func (m *Metrics) keyAccepted(age time.Duration) { m.proofs.Update(age.Seconds()) }
 
-// chargeReturned is the label of a grant that was given back.
+// chargeRefunded is the label of a grant that was refunded.
 const chargeRefunded = "returned"
 
-// charged counts how a request counted to its tenant's limit.
+// charged counts a request by how it counted towards its tenant's rate limit.
 func (m *Metrics) charged(status string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{status=%q}", metricCharges, status)).Inc()
 }
 
-// evacuated takes in how many zones are evacuated.
+// evacuated sets the number of evacuated zones.
 func (m *Metrics) evacuated(zones int) {
 	m.set.GetOrCreateGauge(metricEvacuated, nil).Set(float64(zones))
 }
 
-// The reasons for which a request has no place.
+// The reasons for which no permitted zone can serve a request.
 const (
 	constraintNoRegion  = "no such region"
 	constraintOutside   = "no replica in its regions"
@@ -317,12 +319,12 @@
 	constraintOwner     = "owner outside its regions"
 )
 
-// placeRefusedFor counts a request for which there was no place that may serve it.
+// constraintRefused counts a request that no permitted zone can serve, by reason.
 func (m *Metrics) constraintRefused(reason string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{reason=%q}", metricConstraintRefusals, reason)).Inc()
 }
 
-// placeRefused counts a choice that failed for the places of replicas.
+// choiceRefused counts a selection of a replica that failed because of the zone constraint.
 func (m *Metrics) choiceRefused(err error) {
 	if errors.Is(err, replica.ErrEvacuated) {
 		m.constraintRefused(constraintEvacuated)
@@ -332,26 +334,26 @@
 	}
 }
 
-// lineMoved counts a turn that was sent elsewhere than its line's last one.
+// sessionMoved counts a turn that left the evacuated zone of its session's last replica.
 func (m *Metrics) sessionMoved() { m.set.GetOrCreateCounter(metricSessionsMoved).Inc() }
 
 // The labels of charges of cold replicas, besides those of coordinator.ChargeStatus.
 const (
 	coldAsked    = "asked"
 	coldRefunded = "returned"
-	// coldStale is a grant that was read too late to be used.
+	// coldStale is a grant that was received too late to be used.
 	coldStale = "stale"
 )
 
-// coldCharged counts how an offer to a cold replica counted to its rate.
+// coldCharged counts how a charge for a cold replica ended.
 func (m *Metrics) coldCharged(status string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("%s{status=%q}", metricColdCharge, status)).Inc()
 }
 
-// replicasCold notes how many replicas this node holds cold.
+// replicasCold sets the number of replicas that this node considers cold.
 func (m *Metrics) replicasCold(count int) { m.cold.Set(float64(count)) }
 
-// startMetrics serves the metrics if the settings name an address.
+// startMetrics serves the metrics if the settings have an address for them.
 func (n *Node) startMetrics() {
 	port, path, named := strings.Cut(n.settings.Metrics, "/")
 	if !named {
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -24,21 +24,21 @@
 	pathState   = "/peer/state"
 )
 
-// Times and bounds of the calls between nodes.
+// Timeouts and limits of the calls between nodes.
 const (
 	peerDialTimeout    = 300 * time.Millisecond
 	peerMessageTimeout = 500 * time.Millisecond
 	peerQueueSize      = 64
 	peerMaxConnections = 64
 	peerBodyBytes      = 8 << 20
-	// peerIdleTimeout ends the sender of a peer that nothing was sent to.
+	// peerIdleTimeout ends the sender goroutine of a peer that no message was sent to.
 	peerIdleTimeout = 20 * time.Second
 )
 
 // peers exchanges messages and requests with other nodes.
 type peers struct {
 	node *Node
-	// datagrams carries what may be lost; nil before the node is started.
+	// datagrams carries the messages that may be lost; nil before the node is started.
 	datagrams *datagrams
 
 	mutex   sync.Mutex
@@ -50,7 +50,7 @@
 	return &peers{node: node, clients: make(map[string]*httpclient.Client), queues: make(map[string]chan *coordinator.PeerMessage)}
 }
 
-// client returns the client of a peer's address.
+// client returns the client for a peer's address.
 func (p *peers) client(address string) *httpclient.Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -64,8 +64,8 @@
 	return known
 }
 
-// send sends a message to a peer, as a datagram where it may be lost. Others are
-// queued, or dropped while too many wait.
+// send sends a message to a peer, as a datagram if it may be lost. Other messages are
+// queued, and dropped if the queue is full.
 func (p *peers) send(outbound coordinator.Outbound) {
 	if p.datagrams.send(&outbound) {
 		return
@@ -86,7 +86,8 @@
 	}
 }
 
-// drain sends a peer's messages one after the other until none came for long.
+// drain sends a peer's messages one after the other, until there was none for
+// peerIdleTimeout.
 func (p *peers) drain(ctx context.Context, address string, queue chan *coordinator.PeerMessage) {
 	client := p.client(address)
 	idle := time.NewTimer(peerIdleTimeout)
@@ -96,8 +97,8 @@
 		case message := <-queue:
 			callCtx, cancel := context.WithTimeout(ctx, peerMessageTimeout)
 			if err := client.Do(callCtx, fasthttp.MethodPost, pathMessage, message, nil); err != nil {
-				// The peer is lost or cut off as a rule, which the failure detector
-				// tells; what has to arrive is sent again by the core.
+				// Usually the peer has failed or cannot be reached, which the failure
+				// detector notices. The core repeats messages that must arrive.
 				p.node.metrics.messageFailed()
 			}
 			cancel()
@@ -113,7 +114,8 @@
 	}
 }
 
-// retire forgets an idle peer, unless a message came meanwhile.
+// retire removes the queue and the client of an idle peer, unless a message was queued
+// meanwhile.
 func (p *peers) retire(address string, queue chan *coordinator.PeerMessage) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -131,14 +133,14 @@
 	Request   coordinator.Request `json:"request"`
 }
 
-// ask has another node answer a request about a partition.
+// call sends a request about a partition to another node and returns the reply.
 func (p *peers) call(ctx context.Context, to machine.Machine, partition int, request coordinator.Request) (coordinator.Reply, error) {
 	var reply coordinator.Reply
 	err := p.client(to.Address).Do(ctx, fasthttp.MethodPost, pathRequest, peerRequest{Partition: partition, Request: request}, &reply)
 	return reply, err
 }
 
-// peerState is what a node that is cut off from the store learns from a peer.
+// peerState is what a node that cannot reach the store gets from a peer.
 type peerState struct {
 	Configuration []byte          `json:"configuration,omitempty"`
 	Replicas      []replica.Entry `json:"replicas"`
@@ -146,14 +148,14 @@
 	// milliseconds before the peer answered.
 	Proven     bool  `json:"proven,omitempty"`
 	ProofAgeMS int64 `json:"proof_age_ms,omitempty"`
-	// Evacuations is what the peer knows of evacuated zones.
+	// Evacuations is what the peer knows about evacuated zones.
 	Evacuations evacuation.Snapshot `json:"evacuations"`
 }
 
-// withoutReplicas is what a question for a peer's state ends with that wants none.
+// withoutReplicas is the query of a request for a peer's state without replicas.
 const withoutReplicas = "?replicas=none"
 
-// state asks a peer for the configuration that it knows, and for the replicas if wanted.
+// state fetches a peer's configuration, and its replicas if requested.
 func (p *peers) state(ctx context.Context, from machine.Machine, replicas bool) (peerState, error) {
 	var state peerState
 	path := pathState
@@ -164,7 +166,7 @@
 	return state, err
 }
 
-// serve answers other nodes.
+// serve serves the requests of other nodes.
 func (p *peers) serve(listener net.Listener) error {
 	routes := router.New()
 	routes.POST(pathMessage, p.receiveMessage)
@@ -183,7 +185,7 @@
 	return server.Serve(listener)
 }
 
-// silent drops the library's own log lines about broken connections.
+// discardLogger drops the HTTP library's log lines about broken connections.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
@@ -199,7 +201,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// peerRequestTimeout bounds how long a peer's request waits here.
+// peerRequestTimeout bounds how long a peer's request may wait at this node.
 const peerRequestTimeout = 4 * time.Second
 
 func (p *peers) receiveRequest(ctx *fasthttp.RequestCtx) {
@@ -219,7 +221,7 @@
 }
 
 func (p *peers) receiveState(ctx *fasthttp.RequestCtx) {
-	// The age goes first: a configuration that is read after it is no older.
+	// The age is read first: a configuration that is read later is at least as new.
 	age, proven := p.node.freshnessProof.age(time.Now())
 	state := peerState{
 		Configuration: p.node.config.raw(),
--- a/edge/peerstate.go
+++ b/edge/peerstate.go
@@ -10,16 +10,16 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// peerStatePeriod is how often a node that is cut off asks a peer.
+// peerStatePeriod is how often a node that cannot reach the store queries a peer.
 const peerStatePeriod = 500 * time.Millisecond
 
-// followerFetchPause is how long a follower that hears of a newer configuration waits for
-// its reader to bring it: well within the least time that operators give for one to be in
-// force, and long enough for two questions.
+// followerFetchPause is how long a follower waits for its reader to deliver a newer
+// configuration before fetching it itself: much shorter than the minimum time that
+// operators allow for one to take effect, and long enough for two requests to the reader.
 const followerFetchPause = 800 * time.Millisecond
 
-// followPeers has a node that alone is cut off from the store learn the
-// configuration and the replicas from a peer.
+// followPeers fetches the configuration and the replicas from a peer while only this node
+// cannot reach the store.
 func (n *Node) followPeers(ctx context.Context) {
 	for wait.For(ctx, peerStatePeriod) {
 		if n.reachesStore() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// anyPeer returns one of the live peers that reach the store, by chance.
+// anyPeer returns a random live peer that reaches the store.
 func (n *Node) anyPeer(ctx context.Context) (peer machine.Machine, found bool) {
 	live, err := n.control.livePeers(ctx)
 	if err != nil || len(live.peers) == 0 {
@@ -46,10 +46,11 @@
 	return live.peers[int(n.draw()*float64(len(live.peers)))], true
 }
 
-// takeState takes over what a peer knows.
+// applyPeerState fetches and applies the state of a peer.
 func (n *Node) applyPeerState(ctx context.Context, from machine.Machine) {
 	asked := time.Now()
-	// In a large fleet each node holds a part of the replicas, of a reader.
+	// In a large fleet each node holds only a part of the replicas, which it gets from a
+	// reader.
 	replicas := !n.reachesStore() && !n.large()
 	state, err := n.peers.state(ctx, from, replicas)
 	if err != nil {
@@ -69,8 +70,8 @@
 	n.dropUnlisted(listed, n.removeQuietly)
 }
 
-// takeConfiguration takes over a peer's configuration, and its proof that this was the
-// newest, if it knows one.
+// applyPeerConfiguration applies a peer's configuration, if it has one, and its freshness
+// proof.
 func (n *Node) applyPeerConfiguration(from machine.Machine, asked time.Time, state *peerState) {
 	if len(state.Configuration) == 0 {
 		return
@@ -86,8 +87,8 @@
 	}
 }
 
-// hearVersion fetches a configuration, or word of evacuated zones, that a peer holds and
-// this node does not.
+// observeVersion fetches a peer's configuration or evacuated zones if they are newer than
+// this node's.
 func (n *Node) observeVersion(from machine.Machine, version, evacuations uint64) {
 	n.config.mutex.Lock()
 	defer n.config.mutex.Unlock()
@@ -98,7 +99,7 @@
 	n.config.fetching = true
 	n.run(func(ctx context.Context) {
 		if n.role() == roleFollower {
-			// A follower has it of its reader, as a rule sooner.
+			// A follower usually gets it sooner from its reader.
 			wait.For(ctx, followerFetchPause)
 		}
 		callCtx, cancel := context.WithTimeout(ctx, peerStatePeriod)
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -12,42 +12,42 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// noteListed notes how old the list of replicas is.
+// setListAge records the age of the list of replicas.
 func (n *Node) setListAge(age time.Duration) {
 	n.replicasAsOf.Store(int64(time.Since(n.started) - age))
 }
 
-// listAge returns how long ago the list of replicas was that of the store.
+// listAge returns how long ago the list of replicas was equal to that of the store.
 func (n *Node) listAge() time.Duration {
 	return time.Since(n.started) - time.Duration(n.replicasAsOf.Load())
 }
 
-// relay is where a node stands that follows a reader.
+// readerCursor is the position of a node that follows readers.
 type readerCursor struct {
 	reader      machine.Machine
 	readerIndex int
-	// life and next are where it stands at the reader, with its part of the list; life 0
-	// asks for the whole of that.
+	// incarnation and next are the position in the reader's changes, for this node's part
+	// of the list; incarnation 0 requests the whole part.
 	incarnation, next uint64
 	part              bool
 	group             replica.Group
-	// unsure says that the reader still read, and that what this node holds may differ
-	// from the whole list.
+	// uncertain says that the reader was still reading, and that what this node holds may
+	// differ from the whole list.
 	uncertain bool
-	// failures counts the questions in a row without an answer.
+	// failures counts the consecutive requests without an answer.
 	failures int
-	// servedAt is when a reader answered last.
+	// servedAt is when a reader last answered.
 	servedAt time.Time
 }
 
-// leave has the next question go to the next reader.
+// nextReader directs the next request to the next reader.
 func (r *readerCursor) nextReader() {
 	r.readerIndex++
 	r.incarnation, r.next = 0, 0
 }
 
-// followReaders follows the replicas through readers for as long as that is the
-// way of this node and one of them serves.
+// followReaders follows the replicas through readers, for as long as this node's role
+// requires it and a reader answers.
 func (n *Node) followReaders(ctx context.Context) {
 	defer n.following.Store(false)
 	cursor := readerCursor{servedAt: time.Now()}
@@ -83,8 +83,8 @@
 	}
 }
 
-// hold has the next question be about a part of the list, or all of it. Where that changes,
-// the numbers that were heard mean nothing.
+// setGroup sets whether the next request is for a group's part of the list or for all of
+// it. A change invalidates the position.
 func (r *readerCursor) setGroup(part bool, group replica.Group) {
 	if part != r.part || (part && group != r.group) {
 		r.incarnation, r.next = 0, 0
@@ -108,9 +108,9 @@
 	}
 }
 
-// learnTotal asks the readers of this zone, and the sources, how many replicas there are, by
-// which a node that starts knows whether it is to follow them or to read the store. Of a
-// small fleet that has just started nobody knows.
+// fetchTotal queries the readers of this zone, and the sources, for the number of replicas.
+// A starting node needs it to decide whether to follow them or to read the store. In a
+// small fleet that has just started, no node knows it.
 func (n *Node) fetchTotal(ctx context.Context) {
 	roles := n.roles.Load()
 	if roles == nil || !n.settings.uses(FollowReaders) {
@@ -130,9 +130,9 @@
 	}
 }
 
-// stranded reports whether no reader has served for so long that this node is to read
-// the store itself. Followers, of which there are many, wait longer for one than readers,
-// and each a little longer or shorter than the others.
+// readsStoreItself reports whether no reader has answered for so long that this node should
+// read the store itself. Followers, of which there are many, wait longer than readers, and
+// for a randomly varied time.
 func (n *Node) readsStoreItself(cursor *readerCursor, readers int) bool {
 	if cursor.failures <= readers {
 		return false
@@ -144,9 +144,9 @@
 	return time.Since(cursor.servedAt) > delay+time.Duration(n.draw()*float64(delay))
 }
 
-// fresherReader looks for a reader whose list is younger, and turns to it: the next one, or
-// one of the others. While the store is down for all there is none, and the follower stays
-// where it is.
+// switchToFresherReader tries two other readers, the next one and a random one, and
+// switches to one with a newer list. While the store is down for all nodes there is none,
+// and the follower stays with its reader.
 func (n *Node) switchToFresherReader(ctx context.Context, cursor *readerCursor, readers []machine.Machine, age time.Duration) bool {
 	for _, offset := range []int{1, 1 + int(n.draw()*float64(len(readers)-1))} {
 		other := readers[(cursor.readerIndex+offset)%len(readers)]
@@ -162,7 +162,7 @@
 	return false
 }
 
-// relayQuestion returns the next question to a reader.
+// relayRequest returns the next request to a reader.
 func (n *Node) relayRequest(cursor *readerCursor) relayRequest {
 	request := relayRequest{incarnation: cursor.incarnation, since: cursor.next, evacuations: n.evacuations.version(), version: n.configVersion()}
 	request.wait = sourceWait
@@ -180,7 +180,7 @@
 	return 0
 }
 
-// noteFollowing writes when this node begins to follow a reader.
+// logFollowing logs when this node begins to follow a reader.
 func (n *Node) logFollowing(reader machine.Machine) {
 	if !n.following.Swap(true) {
 		n.logger.Info().Str("reader", string(reader.ID)).Int("replicas", n.replicas.count()).Int("listed", n.replicas.total()).
@@ -188,21 +188,22 @@
 	}
 }
 
-// FollowsReader reports whether the node follows the replicas through another.
+// FollowsReader reports whether this node gets the replicas from another node.
 func (n *Node) FollowsReader() bool { return n.following.Load() }
 
-// Replicas returns how many replicas the node holds: all, or its part of them.
+// Replicas returns the number of replicas that the node holds: all, or its part of them.
 func (n *Node) Replicas() int { return n.replicas.count() }
 
-// askedReader is a reader whose first answer this node waits for, and what ends that.
+// pendingReader is a reader whose first answer this node awaits, and the function that
+// cancels the request.
 type pendingReader struct {
 	id   machine.ID
 	stop context.CancelFunc
 }
 
-// askReader asks a reader for what has changed. A first answer is waited for long, since it
-// would be sent in vain if it were given up and asked for again, but no longer than the
-// reader lives.
+// queryReader requests the changes from a reader. The first answer has a long timeout,
+// since it would be sent in vain if the request were given up and repeated, but the request
+// is cancelled if the reader fails.
 func (n *Node) queryReader(ctx context.Context, reader machine.Machine, request relayRequest) (relayAnswer, error) {
 	first := request.incarnation == 0 && !request.ageOnly
 	timeout := request.wait + relaySlack
@@ -220,11 +221,11 @@
 	return answer, err
 }
 
-// manyChanges is from how many changes in one answer on a line is written for all of them
-// and not for each.
+// bulkLogThreshold is the number of changes in one answer from which on they are logged in
+// one line rather than one line each.
 const bulkLogThreshold = 16
 
-// takeRelay takes over a reader's answer about all replicas, or a part.
+// applyRelay applies a reader's answer about all replicas, or a part of them.
 func (n *Node) applyRelay(reader machine.Machine, asked time.Time, part bool, answer *relayAnswer) {
 	n.applyRelayedConfiguration(reader, asked, answer)
 	n.replicas.setTotal(answer.Total)
@@ -236,7 +237,7 @@
 	n.setListAge(answer.age())
 }
 
-// takeChanges takes a few changes over.
+// applyChanges applies a small number of changes.
 func (n *Node) applyChanges(changes []replica.Change) {
 	for _, change := range changes {
 		if change.Entry == nil {
@@ -247,7 +248,7 @@
 	}
 }
 
-// takeList takes many changes over, or a whole list.
+// applyList applies a large number of changes, or a whole list.
 func (n *Node) applyList(reader machine.Machine, part bool, answer *relayAnswer) {
 	listed := make(map[replica.ID]bool, len(answer.Changes))
 	changed, removed := 0, 0
@@ -273,8 +274,8 @@
 	n.logList("reader "+string(reader.ID), len(listed), changed, removed)
 }
 
-// takeRelayedConfiguration takes over a reader's configuration, its proof that this is the
-// newest, and its word of evacuated zones.
+// applyRelayedConfiguration applies a reader's configuration, its freshness proof, and its
+// evacuated zones.
 func (n *Node) applyRelayedConfiguration(reader machine.Machine, asked time.Time, answer *relayAnswer) {
 	if answer.Evacuations != nil {
 		n.adoptEvacuations(reader, asked, *answer.Evacuations)
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -13,86 +13,90 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// In a large fleet most nodes follow the replicas and the configuration through others,
-// by reads that wait for a change. Each holds the part of the replicas that is its
-// group's; sources and readers hold all.
+// In a large fleet most nodes follow the replicas and the configuration through others, by
+// long polling. A follower holds the part of the replicas that is assigned to its group;
+// sources and readers hold all.
 const (
 	pathReplicas = "/peer/replicas"
-	// relayWait is how long an answer that brings no change is held for a follower, and
-	// sourceWait for a reader, whose followers count the age of its list on top.
+	// relayWait is the long-poll time of a follower's request, and sourceWait that of a
+	// reader's, which adds to the age of the list at its followers.
 	relayWait  = 700 * time.Millisecond
 	sourceWait = 200 * time.Millisecond
-	// relaySlack is how much later such an answer may come.
+	// relaySlack is added to the long-poll time for the timeout of the call.
 	relaySlack = 300 * time.Millisecond
-	// firstPatience is how much later a first answer may come, which holds all of a
-	// part: a reader with a slow link sends those of a hundred followers in that time.
+	// firstAnswerTimeout bounds a first answer, which has the whole part: a reader with a
+	// slow link can send those of a hundred followers in that time.
 	firstAnswerTimeout = 8 * time.Second
-	// gatherChanges is how long a reader waits for further changes after one, so that
-	// many that come close together cost its followers one answer.
+	// changeBatchWindow is how long a reader waits for further changes after one, so that
+	// its followers get changes that are close together in one answer.
 	changeBatchWindow = 100 * time.Millisecond
-	// relayAge is the age of a list from which on another reader is looked for: three
-	// times what a source and a reader add to it as a rule, half a second.
+	// maximumListAge is the age of a list from which on another reader is tried: three
+	// times the half a second that a source and a reader typically add.
 	maximumListAge = 1500 * time.Millisecond
-	// storeTurn is how long a node follows the store that no reader serves.
+	// directReadPeriod is how long a node without a reader that answers follows the store
+	// before it tries the readers again.
 	directReadPeriod = 1500 * time.Millisecond
-	// strandedAfter is how long a follower looks for a reader until it reads the store
-	// itself: all followers at once would take the store's whole capacity, and their
-	// readers are ranked anew sooner.
+	// followerFallbackDelay is how long a follower tries readers before it reads the store
+	// itself: all followers together would take the store's whole capacity, and failed
+	// readers are replaced sooner than that.
 	followerFallbackDelay = 8 * time.Second
-	// readerStrandedAfter is the same for the few readers: a source that starts has read
-	// the whole list in that time.
+	// readerFallbackDelay is the same for readers, of which there are few: a starting
+	// source has read the whole list in that time.
 	readerFallbackDelay = time.Second
-	// maximumRelayWait bounds the wait that another node may ask for.
+	// maximumRelayWait bounds the long-poll time that another node may request.
 	maximumRelayWait = 5 * time.Second
-	// readerPauseFirst and readerPauseMost space the questions while no reader serves.
+	// readerMinimumBackoff and readerMaximumBackoff space the requests while no reader
+	// answers.
 	readerMinimumBackoff = 50 * time.Millisecond
 	readerMaximumBackoff = time.Second
 )
 
-// relayAnswer is a reader's answer: the changes since the number that was asked
-// for, or the whole list.
+// relayAnswer is a reader's answer: the changes since the requested number, or the whole
+// list.
 type relayAnswer struct {
-	// Life names the reader's process; numbers of another one mean nothing.
+	// ReaderIncarnation identifies the reader's process. The numbers of another process are
+	// not comparable.
 	ReaderIncarnation uint64 `json:"life"`
-	// Next is the number to ask for next.
+	// Next is the number for the next request.
 	Next  uint64 `json:"next"`
 	Whole bool   `json:"whole,omitempty"`
-	// Partial says that the reader has not read all of the list yet: what it lacks may
-	// be there.
+	// Partial says that the reader has not read the whole list yet, so that replicas that
+	// are missing here may exist.
 	Partial bool             `json:"partial,omitempty"`
 	Changes []replica.Change `json:"changes,omitempty"`
-	// AgeMS is how long ago the reader's list was that of the store, in
+	// AgeMS is how long ago the reader's list was equal to that of the store, in
 	// milliseconds.
 	AgeMS int64 `json:"age_ms"`
-	// Total is how many replicas the store lists.
+	// Total is the number of replicas that the store lists.
 	Total int `json:"total,omitempty"`
-	// Configuration is the newest that the reader has, where the follower's is older.
+	// Configuration is the reader's newest configuration, if the follower's is older.
 	Configuration *rawConfiguration `json:"configuration,omitempty"`
 	// Proven says that the configuration was proven to be the newest, ProofAgeMS
 	// milliseconds before this answer.
 	Proven     bool  `json:"proven,omitempty"`
 	ProofAgeMS int64 `json:"proof_age_ms,omitempty"`
-	// Evacuations is what the reader knows of evacuated zones.
+	// Evacuations is what the reader knows about evacuated zones.
 	Evacuations *evacuation.Snapshot `json:"evacuations,omitempty"`
 }
 
 func (a *relayAnswer) age() time.Duration { return time.Duration(a.AgeMS) * time.Millisecond }
 
-// relayQuestion is what a follower asks a reader.
+// relayRequest is a follower's request to a reader.
 type relayRequest struct {
-	// life and since are where the follower stands; life 0 asks for the whole list.
+	// incarnation and since are the follower's position in the reader's changes;
+	// incarnation 0 requests the whole list.
 	incarnation, since uint64
 	wait               time.Duration
-	// part says that the follower is of a group, and holds its part alone.
+	// part says that the follower holds the part of its group only.
 	part  bool
 	group replica.Group
-	// version is that of the follower's configuration, and evacuations that of what it
-	// knows of evacuated zones.
+	// version is the version of the follower's configuration, and evacuations that of its
+	// evacuated zones.
 	version, evacuations uint64
-	// takesPartial says that the follower tells a list that is not read whole from one that
-	// is. Nodes of an earlier version do not.
+	// takesPartial says that the follower distinguishes an incomplete list from a complete
+	// one. Nodes of an earlier version do not.
 	takesPartial bool
-	// ageOnly asks for nothing but the age and the length of the list.
+	// ageOnly requests only the age and the length of the list.
 	ageOnly bool
 }
 
@@ -112,8 +116,8 @@
 	return pathReplicas + "?" + query.Encode()
 }
 
-// parseRelayQuestion reads a question. A node of an earlier version asks without a
-// group, and gets all replicas; it names no configuration, and waits for none.
+// parseRelayRequest parses a request. A node of an earlier version sends no group, and gets
+// all replicas; it sends no version of a configuration, and gets none.
 func parseRelayRequest(query *fasthttp.Args) (relayRequest, error) {
 	var q relayRequest
 	var lifeErr, sinceErr, waitErr, groupErr error
@@ -135,7 +139,7 @@
 }
 
 // receiveReplicas answers a node that follows this one. A node that has not read the list
-// itself has none to pass on.
+// itself refuses.
 func (p *peers) receiveReplicas(ctx *fasthttp.RequestCtx) {
 	request, err := parseRelayRequest(ctx.QueryArgs())
 	if err != nil {
@@ -158,7 +162,7 @@
 		node.awaitChanges(&request)
 	}
 	answer := relayAnswer{ReaderIncarnation: own, Partial: partial}
-	// The age and the proof go first: what is read after them is no older.
+	// The age and the proof are read first: what is read after them is at least as new.
 	age, proven := node.freshnessProof.age(time.Now())
 	answer.Proven, answer.ProofAgeMS = proven, age.Milliseconds()+1
 	answer.AgeMS = node.listAge().Milliseconds()
@@ -174,18 +178,18 @@
 	writeJSON(ctx, answer)
 }
 
-// partialLeast is how many replicas a reader passes on at the least before it has read all:
-// fewer would get the requests of all nodes.
+// minimumPartialReplicas is the minimum number of replicas that a reader passes on before
+// it has read all of them: fewer would get the requests of all nodes.
 const minimumPartialReplicas = 256
 
-// mayServePart reports whether this node, which has not read the whole list, passes on what
-// it has: a source or reader that reads it. A follower holds its own part for good.
+// mayServePart reports whether this node may pass on an incomplete list: a source or reader
+// that is still reading it may. A follower never holds more than its own part.
 func (n *Node) mayServePart() bool {
 	reads := n.role() == roleSource || n.role() == roleReader
 	return reads && n.replicas.count() >= minimumPartialReplicas
 }
 
-// awaitRelay waits until there is news for a follower, or its time is up.
+// awaitChanges waits until there are changes for a follower, or its long-poll time is over.
 func (n *Node) awaitChanges(request *relayRequest) {
 	until := time.Now().Add(request.wait)
 	for request.version >= n.configVersion() && request.evacuations >= n.evacuations.version() {
--- a/edge/replicalist.go
+++ b/edge/replicalist.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// followReplicas keeps the replicas up to date, from the store or, in a large
-// fleet, through others.
+// followReplicas keeps the replicas up to date, from the store or, in a large fleet,
+// through other nodes.
 func (n *Node) followReplicas(ctx context.Context) {
 	n.awaitDirectory(ctx)
 	n.fetchTotal(ctx)
@@ -30,7 +30,7 @@
 	}
 }
 
-// replicasPause is the least time between two reads of the replicas' stream.
+// replicasPause returns the minimum time between two reads of the replica stream.
 func (n *Node) replicasPause() time.Duration {
 	if n.role() == roleSource {
 		return sourcePause
@@ -38,9 +38,9 @@
 	return replicasPause
 }
 
-// takePage takes a page of the list over, before the others are read: a node that starts
-// can serve with the first few hundred of ten thousand replicas, a second earlier. It
-// returns how many records changed anything.
+// applyPage applies a page of the list before the others are read: a starting node can
+// serve with the first few hundred of ten thousand replicas, a second earlier. It returns
+// the number of replicas that changed.
 func (n *Node) applyPage(records []recordstore.Record) (changed int) {
 	for _, record := range records {
 		if entry, ok := n.decodeReplica(record.Key, record.Value); ok && n.replicas.put(entry) {
@@ -50,8 +50,8 @@
 	return changed
 }
 
-// resetReplicas drops the replicas that are in none of the pages of a whole list, which
-// were taken over as they came.
+// resetReplicas drops the replicas that are in none of the pages of a whole list, after the
+// pages were applied one by one.
 func (n *Node) resetReplicas(records []recordstore.Record, changed int) {
 	n.replicas.setTotal(0)
 	n.holdsAllReplicas.Store(true)
@@ -65,7 +65,8 @@
 	n.logList("store", len(listed), changed, removed)
 }
 
-// dropUnlisted drops the replicas that a list lacks, and returns how many were removed.
+// dropUnlisted drops the replicas that are missing in a list, and returns how many were
+// removed.
 func (n *Node) dropUnlisted(listed map[replica.ID]bool, drop func(replica.ID) (removed bool)) (removed int) {
 	for _, id := range n.replicas.ids() {
 		if !listed[id] && drop(id) {
@@ -75,7 +76,7 @@
 	return removed
 }
 
-// applyReplica takes over a record of the replicas' stream.
+// applyReplica applies a record of the replica stream.
 func (n *Node) applyReplica(key string, value []byte) {
 	if len(value) == 0 {
 		n.unusable.forget(replica.ID(key))
@@ -87,7 +88,7 @@
 	}
 }
 
-// decodeReplica reads an entry of the list, or reports that it names no replica to use.
+// decodeReplica decodes an entry of the list, and reports whether it is valid.
 func (n *Node) decodeReplica(key string, value []byte) (entry replica.Entry, ok bool) {
 	if len(value) == 0 {
 		return replica.Entry{}, false
@@ -101,8 +102,8 @@
 	return entry, true
 }
 
-// refuseEntry takes in that an entry names no replica to use: whoever stood there before
-// is not to be used either. It is written once, and not with each of its heartbeats.
+// rejectEntry handles an invalid entry: the replica that it described before must not be
+// used either. It is logged once, rather than with each of its heartbeats.
 func (n *Node) rejectEntry(id replica.ID, reason error) {
 	n.metrics.entryRejected()
 	if n.unusable.note(id) {
@@ -118,27 +119,28 @@
 	}
 }
 
-// unlist takes in that the store does not list a replica. After an outage that
-// does not say that it is gone.
+// handleUnlisted handles a replica that the store does not list. After an outage, this does
+// not mean that the replica is gone.
 func (n *Node) handleUnlisted(id replica.ID, reason string) {
 	if !n.mayDeferRemoval(id) {
 		n.removeReplica(id, reason)
 	}
 }
 
-// unlistQuietly is unlist without a line in the log. It reports whether the replica was
-// removed.
+// handleUnlistedQuietly is handleUnlisted without a log line. It reports whether the
+// replica was removed.
 func (n *Node) handleUnlistedQuietly(id replica.ID) (removed bool) {
 	return !n.mayDeferRemoval(id) && n.removeQuietly(id)
 }
 
-// mayLive reports whether a replica that is not listed is kept for a while.
+// mayDeferRemoval keeps an unlisted replica for a while after an outage, and reports
+// whether it did.
 func (n *Node) mayDeferRemoval(id replica.ID) bool {
 	until := n.store.deferRemovalsUntil()
 	return n.settings.uses(DeferRemovals) && time.Now().Before(until) && n.replicas.deferRemoval(id, until)
 }
 
-// replicasCurrent follows each time that all of the replicas' stream was read.
+// replicasCaughtUp is called each time the replica stream was read to its end.
 func (n *Node) replicasCaughtUp(time.Time) {
 	n.setListAge(0)
 	for _, id := range n.replicas.dueRemovals() {
@@ -152,7 +154,7 @@
 	}
 }
 
-// removeQuietly removes a replica without a line in the log.
+// removeQuietly removes a replica without a log line.
 func (n *Node) removeQuietly(id replica.ID) (known bool) {
 	entry, known := n.replicas.remove(id)
 	if known {
@@ -161,7 +163,7 @@
 	return known
 }
 
-// logList writes that a whole list of replicas was taken over.
+// logList logs that a whole list of replicas was applied.
 func (n *Node) logList(source string, listed, changed, removed int) {
 	n.logger.Info().Str("source", source).Int("listed", listed).Int("changed", changed).Int("removed", removed).
 		Msg("replicas: list taken over")
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -13,37 +13,38 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// replicas guards a replica.Set for the goroutines of traffic.
+// replicas makes a replica.Set safe for concurrent use.
 type replicas struct {
 	mutex sync.Mutex
 	set   *replica.Set
 	feed  replica.Feed
-	// views are the parts of the list that followers have asked for lately.
+	// views are the parts of the list that followers have requested recently.
 	views map[replica.Group]*view
-	// firstOfView is the first number of the newest view.
+	// lastViewNumber is the first change number of the newest view.
 	lastViewNumber uint64
-	// forget is told what to keep no connections to; nil in tests of the list alone.
+	// forget closes the idle connections to a target; nil in tests of the list alone.
 	forget func(upstream.Target)
-	// listed is how many replicas the store lists, as a reader told; 0 where this
-	// node holds all itself.
+	// totalListed is the number of replicas in the store, as reported by a reader; 0 if
+	// this node holds all itself.
 	totalListed int
 	// changed is closed and replaced at each change of the list.
 	changed chan struct{}
-	// keyed are the replicas by the keys that messages about loads name them by.
+	// byKey are the replicas by the keys that refer to them in messages about loads.
 	byKey map[gather.Key]replica.ID
 }
 
-// view is a part of the list with when it was asked for, and chosen, last.
+// view is a part of the list, with the times at which it was last requested and selected.
 type view struct {
 	*replica.View
 	askedAt  time.Time
 	chosenAt time.Time
 }
 
-// numbersOfView is how many changes a view may number: more than it ever sees.
+// viewNumberRange is the size of the range of change numbers that each view has to itself,
+// which it never exhausts.
 const viewNumberRange = 1 << 32
 
-// viewLifetime is for how long a part is kept up to date that nobody asks for.
+// viewLifetime is how long a part is kept up to date after its last request.
 const viewLifetime = 10 * time.Second
 
 func newReplicas(settings *Settings) *replicas {
@@ -54,7 +55,7 @@
 		byKey: make(map[gather.Key]replica.ID)}
 }
 
-// partsWithout returns the parts of the choice that are switched off.
+// disabledFactors returns the selection factors that are switched off.
 func disabledFactors(settings *Settings) replica.SelectionFactors {
 	return replica.SelectionFactors{
 		CachedPrompts: !settings.uses(TrackCachedPrompts),
@@ -94,8 +95,8 @@
 	r.set.Ended(time.Now(), id, result)
 }
 
-// observe takes in what a turn measured of its replica, and returns how fast the replicas
-// of its service are, as far as that is known.
+// observe records a turn's measurements of its replica, and returns the range of token
+// times of the replicas of its service, if known.
 func (r *replicas) observe(entry replica.Entry, sample replica.Sample) (replica.TokenTimeRange, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -109,15 +110,15 @@
 	return r.set.MinUtilisation(time.Now(), request)
 }
 
-// setEvacuated tells which zones are to get no requests, and since when.
+// setEvacuated sets the evacuated zones, with the time since when each is.
 func (r *replicas) setEvacuated(zones map[zone.Name]time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.SetEvacuated(zones)
 }
 
-// put takes over a replica's entry. No connections are kept to a former process of the
-// replica, or to its former address.
+// put applies a replica's entry. Connections to an earlier process or address of the
+// replica are closed.
 func (r *replicas) put(entry replica.Entry) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -135,8 +136,8 @@
 	return true
 }
 
-// tell has those that follow this node's list hear of a change. The mutex is
-// held.
+// publish passes a change on to the nodes that follow this node's list. The caller must
+// hold the mutex.
 func (r *replicas) publish(change replica.Change) {
 	r.feed.Add(change)
 	for _, view := range r.views {
@@ -145,13 +146,15 @@
 	r.wakeFollowers()
 }
 
-// wakeFollowers has the followers that wait look for news. The mutex is held.
+// wakeFollowers makes the waiting requests of followers check for changes. The caller must
+// hold the mutex.
 func (r *replicas) wakeFollowers() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// wake has the followers that wait look for news other than replicas.
+// wake makes the waiting requests of followers check for changes other than those of
+// replicas.
 func (r *replicas) wake() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -159,7 +162,7 @@
 }
 
 // await waits for changes of the list, or until the time is up. It reports whether there
-// are some for the follower.
+// already were changes for the follower.
 func (r *replicas) await(ctx context.Context, request *relayRequest, wait time.Duration) (news bool) {
 	r.mutex.Lock()
 	news = r.nextOf(request) != request.since
@@ -179,8 +182,8 @@
 	return false
 }
 
-// nextOf returns the number of the next change of what a follower holds. The mutex is
-// held.
+// nextOf returns the number of the next change of the list or part that a follower holds.
+// The caller must hold the mutex.
 func (r *replicas) nextOf(request *relayRequest) uint64 {
 	if !request.part {
 		return r.feed.Next()
@@ -188,8 +191,8 @@
 	return r.viewOf(request.group).Next()
 }
 
-// viewOf returns the part of a group, chosen anew where replicas came or went. The mutex
-// is held.
+// viewOf returns the part of a group, refreshed if replicas were added or removed. The
+// caller must hold the mutex.
 func (r *replicas) viewOf(group replica.Group) *view {
 	now := time.Now()
 	found := r.views[group]
@@ -211,8 +214,8 @@
 	return found
 }
 
-// since returns what changed for a follower since it asked last, or all that it is to
-// hold where that is not known, and the number to ask for next.
+// since returns the changes since a follower's last request, or its whole list if they are
+// not known, and the number for its next request.
 func (r *replicas) since(request *relayRequest, known bool) (changes []replica.Change, next uint64, whole bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -235,35 +238,36 @@
 	return changes, r.feed.Next(), true
 }
 
-// setTotal notes how many replicas the store lists, as a reader told.
+// setTotal sets the number of replicas in the store, as reported by a reader.
 func (r *replicas) setTotal(total int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.totalListed = total
 }
 
-// total returns how many replicas the store lists, as far as this node knows.
+// total returns the number of replicas in the store, as far as this node knows.
 func (r *replicas) total() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return max(r.totalListed, r.set.Count())
 }
 
-// doubt keeps a replica that is not listed for a while, if it may live.
+// deferRemoval keeps an unlisted replica until a deadline, unless it is draining or
+// unknown. It reports whether the replica is kept.
 func (r *replicas) deferRemoval(id replica.ID, until time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.DeferRemoval(id, until)
 }
 
-// doubted returns the replicas whose doubt is over.
+// dueRemovals returns the replicas whose deferred removal is due.
 func (r *replicas) dueRemovals() []replica.ID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.DueRemovals(time.Now())
 }
 
-// count returns how many replicas are listed.
+// count returns the number of replicas held.
 func (r *replicas) count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -281,7 +285,7 @@
 	return entry, known
 }
 
-// ids returns the ids of all replicas, in no order.
+// ids returns the ids of all replicas, in no particular order.
 func (r *replicas) ids() []replica.ID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -304,14 +308,14 @@
 	r.set.SetPeer(time.Now(), peer, loads)
 }
 
-// setNodes tells how many nodes are live.
+// setNodes sets the number of live nodes.
 func (r *replicas) setNodes(nodes int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.SetNodes(nodes)
 }
 
-// own returns this node's requests under way, by replica.
+// ownRequests returns this node's requests in progress, by replica.
 func (r *replicas) ownRequests() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -322,7 +326,7 @@
 	return counts
 }
 
-// configure takes in what a configuration says of engines.
+// configure applies the engine settings of a configuration.
 func (r *replicas) configure(table *routing.Table) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/edge/role.go
+++ b/edge/role.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// relayAbove is the product of nodes and replicas from which on most nodes follow
-	// the replicas and the configuration through others.
+	// relayAbove is the product of nodes and replicas from which on most nodes follow the
+	// replicas and the configuration through others.
 	relayAbove = 40_000
-	// assumedReplicas stands for the number of replicas while none is known, so that a
+	// assumedReplicas is the assumed number of replicas while it is unknown, so that a
 	// fleet of a hundred nodes counts as large from its start.
 	assumedReplicas = 400
 )
 
-// role is what a node reads of the store, and of whom it has the rest.
+// role says what a node reads from the store, and from whom it gets the rest.
 type role int
 
 const (
-	// roleAlone reads all of the store, as each node of a small fleet does.
+	// roleAlone reads everything from the store, like each node of a small fleet.
 	roleAlone role = iota
-	// roleSource reads all of the store, for the readers.
+	// roleSource reads everything from the store, and serves the readers.
 	roleSource
-	// roleReader reads the configuration of the store and has the replicas of a source.
+	// roleReader reads the configuration from the store and gets the replicas from a
+	// source.
 	roleReader
-	// roleFollower has both of a reader.
+	// roleFollower gets both from a reader.
 	roleFollower
 )
 
-// large reports whether the fleet is so large that most nodes follow others.
+// large reports whether the fleet is large enough that most nodes follow others.
 func (n *Node) large() bool {
 	if !n.settings.uses(FollowReaders) {
 		return false
@@ -67,13 +68,13 @@
 	}
 }
 
-// includes reports whether a node is one of some.
+// includes reports whether a node is in a list.
 func includes(nodes []machine.Machine, id machine.ID) bool {
 	return slices.ContainsFunc(nodes, func(node machine.Machine) bool { return node.ID == id })
 }
 
-// readersToFollow returns the nodes that this node has the replicas of, those that it
-// asks first before the others, or none where it reads the store itself.
+// readersToFollow returns the nodes from which this node gets the replicas, in the order in
+// which to query them, or none if it reads the store itself.
 func (n *Node) readersToFollow() []machine.Machine {
 	switch roles := n.roles.Load(); n.role() {
 	case roleReader:
@@ -85,15 +86,15 @@
 	}
 }
 
-// spread orders the readers of this zone so that its nodes divide among them, and puts
-// those of other zones behind, where they serve if all of this zone are lost.
+// orderReaders orders the readers of this zone so that its nodes are distributed over them.
+// Those of other zones come last, and serve if all readers of this zone have failed.
 func (n *Node) orderReaders(roles coordinator.Roles) []machine.Machine {
 	place := int(xxhash.Sum64String(n.settings.Node) & 0xffff)
 	ordered := rotate(roles.Readers, place)
 	return append(ordered, rotate(roles.RemoteReaders, place/2)...)
 }
 
-// rotate returns the nodes beginning with the one at a place, counted around.
+// rotate returns the nodes in cyclic order, beginning with the one at a place.
 func rotate(nodes []machine.Machine, place int) []machine.Machine {
 	rotated := make([]machine.Machine, 0, len(nodes))
 	for index := range nodes {
@@ -102,8 +103,9 @@
 	return rotated
 }
 
-// groupNodes is how many nodes of a zone hold the same replicas at most. The replicas of
-// its own zone that a node holds serve that many at the load that they are built for.
+// maximumGroupNodes is the maximum number of a zone's nodes that hold the same replicas.
+// The replicas of its own zone that a node holds can serve that many nodes at their design
+// load.
 const maximumGroupNodes = 256
 
 // ownGroup returns this node's group in its zone.
--- a/edge/storeread.go
+++ b/edge/storeread.go
@@ -157,7 +157,7 @@
 			if answer.err == nil || answer.read.attempt == attempt {
 				return answer
 			}
-			// An earlier try that failed says nothing of this one.
+			// The failure of an earlier try says nothing about this one.
 		case <-regained:
 			return pageAnswer{read: read, err: errStoreRegained}
 		case <-timer.C:
--- a/edge/storewatch.go
+++ b/edge/storewatch.go
@@ -39,7 +39,7 @@
 		tail, err := n.watchTail(ctx, stream, near.next)
 		switch {
 		case errors.Is(err, context.Canceled):
-			// The node's role has changed, and with it how long it waits.
+			// The node's role has changed, and with it the long-poll time.
 		case errors.Is(err, recordstore.ErrGap):
 			near.read = false
 			return
