--- a/edge/appending.go
+++ b/edge/appending.go
@@ -55,12 +55,12 @@
 // send makes one call to the store. It records the answer with recordStoreCall only after
 // handing it over, so that the end of an outage does not cause the append to be sent again.
 func (a *appendCall) send(ctx context.Context, timeout time.Duration) {
-	begun := time.Now()
+	start := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := a.node.adapter.Store.Append(callCtx, ledgerStream(a.partition), a.writer, a.records)
 	if err == nil {
-		a.node.observeAppend(time.Since(begun))
+		a.node.observeAppend(time.Since(start))
 	}
 	select {
 	case a.answers <- err:
--- a/edge/call.go
+++ b/edge/call.go
@@ -71,8 +71,8 @@
 				return
 			}
 		}
-		result, came := c.await()
-		if !came {
+		result, arrived := c.await()
+		if !arrived {
 			c.repeatLate()
 			continue
 		}
@@ -248,11 +248,11 @@
 // cancelInFlight cancels the attempts whose result is no longer needed. Their replicas
 // notice the closed connections.
 func (c *callRun) cancelInFlight() {
-	left := c.request.exchange.Cancel.Cause() != nil
+	clientGone := c.request.exchange.Cancel.Cause() != nil
 	for _, attempt := range c.inFlight {
 		attempt.cancel.Trigger(errSuperseded)
 		result := replica.ResultCancelled
-		if !left && time.Since(attempt.sentAt) >= c.node.lateAfter(c.request.route) {
+		if !clientGone && time.Since(attempt.sentAt) >= c.node.lateAfter(c.request.route) {
 			result = replica.ResultTimedOut
 		}
 		c.node.replicas.ended(attempt.choice.Entry.ID, result)
--- a/edge/chains.go
+++ b/edge/chains.go
@@ -12,14 +12,14 @@
 	enabled bool
 
 	mutex sync.Mutex
-	byID  map[string]keptChain
+	byID  map[string]cachedChain
 	// order has the ids of the turns from the oldest on, and bytes is the total size of the
 	// chains.
 	order []string
 	bytes int
 }
 
-type keptChain struct {
+type cachedChain struct {
 	chain []byte
 	at    time.Time
 }
@@ -32,7 +32,7 @@
 )
 
 func newChains(enabled bool) *chains {
-	return &chains{enabled: enabled, byID: make(map[string]keptChain)}
+	return &chains{enabled: enabled, byID: make(map[string]cachedChain)}
 }
 
 // put caches the chain that an engine has to read before a turn that continues the given
@@ -46,7 +46,7 @@
 	if _, known := c.byID[turn]; known {
 		return
 	}
-	c.byID[turn] = keptChain{chain: chain, at: now}
+	c.byID[turn] = cachedChain{chain: chain, at: now}
 	c.order = append(c.order, turn)
 	c.bytes += len(chain)
 	for c.bytes > chainsBytes || now.Sub(c.byID[c.order[0]].at) > chainsFor {
@@ -58,11 +58,11 @@
 func (c *chains) get(now time.Time, turn string) ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	kept, known := c.byID[turn]
-	if !known || now.Sub(kept.at) > chainsFor {
+	cached, known := c.byID[turn]
+	if !known || now.Sub(cached.at) > chainsFor {
 		return nil, false
 	}
-	return kept.chain, true
+	return cached.chain, true
 }
 
 func (c *chains) dropOldest() {
--- a/edge/cold.go
+++ b/edge/cold.go
@@ -77,12 +77,12 @@
 		answer: make(chan coordinator.Charged, 1),
 	}
 	n.metrics.coldCharged(coldAsked)
-	begun := time.Now()
+	start := time.Now()
 	n.awaitColdGrant(request)
 	status, pause := string(request.outcome.Status), max(request.outcome.Decision.RetryAfter, minimumColdPause)
 	granted := request.outcome.Status == coordinator.ChargeGranted
 	switch {
-	case granted && time.Since(begun) > coldGrantLifetime:
+	case granted && time.Since(start) > coldGrantLifetime:
 		n.control.post(coordinator.ChargeRefunded{Charge: request.request})
 		status, granted = coldStale, false
 	case request.outcome.Status == coordinator.ChargeUnknown:
--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -31,15 +31,15 @@
 }
 
 // answerCold answers the next questions with these statuses, in turn.
-func answerCold(node *Node, asked *[]coordinator.Charge, statuses ...coordinator.ChargeStatus) {
+func answerCold(node *Node, requested *[]coordinator.Charge, statuses ...coordinator.ChargeStatus) {
 	go func() {
 		for _, status := range statuses {
-			question, isCharge := (<-node.control.inbox).(chargeRequest)
+			pending, isCharge := (<-node.control.inbox).(chargeRequest)
 			if !isCharge {
 				return
 			}
-			*asked = append(*asked, question.charge)
-			question.answer <- coordinator.Charged{Status: status, Decision: tenant.Decision{RetryAfter: time.Hour}}
+			*requested = append(*requested, pending.charge)
+			pending.answer <- coordinator.Charged{Status: status, Decision: tenant.Decision{RetryAfter: time.Hour}}
 		}
 	}()
 }
@@ -54,23 +54,23 @@
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0", "r1")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeRefused, coordinator.ChargeGranted)
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeRefused, coordinator.ChargeGranted)
 	request := coldRequest()
 	choice, err := node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(asked).To(HaveLen(2))
-	g.Expect(asked[0].Replica).To(Equal("r0"))
-	g.Expect(asked[0].Request.Limit).To(Equal(tenant.Limit{Rate: 28}))
-	g.Expect(asked[0].Request.Version).To(BeEquivalentTo(3))
+	g.Expect(requested).To(HaveLen(2))
+	g.Expect(requested[0].Replica).To(Equal("r0"))
+	g.Expect(requested[0].Request.Limit).To(Equal(tenant.Limit{Rate: 28}))
+	g.Expect(requested[0].Request.Version).To(BeEquivalentTo(3))
 	g.Expect(choice.Entry.ID).To(BeEquivalentTo("r1"))
 	g.Expect(node.replicas.ownRequests()).To(Equal(map[string]int{"r1": 1}))
 	// The refused one is not asked for again until it may be.
-	answerCold(node, &asked, coordinator.ChargeGranted)
+	answerCold(node, &requested, coordinator.ChargeGranted)
 	choice, err = node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Entry.ID).To(BeEquivalentTo("r1"))
-	g.Expect(asked).To(HaveLen(3))
+	g.Expect(requested).To(HaveLen(3))
 }
 
 // TestColdOffersCountApart also where a client uses the id of a request again: what was
@@ -79,14 +79,14 @@
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeGranted, coordinator.ChargeGranted)
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeGranted, coordinator.ChargeGranted)
 	for range 2 {
 		_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(asked).To(HaveLen(2))
-	g.Expect(asked[0].Request.ID).NotTo(Equal(asked[1].Request.ID))
+	g.Expect(requested).To(HaveLen(2))
+	g.Expect(requested[0].Request.ID).NotTo(Equal(requested[1].Request.ID))
 }
 
 // TestColdReplicaWithoutAnswer is passed over.
@@ -94,8 +94,8 @@
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeUnknown)
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeUnknown)
 	_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 	g.Expect(err).To(MatchError(replica.ErrColdRate))
 	g.Expect(node.replicas.ownRequests()).To(BeEmpty())
@@ -106,13 +106,13 @@
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeGranted)
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeGranted)
 	request := coldRequest()
 	choice, err := node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	node.attemptRejected(request, choice.Entry, replica.ResultRejected)
-	g.Expect(<-node.control.inbox).To(Equal(coordinator.ChargeRefunded{Charge: asked[0]}))
+	g.Expect(<-node.control.inbox).To(Equal(coordinator.ChargeRefunded{Charge: requested[0]}))
 	node.attemptRejected(request, choice.Entry, replica.ResultRejected)
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
--- a/edge/contact_test.go
+++ b/edge/contact_test.go
@@ -15,22 +15,22 @@
 func TestContact(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	known := storeContact{last: start}
+	contact := storeContact{last: start}
 	now := start
 	for range 10 {
 		now = now.Add(time.Second)
-		known.recordAnswer(now)
+		contact.recordAnswer(now)
 	}
-	g.Expect(known.reached(now.Add(time.Second))).To(BeTrue())
-	g.Expect(known.deferRemovalsUntil()).To(BeZero())
+	g.Expect(contact.reached(now.Add(time.Second))).To(BeTrue())
+	g.Expect(contact.deferRemovalsUntil()).To(BeZero())
 	lost := now.Add(2 * time.Second)
-	g.Expect(known.reached(lost)).To(BeFalse())
+	g.Expect(contact.reached(lost)).To(BeFalse())
 	back := now.Add(6 * time.Second)
-	known.recordAnswer(back)
-	known.recordAnswer(back.Add(time.Second))
-	g.Expect(known.reached(back.Add(time.Second))).To(BeTrue())
-	g.Expect(known.lastAnswer()).To(Equal(back.Add(time.Second)))
-	g.Expect(known.deferRemovalsUntil()).To(Equal(back.Add(removalDeferral)))
+	contact.recordAnswer(back)
+	contact.recordAnswer(back.Add(time.Second))
+	g.Expect(contact.reached(back.Add(time.Second))).To(BeTrue())
+	g.Expect(contact.lastAnswer()).To(Equal(back.Add(time.Second)))
+	g.Expect(contact.deferRemovalsUntil()).To(Equal(back.Add(removalDeferral)))
 }
 
 // TestContactFails until the store answers again, whatever it answers.
--- a/edge/control.go
+++ b/edge/control.go
@@ -305,8 +305,8 @@
 	for _, takeover := range ready.Takeovers {
 		c.node.takeOver(takeover)
 	}
-	for _, one := range ready.Appends {
-		c.node.append(one)
+	for _, batch := range ready.Appends {
+		c.node.append(batch)
 	}
 	for _, load := range ready.Loads {
 		c.node.replicas.setPeerLoads(load.Node, load.Counts)
--- a/edge/datagram_test.go
+++ b/edge/datagram_test.go
@@ -44,9 +44,9 @@
 	buf := make([]byte, maximumDatagram)
 	size, err := peer.Read(buf)
 	g.Expect(err).NotTo(HaveOccurred())
-	var came coordinator.PeerMessage
-	g.Expect(json.Unmarshal(buf[:size], &came)).To(Succeed())
-	g.Expect(came.Membership.Sequence).To(Equal(uint64(7)))
+	var received coordinator.PeerMessage
+	g.Expect(json.Unmarshal(buf[:size], &received)).To(Succeed())
+	g.Expect(received.Membership.Sequence).To(Equal(uint64(7)))
 
 	g.Expect(datagrams.send(probe(address, machine.Message{Kind: machine.MessageProbeFor, Reliable: true}))).To(BeFalse())
 	large := machine.Message{Kind: machine.MessageGossip, Target: machine.ID(strings.Repeat("x", maximumDatagram))}
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -62,9 +62,9 @@
 }
 
 // adoptEvacuations applies what a peer knew when it was queried, if that is newer.
-func (n *Node) adoptEvacuations(from machine.Machine, asked time.Time, received evacuation.Snapshot) {
+func (n *Node) adoptEvacuations(from machine.Machine, requestedAt time.Time, received evacuation.Snapshot) {
 	n.updateEvacuations("peer "+string(from.ID), func(state *evacuation.State, _ time.Time) []evacuation.Change {
-		return state.Adopt(asked, received)
+		return state.Adopt(requestedAt, received)
 	})
 }
 
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -215,7 +215,7 @@
 func (n *Node) followStream(ctx context.Context, stream recordstore.Stream, handler streamHandler) {
 	backoff := n.backoff()
 	for ctx.Err() == nil && !handler.done() {
-		asked := time.Now()
+		requestedAt := time.Now()
 		records, next, err := n.readPages(ctx, stream, handler.handlePage)
 		if err != nil {
 			n.logger.Warn().Str("stream", string(stream.Name)).Err(err).Msg("store: stream not read")
@@ -224,7 +224,7 @@
 		}
 		backoff.Reset()
 		handler.reset(records, next)
-		handler.caughtUp(asked)
+		handler.caughtUp(requestedAt)
 		handler.synced.Store(true)
 		n.followTail(ctx, stream, next, time.Now().Add(n.resyncAfter(len(records))), handler)
 	}
@@ -243,12 +243,12 @@
 	backoff := n.backoff()
 	for ctx.Err() == nil && !handler.done() && time.Now().Before(resync) {
 		timeout := handler.wait()
-		asked := time.Now()
+		requestedAt := time.Now()
 		regained := n.store.nextRegain()
 		callCtx, cancel := context.WithTimeout(ctx, timeout+tailSlack)
 		tail, err := n.tailUntil(callCtx, stream, next, timeout, regained)
 		cancel()
-		n.recordRead(storeRead{stream: stream, kind: kindTail, attempt: 1, sentAt: asked}, err)
+		n.recordRead(storeRead{stream: stream, kind: kindTail, attempt: 1, sentAt: requestedAt}, err)
 		switch {
 		case errors.Is(err, recordstore.ErrGap):
 			return
@@ -262,7 +262,7 @@
 		for _, record := range tail.Records {
 			handler.change(record)
 		}
-		handler.caughtUp(asked)
+		handler.caughtUp(requestedAt)
 		next = tail.Next
 		wait.For(ctx, handler.pause())
 	}
--- a/edge/join.go
+++ b/edge/join.go
@@ -33,11 +33,11 @@
 		if !found {
 			continue
 		}
-		asked := time.Now()
+		requestedAt := time.Now()
 		if _, err := n.fetchNodesWithin(ctx, peer.Address, "", timeout); err == nil {
 			return
 		}
-		if time.Since(asked) >= timeout {
+		if time.Since(requestedAt) >= timeout {
 			timeout = min(2*timeout, peerQueryMaximumTimeout)
 		}
 	}
--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -137,21 +137,21 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	asked, err := n.control.owner(ctx, partition)
+	called, err := n.control.owner(ctx, partition)
 	if err != nil {
 		return coordinator.Reply{}, err
 	}
-	go n.watchOwner(ctx, partition, asked.ID, cancel)
+	go n.watchOwner(ctx, partition, called.ID, cancel)
 	return n.callOwnerOnce(ctx, r, partition, request)
 }
 
 // watchOwner polls the owner of a partition, and ends the context once that is another
 // node.
-func (n *Node) watchOwner(ctx context.Context, partition int, asked machine.ID, end context.CancelCauseFunc) {
+func (n *Node) watchOwner(ctx context.Context, partition int, called machine.ID, cancel context.CancelCauseFunc) {
 	for wait.For(ctx, ownerPollInterval) {
 		owner, err := n.control.owner(ctx, partition)
-		if err == nil && owner.ID != asked {
-			end(errOwnerChanged)
+		if err == nil && owner.ID != called {
+			cancel(errOwnerChanged)
 			return
 		}
 	}
--- a/edge/keys.go
+++ b/edge/keys.go
@@ -150,8 +150,8 @@
 // readConfigurationNow reads the configuration independently of the read that waits for its
 // next change. It reports whether the store answered.
 func (n *Node) readConfigurationNow() bool {
-	asked := time.Now()
-	if !n.freshnessProof.allowRead(asked) {
+	requestedAt := time.Now()
+	if !n.freshnessProof.allowRead(requestedAt) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, unknownKeyReadTimeout)
@@ -162,7 +162,7 @@
 		return false
 	}
 	n.applyConfigurations(records, end)
-	n.recordProof(asked)
+	n.recordProof(requestedAt)
 	return true
 }
 
--- a/edge/ledgers.go
+++ b/edge/ledgers.go
@@ -95,9 +95,9 @@
 // to the core.
 func (n *Node) append(batch coordinator.Append) {
 	n.run(func(ctx context.Context) {
-		begun := time.Now()
+		start := time.Now()
 		err := n.appendRecords(ctx, batch.Partition, batch.Epoch, batch.Sequence, batch.Records, 0)
-		took := time.Since(begun)
+		took := time.Since(start)
 		n.metrics.appended(took)
 		if took > slowAppendThreshold || err != nil {
 			n.logger.Warn().Int("partition", batch.Partition).Uint64("epoch", uint64(batch.Epoch)).Dur("took", took).
--- a/edge/node.go
+++ b/edge/node.go
@@ -318,20 +318,20 @@
 // Stop ends the node: it reports that it is not ready, releases its partitions, closes
 // connections as their answers end, and waits for the requests in progress.
 func (n *Node) Stop() {
-	begun := time.Now()
+	start := time.Now()
 	if n.stopping.Swap(true) {
 		return
 	}
 	n.logger.Info().Int("active", n.clients.Active()).Msg("edge: stopping")
 	n.control.post(coordinator.Leave{})
 	n.clients.Drain()
-	end := begun.Add(max(n.settings.Grace-exitMargin, 0))
-	wait.Until(n.ctx, minTime(begun.Add(readinessPropagation), end))
+	end := start.Add(max(n.settings.Grace-exitMargin, 0))
+	wait.Until(n.ctx, minTime(start.Add(readinessPropagation), end))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	err := n.clients.Shutdown(ctx)
 	n.cancel()
-	n.logger.Info().Bool("cut", err != nil).Dur("took", time.Since(begun)).Msg("edge: stopped")
+	n.logger.Info().Bool("cut", err != nil).Dur("took", time.Since(start)).Msg("edge: stopped")
 }
 
 // Kill ends the node at once, like a crash of its process.
--- a/edge/peerstate.go
+++ b/edge/peerstate.go
@@ -48,7 +48,7 @@
 
 // applyPeerState fetches and applies the state of a peer.
 func (n *Node) applyPeerState(ctx context.Context, from machine.Machine) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	// In a large fleet each node holds only a part of the replicas, which it gets from a
 	// reader.
 	replicas := !n.reachesStore() && !n.large()
@@ -57,8 +57,8 @@
 		n.logger.Info().Str("peer", string(from.ID)).Err(err).Msg("peers: state not learned")
 		return
 	}
-	n.adoptEvacuations(from, asked, state.Evacuations)
-	n.applyPeerConfiguration(from, asked, &state)
+	n.adoptEvacuations(from, requestedAt, state.Evacuations)
+	n.applyPeerConfiguration(from, requestedAt, &state)
 	if !replicas || n.reachesStore() || len(state.Replicas) == 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 
 // applyPeerConfiguration applies a peer's configuration, if it has one, and its freshness
 // proof.
-func (n *Node) applyPeerConfiguration(from machine.Machine, asked time.Time, state *peerState) {
+func (n *Node) applyPeerConfiguration(from machine.Machine, requestedAt time.Time, state *peerState) {
 	if len(state.Configuration) == 0 {
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 	n.applyConfiguration(raw.Key, raw.Value, "peer "+string(from.ID))
 	if state.Proven {
-		n.recordProof(asked.Add(-time.Duration(state.ProofAgeMS) * time.Millisecond))
+		n.recordProof(requestedAt.Add(-time.Duration(state.ProofAgeMS) * time.Millisecond))
 	}
 }
 
@@ -92,8 +92,8 @@
 func (n *Node) observeVersion(from machine.Machine, version, evacuations uint64) {
 	n.config.mutex.Lock()
 	defer n.config.mutex.Unlock()
-	news := version > n.config.version || evacuations > n.evacuations.version()
-	if !news || n.config.fetching {
+	newer := version > n.config.version || evacuations > n.evacuations.version()
+	if !newer || n.config.fetching {
 		return
 	}
 	n.config.fetching = true
--- a/edge/placing_test.go
+++ b/edge/placing_test.go
@@ -33,15 +33,15 @@
 	g := NewWithT(t)
 	node := &Node{turnEstimates: newTurnEstimates()}
 	for range 20 {
-		usual := &requestState{route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now().Add(3 * time.Second)}
-		node.updateProgress(usual)
-		g.Expect(usual.progress).To(Equal(dispatch.ProgressEven))
+		typical := &requestState{route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now().Add(3 * time.Second)}
+		node.updateProgress(typical)
+		g.Expect(typical.progress).To(Equal(dispatch.ProgressEven))
 	}
 	late := &requestState{route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now().Add(time.Second)}
 	node.updateProgress(late)
 	g.Expect(late.progress).To(Equal(dispatch.ProgressBehind))
 	g.Expect(late.speedBias).To(Equal(1))
-	again := &requestState{attempts: 1, route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now()}
-	node.updateProgress(again)
-	g.Expect(again.speedBias).To(BeZero())
+	retried := &requestState{attempts: 1, route: &routing.Route{Name: "route"}, prompt: make([]replica.Part, 2), finishBy: time.Now()}
+	node.updateProgress(retried)
+	g.Expect(retried.speedBias).To(BeZero())
 }
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -60,7 +60,7 @@
 		cursor.reader = readers[cursor.readerIndex%len(readers)]
 		cursor.setGroup(n.role() == roleFollower, n.ownGroup())
 		request := n.relayRequest(&cursor)
-		asked := time.Now()
+		requestedAt := time.Now()
 		answer, err := n.queryReader(ctx, cursor.reader, request)
 		if err != nil {
 			n.logger.Warn().Str("reader", string(cursor.reader.ID)).Int("failures", cursor.failures).Err(err).Msg("replicas: reader not followed")
@@ -75,7 +75,7 @@
 		cursor.failures, cursor.servedAt = 0, time.Now()
 		n.readerAnsweredAt.Store(int64(time.Since(n.started)))
 		cursor.advance(&answer, n.replicas.count() > 0)
-		n.applyRelay(cursor.reader, asked, request.part, &answer)
+		n.applyRelay(cursor.reader, requestedAt, request.part, &answer)
 		n.logFollowing(cursor.reader)
 		if !answer.Partial && answer.age() > maximumListAge && n.switchToFresherReader(ctx, &cursor, readers, answer.age()) {
 			cursor.incarnation, cursor.next = 0, 0
@@ -226,8 +226,8 @@
 const bulkLogThreshold = 16
 
 // applyRelay applies a reader's answer about all replicas, or a part of them.
-func (n *Node) applyRelay(reader machine.Machine, asked time.Time, part bool, answer *relayAnswer) {
-	n.applyRelayedConfiguration(reader, asked, answer)
+func (n *Node) applyRelay(reader machine.Machine, requestedAt time.Time, part bool, answer *relayAnswer) {
+	n.applyRelayedConfiguration(reader, requestedAt, answer)
 	n.replicas.setTotal(answer.Total)
 	if answer.Whole || len(answer.Changes) >= bulkLogThreshold {
 		n.applyList(reader, part, answer)
@@ -276,9 +276,9 @@
 
 // applyRelayedConfiguration applies a reader's configuration, its freshness proof, and its
 // evacuated zones.
-func (n *Node) applyRelayedConfiguration(reader machine.Machine, asked time.Time, answer *relayAnswer) {
+func (n *Node) applyRelayedConfiguration(reader machine.Machine, requestedAt time.Time, answer *relayAnswer) {
 	if answer.Evacuations != nil {
-		n.adoptEvacuations(reader, asked, *answer.Evacuations)
+		n.adoptEvacuations(reader, requestedAt, *answer.Evacuations)
 	}
 	if raw := answer.Configuration; raw != nil {
 		n.applyConfiguration(raw.Key, raw.Value, "reader "+string(reader.ID))
@@ -288,6 +288,6 @@
 	}
 	n.syncedConfiguration.Store(true)
 	if answer.Proven {
-		n.recordProof(asked.Add(-time.Duration(answer.ProofAgeMS) * time.Millisecond))
+		n.recordProof(requestedAt.Add(-time.Duration(answer.ProofAgeMS) * time.Millisecond))
 	}
 }
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -152,16 +152,16 @@
 		ctx.Error("the whole list of replicas was not read here", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	own := node.self.Incarnation
-	known := request.incarnation == own
+	ownIncarnation := node.self.Incarnation
+	known := request.incarnation == ownIncarnation
 	if request.ageOnly {
-		writeJSON(ctx, relayAnswer{ReaderIncarnation: own, AgeMS: node.listAge().Milliseconds(), Total: node.replicas.total()})
+		writeJSON(ctx, relayAnswer{ReaderIncarnation: ownIncarnation, AgeMS: node.listAge().Milliseconds(), Total: node.replicas.total()})
 		return
 	}
 	if known {
 		node.awaitChanges(&request)
 	}
-	answer := relayAnswer{ReaderIncarnation: own, Partial: partial}
+	answer := relayAnswer{ReaderIncarnation: ownIncarnation, Partial: partial}
 	// The age and the proof are read first: what is read after them is at least as new.
 	age, proven := node.freshnessProof.age(time.Now())
 	answer.Proven, answer.ProofAgeMS = proven, age.Milliseconds()+1
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -37,20 +37,20 @@
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
-	ask := func() int {
+	requestList := func() int {
 		ctx := &fasthttp.RequestCtx{}
 		ctx.Request.SetRequestURI(pathReplicas + "?life=0&since=0&wait=0&zone=a&group=0&partial=taken")
 		node.peers.receiveReplicas(ctx)
 		return ctx.Response.StatusCode()
 	}
-	g.Expect(ask()).To(Equal(fasthttp.StatusServiceUnavailable))
+	g.Expect(requestList()).To(Equal(fasthttp.StatusServiceUnavailable))
 	entry := replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1}
 	whole := relayAnswer{Whole: true, Changes: []replica.Change{{Entry: &entry}}}
 	node.applyRelay(machine.Machine{ID: "source"}, time.Now(), true, &whole)
 	g.Expect(node.syncedReplicas.Load()).To(BeTrue())
-	g.Expect(ask()).To(Equal(fasthttp.StatusServiceUnavailable))
+	g.Expect(requestList()).To(Equal(fasthttp.StatusServiceUnavailable))
 	node.applyRelay(machine.Machine{ID: "source"}, time.Now(), false, &whole)
-	g.Expect(ask()).To(Equal(fasthttp.StatusOK))
+	g.Expect(requestList()).To(Equal(fasthttp.StatusOK))
 }
 
 // TestWhereAFollowerStands has numbers of one list not be used for another, and the whole
@@ -58,25 +58,25 @@
 func TestWhereAFollowerStands(t *testing.T) {
 	g := NewWithT(t)
 	group := replica.Group{Zone: "a"}
-	at := readerCursor{}
-	at.setGroup(true, group)
-	at.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
-	at.setGroup(true, group)
-	g.Expect(at.incarnation).To(Equal(uint64(5)))
-	at.setGroup(true, replica.Group{Zone: "a", Number: 1})
-	g.Expect(at.incarnation).To(BeZero(), "another group")
-	at.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
-	at.setGroup(false, group)
-	g.Expect(at.incarnation).To(BeZero(), "all of the list")
+	cursor := readerCursor{}
+	cursor.setGroup(true, group)
+	cursor.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
+	cursor.setGroup(true, group)
+	g.Expect(cursor.incarnation).To(Equal(uint64(5)))
+	cursor.setGroup(true, replica.Group{Zone: "a", Number: 1})
+	g.Expect(cursor.incarnation).To(BeZero(), "another group")
+	cursor.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
+	cursor.setGroup(false, group)
+	g.Expect(cursor.incarnation).To(BeZero(), "all of the list")
 
-	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true}, true)
-	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 4, Partial: true}, true)
-	g.Expect(at.incarnation).To(Equal(uint64(6)))
-	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8}, true)
-	g.Expect(at.incarnation).To(BeZero(), "replicas of before may be gone")
-	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true}, true)
-	at.advance(&relayAnswer{ReaderIncarnation: 6, Next: 9}, true)
-	g.Expect(at.incarnation).To(Equal(uint64(6)))
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true}, true)
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 4, Partial: true}, true)
+	g.Expect(cursor.incarnation).To(Equal(uint64(6)))
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8}, true)
+	g.Expect(cursor.incarnation).To(BeZero(), "replicas of before may be gone")
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true}, true)
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 9}, true)
+	g.Expect(cursor.incarnation).To(Equal(uint64(6)))
 
 	fresh := readerCursor{}
 	fresh.setGroup(true, group)
@@ -93,12 +93,12 @@
 	defer node.Kill()
 	var query fasthttp.Args
 	query.Parse("life=1&since=0&wait=700")
-	question, err := parseRelayRequest(&query)
+	request, err := parseRelayRequest(&query)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(question.part).To(BeFalse())
-	g.Expect(question.takesPartial).To(BeFalse())
-	g.Expect(question.version).To(BeNumerically(">=", node.configVersion()))
-	g.Expect(question.evacuations).To(BeNumerically(">=", node.evacuations.version()))
+	g.Expect(request.part).To(BeFalse())
+	g.Expect(request.takesPartial).To(BeFalse())
+	g.Expect(request.version).To(BeNumerically(">=", node.configVersion()))
+	g.Expect(request.evacuations).To(BeNumerically(">=", node.evacuations.version()))
 }
 
 // TestReaderOfASourceThatStillReads has a reader that began with a part of its source's list
@@ -109,17 +109,17 @@
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
 	entry := replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1}
-	at := readerCursor{}
-	at.setGroup(false, replica.Group{})
-	take := func(answer relayAnswer) {
-		at.advance(&answer, node.replicas.count() > 0)
+	cursor := readerCursor{}
+	cursor.setGroup(false, replica.Group{})
+	apply := func(answer relayAnswer) {
+		cursor.advance(&answer, node.replicas.count() > 0)
 		node.applyRelay(machine.Machine{ID: "source"}, time.Now(), false, &answer)
 	}
-	take(relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true, Changes: []replica.Change{{Entry: &entry}}})
+	apply(relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true, Changes: []replica.Change{{Entry: &entry}}})
 	g.Expect(node.holdsAllReplicas.Load()).To(BeFalse())
-	take(relayAnswer{ReaderIncarnation: 6, Next: 8})
-	g.Expect(at.incarnation).To(BeZero(), "the whole list is asked for")
-	take(relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true, Changes: []replica.Change{{Entry: &entry}}})
+	apply(relayAnswer{ReaderIncarnation: 6, Next: 8})
+	g.Expect(cursor.incarnation).To(BeZero(), "the whole list is asked for")
+	apply(relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true, Changes: []replica.Change{{Entry: &entry}}})
 	g.Expect(node.holdsAllReplicas.Load()).To(BeTrue())
-	g.Expect(at.incarnation).To(Equal(uint64(6)))
+	g.Expect(cursor.incarnation).To(Equal(uint64(6)))
 }
--- a/edge/replicalist.go
+++ b/edge/replicalist.go
@@ -15,7 +15,7 @@
 	n.fetchTotal(ctx)
 	for ctx.Err() == nil {
 		n.followReaders(ctx)
-		begun, changed := time.Now(), 0
+		start, changed := time.Now(), 0
 		n.followStream(ctx, recordstore.Stream{Name: recordstore.StreamReplicas}, streamHandler{
 			wait: func() time.Duration { return replicasWait }, pause: n.replicasPause, synced: &n.syncedReplicas,
 			page: func(records []recordstore.Record) { changed += n.applyPage(records) },
@@ -25,7 +25,7 @@
 			},
 			change:  func(record recordstore.Record) { n.applyReplica(record.Key, record.Value) },
 			current: n.replicasCaughtUp,
-			ended:   func() bool { return time.Since(begun) > directReadPeriod && len(n.readersToFollow()) > 0 },
+			ended:   func() bool { return time.Since(start) > directReadPeriod && len(n.readersToFollow()) > 0 },
 		})
 	}
 }
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -36,8 +36,8 @@
 // view is a part of the list, with the times at which it was last requested and selected.
 type view struct {
 	*replica.View
-	askedAt  time.Time
-	chosenAt time.Time
+	requestedAt time.Time
+	selectedAt  time.Time
 }
 
 // viewNumberRange is the size of the range of change numbers that each view has to itself,
@@ -163,12 +163,12 @@
 
 // await waits for changes of the list, or until the time is up. It reports whether there
 // already were changes for the follower.
-func (r *replicas) await(ctx context.Context, request *relayRequest, wait time.Duration) (news bool) {
+func (r *replicas) await(ctx context.Context, request *relayRequest, wait time.Duration) (available bool) {
 	r.mutex.Lock()
-	news = r.nextOf(request) != request.since
+	available = r.nextOf(request) != request.since
 	changed := r.changed
 	r.mutex.Unlock()
-	if news {
+	if available {
 		return true
 	}
 	timer := time.NewTimer(wait)
@@ -198,16 +198,16 @@
 	found := r.views[group]
 	if found == nil {
 		r.lastViewNumber += viewNumberRange
-		found = &view{View: replica.NewView(r.set, group, r.lastViewNumber), chosenAt: now}
+		found = &view{View: replica.NewView(r.set, group, r.lastViewNumber), selectedAt: now}
 		r.views[group] = found
 	}
-	found.askedAt = now
-	if now.Sub(found.chosenAt) >= changeBatchWindow {
-		found.chosenAt = now
+	found.requestedAt = now
+	if now.Sub(found.selectedAt) >= changeBatchWindow {
+		found.selectedAt = now
 		found.Refresh(now, r.set)
 	}
-	for other, one := range r.views {
-		if now.Sub(one.askedAt) > viewLifetime {
+	for other, existing := range r.views {
+		if now.Sub(existing.requestedAt) > viewLifetime {
 			delete(r.views, other)
 		}
 	}
@@ -228,8 +228,8 @@
 		return changes, next, whole
 	}
 	if known {
-		if kept, found := r.feed.Since(request.since); found {
-			return r.renewCold(kept), r.feed.Next(), false
+		if recent, found := r.feed.Since(request.since); found {
+			return r.renewCold(recent), r.feed.Next(), false
 		}
 	}
 	for _, entry := range r.set.Entries(now) {
--- a/edge/returns_test.go
+++ b/edge/returns_test.go
@@ -16,10 +16,10 @@
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(SpreadRetries)} {
 		node := &Node{settings: settings, random: rand.New(rand.NewPCG(7, 8))}
-		told := map[time.Duration]bool{}
+		delays := map[time.Duration]bool{}
 		for range 10 {
-			told[node.chooseRetryAfter(&dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable, Left: time.Minute})] = true
+			delays[node.chooseRetryAfter(&dispatch.Refusal{Cause: dispatch.CauseStoreUnavailable, Left: time.Minute})] = true
 		}
-		g.Expect(len(told)).To(Equal(map[bool]int{true: 10, false: 1}[settings.uses(SpreadRetries)]))
+		g.Expect(len(delays)).To(Equal(map[bool]int{true: 10, false: 1}[settings.uses(SpreadRetries)]))
 	}
 }
--- a/edge/role_test.go
+++ b/edge/role_test.go
@@ -57,15 +57,15 @@
 	defer node.Kill()
 	g.Expect(node.lacksProof()).To(BeTrue())
 	var elapsed time.Duration
-	asked := 0
+	reads := 0
 	for elapsed < 20*time.Second {
 		pause := node.configurationPause()
 		elapsed += pause
 		if elapsed > 5*time.Second {
-			asked++
+			reads++
 		}
 	}
-	g.Expect(float64(asked) / 15 * nodes).To(BeNumerically("<", 2_500))
+	g.Expect(float64(reads) / 15 * nodes).To(BeNumerically("<", 2_500))
 	node.freshnessProof.record(time.Now().Add(time.Hour))
 	g.Expect(node.configurationPause()).To(Equal(configurationPause))
 }
@@ -94,14 +94,14 @@
 // whole list, whatever the order in which they know each other.
 func TestListOfNodesIsReadByFew(t *testing.T) {
 	g := NewWithT(t)
-	var near []machine.Machine
+	var nodes []machine.Machine
 	for index := range 41 {
-		near = append(near, machine.Machine{ID: machine.ID(fmt.Sprintf("node-%d", index)), Weight: 1 + float64(index%6)})
+		nodes = append(nodes, machine.Machine{ID: machine.ID(fmt.Sprintf("node-%d", index)), Weight: 1 + float64(index%6)})
 	}
-	first := rankDirectory(near)
+	first := rankDirectory(nodes)
 	g.Expect(first).To(HaveLen(directoryReaders))
-	for turn := range near {
-		g.Expect(rankDirectory(rotate(near, turn))).To(Equal(first))
+	for offset := range nodes {
+		g.Expect(rankDirectory(rotate(nodes, offset))).To(Equal(first))
 	}
 }
 
--- a/edge/share_test.go
+++ b/edge/share_test.go
@@ -28,14 +28,14 @@
 			node.shares.observe(request)
 			return request
 		}
-		hot, usual := of("hot", 100), of("usual", 5)
+		hot, normal := of("hot", 100), of("usual", 5)
 		g.Expect(node.overShare(hot)).To(BeFalse())
 		_, err := node.replicas.choose(&replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = node.replicas.choose(&replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(node.overShare(hot)).To(Equal(settings.uses(ShareByTenant)))
-		g.Expect(node.overShare(usual)).To(BeFalse())
+		g.Expect(node.overShare(normal)).To(BeFalse())
 		g.Expect(node.overShare(&requestState{service: "s", route: &routing.Route{}})).To(BeFalse())
 	}
 }
@@ -45,9 +45,9 @@
 func TestRepeatIntoRoom(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(RepeatWithCapacity)} {
-		repeats, err := newCallStats()
+		stats, err := newCallStats()
 		g.Expect(err).NotTo(HaveOccurred())
-		node := &Node{settings: settings, replicas: newReplicas(&settings), callStats: repeats}
+		node := &Node{settings: settings, replicas: newReplicas(&settings), callStats: stats}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
 		run := &callRun{node: node, request: &requestState{service: "s", route: &routing.Route{}, deadline: time.Now().Add(time.Hour)}}
 		g.Expect(dispatch.DecideRepeat(run.lateCall())).To(Equal(dispatch.RepeatSent))
--- a/edge/silentstore_test.go
+++ b/edge/silentstore_test.go
@@ -26,17 +26,17 @@
 type outageStore struct {
 	recordstore.Store
 	begun   time.Time
-	silent  []span
+	outages []span
 	mutex   sync.Mutex
 	records map[recordstore.StreamName][]recordstore.Record
 	// whole are the times of the reads of all keys.
-	whole []time.Time
+	newestReads []time.Time
 }
 
 // newOutageStore returns a store with a configuration of version 2 and one replica, that is
 // silent at times.
-func newOutageStore(silent []span) *outageStore {
-	store := &outageStore{begun: time.Now(), silent: silent, records: make(map[recordstore.StreamName][]recordstore.Record)}
+func newOutageStore(outages []span) *outageStore {
+	store := &outageStore{begun: time.Now(), outages: outages, records: make(map[recordstore.StreamName][]recordstore.Record)}
 	store.put(recordstore.StreamConfiguration, "config", "2")
 	store.put(recordstore.StreamReplicas, "r", "ready")
 	return store
@@ -46,7 +46,7 @@
 func (s *outageStore) wholeReads() []time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.whole
+	return s.newestReads
 }
 
 // put adds a record to a stream.
@@ -66,7 +66,7 @@
 
 // answers reports whether a call that was sent at a time is answered now.
 func (s *outageStore) answers(sent time.Time) bool {
-	for _, outage := range s.silent {
+	for _, outage := range s.outages {
 		if time.Now().After(s.begun.Add(outage.from)) && sent.Before(s.begun.Add(outage.to)) {
 			return false
 		}
@@ -76,7 +76,7 @@
 
 func (s *outageStore) Newest(ctx context.Context, stream recordstore.Stream, _ string) (recordstore.Page, error) {
 	s.mutex.Lock()
-	s.whole = append(s.whole, time.Now())
+	s.newestReads = append(s.newestReads, time.Now())
 	s.mutex.Unlock()
 	if !s.answers(time.Now()) {
 		<-ctx.Done()
@@ -154,9 +154,9 @@
 
 // nodeAtOutageStore returns a node that follows the configuration and the replicas of a store
 // that is silent at times.
-func nodeAtOutageStore(g *WithT, silent []span) (*Node, *outageStore) {
+func nodeAtOutageStore(g *WithT, outages []span) (*Node, *outageStore) {
 	node := keyNode(g, Settings{}, false)
-	store := newOutageStore(silent)
+	store := newOutageStore(outages)
 	node.adapter.Store, node.adapter.Translator = store, versionTranslator{}
 	node.markNodeListKnown()
 	node.run(node.followConfiguration)
@@ -166,10 +166,10 @@
 
 // configurationDelay returns how long after the last outage a configuration is in force
 // that was written at its end.
-func configurationDelay(g *WithT, silent []span) time.Duration {
-	node, store := nodeAtOutageStore(g, silent)
+func configurationDelay(g *WithT, outages []span) time.Duration {
+	node, store := nodeAtOutageStore(g, outages)
 	defer node.Kill()
-	back := store.begun.Add(silent[len(silent)-1].to)
+	back := store.begun.Add(outages[len(outages)-1].to)
 	time.Sleep(time.Until(back))
 	store.put(recordstore.StreamConfiguration, "config", "3")
 	for node.configVersion() < 3 && time.Since(back) < time.Minute {
--- a/edge/space.go
+++ b/edge/space.go
@@ -47,12 +47,12 @@
 func (s *space) appended(now time.Time, partition, bytes int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one := s.entry(now, partition)
-	one.appended += bytes
-	if one.appended < trimBytes || now.Sub(one.trimmedAt) < trimPeriod {
+	usage := s.entry(now, partition)
+	usage.appended += bytes
+	if usage.appended < trimBytes || now.Sub(usage.trimmedAt) < trimPeriod {
 		return false
 	}
-	one.appended, one.trimmedAt = 0, now
+	usage.appended, usage.trimmedAt = 0, now
 	return true
 }
 
@@ -65,22 +65,22 @@
 		s.loggedFull = now
 		logged = true
 	}
-	one := s.entry(now, partition)
-	if now.Sub(one.trimmedAt) < trimPeriodFull {
+	usage := s.entry(now, partition)
+	if now.Sub(usage.trimmedAt) < trimPeriodFull {
 		return false, logged
 	}
-	one.appended, one.trimmedAt = 0, now
+	usage.appended, usage.trimmedAt = 0, now
 	return true, logged
 }
 
 // entry returns the entry of a partition. The caller must hold the mutex.
 func (s *space) entry(now time.Time, partition int) *partitionSpace {
-	one := s.partitions[partition]
-	if one == nil {
-		one = &partitionSpace{trimmedAt: now}
-		s.partitions[partition] = one
+	usage := s.partitions[partition]
+	if usage == nil {
+		usage = &partitionSpace{trimmedAt: now}
+		s.partitions[partition] = usage
 	}
-	return one
+	return usage
 }
 
 // isFull reports whether the store refused a call because it is full.
--- a/edge/standing_test.go
+++ b/edge/standing_test.go
@@ -20,20 +20,20 @@
 	table := routing.NewTable(1, []routing.Route{
 		{Name: "first", Host: "a", PathPrefix: "/", Shares: shares}, {Name: "second", Host: "b", PathPrefix: "/", Shares: shares, Priority: 1},
 	}, []routing.Service{{Name: "engine"}}, routing.Limits{})
-	begun := func(left time.Duration) *requestState {
+	started := func(left time.Duration) *requestState {
 		return &requestState{
 			route: table.Match("b", "/"), service: "engine", previous: "t", finishBy: time.Now().Add(left), expectedRemaining: time.Second, choice: full,
 		}
 	}
 	node := &Node{scheduling: newScheduling()}
-	idle := begun(0)
+	idle := started(0)
 	idle.choice.Load = 3
 	g.Expect(node.urgency(idle, table)).To(Equal(1), "a place is free")
-	g.Expect(node.urgency(begun(time.Second+50*time.Millisecond), table)).To(Equal(1))
-	g.Expect(node.urgency(begun(0), table)).To(BeNumerically(">", 1))
+	g.Expect(node.urgency(started(time.Second+50*time.Millisecond), table)).To(Equal(1))
+	g.Expect(node.urgency(started(0), table)).To(BeNumerically(">", 1))
 	g.Expect(node.urgency(&requestState{route: table.Match("a", "/"), service: "engine"}, table)).To(BeZero())
 	node.settings = without(OrderBySlack)
-	g.Expect(node.urgency(begun(0), table)).To(Equal(1))
+	g.Expect(node.urgency(started(0), table)).To(Equal(1))
 }
 
 // TestBandsCountTenants keeps a band for each priority of tenants as well.
--- a/edge/storewatch_test.go
+++ b/edge/storewatch_test.go
@@ -14,13 +14,13 @@
 // silentStore answers no read of a tail, whatever becomes of the caller.
 type silentStore struct {
 	recordstore.Store
-	asked chan time.Duration
-	over  chan struct{}
+	waits chan time.Duration
+	done  chan struct{}
 }
 
 func (s *silentStore) Tail(_ context.Context, _ recordstore.Stream, _ uint64, wait time.Duration) (recordstore.Tail, error) {
-	s.asked <- wait
-	<-s.over
+	s.waits <- wait
+	<-s.done
 	return recordstore.Tail{}, nil
 }
 
@@ -30,18 +30,18 @@
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
-	store := &silentStore{asked: make(chan time.Duration, 2), over: make(chan struct{})}
-	defer close(store.over)
+	store := &silentStore{waits: make(chan time.Duration, 2), done: make(chan struct{})}
+	defer close(store.done)
 	node.adapter.Store = store
 	ended := make(chan error, 1)
-	look := func() {
+	watch := func() {
 		_, err := node.watchTail(node.ctx, recordstore.Stream{Name: recordstore.StreamNodes}, 0)
 		ended <- err
 	}
-	go look()
-	g.Expect(<-store.asked).To(Equal(watchWait))
+	go watch()
+	g.Expect(<-store.waits).To(Equal(watchWait))
 	node.control.setRoles(coordinator.Roles{MayOwnPartition: true})
 	g.Expect(<-ended).To(MatchError(context.Canceled))
-	go look()
-	g.Expect(<-store.asked).To(Equal(ownerWatchWait))
+	go watch()
+	g.Expect(<-store.waits).To(Equal(ownerWatchWait))
 }
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -65,20 +65,20 @@
 // begin returns the context of a takeover, and the function that ends it.
 func (t *takeovers) begin(ctx context.Context, takeover coordinator.Takeover) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	name := coordinator.Stopped{Partition: takeover.Partition, Epoch: takeover.Epoch}
+	key := coordinator.Stopped{Partition: takeover.Partition, Epoch: takeover.Epoch}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.cancels[name] = cancel
-	return ctx, func() { t.stop(name) }
+	t.cancels[key] = cancel
+	return ctx, func() { t.stop(key) }
 }
 
 // stop cancels the reads of a takeover.
-func (t *takeovers) stop(name coordinator.Stopped) {
+func (t *takeovers) stop(key coordinator.Stopped) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if cancel, known := t.cancels[name]; known {
+	if cancel, known := t.cancels[key]; known {
 		cancel()
-		delete(t.cancels, name)
+		delete(t.cancels, key)
 	}
 }
 
@@ -98,7 +98,7 @@
 }
 
 func (n *Node) claimAndRead(ctx context.Context, takeover coordinator.Takeover) coordinator.TakeoverEnded {
-	begun := time.Now()
+	start := time.Now()
 	ended := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch, Outcome: coordinator.OutcomeFailed}
 	entry := n.logger.Info().Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch))
 	if putOff := n.putOff(ctx, takeover, &ended); putOff {
@@ -110,26 +110,26 @@
 	var fenced *recordstore.FencedError
 	if errors.As(err, &fenced) {
 		ended.Outcome = coordinator.OutcomeFenced
-		n.metrics.takeoverEnded("fenced", readTotals{}, time.Since(begun))
+		n.metrics.takeoverEnded("fenced", readTotals{}, time.Since(start))
 		n.logger.Info().Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).
 			Str("reason", fenced.Reason).Msg("ledger: claim fenced")
 		return ended
 	}
-	var read readTotals
+	var totals readTotals
 	if err == nil {
 		n.control.post(coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch})
-		read, err = n.readLedger(ctx, takeover)
+		totals, err = n.readLedger(ctx, takeover)
 	}
-	took := time.Since(begun)
+	took := time.Since(start)
 	outcome, entry := "done", n.logger.Info()
 	if err != nil {
 		outcome, entry = "given_up", n.logger.Warn().Err(err)
 	} else {
 		ended.Outcome = coordinator.OutcomeDone
 	}
-	n.metrics.takeoverEnded(outcome, read, took)
-	entry.Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).Int("records", read.records).
-		Int("bytes", read.bytes).Int("pages", read.pages).Dur("took", took).Str("outcome", outcome).Msg("ledger: takeover ended")
+	n.metrics.takeoverEnded(outcome, totals, took)
+	entry.Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).Int("records", totals.records).
+		Int("bytes", totals.bytes).Int("pages", totals.pages).Dur("took", took).Str("outcome", outcome).Msg("ledger: takeover ended")
 	return ended
 }
 
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -12,29 +12,29 @@
 	g := NewWithT(t)
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	places := newTakeovers()
-	take := func(accounts bool) func() {
-		free, err := places.acquireSlot(context.Background(), accounts)
+	slots := newTakeovers()
+	acquire := func(accounts bool) func() {
+		release, err := slots.acquireSlot(context.Background(), accounts)
 		g.Expect(err).NotTo(HaveOccurred())
-		return free
+		return release
 	}
-	var taken []func()
+	var releases []func()
 	for range takeoverPages {
-		taken = append(taken, take(false))
+		releases = append(releases, acquire(false))
 	}
 	for range takeoverAccountPages {
-		taken = append(taken, take(true))
+		releases = append(releases, acquire(true))
 	}
 	for _, accounts := range []bool{false, true} {
-		_, err := places.acquireSlot(over, accounts)
+		_, err := slots.acquireSlot(over, accounts)
 		g.Expect(err).To(MatchError(context.Canceled), "all places are taken")
 	}
-	for _, free := range taken {
-		free()
+	for _, release := range releases {
+		release()
 	}
 	for range takeoverPages {
-		take(false)
+		acquire(false)
 	}
-	_, err := places.acquireSlot(over, false)
+	_, err := slots.acquireSlot(over, false)
 	g.Expect(err).To(MatchError(context.Canceled), "kept turns have the places that are theirs")
 }
--- a/edge/tenancy_test.go
+++ b/edge/tenancy_test.go
@@ -42,15 +42,15 @@
 }
 
 // tenantWorld is what a node and the owner of a partition hold between requests.
-type tenantWorld struct {
-	node  *Node
-	books *ledger.Ledger
-	now   time.Time
+type tenantNode struct {
+	node         *Node
+	tenantLedger *ledger.Ledger
+	now          time.Time
 }
 
-func newTenantWorld() *tenantWorld {
-	return &tenantWorld{
-		node: &Node{chains: newChains(true)}, books: ledger.New(ledger.DefaultConfig()), now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
+func newTenantNode() *tenantNode {
+	return &tenantNode{
+		node: &Node{chains: newChains(true)}, tenantLedger: ledger.New(ledger.DefaultConfig()), now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
 	}
 }
 
@@ -63,7 +63,7 @@
 }
 
 // act serves one request of a tenant, or tells how it ended, as the draw says.
-func (w *tenantWorld) act(owner *tenant.Tenant, draw, ids byte) answer {
+func (w *tenantNode) act(owner *tenant.Tenant, draw, ids byte) answer {
 	r := &requestState{
 		exchange: &ingress.Exchange{Body: []byte(owner.Name + strconv.Itoa(int(ids)) + ";")}, id: strconv.Itoa(int(ids % 4)),
 		program: strconv.Itoa(int(ids / 4 % 2)), previous: strconv.Itoa(int(ids / 8 % 4)), scope: tenant.ScopeOf(owner),
@@ -75,19 +75,19 @@
 	case 0:
 		turn := w.node.turnOf(r)
 		turn.Timeout = time.Second
-		admission := w.books.Admit(w.now, turn)
+		admission := w.tenantLedger.Admit(w.now, turn)
 		admission.Position = 0
 		return answer{admission: admission}
 	case 1:
-		w.books.Settle(w.now, *w.node.settlementOf(r))
+		w.tenantLedger.Settle(w.now, *w.node.settlementOf(r))
 		return answer{}
 	case 2:
-		w.books.StoreTurn(w.now, run.storedTurn())
+		w.tenantLedger.StoreTurn(w.now, run.storedTurn())
 		w.node.chains.put(w.now, r.turnID(), run.chain())
 		return answer{}
 	default:
 		cached, _ := w.node.chains.get(w.now, r.previousID())
-		chain, held := w.books.Chain(r.previousID())
+		chain, held := w.tenantLedger.Chain(r.previousID())
 		return answer{chain: string(chain), held: held, cached: string(cached)}
 	}
 }
@@ -100,8 +100,8 @@
 	f.Add([]byte{0, 0, 0, 1, 0, 0, 1, 1, 224, 0, 0, 1, 1, 0, 1})
 	f.Add([]byte{0, 2, 0, 1, 2, 1, 0, 3, 8, 1, 3, 0, 1, 0, 64, 0, 1, 64})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		together := newTenantWorld()
-		alone := []*tenantWorld{newTenantWorld(), newTenantWorld()}
+		together := newTenantNode()
+		alone := []*tenantNode{newTenantNode(), newTenantNode()}
 		for ; len(steps) >= 3; steps = steps[3:] {
 			who := int(steps[0] % 2)
 			want := alone[who].act(tenantsOfTests[who], steps[1], steps[2])
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -95,8 +95,8 @@
 		previous = r.previousID()
 	}
 	admit := &coordinator.AdmitRequest{Turn: n.turnOf(r), Previous: previous}
-	var found grant
-	found.chain, admit.HasChain = n.chains.get(time.Now(), previous)
+	var granted grant
+	granted.chain, admit.HasChain = n.chains.get(time.Now(), previous)
 	reply, err := n.requestAdmission(ctx, r, admit)
 	if err == nil && reply.Status == coordinator.ReplyAbsent {
 		chain, status := n.findChain(ctx, r)
@@ -104,7 +104,7 @@
 			n.answerNoChain(r, status)
 			return grant{}, false
 		}
-		found.chain = chain
+		granted.chain = chain
 		admit.HasChain = true
 		reply, err = n.requestAdmission(ctx, r, admit)
 	}
@@ -113,9 +113,9 @@
 		return grant{}, false
 	}
 	if !admit.HasChain {
-		found.chain = reply.Chain
+		granted.chain = reply.Chain
 	}
-	return n.applyAdmission(ctx, r, reply, found)
+	return n.applyAdmission(ctx, r, reply, granted)
 }
 
 // requestAdmission requests admission from the owner. An owner whose reply was lost may
@@ -138,7 +138,7 @@
 }
 
 // applyAdmission converts the owner's reply into a grant, or answers the request.
-func (n *Node) applyAdmission(ctx context.Context, r *requestState, reply coordinator.Reply, found grant) (grant, bool) {
+func (n *Node) applyAdmission(ctx context.Context, r *requestState, reply coordinator.Reply, granted grant) (grant, bool) {
 	if reply.Status != coordinator.ReplyDone || reply.Admission == nil {
 		n.answerUnadmitted(r, reply.Status)
 		return grant{}, false
@@ -152,13 +152,13 @@
 		n.refuse(r, dispatch.Refusal{Cause: dispatch.CauseBudgetHeld}, "other turns of the program hold the rest of its budget")
 		return grant{}, false
 	}
-	found.epoch, found.stalled = reply.Epoch, reply.Stalled
+	granted.epoch, granted.stalled = reply.Epoch, reply.Stalled
 	r.preferred = replica.ID(r.admission.Replica)
 	r.preferredCached = r.admission.CachedTokens
 	if r.admission.Position > 0 {
-		found.recorded = n.awaitRecorded(ctx, r, reply.Epoch, r.admission.Position)
+		granted.recorded = n.awaitRecorded(ctx, r, reply.Epoch, r.admission.Position)
 	}
-	return found, true
+	return granted, true
 }
 
 // answerUnadmitted answers a turn that the owner of its partition did not admit.
@@ -226,16 +226,16 @@
 
 // reportNotOwner reports to the core that a node does not serve a partition, or which node
 // does.
-func (n *Node) reportNotOwner(asked machine.ID, partition int, reply coordinator.Reply) {
+func (n *Node) reportNotOwner(called machine.ID, partition int, reply coordinator.Reply) {
 	n.metrics.ownerMissed()
-	entry := n.logger.Info().Int("partition", partition).Str("asked", string(asked))
+	entry := n.logger.Info().Int("partition", partition).Str("asked", string(called))
 	if reply.Owner != nil && reply.Owner.Partition == partition {
 		entry.Str("owner", string(reply.Owner.Node)).Uint64("epoch", uint64(reply.Owner.Epoch)).Msg("ledger: asked a former owner")
 		n.control.post(coordinator.OwnerReported{Owner: *reply.Owner})
 		return
 	}
 	entry.Msg("ledger: asked a node that is not the owner")
-	n.control.post(coordinator.OwnershipDenied{Partition: partition, Node: asked})
+	n.control.post(coordinator.OwnershipDenied{Partition: partition, Node: called})
 }
 
 // callTimeout returns the timeout of a call. Calls that wait for the log get more time.
--- a/edge/unusable.go
+++ b/edge/unusable.go
@@ -18,7 +18,7 @@
 }
 
 // note adds an entry, and reports whether it is new.
-func (u *unusableEntries) note(id replica.ID) (news bool) {
+func (u *unusableEntries) note(id replica.ID) (added bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if u.ids[id] {
--- a/edge/waiting_test.go
+++ b/edge/waiting_test.go
@@ -45,8 +45,8 @@
 // join has a turn wait, and returns its verdict to come.
 func join(g *WithT, node *Node, r *requestState) chan dispatch.Verdict {
 	now := time.Now()
-	one := &dispatch.Waiting{SchedulingState: *r.schedulingState(now), Since: now, Bytes: 1}
-	admission, verdict := node.enqueue(now, r, one)
+	entry := &dispatch.Waiting{SchedulingState: *r.schedulingState(now), Since: now, Bytes: 1}
+	admission, verdict := node.enqueue(now, r, entry)
 	g.Expect(admission.Verdict).To(Equal(dispatch.VerdictWait))
 	return verdict
 }
@@ -92,9 +92,9 @@
 func TestWhoNeedNotWait(t *testing.T) {
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
-	begun := freshTurn()
-	begun.admission.NewProgram = false
-	g.Expect(node.awaitCapacity(context.Background(), begun, 0)).To(BeTrue())
+	started := freshTurn()
+	started.admission.NewProgram = false
+	g.Expect(node.awaitCapacity(context.Background(), started, 0)).To(BeTrue())
 	node = fullNode(g, without(RefuseWhenFull))
 	g.Expect(node.awaitCapacity(context.Background(), freshTurn(), 0)).To(BeTrue())
 }
