--- a/edge/cold.go
+++ b/edge/cold.go
@@ -95,7 +95,7 @@
 	}
 	n.replicas.pauseCold(choice.Entry.ID, pause)
 	n.logger.Debug().Str("request", r.id).Str("replica", string(choice.Entry.ID)).Str("status", status).
-		Str("owner", string(request.outcome.Owner)).Dur("pause", pause).Msg("replicas: cold, not granted")
+		Str("owner", string(request.outcome.Owner)).Dur("pause", pause).Msg("replicas: cold replica not granted")
 	return false
 }
 
@@ -140,7 +140,7 @@
 	}
 	left, err := parseMilliseconds(string(value))
 	if err != nil {
-		n.logger.Warn().Str("replica", string(id)).Bytes("left", value).Err(err).Msg("replicas: cold time not understood")
+		n.logger.Warn().Str("replica", string(id)).Bytes("left", value).Err(err).Msg("replicas: invalid cold time")
 		return
 	}
 	n.replicas.observeColdStatus(id, left)
--- a/edge/datagram.go
+++ b/edge/datagram.go
@@ -89,14 +89,14 @@
 			return err
 		}
 		if err != nil {
-			d.node.logger.Warn().Err(err).Msg("peers: datagram not received")
+			d.node.logger.Warn().Err(err).Msg("peers: receiving a datagram failed")
 			wait.For(d.node.ctx, datagramErrorPause)
 			continue
 		}
 		var message coordinator.PeerMessage
 		if err := json.Unmarshal(buf[:size], &message); err != nil {
 			d.node.metrics.datagram(datagramRefused)
-			d.node.logger.Warn().Str("from", from.String()).Int("bytes", size).Err(err).Msg("peers: datagram not understood")
+			d.node.logger.Warn().Str("from", from.String()).Int("bytes", size).Err(err).Msg("peers: datagram could not be decoded")
 			continue
 		}
 		d.node.metrics.datagram(datagramReceived)
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -122,7 +122,7 @@
 	}
 	nodes, next, err := n.readNodes(ctx, n.nodePartition())
 	if err != nil {
-		n.logger.Warn().Err(err).Msg("nodes: partition not read")
+		n.logger.Warn().Err(err).Msg("nodes: partition could not be read")
 		return
 	}
 	*near = neighbours{nodes: nodes, read: true, next: next}
@@ -295,7 +295,7 @@
 		}
 		var node machine.Machine
 		if err := json.Unmarshal(record.Value, &node); err != nil {
-			n.logger.Warn().Str("record", record.Key).Err(err).Msg("nodes: record not understood")
+			n.logger.Warn().Str("record", record.Key).Err(err).Msg("nodes: record could not be decoded")
 			continue
 		}
 		nodes = append(nodes, node)
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -87,7 +87,7 @@
 func (n *Node) applyConfiguration(key string, value []byte, source string) {
 	table, err := n.adapter.Translator.Configuration(key, value)
 	if err != nil {
-		n.logger.Error().Str("source", source).Err(err).Msg("config: not understood")
+		n.logger.Error().Str("source", source).Err(err).Msg("config: invalid configuration")
 		return
 	}
 	if table == nil || !n.routes.Update(table) {
--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -19,7 +19,7 @@
 		n.logger.Info().Str("collector", string(change.Collector)).Msg("loads: collector taken")
 	}
 	for _, rejected := range ready.Rejected {
-		n.logger.Warn().Str("from", string(rejected.From)).Err(rejected.Err).Msg("loads: message not understood")
+		n.logger.Warn().Str("from", string(rejected.From)).Err(rejected.Err).Msg("loads: invalid message")
 	}
 	for _, outbound := range ready.Messages {
 		if loads := outbound.Message.Gather; loads != nil {
--- a/edge/handle.go
+++ b/edge/handle.go
@@ -149,7 +149,7 @@
 	if err == nil {
 		return
 	}
-	n.logger.Warn().Str("request", r.id).Str("field", field).Err(err).Msg("request: hint passed over")
+	n.logger.Warn().Str("request", r.id).Str("field", field).Err(err).Msg("request: invalid hint ignored")
 }
 
 // replicaRequest builds the request that is sent to a replica.
--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -32,7 +32,7 @@
 
 // errOwnerChanged says that the partition now belongs to another node than the one that was
 // called.
-var errOwnerChanged = errors.New("another node owns the partition by now")
+var errOwnerChanged = errors.New("another node now owns the partition")
 
 // store has the turn stored by the current owner of the program's partition. If that takes
 // long, it also tries the owners of other partitions, in case the log of the former accepts
--- a/edge/keys.go
+++ b/edge/keys.go
@@ -158,7 +158,7 @@
 	defer cancel()
 	records, end, err := n.readNewest(ctx, recordstore.Stream{Name: recordstore.StreamConfiguration})
 	if err != nil {
-		n.logger.Warn().Err(err).Msg("config: not read again for a key that is not known")
+		n.logger.Warn().Err(err).Msg("config: could not be read again for an unknown key")
 		return false
 	}
 	n.applyConfigurations(records, end)
--- a/edge/ledgers.go
+++ b/edge/ledgers.go
@@ -101,7 +101,7 @@
 		n.metrics.appended(took)
 		if took > slowAppendThreshold || err != nil {
 			n.logger.Warn().Int("partition", batch.Partition).Uint64("epoch", uint64(batch.Epoch)).Dur("took", took).
-				Int("records", len(batch.Records)).Err(err).Msg("ledger: append was late or refused")
+				Int("records", len(batch.Records)).Err(err).Msg("ledger: append was slow or refused")
 		}
 		outcome := coordinator.OutcomeDone
 		var fenced *recordstore.FencedError
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -364,12 +364,12 @@
 		return
 	}
 	if _, err := strconv.Atoi(port); err != nil {
-		n.logger.Error().Str("metrics", n.settings.Metrics).Msg("edge: metrics address not understood")
+		n.logger.Error().Str("metrics", n.settings.Metrics).Msg("edge: invalid metrics address")
 		return
 	}
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, port))
 	if err != nil {
-		n.logger.Error().Err(err).Msg("edge: metrics not served")
+		n.logger.Error().Err(err).Msg("edge: metrics cannot be served")
 		return
 	}
 	server := &fasthttp.Server{NoDefaultServerHeader: true, Logger: discardLogger{}, Handler: func(ctx *fasthttp.RequestCtx) {
--- a/edge/peerstate.go
+++ b/edge/peerstate.go
@@ -54,7 +54,7 @@
 	replicas := !n.reachesStore() && !n.large()
 	state, err := n.peers.state(ctx, from, replicas)
 	if err != nil {
-		n.logger.Info().Str("peer", string(from.ID)).Err(err).Msg("peers: state not learned")
+		n.logger.Info().Str("peer", string(from.ID)).Err(err).Msg("peers: state could not be fetched")
 		return
 	}
 	n.adoptEvacuations(from, requestedAt, state.Evacuations)
@@ -78,7 +78,7 @@
 	}
 	var raw rawConfiguration
 	if err := json.Unmarshal(state.Configuration, &raw); err != nil {
-		n.logger.Warn().Str("peer", string(from.ID)).Err(err).Msg("peers: configuration not understood")
+		n.logger.Warn().Str("peer", string(from.ID)).Err(err).Msg("peers: configuration could not be decoded")
 		return
 	}
 	n.applyConfiguration(raw.Key, raw.Value, "peer "+string(from.ID))
