--- a/edge/admission_test.go
+++ b/edge/admission_test.go
@@ -14,8 +14,8 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// TestAdmissionGivenUp tells an owner that was not heard in time that the turn is over,
-// since it may have granted it.
+// TestAdmissionGivenUp checks that the node sends a settlement to an owner that did not
+// reply in time, since the owner may have granted the turn.
 func TestAdmissionGivenUp(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
@@ -34,7 +34,7 @@
 					input.answer <- coordinator.Reply{Status: coordinator.ReplyDone}
 					return
 				}
-				// The asker gives up before the owner answers.
+				// The caller gives up before the owner answers.
 				cancel()
 			}
 		}
--- a/edge/appending_test.go
+++ b/edge/appending_test.go
@@ -13,7 +13,7 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// lateStore answers the first append once there is a second one, and no other.
+// lateStore answers only the first append, once there is a second one.
 type lateStore struct {
 	recordstore.Store
 	calls  atomic.Int32
@@ -36,7 +36,8 @@
 	return ctx.Err()
 }
 
-// TestLateAppend takes the answer to an append that came after it was sent again.
+// TestLateAppend checks that the answer to an append counts even if it arrives after the
+// append was sent again.
 func TestLateAppend(t *testing.T) {
 	g := NewWithT(t)
 	appendTo := func(settings Settings, attempts int) error {
@@ -50,8 +51,8 @@
 	g.Expect(appendTo(without(AwaitLateAppends), 3)).NotTo(Succeed())
 }
 
-// TestAppendWaitsOnAfterOutage sends an append again that was sent while the store was
-// silent, as soon as the store has answered any other call.
+// TestAppendWaitsOnAfterOutage checks that an append that was sent while the store was
+// unresponsive is sent again as soon as the store has answered any other call.
 func TestAppendWaitsOnAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/edge/chains_test.go
+++ b/edge/chains_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestChains keeps chains for a while, and within bounds.
+// TestChains checks that chains are cached for a limited time and within the size limit.
 func TestChains(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -38,7 +38,7 @@
 	g.Expect(found).To(BeFalse())
 }
 
-// TestChainsSwitchedOff keeps nothing where the mechanism is switched off.
+// TestChainsSwitchedOff checks that nothing is cached if the mechanism is switched off.
 func TestChainsSwitchedOff(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -15,8 +15,8 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// coldNode returns a node whose control answers no question by itself, with replicas
-// that are cold for long.
+// coldNode returns a node with replicas that stay cold. Its control goroutine does not run,
+// so that the test answers the charges.
 func coldNode(g *WithT, without []Mechanism, ids ...replica.ID) *Node {
 	node, err := New(Settings{Node: "n", Zone: "z", Partitions: 1, Without: without}, Adapter{Names: header.Names{ColdLeft: "X-Left"}}, quietLogger)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -30,7 +30,8 @@
 	return node
 }
 
-// answerCold answers the next questions with these statuses, in turn.
+// answerCold answers the next charges with the given statuses, and appends the charges to
+// requested.
 func answerCold(node *Node, requested *[]coordinator.Charge, statuses ...coordinator.ChargeStatus) {
 	go func() {
 		for _, status := range statuses {
@@ -48,8 +49,8 @@
 	return &requestState{id: "q", version: 3, deadline: time.Now().Add(time.Hour), attemptInFlight: true}
 }
 
-// TestColdReplicaIsAskedFor before a request goes to it, and the next best is chosen at
-// once where it is refused.
+// TestColdReplicaIsAskedFor checks that a request goes to a cold replica only after a
+// grant. If that is refused, the next best replica is selected at once.
 func TestColdReplicaIsAskedFor(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0", "r1")
@@ -65,7 +66,7 @@
 	g.Expect(requested[0].Request.Version).To(BeEquivalentTo(3))
 	g.Expect(choice.Entry.ID).To(BeEquivalentTo("r1"))
 	g.Expect(node.replicas.ownRequests()).To(Equal(map[string]int{"r1": 1}))
-	// The refused one is not asked for again until it may be.
+	// The refused replica is skipped until its retry delay is over.
 	answerCold(node, &requested, coordinator.ChargeGranted)
 	choice, err = node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -73,8 +74,8 @@
 	g.Expect(requested).To(HaveLen(3))
 }
 
-// TestColdOffersCountApart also where a client uses the id of a request again: what was
-// granted under it does not grant another one.
+// TestColdOffersCountApart checks that two requests with the same client id are charged
+// separately, so that the grant for one does not cover the other.
 func TestColdOffersCountApart(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
@@ -89,7 +90,8 @@
 	g.Expect(requested[0].Request.ID).NotTo(Equal(requested[1].Request.ID))
 }
 
-// TestColdReplicaWithoutAnswer is passed over.
+// TestColdReplicaWithoutAnswer checks that a cold replica whose charge is not answered is
+// skipped.
 func TestColdReplicaWithoutAnswer(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
@@ -101,7 +103,8 @@
 	g.Expect(node.replicas.ownRequests()).To(BeEmpty())
 }
 
-// TestColdGrantIsGivenBack where the replica did not run the request.
+// TestColdGrantIsGivenBack checks that the grant is refunded, once, if the replica did not
+// run the request.
 func TestColdGrantIsGivenBack(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
@@ -117,7 +120,7 @@
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
 
-// TestLimitCold asks for nothing where it is switched off.
+// TestLimitCold checks that nothing is charged if the mechanism is switched off.
 func TestLimitCold(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, []Mechanism{LimitCold}, "r0")
@@ -127,7 +130,8 @@
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
 
-// TestColdTimeOfAnswers is taken in, and one that is not understood is not.
+// TestColdTimeOfAnswers checks that a valid cold time in an answer is applied, and an
+// invalid one is ignored.
 func TestColdTimeOfAnswers(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil)
--- a/edge/contact_test.go
+++ b/edge/contact_test.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// TestContact follows a store that is reached, lost, and reached again.
+// TestContact checks that the store counts as reached, lost and reached again according to
+// its answers, and removals are deferred after the outage.
 func TestContact(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -33,7 +34,8 @@
 	g.Expect(contact.deferRemovalsUntil()).To(Equal(back.Add(removalDeferral)))
 }
 
-// TestContactFails until the store answers again, whatever it answers.
+// TestContactFails checks that the contact counts as failing until the store answers again,
+// with whatever result.
 func TestContactFails(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
--- a/edge/datagram_test.go
+++ b/edge/datagram_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// datagramNode returns a node whose socket for datagrams is open.
+// datagramNode returns a node with an open datagram socket.
 func datagramNode(g *WithT) *Node {
 	node, err := New(Settings{Node: "n", Zone: "z", Partitions: 1, Peers: "127.0.0.1:0"}, Adapter{}, quietLogger)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -30,7 +30,8 @@
 	return node
 }
 
-// TestDatagramsCarryWhatMayBeLost and leave the rest to connections.
+// TestDatagramsCarryWhatMayBeLost checks that datagrams carry only messages that may be
+// lost and are small enough; all others are left to connections.
 func TestDatagramsCarryWhatMayBeLost(t *testing.T) {
 	g := NewWithT(t)
 	peer, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -58,7 +59,8 @@
 	g.Expect(datagrams.send(status)).To(BeFalse())
 }
 
-// TestDatagramsThatAreNotUnderstood are passed over; the next one is taken in.
+// TestDatagramsThatAreNotUnderstood checks that datagrams that cannot be decoded are
+// skipped, and the next one is received.
 func TestDatagramsThatAreNotUnderstood(t *testing.T) {
 	g := NewWithT(t)
 	node := datagramNode(g)
--- a/edge/evacuations_test.go
+++ b/edge/evacuations_test.go
@@ -18,7 +18,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// placeWords reads records whose key is a zone after a dash: a value evacuates it.
+// evacuationTranslator decodes records whose key is a dash and a zone: a non-empty value
+// means that the zone is evacuated.
 type evacuationTranslator struct{ Translator }
 
 func (evacuationTranslator) Configuration(string, []byte) (*routing.Table, error) { return nil, nil }
@@ -28,7 +29,7 @@
 	return zone.Name(name), len(value) > 0, ok
 }
 
-// placeNode returns a node in zone "here" that knows a replica there and one in "far".
+// zoneNode returns a node in zone "here" that has a replica there and one in zone "far".
 func zoneNode(g *WithT) *Node {
 	node, err := New(Settings{
 		Node: "n", Zone: "here", Partitions: 1, Regions: zone.Topology{"here": "home", "far": "away"},
@@ -51,8 +52,8 @@
 	return recordstore.Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// TestEvacuationsFromTheStore has the choice follow records that come, are emptied, and
-// are gone from a whole read.
+// TestEvacuationsFromTheStore checks that the selection of replicas follows records that
+// are added, emptied, or missing in a complete read.
 func TestEvacuationsFromTheStore(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
@@ -73,8 +74,8 @@
 	g.Expect(node.evacuations.version()).To(Equal(uint64(10)))
 }
 
-// TestEvacuationsFromPeers has a node that is cut off take over a newer state alone, and
-// have the version go along in its statuses.
+// TestEvacuationsFromPeers checks that a node applies a peer's evacuated zones only if they
+// are newer than its own.
 func TestEvacuationsFromPeers(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
@@ -90,7 +91,8 @@
 	g.Expect(node.evacuations.snapshot(time.Now()).Version).To(Equal(uint64(8)))
 }
 
-// TestHomesOfARequest are those of its route and of its tenant together.
+// TestHomesOfARequest checks that the zone constraint of a request combines those of its
+// route and of its tenant.
 func TestHomesOfARequest(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
@@ -103,7 +105,8 @@
 	g.Expect(node.selectionRequest(request).Constraint).To(Equal(request.constraint))
 }
 
-// TestHistoriesOutside of a request's homes are not remembered.
+// TestHistoriesOutside checks that a node outside of a request's zone constraint does not
+// cache its chain.
 func TestHistoriesOutside(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
@@ -117,7 +120,8 @@
 	}
 }
 
-// TestEvacuationsOfAPeerThatIsAhead are asked for by a node that hears of their version.
+// TestEvacuationsOfAPeerThatIsAhead checks that a node fetches the evacuated zones of a
+// peer that reports a newer version.
 func TestEvacuationsOfAPeerThatIsAhead(t *testing.T) {
 	g := NewWithT(t)
 	ahead, node := zoneNode(g), zoneNode(g)
@@ -135,7 +139,8 @@
 	g.Expect(selectedReplica(g, node)).To(Equal(replica.ID("far")))
 }
 
-// TestVersionsOfEvacuations go along in the statuses of nodes, both ways.
+// TestVersionsOfEvacuations checks that statuses carry the version of the evacuated zones,
+// in both directions.
 func TestVersionsOfEvacuations(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
@@ -163,7 +168,8 @@
 	g.Expect(versions).To(ContainElement(uint64(7)))
 }
 
-// TestOwnersOutside get no turn to keep, and none is begun for them to keep.
+// TestOwnersOutside checks that an owner outside of the request's zone constraint gets no
+// turn to store, and no admission of one that it would have to store.
 func TestOwnersOutside(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
--- a/edge/fenced_test.go
+++ b/edge/fenced_test.go
@@ -25,8 +25,8 @@
 	return &recordstore.FencedError{Reason: "a higher epoch holds"}
 }
 
-// TestFencedAppend repeats an append that was turned away, and one that was fenced
-// never: whoever used the higher epoch owns the partition.
+// TestFencedAppend checks that an append that was refused is repeated, but never one that
+// was fenced, because another node with a higher epoch owns the partition.
 func TestFencedAppend(t *testing.T) {
 	g := NewWithT(t)
 	store := &fencingStore{}
--- a/edge/gathered_test.go
+++ b/edge/gathered_test.go
@@ -13,7 +13,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// TestGatherLoads is switched off with what it serves.
+// TestGatherLoads checks that gathering is off if its own switch or that of peer loads is
+// off.
 func TestGatherLoads(t *testing.T) {
 	g := NewWithT(t)
 	configOf := func(settings Settings) coordinator.Config {
@@ -24,7 +25,8 @@
 	g.Expect(configOf(without(CountPeerLoads)).DisableGathering).To(BeTrue())
 }
 
-// TestTotalsOfOtherLists are taken in for the replicas that this node knows alone.
+// TestTotalsOfOtherLists checks that totals of replicas that this node does not know are
+// ignored.
 func TestTotalsOfOtherLists(t *testing.T) {
 	g := NewWithT(t)
 	settings := Settings{}
@@ -45,7 +47,8 @@
 	g.Expect(choice.Load).To(BeZero())
 }
 
-// TestGatherGoesByDatagram and not by a connection.
+// TestGatherGoesByDatagram checks that messages about loads are sent as datagrams rather
+// than over a connection.
 func TestGatherGoesByDatagram(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(mayBeLost(&coordinator.PeerMessage{Gather: &gather.Message{}})).To(BeTrue())
--- a/edge/hints_test.go
+++ b/edge/hints_test.go
@@ -7,7 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// TestTimeLeft reads the time that a program has left, which is below zero once it is late.
+// TestTimeLeft checks that the remaining time of a program is parsed, including a negative
+// one.
 func TestTimeLeft(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for value, want := range map[string]time.Duration{
--- a/edge/isolation_test.go
+++ b/edge/isolation_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestComeBackElsewhere has refused clients wait until new connections lead elsewhere,
-// and no longer.
+// TestComeBackElsewhere checks that refused clients retry once new connections lead to
+// other nodes, and not later.
 func TestComeBackElsewhere(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(retryElsewhere(0)).To(Equal(retryAfterOutage))
@@ -16,7 +16,7 @@
 	g.Expect(retryElsewhere(time.Minute)).To(Equal(retrySoon))
 }
 
-// TestIsolatedNodeIsNotReady while it lasts.
+// TestIsolatedNodeIsNotReady checks that a node is not ready while it is isolated.
 func TestIsolatedNodeIsNotReady(t *testing.T) {
 	g := NewWithT(t)
 	node := datagramNode(g)
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -13,7 +13,7 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// keyNode returns a node whose configuration names tenants, or none.
+// keyNode returns a node whose configuration has tenants with keys, or none.
 func keyNode(g *WithT, settings Settings, tenants bool) *Node {
 	settings.Node, settings.Zone, settings.Partitions = "n", "z", 1
 	node, err := New(settings, Adapter{}, quietLogger)
@@ -27,8 +27,8 @@
 	return node
 }
 
-// TestLeaseOfKeys ends a lease before the operator's bound, and follows the newest
-// proof alone.
+// TestLeaseOfKeys checks that a lease ends before the operator's bound, and only the newest
+// proof counts.
 func TestLeaseOfKeys(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{KeyLease: time.Hour}, true)
@@ -43,8 +43,8 @@
 	g.Expect(node.leased()).To(BeTrue(), "an older proof takes nothing away")
 }
 
-// TestReadsWithoutWaiting has the readers of a zone, and nodes without a young proof,
-// read the configuration at once, and all others wait for its change.
+// TestReadsWithoutWaiting checks that the readers of a zone and nodes without a recent
+// proof read the configuration without long polling; all others wait for a change.
 func TestReadsWithoutWaiting(t *testing.T) {
 	g := NewWithT(t)
 	plain := keyNode(g, Settings{}, false)
@@ -63,7 +63,8 @@
 	g.Expect(alone.configurationWait()).To(Equal(configurationWait))
 }
 
-// TestSwitchesOfTenants show in the settings of the control state.
+// TestSwitchesOfTenants checks that mechanisms that are switched off show in the
+// coordinator's configuration.
 func TestSwitchesOfTenants(t *testing.T) {
 	g := NewWithT(t)
 	all := coreConfig(Settings{Partitions: 1}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
--- a/edge/placing_test.go
+++ b/edge/placing_test.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// TestStreamTimes tells the time of a token, but not where a wait of this node hid it.
+// TestStreamTimes checks that the token time is measured, except where a wait of this node
+// hid the arrival of events.
 func TestStreamTimes(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
@@ -28,7 +29,7 @@
 	g.Expect(times.tokenTime(125)).To(BeZero(), "the rest came during the wait")
 }
 
-// TestNoteStand notes a turn once, and nothing of a request without a prompt.
+// TestNoteStand checks that the progress of a turn is counted once, and not for retries.
 func TestNoteStand(t *testing.T) {
 	g := NewWithT(t)
 	node := &Node{turnEstimates: newTurnEstimates()}
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -92,10 +92,10 @@
 	r.part, r.group = part, group
 }
 
-// note takes in where an answer leaves the follower, which held replicas before it or not.
-// Once a reader has read all that still read, the whole list is asked for again: by a node
-// that may hold replicas which are not in it, and by one that passes the whole list on
-// itself and has to know that it holds all.
+// advance updates the position after an answer; held says whether this node held replicas
+// before it. After a reader has completed its list, the whole list is requested again by a
+// node that may hold replicas that are not in it, and by one that serves the whole list
+// itself and therefore has to know that it holds all.
 func (r *readerCursor) advance(answer *relayAnswer, held bool) {
 	r.incarnation, r.next = answer.ReaderIncarnation, answer.Next
 	switch {
--- a/edge/reader_test.go
+++ b/edge/reader_test.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// TestFirstAnswerOfALostReader has a follower wait for the first answer of a reader that
-// fell silent no longer than it takes the reader to live, and ask the next one.
+// TestFirstAnswerOfALostReader checks that a follower that awaits the first answer of a
+// reader gives up as soon as the reader is reported dead, but not while it counts as live.
 func TestFirstAnswerOfALostReader(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// TestReadersRefuseBadNumbers answers a question that is not understood as such, and
-// not as one about the first change.
+// TestReadersRefuseBadNumbers checks that a request with invalid numbers is rejected,
+// rather than read as one for the first change.
 func TestReadersRefuseBadNumbers(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestNoListFromWhoHasNone has a node that holds no list, or a part of it, pass none on:
-// a follower would take its replicas for gone.
+// TestNoListFromWhoHasNone checks that a node that has no list, or only a part of it, does
+// not serve it. A follower would otherwise remove the missing replicas.
 func TestNoListFromWhoHasNone(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
@@ -53,8 +53,8 @@
 	g.Expect(requestList()).To(Equal(fasthttp.StatusOK))
 }
 
-// TestWhereAFollowerStands has numbers of one list not be used for another, and the whole
-// list asked for again once a reader that still read it has all.
+// TestWhereAFollowerStands checks that change numbers of one list are not used for another,
+// and the whole list is requested again once a reader has completed its own.
 func TestWhereAFollowerStands(t *testing.T) {
 	g := NewWithT(t)
 	group := replica.Group{Zone: "a"}
@@ -85,8 +85,9 @@
 	g.Expect(fresh.incarnation).To(Equal(uint64(6)), "a node that held nothing")
 }
 
-// TestFormerVersionsQuestion has a node of the former version wait for changes of the
-// replicas alone: an answer at once, again and again, would take a reader's processor.
+// TestFormerVersionsQuestion checks that a request from a node of an earlier version, which
+// names no configuration, waits for changes of the replicas only. Answering it at once,
+// again and again, would occupy the reader's processor.
 func TestFormerVersionsQuestion(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
@@ -101,9 +102,9 @@
 	g.Expect(request.evacuations).To(BeNumerically(">=", node.evacuations.version()))
 }
 
-// TestReaderOfASourceThatStillReads has a reader that began with a part of its source's list
-// ask for all of it once the source has it: until it holds the whole list its own followers
-// drop nothing that they held before.
+// TestReaderOfASourceThatStillReads checks that a reader that began with a part of its
+// source's list requests the whole list once the source has it. Until it holds all, its own
+// followers must not remove replicas that they held before.
 func TestReaderOfASourceThatStillReads(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
--- a/edge/returns_test.go
+++ b/edge/returns_test.go
@@ -10,8 +10,8 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// TestSpreadReturns tells callers who are refused in the same moment different times, and
-// one time where it is switched off.
+// TestSpreadReturns checks that callers that are refused at the same moment get different
+// retry delays, or equal ones if the mechanism is switched off.
 func TestSpreadReturns(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(SpreadRetries)} {
--- a/edge/role_test.go
+++ b/edge/role_test.go
@@ -12,9 +12,9 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// TestNodeOfALargeFleetFollowsBeforeItKnowsReplicas has a node that knows many others and
-// no replica follow a reader: if all of them read the store to learn of replicas, it would
-// answer none in time.
+// TestNodeOfALargeFleetFollowsBeforeItKnowsReplicas checks that a node that knows many
+// other nodes but no replica follows a reader. If all nodes read the replicas from the
+// store instead, the store would answer none of them in time.
 func TestNodeOfALargeFleetFollowsBeforeItKnowsReplicas(t *testing.T) {
 	g := NewWithT(t)
 	settings := Settings{Node: "n", Zone: "a"}
@@ -24,14 +24,14 @@
 	g.Expect(node.role()).To(Equal(roleFollower))
 	node.liveNodes.Store(60)
 	g.Expect(node.role()).To(Equal(roleAlone))
-	// What a reader lists counts, and not the part that this node holds.
+	// The number that a reader reports counts, not the part that this node holds.
 	node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
 	node.replicas.setTotal(10_000)
 	g.Expect(node.role()).To(Equal(roleFollower))
 }
 
-// TestFollowersDivideAmongReaders has the nodes of a zone ask its readers about equally
-// often first, and those of other zones after all of its own.
+// TestFollowersDivideAmongReaders checks that the nodes of a zone are distributed evenly
+// over its readers, and query those of other zones last.
 func TestFollowersDivideAmongReaders(t *testing.T) {
 	g := NewWithT(t)
 	roles := coordinator.Roles{Readers: []machine.Machine{{ID: "r1"}, {ID: "r2"}}, RemoteReaders: []machine.Machine{{ID: "far1"}, {ID: "far2"}}}
@@ -47,9 +47,9 @@
 	g.Expect(first["r1"]).To(BeNumerically("~", 100, 30))
 }
 
-// TestReadsForProofsSpreadOut has nodes that lack a proof ask less and less often, however
-// many there are: with a proof late for five seconds, 2,000 nodes ask no more than one in
-// sixteen of the store's 16,000 calls a second.
+// TestReadsForProofsSpreadOut checks that nodes that lack a proof read less and less often.
+// With a proof late for five seconds, 2,000 nodes use at most one in sixteen of the store's
+// 16,000 calls a second.
 func TestReadsForProofsSpreadOut(t *testing.T) {
 	g := NewWithT(t)
 	const nodes = 2_000
@@ -70,7 +70,7 @@
 	g.Expect(node.configurationPause()).To(Equal(configurationPause))
 }
 
-// TestContactWhileAReadWaits has a node count the store as reached while a read of it
+// TestContactWhileAReadWaits checks that the store counts as reached while a read of it
 // waits and a reader answers, and no longer once either fails.
 func TestContactWhileAReadWaits(t *testing.T) {
 	g := NewWithT(t)
@@ -90,8 +90,8 @@
 	g.Expect(node.reachesStore()).To(BeFalse(), "the read failed")
 }
 
-// TestListOfNodesIsReadByFew has the nodes of one partition agree on the one that reads the
-// whole list, whatever the order in which they know each other.
+// TestListOfNodesIsReadByFew checks that the nodes of one partition agree on the one that
+// reads the whole list, in whatever order they know each other.
 func TestListOfNodesIsReadByFew(t *testing.T) {
 	g := NewWithT(t)
 	var nodes []machine.Machine
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestComeBackAtStart tells a client of a node that has just started when it will have what
-// it needs: later in a large fleet, and never at once.
+// TestComeBackAtStart checks that a client of a starting node gets the expected time until
+// the node is ready as its retry delay: longer in a large fleet, and never zero.
 func TestComeBackAtStart(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
--- a/edge/share_test.go
+++ b/edge/share_test.go
@@ -13,8 +13,8 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// TestShareByTenant has the programs of the tenant wait that has more than its share of
-// full replicas, and no tenant's while a place is free or where it is switched off.
+// TestShareByTenant checks that a program has to wait if its tenant has more than its share
+// of full replicas, but not while a slot is free or if the mechanism is switched off.
 func TestShareByTenant(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(ShareByTenant)} {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestRepeatIntoRoom sends a late call again where a replica has room, or wherever it is
-// switched off.
+// TestRepeatIntoRoom checks that a late call is repeated only if a replica has capacity, or
+// in any case if the mechanism is switched off.
 func TestRepeatIntoRoom(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(RepeatWithCapacity)} {
--- a/edge/silentstore_test.go
+++ b/edge/silentstore_test.go
@@ -18,23 +18,23 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// span is a time in which a store is silent.
+// span is a period in which a store is unresponsive.
 type span struct{ from, to time.Duration }
 
-// outageStore keeps records in memory. A call that is sent while it is silent, or that
-// waits when that begins, is never answered; the others are answered at once.
+// outageStore keeps records in memory. A call that is sent during an outage, or is waiting
+// when one begins, is never answered; the others are answered at once.
 type outageStore struct {
 	recordstore.Store
 	begun   time.Time
 	outages []span
 	mutex   sync.Mutex
 	records map[recordstore.StreamName][]recordstore.Record
-	// whole are the times of the reads of all keys.
+	// newestReads are the times of the complete reads.
 	newestReads []time.Time
 }
 
-// newOutageStore returns a store with a configuration of version 2 and one replica, that is
-// silent at times.
+// newOutageStore returns a store with a configuration of version 2, one replica, and the
+// given outages.
 func newOutageStore(outages []span) *outageStore {
 	store := &outageStore{begun: time.Now(), outages: outages, records: make(map[recordstore.StreamName][]recordstore.Record)}
 	store.put(recordstore.StreamConfiguration, "config", "2")
@@ -42,7 +42,7 @@
 	return store
 }
 
-// wholeReads returns the times of the reads of all keys, in order.
+// wholeReads returns the times of the complete reads, in order.
 func (s *outageStore) wholeReads() []time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -64,7 +64,7 @@
 	return s.records[stream][offset:]
 }
 
-// answers reports whether a call that was sent at a time is answered now.
+// answers reports whether a call that was sent at a given time can be answered now.
 func (s *outageStore) answers(sent time.Time) bool {
 	for _, outage := range s.outages {
 		if time.Now().After(s.begun.Add(outage.from)) && sent.Before(s.begun.Add(outage.to)) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// versionTranslator reads a configuration that holds nothing but its version.
+// versionTranslator decodes a configuration that consists of its version.
 type versionTranslator struct{}
 
 func (versionTranslator) Configuration(_ string, value []byte) (*routing.Table, error) {
@@ -124,12 +124,12 @@
 	return replica.Entry{ID: replica.ID(key), Service: "s", Status: replica.StatusReady, Slots: 1}, nil
 }
 
-// TestConfigurationLateAfterSilentStore has a node that lives through outages in which the
-// store answers nothing put a configuration in force that was written right after the
-// store's return, whatever the node was reading when the outage began and when it ended.
+// TestConfigurationLateAfterSilentStore checks that a configuration that is written right
+// after an outage takes effect in time, whatever the node was reading when the outage began
+// and ended.
 func TestConfigurationLateAfterSilentStore(t *testing.T) {
-	// inForceWithin is the shortest time after an outage from which on operators count a
-	// node as in touch with the store again.
+	// inForceWithin is the shortest time after an outage from which on operators expect a
+	// node to be connected to the store again.
 	const inForceWithin = 3 * time.Second
 	const step = 200 * time.Millisecond
 	for _, outages := range [][]span{
@@ -152,8 +152,8 @@
 	}
 }
 
-// nodeAtOutageStore returns a node that follows the configuration and the replicas of a store
-// that is silent at times.
+// nodeAtOutageStore returns a node that follows the configuration and the replicas of a
+// store with outages.
 func nodeAtOutageStore(g *WithT, outages []span) (*Node, *outageStore) {
 	node := keyNode(g, Settings{}, false)
 	store := newOutageStore(outages)
@@ -164,7 +164,7 @@
 	return node, store
 }
 
-// configurationDelay returns how long after the last outage a configuration is in force
+// configurationDelay returns how long after the last outage a configuration takes effect
 // that was written at its end.
 func configurationDelay(g *WithT, outages []span) time.Duration {
 	node, store := nodeAtOutageStore(g, outages)
@@ -178,8 +178,9 @@
 	return time.Since(back)
 }
 
-// TestWholeReadsInStep has nodes that start together read a stream whole again at times that
-// lie apart, so that an outage does not find all of them without the stream's tail.
+// TestWholeReadsInStep checks that nodes that start together repeat their complete reads at
+// different times, so that an outage does not hit all of them while they do not follow the
+// stream's tail.
 func TestWholeReadsInStep(t *testing.T) {
 	const nodes = 12
 	const spreadAtLeast = resyncPeriod / 4
@@ -199,8 +200,8 @@
 	})
 }
 
-// TestTakeoverLateAfterSilentStore has a takeover that reads its page while the store is
-// silent go on soon after the store's return.
+// TestTakeoverLateAfterSilentStore checks that a takeover that is reading its page when an
+// outage begins continues soon after the outage.
 func TestTakeoverLateAfterSilentStore(t *testing.T) {
 	const readWithin = 3 * time.Second
 	const step = 200 * time.Millisecond
--- a/edge/standing_test.go
+++ b/edge/standing_test.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// TestOrderBySlack ranks a turn by its program's time within the band of its priority,
-// and by the priority alone where it is switched off.
+// TestOrderBySlack checks that a turn's urgency depends on its program's slack within the
+// band of its priority, or on the priority alone if the mechanism is switched off.
 func TestOrderBySlack(t *testing.T) {
 	g := NewWithT(t)
 	full := replica.Choice{Entry: replica.Entry{Slots: 4}, Load: 4}
@@ -36,7 +36,7 @@
 	g.Expect(node.urgency(started(0), table)).To(Equal(1))
 }
 
-// TestBandsCountTenants keeps a band for each priority of tenants as well.
+// TestBandsCountTenants checks that the priorities of tenants have bands as well.
 func TestBandsCountTenants(t *testing.T) {
 	g := NewWithT(t)
 	table := routing.NewTable(1, nil, []routing.Service{{Name: "engine"}}, routing.Limits{})
--- a/edge/storewatch_test.go
+++ b/edge/storewatch_test.go
@@ -11,7 +11,7 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// silentStore answers no read of a tail, whatever becomes of the caller.
+// silentStore answers no read of a tail, even if the caller's context ends.
 type silentStore struct {
 	recordstore.Store
 	waits chan time.Duration
@@ -24,8 +24,9 @@
 	return recordstore.Tail{}, nil
 }
 
-// TestNewHeirLooksAtOnce has a node that may have to take a partition over from now on end
-// the long read by which it trusted in the store, and look again for a short time.
+// TestNewHeirLooksAtOnce checks that a node that newly may have to take a partition over
+// cancels its long read, during which the store counts as reached, and reads again with a
+// short long-poll time.
 func TestNewHeirLooksAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -16,7 +16,7 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// quietLogger drops what a node writes.
+// quietLogger drops log lines.
 var quietLogger = &log.Logger{Level: log.PanicLevel}
 
 // without returns settings with one mechanism switched off.
@@ -24,7 +24,8 @@
 	return Settings{Node: "n", Zone: "z", Partitions: 2, Without: []Mechanism{mechanism}}
 }
 
-// TestSwitchesOfTheCore show in the settings of the control state.
+// TestSwitchesOfTheCore checks that mechanisms that are switched off show in the
+// coordinator's configuration.
 func TestSwitchesOfTheCore(t *testing.T) {
 	g := NewWithT(t)
 	configOf := func(settings Settings) coordinator.Config {
@@ -41,7 +42,8 @@
 	g.Expect(configOf(without(HandOver)).SkipHandover).To(BeTrue())
 }
 
-// TestSwitchesOfTheChoice pass on to the choice of a replica.
+// TestSwitchesOfTheChoice checks that mechanisms that are switched off are passed on to the
+// selection of replicas.
 func TestSwitchesOfTheChoice(t *testing.T) {
 	g := NewWithT(t)
 	for mechanism, parts := range map[Mechanism]replica.SelectionFactors{
@@ -55,8 +57,8 @@
 	g.Expect(disabledFactors(&Settings{})).To(Equal(replica.SelectionFactors{}))
 }
 
-// TestRefuseWhenFull lets new programs in while replicas are full where it is
-// switched off.
+// TestRefuseWhenFull checks that new programs are admitted at full replicas if the
+// mechanism is switched off.
 func TestRefuseWhenFull(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(RefuseWhenFull)} {
@@ -72,14 +74,14 @@
 	}
 }
 
-// TestDoubtUnlisted removes at once what the store lacks after an outage where
-// it is switched off.
+// TestDoubtUnlisted checks that replicas that the store lacks after an outage are removed
+// at once if the mechanism is switched off.
 func TestDoubtUnlisted(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(DeferRemovals)} {
 		node := &Node{settings: settings, replicas: newReplicas(&settings), logger: quietLogger, pool: upstream.NewPool(upstream.Config{})}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
-		// The store was away, and is back.
+		// An outage lies between these answers.
 		node.store.recordAnswer(time.Now().Add(-time.Minute))
 		node.store.recordAnswer(time.Now())
 		node.handleUnlisted("r", "gone from the list")
@@ -87,8 +89,8 @@
 	}
 }
 
-// TestFollowReaders has a node of a large fleet follow the store itself where it
-// is switched off.
+// TestFollowReaders checks that a node of a large fleet reads the store itself if the
+// mechanism is switched off.
 func TestFollowReaders(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{RelayAbove: 1}, {RelayAbove: 1, Without: []Mechanism{FollowReaders}}} {
@@ -100,7 +102,8 @@
 	}
 }
 
-// TestRememberReplicas has a kept turn name no replica where it is switched off.
+// TestRememberReplicas checks that a stored turn does not name its replica if the mechanism
+// is switched off.
 func TestRememberReplicas(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(RecordReplica)} {
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -7,7 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestPagesWithAccountsDoNotWait for the pages of kept turns that other takeovers read.
+// TestPagesWithAccountsDoNotWait checks that pages with accounts do not wait for other
+// takeovers' pages of stored turns.
 func TestPagesWithAccountsDoNotWait(t *testing.T) {
 	g := NewWithT(t)
 	over, cancel := context.WithCancel(context.Background())
--- a/edge/tenancy_test.go
+++ b/edge/tenancy_test.go
@@ -16,9 +16,9 @@
 // tenantsOfTests are two tenants whose clients choose the same ids.
 var tenantsOfTests = []*tenant.Tenant{{Name: "acme"}, {Name: "small"}}
 
-// TestAuthenticateScopesIds puts the ids of each tenant into a scope of their own, and
-// those of requests without a key into another, and leaves them as they are where the
-// configuration has no tenants.
+// TestAuthenticateScopesIds checks that the ids of each tenant have a scope of their own,
+// and so have those of requests without a key. Without tenants in the configuration, ids
+// stay as they are.
 func TestAuthenticateScopesIds(t *testing.T) {
 	g := NewWithT(t)
 	without := keyNode(g, Settings{}, false)
@@ -41,7 +41,7 @@
 	g.Expect((&requestState{scope: tenant.ScopeOf(tenantsOfTests[0])}).previousID()).To(BeEmpty())
 }
 
-// tenantWorld is what a node and the owner of a partition hold between requests.
+// tenantNode is the state that a node and the owner of a partition keep between requests.
 type tenantNode struct {
 	node         *Node
 	tenantLedger *ledger.Ledger
@@ -54,7 +54,7 @@
 	}
 }
 
-// answer is what a tenant may learn from one request.
+// answer is what a tenant can observe from one request.
 type answer struct {
 	admission ledger.Admission
 	chain     string
@@ -62,7 +62,7 @@
 	held      bool
 }
 
-// act serves one request of a tenant, or tells how it ended, as the draw says.
+// act serves a request of a tenant, or reports its end, depending on draw.
 func (w *tenantNode) act(owner *tenant.Tenant, draw, ids byte) answer {
 	r := &requestState{
 		exchange: &ingress.Exchange{Body: []byte(owner.Name + strconv.Itoa(int(ids)) + ";")}, id: strconv.Itoa(int(ids % 4)),
@@ -92,8 +92,8 @@
 	}
 }
 
-// FuzzTenants holds that a tenant's answers are the same whatever another tenant does
-// with the same ids: it serves requests of two tenants, and the same requests of each
+// FuzzTenants checks that a tenant's answers do not depend on what another tenant does with
+// the same ids. It serves requests of two tenants together, and the same requests of each
 // tenant alone.
 func FuzzTenants(f *testing.F) {
 	f.Add([]byte{0, 2, 8, 1, 3, 8, 0, 3, 8})
--- a/edge/waiting_test.go
+++ b/edge/waiting_test.go
@@ -15,14 +15,14 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// fullNode returns a node that knows one replica, which has a place and holds two
-// requests. Tests look for room themselves.
+// fullNode returns a node with one replica, which has one slot and runs two requests. Tests
+// serve the queue themselves.
 func fullNode(g *WithT, settings Settings) *Node {
 	node := &Node{
 		settings: settings, logger: quietLogger, metrics: newMetrics(nil), replicas: newReplicas(&settings), waitQueue: newWaitQueue(&settings),
 		scheduling: newScheduling(),
 	}
-	// No goroutine looks for room.
+	// No goroutine serves the queue.
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	node.ctx = ctx
@@ -42,7 +42,7 @@
 	}
 }
 
-// join has a turn wait, and returns its verdict to come.
+// join queues a turn, and returns the channel of its verdict.
 func join(g *WithT, node *Node, r *requestState) chan dispatch.Verdict {
 	now := time.Now()
 	entry := &dispatch.Waiting{SchedulingState: *r.schedulingState(now), Since: now, Bytes: 1}
@@ -51,8 +51,8 @@
 	return verdict
 }
 
-// TestWaitForRoom has a new program wait until a place comes free, and one whose client
-// leaves, or whose wait is over, is told that it does not run.
+// TestWaitForRoom checks that a new program waits until a slot is free. A request whose
+// client leaves, or whose wait expires, is refused.
 func TestWaitForRoom(t *testing.T) {
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
@@ -75,7 +75,8 @@
 	g.Expect(node.waitQueue.requests).To(BeEmpty())
 }
 
-// TestWaitEndsWithTheRequest leaves nothing behind.
+// TestWaitEndsWithTheRequest checks that a request that ends while it waits is removed from
+// the queue.
 func TestWaitEndsWithTheRequest(t *testing.T) {
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
@@ -87,8 +88,8 @@
 	g.Expect(node.waitQueue.queue.Len()).To(BeZero())
 }
 
-// TestWhoNeedNotWait lets programs under way go on whatever the load, and new ones while
-// the replicas are full where nobody is to be refused.
+// TestWhoNeedNotWait checks that started programs never wait, and new ones do not wait at
+// full replicas if refusals are switched off.
 func TestWhoNeedNotWait(t *testing.T) {
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
@@ -99,7 +100,7 @@
 	g.Expect(node.awaitCapacity(context.Background(), freshTurn(), 0)).To(BeTrue())
 }
 
-// TestWaitForRoomOff has nobody wait where it is switched off.
+// TestWaitForRoomOff checks that no request is queued if the mechanism is switched off.
 func TestWaitForRoomOff(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(QueueNewPrograms)} {
@@ -108,7 +109,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			// The answer has no connection to go to.
+			// The answer panics, since the exchange has no connection.
 			defer func() { _ = recover() }()
 			node.awaitCapacity(ctx, freshTurn(), 0)
 		}()
