--- a/edge/call.go
+++ b/edge/call.go
@@ -203,7 +203,8 @@
 	n, r := c.node, c.request
 	c.runs--
 	if len(c.inFlight) > 0 {
-		// The other attempts continue; no further replica is added.
+		// The other attempts continue; sending the call to a further replica might be one
+		// too many.
 		n.replicas.ended(attempt.choice.Entry.ID, result)
 		c.repeats = maximumRepeats
 		return false
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -41,7 +41,7 @@
 	EstimateLoads Mechanism = "estimate-loads"
 	// PreferStartedPrograms prefers started programs to new ones at a tenant's limit.
 	PreferStartedPrograms Mechanism = "finish-programs"
-	// KeepSessions sends the turns of a session to the replica that served the last one.
+	// KeepSessions prefers the replica that served a session's last turn.
 	KeepSessions Mechanism = "follow-lines"
 	// FollowOwner makes a turn that waits for the log continue with the partition's new
 	// owner as soon as one is known.
--- a/edge/run.go
+++ b/edge/run.go
@@ -125,7 +125,7 @@
 	return append(body, t.request.exchange.Body...)
 }
 
-// resumeFrom returns the id of the last event that the client has, or "".
+// resumeFrom returns the id of the last event that was relayed or held, or "".
 func (t *turnRun) resumeFrom() string {
 	if !t.hasLastEvent {
 		return ""
