--- a/edge/control.go
+++ b/edge/control.go
@@ -203,8 +203,8 @@
 
 // cancelLostReader cancels the first request to a reader that is no longer live.
 func (c *control) cancelLostReader() {
-	if asked := c.node.pendingReader.Load(); asked != nil && !c.core.IsLive(asked.id) {
-		asked.stop()
+	if pending := c.node.pendingReader.Load(); pending != nil && !c.core.IsLive(pending.id) {
+		pending.stop()
 	}
 }
 
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -260,9 +260,9 @@
 
 // receiveNodes answers a query for the list of nodes.
 func (p *peers) receiveNodes(ctx *fasthttp.RequestCtx) {
-	askCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
+	callCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
 	defer cancel()
-	known, err := p.node.control.directory(askCtx)
+	known, err := p.node.control.directory(callCtx)
 	if err != nil || !known.complete {
 		ctx.Error("the list of nodes is not known here", fasthttp.StatusServiceUnavailable)
 		return
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -210,9 +210,9 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	askCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
+	callCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
 	defer cancel()
-	reply, err := p.node.control.call(askCtx, request.Partition, request.Request)
+	reply, err := p.node.control.call(callCtx, request.Partition, request.Request)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
