--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -21,7 +21,7 @@
 	// views are the parts of the list that followers have requested recently.
 	views map[replica.Group]*view
 	// lastViewNumber is the first change number of the newest view.
-	lastViewNumber uint64
+	newestViewBase uint64
 	// forget closes the idle connections to a target; nil in tests of the list alone.
 	forget func(upstream.Target)
 	// totalListed is the number of replicas in the store, as reported by a reader; 0 if
@@ -37,7 +37,7 @@
 type view struct {
 	*replica.View
 	requestedAt time.Time
-	selectedAt  time.Time
+	refreshedAt  time.Time
 }
 
 // viewNumberRange is the size of the range of change numbers that each view has to itself,
@@ -197,13 +197,13 @@
 	now := time.Now()
 	found := r.views[group]
 	if found == nil {
-		r.lastViewNumber += viewNumberRange
-		found = &view{View: replica.NewView(r.set, group, r.lastViewNumber), selectedAt: now}
+		r.newestViewBase += viewNumberRange
+		found = &view{View: replica.NewView(r.set, group, r.newestViewBase), refreshedAt: now}
 		r.views[group] = found
 	}
 	found.requestedAt = now
-	if now.Sub(found.selectedAt) >= changeBatchWindow {
-		found.selectedAt = now
+	if now.Sub(found.refreshedAt) >= changeBatchWindow {
+		found.refreshedAt = now
 		found.Refresh(now, r.set)
 	}
 	for other, existing := range r.views {
