--- a/edge/directory.go
+++ b/edge/directory.go
@@ -21,7 +21,7 @@
 
 // The nodes' records are distributed over the partitions of their stream. Each node reads
 // the partition with its own record. The node that ranks first among those listed there
-// reads all partitions, and the others get the list from it. The load on the store so grows
+// reads all partitions, and the others get the list from it. The load on the store thus grows
 // with the number of nodes rather than with its square.
 const (
 	pathNodes = "/peer/nodes"
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -30,7 +30,7 @@
 	// provingPause is the time between two reads by a zone's readers while the
 	// configuration has keys; the other nodes get their freshness proofs from them. A read
 	// proves which configuration was the newest when it was sent, so these reads do not
-	// wait for a change. Of six readers, one has been answered within about 50 ms at any
+	// wait for a change. With six readers, one of them was answered some 50 ms ago at any
 	// time.
 	provingPause = 300 * time.Millisecond
 	// resyncPeriod is how often a stream is read completely again, in case a change was
@@ -145,7 +145,7 @@
 const roleCheckInterval = 200 * time.Millisecond
 
 // configurationWait returns the long-poll time of a read of the configuration stream. A
-// reader reads no other stream, so that only these reads show that the store is reached.
+// reader reads no other stream, so only these reads show that it reaches the store.
 func (n *Node) configurationWait() time.Duration {
 	if n.provesForZone() || n.lacksProof() {
 		return 0
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -117,7 +117,8 @@
 }
 
 // parseRelayRequest parses a request. A node of an earlier version sends no group, and gets
-// all replicas; it sends no version of a configuration, and gets none.
+// all replicas; it sends no version of its configuration, and neither gets one nor waits
+// for one.
 func parseRelayRequest(query *fasthttp.Args) (relayRequest, error) {
 	var q relayRequest
 	var lifeErr, sinceErr, waitErr, groupErr error
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -20,7 +20,7 @@
 	feed  replica.Feed
 	// views are the parts of the list that followers have requested recently.
 	views map[replica.Group]*view
-	// lastViewNumber is the first change number of the newest view.
+	// newestViewBase is the first change number of the newest view.
 	newestViewBase uint64
 	// forget closes the idle connections to a target; nil in tests of the list alone.
 	forget func(upstream.Target)
@@ -33,7 +33,7 @@
 	byKey map[gather.Key]replica.ID
 }
 
-// view is a part of the list, with the times at which it was last requested and selected.
+// view is a part of the list, with the times of its last request and its last refresh.
 type view struct {
 	*replica.View
 	requestedAt time.Time
