--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -37,7 +37,7 @@
 type view struct {
 	*replica.View
 	requestedAt time.Time
-	refreshedAt  time.Time
+	refreshedAt time.Time
 }
 
 // viewNumberRange is the size of the range of change numbers that each view has to itself,
