--- a/edge/admission_test.go
+++ b/edge/admission_test.go
@@ -14,8 +14,8 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// TestAdmissionGivenUp tells an owner that was not heard in time that the turn is over,
-// since it may have granted it.
+// TestAdmissionGivenUp checks that the node sends a settlement to an owner that did not
+// reply in time, since the owner may have granted the turn.
 func TestAdmissionGivenUp(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
@@ -26,24 +26,24 @@
 	go func() {
 		for input := range node.control.inbox {
 			switch input := input.(type) {
-			case lookup:
+			case ownerLookup:
 				input.answer <- node.self
-			case question:
+			case partitionRequest:
 				if input.request.Settle != nil {
 					settled <- *input.request.Settle
 					input.answer <- coordinator.Reply{Status: coordinator.ReplyDone}
 					return
 				}
-				// The asker gives up before the owner answers.
+				// The caller gives up before the owner answers.
 				cancel()
 			}
 		}
 	}()
 	r := &requestState{
-		exchange: &ingress.Exchange{Cancel: &upstream.Cancel{}}, id: "t", program: "p", session: "s", most: 100, budget: 100,
+		exchange: &ingress.Exchange{Cancel: &upstream.Cancel{}}, id: "t", program: "p", session: "s", maxTokens: 100, budget: 100,
 		deadline: time.Now().Add(time.Minute), route: &routing.Route{},
 	}
-	_, err := node.askAdmission(ctx, r, &coordinator.AdmitRequest{Turn: node.turnOf(r)})
+	_, err := node.requestAdmission(ctx, r, &coordinator.AdmitRequest{Turn: node.turnOf(r)})
 	g.Expect(err).To(HaveOccurred())
 	var end ledger.Settlement
 	g.Eventually(settled).WithTimeout(time.Minute).Should(Receive(&end))
--- a/edge/chains.go
+++ b/edge/chains.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// chains are those of turns that this node served lately, as the owners keep
-// them. A line of turns mostly goes on at the node that served its last turn,
-// which then needs not be sent the chain. It is safe for concurrent use.
+// chains caches the chains of turns that this node served recently, in the form in which
+// the owners keep them. A session usually continues at the node that served its last turn,
+// so that the owner need not send the chain. It is safe for concurrent use.
 type chains struct {
 	enabled bool
 
 	mutex sync.Mutex
-	byID  map[string]keptChain
-	// order names the chains from the oldest on, and bytes is their size.
+	byID  map[string]cachedChain
+	// order has the ids of the turns from the oldest on, and bytes is the total size of the
+	// chains.
 	order []string
 	bytes int
 }
 
-type keptChain struct {
+type cachedChain struct {
 	chain []byte
 	at    time.Time
 }
 
-// The chains that a node keeps: those of the pauses that people and tools make,
-// within little memory.
+// Bounds of the cache: it covers the pauses of people and tools between turns, with little
+// memory.
 const (
 	chainsFor   = 8 * time.Second
 	chainsBytes = 512 << 10
 )
 
 func newChains(enabled bool) *chains {
-	return &chains{enabled: enabled, byID: make(map[string]keptChain)}
+	return &chains{enabled: enabled, byID: make(map[string]cachedChain)}
 }
 
-// put keeps the chain that the next turn after the given one reads.
+// put caches the chain that an engine has to read before a turn that continues the given
+// one.
 func (c *chains) put(now time.Time, turn string, chain []byte) {
 	if !c.enabled || len(chain) > chainsBytes {
 		return
@@ -44,7 +46,7 @@
 	if _, known := c.byID[turn]; known {
 		return
 	}
-	c.byID[turn] = keptChain{chain: chain, at: now}
+	c.byID[turn] = cachedChain{chain: chain, at: now}
 	c.order = append(c.order, turn)
 	c.bytes += len(chain)
 	for c.bytes > chainsBytes || now.Sub(c.byID[c.order[0]].at) > chainsFor {
@@ -52,15 +54,15 @@
 	}
 }
 
-// get returns the chain of a turn, if it is kept here.
+// get returns the chain of a turn if it is cached.
 func (c *chains) get(now time.Time, turn string) ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	kept, known := c.byID[turn]
-	if !known || now.Sub(kept.at) > chainsFor {
+	cached, known := c.byID[turn]
+	if !known || now.Sub(cached.at) > chainsFor {
 		return nil, false
 	}
-	return kept.chain, true
+	return cached.chain, true
 }
 
 func (c *chains) dropOldest() {
--- a/edge/datagram_test.go
+++ b/edge/datagram_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// datagramNode returns a node whose socket for datagrams is open.
+// datagramNode returns a node with an open datagram socket.
 func datagramNode(g *WithT) *Node {
 	node, err := New(Settings{Node: "n", Zone: "z", Partitions: 1, Peers: "127.0.0.1:0"}, Adapter{}, quietLogger)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -30,7 +30,8 @@
 	return node
 }
 
-// TestDatagramsCarryWhatMayBeLost and leave the rest to connections.
+// TestDatagramsCarryWhatMayBeLost checks that datagrams carry only messages that may be
+// lost and are small enough; all others are left to connections.
 func TestDatagramsCarryWhatMayBeLost(t *testing.T) {
 	g := NewWithT(t)
 	peer, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -44,9 +45,9 @@
 	buf := make([]byte, maximumDatagram)
 	size, err := peer.Read(buf)
 	g.Expect(err).NotTo(HaveOccurred())
-	var came coordinator.PeerMessage
-	g.Expect(json.Unmarshal(buf[:size], &came)).To(Succeed())
-	g.Expect(came.Membership.Sequence).To(Equal(uint64(7)))
+	var received coordinator.PeerMessage
+	g.Expect(json.Unmarshal(buf[:size], &received)).To(Succeed())
+	g.Expect(received.Membership.Sequence).To(Equal(uint64(7)))
 
 	g.Expect(datagrams.send(probe(address, machine.Message{Kind: machine.MessageProbeFor, Reliable: true}))).To(BeFalse())
 	large := machine.Message{Kind: machine.MessageGossip, Target: machine.ID(strings.Repeat("x", maximumDatagram))}
@@ -58,7 +59,8 @@
 	g.Expect(datagrams.send(status)).To(BeFalse())
 }
 
-// TestDatagramsThatAreNotUnderstood are passed over; the next one is taken in.
+// TestDatagramsThatAreNotUnderstood checks that datagrams that cannot be decoded are
+// skipped, and the next one is received.
 func TestDatagramsThatAreNotUnderstood(t *testing.T) {
 	g := NewWithT(t)
 	node := datagramNode(g)
--- a/edge/decisions.go
+++ b/edge/decisions.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/coordinator"
 )
 
-// logChange writes a partition won or lost.
+// logChange logs that a partition was won or lost.
 func (n *Node) logChange(change coordinator.Change) {
 	n.metrics.partitionChanged(change.Owned)
 	n.logger.Info().Int("partition", change.Partition).Uint64("epoch", uint64(change.Epoch)).Bool("owned", change.Owned).
@@ -17,7 +17,7 @@
 		Bool("inherited", change.Inherited).Msg("ledger: ownership changed")
 }
 
-// logOutcome writes how a request ended: what decided it, and how fresh that was.
+// logOutcome logs how a request ended, with the inputs of the decisions and their age.
 func (n *Node) logOutcome(r *requestState) {
 	took := time.Since(r.exchange.Arrived)
 	status := strconv.Itoa(r.status)
@@ -34,10 +34,10 @@
 	entry = r.logTenant(entry)
 	entry = r.logProgram(entry)
 	entry = r.logWait(entry)
-	r.logChoice(entry).Dur("first", r.firstAfter).Msg("request: ended")
+	r.logChoice(entry).Dur("first", r.timeToFirstEvent).Msg("request: ended")
 }
 
-// logTenant adds whose the request is, and how it counted to a limit.
+// logTenant adds the tenant of the request and how it counted towards the rate limit.
 func (r *requestState) logTenant(entry *log.Entry) *log.Entry {
 	if r.tenant != nil {
 		entry = entry.Str("tenant", r.tenant.Name).Dur("proof", r.proofAge)
@@ -49,42 +49,42 @@
 	return entry.Str("charge", string(outcome.Status)).Str("counted", string(outcome.Owner)).Float64("balance", outcome.Decision.Balance)
 }
 
-// logProgram adds the program of the request, and what its owner said of a turn.
+// logProgram adds the program of the request, and the owner's decision on a turn.
 func (r *requestState) logProgram(entry *log.Entry) *log.Entry {
-	if !r.finish.IsZero() {
-		entry = entry.Dur("finish", r.finish.Sub(r.exchange.Arrived))
+	if !r.finishBy.IsZero() {
+		entry = entry.Dur("finish", r.finishBy.Sub(r.exchange.Arrived))
 	}
 	switch {
 	case r.program == "" && r.charge != nil:
-		return entry.Str("program", r.charge.asked.Request.Program)
+		return entry.Str("program", r.charge.request.Request.Program)
 	case r.program == "":
 		return entry
 	default:
 		return entry.Str("program", r.program).Str("session", r.session).Int("partition", r.partition).
 			Str("owner", r.owner).Str("verdict", string(r.admission.Verdict)).Int("settled", r.admission.SettledTokens).
-			Int("open", r.admission.OpenTokens).Int("most", r.most).Int("budget", r.budget).Int("tokens", r.tokens).
-			Dur("need", r.need).Int("urgency", r.urgency)
+			Int("open", r.admission.OpenTokens).Int("most", r.maxTokens).Int("budget", r.budget).Int("tokens", r.tokens).
+			Dur("need", r.expectedRemaining).Int("urgency", r.urgency)
 	}
 }
 
-// logWait adds how long the request waited here, or when its client is to come back.
+// logWait adds how long the request was queued, or the retry delay of a refusal.
 func (r *requestState) logWait(entry *log.Entry) *log.Entry {
-	if r.waited > 0 {
-		entry = entry.Dur("waited", r.waited)
+	if r.queuedFor > 0 {
+		entry = entry.Dur("waited", r.queuedFor)
 	}
 	if r.cause == "" {
 		return entry
 	}
-	return entry.Str("cause", r.cause).Dur("comeBack", r.comeBack)
+	return entry.Str("cause", r.cause).Dur("comeBack", r.retryAfter)
 }
 
-// logChoice adds what the choice of the replica rested on.
+// logChoice adds the inputs of the selection of the replica.
 func (r *requestState) logChoice(entry *log.Entry) *log.Entry {
 	choice := &r.choice
 	return entry.Int("missing", choice.UncachedTokens).Int("load", choice.Load).Dur("predicted", choice.Predicted).
-		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.haste).
+		Dur("pace", choice.UnloadedTokenTime).Dur("paceage", choice.TokenTimeAge).Str("progress", r.progress.String()).Int("haste", r.speedBias).
 		Bool("left", choice.LeftEvacuatedZone)
 }
 
-// failedStatus is the least status that tells of a failure.
+// failedStatus is the lowest status that is logged as a failure.
 const failedStatus = 400
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -19,74 +19,75 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// The nodes' records are dealt to the partitions of their stream. A node reads the
-// partition of its own record. The node that ranks first among those listed there reads
-// all partitions, and the others have the list of it: what the store sends grows with the
-// nodes, and not with nodes times nodes.
+// The nodes' records are distributed over the partitions of their stream. Each node reads
+// the partition with its own record. The node that ranks first among those listed there
+// reads all partitions, and the others get the list from it. The load on the store thus grows
+// with the number of nodes rather than with its square.
 const (
 	pathNodes = "/peer/nodes"
-	// directoryRank stands for a partition in the ranking of those that read all.
-	directoryRank = -3
-	// directoryReaders is how many of a partition's nodes may be asked for the list, the
-	// one that ranks first before the others.
+	// directoryRankKey stands for a partition in the ranking of the nodes that read all
+	// partitions.
+	directoryRankKey = -3
+	// directoryReaders is how many nodes of a partition may be asked for the list, the one
+	// that ranks first before the others.
 	directoryReaders = 4
-	// directoryAll is how many nodes a partition names at most in a fleet in which each
-	// node reads all partitions.
-	directoryAll = 3
-	// directoryReads is how many partitions are read at the same time.
-	directoryReads = 6
-	// directoryPatience is how long a node that starts waits for the list of nodes, and
-	// as much longer as half of it by chance, before it goes on without.
-	directoryPatience = 3 * time.Second
-	// listPatience bounds the answer to a question for the list: some 400 KB for 2,000
-	// nodes, which a slow link sends to forty others in that time.
-	listPatience = 8 * time.Second
-	// joinPauseFirst and joinPauseMost space the tries of a node that starts.
-	joinPauseFirst = 60 * time.Millisecond
-	joinPauseMost  = 2 * time.Second
-	// nodesPeriodFirst and nodesPeriod are the first and the longest time between two
+	// directoryReadAllMaximum is the maximum number of nodes in a partition at which each
+	// node reads all partitions itself.
+	directoryReadAllMaximum = 3
+	// directoryConcurrentReads is the number of partitions that are read concurrently.
+	directoryConcurrentReads = 6
+	// directoryWait is how long a starting node waits for the list of nodes, plus a random
+	// part of up to half of it, before it continues without.
+	directoryWait = 3 * time.Second
+	// nodeListTimeout bounds a query for the list: some 400 KB for 2,000 nodes, which a
+	// node with a slow link can send to forty others in that time.
+	nodeListTimeout = 8 * time.Second
+	// joinMinimumBackoff and joinMaximumBackoff space the tries of a starting node.
+	joinMinimumBackoff = 60 * time.Millisecond
+	joinMaximumBackoff = 2 * time.Second
+	// nodesPeriodFirst and nodesPeriod are the first and the longest period between two
 	// reads of the list: nodes that start together publish their records within seconds.
 	nodesPeriodFirst = 2 * time.Second
 	nodesPeriod      = 15 * time.Second
 )
 
-// nodePage is the answer to a question for the list of nodes.
+// nodePage is the answer to a query for the list of nodes.
 type nodePage struct {
-	// Digest tells one list from another. An answer to a question that names the
-	// same one has no nodes.
+	// Digest identifies the list. If the query has the same digest, the answer has no
+	// nodes.
 	Digest string            `json:"digest"`
 	Nodes  []machine.Machine `json:"nodes,omitempty"`
 }
 
-// awaitDirectory waits until this node has the list of nodes, and so knows whom to follow.
-// One that does not get it goes on without, later than most have it.
+// awaitDirectory waits until this node has the list of nodes, from which it derives the
+// nodes to follow. Without a list it continues after a time in which most nodes get theirs.
 func (n *Node) awaitDirectory(ctx context.Context) {
-	patience := directoryPatience + time.Duration(n.draw()*float64(directoryPatience)/2)
+	timeout := directoryWait + time.Duration(n.draw()*float64(directoryWait)/2)
 	select {
-	case <-n.listed:
-	case <-time.After(patience):
+	case <-n.nodeListKnown:
+	case <-time.After(timeout):
 	case <-ctx.Done():
 	}
 }
 
-// followNodes publishes this node's address and learns those of the others.
+// followNodes publishes this node's address and keeps the list of nodes up to date.
 func (n *Node) followNodes(ctx context.Context) {
 	n.control.post(coordinator.PeerReceived{Message: coordinator.PeerMessage{From: n.self}})
-	n.greet(n.settings.Seeds)
+	n.announce(n.settings.Seeds)
 	n.publishSelf(ctx)
-	backoff := n.backoffOf(joinPauseFirst, joinPauseMost)
+	backoff := n.backoffOf(joinMinimumBackoff, joinMaximumBackoff)
 	pause, digest := nodesPeriodFirst, ""
 	var near neighbours
-	for turn := 0; ctx.Err() == nil; turn++ {
-		n.readNeighbours(ctx, &near, turn)
-		next, err := n.learnNodes(ctx, near.nodes, turn, digest)
+	for try := 0; ctx.Err() == nil; try++ {
+		n.readNeighbours(ctx, &near, try)
+		next, err := n.refreshNodes(ctx, near.nodes, try, digest)
 		if err != nil {
-			n.logger.Warn().Int("turn", turn).Int("near", len(near.nodes)).Err(err).Msg("nodes: list not learned")
+			n.logger.Warn().Int("turn", try).Int("near", len(near.nodes)).Err(err).Msg("nodes: list not learned")
 			wait.For(ctx, backoff.Next())
 			continue
 		}
 		backoff.Reset()
-		digest, turn = next, -1
+		digest, try = next, -1
 		n.watchNeighbours(ctx, &near, pause)
 		pause = min(2*pause, nodesPeriod)
 	}
@@ -95,44 +96,46 @@
 // neighbours are the nodes whose records are in the same partition as this node's.
 type neighbours struct {
 	nodes []machine.Machine
-	// read says that the partition was read, and next is where its tail begins.
+	// read says that the partition was read, and next is the offset at which its tail
+	// begins.
 	read bool
 	next uint64
 }
 
-// note takes in a record of the partition that was written since.
-func (near *neighbours) note(nodes []machine.Machine) {
+// update applies new records of the partition.
+func (near *neighbours) update(nodes []machine.Machine) {
 	for _, node := range nodes {
-		place := slices.IndexFunc(near.nodes, func(known machine.Machine) bool { return known.ID == node.ID })
-		if place < 0 {
+		index := slices.IndexFunc(near.nodes, func(known machine.Machine) bool { return known.ID == node.ID })
+		if index < 0 {
 			near.nodes = append(near.nodes, node)
 			continue
 		}
-		near.nodes[place] = node
+		near.nodes[index] = node
 	}
 }
 
-// readNeighbours reads the partition at first, and again while the list is not learned.
-func (n *Node) readNeighbours(ctx context.Context, near *neighbours, turn int) {
-	if near.read && turn == 0 {
+// readNeighbours reads the partition at first, and again after each failed refresh of the
+// list.
+func (n *Node) readNeighbours(ctx context.Context, near *neighbours, try int) {
+	if near.read && try == 0 {
 		return
 	}
 	nodes, next, err := n.readNodes(ctx, n.nodePartition())
 	if err != nil {
-		n.logger.Warn().Err(err).Msg("nodes: partition not read")
+		n.logger.Warn().Err(err).Msg("nodes: partition could not be read")
 		return
 	}
 	*near = neighbours{nodes: nodes, read: true, next: next}
 	n.control.post(coordinator.NodesDiscovered{Nodes: nodes})
 }
 
-// nodePartition returns the partition of the nodes' stream that has this node's record.
+// nodePartition returns the partition of the node stream that has this node's record.
 func (n *Node) nodePartition() int {
 	return ownership.PartitionOf(n.settings.Node, n.settings.Partitions)
 }
 
-// publishSelf writes this node's record, and goes on trying if it has to: others learn of
-// the node through its messages meanwhile.
+// publishSelf writes this node's record, and keeps trying in the background if that fails:
+// until then, others learn about the node from its messages.
 func (n *Node) publishSelf(ctx context.Context) {
 	value, err := json.Marshal(n.self)
 	if err != nil {
@@ -142,7 +145,7 @@
 		return
 	}
 	n.run(func(ctx context.Context) {
-		backoff := n.backoffOf(joinPauseFirst, joinPauseMost)
+		backoff := n.backoffOf(joinMinimumBackoff, joinMaximumBackoff)
 		for wait.For(ctx, backoff.Next()) {
 			if n.publish(ctx, value) {
 				return
@@ -157,44 +160,45 @@
 	stream := recordstore.Stream{Name: recordstore.StreamNodes, Partition: n.nodePartition()}
 	records := []recordstore.Record{{Key: n.settings.Node, Value: value}}
 	err := n.adapter.Store.Append(callCtx, stream, recordstore.Writer{}, records)
-	n.noteStore(err)
+	n.recordStoreCall(err)
 	return err == nil
 }
 
-// learnNodes learns the list of nodes: of the store where this node ranks first among
-// those near, or the fleet is small, else of another node. It returns the list's digest.
-func (n *Node) learnNodes(ctx context.Context, near []machine.Machine, turn int, digest string) (string, error) {
+// refreshNodes refreshes the list of nodes: from the store if this node ranks first in its
+// partition or the fleet is small, otherwise from another node. It returns the list's
+// digest.
+func (n *Node) refreshNodes(ctx context.Context, near []machine.Machine, try int, digest string) (string, error) {
 	ranked := rankDirectory(near)
 	first := len(ranked) > 0 && ranked[0].ID == n.self.ID
-	if first || (len(near) > 0 && len(near) <= directoryAll) || turn >= 2*directoryReaders {
+	if first || (len(near) > 0 && len(near) <= directoryReadAllMaximum) || try >= 2*directoryReaders {
 		return "", n.readAllNodes(ctx)
 	}
 	others := slices.DeleteFunc(ranked, func(node machine.Machine) bool { return node.ID == n.self.ID })
-	if len(others) > 0 && (turn%3 != 2 || len(n.settings.Seeds) == 0) {
-		return n.askNodes(ctx, others[turn%len(others)].Address, digest)
+	if len(others) > 0 && (try%3 != 2 || len(n.settings.Seeds) == 0) {
+		return n.fetchNodes(ctx, others[try%len(others)].Address, digest)
 	}
 	if len(n.settings.Seeds) == 0 {
 		return "", Error.New("no other node is known")
 	}
-	return n.askNodes(ctx, n.settings.Seeds[int(n.draw()*float64(len(n.settings.Seeds)))], digest)
+	return n.fetchNodes(ctx, n.settings.Seeds[int(n.draw()*float64(len(n.settings.Seeds)))], digest)
 }
 
-// rankDirectory returns the nodes of a partition that are to have the list, the one that is
-// to read it of the store first.
+// rankDirectory returns the nodes of a partition that should have the list. The first one
+// reads it from the store.
 func rankDirectory(near []machine.Machine) []machine.Machine {
 	candidates := make([]ownership.Node, 0, len(near))
 	for _, node := range near {
 		candidates = append(candidates, ownership.Node{ID: string(node.ID), Weight: node.Weight})
 	}
 	var ranked []machine.Machine
-	for _, id := range ownership.TopNodes(directoryRank, ownership.Eligible(candidates), directoryReaders) {
-		place := slices.IndexFunc(near, func(node machine.Machine) bool { return string(node.ID) == id })
-		ranked = append(ranked, near[place])
+	for _, id := range ownership.TopNodes(directoryRankKey, ownership.Eligible(candidates), directoryReaders) {
+		index := slices.IndexFunc(near, func(node machine.Machine) bool { return string(node.ID) == id })
+		ranked = append(ranked, near[index])
 	}
 	return ranked
 }
 
-// readNodes reads one partition of the nodes' stream.
+// readNodes reads one partition of the node stream.
 func (n *Node) readNodes(ctx context.Context, partition int) (nodes []machine.Machine, next uint64, err error) {
 	records, next, err := n.readNewest(ctx, recordstore.Stream{Name: recordstore.StreamNodes, Partition: partition})
 	if err != nil {
@@ -203,17 +207,17 @@
 	return n.decodeNodes(records), next, nil
 }
 
-// readAllNodes reads the list of nodes of the store, a few partitions at a time: all other
-// nodes of this one's partition wait for it.
+// readAllNodes reads the list of nodes from the store, several partitions at a time,
+// because all other nodes of this one's partition wait for it.
 func (n *Node) readAllNodes(ctx context.Context) error {
 	parts := make([][]machine.Machine, n.settings.Partitions)
 	failures := make([]error, len(parts))
-	places := make(chan struct{}, directoryReads)
+	slots := make(chan struct{}, directoryConcurrentReads)
 	var reads sync.WaitGroup
 	for partition := range parts {
-		places <- struct{}{}
+		slots <- struct{}{}
 		reads.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			parts[partition], _, failures[partition] = n.readNodes(ctx, partition)
 		})
 	}
@@ -221,27 +225,27 @@
 	if err := errors.Join(failures...); err != nil {
 		return err
 	}
-	n.takeNodes("store", slices.Concat(parts...))
+	n.applyNodes("store", slices.Concat(parts...))
 	return nil
 }
 
-// takeNodes takes the list of nodes over.
-func (n *Node) takeNodes(source string, nodes []machine.Machine) {
+// applyNodes passes a list of nodes to the core.
+func (n *Node) applyNodes(source string, nodes []machine.Machine) {
 	n.logger.Info().Str("source", source).Int("nodes", len(nodes)).Dur("after", time.Since(n.started)).Msg("nodes: list read")
 	n.control.post(coordinator.NodeListRead{Nodes: nodes})
 }
 
-// noteDirectory takes in that this node knows the list of nodes, and its role.
-func (n *Node) noteDirectory() { n.listedOnce.Do(func() { close(n.listed) }) }
+// markNodeListKnown records that this node has the list of nodes, and thereby its role.
+func (n *Node) markNodeListKnown() { n.nodeListOnce.Do(func() { close(n.nodeListKnown) }) }
 
-// askNodes asks another node for the list.
-func (n *Node) askNodes(ctx context.Context, address, digest string) (string, error) {
-	return n.askNodesWithin(ctx, address, digest, listPatience)
+// fetchNodes queries another node for the list.
+func (n *Node) fetchNodes(ctx context.Context, address, digest string) (string, error) {
+	return n.fetchNodesWithin(ctx, address, digest, nodeListTimeout)
 }
 
-// askNodesWithin asks another node for the list, and waits for so long at most.
-func (n *Node) askNodesWithin(ctx context.Context, address, digest string, patience time.Duration) (string, error) {
-	callCtx, cancel := context.WithTimeout(ctx, patience)
+// fetchNodesWithin is fetchNodes with a timeout.
+func (n *Node) fetchNodesWithin(ctx context.Context, address, digest string, timeout time.Duration) (string, error) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var page nodePage
 	err := n.peers.client(address).Do(callCtx, fasthttp.MethodGet, pathNodes+"?digest="+digest, nil, &page)
@@ -249,17 +253,17 @@
 		return "", err
 	}
 	if page.Digest != digest {
-		n.takeNodes(address, page.Nodes)
+		n.applyNodes(address, page.Nodes)
 	}
 	return page.Digest, nil
 }
 
-// receiveNodes answers a question for the list of nodes.
+// receiveNodes answers a query for the list of nodes.
 func (p *peers) receiveNodes(ctx *fasthttp.RequestCtx) {
-	askCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
+	callCtx, cancel := context.WithTimeout(p.node.ctx, peerRequestTimeout)
 	defer cancel()
-	known, err := p.node.control.directory(askCtx)
-	if err != nil || !known.whole {
+	known, err := p.node.control.directory(callCtx)
+	if err != nil || !known.complete {
 		ctx.Error("the list of nodes is not known here", fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -270,7 +274,7 @@
 	writeJSON(ctx, page)
 }
 
-// digestOf tells lists of nodes apart that name other nodes, or other processes of them.
+// digestOf returns a digest of the nodes' ids and incarnations.
 func digestOf(nodes []machine.Machine) string {
 	hash := xxhash.New()
 	for _, node := range nodes {
@@ -281,8 +285,8 @@
 	return strconv.FormatUint(hash.Sum64(), 36)
 }
 
-// decodeNodes reads the nodes' records. One that is not understood is another version's
-// and passed over: its node is learned of through its peers.
+// decodeNodes decodes the nodes' records. A record that cannot be decoded is from another
+// version and is skipped; the node is discovered through its peers instead.
 func (n *Node) decodeNodes(records []recordstore.Record) []machine.Machine {
 	var nodes []machine.Machine
 	for _, record := range records {
@@ -291,7 +295,7 @@
 		}
 		var node machine.Machine
 		if err := json.Unmarshal(record.Value, &node); err != nil {
-			n.logger.Warn().Str("record", record.Key).Err(err).Msg("nodes: record not understood")
+			n.logger.Warn().Str("record", record.Key).Err(err).Msg("nodes: record could not be decoded")
 			continue
 		}
 		nodes = append(nodes, node)
@@ -299,9 +303,9 @@
 	return nodes
 }
 
-// greet tells peers that are known by address alone of this node. They answer
-// with statuses.
-func (n *Node) greet(addresses []string) {
+// announce sends this node's status to peers of which only the address is known. They
+// answer with statuses of their own.
+func (n *Node) announce(addresses []string) {
 	for _, address := range addresses {
 		if address == n.settings.Peers {
 			continue
--- a/edge/gathered_test.go
+++ b/edge/gathered_test.go
@@ -13,7 +13,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// TestGatherLoads is switched off with what it serves.
+// TestGatherLoads checks that gathering is off if its own switch or that of peer loads is
+// off.
 func TestGatherLoads(t *testing.T) {
 	g := NewWithT(t)
 	configOf := func(settings Settings) coordinator.Config {
@@ -21,10 +22,11 @@
 	}
 	g.Expect(configOf(Settings{}).DisableGathering).To(BeFalse())
 	g.Expect(configOf(without(GatherLoads)).DisableGathering).To(BeTrue())
-	g.Expect(configOf(without(CountPeers)).DisableGathering).To(BeTrue())
+	g.Expect(configOf(without(CountPeerLoads)).DisableGathering).To(BeTrue())
 }
 
-// TestTotalsOfOtherLists are taken in for the replicas that this node knows alone.
+// TestTotalsOfOtherLists checks that totals of replicas that this node does not know are
+// ignored.
 func TestTotalsOfOtherLists(t *testing.T) {
 	g := NewWithT(t)
 	settings := Settings{}
@@ -35,7 +37,7 @@
 	}
 	now := time.Now()
 	totals := &gather.Totals{Nodes: 8, At: now, Counts: map[gather.Key]int{gather.KeyOf("a"): 5, gather.KeyOf("c"): 7}}
-	replicas.takeTotals(now, totals)
+	replicas.applyLoadTotals(now, totals)
 	choice, err := replicas.set.Select(now, &replica.Request{Service: "s", Only: "a"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Load).To(Equal(5))
@@ -45,7 +47,8 @@
 	g.Expect(choice.Load).To(BeZero())
 }
 
-// TestGatherGoesByDatagram and not by a connection.
+// TestGatherGoesByDatagram checks that messages about loads are sent as datagrams rather
+// than over a connection.
 func TestGatherGoesByDatagram(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(mayBeLost(&coordinator.PeerMessage{Gather: &gather.Message{}})).To(BeTrue())
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -13,7 +13,7 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// keyNode returns a node whose configuration names tenants, or none.
+// keyNode returns a node whose configuration has tenants with keys, or none.
 func keyNode(g *WithT, settings Settings, tenants bool) *Node {
 	settings.Node, settings.Zone, settings.Partitions = "n", "z", 1
 	node, err := New(settings, Adapter{}, quietLogger)
@@ -27,24 +27,24 @@
 	return node
 }
 
-// TestLeaseOfKeys ends a lease before the operator's bound, and follows the newest
-// proof alone.
+// TestLeaseOfKeys checks that a lease ends before the operator's bound, and only the newest
+// proof counts.
 func TestLeaseOfKeys(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{KeyLease: time.Hour}, true)
 	defer node.Kill()
 	g.Expect(node.leased()).To(BeFalse(), "before any proof")
 	now := time.Now()
-	node.proof.note(now.Add(-59 * time.Minute))
+	node.freshnessProof.record(now.Add(-59 * time.Minute))
 	g.Expect(node.leased()).To(BeFalse())
-	node.proof.note(now.Add(-50 * time.Minute))
+	node.freshnessProof.record(now.Add(-50 * time.Minute))
 	g.Expect(node.leased()).To(BeTrue())
-	node.proof.note(now.Add(-55 * time.Minute))
+	node.freshnessProof.record(now.Add(-55 * time.Minute))
 	g.Expect(node.leased()).To(BeTrue(), "an older proof takes nothing away")
 }
 
-// TestReadsWithoutWaiting has the readers of a zone, and nodes without a young proof,
-// read the configuration at once, and all others wait for its change.
+// TestReadsWithoutWaiting checks that the readers of a zone and nodes without a recent
+// proof read the configuration without long polling; all others wait for a change.
 func TestReadsWithoutWaiting(t *testing.T) {
 	g := NewWithT(t)
 	plain := keyNode(g, Settings{}, false)
@@ -53,17 +53,18 @@
 	node := keyNode(g, Settings{}, true)
 	defer node.Kill()
 	g.Expect(node.configurationWait()).To(BeZero(), "no proof yet")
-	node.proof.note(time.Now().Add(time.Hour))
+	node.freshnessProof.record(time.Now().Add(time.Hour))
 	g.Expect(node.configurationWait()).To(Equal(configurationWait))
 	node.roles.Store(&coordinator.Roles{Readers: []machine.Machine{{ID: "n"}}})
 	g.Expect(node.configurationWait()).To(BeZero())
 	g.Expect(node.configurationPause()).To(Equal(provingPause))
-	alone := keyNode(g, Settings{Without: []Mechanism{ProvePeers}}, true)
+	alone := keyNode(g, Settings{Without: []Mechanism{ShareProofs}}, true)
 	defer alone.Kill()
 	g.Expect(alone.configurationWait()).To(Equal(configurationWait))
 }
 
-// TestSwitchesOfTenants show in the settings of the control state.
+// TestSwitchesOfTenants checks that mechanisms that are switched off show in the
+// coordinator's configuration.
 func TestSwitchesOfTenants(t *testing.T) {
 	g := NewWithT(t)
 	all := coreConfig(Settings{Partitions: 1}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
@@ -71,7 +72,7 @@
 	g.Expect(all.IgnoreRedirects).To(BeFalse())
 	g.Expect(all.Tenants).To(Equal(tenant.DefaultConfig()))
 	g.Expect(all.Ledger.AfterFailureShare).To(BeNumerically(">", 0))
-	without := coreConfig(Settings{Partitions: 1, Without: []Mechanism{CountTogether, RedirectCharges, FinishPrograms, RankPrograms, BeginAgain}}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
+	without := coreConfig(Settings{Partitions: 1, Without: []Mechanism{CountCentrally, RedirectCharges, PreferStartedPrograms, RankRetriesLast, BeginAfterFailure}}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
 	g.Expect(without.CountLocally).To(BeTrue())
 	g.Expect(without.IgnoreRedirects).To(BeTrue())
 	g.Expect(without.Tenants.ArrivalOrder).To(BeTrue())
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -11,13 +11,13 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// TestReadersRefuseBadNumbers answers a question that is not understood as such, and
-// not as one about the first change.
+// TestReadersRefuseBadNumbers checks that a request with invalid numbers is rejected,
+// rather than read as one for the first change.
 func TestReadersRefuseBadNumbers(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
-	node.holdsAll.Store(true)
+	node.holdsAllReplicas.Store(true)
 	for query, status := range map[string]int{
 		"life=1&since=0&wait=0":  fasthttp.StatusOK,
 		"life=x&since=0&wait=0":  fasthttp.StatusBadRequest,
@@ -31,95 +31,96 @@
 	}
 }
 
-// TestNoListFromWhoHasNone has a node that holds no list, or a part of it, pass none on:
-// a follower would take its replicas for gone.
+// TestNoListFromWhoHasNone checks that a node that has no list, or only a part of it, does
+// not serve it. A follower would otherwise remove the missing replicas.
 func TestNoListFromWhoHasNone(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
-	ask := func() int {
+	requestList := func() int {
 		ctx := &fasthttp.RequestCtx{}
 		ctx.Request.SetRequestURI(pathReplicas + "?life=0&since=0&wait=0&zone=a&group=0&partial=taken")
 		node.peers.receiveReplicas(ctx)
 		return ctx.Response.StatusCode()
 	}
-	g.Expect(ask()).To(Equal(fasthttp.StatusServiceUnavailable))
+	g.Expect(requestList()).To(Equal(fasthttp.StatusServiceUnavailable))
 	entry := replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1}
 	whole := relayAnswer{Whole: true, Changes: []replica.Change{{Entry: &entry}}}
-	node.takeRelay(machine.Machine{ID: "source"}, time.Now(), true, &whole)
+	node.applyRelay(machine.Machine{ID: "source"}, time.Now(), true, &whole)
 	g.Expect(node.syncedReplicas.Load()).To(BeTrue())
-	g.Expect(ask()).To(Equal(fasthttp.StatusServiceUnavailable))
-	node.takeRelay(machine.Machine{ID: "source"}, time.Now(), false, &whole)
-	g.Expect(ask()).To(Equal(fasthttp.StatusOK))
+	g.Expect(requestList()).To(Equal(fasthttp.StatusServiceUnavailable))
+	node.applyRelay(machine.Machine{ID: "source"}, time.Now(), false, &whole)
+	g.Expect(requestList()).To(Equal(fasthttp.StatusOK))
 }
 
-// TestWhereAFollowerStands has numbers of one list not be used for another, and the whole
-// list asked for again once a reader that still read it has all.
+// TestWhereAFollowerStands checks that change numbers of one list are not used for another,
+// and the whole list is requested again once a reader has completed its own.
 func TestWhereAFollowerStands(t *testing.T) {
 	g := NewWithT(t)
 	group := replica.Group{Zone: "a"}
-	at := relay{}
-	at.hold(true, group)
-	at.note(&relayAnswer{Life: 5, Next: 9, Whole: true}, true)
-	at.hold(true, group)
-	g.Expect(at.life).To(Equal(uint64(5)))
-	at.hold(true, replica.Group{Zone: "a", Number: 1})
-	g.Expect(at.life).To(BeZero(), "another group")
-	at.note(&relayAnswer{Life: 5, Next: 9, Whole: true}, true)
-	at.hold(false, group)
-	g.Expect(at.life).To(BeZero(), "all of the list")
+	cursor := readerCursor{}
+	cursor.setGroup(true, group)
+	cursor.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
+	cursor.setGroup(true, group)
+	g.Expect(cursor.incarnation).To(Equal(uint64(5)))
+	cursor.setGroup(true, replica.Group{Zone: "a", Number: 1})
+	g.Expect(cursor.incarnation).To(BeZero(), "another group")
+	cursor.advance(&relayAnswer{ReaderIncarnation: 5, Next: 9, Whole: true}, true)
+	cursor.setGroup(false, group)
+	g.Expect(cursor.incarnation).To(BeZero(), "all of the list")
 
-	at.note(&relayAnswer{Life: 6, Next: 1, Whole: true, Partial: true}, true)
-	at.note(&relayAnswer{Life: 6, Next: 4, Partial: true}, true)
-	g.Expect(at.life).To(Equal(uint64(6)))
-	at.note(&relayAnswer{Life: 6, Next: 8}, true)
-	g.Expect(at.life).To(BeZero(), "replicas of before may be gone")
-	at.note(&relayAnswer{Life: 6, Next: 8, Whole: true}, true)
-	at.note(&relayAnswer{Life: 6, Next: 9}, true)
-	g.Expect(at.life).To(Equal(uint64(6)))
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true}, true)
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 4, Partial: true}, true)
+	g.Expect(cursor.incarnation).To(Equal(uint64(6)))
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8}, true)
+	g.Expect(cursor.incarnation).To(BeZero(), "replicas of before may be gone")
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true}, true)
+	cursor.advance(&relayAnswer{ReaderIncarnation: 6, Next: 9}, true)
+	g.Expect(cursor.incarnation).To(Equal(uint64(6)))
 
-	fresh := relay{}
-	fresh.hold(true, group)
-	fresh.note(&relayAnswer{Life: 6, Next: 1, Whole: true, Partial: true}, false)
-	fresh.note(&relayAnswer{Life: 6, Next: 8}, true)
-	g.Expect(fresh.life).To(Equal(uint64(6)), "a node that held nothing")
+	fresh := readerCursor{}
+	fresh.setGroup(true, group)
+	fresh.advance(&relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true}, false)
+	fresh.advance(&relayAnswer{ReaderIncarnation: 6, Next: 8}, true)
+	g.Expect(fresh.incarnation).To(Equal(uint64(6)), "a node that held nothing")
 }
 
-// TestFormerVersionsQuestion has a node of the former version wait for changes of the
-// replicas alone: an answer at once, again and again, would take a reader's processor.
+// TestFormerVersionsQuestion checks that a request from a node of an earlier version, which
+// names no configuration, waits for changes of the replicas only. Answering it at once,
+// again and again, would occupy the reader's processor.
 func TestFormerVersionsQuestion(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
 	var query fasthttp.Args
 	query.Parse("life=1&since=0&wait=700")
-	question, err := parseRelayQuestion(&query)
+	request, err := parseRelayRequest(&query)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(question.part).To(BeFalse())
-	g.Expect(question.takesPartial).To(BeFalse())
-	g.Expect(question.version).To(BeNumerically(">=", node.configVersion()))
-	g.Expect(question.evacuations).To(BeNumerically(">=", node.evacuations.version()))
+	g.Expect(request.part).To(BeFalse())
+	g.Expect(request.takesPartial).To(BeFalse())
+	g.Expect(request.version).To(BeNumerically(">=", node.configVersion()))
+	g.Expect(request.evacuations).To(BeNumerically(">=", node.evacuations.version()))
 }
 
-// TestReaderOfASourceThatStillReads has a reader that began with a part of its source's list
-// ask for all of it once the source has it: until it holds the whole list its own followers
-// drop nothing that they held before.
+// TestReaderOfASourceThatStillReads checks that a reader that began with a part of its
+// source's list requests the whole list once the source has it. Until it holds all, its own
+// followers must not remove replicas that they held before.
 func TestReaderOfASourceThatStillReads(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
 	entry := replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1}
-	at := relay{}
-	at.hold(false, replica.Group{})
-	take := func(answer relayAnswer) {
-		at.note(&answer, node.replicas.count() > 0)
-		node.takeRelay(machine.Machine{ID: "source"}, time.Now(), false, &answer)
+	cursor := readerCursor{}
+	cursor.setGroup(false, replica.Group{})
+	apply := func(answer relayAnswer) {
+		cursor.advance(&answer, node.replicas.count() > 0)
+		node.applyRelay(machine.Machine{ID: "source"}, time.Now(), false, &answer)
 	}
-	take(relayAnswer{Life: 6, Next: 1, Whole: true, Partial: true, Changes: []replica.Change{{Entry: &entry}}})
-	g.Expect(node.holdsAll.Load()).To(BeFalse())
-	take(relayAnswer{Life: 6, Next: 8})
-	g.Expect(at.life).To(BeZero(), "the whole list is asked for")
-	take(relayAnswer{Life: 6, Next: 8, Whole: true, Changes: []replica.Change{{Entry: &entry}}})
-	g.Expect(node.holdsAll.Load()).To(BeTrue())
-	g.Expect(at.life).To(Equal(uint64(6)))
+	apply(relayAnswer{ReaderIncarnation: 6, Next: 1, Whole: true, Partial: true, Changes: []replica.Change{{Entry: &entry}}})
+	g.Expect(node.holdsAllReplicas.Load()).To(BeFalse())
+	apply(relayAnswer{ReaderIncarnation: 6, Next: 8})
+	g.Expect(cursor.incarnation).To(BeZero(), "the whole list is asked for")
+	apply(relayAnswer{ReaderIncarnation: 6, Next: 8, Whole: true, Changes: []replica.Change{{Entry: &entry}}})
+	g.Expect(node.holdsAllReplicas.Load()).To(BeTrue())
+	g.Expect(cursor.incarnation).To(Equal(uint64(6)))
 }
--- a/edge/share.go
+++ b/edge/share.go
@@ -8,7 +8,8 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// shares guards what this node knows of the tenants' shares of the replicas' room.
+// shares holds what this node knows about the tenants' shares of the replicas' capacity. It
+// is safe for concurrent use.
 type shares struct {
 	mutex sync.Mutex
 	known *dispatch.Shares
@@ -16,8 +17,9 @@
 
 func newShares() *shares { return &shares{known: dispatch.NewShares()} }
 
-// heard takes in what the node that counts for a request's tenant told of its programs.
-func (s *shares) heard(r *requestState) {
+// observe records the number of the tenant's programs, as reported by the tenant's counting
+// node.
+func (s *shares) observe(r *requestState) {
 	outcome := &r.charge.outcome
 	if outcome.Status == coordinator.ChargeUnknown || outcome.Decision.Programs == 0 {
 		return
@@ -27,20 +29,20 @@
 	s.known.Observe(time.Now(), r.tenant.Name, outcome.Decision.Programs, r.tenant.Limit.Rate)
 }
 
-func (s *shares) over(tenant string, full float64) bool {
+func (s *shares) over(tenant string, utilisation float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.known.Over(time.Now(), tenant, full)
+	return s.known.Over(time.Now(), tenant, utilisation)
 }
 
-// overShare reports whether a program that has not begun is to wait since its tenant has
-// more than its share of replicas that are full.
+// overShare reports whether a new program has to wait because the replicas are full and its
+// tenant has more than its share of them.
 func (n *Node) overShare(r *requestState) bool {
 	if r.charge == nil || !n.settings.uses(ShareByTenant) {
 		return false
 	}
-	full := n.replicas.pressure(n.choiceOf(r))
-	if !n.shares.over(r.tenant.Name, full) {
+	utilisation := n.replicas.minUtilisation(n.selectionRequest(r))
+	if !n.shares.over(r.tenant.Name, utilisation) {
 		return false
 	}
 	n.metrics.shareRefused()
--- a/edge/share_test.go
+++ b/edge/share_test.go
@@ -13,8 +13,8 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// TestShareByTenant has the programs of the tenant wait that has more than its share of
-// full replicas, and no tenant's while a place is free or where it is switched off.
+// TestShareByTenant checks that a program has to wait if its tenant has more than its share
+// of full replicas, but not while a slot is free or if the mechanism is switched off.
 func TestShareByTenant(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(ShareByTenant)} {
@@ -25,38 +25,38 @@
 			request.charge = &charge{outcome: coordinator.Charged{
 				Status: coordinator.ChargeGranted, Decision: tenant.Decision{Granted: true, Programs: programs},
 			}}
-			node.shares.heard(request)
+			node.shares.observe(request)
 			return request
 		}
-		hot, usual := of("hot", 100), of("usual", 5)
+		hot, normal := of("hot", 100), of("usual", 5)
 		g.Expect(node.overShare(hot)).To(BeFalse())
 		_, err := node.replicas.choose(&replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = node.replicas.choose(&replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(node.overShare(hot)).To(Equal(settings.uses(ShareByTenant)))
-		g.Expect(node.overShare(usual)).To(BeFalse())
+		g.Expect(node.overShare(normal)).To(BeFalse())
 		g.Expect(node.overShare(&requestState{service: "s", route: &routing.Route{}})).To(BeFalse())
 	}
 }
 
-// TestRepeatIntoRoom sends a late call again where a replica has room, or wherever it is
-// switched off.
+// TestRepeatIntoRoom checks that a late call is repeated only if a replica has capacity, or
+// in any case if the mechanism is switched off.
 func TestRepeatIntoRoom(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(RepeatIntoRoom)} {
-		repeats, err := newCalls()
+	for _, settings := range []Settings{{}, without(RepeatWithCapacity)} {
+		stats, err := newCallStats()
 		g.Expect(err).NotTo(HaveOccurred())
-		node := &Node{settings: settings, replicas: newReplicas(&settings), calls: repeats}
+		node := &Node{settings: settings, replicas: newReplicas(&settings), callStats: stats}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
 		run := &callRun{node: node, request: &requestState{service: "s", route: &routing.Route{}, deadline: time.Now().Add(time.Hour)}}
-		g.Expect(dispatch.DecideRepeat(run.late())).To(Equal(dispatch.RepeatSent))
+		g.Expect(dispatch.DecideRepeat(run.lateCall())).To(Equal(dispatch.RepeatSent))
 		_, err = node.replicas.choose(&replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 		want := dispatch.RepeatSent
-		if settings.uses(RepeatIntoRoom) {
+		if settings.uses(RepeatWithCapacity) {
 			want = dispatch.RepeatFull
 		}
-		g.Expect(dispatch.DecideRepeat(run.late())).To(Equal(want))
+		g.Expect(dispatch.DecideRepeat(run.lateCall())).To(Equal(want))
 	}
 }
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -16,7 +16,7 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// quietLogger drops what a node writes.
+// quietLogger drops log lines.
 var quietLogger = &log.Logger{Level: log.PanicLevel}
 
 // without returns settings with one mechanism switched off.
@@ -24,7 +24,8 @@
 	return Settings{Node: "n", Zone: "z", Partitions: 2, Without: []Mechanism{mechanism}}
 }
 
-// TestSwitchesOfTheCore show in the settings of the control state.
+// TestSwitchesOfTheCore checks that mechanisms that are switched off show in the
+// coordinator's configuration.
 func TestSwitchesOfTheCore(t *testing.T) {
 	g := NewWithT(t)
 	configOf := func(settings Settings) coordinator.Config {
@@ -37,26 +38,27 @@
 	g.Expect(all.SkipHandover).To(BeFalse())
 	g.Expect(configOf(without(BeginUnrecorded)).Ledger.UnrecordedShare).To(BeZero())
 	g.Expect(configOf(without(MarkAhead)).Ledger.MarkAheadTurns).To(BeZero())
-	g.Expect(configOf(without(GrantTurnAfterLoss)).Ledger.ExtraTurnAfterFailure).To(BeFalse())
+	g.Expect(configOf(without(GrantTurnAfterFailure)).Ledger.ExtraTurnAfterFailure).To(BeFalse())
 	g.Expect(configOf(without(HandOver)).SkipHandover).To(BeTrue())
 }
 
-// TestSwitchesOfTheChoice pass on to the choice of a replica.
+// TestSwitchesOfTheChoice checks that mechanisms that are switched off are passed on to the
+// selection of replicas.
 func TestSwitchesOfTheChoice(t *testing.T) {
 	g := NewWithT(t)
 	for mechanism, parts := range map[Mechanism]replica.SelectionFactors{
-		FollowPrompts: {CachedPrompts: true}, FollowLines: {LastReplica: true}, CountPeers: {PeerLoads: true},
-		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, RememberFaults: {Faults: true},
-		SuspectSilent: {Suspicion: true}, WeighPace: {TokenTimes: true}, WeighSlack: {Slack: true},
+		TrackCachedPrompts: {CachedPrompts: true}, KeepSessions: {LastReplica: true}, CountPeerLoads: {PeerLoads: true},
+		PreferZone: {Zones: true}, PreferConnections: {Connections: true}, AvoidFaultyReplicas: {Faults: true},
+		AvoidUnresponsiveReplicas: {Suspicion: true}, WeighTokenTimes: {TokenTimes: true}, WeighSlack: {Slack: true},
 	} {
 		settings := without(mechanism)
-		g.Expect(partsWithout(&settings)).To(Equal(parts), string(mechanism))
+		g.Expect(disabledFactors(&settings)).To(Equal(parts), string(mechanism))
 	}
-	g.Expect(partsWithout(&Settings{})).To(Equal(replica.SelectionFactors{}))
+	g.Expect(disabledFactors(&Settings{})).To(Equal(replica.SelectionFactors{}))
 }
 
-// TestRefuseWhenFull lets new programs in while replicas are full where it is
-// switched off.
+// TestRefuseWhenFull checks that new programs are admitted at full replicas if the
+// mechanism is switched off.
 func TestRefuseWhenFull(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(RefuseWhenFull)} {
@@ -72,23 +74,23 @@
 	}
 }
 
-// TestDoubtUnlisted removes at once what the store lacks after an outage where
-// it is switched off.
+// TestDoubtUnlisted checks that replicas that the store lacks after an outage are removed
+// at once if the mechanism is switched off.
 func TestDoubtUnlisted(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(DoubtUnlisted)} {
+	for _, settings := range []Settings{{}, without(DeferRemovals)} {
 		node := &Node{settings: settings, replicas: newReplicas(&settings), logger: quietLogger, pool: upstream.NewPool(upstream.Config{})}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
-		// The store was away, and is back.
-		node.store.note(time.Now().Add(-time.Minute))
-		node.store.note(time.Now())
-		node.unlist("r", "gone from the list")
-		g.Expect(node.replicas.count()).To(Equal(map[bool]int{true: 1, false: 0}[settings.uses(DoubtUnlisted)]))
+		// An outage lies between these answers.
+		node.store.recordAnswer(time.Now().Add(-time.Minute))
+		node.store.recordAnswer(time.Now())
+		node.handleUnlisted("r", "gone from the list")
+		g.Expect(node.replicas.count()).To(Equal(map[bool]int{true: 1, false: 0}[settings.uses(DeferRemovals)]))
 	}
 }
 
-// TestFollowReaders has a node of a large fleet follow the store itself where it
-// is switched off.
+// TestFollowReaders checks that a node of a large fleet reads the store itself if the
+// mechanism is switched off.
 func TestFollowReaders(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{RelayAbove: 1}, {RelayAbove: 1, Without: []Mechanism{FollowReaders}}} {
@@ -100,13 +102,14 @@
 	}
 }
 
-// TestRememberReplicas has a kept turn name no replica where it is switched off.
+// TestRememberReplicas checks that a stored turn does not name its replica if the mechanism
+// is switched off.
 func TestRememberReplicas(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{}, without(RememberReplicas)} {
+	for _, settings := range []Settings{{}, without(RecordReplica)} {
 		request := &requestState{id: "t", route: &routing.Route{}, exchange: &ingress.Exchange{}}
 		request.choice.Entry.ID = "r1"
 		run := &turnRun{node: &Node{settings: settings}, request: request}
-		g.Expect(run.keptTurn().Replica).To(Equal(map[bool]string{true: "r1", false: ""}[settings.uses(RememberReplicas)]))
+		g.Expect(run.storedTurn().Replica).To(Equal(map[bool]string{true: "r1", false: ""}[settings.uses(RecordReplica)]))
 	}
 }
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -14,79 +14,81 @@
 const (
 	// takeoverAttempts bounds the tries of one claim.
 	takeoverAttempts = 6
-	// takeoverPages bounds the pages that a node reads at once for its takeovers:
-	// more would each take longer, and none would be there early.
+	// takeoverPages bounds the pages that a node reads concurrently for its takeovers: with
+	// more, each would take longer and none would complete early.
 	takeoverPages = 2
-	// takeoverFirst bounds the first pages beside them. A node serves a partition from
-	// its first page or two on, which do not wait for kept turns of the others.
-	takeoverFirst = 4
+	// takeoverAccountPages bounds the additional concurrent reads of first pages. A node
+	// can serve a partition from its first page or two on, so these do not wait for the
+	// stored turns of other partitions.
+	takeoverAccountPages = 4
 )
 
-// takeoverTries are those of a page of a takeover. A takeover that is given up in an outage
-// has to claim its partition again after it.
-var takeoverTries = pageTries{attempts: 6, first: appendTimeout, most: 10 * time.Second, throughOutages: true}
+// takeoverRetry is for the pages of a takeover. It lasts through outages, because a
+// takeover that is given up has to claim its partition again.
+var takeoverRetry = pageRetry{attempts: 6, firstTimeout: appendTimeout, maximumTimeout: 10 * time.Second, throughOutages: true}
 
-// takeovers are those under way on this node. It is safe for concurrent use.
+// takeovers are the takeovers in progress at this node. It is safe for concurrent use.
 type takeovers struct {
-	// pages are the places to read a page in, and first those for first pages alone.
-	pages chan struct{}
-	first chan struct{}
+	// pageSlots are the semaphore for reads of pages, and accountSlots one for pages with
+	// accounts only.
+	pageSlots    chan struct{}
+	accountSlots chan struct{}
 
-	mutex sync.Mutex
-	stop  map[coordinator.Stopped]context.CancelFunc
+	mutex   sync.Mutex
+	cancels map[coordinator.Stopped]context.CancelFunc
 }
 
 func newTakeovers() *takeovers {
 	return &takeovers{
-		pages: make(chan struct{}, takeoverPages), first: make(chan struct{}, takeoverFirst),
-		stop: make(map[coordinator.Stopped]context.CancelFunc),
+		pageSlots: make(chan struct{}, takeoverPages), accountSlots: make(chan struct{}, takeoverAccountPages),
+		cancels: make(map[coordinator.Stopped]context.CancelFunc),
 	}
 }
 
-// place waits until a page may be read, and returns what ends that. Pages with accounts
-// have places that others do not take.
-func (t *takeovers) place(ctx context.Context, accounts bool) (free func(), err error) {
-	var first chan<- struct{}
+// acquireSlot waits until a page may be read, and returns the function that releases the
+// slot. Pages with accounts may also use slots that are reserved for them.
+func (t *takeovers) acquireSlot(ctx context.Context, accounts bool) (release func(), err error) {
+	var accountSlots chan<- struct{}
 	if accounts {
-		first = t.first
+		accountSlots = t.accountSlots
 	}
 	select {
-	case t.pages <- struct{}{}:
-		return func() { <-t.pages }, nil
-	case first <- struct{}{}:
-		return func() { <-t.first }, nil
+	case t.pageSlots <- struct{}{}:
+		return func() { <-t.pageSlots }, nil
+	case accountSlots <- struct{}{}:
+		return func() { <-t.accountSlots }, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// begin returns the context of a takeover, and what ends it.
+// begin returns the context of a takeover, and the function that ends it.
 func (t *takeovers) begin(ctx context.Context, takeover coordinator.Takeover) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	name := coordinator.Stopped{Partition: takeover.Partition, Epoch: takeover.Epoch}
+	key := coordinator.Stopped{Partition: takeover.Partition, Epoch: takeover.Epoch}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.stop[name] = cancel
-	return ctx, func() { t.end(name) }
+	t.cancels[key] = cancel
+	return ctx, func() { t.stop(key) }
 }
 
-// end has a takeover read no more.
-func (t *takeovers) end(name coordinator.Stopped) {
+// stop cancels the reads of a takeover.
+func (t *takeovers) stop(key coordinator.Stopped) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if cancel, known := t.stop[name]; known {
+	if cancel, known := t.cancels[key]; known {
 		cancel()
-		delete(t.stop, name)
+		delete(t.cancels, key)
 	}
 }
 
-// restored is what a takeover has read.
-type restored struct {
+// readTotals is the amount that a takeover has read.
+type readTotals struct {
 	records, bytes, pages int
 }
 
-// takeOver claims a partition and reads it, and tells the core of its progress and
-// how it ended.
+// takeOver claims a partition and reads its log, and reports the progress and the outcome
+// to the core.
 func (n *Node) takeOver(takeover coordinator.Takeover) {
 	n.run(func(ctx context.Context) {
 		reading, end := n.takeovers.begin(ctx, takeover)
@@ -96,65 +98,65 @@
 }
 
 func (n *Node) claimAndRead(ctx context.Context, takeover coordinator.Takeover) coordinator.TakeoverEnded {
-	begun := time.Now()
-	taken := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch, Outcome: coordinator.OutcomeFailed}
+	start := time.Now()
+	ended := coordinator.TakeoverEnded{Partition: takeover.Partition, Epoch: takeover.Epoch, Outcome: coordinator.OutcomeFailed}
 	entry := n.logger.Info().Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch))
-	if moved := n.moved(ctx, takeover, &taken); moved {
-		entry.Uint64("end", taken.End).Int("outcome", int(taken.Outcome)).Msg("ledger: claim put off, another owner may live")
-		return taken
+	if putOff := n.putOff(ctx, takeover, &ended); putOff {
+		entry.Uint64("end", ended.End).Int("outcome", int(ended.Outcome)).Msg("ledger: claim put off, another owner may live")
+		return ended
 	}
 	entry.Bool("contested", takeover.Contested).Msg("ledger: claim begun")
 	err := n.appendRecords(ctx, takeover.Partition, takeover.Epoch, 0, nil, takeoverAttempts)
 	var fenced *recordstore.FencedError
 	if errors.As(err, &fenced) {
-		taken.Outcome = coordinator.OutcomeFenced
-		n.metrics.takeoverEnded("fenced", restored{}, time.Since(begun))
+		ended.Outcome = coordinator.OutcomeFenced
+		n.metrics.takeoverEnded("fenced", readTotals{}, time.Since(start))
 		n.logger.Info().Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).
 			Str("reason", fenced.Reason).Msg("ledger: claim fenced")
-		return taken
+		return ended
 	}
-	var read restored
+	var totals readTotals
 	if err == nil {
 		n.control.post(coordinator.TakeoverRead{Partition: takeover.Partition, Epoch: takeover.Epoch})
-		read, err = n.readLedger(ctx, takeover)
+		totals, err = n.readLedger(ctx, takeover)
 	}
-	took := time.Since(begun)
+	took := time.Since(start)
 	outcome, entry := "done", n.logger.Info()
 	if err != nil {
 		outcome, entry = "given_up", n.logger.Warn().Err(err)
 	} else {
-		taken.Outcome = coordinator.OutcomeDone
+		ended.Outcome = coordinator.OutcomeDone
 	}
-	n.metrics.takeoverEnded(outcome, read, took)
-	entry.Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).Int("records", read.records).
-		Int("bytes", read.bytes).Int("pages", read.pages).Dur("took", took).Str("outcome", outcome).Msg("ledger: takeover ended")
-	return taken
+	n.metrics.takeoverEnded(outcome, totals, took)
+	entry.Int("partition", takeover.Partition).Uint64("epoch", uint64(takeover.Epoch)).Int("records", totals.records).
+		Int("bytes", totals.bytes).Int("pages", totals.pages).Dur("took", took).Str("outcome", outcome).Msg("ledger: takeover ended")
+	return ended
 }
 
-// moved reports whether a contested claim is not to be made now: the log does not end
-// where it did, or does not tell.
-func (n *Node) moved(ctx context.Context, takeover coordinator.Takeover, taken *coordinator.TakeoverEnded) bool {
+// putOff reports whether a contested claim must be put off: the log has advanced, which
+// shows that another owner may be live, or its end could not be read.
+func (n *Node) putOff(ctx context.Context, takeover coordinator.Takeover, ended *coordinator.TakeoverEnded) bool {
 	if !takeover.Contested {
 		return false
 	}
 	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	end, err := n.adapter.Store.End(callCtx, ledgerStream(takeover.Partition))
-	n.noteStore(err)
+	n.recordStoreCall(err)
 	if err != nil {
 		return true
 	}
 	if end == takeover.ExpectedEnd {
 		return false
 	}
-	taken.Outcome, taken.End = coordinator.OutcomeLogAdvanced, end
+	ended.Outcome, ended.End = coordinator.OutcomeLogAdvanced, end
 	return true
 }
 
-// readLedger reads the newest record of each key of a partition, and hands each page
-// to the core.
-func (n *Node) readLedger(ctx context.Context, takeover coordinator.Takeover) (restored, error) {
-	var read restored
+// readLedger reads the newest record of each key of a partition, and passes each page to
+// the core.
+func (n *Node) readLedger(ctx context.Context, takeover coordinator.Takeover) (readTotals, error) {
+	var read readTotals
 	after := ""
 	for {
 		page, err := n.readTakeoverPage(ctx, ledgerStream(takeover.Partition), after)
@@ -176,13 +178,13 @@
 	}
 }
 
-// readTakeoverPage reads a page once it is its turn.
+// readTakeoverPage reads a page once a slot is free.
 func (n *Node) readTakeoverPage(ctx context.Context, stream recordstore.Stream, after string) (recordstore.Page, error) {
 	accounts := n.settings.uses(ReadAccountsFirst) && !ledger.SortsAfterAccounts(after)
-	free, err := n.takeovers.place(ctx, accounts)
+	release, err := n.takeovers.acquireSlot(ctx, accounts)
 	if err != nil {
 		return recordstore.Page{}, err
 	}
-	defer free()
-	return n.readPage(ctx, stream, after, takeoverTries)
+	defer release()
+	return n.readPage(ctx, stream, after, takeoverRetry)
 }
