--- a/contract/check.go
+++ b/contract/check.go
@@ -8,7 +8,7 @@
 )
 
 // checkEnvelope checks what a change says about itself.
-func checkEnvelope(change Change) []Finding {
+func checkChangeFields(change Change) []Finding {
 	var findings []Finding
 	if change.ID == "" || len(change.ID) > maximumIDLength {
 		findings = append(findings, Finding{Place: "id", Message: fmt.Sprintf("want 1 to %d bytes", maximumIDLength)})
@@ -36,7 +36,7 @@
 	}
 	for index, name := range edit.Unset {
 		unsetPlace := fmt.Sprintf("%s.unset[%d]", place, index)
-		if fieldNamed(name) < 0 {
+		if fieldIndex(name) < 0 {
 			findings = append(findings, Finding{Place: unsetPlace, Message: fmt.Sprintf("%q is no setting", name)})
 		}
 		if edit.Remove {
@@ -80,7 +80,7 @@
 			if !parent.Contains(name) {
 				findings = append(findings, Finding{
 					Place:   fmt.Sprintf("edits[%d].values.zones[%d]", index, zoneIndex),
-					Message: fmt.Sprintf("zone %q is not permitted by the parent %q, which permits %s", name, edit.Path.Parent().String(), zoneList(parent)),
+					Message: fmt.Sprintf("zone %q is not permitted by the parent %q, which permits %s", name, edit.Path.Parent().String(), formatZones(parent)),
 				})
 			}
 		}
@@ -94,8 +94,8 @@
 	var findings []Finding
 	for kind, list := range [][]string{edit.Values.CallerTokens, edit.Values.OperatorTokens} {
 		for index, hash := range list {
-			holder, found := s.holder(tokenKind(kind), hash)
-			if !found || holder == edit.Path {
+			tokenBranch, found := s.tokenBranch(tokenKind(kind), hash)
+			if !found || tokenBranch == edit.Path {
 				continue
 			}
 			name := []string{fieldCallerTokens, fieldOperatorTokens}[kind]
@@ -108,7 +108,7 @@
 	return findings
 }
 
-func zoneList(placement zone.Placement) string {
+func formatZones(placement zone.Placement) string {
 	if placement == "" {
 		return "none"
 	}
--- a/contract/explain.go
+++ b/contract/explain.go
@@ -33,7 +33,7 @@
 func (s *state) explain(path Path) ([]Explanation, error) {
 	found := s.branch(path)
 	if found == nil {
-		return nil, s.unknown(path)
+		return nil, s.unknownBranch(path)
 	}
 	effective := valuesOf(found.contract)
 	var explanations []Explanation
@@ -55,7 +55,7 @@
 // origin finds the nearest branch that sets a field.
 func (s *state) origin(path Path, index int) Explanation {
 	explanation := Explanation{Name: fields[index].name, Default: true}
-	for _, ancestor := range path.lineage() {
+	for _, ancestor := range path.selfAndAncestors() {
 		branch := s.branch(ancestor)
 		if !fields[index].isSet(&branch.values) {
 			continue
@@ -63,7 +63,7 @@
 		if explanation.Default {
 			explanation.Default = false
 			explanation.From = ancestor
-			explanation.Revision = branch.since[index]
+			explanation.Revision = branch.fieldRevisions[index]
 			if fields[index].name != fieldZones {
 				break
 			}
@@ -78,7 +78,7 @@
 
 // narrows reports whether the zones that the branch at path lists leave out
 // one that the branch at above itself does not permit now.
-func (s *state) narrows(above, path Path) bool {
-	permitted := zone.NewPlacement(s.branch(above).values.Zones...)
+func (s *state) narrows(ancestor, path Path) bool {
+	permitted := zone.NewPlacement(s.branch(ancestor).values.Zones...)
 	return slices.ContainsFunc(s.branch(path).values.Zones, func(name zone.Name) bool { return !permitted.Contains(name) })
 }
--- a/contract/field.go
+++ b/contract/field.go
@@ -138,20 +138,20 @@
 		func(v *Values) **time.Duration { return &v.Retention }, 0, maximumDuration),
 	listField(fieldDrainedBackends, "list of back end names", "The back ends that get no new work of the branch's programs, besides those that a branch above lists; at the root, of any program. Calls that they already run end there.",
 		func(v *Values) *[]string { return &v.DrainedBackends }, checkName),
-	ownList(listField(fieldCallerTokens, "list of token hashes", "Hexadecimal SHA-256 hashes of the bearer tokens whose holders act on this branch and below it. Not inherited: a token counts at the branch that lists it.",
+	notInherited(listField(fieldCallerTokens, "list of token hashes", "Hexadecimal SHA-256 hashes of the bearer tokens whose holders act on this branch and below it. Not inherited: a token counts at the branch that lists it.",
 		func(v *Values) *[]string { return &v.CallerTokens }, checkTokenHash)),
-	ownList(listField(fieldOperatorTokens, "list of token hashes", "Hashes of the bearer tokens whose holders may change settings at this branch and below it. Not inherited.",
+	notInherited(listField(fieldOperatorTokens, "list of token hashes", "Hashes of the bearer tokens whose holders may change settings at this branch and below it. Not inherited.",
 		func(v *Values) *[]string { return &v.OperatorTokens }, checkTokenHash)),
 }
 
 // ownList marks a list that is not inherited.
-func ownList(list field) field {
+func notInherited(list field) field {
 	list.inherited = false
 	return list
 }
 
 // fieldNamed returns the index of a field, or -1.
-func fieldNamed(name string) int {
+func fieldIndex(name string) int {
 	return slices.IndexFunc(fields, func(candidate field) bool { return candidate.name == name })
 }
 
--- a/contract/fleet_test.go
+++ b/contract/fleet_test.go
@@ -19,62 +19,62 @@
 // The messages of a fleet: each node probes one random other in each period,
 // and both tell the other their report, after a delay of one link.
 const (
-	fleetPeriod = time.Second
-	fleetTick   = 50 * time.Millisecond
-	fleetLink   = 10 * time.Millisecond
+	fleetPeriod    = time.Second
+	fleetTick      = 50 * time.Millisecond
+	fleetLinkDelay = 10 * time.Millisecond
 )
 
 // fleet is followers in virtual time that talk to random peers.
 type fleet struct {
-	log     *settingsLog
-	nodes   []*reader
-	zones   []zone.Name
-	random  *rand.Rand
-	now     time.Time
-	talkDue []time.Time
+	log          *settingsLog
+	nodes        []*reader
+	zones        []zone.Name
+	random       *rand.Rand
+	now          time.Time
+	nextExchange []time.Time
 	// cut is a zone that no message enters or leaves.
-	cut zone.Name
+	isolatedZone zone.Name
 }
 
 func newFleet(count, zoneCount int) *fleet {
-	made := &fleet{log: &settingsLog{}, random: rand.New(rand.NewPCG(3, uint64(count))), now: start}
+	created := &fleet{log: &settingsLog{}, random: rand.New(rand.NewPCG(3, uint64(count))), now: start}
 	for index := range zoneCount {
-		made.zones = append(made.zones, zone.Name(fmt.Sprintf("zone-%d", index)))
+		created.zones = append(created.zones, zone.Name(fmt.Sprintf("zone-%d", index)))
 	}
-	made.log.add(set("root", 0, "", zones(made.zones...)))
+	created.log.add(set("root", 0, "", zones(created.zones...)))
 	for index := range count {
-		node := newReader(made.log, machine.ID(fmt.Sprintf("node-%03d", index)), made.zones[index%zoneCount], made.zones...)
+		node := newReader(created.log, machine.ID(fmt.Sprintf("node-%03d", index)), created.zones[index%zoneCount], created.zones...)
 		node.run(start)
-		made.nodes = append(made.nodes, node)
-		made.talkDue = append(made.talkDue, start.Add(time.Duration(made.random.Int64N(int64(fleetPeriod)))))
+		created.nodes = append(created.nodes, node)
+		created.nextExchange = append(created.nextExchange, start.Add(time.Duration(created.random.Int64N(int64(fleetPeriod)))))
 	}
-	return made
+	return created
 }
 
 // run lets time pass until end and calls watch after each tick.
-func (f *fleet) run(end time.Time, watch func()) {
+func (f *fleet) run(end time.Time, observe func()) {
 	for f.now.Before(end) {
 		f.now = f.now.Add(fleetTick)
 		for index, node := range f.nodes {
 			node.runUntil(f.now)
-			if !f.now.Before(f.talkDue[index]) {
-				f.talkDue[index] = f.talkDue[index].Add(fleetPeriod)
-				f.talk(node, f.nodes[f.random.IntN(len(f.nodes))])
+			if !f.now.Before(f.nextExchange[index]) {
+				f.nextExchange[index] = f.nextExchange[index].Add(fleetPeriod)
+				f.exchangeReports(node, f.nodes[f.random.IntN(len(f.nodes))])
 			}
 		}
-		watch()
+		observe()
 	}
 }
 
-func (f *fleet) talk(from, to *reader) {
+func (f *fleet) exchangeReports(from, to *reader) {
 	probe, answer := from.Report(f.now), to.Report(f.now)
-	if f.cut != "" && (probe.Zone == f.cut) != (answer.Zone == f.cut) {
+	if f.isolatedZone != "" && (probe.Zone == f.isolatedZone) != (answer.Zone == f.isolatedZone) {
 		return
 	}
-	to.HeardReport(f.now.Add(fleetLink), probe)
-	to.perform(f.now.Add(fleetLink))
-	from.HeardReport(f.now.Add(2*fleetLink), answer)
-	from.perform(f.now.Add(2 * fleetLink))
+	to.HeardReport(f.now.Add(fleetLinkDelay), probe)
+	to.perform(f.now.Add(fleetLinkDelay))
+	from.HeardReport(f.now.Add(2*fleetLinkDelay), answer)
+	from.perform(f.now.Add(2 * fleetLinkDelay))
 }
 
 // setDown makes the store unreachable for every node, or reachable again.
@@ -111,7 +111,7 @@
 		all.run(start.Add(20*time.Second), func() {})
 		all.setDown(true)
 		all.run(start.Add(time.Minute), func() {})
-		all.cut = "zone-3"
+		all.isolatedZone = "zone-3"
 		all.run(start.Add(time.Minute+10*time.Second), func() {})
 		Expect(all.placing()).To(BeZero())
 	})
@@ -122,7 +122,7 @@
 		all.setDown(true)
 		all.run(start.Add(time.Minute), func() {})
 		// The store is back for one zone alone, which nobody else can reach.
-		all.cut = "zone-3"
+		all.isolatedZone = "zone-3"
 		for _, node := range all.nodes {
 			node.down = node.Report(all.now).Zone != "zone-3"
 		}
@@ -149,15 +149,15 @@
 			for range b.N {
 				all := newFleet(count, min(10, count))
 				all.run(start.Add(20*time.Second), func() {})
-				spread := all.spread()
-				b.ReportMetric(spread[len(spread)/2].Seconds(), "s-p50")
-				b.ReportMetric(spread[len(spread)*99/100].Seconds(), "s-p99")
-				fresh := all.reportBytes()
+				changeLatencies := all.changeLatencies()
+				b.ReportMetric(changeLatencies[len(changeLatencies)/2].Seconds(), "s-p50")
+				b.ReportMetric(changeLatencies[len(changeLatencies)*99/100].Seconds(), "s-p99")
+				freshBytes := all.reportBytes()
 				all.setDown(true)
 				stopped := 0
 				all.run(all.now.Add(time.Minute), func() { stopped += count - all.placing() })
 				b.ReportMetric(float64(stopped)*fleetTick.Seconds()/float64(count), "s-stopped/node")
-				b.ReportMetric(fresh, "bytes/report")
+				b.ReportMetric(freshBytes, "bytes/report")
 				b.ReportMetric(all.reportBytes(), "bytes/report-outage")
 			}
 		})
@@ -176,19 +176,19 @@
 }
 
 // spread appends a change and returns how long each node took to have it.
-func (f *fleet) spread() []time.Duration {
+func (f *fleet) changeLatencies() []time.Duration {
 	changed := f.now
 	f.log.add(set("spread", 1, "", contract.Values{Priority: pointer(1)}))
-	var took []time.Duration
-	having := map[*reader]bool{}
+	var latencies []time.Duration
+	updated := map[*reader]bool{}
 	f.run(changed.Add(20*time.Second), func() {
 		for _, node := range f.nodes {
-			if !having[node] && node.Tree().Revision() == 2 {
-				having[node] = true
-				took = append(took, f.now.Sub(changed))
+			if !updated[node] && node.Tree().Revision() == 2 {
+				updated[node] = true
+				latencies = append(latencies, f.now.Sub(changed))
 			}
 		}
 	})
-	slices.Sort(took)
-	return took
+	slices.Sort(latencies)
+	return latencies
 }
--- a/contract/fold.go
+++ b/contract/fold.go
@@ -85,9 +85,9 @@
 		return earlier
 	}
 	verdict := Verdict{ID: change.ID, Revision: s.revision}
-	verdict.Findings, verdict.Winner = s.conflicts(revision, change)
+	verdict.Findings, verdict.Winner = s.findConflicts(revision, change)
 	trial := s.clone()
-	before, findings := trial.applyEdits(revision, change)
+	replacedBranches, findings := trial.applyEdits(revision, change)
 	verdict.Findings = append(verdict.Findings, findings...)
 	if len(verdict.Findings) > 0 {
 		s.record(revision, data, logEntry{change: change, verdict: verdict})
@@ -97,7 +97,7 @@
 	s.revision = revision
 	verdict.Accepted = true
 	verdict.Revision = revision
-	s.record(revision, data, logEntry{change: change, verdict: verdict, before: before})
+	s.record(revision, data, logEntry{change: change, verdict: verdict, replacedBranches: replacedBranches})
 	return verdict
 }
 
@@ -119,14 +119,14 @@
 	}
 	s.position = revision
 	s.digest = s.digest.next(data)
-	s.forget()
+	s.evictOldRecords()
 }
 
 // forget drops the records that left the window.
-func (s *state) forget() {
+func (s *state) evictOldRecords() {
 	for {
 		oldest, found := s.log.Min()
-		if !found || oldest.position+s.window > s.position {
+		if !found || oldest.position+s.windowRecords > s.position {
 			return
 		}
 		s.log.DeleteMin()
@@ -135,76 +135,76 @@
 		if found && key.position == oldest.position {
 			s.changes.Delete(key)
 		}
-		s.forgetRemoved(oldest)
+		s.evictRemovedPaths(oldest)
 	}
 }
 
 // forgetRemoved drops the memory of branches that a record removed for good.
 // A change that could clash with the removal is based before the window now,
 // and refused for that.
-func (s *state) forgetRemoved(forgotten logEntry) {
-	for _, replaced := range forgotten.before {
-		last, found := s.touched.Get(touch{path: replaced.path})
-		if found && last.revision == forgotten.position && s.branch(replaced.path) == nil {
-			s.touched.Delete(last)
+func (s *state) evictRemovedPaths(evicted logEntry) {
+	for _, replaced := range evicted.replacedBranches {
+		last, found := s.lastEdits.Get(lastEdit{path: replaced.path})
+		if found && last.revision == evicted.position && s.branch(replaced.path) == nil {
+			s.lastEdits.Delete(last)
 		}
 	}
 }
 
 // conflicts compares the change with what was accepted after Based. The
 // winner is the latest of the accepted changes that it clashes with.
-func (s *state) conflicts(revision Revision, change Change) ([]Finding, string) {
+func (s *state) findConflicts(revision Revision, change Change) ([]Finding, string) {
 	if change.Based >= revision {
 		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d: the stream has not reached it", change.Based)}}, ""
 	}
-	if change.Based < s.revision && change.Based+s.window < revision {
-		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d is more than %d records back: read the settings again", change.Based, s.window)}}, ""
+	if change.Based < s.revision && change.Based+s.windowRecords < revision {
+		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d is more than %d records back: read the settings again", change.Based, s.windowRecords)}}, ""
 	}
 	var findings []Finding
-	var winner touch
+	var winner lastEdit
 	for index, edit := range change.Edits {
-		clash, found := s.clash(edit.Path, change.Based)
+		latestConflict, found := s.latestConflict(edit.Path, change.Based)
 		if !found {
 			continue
 		}
 		findings = append(findings, Finding{
 			Place: fmt.Sprintf("edits[%d].path", index),
 			Message: fmt.Sprintf("conflict: change %q by %q edited %q at revision %d, after revision %d that this change is based on",
-				clash.changeID, clash.actor, clash.path.String(), clash.revision, change.Based),
+				latestConflict.changeID, latestConflict.actor, latestConflict.path.String(), latestConflict.revision, change.Based),
 		})
-		if clash.revision > winner.revision {
-			winner = clash
+		if latestConflict.revision > winner.revision {
+			winner = latestConflict
 		}
 	}
 	return findings, winner.changeID
 }
 
 // clash returns the latest edit after based at the path, above it or below it.
-func (s *state) clash(path Path, based Revision) (latest touch, found bool) {
-	consider := func(candidate touch) bool {
+func (s *state) latestConflict(path Path, based Revision) (latest lastEdit, found bool) {
+	consider := func(candidate lastEdit) bool {
 		if candidate.revision > based && candidate.revision > latest.revision {
 			latest, found = candidate, true
 		}
 		return true
 	}
-	for _, ancestor := range path.lineage() {
-		if candidate, exists := s.touched.Get(touch{path: ancestor}); exists {
+	for _, ancestor := range path.selfAndAncestors() {
+		if candidate, exists := s.lastEdits.Get(lastEdit{path: ancestor}); exists {
 			consider(candidate)
 		}
 	}
 	if path == Root {
-		s.touched.Ascend(consider)
+		s.lastEdits.Ascend(consider)
 		return latest, found
 	}
-	from, to := below(path)
-	s.touched.AscendRange(touch{path: from}, touch{path: to}, consider)
+	from, to := descendantRange(path)
+	s.lastEdits.AscendRange(lastEdit{path: from}, lastEdit{path: to}, consider)
 	return latest, found
 }
 
 // applyEdits performs the edits in order and returns the branches that they
 // replaced, or what is wrong with them.
 func (s *state) applyEdits(revision Revision, change Change) ([]branchEntry, []Finding) {
-	findings := checkEnvelope(change)
+	findings := checkChangeFields(change)
 	if len(findings) > 0 {
 		return nil, findings
 	}
@@ -235,7 +235,7 @@
 	if b == nil {
 		return nil
 	}
-	return &branch{path: b.path, values: b.values, since: b.since}
+	return &branch{path: b.path, values: b.values, fieldRevisions: b.fieldRevisions}
 }
 
 // applyEdit performs one edit. An edit with findings is performed as far as it
@@ -246,7 +246,7 @@
 	if edit.Path.Validate() != nil || edit.Remove && edit.Path == Root {
 		return findings
 	}
-	s.touched.ReplaceOrInsert(touch{path: edit.Path, revision: revision, changeID: change.ID, actor: change.Actor})
+	s.lastEdits.ReplaceOrInsert(lastEdit{path: edit.Path, revision: revision, changeID: change.ID, actor: change.Actor})
 	existing := s.branch(edit.Path)
 	if edit.Remove {
 		return append(findings, s.removeBranch(existing, edit, place)...)
@@ -255,9 +255,9 @@
 		if s.branch(edit.Path.Parent()) == nil {
 			return append(findings, Finding{Place: place + ".path", Message: fmt.Sprintf("%q has no parent branch %q", edit.Path, edit.Path.Parent())})
 		}
-		existing = &branch{path: edit.Path, since: make([]Revision, len(fields))}
+		existing = &branch{path: edit.Path, fieldRevisions: make([]Revision, len(fields))}
 	}
-	updated := &branch{path: edit.Path, values: existing.values, since: slices.Clone(existing.since), contract: existing.contract}
+	updated := &branch{path: edit.Path, values: existing.values, fieldRevisions: slices.Clone(existing.fieldRevisions), contract: existing.contract}
 	for index := range fields {
 		updated.edit(index, edit, revision)
 	}
@@ -271,11 +271,11 @@
 func (b *branch) edit(index int, edit Edit, revision Revision) {
 	if slices.Contains(edit.Unset, fields[index].name) {
 		fields[index].assign(&b.values, &Values{})
-		b.since[index] = 0
+		b.fieldRevisions[index] = 0
 	}
 	if fields[index].isSet(&edit.Values) {
 		fields[index].assign(&b.values, &edit.Values)
-		b.since[index] = revision
+		b.fieldRevisions[index] = revision
 	}
 }
 
--- a/contract/follower.go
+++ b/contract/follower.go
@@ -124,29 +124,29 @@
 	behindSince time.Time
 	// confirmed is the last moment at which the position held was known to be
 	// the end of the stream.
-	confirmed time.Time
+	confirmedAt time.Time
 
 	// reading is set while a read is under way; readIssued is when it began.
-	reading    bool
-	request    uint64
-	readFrom   uint64
-	readIssued time.Time
-	readDue    time.Time
-	failures   int
+	reading      bool
+	request      uint64
+	readOffset   uint64
+	readIssuedAt time.Time
+	nextReadAt   time.Time
+	failedReads  int
 
-	peers     map[machine.ID]heard
-	forgetDue time.Time
+	peers          map[machine.ID]peerReport
+	nextPeerExpiry time.Time
 	// vouched holds, for other zones, the last moment at which a node there
 	// was known to hold vouchedPosition and to know of no newer record;
 	// vouchedAt is when any peer last said so itself.
-	vouched         map[zone.Name]time.Time
-	vouchedAt       time.Time
-	vouchedPosition uint64
-	verdicts        []Verdict
+	zoneAgreedAt   map[zone.Name]time.Time
+	peerAgreedAt   time.Time
+	agreedPosition uint64
+	verdicts       []Verdict
 	// announced is the revision that the last Ready told of.
-	announced Revision
-	wantRead  bool
-	fetch     machine.ID
+	reportedRevision Revision
+	readPending      bool
+	fetchFrom        machine.ID
 }
 
 // NewFollower returns a follower with an empty tree, which wants to read the
@@ -155,7 +155,7 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	return &Follower{config: config, tree: NewTree(), peers: map[machine.ID]heard{}, vouched: map[zone.Name]time.Time{}}, nil
+	return &Follower{config: config, tree: NewTree(), peers: map[machine.ID]peerReport{}, zoneAgreedAt: map[zone.Name]time.Time{}}, nil
 }
 
 // Tree returns the settings tree, which is the same object for the life of
@@ -164,12 +164,12 @@
 
 // Tick tells the time: a due read starts, an overdue one counts as failed.
 func (f *Follower) Tick(now time.Time) {
-	f.forgetPeers(now)
-	if f.reading && !now.Before(f.readIssued.Add(f.config.ReadTimeout)) {
+	f.expirePeers(now)
+	if f.reading && !now.Before(f.readIssuedAt.Add(f.config.ReadTimeout)) {
 		f.reading = false
 		f.retry(now)
 	}
-	if !f.reading && !now.Before(f.readDue) {
+	if !f.reading && !now.Before(f.nextReadAt) {
 		f.startRead(now)
 	}
 }
@@ -177,25 +177,25 @@
 // NextWake returns when Tick is due next.
 func (f *Follower) NextWake() time.Time {
 	if f.reading {
-		return f.readIssued.Add(f.config.ReadTimeout)
+		return f.readIssuedAt.Add(f.config.ReadTimeout)
 	}
-	return f.readDue
+	return f.nextReadAt
 }
 
 func (f *Follower) startRead(now time.Time) {
 	f.reading = true
-	f.wantRead = true
+	f.readPending = true
 	f.request++
-	f.readFrom = f.tree.Position()
-	f.readIssued = now
+	f.readOffset = f.tree.Position()
+	f.readIssuedAt = now
 }
 
 // retry sets the next read after a failure.
 func (f *Follower) retry(now time.Time) {
-	f.failures++
-	spaced := retry.Backoff{Minimum: f.config.RetryInterval, Maximum: f.config.MaximumRetryInterval, Random: f.config.Random}
-	f.readDue = now.Add(spaced.Delay(f.failures))
-	f.fetch = f.newestPeer()
+	f.failedReads++
+	backoff := retry.Backoff{Minimum: f.config.RetryInterval, Maximum: f.config.MaximumRetryInterval, Random: f.config.Random}
+	f.nextReadAt = now.Add(backoff.Delay(f.failedReads))
+	f.fetchFrom = f.newestPeer()
 }
 
 // newestPeer returns the peer that holds the newest settings, if they are
@@ -213,11 +213,11 @@
 
 // Step takes the answer to a read.
 func (f *Follower) Step(now time.Time, done ReadDone) {
-	if !f.reading || done.Request != f.request || done.From != f.readFrom {
+	if !f.reading || done.Request != f.request || done.From != f.readOffset {
 		return // the answer to a read that was given up
 	}
 	f.reading = false
-	f.wantRead = false
+	f.readPending = false
 	if done.Err != nil {
 		f.retry(now)
 		return
@@ -227,9 +227,9 @@
 		// An import may have moved the position while the read was under way.
 		f.verdicts = append(f.verdicts, f.tree.applyBatch(position, done.Changes[skip:])...)
 	}
-	f.learn(now, max(done.End, done.From+uint64(len(done.Changes))))
-	if done.End == f.tree.Position() && f.readIssued.After(f.confirmed) {
-		f.confirmed = f.readIssued
+	f.raiseKnown(now, max(done.End, done.From+uint64(len(done.Changes))))
+	if done.End == f.tree.Position() && f.readIssuedAt.After(f.confirmedAt) {
+		f.confirmedAt = f.readIssuedAt
 	}
 	f.schedule(now, f.tree.Position() > position)
 }
@@ -243,12 +243,12 @@
 		f.retry(now)
 		return
 	}
-	f.failures = 0
+	f.failedReads = 0
 	if behind {
 		f.startRead(now)
 		return
 	}
-	f.readDue = now.Add(f.config.PollInterval - f.jitter(f.config.PollInterval/4))
+	f.nextReadAt = now.Add(f.config.PollInterval - f.jitter(f.config.PollInterval/4))
 }
 
 // jitter returns a random duration up to bound.
@@ -257,7 +257,7 @@
 }
 
 // learn takes in that records up to position end exist.
-func (f *Follower) learn(now time.Time, end uint64) {
+func (f *Follower) raiseKnown(now time.Time, end uint64) {
 	held := f.tree.Position()
 	if end <= f.known || end <= held {
 		f.known = max(f.known, end, held)
@@ -273,8 +273,8 @@
 // than this node holds starts a read at once, unless reads fail: then the
 // backoff stands, so that a store that comes back is not met by a storm.
 func (f *Follower) Heard(now time.Time, revision Revision) {
-	f.learn(now, uint64(revision))
-	if f.known > f.tree.Position() && !f.reading && f.failures == 0 {
+	f.raiseKnown(now, uint64(revision))
+	if f.known > f.tree.Position() && !f.reading && f.failedReads == 0 {
 		f.startRead(now)
 	}
 }
@@ -285,14 +285,14 @@
 	if report.Peer == f.config.Self {
 		return
 	}
-	f.forgetPeers(now)
-	peer := heard{report: report, at: now}
+	f.expirePeers(now)
+	peer := peerReport{report: report, receivedAt: now}
 	f.peers[report.Peer] = peer
 	f.Heard(now, Revision(max(report.Known, report.Position)))
-	f.vouch(now, report)
-	confirmed := f.peerConfirmed(peer)
-	if report.Position == f.tree.Position() && report.Known <= report.Position && confirmed.After(f.confirmed) {
-		f.confirmed = confirmed
+	f.recordAgreement(now, report)
+	confirmedAt := f.peerConfirmedAt(peer)
+	if report.Position == f.tree.Position() && report.Known <= report.Position && confirmedAt.After(f.confirmedAt) {
+		f.confirmedAt = confirmedAt
 	}
 }
 
@@ -302,26 +302,26 @@
 	report := Report{
 		Peer: f.config.Self, Zone: f.config.Zone,
 		Position: uint64(current.position), Known: f.known,
-		Age: unconfirmedAge, Digest: current.digest.Short(),
+		Age: neverConfirmedAge, Digest: current.digest.Short(),
 	}
-	if !f.confirmed.IsZero() && f.known <= report.Position {
-		report.Age = now.Sub(f.confirmed)
+	if !f.confirmedAt.IsZero() && f.known <= report.Position {
+		report.Age = now.Sub(f.confirmedAt)
 	}
-	report.Zones = f.vouchedZones(now)
+	report.Zones = f.zoneAgreementAges(now)
 	return report
 }
 
 // Ready returns what to do, and forgets it.
 func (f *Follower) Ready() FollowerReady {
-	ready := FollowerReady{Verdicts: f.verdicts, Fetch: f.fetch}
+	ready := FollowerReady{Verdicts: f.verdicts, Fetch: f.fetchFrom}
 	f.verdicts = nil
-	f.fetch = ""
-	if f.wantRead {
-		f.wantRead = false
-		ready.Read = &FollowerRead{Request: f.request, From: f.readFrom, Maximum: f.config.ReadMaximum}
+	f.fetchFrom = ""
+	if f.readPending {
+		f.readPending = false
+		ready.Read = &FollowerRead{Request: f.request, From: f.readOffset, Maximum: f.config.ReadMaximum}
 	}
-	if revision := f.tree.Revision(); revision != f.announced {
-		f.announced = revision
+	if revision := f.tree.Revision(); revision != f.reportedRevision {
+		f.reportedRevision = revision
 		ready.Changed = true
 	}
 	return ready
@@ -336,6 +336,6 @@
 	if err := f.tree.Import(data); err != nil {
 		return err
 	}
-	f.learn(now, f.tree.Position())
+	f.raiseKnown(now, f.tree.Position())
 	return nil
 }
--- a/contract/follower_test.go
+++ b/contract/follower_test.go
@@ -31,8 +31,8 @@
 // answer performs a read.
 func (l *settingsLog) answer(read *contract.FollowerRead) contract.ReadDone {
 	end := uint64(len(l.records))
-	until := min(end, read.From+uint64(read.Maximum))
-	return contract.ReadDone{Request: read.Request, From: read.From, Changes: l.records[read.From:until], End: end}
+	to := min(end, read.From+uint64(read.Maximum))
+	return contract.ReadDone{Request: read.Request, From: read.From, Changes: l.records[read.From:to], End: end}
 }
 
 // reader drives one follower.
--- a/contract/freshness.go
+++ b/contract/freshness.go
@@ -69,42 +69,42 @@
 }
 
 // unconfirmedAge marks a report of a node that never saw the stream's end.
-const unconfirmedAge = time.Duration(-1)
+const neverConfirmedAge = time.Duration(-1)
 
 // heard is the last report of one peer and when it arrived.
-type heard struct {
-	report Report
-	at     time.Time
+type peerReport struct {
+	report     Report
+	receivedAt time.Time
 }
 
 // peerConfirmed returns when the peer's settings were last known to be the
 // newest, by this node's clock.
-func (f *Follower) peerConfirmed(peer heard) time.Time {
+func (f *Follower) peerConfirmedAt(peer peerReport) time.Time {
 	if peer.report.Age < 0 {
 		return time.Time{}
 	}
-	return peer.at.Add(-f.config.MessageDelay - peer.report.Age)
+	return peer.receivedAt.Add(-f.config.MessageDelay - peer.report.Age)
 }
 
 // Freshness says how sure this node is of its settings.
 func (f *Follower) Freshness(now time.Time) Freshness {
 	result := Freshness{
-		Position: f.tree.Position(), Known: f.known, Revision: f.tree.Revision(), Confirmed: f.confirmed,
+		Position: f.tree.Position(), Known: f.known, Revision: f.tree.Revision(), Confirmed: f.confirmedAt,
 	}
-	lapsed := f.confirmed.Add(f.config.FreshnessBound)
+	freshUntil := f.confirmedAt.Add(f.config.FreshnessBound)
 	switch {
 	case f.known > result.Position:
 		result.State = FreshnessBehind
 		result.Since = f.behindSince
 		result.Reason = fmt.Sprintf("%d records of the settings stream are known and not read", f.known-result.Position)
-	case !f.confirmed.IsZero() && now.Before(lapsed):
+	case !f.confirmedAt.IsZero() && now.Before(freshUntil):
 		result.State = FreshnessFresh
-		result.Since = f.confirmed
+		result.Since = f.confirmedAt
 		result.MayPlace = true
 		result.Reason = "the end of the settings stream was seen within the bound"
 	default:
-		result.Since = lapsed
-		result.State, result.Reason = f.outage(now)
+		result.Since = freshUntil
+		result.State, result.Reason = f.classifyOutage(now)
 		result.MayPlace = result.State == FreshnessOutage
 	}
 	return result
@@ -117,15 +117,15 @@
 // the stream's end within the bound, its report would have confirmed the
 // settings here too. A node that holds older settings, such as one that just
 // started, vouches for nothing.
-func (f *Follower) outage(now time.Time) (FreshnessState, string) {
-	if f.confirmed.IsZero() {
+func (f *Follower) classifyOutage(now time.Time) (FreshnessState, string) {
+	if f.confirmedAt.IsZero() {
 		return FreshnessUnconfirmed, "the end of the settings stream was never seen"
 	}
-	if now.Sub(f.vouchedAt) >= f.config.FreshnessBound {
+	if now.Sub(f.peerAgreedAt) >= f.config.FreshnessBound {
 		return FreshnessUnconfirmed, "the store is out of reach and no peer with the same settings was heard within the bound"
 	}
 	for _, name := range f.config.Zones {
-		if name != f.config.Zone && now.Sub(f.vouched[name]) >= f.config.FreshnessBound {
+		if name != f.config.Zone && now.Sub(f.zoneAgreedAt[name]) >= f.config.FreshnessBound {
 			return FreshnessUnconfirmed, fmt.Sprintf("the store is out of reach and no node of zone %s with the same settings was heard of within the bound", name)
 		}
 	}
@@ -135,38 +135,38 @@
 // vouch notes what a report says about the zones: its sender's own, and those
 // that the sender heard of. Ages add up along the way, so that a word never
 // looks younger than it is.
-func (f *Follower) vouch(now time.Time, report Report) {
-	if held := f.tree.Position(); f.vouchedPosition != held {
-		f.vouchedPosition = held
-		f.vouchedAt = time.Time{}
-		clear(f.vouched)
+func (f *Follower) recordAgreement(now time.Time, report Report) {
+	if held := f.tree.Position(); f.agreedPosition != held {
+		f.agreedPosition = held
+		f.peerAgreedAt = time.Time{}
+		clear(f.zoneAgreedAt)
 	}
-	if report.Position != f.vouchedPosition || report.Known > report.Position {
+	if report.Position != f.agreedPosition || report.Known > report.Position {
 		return
 	}
 	sent := now.Add(-f.config.MessageDelay)
-	f.vouchedAt = now
-	f.vouchFor(report.Zone, sent)
+	f.peerAgreedAt = now
+	f.recordZoneAgreement(report.Zone, sent)
 	for name, age := range report.Zones {
 		if age >= 0 {
-			f.vouchFor(name, sent.Add(-age))
+			f.recordZoneAgreement(name, sent.Add(-age))
 		}
 	}
 }
 
-func (f *Follower) vouchFor(name zone.Name, at time.Time) {
-	if slices.Contains(f.config.Zones, name) && at.After(f.vouched[name]) {
-		f.vouched[name] = at
+func (f *Follower) recordZoneAgreement(name zone.Name, at time.Time) {
+	if slices.Contains(f.config.Zones, name) && at.After(f.zoneAgreedAt[name]) {
+		f.zoneAgreedAt[name] = at
 	}
 }
 
 // vouchedZones returns the ages for a report; nil while they are of no use.
-func (f *Follower) vouchedZones(now time.Time) map[zone.Name]time.Duration {
-	if now.Before(f.confirmed.Add(f.config.FreshnessBound/2)) || f.vouchedPosition != f.tree.Position() {
+func (f *Follower) zoneAgreementAges(now time.Time) map[zone.Name]time.Duration {
+	if now.Before(f.confirmedAt.Add(f.config.FreshnessBound/2)) || f.agreedPosition != f.tree.Position() {
 		return nil
 	}
 	ages := map[zone.Name]time.Duration{}
-	for name, at := range f.vouched {
+	for name, at := range f.zoneAgreedAt {
 		if age := now.Sub(at); age < f.config.FreshnessBound {
 			ages[name] = age
 		}
@@ -179,13 +179,13 @@
 const peerRetention = 5 * time.Minute
 
 // forgetPeers drops old reports, once within each bound.
-func (f *Follower) forgetPeers(now time.Time) {
-	if now.Before(f.forgetDue) {
+func (f *Follower) expirePeers(now time.Time) {
+	if now.Before(f.nextPeerExpiry) {
 		return
 	}
-	f.forgetDue = now.Add(f.config.FreshnessBound)
+	f.nextPeerExpiry = now.Add(f.config.FreshnessBound)
 	for id, peer := range f.peers {
-		if now.Sub(peer.at) >= peerRetention {
+		if now.Sub(peer.receivedAt) >= peerRetention {
 			delete(f.peers, id)
 		}
 	}
--- a/contract/history.go
+++ b/contract/history.go
@@ -90,25 +90,25 @@
 	current := t.published.Load()
 	// A published state is never cloned: readers are many. Rolling back works
 	// on a copy of the working state, and stops at the published position.
-	t.writing.Lock()
+	t.writeMutex.Lock()
 	working := t.working.clone()
-	t.writing.Unlock()
-	before, err := working.at(from, current.position)
+	t.writeMutex.Unlock()
+	before, err := working.asOf(from, current.position)
 	if err != nil {
 		return nil, err
 	}
-	after, err := working.at(to, current.position)
+	after, err := working.asOf(to, current.position)
 	if err != nil {
 		return nil, err
 	}
 	if before.branch(path) == nil && after.branch(path) == nil {
-		return nil, current.unknown(path)
+		return nil, current.unknownBranch(path)
 	}
 	return difference(before, after, path)
 }
 
 // at returns the state as of a revision.
-func (s *state) at(revision, newest Revision) (*state, error) {
+func (s *state) asOf(revision, newest Revision) (*state, error) {
 	if revision < s.horizon || revision > newest {
 		return nil, &RevisionError{Revision: revision, Oldest: s.horizon, Newest: newest}
 	}
@@ -117,7 +117,7 @@
 		if entry.position <= revision {
 			return false
 		}
-		for _, replaced := range entry.before {
+		for _, replaced := range entry.replacedBranches {
 			past.restore(replaced)
 		}
 		return true
@@ -137,11 +137,11 @@
 
 // difference compares a branch's contract in two states.
 func difference(before, after *state, path Path) ([]Difference, error) {
-	old, err := explainIfKnown(before, path)
+	old, err := explainIfExists(before, path)
 	if err != nil {
 		return nil, err
 	}
-	changed, err := explainIfKnown(after, path)
+	changed, err := explainIfExists(after, path)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	return differences, nil
 }
 
-func explainIfKnown(s *state, path Path) ([]Explanation, error) {
+func explainIfExists(s *state, path Path) ([]Explanation, error) {
 	if s.branch(path) == nil {
 		return nil, nil
 	}
@@ -172,9 +172,9 @@
 // next, or everything that is wrong with it. At most limit branches are
 // listed; total counts them all. Limit zero means no limit.
 func (t *Tree) Preview(change Change, limit int) (effects []Effect, total int, findings []Finding) {
-	t.writing.Lock()
+	t.writeMutex.Lock()
 	before := t.working.clone()
-	t.writing.Unlock()
+	t.writeMutex.Unlock()
 	after := before.clone()
 	if verdict := after.fold(after.position+1, change); !verdict.Accepted {
 		return nil, 0, verdict.Findings
--- a/contract/path.go
+++ b/contract/path.go
@@ -62,7 +62,7 @@
 }
 
 // lineage returns the path and its ancestors, the root last.
-func (p Path) lineage() []Path {
+func (p Path) selfAndAncestors() []Path {
 	paths := []Path{p}
 	for p != Root {
 		p = p.Parent()
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -28,7 +28,7 @@
 			Node:     peer.report.Peer,
 			Revision: Revision(peer.report.Position),
 			Behind:   peer.report.Position < f.known,
-			HeardAgo: now.Sub(peer.at),
+			HeardAgo: now.Sub(peer.receivedAt),
 		})
 	}
 	slices.SortFunc(peers, func(a, b PeerSettings) int { return cmp.Compare(a.Node, b.Node) })
--- a/contract/resolve.go
+++ b/contract/resolve.go
@@ -27,12 +27,12 @@
 	current := t.published.Load()
 	found := current.branch(path)
 	if found == nil {
-		return Contract{}, current.unknown(path)
+		return Contract{}, current.unknownBranch(path)
 	}
 	return *found.contract, nil
 }
 
-func (s *state) unknown(path Path) error {
+func (s *state) unknownBranch(path Path) error {
 	deepest := path
 	for deepest != Root && s.branch(deepest) == nil {
 		deepest = deepest.Parent()
--- a/contract/snapshot.go
+++ b/contract/snapshot.go
@@ -89,13 +89,13 @@
 		body.Branches = append(body.Branches, exportBranch(entry))
 		return true
 	})
-	s.touched.Ascend(func(entry touch) bool {
+	s.lastEdits.Ascend(func(entry lastEdit) bool {
 		body.Touched = append(body.Touched, snapshotTouch{Path: entry.path, Revision: entry.revision, ChangeID: entry.changeID, Actor: entry.actor})
 		return true
 	})
 	s.log.Ascend(func(entry logEntry) bool {
 		record := snapshotRecord{Position: entry.position, Change: entry.change, Verdict: entry.verdict, Duplicate: entry.duplicate}
-		for _, replaced := range entry.before {
+		for _, replaced := range entry.replacedBranches {
 			record.Before = append(record.Before, exportBranch(replaced))
 		}
 		body.Log = append(body.Log, record)
@@ -108,11 +108,11 @@
 	if entry.branch == nil {
 		return snapshotBranch{Path: entry.path, Absent: true}
 	}
-	since := make([]uint64, len(entry.branch.since))
-	for index, revision := range entry.branch.since {
-		since[index] = uint64(revision)
+	fieldRevisions := make([]uint64, len(entry.branch.fieldRevisions))
+	for index, revision := range entry.branch.fieldRevisions {
+		fieldRevisions[index] = uint64(revision)
 	}
-	exported := snapshotBranch{Path: entry.path, Values: entry.branch.values, Since: since}
+	exported := snapshotBranch{Path: entry.path, Values: entry.branch.values, Since: fieldRevisions}
 	if entry.branch.contract != nil {
 		exported.Contract = entry.branch.contract.Revision
 	}
@@ -123,13 +123,13 @@
 // snapshot is checked whole first: on an error nothing changes. The error is
 // an *OlderSnapshotError when there is nothing to gain.
 func (t *Tree) Import(data []byte) error {
-	body, err := openSnapshot(data)
+	body, err := decodeSnapshot(data)
 	if err != nil {
 		return fmt.Errorf("settings snapshot: %w", err)
 	}
-	t.writing.Lock()
-	defer t.writing.Unlock()
-	imported, err := body.state(t.working.window)
+	t.writeMutex.Lock()
+	defer t.writeMutex.Unlock()
+	imported, err := body.state(t.working.windowRecords)
 	if err != nil {
 		return fmt.Errorf("settings snapshot: %w", err)
 	}
@@ -146,7 +146,7 @@
 }
 
 // openSnapshot checks the envelope.
-func openSnapshot(data []byte) (*snapshotBody, error) {
+func decodeSnapshot(data []byte) (*snapshotBody, error) {
 	var envelope snapshot
 	if err := decodeStrictly(data, &envelope); err != nil {
 		return nil, err
@@ -172,8 +172,8 @@
 }
 
 // state rebuilds the fold and checks that it is one that a fold can reach.
-func (b *snapshotBody) state(window Revision) (*state, error) {
-	built := newState(window)
+func (b *snapshotBody) state(windowRecords Revision) (*state, error) {
+	built := newState(windowRecords)
 	built.position, built.revision, built.horizon = b.Position, b.Revision, b.Horizon
 	if count, err := hex.Decode(built.digest[:], []byte(b.Digest)); err != nil || count != len(built.digest) {
 		return nil, errors.New("digest: want 64 hexadecimal digits")
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, entry := range b.Touched {
-		built.touched.ReplaceOrInsert(touch{path: entry.Path, revision: entry.Revision, changeID: entry.ChangeID, actor: entry.Actor})
+		built.lastEdits.ReplaceOrInsert(lastEdit{path: entry.Path, revision: entry.Revision, changeID: entry.ChangeID, actor: entry.Actor})
 	}
 	for _, placement := range b.Placements {
 		if _, err := zone.ParsePlacement(string(placement)); err != nil {
@@ -222,17 +222,17 @@
 	if len(entry.Since) != len(fields) {
 		return nil, fmt.Errorf("branch %q: want %d revisions of values", entry.Path, len(fields))
 	}
-	imported := &branch{path: entry.Path, values: entry.Values, since: make([]Revision, len(fields))}
+	imported := &branch{path: entry.Path, values: entry.Values, fieldRevisions: make([]Revision, len(fields))}
 	for index, revision := range entry.Since {
-		imported.since[index] = Revision(revision)
+		imported.fieldRevisions[index] = Revision(revision)
 	}
 	return imported, nil
 }
 
 // importLog fills the window.
 func (b *snapshotBody) importLog(built *state) error {
-	if Revision(len(b.Log)) > built.window {
-		return fmt.Errorf("log: %d records: want at most %d", len(b.Log), built.window)
+	if Revision(len(b.Log)) > built.windowRecords {
+		return fmt.Errorf("log: %d records: want at most %d", len(b.Log), built.windowRecords)
 	}
 	for _, record := range b.Log {
 		if record.Position <= b.Horizon || record.Position > b.Position {
@@ -244,7 +244,7 @@
 			if err != nil {
 				return err
 			}
-			entry.before = append(entry.before, restored)
+			entry.replacedBranches = append(entry.replacedBranches, restored)
 		}
 		built.log.ReplaceOrInsert(entry)
 		if !entry.duplicate {
--- a/contract/state.go
+++ b/contract/state.go
@@ -23,7 +23,7 @@
 	path   Path
 	values Values
 	// since holds, for each field that is set, the revision that set it.
-	since []Revision
+	fieldRevisions []Revision
 	// contract is the branch's values with everything inherited.
 	contract *Contract
 }
@@ -36,7 +36,7 @@
 }
 
 // touch says which accepted change edited a path last. It outlives the branch.
-type touch struct {
+type lastEdit struct {
 	path     Path
 	revision Revision
 	changeID string
@@ -64,7 +64,7 @@
 	verdict  Verdict
 	// before holds the branches that the change replaced, in the order of
 	// their first edit and without their contracts; a nil branch did not exist.
-	before []branchEntry
+	replacedBranches []branchEntry
 	// duplicate marks a record whose change stood in an earlier record too.
 	duplicate bool
 }
@@ -79,7 +79,7 @@
 // costs a few words and a change costs the few nodes that it touches.
 type state struct {
 	// window is how many records are remembered.
-	window Revision
+	windowRecords Revision
 	// position is the number of records folded; revision the last accepted.
 	position Revision
 	revision Revision
@@ -87,23 +87,23 @@
 	horizon    Revision
 	digest     digest
 	branches   *btree.BTreeG[branchEntry]
-	touched    *btree.BTreeG[touch]
+	lastEdits  *btree.BTreeG[lastEdit]
 	tokens     *btree.BTreeG[tokenEntry]
 	log        *btree.BTreeG[logEntry]
 	changes    *btree.BTreeG[changeKey]
 	placements []zone.Placement
 }
 
-func newState(window Revision) *state {
+func newState(windowRecords Revision) *state {
 	created := &state{
-		window:   window,
-		branches: btree.NewG(treeDegree, func(a, b branchEntry) bool { return a.path < b.path }),
-		touched:  btree.NewG(treeDegree, func(a, b touch) bool { return a.path < b.path }),
-		tokens:   btree.NewG(treeDegree, lessToken),
-		log:      btree.NewG(treeDegree, func(a, b logEntry) bool { return a.position < b.position }),
-		changes:  btree.NewG(treeDegree, func(a, b changeKey) bool { return a.id < b.id }),
+		windowRecords: windowRecords,
+		branches:      btree.NewG(treeDegree, func(a, b branchEntry) bool { return a.path < b.path }),
+		lastEdits:     btree.NewG(treeDegree, func(a, b lastEdit) bool { return a.path < b.path }),
+		tokens:        btree.NewG(treeDegree, lessToken),
+		log:           btree.NewG(treeDegree, func(a, b logEntry) bool { return a.position < b.position }),
+		changes:       btree.NewG(treeDegree, func(a, b changeKey) bool { return a.id < b.id }),
 	}
-	root := &branch{path: Root, since: make([]Revision, len(fields))}
+	root := &branch{path: Root, fieldRevisions: make([]Revision, len(fields))}
 	root.contract = created.resolve(root)
 	created.putBranch(root)
 	return created
@@ -124,7 +124,7 @@
 func (s *state) clone() *state {
 	copied := *s
 	copied.branches = s.branches.Clone()
-	copied.touched = s.touched.Clone()
+	copied.lastEdits = s.lastEdits.Clone()
 	copied.tokens = s.tokens.Clone()
 	copied.log = s.log.Clone()
 	copied.changes = s.changes.Clone()
@@ -142,7 +142,7 @@
 
 // below returns the bounds of the paths that lie strictly below path. The
 // second bound works because "0" follows "/" in ASCII.
-func below(path Path) (from, to Path) {
+func descendantRange(path Path) (from, to Path) {
 	return path + "/", path + "0"
 }
 
@@ -159,12 +159,12 @@
 	if found := s.branch(prefix); found != nil {
 		visit(found)
 	}
-	from, to := below(prefix)
+	from, to := descendantRange(prefix)
 	s.branches.AscendRange(branchEntry{path: from}, branchEntry{path: to}, visitEntry)
 }
 
 // holder returns the branch that lists a token. No two branches list the same.
-func (s *state) holder(kind tokenKind, hash string) (path Path, found bool) {
+func (s *state) tokenBranch(kind tokenKind, hash string) (path Path, found bool) {
 	s.tokens.AscendGreaterOrEqual(tokenEntry{kind: kind, hash: hash}, func(entry tokenEntry) bool {
 		if entry.kind == kind && entry.hash == hash {
 			path, found = entry.path, true
--- a/contract/tree.go
+++ b/contract/tree.go
@@ -16,17 +16,17 @@
 // same changes at the same revisions hold the same state and gave the same
 // verdicts.
 type Tree struct {
-	writing   sync.Mutex
-	working   *state
-	published atomic.Pointer[state]
+	writeMutex sync.Mutex
+	working    *state
+	published  atomic.Pointer[state]
 }
 
 // NewTree returns the empty tree: a root that has the default values, permits
 // no zone and knows no token.
 func NewTree() *Tree { return newTree(Window) }
 
-func newTree(window Revision) *Tree {
-	tree := &Tree{working: newState(window)}
+func newTree(windowRecords Revision) *Tree {
+	tree := &Tree{working: newState(windowRecords)}
 	tree.publish()
 	return tree
 }
@@ -42,8 +42,8 @@
 // nothing and returns the verdict it got then; so does a change whose ID was
 // seen before, whose own offset then counts as read.
 func (t *Tree) Apply(revision Revision, change Change) Verdict {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+	t.writeMutex.Lock()
+	defer t.writeMutex.Unlock()
 	verdict := t.working.fold(revision, change)
 	t.publish()
 	return verdict
@@ -52,8 +52,8 @@
 // ApplyBytes is Apply for a change as it stands on the stream. Bytes that are
 // no change get a refusal that says why; they never stop the fold.
 func (t *Tree) ApplyBytes(revision Revision, data []byte) Verdict {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+	t.writeMutex.Lock()
+	defer t.writeMutex.Unlock()
 	verdict := t.working.foldBytes(revision, data)
 	t.publish()
 	return verdict
@@ -62,8 +62,8 @@
 // applyBatch folds consecutive records, the first at offset from, and
 // publishes once.
 func (t *Tree) applyBatch(from uint64, records [][]byte) []Verdict {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+	t.writeMutex.Lock()
+	defer t.writeMutex.Unlock()
 	verdicts := make([]Verdict, len(records))
 	for index, data := range records {
 		verdicts[index] = t.working.foldBytes(Revision(from)+Revision(index)+1, data)
@@ -75,9 +75,9 @@
 // Check returns everything that is wrong with the change if it were folded
 // next, conflicts included. No findings means that it would be accepted.
 func (t *Tree) Check(change Change) []Finding {
-	t.writing.Lock()
+	t.writeMutex.Lock()
 	trial := t.working.clone()
-	t.writing.Unlock()
+	t.writeMutex.Unlock()
 	verdict := trial.fold(trial.position+1, change)
 	return verdict.Findings
 }
@@ -97,12 +97,12 @@
 
 // Caller returns the branch that lists the token among its callers.
 func (t *Tree) Caller(tokenHash string) (Path, bool) {
-	return t.published.Load().holder(tokenCaller, tokenHash)
+	return t.published.Load().tokenBranch(tokenCaller, tokenHash)
 }
 
 // Operator returns the branch that lists the token among its operators.
 func (t *Tree) Operator(tokenHash string) (Path, bool) {
-	return t.published.Load().holder(tokenOperator, tokenHash)
+	return t.published.Load().tokenBranch(tokenOperator, tokenHash)
 }
 
 // Verdict returns what became of a change, while it is among the last Window
--- a/contract/tree_test.go
+++ b/contract/tree_test.go
@@ -22,7 +22,7 @@
 
 // newTenant returns a tree at revision 3: a root with three zones, a tenant
 // with two of them, and a desk below the tenant.
-func newTenant() *contract.Tree {
+func newTenantTree() *contract.Tree {
 	tree := contract.NewTree()
 	Expect(tree.Apply(1, set("root", 0, "", contract.Values{Zones: []zone.Name{"a", "b", "c"}, Models: []string{"m"}})).Accepted).To(BeTrue())
 	Expect(tree.Apply(2, set("tenant", 1, "tenant", zones("a", "b"))).Accepted).To(BeTrue())
@@ -52,7 +52,7 @@
 var _ = Describe("Tree", func() {
 	var tree *contract.Tree
 
-	BeforeEach(func() { tree = newTenant() })
+	BeforeEach(func() { tree = newTenantTree() })
 
 	It("binds every descendant when a place rule is narrowed, and never widens a branch's own rule", func() {
 		Expect(tree.Apply(4, set("narrow", 3, "", zones("b", "c"))).Findings).To(BeEmpty())
@@ -208,14 +208,14 @@
 		Expect(late.Accepted).To(BeFalse())
 		Expect(late.Findings).To(ContainElement(HaveField("Place", "based")))
 		Expect(tree.Apply(21, set("fresh", 3, "branch", contract.Values{})).Accepted).To(BeTrue(), "nothing was accepted after revision 3")
-		records, changes, touched := tree.Held()
+		records, changes, touched := tree.RetainedCounts()
 		Expect([]int{records, changes, touched}).To(Equal([]int{4, 4, 2}))
 	})
 })
 
 var _ = DescribeTable("a change is refused, with the place of each finding,",
 	func(edits []contract.Edit, places ...string) {
-		tree := newTenant()
+		tree := newTenantTree()
 		findings := tree.Check(contract.Change{ID: "change", Based: 3, Edits: edits})
 		found := make([]string, len(findings))
 		for index, finding := range findings {
@@ -244,7 +244,7 @@
 )
 
 var _ = It("accepts the removal of a branch whose branches below are removed first", func() {
-	tree := newTenant()
+	tree := newTenantTree()
 	Expect(tree.Check(contract.Change{ID: "all", Based: 3, Edits: []contract.Edit{
 		{Path: "tenant/desk", Remove: true}, {Path: "tenant", Remove: true},
 	}})).To(BeEmpty())
