--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -27,11 +27,11 @@
 	return a.request != 0 && !now.Before(a.deadline)
 }
 
-func (a *appender) nextWake(now time.Time, waiting bool) time.Time {
+func (a *appender) nextWake(now time.Time, hasQueued bool) time.Time {
 	if a.request != 0 {
 		return a.deadline
 	}
-	if waiting && a.retryAt.After(now) {
+	if hasQueued && a.retryAt.After(now) {
 		return a.retryAt
 	}
 	return time.Time{}
@@ -42,7 +42,7 @@
 func (j *Journal) canAppend() bool {
 	return (j.phase == phaseOpen || j.phase == phaseClaiming) &&
 		j.appender.request == 0 && !j.reader.busy() &&
-		(len(j.queue) > 0 || len(j.parts) > 0) && !j.now.Before(j.appender.retryAt)
+		(len(j.queue) > 0 || len(j.snapshotParts) > 0) && !j.now.Before(j.appender.retryAt)
 }
 
 // startAppend sends the oldest unconfirmed entries in one request.
@@ -50,7 +50,7 @@
 	if !j.canAppend() {
 		return
 	}
-	if len(j.parts) > 0 && (len(j.queue) == 0 || !j.appender.failing) {
+	if len(j.snapshotParts) > 0 && (len(j.queue) == 0 || !j.appender.failing) {
 		j.enqueuePart()
 	}
 	entries := j.nextBatch()
@@ -66,12 +66,12 @@
 	count := min(len(j.queue), j.config.MaximumBatchRecords)
 	entries := make([]Entry, 0, count)
 	bytes := 0
-	for _, waiting := range j.queue[:count] {
-		bytes += waiting.entry.Size()
+	for _, queued := range j.queue[:count] {
+		bytes += queued.entry.Size()
 		if len(entries) > 0 && bytes > j.config.MaximumBatchBytes {
 			break
 		}
-		entries = append(entries, waiting.entry)
+		entries = append(entries, queued.entry)
 	}
 	return entries
 }
@@ -80,7 +80,7 @@
 func (j *Journal) Appended(now time.Time, answer Appended) {
 	j.now = now
 	if answer.Request != j.appender.request || j.appender.request == 0 {
-		j.lateAnswer(answer)
+		j.handleLateAnswer(answer)
 		return
 	}
 	if answer.Err != nil {
@@ -92,13 +92,13 @@
 	j.appender.entries = nil
 	j.appender.backoff.Reset()
 	j.appender.retryAt = time.Time{}
-	j.placed(answer.FirstOffset, entries)
+	j.applyAppended(answer.FirstOffset, entries)
 }
 
 // placed learns that entries of this writer stand at the offset. Directly
 // after the last folded entry nothing can precede them; otherwise the gap is
 // read first, and the entries with it.
-func (j *Journal) placed(offset uint64, entries []Entry) {
+func (j *Journal) applyAppended(offset uint64, entries []Entry) {
 	if offset != j.fold.Next {
 		j.readUpTo(offset + uint64(len(entries)))
 		return
@@ -106,12 +106,12 @@
 	for _, entry := range entries {
 		j.foldEntry(entry)
 	}
-	j.answered()
+	j.recordLogAnswer()
 }
 
 // answered notes that the log works: what is still unconfirmed waits from now
 // on.
-func (j *Journal) answered() {
+func (j *Journal) recordLogAnswer() {
 	j.appender.failing = false
 	j.appender.unansweredSince = time.Time{}
 	if len(j.queue) > 0 {
@@ -121,7 +121,7 @@
 
 // lateAnswer takes the answer to an append that was given up and repeated. It
 // proves that the entries stand somewhere, so reading finds them.
-func (j *Journal) lateAnswer(answer Appended) {
+func (j *Journal) handleLateAnswer(answer Appended) {
 	writing := j.phase == phaseOpen || j.phase == phaseClaiming
 	if answer.Err == nil && writing && answer.FirstOffset >= j.fold.Next {
 		j.readUpTo(answer.FirstOffset + 1)
@@ -155,8 +155,8 @@
 	first := j.unconfirmedIndex(after)
 	var entries []Entry
 	bytes := 0
-	for _, waiting := range j.queue[min(first, len(j.queue)):] {
-		entry := waiting.entry
+	for _, queued := range j.queue[min(first, len(j.queue)):] {
+		entry := queued.entry
 		if entry.Kind == KindSnapshot {
 			entry.Payload = nil
 		}
@@ -199,29 +199,29 @@
 // superseded.
 func (j *Journal) Rest() Rest {
 	if j.phase == phaseSuperseded {
-		return j.rest
+		return j.unlogged
 	}
-	rest := Rest{Epoch: j.epoch, Logged: j.LastSequence()}
+	unlogged := Rest{Epoch: j.epoch, Logged: j.LastSequence()}
 	if len(j.queue) > 0 {
-		rest.Logged = j.queue[0].entry.Sequence - 1
-		rest.Entries = j.Unconfirmed(rest.Logged, math.MaxInt)
+		unlogged.Logged = j.queue[0].entry.Sequence - 1
+		unlogged.Entries = j.Unconfirmed(unlogged.Logged, math.MaxInt)
 	}
-	return rest
+	return unlogged
 }
 
 // MarkMirrored confirms every proposal up to the sequence, which a quorum of
 // the mirrors holds. They are confirmed again once the log has them.
 func (j *Journal) MarkMirrored(sequence uint64) {
-	first := min(j.unconfirmedIndex(j.mirrored), len(j.queue))
-	for _, waiting := range j.queue[first:] {
-		if waiting.entry.Sequence > sequence {
+	first := min(j.unconfirmedIndex(j.mirroredSequence), len(j.queue))
+	for _, queued := range j.queue[first:] {
+		if queued.entry.Sequence > sequence {
 			break
 		}
-		if waiting.token != 0 {
-			j.ready.Confirmed = append(j.ready.Confirmed, Confirmed{Token: waiting.token, Offset: NoOffset})
+		if queued.token != 0 {
+			j.ready.Confirmed = append(j.ready.Confirmed, Confirmed{Token: queued.token, Offset: NoOffset})
 		}
 	}
-	j.mirrored = max(j.mirrored, sequence)
+	j.mirroredSequence = max(j.mirroredSequence, sequence)
 }
 
 // foldEntry folds the next entry of the stream and reports what it means.
@@ -236,7 +236,7 @@
 		return
 	}
 	if j.epoch != 0 && j.fold.Epoch >= j.epoch {
-		j.superseded()
+		j.supersede()
 		return
 	}
 	j.recover(offset, entry)
@@ -245,7 +245,7 @@
 // confirm takes the head of the queue out: the log has it.
 func (j *Journal) confirm(offset uint64, entry Entry) {
 	head := j.queue[0]
-	j.queue[0] = pending{}
+	j.queue[0] = queuedEntry{}
 	j.queue = j.queue[1:]
 	if head.token != 0 {
 		j.queueBytes -= head.entry.Size()
@@ -268,14 +268,14 @@
 	recovered := Recovered{Offset: offset, Snapshot: entry.Kind == KindSnapshot, Payload: entry.Payload}
 	switch {
 	case entry.Kind == KindRecord && j.replaying:
-		j.replayLater = append(j.replayLater, recovered)
+		j.deferredRecords = append(j.deferredRecords, recovered)
 	case entry.Kind == KindRecord:
 		j.ready.Recovered = append(j.ready.Recovered, recovered)
 	case entry.Kind == KindSnapshot && j.replaying:
 		j.ready.Recovered = append(j.ready.Recovered, recovered)
 		if entry.Part.Index == entry.Part.Count-1 {
-			j.ready.Recovered = append(j.ready.Recovered, j.replayLater...)
-			j.replayLater = nil
+			j.ready.Recovered = append(j.ready.Recovered, j.deferredRecords...)
+			j.deferredRecords = nil
 			j.replaying = false
 		}
 	}
@@ -283,11 +283,11 @@
 
 // superseded ends the epoch of this writer: another claim holds. What was
 // found until then stands.
-func (j *Journal) superseded() {
-	found := j.TakeFound()
-	rest := j.Rest()
+func (j *Journal) supersede() {
+	results := j.TakeFound()
+	unlogged := j.Rest()
 	j.Reset()
-	j.rest = rest
-	j.ready = found
+	j.unlogged = unlogged
+	j.ready = results
 	j.phase = phaseSuperseded
 }
--- a/recordlog/benchmark_test.go
+++ b/recordlog/benchmark_test.go
@@ -39,17 +39,17 @@
 	random  *rand.Rand
 	// lost is the share of appends whose answer is lost after they took
 	// effect; readBack confirms appends by reading instead of by offset.
-	lost     float64
-	readBack bool
-	copies   map[uint64]Entry
+	lostShare float64
+	readBack  bool
+	copies    map[uint64]Entry
 }
 
-const benchmarkTrip = 5 * time.Millisecond
+const benchmarkRoundTrip = 5 * time.Millisecond
 
 // turn performs one round of requests, one trip later.
-func (l *benchmarkLog) turn(writer *Journal) []Confirmed {
+func (l *benchmarkLog) roundTrip(writer *Journal) []Confirmed {
 	ready := writer.Ready()
-	l.now = l.now.Add(benchmarkTrip)
+	l.now = l.now.Add(benchmarkRoundTrip)
 	for _, request := range ready.Appends {
 		l.append(writer, request)
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	l.end += uint64(len(request.Entries))
-	if l.lost > 0 && l.random.Float64() < l.lost {
+	if l.lostShare > 0 && l.random.Float64() < l.lostShare {
 		answer = Appended{Request: request.Request, Err: errors.New("answer lost")}
 	}
 	if l.readBack && answer.Err == nil {
@@ -98,7 +98,7 @@
 
 func (l *benchmarkLog) drain(writer *Journal) {
 	for writer.HasReady() {
-		l.turn(writer)
+		l.roundTrip(writer)
 	}
 }
 
@@ -137,12 +137,12 @@
 	}
 }
 
-func benchmarkConfirmation(b *testing.B, readBack bool, lost float64) {
+func benchmarkConfirmation(b *testing.B, readBack bool, lostShare float64) {
 	const records = 5000
 	for b.Loop() {
 		log := &benchmarkLog{now: time.Unix(0, 0), copies: map[uint64]Entry{}, random: rand.New(rand.NewPCG(3, 3))}
 		writer := openBenchmark(b, log)
-		log.lost = lost
+		log.lostShare = lostShare
 		log.readBack = readBack
 		log.appends, log.reads = 0, 0
 		started := log.now
@@ -157,9 +157,9 @@
 				}
 				proposedAt[token] = started.Add(time.Duration(len(proposedAt)) * time.Millisecond)
 			}
-			for _, record := range log.turn(writer) {
+			for _, record := range log.roundTrip(writer) {
 				confirmed++
-				total += log.now.Sub(proposedAt[record.Token]) - benchmarkTrip
+				total += log.now.Sub(proposedAt[record.Token]) - benchmarkRoundTrip
 			}
 		}
 		b.ReportMetric(float64(log.appends)/records, "appends/record")
--- a/recordlog/fold.go
+++ b/recordlog/fold.go
@@ -50,31 +50,31 @@
 	Bytes         int
 
 	// adopt is set until the first entry after StartAt was added.
-	adopt   bool
-	partial partialSnapshot
+	atSnapshotStart bool
+	partial         partialSnapshot
 }
 
 // partialSnapshot follows the parts of a snapshot until the last one stands.
 type partialSnapshot struct {
-	first    uint64
-	parts    int
-	bytes    int
-	records0 int
-	bytes0   int
+	first         uint64
+	partsSeen     int
+	bytes         int
+	recordsBefore int
+	bytesBefore   int
 }
 
 // StartAt sets the fold to start with the first part of a snapshot, whose
 // header and mirror set tell what came before.
 func (f *Fold) StartAt(snapshot uint64) {
-	*f = Fold{Next: snapshot, adopt: true}
+	*f = Fold{Next: snapshot, atSnapshotStart: true}
 }
 
 // Add folds the entry at offset Next.
 func (f *Fold) Add(entry Entry) Verdict {
 	offset := f.Next
 	f.Next++
-	if f.adopt {
-		f.adopt = false
+	if f.atSnapshotStart {
+		f.atSnapshotStart = false
 		f.adoptSnapshot(entry)
 	}
 	if !entry.wellFormed() {
@@ -149,19 +149,19 @@
 
 func (f *Fold) applyPart(offset uint64, entry Entry) {
 	if entry.Part.Index == 0 {
-		f.partial = partialSnapshot{first: offset, records0: f.Records, bytes0: f.Bytes}
+		f.partial = partialSnapshot{first: offset, recordsBefore: f.Records, bytesBefore: f.Bytes}
 	}
-	if entry.Part.Index != f.partial.parts {
+	if entry.Part.Index != f.partial.partsSeen {
 		return
 	}
-	f.partial.parts++
+	f.partial.partsSeen++
 	f.partial.bytes += entry.Size()
-	if f.partial.parts < entry.Part.Count {
+	if f.partial.partsSeen < entry.Part.Count {
 		return
 	}
 	f.Snapshot = f.partial.first
 	f.SnapshotBytes = f.partial.bytes
-	f.Records -= f.partial.records0
-	f.Bytes -= f.partial.bytes0
+	f.Records -= f.partial.recordsBefore
+	f.Bytes -= f.partial.bytesBefore
 	f.partial = partialSnapshot{}
 }
--- a/recordlog/fold_test.go
+++ b/recordlog/fold_test.go
@@ -93,12 +93,12 @@
 			if verdict != VerdictValid || !IsSnapshotStart(entry) {
 				continue
 			}
-			rest := whole
-			var late Fold
-			late.StartAt(uint64(index))
-			late.Add(entry)
+			fromStart := whole
+			var fromSnapshot Fold
+			fromSnapshot.StartAt(uint64(index))
+			fromSnapshot.Add(entry)
 			for _, following := range entries[index+1:] {
-				if one, other := rest.Add(following), late.Add(following); one != other {
+				if one, other := fromStart.Add(following), fromSnapshot.Add(following); one != other {
 					t.Fatalf("%+v: %s for a reader from the start, %s for one from the snapshot at %d", following, one, other, index)
 				}
 			}
--- a/recordlog/journal.go
+++ b/recordlog/journal.go
@@ -30,7 +30,7 @@
 )
 
 // pending is an entry that the log has not confirmed.
-type pending struct {
+type queuedEntry struct {
 	entry Entry
 	// token is zero when nobody waits for the entry.
 	token Token
@@ -68,26 +68,26 @@
 	epoch        uint64
 	nextSequence uint64
 	lastToken    Token
-	queue        []pending
+	queue        []queuedEntry
 	queueBytes   int
 	// mirrored is the sequence up to which MarkMirrored was told.
-	mirrored uint64
-	appender appender
-	reader   reader
+	mirroredSequence uint64
+	appender         appender
+	reader           reader
 	// replaying is set while the parts of the snapshot that the fold started
 	// with are delivered; later snapshots hold nothing new. Records between
 	// the parts wait in replayLater.
-	replaying   bool
-	replayLater []Recovered
+	replaying       bool
+	deferredRecords []Recovered
 	// snapshotting is set while a proposed snapshot is not complete, and
 	// parts are those of its parts that were not queued yet.
-	snapshotting bool
-	parts        []Entry
+	snapshotting  bool
+	snapshotParts []Entry
 	// mirrors is the newest mirror set that was folded or proposed.
 	mirrors MirrorSet
 
 	// rest is what was left when another claim won.
-	rest Rest
+	unlogged Rest
 
 	lastRequest uint64
 	ready       Ready
@@ -127,14 +127,14 @@
 	j.nextSequence = 0
 	j.queue = nil
 	j.queueBytes = 0
-	j.mirrored = 0
+	j.mirroredSequence = 0
 	j.appender = appender{backoff: backoff}
 	j.reader = reader{backoff: backoff}
 	j.replaying = false
-	j.replayLater = nil
+	j.deferredRecords = nil
 	j.snapshotting = false
-	j.parts = nil
-	j.rest = Rest{}
+	j.snapshotParts = nil
+	j.unlogged = Rest{}
 	j.mirrors = MirrorSet{}
 	j.ready = Ready{}
 }
@@ -144,7 +144,7 @@
 	j.now = now
 	j.Reset()
 	j.phase = phasePeeking
-	j.reader.want(Read{Tail: true, Maximum: 1})
+	j.reader.schedule(Read{Tail: true, Maximum: 1})
 }
 
 // Peeked returns the end of the stream once Peek has read it.
@@ -161,7 +161,7 @@
 		j.startFold()
 	}
 	j.phase = phaseReading
-	j.requestBody()
+	j.readNext()
 }
 
 func (j *Journal) startFold() {
@@ -212,10 +212,10 @@
 
 // TakeFound returns what was found and not handed out yet, and forgets it.
 func (j *Journal) TakeFound() Ready {
-	found := Ready{Recovered: j.ready.Recovered, Confirmed: j.ready.Confirmed}
+	results := Ready{Recovered: j.ready.Recovered, Confirmed: j.ready.Confirmed}
 	j.ready.Recovered = nil
 	j.ready.Confirmed = nil
-	return found
+	return results
 }
 
 // Epoch is the epoch that this writer claimed last, zero if none.
@@ -260,28 +260,28 @@
 // proposal so far. The first part takes its place at once, the others go with
 // later appends, one each, so that records need not wait for a large snapshot.
 // The bound on unconfirmed bytes does not apply to the parts.
-func (j *Journal) ProposeSnapshot(now time.Time, parts []json.RawMessage) error {
+func (j *Journal) ProposeSnapshot(now time.Time, snapshotParts []json.RawMessage) error {
 	j.now = now
 	if j.phase != phaseOpen {
 		return ErrNotOpen
 	}
-	if j.snapshotting || len(parts) == 0 {
+	if j.snapshotting || len(snapshotParts) == 0 {
 		return ErrSnapshot
 	}
 	j.snapshotting = true
-	for index, payload := range parts {
-		part := &Part{Index: index, Count: len(parts)}
-		j.parts = append(j.parts, Entry{Kind: KindSnapshot, Part: part, Payload: payload})
+	for index, payload := range snapshotParts {
+		part := &Part{Index: index, Count: len(snapshotParts)}
+		j.snapshotParts = append(j.snapshotParts, Entry{Kind: KindSnapshot, Part: part, Payload: payload})
 	}
 	mirrors := j.mirrors
-	j.parts[0].Part.Mirrors = &mirrors
+	j.snapshotParts[0].Part.Mirrors = &mirrors
 	j.enqueuePart()
 	return nil
 }
 
 func (j *Journal) enqueuePart() {
-	j.enqueue(j.parts[0], 0)
-	j.parts = j.parts[1:]
+	j.enqueue(j.snapshotParts[0], 0)
+	j.snapshotParts = j.snapshotParts[1:]
 }
 
 // WantsSnapshot reports whether the records after the newest snapshot
@@ -300,7 +300,7 @@
 	if len(j.queue) == 0 {
 		j.appender.unansweredSince = j.now
 	}
-	j.queue = append(j.queue, pending{entry: entry, token: token})
+	j.queue = append(j.queue, queuedEntry{entry: entry, token: token})
 	if token != 0 {
 		j.queueBytes += entry.Size()
 	}
--- a/recordlog/read.go
+++ b/recordlog/read.go
@@ -11,18 +11,18 @@
 	backoff retry.Backoff
 	// pending is set while wanted has not been sent, or must be repeated.
 	pending  bool
-	wanted   Read
+	next     Read
 	request  uint64
 	deadline time.Time
 	retryAt  time.Time
 	// target is the offset up to which a writer must read before it goes on,
 	// and gap is set while it does: the log has answered an append.
-	target uint64
-	gap    bool
+	target     uint64
+	fillingGap bool
 }
 
-func (r *reader) want(read Read) {
-	r.wanted = read
+func (r *reader) schedule(read Read) {
+	r.next = read
 	r.pending = true
 	r.request = 0
 }
@@ -54,7 +54,7 @@
 	if !j.reader.due(j.now) {
 		return
 	}
-	read := j.reader.wanted
+	read := j.reader.next
 	if j.phase != phasePeeking {
 		read.From = j.fold.Next
 	}
@@ -73,17 +73,17 @@
 }
 
 // requestBody asks for the entries from the fold's next offset on.
-func (j *Journal) requestBody() {
-	j.reader.want(Read{From: j.fold.Next, Maximum: j.config.ReadBatch})
+func (j *Journal) readNext() {
+	j.reader.schedule(Read{From: j.fold.Next, Maximum: j.config.ReadBatch})
 }
 
 // readUpTo makes a writer read and fold up to the offset before it appends
 // again.
 func (j *Journal) readUpTo(target uint64) {
 	j.reader.target = max(j.reader.target, target)
-	j.reader.gap = true
+	j.reader.fillingGap = true
 	if j.fold.Next < j.reader.target && !j.reader.busy() {
-		j.requestBody()
+		j.readNext()
 	}
 }
 
@@ -92,7 +92,7 @@
 func (j *Journal) CheckSuperseded(now time.Time) {
 	j.now = now
 	if j.phase == phaseOpen && !j.reader.busy() {
-		j.requestBody()
+		j.readNext()
 	}
 }
 
@@ -108,20 +108,20 @@
 	}
 	j.reader.request = 0
 	if j.phase == phasePeeking {
-		j.peekAnswered(answer)
+		j.handlePeekAnswer(answer)
 		return
 	}
-	j.bodyAnswered(answer)
+	j.handleReadAnswer(answer)
 }
 
 // peekAnswered takes the end of the stream, or asks for the last entry if the
 // answer does not hold it. Of an answer to that question any entry will do: it
 // was the last one a moment ago.
-func (j *Journal) peekAnswered(answer ReadDone) {
+func (j *Journal) handlePeekAnswer(answer ReadDone) {
 	end := answer.FirstOffset + uint64(len(answer.Entries))
-	holdsLast := len(answer.Entries) > 0 && (end >= answer.End || !j.reader.wanted.Tail)
+	holdsLast := len(answer.Entries) > 0 && (end >= answer.End || !j.reader.next.Tail)
 	if answer.End > 0 && !holdsLast {
-		j.reader.want(Read{From: answer.End - 1, Maximum: 1})
+		j.reader.schedule(Read{From: answer.End - 1, Maximum: 1})
 		return
 	}
 	j.reader.backoff.Reset()
@@ -133,7 +133,7 @@
 	j.phase = phaseIdle
 }
 
-func (j *Journal) bodyAnswered(answer ReadDone) {
+func (j *Journal) handleReadAnswer(answer ReadDone) {
 	if answer.FirstOffset > j.fold.Next {
 		j.readFailed()
 		return
@@ -141,10 +141,10 @@
 	// An append that was confirmed meanwhile may have folded them all.
 	skip := min(j.fold.Next-answer.FirstOffset, uint64(len(answer.Entries)))
 	entries := answer.Entries[skip:]
-	if j.fold.adopt && len(entries) > 0 && !IsSnapshotStart(entries[0]) {
+	if j.fold.atSnapshotStart && len(entries) > 0 && !IsSnapshotStart(entries[0]) {
 		j.fold = Fold{}
 		j.replaying = false
-		j.requestBody()
+		j.readNext()
 		return
 	}
 	phase := j.phase
@@ -154,15 +154,15 @@
 			return
 		}
 	}
-	j.readOn(answer.End, len(entries) > 0, phase)
+	j.continueReading(answer.End, len(entries) > 0, phase)
 }
 
 // readOn decides whether the stream must be read further: up to its end, and
 // for a writer at least up to the target, which a lagging end may not show.
-func (j *Journal) readOn(end uint64, progress bool, phase phase) {
+func (j *Journal) continueReading(end uint64, progress bool, phase phase) {
 	target := max(j.reader.target, end)
 	if j.fold.Next < target {
-		j.requestBody()
+		j.readNext()
 		if !progress {
 			j.readFailed()
 		}
@@ -175,8 +175,8 @@
 		j.mirrors = j.fold.Mirrors
 		return
 	}
-	if j.reader.gap {
-		j.reader.gap = false
-		j.answered()
+	if j.reader.fillingGap {
+		j.reader.fillingGap = false
+		j.recordLogAnswer()
 	}
 }
