--- a/contract/fold.go
+++ b/contract/fold.go
@@ -35,10 +35,10 @@
 }
 
 // foldBytes folds one record of the stream as it stands there.
-func (s *state) foldBytes(revision Revision, data []byte) Verdict {
+func (s *state) applyBytes(revision Revision, data []byte) Verdict {
 	change, err := decodeChange(data)
 	if err == nil {
-		return s.foldRecord(revision, change, data)
+		return s.applyRecord(revision, change, data)
 	}
 	if revision <= s.position {
 		return s.verdictAt(revision)
@@ -66,17 +66,17 @@
 }
 
 // fold folds a change that was not read from the stream's bytes.
-func (s *state) fold(revision Revision, change Change) Verdict {
+func (s *state) applyChange(revision Revision, change Change) Verdict {
 	data, err := json.Marshal(change)
 	if err != nil {
 		data = []byte(err.Error())
 	}
-	return s.foldRecord(revision, change, data)
+	return s.applyRecord(revision, change, data)
 }
 
 // foldRecord folds one change. It is the whole rule by which every node
 // reaches the same verdict.
-func (s *state) foldRecord(revision Revision, change Change, data []byte) Verdict {
+func (s *state) applyRecord(revision Revision, change Change, data []byte) Verdict {
 	if revision <= s.position {
 		return s.verdictAt(revision)
 	}
--- a/contract/history.go
+++ b/contract/history.go
@@ -176,7 +176,7 @@
 	before := t.working.clone()
 	t.writeMutex.Unlock()
 	after := before.clone()
-	if verdict := after.fold(after.position+1, change); !verdict.Accepted {
+	if verdict := after.applyChange(after.position+1, change); !verdict.Accepted {
 		return nil, 0, verdict.Findings
 	}
 	for _, path := range affectedPaths(before, after, change) {
--- a/contract/tree.go
+++ b/contract/tree.go
@@ -44,7 +44,7 @@
 func (t *Tree) Apply(revision Revision, change Change) Verdict {
 	t.writeMutex.Lock()
 	defer t.writeMutex.Unlock()
-	verdict := t.working.fold(revision, change)
+	verdict := t.working.applyChange(revision, change)
 	t.publish()
 	return verdict
 }
@@ -54,7 +54,7 @@
 func (t *Tree) ApplyBytes(revision Revision, data []byte) Verdict {
 	t.writeMutex.Lock()
 	defer t.writeMutex.Unlock()
-	verdict := t.working.foldBytes(revision, data)
+	verdict := t.working.applyBytes(revision, data)
 	t.publish()
 	return verdict
 }
@@ -66,7 +66,7 @@
 	defer t.writeMutex.Unlock()
 	verdicts := make([]Verdict, len(records))
 	for index, data := range records {
-		verdicts[index] = t.working.foldBytes(Revision(from)+Revision(index)+1, data)
+		verdicts[index] = t.working.applyBytes(Revision(from)+Revision(index)+1, data)
 	}
 	t.publish()
 	return verdicts
@@ -78,7 +78,7 @@
 	t.writeMutex.Lock()
 	trial := t.working.clone()
 	t.writeMutex.Unlock()
-	verdict := trial.fold(trial.position+1, change)
+	verdict := trial.applyChange(trial.position+1, change)
 	return verdict.Findings
 }
 
--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -104,7 +104,7 @@
 		return
 	}
 	for _, entry := range entries {
-		j.foldEntry(entry)
+		j.applyEntry(entry)
 	}
 	j.recordLogAnswer()
 }
@@ -225,7 +225,7 @@
 }
 
 // foldEntry folds the next entry of the stream and reports what it means.
-func (j *Journal) foldEntry(entry Entry) {
+func (j *Journal) applyEntry(entry Entry) {
 	offset := j.fold.Next
 	verdict := j.fold.Add(entry)
 	if verdict != VerdictValid {
--- a/recordlog/read.go
+++ b/recordlog/read.go
@@ -149,7 +149,7 @@
 	}
 	phase := j.phase
 	for _, entry := range entries {
-		j.foldEntry(entry)
+		j.applyEntry(entry)
 		if j.phase == phaseSuperseded {
 			return
 		}
