--- a/contract/benchmark_test.go
+++ b/contract/benchmark_test.go
@@ -19,8 +19,8 @@
 	return contract.Path(fmt.Sprintf("tenant-%03d/branch-%d", index/benchmarkBranches%benchmarkTenants, index%benchmarkBranches))
 }
 
-// benchmarkChanges returns the changes that make 600 tenants of 3 branches,
-// one change each.
+// benchmarkChanges returns the changes that create 600 tenants of 3 branches
+// each, one branch per change.
 func benchmarkChanges() []contract.Change {
 	var names []zone.Name
 	for index := range 10 {
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkApplyBranch folds a change of one branch at the end of the tree.
+// BenchmarkApplyBranch applies changes to a leaf branch.
 func BenchmarkApplyBranch(b *testing.B) {
 	tree := benchmarkTree(b)
 	b.ReportAllocs()
@@ -82,7 +82,7 @@
 	}
 }
 
-// BenchmarkApplyRoot folds a change that every branch inherits.
+// BenchmarkApplyRoot applies changes to the root that every branch inherits.
 func BenchmarkApplyRoot(b *testing.B) {
 	tree := benchmarkTree(b)
 	b.ReportAllocs()
@@ -96,8 +96,8 @@
 	}
 }
 
-// BenchmarkFold folds the whole stream of 2,401 changes from its bytes, as a
-// node does at its start.
+// BenchmarkFold applies the encoded stream of 2,401 changes to an empty tree,
+// as a node does when it starts.
 func BenchmarkFold(b *testing.B) {
 	var records [][]byte
 	for _, change := range benchmarkChanges() {
@@ -117,8 +117,8 @@
 	}
 }
 
-// BenchmarkMemory reports the memory that a tree holds, fresh and after its
-// window has filled up with changes, and the size of its snapshot.
+// BenchmarkMemory reports the memory that a tree uses, initially and with a
+// full window of changes, and the size of its snapshot.
 func BenchmarkMemory(b *testing.B) {
 	for range b.N {
 		before := heapInUse()
--- a/contract/change.go
+++ b/contract/change.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// Revision counts the accepted changes. It is the offset of the accepted
-// change in the settings stream plus one; zero is the empty tree.
+// Revision identifies a version of the settings: the offset of the accepted
+// change in the settings stream plus one. Zero is the empty tree.
 type Revision uint64
 
-// Edit replaces or removes the overrides of one branch. Fields that Set names
-// take the value from Values; fields that Unset names are inherited again.
+// Edit changes the overrides of one branch, or removes the branch.
 type Edit struct {
 	Path Path `json:"path"`
-	// Values holds the new overrides; nil fields are left as they are.
+	// Values holds the new overrides; nil fields are left unchanged.
 	Values Values `json:"values"`
-	// Unset lists the field names, as in JSON, that become inherited.
+	// Unset lists the fields, by their JSON names, that are inherited again.
 	Unset []string `json:"unset,omitempty"`
 	// Remove deletes the branch. Branches below it must be removed by earlier
-	// edits of the same change, so that no branch goes without being named.
+	// edits of the same change, so that no branch is removed implicitly.
 	Remove bool `json:"remove,omitempty"`
 }
 
 // Change is one record of the settings stream: edits that are accepted or
 // refused together. It is a compare-and-set: it conflicts when a path that it
-// touches, or an ancestor or descendant of one, was changed after Based.
+// edits, or an ancestor or descendant of one, was changed after Based.
 type Change struct {
-	// ID is unique; a change that appears twice counts once.
+	// ID is unique. A change that is appended twice takes effect once.
 	ID    string    `json:"id"`
 	Based Revision  `json:"based"`
 	Actor string    `json:"actor"`
@@ -31,19 +30,20 @@
 	Edits []Edit    `json:"edits"`
 }
 
-// Finding is one thing that is wrong, with its place.
+// Finding is one validation error. Place is the path of the offending value,
+// such as "edits[1].values.zones[0]".
 type Finding struct {
 	Place   string `json:"place"`
 	Message string `json:"message"`
 }
 
-// Verdict is what became of a change. Every node that folds the same stream
-// reaches the same verdict.
+// Verdict is the result of applying a change. Every node that applies the same
+// stream reaches the same verdict.
 type Verdict struct {
 	ID       string   `json:"id"`
 	Accepted bool     `json:"accepted"`
 	Revision Revision `json:"revision"`
-	// Winner is the id of the change that a conflicting one lost to.
+	// Winner is the ID of the accepted change that this change conflicts with.
 	Winner   string    `json:"winner,omitempty"`
 	Findings []Finding `json:"findings,omitempty"`
 }
--- a/contract/check.go
+++ b/contract/check.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// checkEnvelope checks what a change says about itself.
+// checkChangeFields checks a change's ID, actor and number of edits.
 func checkChangeFields(change Change) []Finding {
 	var findings []Finding
 	if change.ID == "" || len(change.ID) > maximumIDLength {
@@ -22,7 +22,7 @@
 	return findings
 }
 
-// checkEdit checks what can be seen in the edit alone.
+// checkEdit checks an edit without regard to the current settings.
 func checkEdit(edit Edit, place string) []Finding {
 	var findings []Finding
 	if err := edit.Path.Validate(); err != nil {
@@ -64,11 +64,11 @@
 	return findings
 }
 
-// checkNarrowing finds the zones that an edit lists and the branch's parent
-// does not permit. It looks at the tree after all edits, so that one change
-// may widen a parent and its child together. A branch below an edited one may
-// be left without any zone: a rule that is tightened must never be refused
-// because of what it stops.
+// checkNarrowing finds zones that an edit lists but the branch's parent does
+// not permit. It uses the tree after all edits, so that one change may widen a
+// parent and its child together. A branch below an edited one may be left
+// without any zone: tightening a rule must never be refused because of the
+// work that it stops.
 func (s *state) checkNarrowing(change Change) []Finding {
 	var findings []Finding
 	for index, edit := range change.Edits {
@@ -88,8 +88,9 @@
 	return findings
 }
 
-// checkTokens finds tokens that another branch lists already: a token counts
-// at one branch, so that nobody can draw another branch's callers to theirs.
+// checkTokens finds tokens that another branch already lists. A token belongs
+// to one branch, so that an operator cannot take over another branch's callers
+// by listing their tokens.
 func (s *state) checkTokens(edit Edit, place string) []Finding {
 	var findings []Finding
 	for kind, list := range [][]string{edit.Values.CallerTokens, edit.Values.OperatorTokens} {
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -6,8 +6,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Contract is what a branch gets once inheritance is resolved. Every field
-// has a value.
+// Contract holds the effective settings of a branch, with inheritance
+// resolved. Every field has a value.
 type Contract struct {
 	Path            Path
 	Revision        Revision
--- a/contract/contract_suite_test.go
+++ b/contract/contract_suite_test.go
@@ -9,7 +9,7 @@
 )
 
 // init fixes the seed of the property tests, so that every run draws the same
-// cases; the flag -rapid.seed overrides it.
+// cases. The flag -rapid.seed overrides it.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/contract/example_test.go
+++ b/contract/example_test.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// A tree is used on its own: fold the changes of a stream in order, and
-// resolve the branches.
+// A Tree can be used without a Follower: apply the changes of a stream in
+// order, and resolve the branches.
 func Example() {
 	tree := contract.NewTree()
 	priority := 9
--- a/contract/explain.go
+++ b/contract/explain.go
@@ -8,24 +8,24 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Explanation says where one value of a contract comes from.
+// Explanation describes the origin of one value of a contract.
 type Explanation struct {
 	// Name is the value's name, as in Values.
 	Name string `json:"name"`
 	// Value is the effective value in its JSON form.
 	Value json.RawMessage `json:"value"`
-	// From is the branch that sets it, and Revision the change that set it
-	// there. Default is set when no branch does.
+	// From is the branch that sets the value, and Revision the change that
+	// set it there. Default is true when no branch sets it.
 	From     Path     `json:"from"`
 	Revision Revision `json:"revision"`
 	Default  bool     `json:"default,omitempty"`
-	// Narrowed are the ancestors that also took zones away, nearest first.
+	// NarrowedBy lists the ancestors of From that exclude some of its zones,
+	// nearest first.
 	Narrowed []Path `json:"narrowed,omitempty"`
 }
 
-// Explain returns each inherited value of a branch with the branch that it
-// comes from, in the order of the reference page. The error is an
-// *UnknownBranchError.
+// Explain returns each inheritable value of a branch and the branch that sets
+// it, in the order of the reference page. The error is an *UnknownBranchError.
 func (t *Tree) Explain(path Path) ([]Explanation, error) {
 	return t.published.Load().explain(path)
 }
@@ -76,8 +76,8 @@
 	return explanation
 }
 
-// narrows reports whether the zones that the branch at path lists leave out
-// one that the branch at above itself does not permit now.
+// narrows reports whether the branch at path lists a zone that the branch at
+// ancestor does not list.
 func (s *state) narrows(ancestor, path Path) bool {
 	permitted := zone.NewPlacement(s.branch(ancestor).values.Zones...)
 	return slices.ContainsFunc(s.branch(path).values.Zones, func(name zone.Name) bool { return !permitted.Contains(name) })
--- a/contract/field.go
+++ b/contract/field.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The names of the values, as in JSON and YAML.
+// Names of the values, as in JSON and YAML.
 const (
 	fieldZones           = "zones"
 	fieldModels          = "models"
@@ -29,7 +29,7 @@
 	fieldOperatorTokens  = "operator_tokens"
 )
 
-// The bounds of the numbers.
+// Bounds of the values.
 const (
 	MaximumPriority     = 9
 	maximumBudgetTokens = 1_000_000_000_000
@@ -43,24 +43,25 @@
 	maximumNameLength = 128
 )
 
-// field describes one value of a branch: everything that validation,
-// inheritance, explanation and the reference page need to know about it.
+// field describes one value of a branch for validation, inheritance,
+// explanation and the reference page.
 type field struct {
 	name        string
 	kind        string
 	description string
-	// inherited is false for token lists, which count where they stand.
+	// inherited is false for token lists, which belong to the branch that
+	// lists them.
 	inherited bool
 	isSet     func(*Values) bool
 	// assign copies the value from source to target.
 	assign func(target, source *Values)
 	// value returns the value in its JSON form.
 	value func(*Values) any
-	// check returns what is wrong with a value that is set; place is where.
+	// check validates a value that is set; place is its path in findings.
 	check func(values *Values, place string) []Finding
 }
 
-// listField describes a list. Nil means that it is not set.
+// listField describes a list value. A nil list is not set.
 func listField[T ~string](name, kind, description string, at func(*Values) *[]T, check func(T) error) field {
 	return field{
 		name: name, kind: kind, description: description, inherited: true,
@@ -108,7 +109,7 @@
 	return &value
 }
 
-// fields lists every value in the order in which people read them.
+// fields lists every value in the order in which it is shown to users.
 var fields = []field{
 	listField(fieldZones, "list of zone names", "The zones that data of the branch may visit. A branch can only narrow what its parent permits; when a parent is narrowed later, the branch keeps the zones that both permit.",
 		func(v *Values) *[]zone.Name { return &v.Zones }, zone.Name.Validate),
@@ -155,8 +156,8 @@
 	return slices.IndexFunc(fields, func(candidate field) bool { return candidate.name == name })
 }
 
-// defaults are the values of a root that sets nothing. There is no default
-// zone: until the root names zones, nothing may run anywhere.
+// defaults returns the values of a root that sets nothing. There is no default
+// zone: until the root lists zones, nothing may run anywhere.
 func defaults() Values {
 	return Values{
 		Zones:           []zone.Name{},
@@ -194,8 +195,8 @@
 	return findings
 }
 
-// checkName accepts the names of models and tools: one word of printable
-// ASCII.
+// checkName validates the name of a model, tool or back end: printable ASCII
+// without spaces.
 func checkName(name string) error {
 	printable := func(r rune) bool { return r > ' ' && r < 0x7f }
 	if name == "" || len(name) > maximumNameLength || strings.IndexFunc(name, func(r rune) bool { return !printable(r) }) >= 0 {
--- a/contract/fleet_test.go
+++ b/contract/fleet_test.go
@@ -16,15 +16,16 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The messages of a fleet: each node probes one random other in each period,
-// and both tell the other their report, after a delay of one link.
+// Timing of the simulated messages: in each period, every node exchanges
+// reports with one random node. Each message takes one link delay.
 const (
 	fleetPeriod    = time.Second
 	fleetTick      = 50 * time.Millisecond
 	fleetLinkDelay = 10 * time.Millisecond
 )
 
-// fleet is followers in virtual time that talk to random peers.
+// fleet simulates followers that exchange reports with random peers, in virtual
+// time.
 type fleet struct {
 	log          *settingsLog
 	nodes        []*reader
@@ -32,7 +33,7 @@
 	random       *rand.Rand
 	now          time.Time
 	nextExchange []time.Time
-	// cut is a zone that no message enters or leaves.
+	// isolatedZone is a zone that no message enters or leaves.
 	isolatedZone zone.Name
 }
 
@@ -51,7 +52,7 @@
 	return created
 }
 
-// run lets time pass until end and calls watch after each tick.
+// run advances the simulation to end and calls observe after each tick.
 func (f *fleet) run(end time.Time, observe func()) {
 	for f.now.Before(end) {
 		f.now = f.now.Add(fleetTick)
@@ -77,14 +78,14 @@
 	from.perform(f.now.Add(2 * fleetLinkDelay))
 }
 
-// setDown makes the store unreachable for every node, or reachable again.
+// setDown makes the store unreachable or reachable for every node.
 func (f *fleet) setDown(down bool) {
 	for _, node := range f.nodes {
 		node.down = down
 	}
 }
 
-// placing counts the nodes that may place work.
+// placing counts the nodes that may start new work.
 func (f *fleet) placing() int {
 	count := 0
 	for _, node := range f.nodes {
@@ -121,7 +122,8 @@
 		all.run(start.Add(20*time.Second), func() {})
 		all.setDown(true)
 		all.run(start.Add(time.Minute), func() {})
-		// The store is back for one zone alone, which nobody else can reach.
+		// The store is reachable again, but only from a zone that is partitioned
+		// off from all others.
 		all.isolatedZone = "zone-3"
 		for _, node := range all.nodes {
 			node.down = node.Report(all.now).Zone != "zone-3"
@@ -140,8 +142,9 @@
 	})
 })
 
-// BenchmarkSpread reports how long an accepted change takes to be in force on
-// every node, and how many nodes stop placing when the store goes away.
+// BenchmarkSpread reports how long an accepted change takes to reach every
+// node, and for how long nodes may not start work during an outage of the
+// store.
 func BenchmarkSpread(b *testing.B) {
 	RegisterTestingT(b)
 	for _, count := range []int{10, 50, 100, 200, 390} {
@@ -164,7 +167,7 @@
 	}
 }
 
-// reportBytes returns the mean length of the reports in JSON.
+// reportBytes returns the mean size of the reports in JSON.
 func (f *fleet) reportBytes() float64 {
 	total := 0
 	for _, node := range f.nodes {
@@ -175,7 +178,8 @@
 	return float64(total) / float64(len(f.nodes))
 }
 
-// spread appends a change and returns how long each node took to have it.
+// changeLatencies appends a change and returns the sorted times that the nodes
+// took to apply it.
 func (f *fleet) changeLatencies() []time.Duration {
 	changed := f.now
 	f.log.add(set("spread", 1, "", contract.Values{Priority: pointer(1)}))
--- a/contract/fold.go
+++ b/contract/fold.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// Bounds of one change.
+// Limits on one change.
 const (
 	// MaximumEdits bounds the edits of one change.
 	MaximumEdits       = 2048
@@ -19,11 +19,11 @@
 	maximumActorLength = 256
 )
 
-// digest chains the records that were folded: equal digests at equal
+// digest is a hash chain over the applied records: equal digests at equal
 // positions mean the same stream.
 type digest [sha256.Size]byte
 
-// Short returns the first eight bytes, for messages between nodes.
+// Short returns the first eight bytes, which messages between nodes carry.
 func (d digest) Short() uint64 { return binary.BigEndian.Uint64(d[:8]) }
 
 // next returns the digest after one more record.
@@ -34,7 +34,8 @@
 	return digest(hash.Sum(nil))
 }
 
-// foldBytes folds one record of the stream as it stands there.
+// applyBytes applies one record in its encoded form. A malformed record is
+// refused with a finding and skipped.
 func (s *state) applyBytes(revision Revision, data []byte) Verdict {
 	change, err := decodeChange(data)
 	if err == nil {
@@ -65,7 +66,7 @@
 	return change, nil
 }
 
-// fold folds a change that was not read from the stream's bytes.
+// applyChange applies a change that was not read from the stream.
 func (s *state) applyChange(revision Revision, change Change) Verdict {
 	data, err := json.Marshal(change)
 	if err != nil {
@@ -74,8 +75,8 @@
 	return s.applyRecord(revision, change, data)
 }
 
-// foldRecord folds one change. It is the whole rule by which every node
-// reaches the same verdict.
+// applyRecord applies one change. Its result depends on the state and the
+// record alone, so every node reaches the same verdict.
 func (s *state) applyRecord(revision Revision, change Change, data []byte) Verdict {
 	if revision <= s.position {
 		return s.verdictAt(revision)
@@ -101,7 +102,7 @@
 	return verdict
 }
 
-// verdictAt returns the verdict of a record that was folded before.
+// verdictAt returns the verdict of a record that was already applied.
 func (s *state) verdictAt(revision Revision) Verdict {
 	entry, found := s.log.Get(logEntry{position: revision})
 	if !found {
@@ -110,7 +111,7 @@
 	return entry.verdict
 }
 
-// record advances the position over one record and remembers it.
+// record advances the position past one record and adds it to the log.
 func (s *state) record(revision Revision, data []byte, entry logEntry) {
 	entry.position = revision
 	s.log.ReplaceOrInsert(entry)
@@ -122,7 +123,7 @@
 	s.evictOldRecords()
 }
 
-// forget drops the records that left the window.
+// evictOldRecords drops the records that are outside the window.
 func (s *state) evictOldRecords() {
 	for {
 		oldest, found := s.log.Min()
@@ -139,9 +140,9 @@
 	}
 }
 
-// forgetRemoved drops the memory of branches that a record removed for good.
-// A change that could clash with the removal is based before the window now,
-// and refused for that.
+// evictRemovedPaths drops the last edit of each path that the evicted record
+// removed and that was not created again. A change that would conflict with
+// the removal is now based before the window and refused for that reason.
 func (s *state) evictRemovedPaths(evicted logEntry) {
 	for _, replaced := range evicted.replacedBranches {
 		last, found := s.lastEdits.Get(lastEdit{path: replaced.path})
@@ -151,8 +152,8 @@
 	}
 }
 
-// conflicts compares the change with what was accepted after Based. The
-// winner is the latest of the accepted changes that it clashes with.
+// findConflicts compares the change with those accepted after Based. It also
+// returns the ID of the latest accepted change that it conflicts with.
 func (s *state) findConflicts(revision Revision, change Change) ([]Finding, string) {
 	if change.Based >= revision {
 		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d: the stream has not reached it", change.Based)}}, ""
@@ -179,7 +180,8 @@
 	return findings, winner.changeID
 }
 
-// clash returns the latest edit after based at the path, above it or below it.
+// latestConflict returns the latest edit after based at the path, or at an
+// ancestor or descendant of it.
 func (s *state) latestConflict(path Path, based Revision) (latest lastEdit, found bool) {
 	consider := func(candidate lastEdit) bool {
 		if candidate.revision > based && candidate.revision > latest.revision {
@@ -201,8 +203,8 @@
 	return latest, found
 }
 
-// applyEdits performs the edits in order and returns the branches that they
-// replaced, or what is wrong with them.
+// applyEdits applies the edits in order. It returns the branches that they
+// replaced, and the findings.
 func (s *state) applyEdits(revision Revision, change Change) ([]branchEntry, []Finding) {
 	findings := checkChangeFields(change)
 	if len(findings) > 0 {
@@ -229,8 +231,8 @@
 	return entries, findings
 }
 
-// withoutContract returns what the log keeps of a replaced branch: its contract
-// can be computed again.
+// withoutContract returns a copy for the log, without the contract, which can
+// be computed again.
 func (b *branch) withoutContract() *branch {
 	if b == nil {
 		return nil
@@ -238,9 +240,9 @@
 	return &branch{path: b.path, values: b.values, fieldRevisions: b.fieldRevisions}
 }
 
-// applyEdit performs one edit. An edit with findings is performed as far as it
-// goes, so that the edits that build on it are checked too; the state is then
-// of no more use.
+// applyEdit applies one edit. An edit with findings is applied as far as
+// possible, so that later edits that depend on it are checked too; the caller
+// must then discard the state.
 func (s *state) applyEdit(revision Revision, change Change, edit Edit, place string) []Finding {
 	findings := checkEdit(edit, place)
 	if edit.Path.Validate() != nil || edit.Remove && edit.Path == Root {
@@ -267,7 +269,7 @@
 	return findings
 }
 
-// edit applies one field of an edit to a branch that no state holds yet.
+// edit applies one field of an edit to a branch that is not in a state yet.
 func (b *branch) edit(index int, edit Edit, revision Revision) {
 	if slices.Contains(edit.Unset, fields[index].name) {
 		fields[index].assign(&b.values, &Values{})
@@ -290,7 +292,7 @@
 		}
 	})
 	if len(findings) > 0 {
-		return findings // a branch never lacks its parent
+		return findings // removing it would leave its children without a parent
 	}
 	s.setTokens(edit.Path, &existing.values, &Values{})
 	s.branches.Delete(branchEntry{path: edit.Path})
--- a/contract/follower.go
+++ b/contract/follower.go
@@ -15,37 +15,39 @@
 
 // FollowerConfig configures a Follower.
 type FollowerConfig struct {
-	// Self and Zone name this node in its reports.
+	// Self and Zone identify this node in its reports.
 	Self machine.ID
 	Zone zone.Name
-	// Zones are the zones that have nodes of the system. A node that cannot
-	// reach the store goes on only after hearing from each of them.
+	// Zones lists the zones of the deployment. A node that cannot reach the
+	// store starts new work only if recent reports cover each of them.
 	Zones []zone.Name
-	// PollInterval is the longest time between two reads of the stream's end
-	// when nothing tells of a newer record; up to a quarter of it is taken
-	// off at random, so that nodes that started together drift apart.
+	// PollInterval is the maximum time between two reads of the stream's end
+	// while no newer record is known. Each interval is shortened by a random
+	// amount of up to a quarter, so that nodes that started together do not
+	// stay in step.
 	PollInterval time.Duration
-	// RetryInterval is the first delay after a failed read; it doubles up to
-	// MaximumRetryInterval. Half of each delay is random.
+	// RetryInterval is the delay after the first failed read. It doubles with
+	// each further failure, up to MaximumRetryInterval. Half of each delay is
+	// random.
 	RetryInterval        time.Duration
 	MaximumRetryInterval time.Duration
-	// ReadTimeout is after how long a read without an answer counts as failed.
+	// ReadTimeout is the time after which an unanswered read has failed.
 	ReadTimeout time.Duration
-	// ReadMaximum bounds the records of one read.
+	// ReadMaximum is the maximum number of records in one read.
 	ReadMaximum int
-	// FreshnessBound is for how long settings count as the newest after the
+	// FreshnessBound is how long settings are considered the newest after the
 	// end of the stream was seen.
 	FreshnessBound time.Duration
-	// MessageDelay is added to each age that a report tells, since the report
-	// took time to come. While no message takes longer, no word about the
-	// settings ever looks younger than it is, by however many nodes it came.
+	// MessageDelay is added to each age in a received report, to account for
+	// its time in transit. While no message takes longer, ages are never
+	// underestimated, however many nodes relayed the information.
 	MessageDelay time.Duration
-	// Random spreads the delays.
+	// Random is the source of the random delays.
 	Random *rand.Rand
 }
 
-// DefaultFollowerConfig returns the timings that the documentation states;
-// Self, Zone, Zones and Random are left to the caller.
+// DefaultFollowerConfig returns a config with the documented timings. The
+// caller must set Self, Zone, Zones and Random.
 func DefaultFollowerConfig() FollowerConfig {
 	return FollowerConfig{
 		PollInterval:         2 * time.Second,
@@ -58,7 +60,7 @@
 	}
 }
 
-// validate returns everything that is wrong with the configuration.
+// validate returns all findings about the configuration, joined.
 func (c FollowerConfig) validate() error {
 	found := findings.Of("settings follower config")
 	findings.Positive(found, "PollInterval", c.PollInterval)
@@ -76,10 +78,10 @@
 	return found.Err()
 }
 
-// ReadDone answers a FollowerRead. Changes[i] stands at offset From+i; End is
-// the offset that the next append would have got.
+// ReadDone is the answer to a FollowerRead. Changes[i] is the record at offset
+// From+i. End is the offset that the next append would have got.
 type ReadDone struct {
-	// Request and From are those of the FollowerRead.
+	// Request and From are copied from the FollowerRead.
 	Request uint64
 	From    uint64
 	Changes [][]byte
@@ -87,46 +89,49 @@
 	Err     error
 }
 
-// FollowerRead asks the driver to read the settings stream. The driver
-// answers with a ReadDone that has the same Request and From.
+// FollowerRead is a request to the driver to read the settings stream. The
+// driver answers with a ReadDone that has the same Request and From.
 type FollowerRead struct {
-	// Request tells the answer to this read from a late one to an earlier
-	// read, whose view of the stream's end is older.
+	// Request distinguishes the answer to this read from a late answer to an
+	// earlier read, whose End may be out of date.
 	Request uint64
 	From    uint64
 	Maximum int
 }
 
-// FollowerReady is what a Follower wants done.
+// FollowerReady holds the actions that a Follower requests from its driver,
+// and its results.
 type FollowerReady struct {
-	// Read is nil when nothing is to be read now.
+	// Read is nil if no read is due.
 	Read *FollowerRead
-	// Fetch names a peer whose settings are newer, while the stream cannot be
-	// read: the driver asks it for Export and hands the answer to Import. A
-	// failure needs no word: the next failed read asks again.
+	// FetchFrom is a peer that holds newer settings, set after a failed read
+	// of the stream. The driver requests its Export and passes the answer to
+	// Import. A failed fetch need not be reported: the next failed read
+	// requests another one.
 	Fetch machine.ID
-	// Verdicts are those reached since the last Ready, in stream order.
+	// Verdicts holds the verdicts since the last Ready, in stream order.
 	Verdicts []Verdict
-	// Changed says that the revision rose since the last Ready.
+	// Changed is true if the revision has increased since the last Ready.
 	Changed bool
 }
 
-// Follower keeps a Tree in step with the settings stream. It is a pure state
-// machine: the driver performs its reads and passes in answers, reports of
-// peers and the time. Only its Tree may be used from other goroutines.
+// Follower keeps a Tree up to date with the settings stream. It is a state
+// machine without I/O: the driver performs its reads and passes in answers,
+// peers' reports and the time. Only its Tree may be used concurrently.
 type Follower struct {
 	config FollowerConfig
 	tree   *Tree
 
-	// known is the highest position known to exist; behindSince is when it
-	// went above the position held.
+	// known is the highest position known to exist. behindSince is when it
+	// first exceeded the position held.
 	known       uint64
 	behindSince time.Time
-	// confirmed is the last moment at which the position held was known to be
+	// confirmedAt is the last time at which the position held was known to be
 	// the end of the stream.
 	confirmedAt time.Time
 
-	// reading is set while a read is under way; readIssued is when it began.
+	// reading is true while a read is in flight. request, readOffset and
+	// readIssuedAt describe it.
 	reading      bool
 	request      uint64
 	readOffset   uint64
@@ -136,21 +141,22 @@
 
 	peers          map[machine.ID]peerReport
 	nextPeerExpiry time.Time
-	// vouched holds, for other zones, the last moment at which a node there
-	// was known to hold vouchedPosition and to know of no newer record;
-	// vouchedAt is when any peer last said so itself.
+	// zoneAgreedAt holds, per zone, the last time at which a node there was
+	// known to hold agreedPosition and to know of no newer record.
+	// peerAgreedAt is when a report with that content was last received
+	// directly from a peer.
 	zoneAgreedAt   map[zone.Name]time.Time
 	peerAgreedAt   time.Time
 	agreedPosition uint64
 	verdicts       []Verdict
-	// announced is the revision that the last Ready told of.
+	// reportedRevision is the revision at the time of the last Ready.
 	reportedRevision Revision
 	readPending      bool
 	fetchFrom        machine.ID
 }
 
-// NewFollower returns a follower with an empty tree, which wants to read the
-// stream from its start. The error joins everything that is wrong with config.
+// NewFollower returns a follower with an empty tree, which will read the
+// stream from its start. The error joins all findings about the config.
 func NewFollower(config FollowerConfig) (*Follower, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -158,11 +164,11 @@
 	return &Follower{config: config, tree: NewTree(), peers: map[machine.ID]peerReport{}, zoneAgreedAt: map[zone.Name]time.Time{}}, nil
 }
 
-// Tree returns the settings tree, which is the same object for the life of
+// Tree returns the settings tree. It is the same object for the lifetime of
 // the follower.
 func (f *Follower) Tree() *Tree { return f.tree }
 
-// Tick tells the time: a due read starts, an overdue one counts as failed.
+// Tick starts a read that is due, and treats one that has timed out as failed.
 func (f *Follower) Tick(now time.Time) {
 	f.expirePeers(now)
 	if f.reading && !now.Before(f.readIssuedAt.Add(f.config.ReadTimeout)) {
@@ -190,7 +196,7 @@
 	f.readIssuedAt = now
 }
 
-// retry sets the next read after a failure.
+// retry schedules the next read after a failure.
 func (f *Follower) retry(now time.Time) {
 	f.failedReads++
 	backoff := retry.Backoff{Minimum: f.config.RetryInterval, Maximum: f.config.MaximumRetryInterval, Random: f.config.Random}
@@ -198,8 +204,8 @@
 	f.fetchFrom = f.newestPeer()
 }
 
-// newestPeer returns the peer that holds the newest settings, if they are
-// newer than those held here; of several, the first by name.
+// newestPeer returns the peer with the newest settings, if they are newer than
+// those held here. Ties are broken by the lowest ID.
 func (f *Follower) newestPeer() machine.ID {
 	var newest machine.ID
 	position := f.tree.Position()
@@ -211,10 +217,10 @@
 	return newest
 }
 
-// Step takes the answer to a read.
+// Step handles the answer to a read.
 func (f *Follower) Step(now time.Time, done ReadDone) {
 	if !f.reading || done.Request != f.request || done.From != f.readOffset {
-		return // the answer to a read that was given up
+		return // an answer to an abandoned read
 	}
 	f.reading = false
 	f.readPending = false
@@ -224,7 +230,7 @@
 	}
 	position := f.tree.Position()
 	if skip := position - done.From; skip < uint64(len(done.Changes)) {
-		// An import may have moved the position while the read was under way.
+		// An import may have advanced the position while the read was in flight.
 		f.verdicts = append(f.verdicts, f.tree.applyBatch(position, done.Changes[skip:])...)
 	}
 	f.raiseKnown(now, max(done.End, done.From+uint64(len(done.Changes))))
@@ -234,9 +240,9 @@
 	f.schedule(now, f.tree.Position() > position)
 }
 
-// schedule sets the next read after an answered one. A read that brought
-// nothing while more is known to exist counts as failed: the service that
-// answered may itself be behind.
+// schedule schedules the next read after an answered one. A read that returned
+// nothing new although newer records are known to exist counts as failed: the
+// service that answered may itself be behind.
 func (f *Follower) schedule(now time.Time, advanced bool) {
 	behind := f.known > f.tree.Position()
 	if behind && !advanced {
@@ -256,7 +262,7 @@
 	return time.Duration(f.config.Random.Int64N(int64(bound) + 1))
 }
 
-// learn takes in that records up to position end exist.
+// raiseKnown records that the stream is known to extend to position end.
 func (f *Follower) raiseKnown(now time.Time, end uint64) {
 	held := f.tree.Position()
 	if end <= f.known || end <= held {
@@ -269,9 +275,10 @@
 	f.known = end
 }
 
-// Heard takes in that an accepted change of this revision exists. A newer one
-// than this node holds starts a read at once, unless reads fail: then the
-// backoff stands, so that a store that comes back is not met by a storm.
+// ObserveRevision records that an accepted change of this revision exists. If
+// it is newer than the settings held, a read starts at once, unless reads are
+// failing: then the backoff stays in force, so that a store that recovers is
+// not overloaded by all nodes at once.
 func (f *Follower) Heard(now time.Time, revision Revision) {
 	f.raiseKnown(now, uint64(revision))
 	if f.known > f.tree.Position() && !f.reading && f.failedReads == 0 {
@@ -279,8 +286,9 @@
 	}
 }
 
-// HeardReport takes a peer's report. It does what Heard does, and lets the
-// peer confirm the settings, or the outage of the store, for this node.
+// ObserveReport handles a peer's report. It does what ObserveRevision does; in
+// addition, the report may confirm that the settings held are the newest, or
+// that the peer cannot reach the store either.
 func (f *Follower) HeardReport(now time.Time, report Report) {
 	if report.Peer == f.config.Self {
 		return
@@ -296,7 +304,7 @@
 	}
 }
 
-// Report returns what this node tells its peers.
+// Report returns the report that this node sends to its peers.
 func (f *Follower) Report(now time.Time) Report {
 	current := f.tree.published.Load()
 	report := Report{
@@ -311,7 +319,7 @@
 	return report
 }
 
-// Ready returns what to do, and forgets it.
+// Ready returns the pending actions and results, and clears them.
 func (f *Follower) Ready() FollowerReady {
 	ready := FollowerReady{Verdicts: f.verdicts, Fetch: f.fetchFrom}
 	f.verdicts = nil
@@ -327,11 +335,11 @@
 	return ready
 }
 
-// Export returns the settings held, for a peer that cannot read the stream.
+// Export returns a snapshot for a peer that cannot read the stream.
 func (f *Follower) Export() ([]byte, error) { return f.tree.Export() }
 
-// Import takes in a peer's settings when they are newer; see Tree.Import.
-// Verdicts of the changes in it are not told by Ready: ask Tree.Verdict.
+// Import imports a peer's snapshot if it is newer; see Tree.Import. Ready does
+// not return the verdicts of the changes in it; use Tree.Verdict.
 func (f *Follower) Import(now time.Time, data []byte) error {
 	if err := f.tree.Import(data); err != nil {
 		return err
--- a/contract/follower_test.go
+++ b/contract/follower_test.go
@@ -19,7 +19,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// settingsLog is the settings stream of a test.
+// settingsLog is an in-memory settings stream.
 type settingsLog struct{ records [][]byte }
 
 func (l *settingsLog) add(change contract.Change) {
@@ -28,7 +28,7 @@
 	l.records = append(l.records, data)
 }
 
-// answer performs a read.
+// answer returns the answer to a read.
 func (l *settingsLog) answer(read *contract.FollowerRead) contract.ReadDone {
 	end := uint64(len(l.records))
 	to := min(end, read.From+uint64(read.Maximum))
@@ -55,13 +55,13 @@
 	return &reader{Follower: follower, log: log}
 }
 
-// run lets the follower act at one moment until it waits.
+// run ticks the follower and performs its actions until none is left.
 func (r *reader) run(now time.Time) {
 	r.Tick(now)
 	r.perform(now)
 }
 
-// perform does what the follower wants done.
+// perform performs the follower's actions until none is left.
 func (r *reader) perform(now time.Time) {
 	for {
 		ready := r.Ready()
@@ -81,7 +81,7 @@
 	}
 }
 
-// runUntil follows the wake-ups until a moment.
+// runUntil runs the follower at each of its wake-up times up to end.
 func (r *reader) runUntil(end time.Time) {
 	for !r.NextWake().After(end) {
 		r.run(r.NextWake())
@@ -131,7 +131,7 @@
 		stale := log.answer(abandoned)
 		log.add(set("narrow", 7, "", zones("b")))
 		later := now.Add(time.Minute)
-		north.Tick(later) // the read counts as failed
+		north.Tick(later) // the read times out
 		north.Tick(later.Add(time.Second))
 		Expect(north.Ready().Read).NotTo(BeNil())
 		north.Step(later.Add(time.Second), stale)
--- a/contract/freshness.go
+++ b/contract/freshness.go
@@ -9,7 +9,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// FreshnessState says how sure a node is that it holds the newest settings.
+// FreshnessState describes whether a node knows that it holds the newest
+// settings.
 type FreshnessState string
 
 // The states of freshness.
@@ -19,65 +20,67 @@
 	FreshnessFresh FreshnessState = "fresh"
 	// FreshnessBehind: a record that this node has not read is known to exist.
 	FreshnessBehind FreshnessState = "behind"
-	// FreshnessOutage: nobody saw the end of the stream within the bound,
-	// and peers in every zone say the same: the store is down for all, so
-	// that nobody can have changed the settings since.
+	// FreshnessOutage: within the bound, neither this node nor its peers saw
+	// the end of the stream, and nodes in every zone reported so. The store is
+	// down for all, so the settings cannot have changed since.
 	FreshnessOutage FreshnessState = "outage"
 	// FreshnessUnconfirmed: this node cannot see the end of the stream, and
 	// cannot rule out that others can.
 	FreshnessUnconfirmed FreshnessState = "unconfirmed"
 )
 
-// Freshness is a node's knowledge about its settings at one moment.
+// Freshness describes how current a node's settings are at one moment.
 type Freshness struct {
 	State FreshnessState `json:"state"`
 	// Since is when the state began.
 	Since time.Time `json:"since"`
-	// MayPlace says whether new work may be placed: a dispatch whose place
-	// rule could have changed must wait or be refused when it is false.
+	// MayPlace says whether new work may start. If it is false, a dispatch
+	// whose placement rule could have changed must wait or be refused.
 	MayPlace bool `json:"may_place"`
-	// Position is how many records this node folded, Known how many exist as
-	// far as it knows, and Revision the last accepted one that it holds.
+	// Position is the number of records that this node has applied, Known the
+	// number that it knows to exist, and Revision the last accepted one that
+	// it holds.
 	Position uint64   `json:"position"`
 	Known    uint64   `json:"known"`
 	Revision Revision `json:"revision"`
-	// Confirmed is the last moment at which the held settings were known to
-	// be the newest.
+	// ConfirmedAt is the last time at which the settings held were known to be
+	// the newest.
 	Confirmed time.Time `json:"confirmed"`
 	Reason    string    `json:"reason"`
 }
 
-// Report is what a node tells its peers about the settings, with each
-// message of the membership.
+// Report describes a node's settings to its peers. Each membership message
+// carries one.
 type Report struct {
 	Peer machine.ID `json:"peer"`
 	Zone zone.Name  `json:"zone"`
-	// Position is how many records the peer folded; Known is the highest
-	// position that it heard of or read.
+	// Position is the number of records that the peer has applied. Known is
+	// the highest position that it has read or received.
 	Position uint64 `json:"position"`
 	Known    uint64 `json:"known"`
-	// Age is how long before sending the peer's settings were last known to
-	// be the newest. It is negative when they never were. An age and not a
-	// time, since clocks differ.
+	// ConfirmedAge is the time from when the peer's settings were last known
+	// to be the newest until the report was sent, or negative if they never
+	// were. It is an age rather than a time because clocks differ.
 	Age time.Duration `json:"age"`
-	// Digest chains the records up to Position.
+	// Digest is the chained digest of the records up to Position.
 	Digest uint64 `json:"digest"`
-	// Zones tells for other zones how long ago a node there was known to hold
-	// Position and to know of no newer record. It is left out while the
-	// sender's settings are fresh.
+	// ZoneAges holds, per zone, how long ago a node there was known to hold
+	// Position and to know of no newer record. It is omitted until the
+	// sender's last confirmation is older than half the freshness bound.
 	Zones map[zone.Name]time.Duration `json:"zones,omitempty"`
 }
 
-// unconfirmedAge marks a report of a node that never saw the stream's end.
+// neverConfirmedAge is the age in reports of a node whose settings were never
+// known to be the newest, or are known not to be.
 const neverConfirmedAge = time.Duration(-1)
 
-// heard is the last report of one peer and when it arrived.
+// peerReport is the last report of a peer and the time of its receipt.
 type peerReport struct {
 	report     Report
 	receivedAt time.Time
 }
 
-// peerConfirmed returns when the peer's settings were last known to be the
+// peerConfirmedAt returns when the peer's settings were last known to be the
 // newest, by this node's clock.
 func (f *Follower) peerConfirmedAt(peer peerReport) time.Time {
 	if peer.report.Age < 0 {
@@ -86,7 +89,7 @@
 	return peer.receivedAt.Add(-f.config.MessageDelay - peer.report.Age)
 }
 
-// Freshness says how sure this node is of its settings.
+// Freshness returns how current this node's settings are.
 func (f *Follower) Freshness(now time.Time) Freshness {
 	result := Freshness{
 		Position: f.tree.Position(), Known: f.known, Revision: f.tree.Revision(), Confirmed: f.confirmedAt,
@@ -110,13 +113,13 @@
 	return result
 }
 
-// outage tells a store that is down for all from a node, or a zone, that is
-// cut off. It needs a recent word from every zone of the deployment, because a
-// zone is what the network cuts off as a whole. A node vouches for its zone
-// when it holds the same settings and knows of no newer record; had it seen
-// the stream's end within the bound, its report would have confirmed the
-// settings here too. A node that holds older settings, such as one that just
-// started, vouches for nothing.
+// classifyOutage distinguishes a store that is down for all from a node or zone
+// that is partitioned off. It requires recent agreement from every zone of the
+// deployment, because network partitions separate whole zones. A node's report
+// counts for its zone if the node holds the same settings and knows of no newer
+// record; had it seen the end of the stream within the bound, its report would
+// have confirmed the settings here too. A report with older settings, such as
+// that of a node that has just started, does not count.
 func (f *Follower) classifyOutage(now time.Time) (FreshnessState, string) {
 	if f.confirmedAt.IsZero() {
 		return FreshnessUnconfirmed, "the end of the settings stream was never seen"
@@ -132,9 +135,9 @@
 	return FreshnessOutage, "the store is out of reach for this node and, as far as its peers know, for every zone"
 }
 
-// vouch notes what a report says about the zones: its sender's own, and those
-// that the sender heard of. Ages add up along the way, so that a word never
-// looks younger than it is.
+// recordAgreement records a report's evidence for the sender's zone and for the
+// zones in ZoneAges. Each relay adds its delay to the age, so that evidence
+// never appears more recent than it is.
 func (f *Follower) recordAgreement(now time.Time, report Report) {
 	if held := f.tree.Position(); f.agreedPosition != held {
 		f.agreedPosition = held
@@ -160,7 +163,8 @@
 	}
 }
 
-// vouchedZones returns the ages for a report; nil while they are of no use.
+// zoneAgreementAges returns the zone ages for a report, or nil while this node's
+// settings are fresh enough that peers do not need them.
 func (f *Follower) zoneAgreementAges(now time.Time) map[zone.Name]time.Duration {
 	if now.Before(f.confirmedAt.Add(f.config.FreshnessBound/2)) || f.agreedPosition != f.tree.Position() {
 		return nil
@@ -174,11 +178,12 @@
 	return ages
 }
 
-// peerRetention is how long the report of a silent peer is kept, so that the
-// status of the settings names it.
+// peerRetention is how long the last report of an unresponsive peer is kept, so
+// that the settings status still lists it.
 const peerRetention = 5 * time.Minute
 
-// forgetPeers drops old reports, once within each bound.
+// expirePeers drops old reports. It scans them at most once per
+// FreshnessBound.
 func (f *Follower) expirePeers(now time.Time) {
 	if now.Before(f.nextPeerExpiry) {
 		return
--- a/contract/history.go
+++ b/contract/history.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// HistoryEntry is one accepted change as it concerned a branch.
+// HistoryEntry is one accepted change, reduced to the edits that are relevant
+// to a branch.
 type HistoryEntry struct {
 	Revision Revision  `json:"revision"`
 	ChangeID string    `json:"change_id"`
 	Actor    string    `json:"actor"`
 	At       time.Time `json:"at"`
-	// Edits are those at the branch, above it or below it.
+	// Edits holds the edits of the branch, its ancestors and its descendants.
 	Edits []Edit `json:"edits"`
 }
 
-// Difference is one value that differs between two revisions. A nil value
-// belongs to a branch that did not exist.
+// Difference is one value that differs between two revisions. Before or After
+// is nil if the branch did not exist at that revision.
 type Difference struct {
 	Name   string          `json:"name"`
 	Before json.RawMessage `json:"before"`
 	After  json.RawMessage `json:"after"`
-	// From is the branch that the value after comes from.
+	// From is the branch that sets the value in After.
 	From Path `json:"from"`
 }
 
-// Effect is what a change would do to one branch.
+// Effect is the effect that a change would have on one branch.
 type Effect struct {
 	Path        Path         `json:"path"`
 	Created     bool         `json:"created,omitempty"`
@@ -36,21 +37,21 @@
 	Differences []Difference `json:"differences,omitempty"`
 }
 
-// RevisionError says that a revision cannot be shown.
+// RevisionError reports a revision that is outside the window or not reached
+// yet.
 type RevisionError struct {
 	Revision Revision
-	// Oldest and Newest are the revisions that can be.
+	// Oldest and Newest bound the available revisions.
 	Oldest, Newest Revision
 }
 
-// Error describes the failure.
 func (e *RevisionError) Error() string {
 	return fmt.Sprintf("revision %d: want one from %d to %d", e.Revision, e.Oldest, e.Newest)
 }
 
-// History returns the accepted changes, newest first, that edited the branch,
-// one above it or one below it, as far as the window of the tree goes back.
-// Limit zero means all of them.
+// History returns the accepted changes within the window, newest first, that
+// edited the branch, an ancestor or a descendant. A limit of zero means no
+// limit.
 func (t *Tree) History(path Path, limit int) []HistoryEntry {
 	var history []HistoryEntry
 	t.published.Load().log.Descend(func(entry logEntry) bool {
@@ -69,8 +70,8 @@
 	return history
 }
 
-// accepted reports whether the record itself changed the tree: a duplicate of
-// an accepted change did not.
+// accepted reports whether the record itself changed the tree. A duplicate of
+// an accepted change does not.
 func (e logEntry) accepted() bool { return e.verdict.Accepted && !e.duplicate }
 
 func editsConcerning(path Path, edits []Edit) []Edit {
@@ -88,8 +89,9 @@
 // the branch existed at neither.
 func (t *Tree) Diff(path Path, from, to Revision) ([]Difference, error) {
 	current := t.published.Load()
-	// A published state is never cloned: readers are many. Rolling back works
-	// on a copy of the working state, and stops at the published position.
+	// Cloning a btree writes to it, so a published state, which is read
+	// without a lock, is never cloned. The working state is cloned instead,
+	// and only revisions up to the published position are accepted.
 	t.writeMutex.Lock()
 	working := t.working.clone()
 	t.writeMutex.Unlock()
@@ -107,7 +109,7 @@
 	return difference(before, after, path)
 }
 
-// at returns the state as of a revision.
+// asOf returns the state as of a revision, by undoing later changes.
 func (s *state) asOf(revision, newest Revision) (*state, error) {
 	if revision < s.horizon || revision > newest {
 		return nil, &RevisionError{Revision: revision, Oldest: s.horizon, Newest: newest}
@@ -126,7 +128,7 @@
 	return past, nil
 }
 
-// restore puts back a branch that a change replaced.
+// restore undoes the replacement of a branch.
 func (s *state) restore(replaced branchEntry) {
 	if replaced.branch == nil {
 		s.branches.Delete(replaced)
@@ -168,9 +170,9 @@
 	return s.explain(path)
 }
 
-// Preview returns what the change would do to each branch if it were folded
-// next, or everything that is wrong with it. At most limit branches are
-// listed; total counts them all. Limit zero means no limit.
+// Preview returns the effects of the change on each branch if it were applied
+// next, or all of its findings. At most limit effects are returned; total
+// counts them all. A limit of zero means no limit.
 func (t *Tree) Preview(change Change, limit int) (effects []Effect, total int, findings []Finding) {
 	t.writeMutex.Lock()
 	before := t.working.clone()
@@ -194,8 +196,8 @@
 	return effects, total, nil
 }
 
-// affectedPaths returns the branches at and below the edited paths, in either
-// state, sorted.
+// affectedPaths returns the sorted paths of all branches at or below an edited
+// path, in either state.
 func affectedPaths(before, after *state, change Change) []Path {
 	var paths []Path
 	collect := func(branch *branch) { paths = append(paths, branch.path) }
--- a/contract/path.go
+++ b/contract/path.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Path names a branch of the tree, such as "koudeketting/triage"; the root is
-// the empty path.
+// Path identifies a branch of the tree, such as "koudeketting/triage". The
+// root is the empty path.
 type Path string
 
-// Root is the path of the branch that every other branch inherits from.
+// Root is the path of the root branch, which all others inherit from.
 const Root Path = ""
 
 // Bounds of a path.
@@ -23,8 +23,8 @@
 
 var validSegment = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
 
-// Validate reports whether the path is the root, or at most eight segments
-// of lower-case letters, digits and inner hyphens joined by "/".
+// Validate returns an error unless the path is the root, or at most eight
+// segments of lower-case letters, digits and inner hyphens joined by "/".
 func (p Path) Validate() error {
 	if p == Root {
 		return nil
@@ -61,7 +61,7 @@
 	return len(other) > len(p) && other[:len(p)] == p && other[len(p)] == pathSeparator[0]
 }
 
-// lineage returns the path and its ancestors, the root last.
+// selfAndAncestors returns the path and its ancestors, the root last.
 func (p Path) selfAndAncestors() []Path {
 	paths := []Path{p}
 	for p != Root {
@@ -71,7 +71,7 @@
 	return paths
 }
 
-// String returns the path for people: the root is written "/".
+// String returns the path for display. The root is written "/".
 func (p Path) String() string {
 	if p == Root {
 		return pathSeparator
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -8,18 +8,20 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// PeerSettings is what this node has heard of one node's settings.
+// PeerSettings describes the settings of one node, as last reported to this
+// node.
 type PeerSettings struct {
 	Node machine.ID
-	// Revision is how many records of the stream the node has folded.
+	// Revision is the number of records that the node has applied.
 	Revision Revision
-	// Behind says that more records are known to exist.
+	// Behind is true if the stream is known to hold more records.
 	Behind bool
-	// HeardAgo is the time since the node's last report; zero for this node.
+	// HeardAgo is the time since the node's last report was received; zero
+	// for this node.
 	HeardAgo time.Duration
 }
 
-// Peers returns what is known of every node's settings, this node's first.
+// Peers returns the known settings positions of all nodes, this node first.
 func (f *Follower) Peers(now time.Time) []PeerSettings {
 	own := PeerSettings{Node: f.config.Self, Revision: Revision(f.tree.Position()), Behind: f.known > f.tree.Position()}
 	var peers []PeerSettings
--- a/contract/property_test.go
+++ b/contract/property_test.go
@@ -17,13 +17,13 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// smallWindow makes the streams of these tests longer than a tree's memory.
+// smallWindow is a window that the streams of these tests exceed.
 const smallWindow = 12
 
 var propertyPaths = []contract.Path{"", "a", "b", "a/x", "a/y", "a/x/deep", "b/x"}
 
-// drawChange draws a change as racing operators make them: based on a recent
-// revision, sometimes wrong, sometimes sent twice.
+// drawChange draws a change as concurrent operators would send it: based on a
+// recent revision, sometimes invalid, sometimes a duplicate.
 func drawChange(t *rapid.T, position int, sent []contract.Change) contract.Change {
 	if len(sent) > 0 && rapid.IntRange(0, 5).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(sent).Draw(t, "duplicate")
@@ -69,13 +69,14 @@
 	return records
 }
 
-// accepted is what the oracle remembers: the accepted changes in order.
+// accepted is one accepted change in the oracle's history.
 type accepted struct {
 	revision contract.Revision
 	change   contract.Change
 }
 
-// oracleConflicts says by the definition alone whether a change clashes.
+// oracleConflicts reports whether a change conflicts with the history, directly
+// by the definition of a conflict.
 func oracleConflicts(history []accepted, change contract.Change) bool {
 	return slices.ContainsFunc(history, func(earlier accepted) bool {
 		return earlier.revision > change.Based && slices.ContainsFunc(change.Edits, func(edit contract.Edit) bool {
@@ -86,10 +87,11 @@
 	})
 }
 
-// TestFoldAgreesOnEveryNode: a node that folds record by record, and one that
-// starts from a snapshot of it at any moment, reach the same verdicts and the
-// same state; no accepted change clashes with one that it did not know of; no
-// change takes effect twice; a branch never has a zone that its parent lacks.
+// TestFoldAgreesOnEveryNode checks that a node that applies every record and one
+// that starts from its snapshot at any position reach the same verdicts and the
+// same state; that no accepted change conflicts with one accepted after the
+// revision that it is based on; that no change takes effect twice; and that no
+// branch has a zone that its parent lacks.
 func TestFoldAgreesOnEveryNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawStream(t)
@@ -132,7 +134,8 @@
 	}
 }
 
-// expectAllowed checks a change that took effect against the oracle.
+// expectAllowed checks a change that took effect against the oracle and adds it
+// to the history.
 func expectAllowed(t *rapid.T, history []accepted, revision contract.Revision, data []byte) []accepted {
 	var change contract.Change
 	if err := json.Unmarshal(data, &change); err != nil {
@@ -189,9 +192,9 @@
 	}
 }
 
-// TestFollowersAgreeUnderFaults: followers that read the same stream in parts,
-// with failed, late and repeated answers and with snapshots, end with the
-// state of a plain fold and with its verdicts in its order.
+// TestFollowersAgreeUnderFaults checks that a follower that reads the stream in
+// parts, with failed, late and repeated answers, ends with the same state and
+// the same verdicts, in order, as a tree to which all records were applied.
 func TestFollowersAgreeUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawStream(t)
@@ -240,8 +243,8 @@
 	return append(verdicts, follower.Ready().Verdicts...)
 }
 
-// deliver hands over one of the answers under way, perhaps as a failure, and
-// perhaps keeps it to be delivered again.
+// deliver passes one of the pending answers to the follower, possibly as a
+// failure, and possibly keeps it to be delivered again.
 func deliver(t *rapid.T, follower *contract.Follower, now time.Time, answers []contract.ReadDone) []contract.ReadDone {
 	if len(answers) == 0 {
 		return answers
@@ -250,7 +253,7 @@
 	done := answers[index]
 	switch rapid.IntRange(0, 3).Draw(t, "fate") {
 	case 0:
-		return answers // still under way
+		return answers // not delivered yet
 	case 1:
 		done.Changes, done.End, done.Err = nil, 0, fmt.Errorf("down")
 	}
--- a/contract/reference.go
+++ b/contract/reference.go
@@ -2,19 +2,19 @@
 
 import "encoding/json"
 
-// Description tells what one value of a branch is, for the reference page.
+// Description documents one value of a branch for the reference page.
 type Description struct {
 	Name string
-	// Kind is its type and range in words.
+	// Kind describes the type and range.
 	Kind string
-	// Default is the value in JSON of a root that does not set it; empty for
-	// lists that are not inherited.
+	// Default is the default value in JSON; empty for lists that are not
+	// inherited.
 	Default     string
 	Inherited   bool
 	Description string
 }
 
-// Descriptions returns every value that a branch can set.
+// Descriptions returns a description of every value that a branch can set.
 func Descriptions() ([]Description, error) {
 	values := defaults()
 	descriptions := make([]Description, len(fields))
--- a/contract/resolve.go
+++ b/contract/resolve.go
@@ -7,21 +7,20 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// UnknownBranchError says that a path names no branch.
+// UnknownBranchError reports a path that identifies no branch.
 type UnknownBranchError struct {
 	Path Path
-	// Deepest is the longest known branch above the path.
+	// Deepest is the nearest existing ancestor of the path.
 	Deepest Path
 }
 
-// Error describes the failure.
 func (e *UnknownBranchError) Error() string {
 	return fmt.Sprintf("no branch %q: the deepest known one above it is %q", e.Path.String(), e.Deepest.String())
 }
 
 // Resolve returns the contract of a branch. Its Revision is the one that last
 // changed the contract, so that an unchanged contract compares equal. The
-// lists are shared: do not write to them. The error is an
+// lists are shared and must not be modified. The error is an
 // *UnknownBranchError.
 func (t *Tree) Resolve(path Path) (Contract, error) {
 	current := t.published.Load()
@@ -40,8 +39,8 @@
 	return &UnknownBranchError{Path: path, Deepest: deepest}
 }
 
-// resolveBelow computes the contracts of a branch and of those below it,
-// parents first. A contract that stays the same keeps its revision.
+// resolveBelow computes the contracts of a branch and its descendants, parents
+// first. A contract that does not change keeps its revision.
 func (s *state) resolveBelow(revision Revision, path Path) {
 	var affected []*branch
 	s.walk(path, func(branch *branch) { affected = append(affected, branch) })
@@ -77,8 +76,8 @@
 	return contractOf(b.path, &values, placement)
 }
 
-// union returns the items of both lists, sorted, without repeats. It returns
-// the first list itself when the second adds nothing.
+// union returns the items of both lists, sorted and without duplicates. It
+// returns the first list itself if the second is empty.
 func union(first, second []string) []string {
 	if len(second) == 0 {
 		return first
@@ -88,7 +87,7 @@
 	return slices.Compact(joined)
 }
 
-// overlay copies every inherited field that source sets.
+// overlay copies every inherited field that source sets to target.
 func overlay(target, source *Values) {
 	for index := range fields {
 		if fields[index].inherited && fields[index].isSet(source) {
@@ -97,7 +96,7 @@
 	}
 }
 
-// valuesOf returns the values that a contract stands for.
+// valuesOf returns a contract's values. It shares memory with the contract.
 func valuesOf(c *Contract) Values {
 	return Values{
 		Zones: c.Placement.Zones(), Models: c.Models, Tools: c.Tools,
@@ -120,7 +119,7 @@
 	}
 }
 
-// equalContracts compares everything but the revisions.
+// equalContracts compares all fields except Revision.
 func equalContracts(a, b Contract) bool {
 	if !slices.Equal(a.Models, b.Models) || !slices.Equal(a.Tools, b.Tools) || !slices.Equal(a.DrainedBackends, b.DrainedBackends) {
 		return false
--- a/contract/snapshot.go
+++ b/contract/snapshot.go
@@ -11,10 +11,11 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// snapshotFormat changes when an older version could misread a snapshot.
+// snapshotFormat must be incremented when older versions could misread a
+// snapshot.
 const snapshotFormat = 1
 
-// snapshot is a whole fold in its JSON form. Checksum covers Body.
+// snapshot is the JSON form of a complete state. Checksum covers Body.
 type snapshot struct {
 	Format   int             `json:"format"`
 	Checksum string          `json:"checksum"`
@@ -32,14 +33,14 @@
 	Log        []snapshotRecord `json:"log"`
 }
 
-// snapshotBranch is a branch; a removed one has Absent set and nothing else.
+// snapshotBranch is a branch. One that did not exist has only Path and Absent.
 type snapshotBranch struct {
 	Path   Path     `json:"path"`
 	Absent bool     `json:"absent,omitempty"`
 	Values Values   `json:"values"`
 	Since  []uint64 `json:"since,omitempty"`
-	// Contract is the revision that last changed the branch's contract; it is
-	// left out for a branch that was replaced.
+	// Contract is the revision that last changed the branch's contract. It is
+	// omitted for a replaced branch in the log.
 	Contract Revision `json:"contract,omitempty"`
 }
 
@@ -55,22 +56,22 @@
 	Change   Change           `json:"change"`
 	Verdict  Verdict          `json:"verdict"`
 	Before   []snapshotBranch `json:"before,omitempty"`
-	// Duplicate marks a record whose change stood in an earlier one too.
+	// Duplicate is true if an earlier record holds the same change.
 	Duplicate bool `json:"duplicate,omitempty"`
 }
 
-// OlderSnapshotError says that a snapshot was not taken in because the tree
-// holds as much or more.
+// OlderSnapshotError reports a snapshot that was not imported because the tree
+// is at the same position or a later one.
 type OlderSnapshotError struct {
 	Held, Offered uint64
 }
 
-// Error describes the failure.
 func (e *OlderSnapshotError) Error() string {
 	return fmt.Sprintf("snapshot at position %d is not newer than the settings held, position %d", e.Offered, e.Held)
 }
 
-// Export returns the whole fold, for a node that cannot read the stream.
+// Export returns a snapshot of the whole state, for a node that cannot read
+// the stream.
 func (t *Tree) Export() ([]byte, error) {
 	body, err := json.Marshal(t.published.Load().export())
 	if err != nil {
@@ -119,9 +120,9 @@
 	return exported
 }
 
-// Import replaces the state by a snapshot of a peer that is newer. The
-// snapshot is checked whole first: on an error nothing changes. The error is
-// an *OlderSnapshotError when there is nothing to gain.
+// Import replaces the state with a newer snapshot from a peer. The snapshot is
+// fully validated first: on an error nothing changes. The error is an
+// *OlderSnapshotError if the snapshot is not newer.
 func (t *Tree) Import(data []byte) error {
 	body, err := decodeSnapshot(data)
 	if err != nil {
@@ -136,7 +137,7 @@
 	if imported.position <= t.working.position {
 		return &OlderSnapshotError{Held: uint64(t.working.position), Offered: uint64(imported.position)}
 	}
-	// Placements that were ever in force here stay known.
+	// Placements includes every placement that was ever in force here.
 	for _, placement := range t.working.placements {
 		imported.addPlacement(placement)
 	}
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// openSnapshot checks the envelope.
+// decodeSnapshot checks the format and checksum and decodes the body.
 func decodeSnapshot(data []byte) (*snapshotBody, error) {
 	var envelope snapshot
 	if err := decodeStrictly(data, &envelope); err != nil {
@@ -171,7 +172,7 @@
 	return decoder.Decode(target)
 }
 
-// state rebuilds the fold and checks that it is one that a fold can reach.
+// state rebuilds the state from the snapshot and validates it.
 func (b *snapshotBody) state(windowRecords Revision) (*state, error) {
 	built := newState(windowRecords)
 	built.position, built.revision, built.horizon = b.Position, b.Revision, b.Horizon
@@ -229,7 +230,7 @@
 	return imported, nil
 }
 
-// importLog fills the window.
+// importLog restores the records within the window.
 func (b *snapshotBody) importLog(built *state) error {
 	if Revision(len(b.Log)) > built.windowRecords {
 		return fmt.Errorf("log: %d records: want at most %d", len(b.Log), built.windowRecords)
--- a/contract/state.go
+++ b/contract/state.go
@@ -8,34 +8,36 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Window is how many records of the settings stream a tree remembers, for
-// duplicates, verdicts, history and diffs. A change that is based on a
-// revision before the window, when a later one was accepted, is refused: the
-// tree no longer knows what it would clash with.
+// WindowRecords is the number of records of the settings stream that a tree
+// retains for duplicates, verdicts, history and diffs. A change that is based
+// on a revision before the window is refused if a later one was accepted, since
+// its conflicts can no longer be determined.
 const Window = 4096
 
 // treeDegree is the branching factor of the ordered maps.
 const treeDegree = 16
 
-// branch is one branch of the tree. It is never changed once it stands in a
-// state; a change puts a new one in its place.
+// branch is one branch of the tree. It is immutable once it is part of a
+// state; a change replaces it.
 type branch struct {
 	path   Path
 	values Values
-	// since holds, for each field that is set, the revision that set it.
+	// fieldRevisions holds, for each field that is set, the revision that set
+	// it, and zero for the others.
 	fieldRevisions []Revision
-	// contract is the branch's values with everything inherited.
+	// contract is the branch's values with inheritance resolved.
 	contract *Contract
 }
 
-// branchEntry is a branch under its path. The ordered map compares entries
-// by value, so that a lookup allocates nothing.
+// branchEntry is a branch with its path as the key. Entries are values rather
+// than pointers, so that a lookup does not allocate.
 type branchEntry struct {
 	path   Path
 	branch *branch
 }
 
-// touch says which accepted change edited a path last. It outlives the branch.
+// lastEdit records which accepted change edited a path last. It is kept after
+// the branch is removed.
 type lastEdit struct {
 	path     Path
 	revision Revision
@@ -50,7 +52,7 @@
 	tokenOperator
 )
 
-// tokenEntry ties a token to the branch that lists it.
+// tokenEntry maps a token to the branch that lists it.
 type tokenEntry struct {
 	kind tokenKind
 	hash string
@@ -62,28 +64,32 @@
 	position Revision
 	change   Change
 	verdict  Verdict
-	// before holds the branches that the change replaced, in the order of
-	// their first edit and without their contracts; a nil branch did not exist.
+	// replacedBranches holds the branches that the change replaced, in the
+	// order of their first edit and without their contracts. A nil branch did
+	// not exist before.
 	replacedBranches []branchEntry
-	// duplicate marks a record whose change stood in an earlier record too.
+	// duplicate is true if an earlier record holds the same change.
 	duplicate bool
 }
 
-// changeKey finds a record of the window by its change's ID.
+// changeKey maps a change's ID to the position of its record in the window.
 type changeKey struct {
 	id       string
 	position Revision
 }
 
-// state is the whole fold. Its ordered maps are copied lazily, so that clone
-// costs a few words and a change costs the few nodes that it touches.
+// state is the result of applying the stream's records in order. Its B-trees
+// are copied on write, so that clone is cheap and a change copies only the
+// nodes that it modifies.
 type state struct {
-	// window is how many records are remembered.
+	// windowRecords is the number of records that the log retains.
 	windowRecords Revision
-	// position is the number of records folded; revision the last accepted.
+	// position is the number of records applied, and revision the last
+	// accepted one.
 	position Revision
 	revision Revision
-	// horizon is the position of the last record that left the window.
+	// horizon is the position of the last record that was evicted from the
+	// log: the oldest revision that can be restored.
 	horizon    Revision
 	digest     digest
 	branches   *btree.BTreeG[branchEntry]
@@ -119,8 +125,8 @@
 	return a.path < b.path
 }
 
-// clone returns an independent copy. The slice of placements is shared: it
-// is replaced, never written to.
+// clone returns an independent copy. The placements slice is shared, because
+// it is replaced and never modified.
 func (s *state) clone() *state {
 	copied := *s
 	copied.branches = s.branches.Clone()
@@ -140,13 +146,13 @@
 	s.branches.ReplaceOrInsert(branchEntry{path: branch.path, branch: branch})
 }
 
-// below returns the bounds of the paths that lie strictly below path. The
-// second bound works because "0" follows "/" in ASCII.
+// descendantRange returns the half-open range of the paths strictly below
+// path. The upper bound is correct because "0" follows "/" in ASCII.
 func descendantRange(path Path) (from, to Path) {
 	return path + "/", path + "0"
 }
 
-// walk visits the branch at prefix and those below it, parents first.
+// walk visits the branch at prefix and its descendants, parents first.
 func (s *state) walk(prefix Path, visit func(*branch)) {
 	visitEntry := func(entry branchEntry) bool {
 		visit(entry.branch)
@@ -163,7 +169,8 @@
 	s.branches.AscendRange(branchEntry{path: from}, branchEntry{path: to}, visitEntry)
 }
 
-// holder returns the branch that lists a token. No two branches list the same.
+// tokenBranch returns the branch that lists a token. A token is listed by at
+// most one branch.
 func (s *state) tokenBranch(kind tokenKind, hash string) (path Path, found bool) {
 	s.tokens.AscendGreaterOrEqual(tokenEntry{kind: kind, hash: hash}, func(entry tokenEntry) bool {
 		if entry.kind == kind && entry.hash == hash {
@@ -174,7 +181,7 @@
 	return path, found
 }
 
-// setTokens replaces the tokens that a branch lists.
+// setTokens updates the token index after a branch's lists have changed.
 func (s *state) setTokens(path Path, before, after *Values) {
 	for kind, lists := range [][2][]string{
 		{before.CallerTokens, after.CallerTokens},
@@ -189,7 +196,7 @@
 	}
 }
 
-// addPlacement remembers a placement that came into force.
+// addPlacement adds a placement that came into force to the sorted list.
 func (s *state) addPlacement(placement zone.Placement) {
 	index, found := slices.BinarySearch(s.placements, placement)
 	if found || placement == "" {
--- a/contract/token.go
+++ b/contract/token.go
@@ -8,15 +8,15 @@
 // hashLength is the length of a token's hash in hexadecimal digits.
 const hashLength = sha256.Size * 2
 
-// HashToken returns the form in which the settings tree keeps a bearer token:
-// the hexadecimal SHA-256 digest. Tokens are long random strings, so a fast
-// hash is enough: there is no dictionary to try.
+// HashToken returns the form in which the settings tree stores a bearer token:
+// its hexadecimal SHA-256 digest. Tokens are long random strings that no
+// dictionary holds, so a fast hash is sufficient.
 func HashToken(token string) string {
 	digest := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(digest[:])
 }
 
-// validTokenHash reports whether text is a digest as HashToken returns it.
+// validTokenHash reports whether text has the form that HashToken returns.
 func validTokenHash(text string) bool {
 	if len(text) != hashLength {
 		return false
--- a/contract/tree.go
+++ b/contract/tree.go
@@ -8,21 +8,21 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Tree is the settings tree: the fold of the changes of the settings stream.
+// Tree is the settings tree: the state that results from applying the changes
+// in the settings stream in order.
 //
-// Reads take no lock and may come from any goroutine: they see the state as
-// of the last published change, which never changes under them. Writes
-// (Apply, ApplyBytes) are serialized by a mutex. Two trees that folded the
-// same changes at the same revisions hold the same state and gave the same
-// verdicts.
+// Reads take no lock and may be called from any goroutine: they see the
+// immutable state as of the last published change. Writes (Apply, ApplyBytes)
+// are serialized by a mutex. Two trees to which the same changes were applied
+// at the same revisions hold the same state and returned the same verdicts.
 type Tree struct {
 	writeMutex sync.Mutex
 	working    *state
 	published  atomic.Pointer[state]
 }
 
-// NewTree returns the empty tree: a root that has the default values, permits
-// no zone and knows no token.
+// NewTree returns an empty tree: a root that has the default values, permits
+// no zone and lists no token.
 func NewTree() *Tree { return newTree(Window) }
 
 func newTree(windowRecords Revision) *Tree {
@@ -31,16 +31,16 @@
 	return tree
 }
 
-// publish makes the working state visible to readers. The caller holds
-// writing, or is the only user of the tree.
+// publish makes the working state visible to readers. The caller must hold
+// writeMutex or be the only user of the tree.
 func (t *Tree) publish() {
 	t.published.Store(t.working.clone())
 }
 
-// Apply folds the change that stands at offset revision-1 of the settings
-// stream and returns its verdict. A revision that was folded before changes
-// nothing and returns the verdict it got then; so does a change whose ID was
-// seen before, whose own offset then counts as read.
+// Apply applies the change at offset revision-1 of the settings stream and
+// returns its verdict. A revision that was already applied has no effect and
+// returns its first verdict. So does a change whose ID was seen before, except
+// that the position advances past its record.
 func (t *Tree) Apply(revision Revision, change Change) Verdict {
 	t.writeMutex.Lock()
 	defer t.writeMutex.Unlock()
@@ -49,8 +49,8 @@
 	return verdict
 }
 
-// ApplyBytes is Apply for a change as it stands on the stream. Bytes that are
-// no change get a refusal that says why; they never stop the fold.
+// ApplyBytes is Apply for an encoded change. Bytes that do not decode as a
+// change are refused with the reason and skipped.
 func (t *Tree) ApplyBytes(revision Revision, data []byte) Verdict {
 	t.writeMutex.Lock()
 	defer t.writeMutex.Unlock()
@@ -59,8 +59,8 @@
 	return verdict
 }
 
-// applyBatch folds consecutive records, the first at offset from, and
-// publishes once.
+// applyBatch applies consecutive records, the first at offset from, and
+// publishes the result once.
 func (t *Tree) applyBatch(from uint64, records [][]byte) []Verdict {
 	t.writeMutex.Lock()
 	defer t.writeMutex.Unlock()
@@ -72,8 +72,8 @@
 	return verdicts
 }
 
-// Check returns everything that is wrong with the change if it were folded
-// next, conflicts included. No findings means that it would be accepted.
+// Check returns the findings, including conflicts, that the change would get
+// if it were applied next. If there are none, it would be accepted.
 func (t *Tree) Check(change Change) []Finding {
 	t.writeMutex.Lock()
 	trial := t.working.clone()
@@ -82,15 +82,16 @@
 	return verdict.Findings
 }
 
-// Revision returns the revision of the last accepted change. It never falls.
+// Revision returns the revision of the last accepted change. It never
+// decreases.
 func (t *Tree) Revision() Revision { return t.published.Load().revision }
 
-// Position returns how many records of the settings stream were folded,
-// accepted or not: the offset to read next.
+// Position returns the number of records of the settings stream that were
+// applied, accepted or not. It is the offset to read next.
 func (t *Tree) Position() uint64 { return uint64(t.published.Load().position) }
 
-// Placements returns every placement that was ever in force for a branch, in
-// sorted order. Partitions exist for each of them.
+// Placements returns every placement that was ever in force for a branch,
+// sorted. Partitions exist for each of them.
 func (t *Tree) Placements() []zone.Placement {
 	return slices.Clone(t.published.Load().placements)
 }
@@ -105,13 +106,13 @@
 	return t.published.Load().tokenBranch(tokenOperator, tokenHash)
 }
 
-// Verdict returns what became of a change, while it is among the last Window
+// Verdict returns the verdict of a change that is among the last WindowRecords
 // records of the stream.
 func (t *Tree) Verdict(changeID string) (Verdict, bool) {
 	return t.published.Load().verdict(changeID)
 }
 
-// Branches returns the paths of the branches at and below prefix, sorted.
+// Branches returns the sorted paths of the branches at and below prefix.
 func (t *Tree) Branches(prefix Path) []Path {
 	var paths []Path
 	t.published.Load().walk(prefix, func(branch *branch) { paths = append(paths, branch.path) })
--- a/contract/tree_test.go
+++ b/contract/tree_test.go
@@ -20,8 +20,8 @@
 	return contract.Change{ID: id, Based: based, Actor: id + "-operator", Edits: []contract.Edit{{Path: path, Values: values}}}
 }
 
-// newTenant returns a tree at revision 3: a root with three zones, a tenant
-// with two of them, and a desk below the tenant.
+// newTenantTree returns a tree at revision 3: a root with three zones, the
+// branch tenant with two of them, and tenant/desk.
 func newTenantTree() *contract.Tree {
 	tree := contract.NewTree()
 	Expect(tree.Apply(1, set("root", 0, "", contract.Values{Zones: []zone.Name{"a", "b", "c"}, Models: []string{"m"}})).Accepted).To(BeTrue())
@@ -30,7 +30,7 @@
 	return tree
 }
 
-// inheritedValues counts the values that every branch has.
+// inheritedValues returns the number of inheritable values.
 func inheritedValues() int {
 	descriptions, err := contract.Descriptions()
 	Expect(err).NotTo(HaveOccurred())
--- a/contract/values.go
+++ b/contract/values.go
@@ -12,12 +12,12 @@
 // Values are the settings that one branch overrides. A nil field is
 // inherited from the nearest ancestor that sets it.
 type Values struct {
-	// Zones are the places that data of the branch may visit. A branch can
+	// Zones lists the zones that data of the branch may enter. A branch can
 	// only narrow what its parent permits.
 	Zones  []zone.Name `json:"zones,omitempty" yaml:"zones"`
 	Models []string    `json:"models,omitempty" yaml:"models"`
 	Tools  []string    `json:"tools,omitempty" yaml:"tools"`
-	// Priority orders programs, 0 (least urgent) to 9.
+	// Priority is the urgency of programs, from 0 (least urgent) to 9.
 	Priority        *int           `json:"priority,omitempty" yaml:"priority"`
 	BudgetTokens    *int64         `json:"budget_tokens,omitempty" yaml:"budget_tokens"`
 	MaxTurns        *int           `json:"max_turns,omitempty" yaml:"max_turns"`
@@ -27,29 +27,30 @@
 	IdleTimeout     *time.Duration `json:"idle_timeout,omitempty" yaml:"idle_timeout"`
 	CallTimeout     *time.Duration `json:"call_timeout,omitempty" yaml:"call_timeout"`
 	ToolTimeout     *time.Duration `json:"tool_timeout,omitempty" yaml:"tool_timeout"`
-	// Retention is how long an ended program's history stays readable.
+	// Retention is how long the history of an ended program stays readable.
 	Retention *time.Duration `json:"retention,omitempty" yaml:"retention"`
-	// DrainedBackends get no new work of programs of the branch. They add to
-	// those of the branches above.
+	// DrainedBackends lists back ends that get no new work from the branch's
+	// programs, in addition to those of its ancestors.
 	DrainedBackends []string `json:"drained_backends,omitempty" yaml:"drained_backends"`
-	// CallerTokens are hex SHA-256 hashes of the bearer tokens whose holders
-	// act on this branch and below it. They are not inherited values: a token
-	// counts at the branch that lists it.
+	// CallerTokens lists hexadecimal SHA-256 hashes of the bearer tokens whose
+	// holders may act on this branch and below it. The list is not inherited:
+	// a token belongs to the branch that lists it.
 	CallerTokens []string `json:"caller_tokens,omitempty" yaml:"caller_tokens"`
-	// OperatorTokens may change settings at this branch and below it.
+	// OperatorTokens lists hashes of the tokens whose holders may change
+	// settings at this branch and below it. It is not inherited either.
 	OperatorTokens []string `json:"operator_tokens,omitempty" yaml:"operator_tokens"`
 }
 
-// duration is a time.Duration whose JSON form is text such as "1m30s". It
-// also reads a number of nanoseconds.
+// duration is a time.Duration whose JSON form is a string such as "1m30s". It
+// can also be decoded from a number of nanoseconds.
 type duration time.Duration
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON encodes the duration as a string.
 func (d duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads text, or a number of nanoseconds.
+// UnmarshalJSON decodes a string or a number of nanoseconds.
 func (d *duration) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] == '"' {
 		var text string
@@ -66,9 +67,9 @@
 	return json.Unmarshal(data, (*int64)(d))
 }
 
-// encodedValues is the JSON form of Values. It differs in two points:
-// durations are text, and an empty list is kept apart from an absent one,
-// because an empty list of tools means "no tool" and an absent one "inherit".
+// encodedValues is the JSON form of Values. It differs in two ways: durations
+// are strings, and an empty list is distinct from an absent one, because an
+// empty list of tools means "no tools" and an absent one "inherit".
 type encodedValues struct {
 	Zones           []zone.Name `json:"zones,omitzero"`
 	Models          []string    `json:"models,omitzero"`
@@ -88,7 +89,7 @@
 	OperatorTokens  []string    `json:"operator_tokens,omitzero"`
 }
 
-// MarshalJSON writes durations as text and keeps empty lists.
+// MarshalJSON encodes durations as strings and preserves empty lists.
 func (v Values) MarshalJSON() ([]byte, error) {
 	return json.Marshal(encodedValues{
 		Zones: v.Zones, Models: v.Models, Tools: v.Tools,
@@ -101,8 +102,8 @@
 	})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes. Unknown names are an error: a
-// misspelt rule must not pass for a rule that was never set.
+// UnmarshalJSON decodes the output of MarshalJSON. Unknown names are an error,
+// so that a misspelt setting is not silently ignored.
 func (v *Values) UnmarshalJSON(data []byte) error {
 	var encoded encodedValues
 	decoder := json.NewDecoder(bytes.NewReader(data))
