--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -7,19 +7,21 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// appender follows the one append in flight.
+// appender tracks the append in flight. There is at most one.
 type appender struct {
 	backoff retry.Backoff
-	// request is the append in flight, zero if none, and entries its content.
+	// request identifies the append in flight, zero if there is none. entries
+	// is its content.
 	request  uint64
 	entries  []Entry
 	deadline time.Time
-	// retryAt is when the next append may start after a failed one.
+	// retryAt is the earliest time of the next append after a failed one.
 	retryAt time.Time
-	// unansweredSince is since when the oldest unconfirmed entry waits, or when
-	// the log answered last; zero when nothing waits.
+	// unansweredSince is when the oldest unconfirmed entry was queued, or when
+	// the log last answered, if that is later. It is zero if the queue is
+	// empty.
 	unansweredSince time.Time
-	// failing is set from a failed append to the next answered one.
+	// failing is true from a failed append until the log answers again.
 	failing bool
 }
 
@@ -37,15 +39,15 @@
 	return time.Time{}
 }
 
-// canAppend reports whether the next batch may start: one append is in flight
-// at a time, and none while a gap is being read.
+// canAppend reports whether the next append may start. There is one append in
+// flight at a time, and none while a read is pending.
 func (j *Journal) canAppend() bool {
 	return (j.phase == phaseOpen || j.phase == phaseClaiming) &&
 		j.appender.request == 0 && !j.reader.busy() &&
 		(len(j.queue) > 0 || len(j.snapshotParts) > 0) && !j.now.Before(j.appender.retryAt)
 }
 
-// startAppend sends the oldest unconfirmed entries in one request.
+// startAppend requests an append of the oldest unconfirmed entries.
 func (j *Journal) startAppend() {
 	if !j.canAppend() {
 		return
@@ -60,8 +62,8 @@
 	j.ready.Appends = append(j.ready.Appends, Append{Request: j.appender.request, Entries: entries})
 }
 
-// nextBatch copies the head of the queue, at least one entry, within the
-// bounds of a batch.
+// nextBatch returns a copy of the head of the queue, within the bounds of a
+// batch but at least one entry.
 func (j *Journal) nextBatch() []Entry {
 	count := min(len(j.queue), j.config.MaximumBatchRecords)
 	entries := make([]Entry, 0, count)
@@ -76,7 +78,7 @@
 	return entries
 }
 
-// Appended takes the answer to an Append.
+// Appended handles the answer to an Append.
 func (j *Journal) Appended(now time.Time, answer Appended) {
 	j.now = now
 	if answer.Request != j.appender.request || j.appender.request == 0 {
@@ -95,9 +97,9 @@
 	j.applyAppended(answer.FirstOffset, entries)
 }
 
-// placed learns that entries of this writer stand at the offset. Directly
-// after the last folded entry nothing can precede them; otherwise the gap is
-// read first, and the entries with it.
+// applyAppended handles entries of this writer that were appended at offset. If
+// they directly follow the last applied entry, no other entry can precede them.
+// Otherwise the gap is read first, together with the entries.
 func (j *Journal) applyAppended(offset uint64, entries []Entry) {
 	if offset != j.fold.Next {
 		j.readUpTo(offset + uint64(len(entries)))
@@ -109,8 +111,8 @@
 	j.recordLogAnswer()
 }
 
-// answered notes that the log works: what is still unconfirmed waits from now
-// on.
+// recordLogAnswer records that the log answered: for entries that are still
+// unconfirmed, the wait starts anew.
 func (j *Journal) recordLogAnswer() {
 	j.appender.failing = false
 	j.appender.unansweredSince = time.Time{}
@@ -119,8 +121,8 @@
 	}
 }
 
-// lateAnswer takes the answer to an append that was given up and repeated. It
-// proves that the entries stand somewhere, so reading finds them.
+// handleLateAnswer handles the answer to an append that had timed out. Success
+// proves that the entries are in the log, so reading finds them.
 func (j *Journal) handleLateAnswer(answer Appended) {
 	writing := j.phase == phaseOpen || j.phase == phaseClaiming
 	if answer.Err == nil && writing && answer.FirstOffset >= j.fold.Next {
@@ -128,7 +130,7 @@
 	}
 }
 
-// appendFailed gives the append in flight up and schedules its repeat.
+// appendFailed abandons the append in flight and schedules the retry.
 func (j *Journal) appendFailed() {
 	j.appender.failing = true
 	j.appender.request = 0
@@ -136,21 +138,22 @@
 	j.appender.retryAt = j.now.Add(j.appender.backoff.Next())
 }
 
-// UnansweredSince returns since when the oldest unconfirmed entry waits for an
-// answer of the log, or the zero time when nothing waits.
+// UnansweredSince returns since when unconfirmed entries have been waiting
+// without any answer from the log, or the zero time if there are none.
 func (j *Journal) UnansweredSince() time.Time {
 	return j.appender.unansweredSince
 }
 
-// UnconfirmedBytes is the size of what the log has not confirmed.
+// UnconfirmedBytes returns the size of the proposed records that the log has
+// not confirmed.
 func (j *Journal) UnconfirmedBytes() int {
 	return j.queueBytes
 }
 
-// Unconfirmed returns the entries that the log has not confirmed, after the
-// sequence, oldest first, as many as fit in maximumBytes but at least one.
-// Parts of snapshots come without their payload, which holds nothing that the
-// log does not have.
+// Unconfirmed returns the entries after a sequence that the log has not
+// confirmed, oldest first: as many as fit in maximumBytes, but at least one.
+// Snapshot parts are returned without their payload, which holds nothing that
+// the records before it do not.
 func (j *Journal) Unconfirmed(after uint64, maximumBytes int) []Entry {
 	first := j.unconfirmedIndex(after)
 	var entries []Entry
@@ -169,8 +172,8 @@
 	return entries
 }
 
-// unconfirmedIndex is the place in the queue of the entry after a sequence.
-// The queue has no gaps.
+// unconfirmedIndex returns the index in the queue of the entry after a
+// sequence. The queue has no gaps.
 func (j *Journal) unconfirmedIndex(after uint64) int {
 	if len(j.queue) == 0 || after < j.queue[0].entry.Sequence {
 		return 0
@@ -178,7 +181,7 @@
 	return int(after - j.queue[0].entry.Sequence + 1)
 }
 
-// LastSequence is the sequence of the newest proposed entry of the epoch.
+// LastSequence returns the sequence of the newest proposed entry of the epoch.
 func (j *Journal) LastSequence() uint64 {
 	if j.nextSequence == 0 {
 		return 0
@@ -186,17 +189,18 @@
 	return j.nextSequence - 1
 }
 
-// Rest is what a writer leaves behind when it loses its epoch: everything that
-// it proposed and that the log had not confirmed.
+// Unlogged holds the entries of a writer's epoch that it proposed and that the
+// log has not confirmed. When the writer loses its epoch, they remain unlogged.
 type Rest struct {
 	Epoch uint64
-	// Logged is the sequence up to which the log has the epoch.
+	// LoggedSequence is the last sequence of the epoch that the log has
+	// confirmed.
 	Logged  uint64
 	Entries []Entry
 }
 
-// Rest returns what this writer would leave behind, or left behind when it was
-// superseded.
+// Unlogged returns this writer's unlogged entries; after it was superseded,
+// those of the time when that happened.
 func (j *Journal) Rest() Rest {
 	if j.phase == phaseSuperseded {
 		return j.unlogged
@@ -209,8 +213,8 @@
 	return unlogged
 }
 
-// MarkMirrored confirms every proposal up to the sequence, which a quorum of
-// the mirrors holds. They are confirmed again once the log has them.
+// MarkMirrored confirms every proposal up to the sequence, because a quorum of
+// the mirrors holds them. Each is confirmed again once the log has it.
 func (j *Journal) MarkMirrored(sequence uint64) {
 	first := min(j.unconfirmedIndex(j.mirroredSequence), len(j.queue))
 	for _, queued := range j.queue[first:] {
@@ -224,7 +228,9 @@
 	j.mirroredSequence = max(j.mirroredSequence, sequence)
 }
 
-// foldEntry folds the next entry of the stream and reports what it means.
+// applyEntry applies the next entry of the stream. If the entry is valid, it
+// confirms a proposal of this writer, ends this writer's epoch, or is delivered
+// as recovered.
 func (j *Journal) applyEntry(entry Entry) {
 	offset := j.fold.Next
 	verdict := j.fold.Add(entry)
@@ -242,7 +248,7 @@
 	j.recover(offset, entry)
 }
 
-// confirm takes the head of the queue out: the log has it.
+// confirm removes the head of the queue, which the log now has.
 func (j *Journal) confirm(offset uint64, entry Entry) {
 	head := j.queue[0]
 	j.queue[0] = queuedEntry{}
@@ -262,8 +268,8 @@
 	}
 }
 
-// recover delivers an entry of another writer, or of an earlier epoch. Records
-// that stand between the parts of the snapshot come after its last part.
+// recover delivers an entry of another writer or of an earlier epoch. Records
+// between the parts of the snapshot are delivered after its last part.
 func (j *Journal) recover(offset uint64, entry Entry) {
 	recovered := Recovered{Offset: offset, Snapshot: entry.Kind == KindSnapshot, Payload: entry.Payload}
 	switch {
@@ -281,8 +287,8 @@
 	}
 }
 
-// superseded ends the epoch of this writer: another claim holds. What was
-// found until then stands.
+// supersede ends the epoch of this writer, because another claim won. Results
+// that were obtained before remain valid and are kept.
 func (j *Journal) supersede() {
 	results := j.TakeFound()
 	unlogged := j.Rest()
--- a/recordlog/benchmark_test.go
+++ b/recordlog/benchmark_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// benchmarkPayload is as large as a typical record of a program.
+// benchmarkPayload has the size of a typical record of a program.
 var benchmarkPayload = json.RawMessage(fmt.Sprintf(`{"accepted":%q}`, string(make([]byte, 48))))
 
-// openBenchmark returns a journal that has won the first claim of the log.
+// openBenchmark returns a journal that has won the first claim in the log.
 func openBenchmark(b *testing.B, log *benchmarkLog) *Journal {
 	writer, err := New(DefaultConfig("a/1", rand.New(rand.NewPCG(1, 1))))
 	if err != nil {
@@ -30,15 +30,16 @@
 	return writer
 }
 
-// benchmarkLog answers every request after one virtual trip.
+// benchmarkLog is a log that answers every request after one round trip, in
+// virtual time.
 type benchmarkLog struct {
 	now     time.Time
 	end     uint64
 	appends int
 	reads   int
 	random  *rand.Rand
-	// lost is the share of appends whose answer is lost after they took
-	// effect; readBack confirms appends by reading instead of by offset.
+	// lostShare is the share of appends that take effect but whose answer is
+	// lost. readBack confirms appends by reading instead of by offset.
 	lostShare float64
 	readBack  bool
 	copies    map[uint64]Entry
@@ -46,7 +47,8 @@
 
 const benchmarkRoundTrip = 5 * time.Millisecond
 
-// turn performs one round of requests, one trip later.
+// roundTrip advances the time by one round trip and answers all pending
+// requests.
 func (l *benchmarkLog) roundTrip(writer *Journal) []Confirmed {
 	ready := writer.Ready()
 	l.now = l.now.Add(benchmarkRoundTrip)
@@ -102,8 +104,8 @@
 	}
 }
 
-// BenchmarkPropose measures the processor time of a record from Propose to
-// Confirmed, by the number of records that share an append.
+// BenchmarkPropose measures the CPU time per record from Propose to Confirmed,
+// by the number of records in an append.
 func BenchmarkPropose(b *testing.B) {
 	for _, group := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("group=%d", group), func(b *testing.B) {
@@ -124,10 +126,10 @@
 	}
 }
 
-// BenchmarkConfirmation compares the proof by offset with reading back every
-// append, in virtual time: requests to the log for each record, and the time
-// from Propose to Confirmed. A record is proposed each millisecond, and a trip
-// to the log takes five.
+// BenchmarkConfirmation compares confirmation by offset with reading back every
+// append: the requests to the log per record, and the virtual time from Propose
+// to Confirmed. A record is proposed every millisecond, and a round trip to the
+// log takes 5 ms.
 func BenchmarkConfirmation(b *testing.B) {
 	for _, readBack := range []bool{false, true} {
 		for _, lost := range []float64{0, 0.01, 0.1} {
--- a/recordlog/config.go
+++ b/recordlog/config.go
@@ -7,32 +7,33 @@
 	"birchwood.example/birchwood/findings"
 )
 
-// Config sets the bounds and times of a Journal.
+// Config holds the limits and timings of a Journal.
 type Config struct {
 	// Writer identifies this process; see WriterName.
 	Writer string
-	// AppendTimeout is how long an append or read may go unanswered before it
-	// is repeated.
+	// AppendTimeout is the time after which an unanswered append or read is
+	// retried.
 	AppendTimeout time.Duration
-	// RetryMinimum and RetryMaximum bound the backoff of repeated requests.
-	// The wait is drawn between half and the whole of a bound that doubles.
+	// RetryMinimum and RetryMaximum bound the backoff of retried requests. The
+	// delay is random, between half and all of a bound that doubles with each
+	// failure.
 	RetryMinimum time.Duration
 	RetryMaximum time.Duration
-	// MaximumUnconfirmedBytes bounds the records that the log has not
-	// confirmed. Propose refuses with ErrFull beyond it.
+	// MaximumUnconfirmedBytes limits the size of the records that the log has
+	// not confirmed. Beyond it, Propose returns ErrFull.
 	MaximumUnconfirmedBytes int
-	// MaximumBatchBytes and MaximumBatchRecords bound one append.
+	// MaximumBatchBytes and MaximumBatchRecords limit the size of one append.
 	MaximumBatchBytes   int
 	MaximumBatchRecords int
-	// ReadBatch is how many entries one read asks for.
+	// ReadBatch is the maximum number of entries of one read.
 	ReadBatch int
-	// SnapshotEvery is the least number of records between two snapshots.
+	// SnapshotEvery is the minimum number of records between two snapshots.
 	SnapshotEvery int
-	// Random draws the jitter of the backoff.
+	// Random is the source of the backoff's jitter.
 	Random *rand.Rand
 }
 
-// DefaultConfig returns a Config for one writer, with the bounds that the
+// DefaultConfig returns a Config for one writer, with the limits that the
 // daemon uses.
 func DefaultConfig(writer string, random *rand.Rand) Config {
 	return Config{
@@ -49,7 +50,7 @@
 	}
 }
 
-// validate returns every finding about the config, joined.
+// validate returns all findings about the config, joined.
 func (c Config) validate() error {
 	found := findings.Of("record log config")
 	found.Require(c.Writer != "", "Writer", "missing")
--- a/recordlog/example_test.go
+++ b/recordlog/example_test.go
@@ -8,13 +8,13 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// memoryLog is a stream in memory. A real driver performs the requests on
-// other goroutines and passes the answers in when they come.
+// memoryLog is an in-memory stream. A real driver performs the requests on
+// other goroutines and passes in the answers when they arrive.
 type memoryLog struct {
 	entries []recordlog.Entry
 }
 
-// perform does everything that the journal wants done, until it is idle.
+// perform performs the journal's requests until none is left.
 func (l *memoryLog) perform(writer *recordlog.Journal, now time.Time) {
 	for writer.HasReady() {
 		ready := writer.Ready()
@@ -45,8 +45,8 @@
 	return recordlog.ReadDone{Request: request.Request, FirstOffset: from, Entries: l.entries[from:to], End: end}
 }
 
-// Two processes write one stream after each other. The second recovers what
-// the first made durable.
+// Two processes write to one stream, one after the other. The second recovers
+// the records that the first made durable.
 func Example() {
 	log := &memoryLog{}
 	now := time.Unix(0, 0)
--- a/recordlog/fold.go
+++ b/recordlog/fold.go
@@ -1,60 +1,63 @@
 package recordlog
 
-// Verdict is what the fold makes of one entry.
+// Verdict is the result of adding an entry to a Fold.
 type Verdict string
 
 // The verdicts of a Fold.
 const (
-	// VerdictValid: the entry counts.
+	// VerdictValid: the entry takes effect.
 	VerdictValid Verdict = "valid"
-	// VerdictDuplicate: a copy of an entry that counted already.
+	// VerdictDuplicate: the entry is a copy of one that already took effect.
 	VerdictDuplicate Verdict = "duplicate"
-	// VerdictVoid: the entry never counts, for any reader.
+	// VerdictVoid: the entry never takes effect, for any reader.
 	VerdictVoid Verdict = "void"
 )
 
-// Debt is an epoch whose mirrors may hold records after Sequence that the log
-// does not have. At most one epoch is in debt: an epoch opens only after the
-// debt before it is settled, and an epoch that never opened has no records.
+// Debt describes an epoch whose mirrors may hold records after Sequence that
+// the log does not have. There is at most one such epoch: an epoch opens only
+// after the previous debt has been recovered, and an epoch that never opened
+// has no records.
 type Debt struct {
 	Epoch uint64
-	// Sequence is the last sequence of the epoch that the log has, counting
-	// the copies that later epochs appended.
+	// Sequence is the last sequence of the epoch that the log has, including
+	// records that later epochs reproposed.
 	Sequence uint64
 	Mirrors  []Mirror
-	// Writer won the epoch. While its process lives it knows best what it had
-	// not logged.
+	// Writer is the writer that won the epoch. While its process runs, it is
+	// the best source of the epoch's unlogged entries.
 	Writer string
 }
 
-// Fold reads the entries of a stream in offset order and decides which count.
-// Every reader comes to the same verdicts, from whichever snapshot it starts.
-// The zero Fold starts at offset zero.
+// Fold is the result of processing the entries of a stream in offset order. It
+// decides which entries are valid. Every reader reaches the same verdicts,
+// whichever snapshot it starts from. The zero Fold starts at offset zero.
 type Fold struct {
-	// Next is the offset of the next entry to add.
+	// NextOffset is the offset of the next entry to add.
 	Next uint64
 	// Epoch is the newest epoch and Writer its winner.
 	Epoch  uint64
 	Writer string
-	// Sequence is the last valid sequence of Epoch; its claim has zero.
+	// Sequence is the last valid sequence of Epoch. The claim has sequence
+	// zero.
 	Sequence uint64
 	// Mirrors is the newest mirror set of Epoch.
 	Mirrors MirrorSet
 	Debt    *Debt
-	// Snapshot is the offset of the newest complete snapshot, zero if none.
+	// Snapshot is the offset of the newest complete snapshot, or zero.
 	Snapshot uint64
-	// SnapshotBytes is its size. Records and Bytes count the valid records
-	// after its first part.
+	// SnapshotBytes is the size of that snapshot. Records and Bytes are the
+	// number and size of the valid records after its first part.
 	SnapshotBytes int
 	Records       int
 	Bytes         int
 
-	// adopt is set until the first entry after StartAt was added.
+	// atSnapshotStart is true after StartAt, until the first entry is added.
 	atSnapshotStart bool
 	partial         partialSnapshot
 }
 
-// partialSnapshot follows the parts of a snapshot until the last one stands.
+// partialSnapshot tracks an incomplete snapshot. recordsBefore and bytesBefore
+// are Records and Bytes of the Fold at its first part.
 type partialSnapshot struct {
 	first         uint64
 	partsSeen     int
@@ -63,13 +66,13 @@
 	bytesBefore   int
 }
 
-// StartAt sets the fold to start with the first part of a snapshot, whose
-// header and mirror set tell what came before.
+// StartAt resets the fold to start with the first part of a snapshot. The
+// header and mirror set of that entry replace the earlier entries.
 func (f *Fold) StartAt(snapshot uint64) {
 	*f = Fold{Next: snapshot, atSnapshotStart: true}
 }
 
-// Add folds the entry at offset Next.
+// Add processes the entry at NextOffset.
 func (f *Fold) Add(entry Entry) Verdict {
 	offset := f.Next
 	f.Next++
@@ -97,7 +100,7 @@
 	return VerdictValid
 }
 
-// IsSnapshotStart reports whether a fold may start at the entry.
+// IsSnapshotStart reports whether a Fold may start at the entry.
 func IsSnapshotStart(entry Entry) bool {
 	return entry.Kind == KindSnapshot && entry.Part != nil && entry.Part.Index == 0 && entry.Sequence > 0
 }
@@ -111,8 +114,8 @@
 	}
 }
 
-// addClaim folds a claim: it counts if it is the first of the epoch directly
-// after the newest one.
+// addClaim processes a claim. It is valid if it is the first claim of the epoch
+// that directly follows the newest one.
 func (f *Fold) addClaim(entry Entry) Verdict {
 	if entry.Epoch == f.Epoch && entry.Writer == f.Writer {
 		return VerdictDuplicate
--- a/recordlog/fold_test.go
+++ b/recordlog/fold_test.go
@@ -79,8 +79,9 @@
 	})
 })
 
-// TestFoldStartsAnywhere holds a fold that starts at a snapshot to the one
-// that read everything: the same verdicts follow, whatever the writers do.
+// TestFoldStartsAnywhere checks that a Fold that starts at any valid snapshot
+// returns the same verdicts as one that processed all entries, for arbitrary
+// entries.
 func TestFoldStartsAnywhere(t *testing.T) {
 	if err := flag.Set("rapid.seed", "7"); err != nil {
 		t.Fatal(err)
--- a/recordlog/journal.go
+++ b/recordlog/journal.go
@@ -8,19 +8,19 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// phase is how far a Journal has got with its stream.
+// phase is the state of a Journal with respect to its stream.
 type phase int
 
 const (
-	// phaseIdle: nothing was asked for, or Peek has answered.
+	// phaseIdle: nothing was requested yet, or Peek is complete.
 	phaseIdle phase = iota
-	// phasePeeking: the end of the stream is being read.
+	// phasePeeking: the last entry of the stream is being read.
 	phasePeeking
-	// phaseReading: the stream is read from the newest snapshot on.
+	// phaseReading: the stream is being read from the newest snapshot.
 	phaseReading
-	// phaseCaughtUp: everything up to the last known end is folded.
+	// phaseCaughtUp: all entries up to the last known end are applied.
 	phaseCaughtUp
-	// phaseClaiming: a claim of this writer waits for its place in the log.
+	// phaseClaiming: a claim of this writer is not in the log yet.
 	phaseClaiming
 	// phaseOpen: the claim won; records may be proposed.
 	phaseOpen
@@ -29,14 +29,15 @@
 	phaseSuperseded
 )
 
-// pending is an entry that the log has not confirmed.
+// queuedEntry is an entry that the log has not confirmed.
 type queuedEntry struct {
 	entry Entry
-	// token is zero when nobody waits for the entry.
+	// token is zero if no Confirmed is to be delivered for the entry.
 	token Token
 }
 
-// Ready is what a Journal wants done and what it found.
+// Ready holds the requests that the caller must perform and the results that
+// the Journal obtained.
 type Ready struct {
 	Appends   []Append
 	Reads     []Read
@@ -44,15 +45,15 @@
 	Confirmed []Confirmed
 }
 
-// empty reports whether there is nothing to do.
 func (r Ready) empty() bool {
 	return len(r.Appends) == 0 && len(r.Reads) == 0 && len(r.Recovered) == 0 &&
 		len(r.Confirmed) == 0
 }
 
-// requestBaseShift leaves room above the random number from which the requests
-// of a Journal count. Two journals of one stream in one process, one after the
-// other, thus do not take each other's late answers for their own.
+// requestBaseShift shifts the random number that a Journal's request numbers
+// start from, so that they cannot overflow. The start is random so that two
+// consecutive journals of one stream in one process do not mistake late answers
+// to each other's requests for their own.
 const requestBaseShift = 1
 
 // Journal is one writer of one stream. It is not safe for concurrent use.
@@ -70,30 +71,30 @@
 	lastToken    Token
 	queue        []queuedEntry
 	queueBytes   int
-	// mirrored is the sequence up to which MarkMirrored was told.
+	// mirroredSequence is the highest sequence passed to MarkMirrored.
 	mirroredSequence uint64
 	appender         appender
 	reader           reader
-	// replaying is set while the parts of the snapshot that the fold started
+	// replaying is true while the parts of the snapshot that the fold started
 	// with are delivered; later snapshots hold nothing new. Records between
-	// the parts wait in replayLater.
+	// the parts are kept in deferredRecords.
 	replaying       bool
 	deferredRecords []Recovered
-	// snapshotting is set while a proposed snapshot is not complete, and
-	// parts are those of its parts that were not queued yet.
+	// snapshotting is true while a proposed snapshot is incomplete.
+	// snapshotParts holds its parts that are not queued yet.
 	snapshotting  bool
 	snapshotParts []Entry
-	// mirrors is the newest mirror set that was folded or proposed.
+	// mirrors is the newest mirror set that was applied or proposed.
 	mirrors MirrorSet
 
-	// rest is what was left when another claim won.
+	// unlogged holds the unlogged entries of the time when another claim won.
 	unlogged Rest
 
 	lastRequest uint64
 	ready       Ready
 }
 
-// Tail is the end of a stream as the last Peek saw it.
+// Tail is the end of a stream as of the last Peek.
 type Tail struct {
 	// End is the offset that the next append would have got.
 	End uint64
@@ -101,7 +102,7 @@
 	Last Entry
 }
 
-// New returns an idle Journal, or every finding about the config.
+// New returns an idle Journal. The error joins all findings about the config.
 func New(config Config) (*Journal, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -111,8 +112,9 @@
 	return j, nil
 }
 
-// Reset forgets the stream, the claim and everything unconfirmed. Answers to
-// earlier requests are ignored from then on. Tokens go on growing.
+// Reset discards the state of the stream, the claim and all unconfirmed
+// entries. Answers to earlier requests are ignored from then on. Tokens are not
+// reused.
 func (j *Journal) Reset() {
 	backoff := retry.Backoff{
 		Minimum: j.config.RetryMinimum,
@@ -139,7 +141,8 @@
 	j.ready = Ready{}
 }
 
-// Peek reads the last entry of the stream. Peeked tells when it is known.
+// Peek resets the journal and reads the last entry of the stream. Peeked
+// returns it.
 func (j *Journal) Peek(now time.Time) {
 	j.now = now
 	j.Reset()
@@ -147,14 +150,14 @@
 	j.reader.schedule(Read{Tail: true, Maximum: 1})
 }
 
-// Peeked returns the end of the stream once Peek has read it.
+// Peeked returns the end of the stream, and whether Peek is complete.
 func (j *Journal) Peeked() (Tail, bool) {
 	return j.tail, j.peeked
 }
 
-// CatchUp reads the stream from the newest snapshot to its end, delivering
-// what counts as Recovered. Peek must have answered. Called again, it reads
-// on from where it got to.
+// CatchUp reads the stream from the newest snapshot to its end and delivers the
+// valid entries as Recovered. Peek must be complete. A further call continues
+// after the last entry read.
 func (j *Journal) CatchUp(now time.Time) {
 	j.now = now
 	if j.phase == phaseIdle {
@@ -174,18 +177,18 @@
 	}
 }
 
-// CaughtUp reports whether everything up to the last known end is folded.
+// CaughtUp reports whether all entries up to the last known end are applied.
 func (j *Journal) CaughtUp() bool {
 	return j.phase == phaseCaughtUp
 }
 
-// Fold returns what the entries read so far add up to.
+// Fold returns the result of the entries applied so far.
 func (j *Journal) Fold() Fold {
 	return j.fold
 }
 
-// Claim appends a claim of the next epoch for owner. CaughtUp must hold.
-// Afterwards either Open or Superseded will hold.
+// Claim appends a claim of the next epoch for owner. CaughtUp must be true.
+// Once the claim is decided, either IsOpen or Superseded is true.
 func (j *Journal) Claim(now time.Time, owner machine.ID) {
 	j.now = now
 	j.phase = phaseClaiming
@@ -194,23 +197,24 @@
 	j.enqueue(Entry{Kind: KindClaim, Claim: &Claim{Owner: owner}}, 0)
 }
 
-// Claiming reports whether a claim waits for its place in the log.
+// Claiming reports whether a claim of this writer is still undecided.
 func (j *Journal) Claiming() bool {
 	return j.phase == phaseClaiming
 }
 
-// Open reports whether the claim of this writer holds, as far as it knows.
+// IsOpen reports whether this writer's claim won and, as far as the writer
+// knows, its epoch has not ended.
 func (j *Journal) Open() bool {
 	return j.phase == phaseOpen
 }
 
 // Superseded reports whether another writer's claim ended this writer's epoch,
-// or won against its claim. Nothing more of it is confirmed.
+// or won against its claim. No further entries of this writer are confirmed.
 func (j *Journal) Superseded() bool {
 	return j.phase == phaseSuperseded
 }
 
-// TakeFound returns what was found and not handed out yet, and forgets it.
+// TakeResults returns the results that were not delivered yet, and clears them.
 func (j *Journal) TakeFound() Ready {
 	results := Ready{Recovered: j.ready.Recovered, Confirmed: j.ready.Confirmed}
 	j.ready.Recovered = nil
@@ -218,13 +222,14 @@
 	return results
 }
 
-// Epoch is the epoch that this writer claimed last, zero if none.
+// Epoch returns the epoch that this writer claimed last, zero if none.
 func (j *Journal) Epoch() uint64 {
 	return j.epoch
 }
 
-// Propose queues a record for the next append. The returned token comes back
-// in Confirmed. The payload must not be changed afterwards.
+// Propose queues a record for the next append. Confirmed reports the returned
+// token once the record is durable. The payload must not be modified
+// afterwards.
 func (j *Journal) Propose(now time.Time, payload json.RawMessage) (Token, error) {
 	j.now = now
 	if j.phase != phaseOpen {
@@ -238,17 +243,16 @@
 	return j.lastToken, nil
 }
 
-// Repeat queues a record of an older epoch that only mirrors held. It comes
-// back in Recovered once the log has it. The bound on unconfirmed bytes does
-// not apply: mirrors hold no more than the old owner's bound.
+// Repropose queues a record of an older epoch that only mirrors held. It is
+// delivered in Recovered once the log has it. MaximumUnconfirmedBytes does not
+// apply, because mirrors hold no more than the previous owner's limit.
 func (j *Journal) Repeat(now time.Time, old Entry) {
 	j.now = now
 	origin := &Origin{Epoch: old.Epoch, Sequence: old.Sequence}
 	j.enqueue(Entry{Kind: KindRecord, Origin: origin, Payload: old.Payload}, 0)
 }
 
-// ProposeMirrors queues a mirror set. The returned sequence is its place in
-// the epoch.
+// ProposeMirrors queues a mirror set and returns its sequence in the epoch.
 func (j *Journal) ProposeMirrors(now time.Time, set MirrorSet) uint64 {
 	j.now = now
 	j.mirrors = set
@@ -256,10 +260,10 @@
 	return j.nextSequence - 1
 }
 
-// ProposeSnapshot queues the parts of a snapshot of the state as of every
-// proposal so far. The first part takes its place at once, the others go with
-// later appends, one each, so that records need not wait for a large snapshot.
-// The bound on unconfirmed bytes does not apply to the parts.
+// ProposeSnapshot queues the parts of a snapshot of the state after all
+// proposals so far. The first part is queued at once; each of the others goes
+// with a later append, so that records need not wait for a large snapshot.
+// MaximumUnconfirmedBytes does not apply to the parts.
 func (j *Journal) ProposeSnapshot(now time.Time, snapshotParts []json.RawMessage) error {
 	j.now = now
 	if j.phase != phaseOpen {
@@ -284,8 +288,9 @@
 	j.snapshotParts = j.snapshotParts[1:]
 }
 
-// WantsSnapshot reports whether the records after the newest snapshot
-// outnumber SnapshotEvery and outweigh that snapshot, and none is under way.
+// WantsSnapshot reports whether a new snapshot is due: no snapshot is in
+// progress, and the records after the newest one have reached SnapshotEvery in
+// number and that snapshot's size in bytes.
 func (j *Journal) WantsSnapshot() bool {
 	return j.phase == phaseOpen && !j.snapshotting &&
 		j.fold.Records >= j.config.SnapshotEvery && j.fold.Bytes >= j.fold.SnapshotBytes
@@ -306,12 +311,12 @@
 	}
 }
 
-// HasReady reports whether Ready has anything to do.
+// HasReady reports whether Ready would return anything.
 func (j *Journal) HasReady() bool {
 	return !j.ready.empty() || j.reader.due(j.now) || j.canAppend()
 }
 
-// Ready returns what is to be done and forgets it.
+// Ready returns the pending requests and results, and clears them.
 func (j *Journal) Ready() Ready {
 	j.startRead()
 	j.startAppend()
@@ -320,13 +325,14 @@
 	return ready
 }
 
-// nextRequest numbers the requests of a journal for its whole life.
+// nextRequest returns the next request number, which is unique within a
+// Journal.
 func (j *Journal) nextRequest() uint64 {
 	j.lastRequest++
 	return j.lastRequest
 }
 
-// Tick lets requests time out and be repeated.
+// Tick schedules the retry of requests that have timed out.
 func (j *Journal) Tick(now time.Time) {
 	j.now = now
 	if j.appender.expired(now) {
@@ -337,12 +343,12 @@
 	}
 }
 
-// NextWake returns when Tick is due, or the zero time.
+// NextWake returns when Tick is due, or the zero time if it is not needed.
 func (j *Journal) NextWake() time.Time {
 	return earliest(j.appender.nextWake(j.now, len(j.queue) > 0), j.reader.nextWake(j.now))
 }
 
-// earliest returns the earlier of two times, where zero means never.
+// earliest returns the earlier of two times, where the zero time means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/recordlog/read.go
+++ b/recordlog/read.go
@@ -6,17 +6,18 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// reader follows the one read in flight and what is to be read next.
+// reader tracks the read in flight, at most one, and the next read.
 type reader struct {
 	backoff retry.Backoff
-	// pending is set while wanted has not been sent, or must be repeated.
+	// pending is true while next has not been sent, or must be retried.
 	pending  bool
 	next     Read
 	request  uint64
 	deadline time.Time
 	retryAt  time.Time
-	// target is the offset up to which a writer must read before it goes on,
-	// and gap is set while it does: the log has answered an append.
+	// target is the offset up to which a writer must read before it appends
+	// again. fillingGap is true while it reads up to there, after the log has
+	// answered an append.
 	target     uint64
 	fillingGap bool
 }
@@ -27,7 +28,7 @@
 	r.request = 0
 }
 
-// busy reports whether a read is wanted or in flight.
+// busy reports whether a read is pending or in flight.
 func (r *reader) busy() bool {
 	return r.pending || r.request != 0
 }
@@ -65,20 +66,20 @@
 	j.ready.Reads = append(j.ready.Reads, read)
 }
 
-// readFailed schedules the repeat of the read in flight.
+// readFailed schedules the retry of the read in flight.
 func (j *Journal) readFailed() {
 	j.reader.request = 0
 	j.reader.pending = true
 	j.reader.retryAt = j.now.Add(j.reader.backoff.Next())
 }
 
-// requestBody asks for the entries from the fold's next offset on.
+// readNext schedules a read from the fold's next offset.
 func (j *Journal) readNext() {
 	j.reader.schedule(Read{From: j.fold.Next, Maximum: j.config.ReadBatch})
 }
 
-// readUpTo makes a writer read and fold up to the offset before it appends
-// again.
+// readUpTo makes a writer read and apply all entries before the target offset
+// before it appends again.
 func (j *Journal) readUpTo(target uint64) {
 	j.reader.target = max(j.reader.target, target)
 	j.reader.fillingGap = true
@@ -87,8 +88,8 @@
 	}
 }
 
-// CheckSuperseded makes a writer read on to the end of the stream: another
-// node said that it claimed a later epoch.
+// CheckSuperseded makes a writer read to the end of the stream, to find out
+// whether another node has claimed a later epoch.
 func (j *Journal) CheckSuperseded(now time.Time) {
 	j.now = now
 	if j.phase == phaseOpen && !j.reader.busy() {
@@ -96,7 +97,7 @@
 	}
 }
 
-// ReadDone takes the answer to a Read.
+// ReadDone handles the answer to a Read.
 func (j *Journal) ReadDone(now time.Time, answer ReadDone) {
 	j.now = now
 	if answer.Request != j.reader.request || j.reader.request == 0 {
@@ -114,9 +115,9 @@
 	j.handleReadAnswer(answer)
 }
 
-// peekAnswered takes the end of the stream, or asks for the last entry if the
-// answer does not hold it. Of an answer to that question any entry will do: it
-// was the last one a moment ago.
+// handlePeekAnswer records the end of the stream, or schedules a read of the
+// last entry if the answer does not contain it. The answer to that second read
+// is accepted even if the stream has grown: its entry was recently the last.
 func (j *Journal) handlePeekAnswer(answer ReadDone) {
 	end := answer.FirstOffset + uint64(len(answer.Entries))
 	holdsLast := len(answer.Entries) > 0 && (end >= answer.End || !j.reader.next.Tail)
@@ -138,7 +139,8 @@
 		j.readFailed()
 		return
 	}
-	// An append that was confirmed meanwhile may have folded them all.
+	// An append that was confirmed in the meantime may have applied some or
+	// all of the entries.
 	skip := min(j.fold.Next-answer.FirstOffset, uint64(len(answer.Entries)))
 	entries := answer.Entries[skip:]
 	if j.fold.atSnapshotStart && len(entries) > 0 && !IsSnapshotStart(entries[0]) {
@@ -157,8 +159,8 @@
 	j.continueReading(answer.End, len(entries) > 0, phase)
 }
 
-// readOn decides whether the stream must be read further: up to its end, and
-// for a writer at least up to the target, which a lagging end may not show.
+// continueReading decides whether to read further: up to the stream's end, and
+// for a writer at least up to the target, because the reported end may lag.
 func (j *Journal) continueReading(end uint64, progress bool, phase phase) {
 	target := max(j.reader.target, end)
 	if j.fold.Next < target {
