--- a/contract/fleet_test.go
+++ b/contract/fleet_test.go
@@ -28,7 +28,7 @@
 // time.
 type fleet struct {
 	log          *settingsLog
-	nodes        []*reader
+	nodes        []*driver
 	zones        []zone.Name
 	random       *rand.Rand
 	now          time.Time
@@ -44,7 +44,7 @@
 	}
 	created.log.add(set("root", 0, "", zones(created.zones...)))
 	for index := range count {
-		node := newReader(created.log, machine.ID(fmt.Sprintf("node-%03d", index)), created.zones[index%zoneCount], created.zones...)
+		node := newDriver(created.log, machine.ID(fmt.Sprintf("node-%03d", index)), created.zones[index%zoneCount], created.zones...)
 		node.run(start)
 		created.nodes = append(created.nodes, node)
 		created.nextExchange = append(created.nextExchange, start.Add(time.Duration(created.random.Int64N(int64(fleetPeriod)))))
@@ -67,7 +67,7 @@
 	}
 }
 
-func (f *fleet) exchangeReports(from, to *reader) {
+func (f *fleet) exchangeReports(from, to *driver) {
 	probe, answer := from.Report(f.now), to.Report(f.now)
 	if f.isolatedZone != "" && (probe.Zone == f.isolatedZone) != (answer.Zone == f.isolatedZone) {
 		return
@@ -78,15 +78,15 @@
 	from.perform(f.now.Add(2 * fleetLinkDelay))
 }
 
-// setDown makes the store unreachable or reachable for every node.
-func (f *fleet) setDown(down bool) {
+// setStoreDown makes the store unreachable or reachable for every node.
+func (f *fleet) setStoreDown(storeDown bool) {
 	for _, node := range f.nodes {
-		node.down = down
+		node.storeDown = storeDown
 	}
 }
 
-// placing counts the nodes that may start new work.
-func (f *fleet) placing() int {
+// mayPlaceCount returns the number of nodes that may start new work.
+func (f *fleet) mayPlaceCount() int {
 	count := 0
 	for _, node := range f.nodes {
 		if node.Freshness(f.now).MayPlace {
@@ -100,33 +100,33 @@
 	It("goes on placing through an outage of the store, though each node talks to few others", func() {
 		all := newFleet(100, 10)
 		all.run(start.Add(20*time.Second), func() {})
-		Expect(all.placing()).To(Equal(100))
-		all.setDown(true)
+		Expect(all.mayPlaceCount()).To(Equal(100))
+		all.setStoreDown(true)
 		least := 100
-		all.run(start.Add(2*time.Minute), func() { least = min(least, all.placing()) })
+		all.run(start.Add(2*time.Minute), func() { least = min(least, all.mayPlaceCount()) })
 		Expect(least).To(Equal(100), "at every moment, every node")
 	})
 
 	It("stops placing on both sides when a zone is cut off during an outage", func() {
 		all := newFleet(100, 10)
 		all.run(start.Add(20*time.Second), func() {})
-		all.setDown(true)
+		all.setStoreDown(true)
 		all.run(start.Add(time.Minute), func() {})
 		all.isolatedZone = "zone-3"
 		all.run(start.Add(time.Minute+10*time.Second), func() {})
-		Expect(all.placing()).To(BeZero())
+		Expect(all.mayPlaceCount()).To(BeZero())
 	})
 
 	It("never places under settings that were changed more than the bound ago", func() {
 		all := newFleet(100, 10)
 		all.run(start.Add(20*time.Second), func() {})
-		all.setDown(true)
+		all.setStoreDown(true)
 		all.run(start.Add(time.Minute), func() {})
 		// The store is reachable again, but only from a zone that is partitioned
 		// off from all others.
 		all.isolatedZone = "zone-3"
 		for _, node := range all.nodes {
-			node.down = node.Report(all.now).Zone != "zone-3"
+			node.storeDown = node.Report(all.now).Zone != "zone-3"
 		}
 		all.log.add(set("narrow", 1, "", zones("zone-3")))
 		changed := all.now
@@ -138,7 +138,7 @@
 				}
 			}
 		})
-		Expect(all.placing()).To(Equal(10), "the nodes of the zone that reaches the store")
+		Expect(all.mayPlaceCount()).To(Equal(10), "the nodes of the zone that reaches the store")
 	})
 })
 
@@ -156,9 +156,9 @@
 				b.ReportMetric(changeLatencies[len(changeLatencies)/2].Seconds(), "s-p50")
 				b.ReportMetric(changeLatencies[len(changeLatencies)*99/100].Seconds(), "s-p99")
 				freshBytes := all.reportBytes()
-				all.setDown(true)
+				all.setStoreDown(true)
 				stopped := 0
-				all.run(all.now.Add(time.Minute), func() { stopped += count - all.placing() })
+				all.run(all.now.Add(time.Minute), func() { stopped += count - all.mayPlaceCount() })
 				b.ReportMetric(float64(stopped)*fleetTick.Seconds()/float64(count), "s-stopped/node")
 				b.ReportMetric(freshBytes, "bytes/report")
 				b.ReportMetric(all.reportBytes(), "bytes/report-outage")
@@ -184,7 +184,7 @@
 	changed := f.now
 	f.log.add(set("spread", 1, "", contract.Values{Priority: pointer(1)}))
 	var latencies []time.Duration
-	updated := map[*reader]bool{}
+	updated := map[*driver]bool{}
 	f.run(changed.Add(20*time.Second), func() {
 		for _, node := range f.nodes {
 			if !updated[node] && node.Tree().Revision() == 2 {
--- a/contract/follower_test.go
+++ b/contract/follower_test.go
@@ -35,62 +35,62 @@
 	return contract.ReadDone{Request: read.Request, From: read.From, Changes: l.records[read.From:to], End: end}
 }
 
-// reader drives one follower.
-type reader struct {
+// driver runs one follower and performs its actions.
+type driver struct {
 	*contract.Follower
-	log      *settingsLog
-	down     bool
-	verdicts []contract.Verdict
-	reads    int
-	fetches  []machine.ID
+	log       *settingsLog
+	storeDown bool
+	verdicts  []contract.Verdict
+	reads     int
+	fetches   []machine.ID
 }
 
-func newReader(log *settingsLog, id machine.ID, in zone.Name, all ...zone.Name) *reader {
+func newDriver(log *settingsLog, id machine.ID, in zone.Name, all ...zone.Name) *driver {
 	config := contract.DefaultFollowerConfig()
 	config.Self, config.Zone, config.Zones = id, in, all
 	config.ReadMaximum = 2
 	config.Random = rand.New(rand.NewPCG(1, xxhash.Sum64String(string(id))))
 	follower, err := contract.NewFollower(config)
 	Expect(err).NotTo(HaveOccurred())
-	return &reader{Follower: follower, log: log}
+	return &driver{Follower: follower, log: log}
 }
 
 // run ticks the follower and performs its actions until none is left.
-func (r *reader) run(now time.Time) {
-	r.Tick(now)
-	r.perform(now)
+func (d *driver) run(now time.Time) {
+	d.Tick(now)
+	d.perform(now)
 }
 
 // perform performs the follower's actions until none is left.
-func (r *reader) perform(now time.Time) {
+func (d *driver) perform(now time.Time) {
 	for {
-		ready := r.Ready()
-		r.verdicts = append(r.verdicts, ready.Verdicts...)
+		ready := d.Ready()
+		d.verdicts = append(d.verdicts, ready.Verdicts...)
 		if ready.Fetch != "" {
-			r.fetches = append(r.fetches, ready.Fetch)
+			d.fetches = append(d.fetches, ready.Fetch)
 		}
 		if ready.Read == nil {
 			return
 		}
-		r.reads++
-		if r.down {
-			r.Step(now, contract.ReadDone{Request: ready.Read.Request, From: ready.Read.From, Err: errors.New("down")})
+		d.reads++
+		if d.storeDown {
+			d.Step(now, contract.ReadDone{Request: ready.Read.Request, From: ready.Read.From, Err: errors.New("down")})
 		} else {
-			r.Step(now, r.log.answer(ready.Read))
+			d.Step(now, d.log.answer(ready.Read))
 		}
 	}
 }
 
 // runUntil runs the follower at each of its wake-up times up to end.
-func (r *reader) runUntil(end time.Time) {
-	for !r.NextWake().After(end) {
-		r.run(r.NextWake())
+func (d *driver) runUntil(end time.Time) {
+	for !d.NextWake().After(end) {
+		d.run(d.NextWake())
 	}
 }
 
 var _ = Describe("Follower", func() {
 	var log *settingsLog
-	var north, south *reader
+	var north, south *driver
 
 	BeforeEach(func() {
 		log = &settingsLog{}
@@ -98,7 +98,7 @@
 		for index := range 6 {
 			log.add(set(fmt.Sprintf("change-%d", index), contract.Revision(index+1), contract.Path(fmt.Sprintf("branch-%d", index)), contract.Values{}))
 		}
-		north, south = newReader(log, "north", "a", "a", "b"), newReader(log, "south", "b", "a", "b")
+		north, south = newDriver(log, "north", "a", "a", "b"), newDriver(log, "south", "b", "a", "b")
 		north.run(start)
 		south.run(start)
 	})
@@ -139,7 +139,7 @@
 	})
 
 	It("goes on with a peer's word when it alone cannot reach the store", func() {
-		north.down = true
+		north.storeDown = true
 		for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 			north.runUntil(now)
 			south.runUntil(now)
@@ -152,7 +152,7 @@
 		var now time.Time
 
 		BeforeEach(func() {
-			north.down, south.down = true, true
+			north.storeDown, south.storeDown = true, true
 			now = start.Add(time.Minute)
 			north.runUntil(now)
 			south.runUntil(now)
@@ -169,9 +169,9 @@
 		It("places nothing when it hears no peer at all", func() {
 			Expect(north.Freshness(now)).To(And(HaveField("State", contract.FreshnessUnconfirmed), HaveField("MayPlace", false)))
 
-			alone := newReader(log, "alone", "a", "a")
+			alone := newDriver(log, "alone", "a", "a")
 			alone.run(start)
-			alone.down = true
+			alone.storeDown = true
 			alone.runUntil(now)
 			Expect(alone.Freshness(now)).To(And(HaveField("MayPlace", false), HaveField("Reason", ContainSubstring("no peer"))))
 		})
@@ -184,9 +184,9 @@
 		})
 
 		It("goes on with a word from a distant zone that came by way of a peer, as long as it is young", func() {
-			middle := newReader(log, "middle", "a", "a", "b")
+			middle := newDriver(log, "middle", "a", "a", "b")
 			middle.run(start)
-			middle.down = true
+			middle.storeDown = true
 			middle.runUntil(now)
 			middle.HeardReport(now, south.Report(now))
 			later := now.Add(6 * time.Second)
@@ -197,13 +197,13 @@
 		})
 
 		It("places nothing on the word of a peer that holds older settings, or was heard long ago", func() {
-			newcomer := newReader(log, "newcomer", "b", "a", "b")
-			newcomer.down = true
-			single := newReader(log, "single", "a", "a") // a deployment of one zone
+			newcomer := newDriver(log, "newcomer", "b", "a", "b")
+			newcomer.storeDown = true
+			single := newDriver(log, "single", "a", "a") // a deployment of one zone
 			single.run(start)
-			single.down = true
+			single.storeDown = true
 			single.runUntil(now)
-			for _, node := range []*reader{north, single} {
+			for _, node := range []*driver{north, single} {
 				node.HeardReport(now, newcomer.Report(now))
 				Expect(node.Freshness(now).MayPlace).To(BeFalse())
 				node.HeardReport(now, south.Report(now))
@@ -221,8 +221,8 @@
 		})
 
 		It("starts a node from a peer's snapshot, which then may place as its peers may", func() {
-			newcomer := newReader(log, "newcomer", "a", "a", "b")
-			newcomer.down = true
+			newcomer := newDriver(log, "newcomer", "a", "a", "b")
+			newcomer.storeDown = true
 			newcomer.run(now)
 			newcomer.HeardReport(now, south.Report(now))
 			Expect(newcomer.Freshness(now).State).To(Equal(contract.FreshnessBehind))
@@ -246,7 +246,7 @@
 			reads := north.reads
 			north.runUntil(now.Add(time.Minute))
 			Expect(north.reads - reads).To(BeNumerically("~", 20, 6))
-			north.down = false
+			north.storeDown = false
 			log.add(set("narrow", 7, "", zones("b")))
 			north.runUntil(now.Add(time.Minute + 5*time.Second))
 			Expect(north.Tree().Revision()).To(Equal(contract.Revision(8)))
