--- a/contract/snapshot.go
+++ b/contract/snapshot.go
@@ -180,7 +180,7 @@
 		return nil, errors.New("digest: want 64 hexadecimal digits")
 	}
 	if b.Revision > b.Position || b.Horizon > b.Position {
-		return nil, errors.New("the revision lies beyond the position")
+		return nil, errors.New("the revision or the horizon is greater than the position")
 	}
 	for _, entry := range b.Branches {
 		if err := built.importBranch(entry); err != nil {
@@ -221,7 +221,7 @@
 
 func newImportedBranch(entry snapshotBranch) (*branch, error) {
 	if len(entry.Since) != len(fields) {
-		return nil, fmt.Errorf("branch %q: want %d revisions of values", entry.Path, len(fields))
+		return nil, fmt.Errorf("branch %q: want %d field revisions", entry.Path, len(fields))
 	}
 	imported := &branch{path: entry.Path, values: entry.Values, fieldRevisions: make([]Revision, len(fields))}
 	for index, revision := range entry.Since {
@@ -237,7 +237,7 @@
 	}
 	for _, record := range b.Log {
 		if record.Position <= b.Horizon || record.Position > b.Position {
-			return fmt.Errorf("log: record at position %d lies outside of the window", record.Position)
+			return fmt.Errorf("log: record at position %d is outside the window", record.Position)
 		}
 		entry := logEntry{position: record.Position, change: record.Change, verdict: record.Verdict, duplicate: record.Duplicate}
 		for _, replaced := range record.Before {
--- a/recordlog/request.go
+++ b/recordlog/request.go
@@ -54,7 +54,7 @@
 
 // ErrSnapshot is returned by ProposeSnapshot while an earlier snapshot is
 // incomplete, and for a snapshot without parts.
-var ErrSnapshot = errors.New("recordlog: a snapshot is under way, or has no parts")
+var ErrSnapshot = errors.New("recordlog: a snapshot is in progress, or the proposed one has no parts")
 
 // Confirmed reports that a proposed record is durable. Offset is its offset in
 // the stream, or NoOffset if only mirrors hold it so far; a second Confirmed
