--- a/contract/peers.go
+++ b/contract/peers.go
@@ -16,7 +16,7 @@
 	Revision Revision
 	// Behind is true if the stream is known to hold more records.
 	Behind bool
-	// HeardAgo is the time since the node's last report was received; zero
+	// ReportAge is the time since the node's last report was received; zero
 	// for this node.
 	HeardAgo time.Duration
 }
