--- a/contract/check.go
+++ b/contract/check.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// checkEnvelope checks what a change says about itself.
-func checkEnvelope(change Change) []Finding {
+// checkChangeFields checks a change's ID, actor and number of edits.
+func checkChangeFields(change Change) []Finding {
 	var findings []Finding
 	if change.ID == "" || len(change.ID) > maximumIDLength {
 		findings = append(findings, Finding{Place: "id", Message: fmt.Sprintf("want 1 to %d bytes", maximumIDLength)})
@@ -22,7 +22,7 @@
 	return findings
 }
 
-// checkEdit checks what can be seen in the edit alone.
+// checkEdit checks an edit without regard to the current settings.
 func checkEdit(edit Edit, place string) []Finding {
 	var findings []Finding
 	if err := edit.Path.Validate(); err != nil {
@@ -36,7 +36,7 @@
 	}
 	for index, name := range edit.Unset {
 		unsetPlace := fmt.Sprintf("%s.unset[%d]", place, index)
-		if fieldNamed(name) < 0 {
+		if fieldIndex(name) < 0 {
 			findings = append(findings, Finding{Place: unsetPlace, Message: fmt.Sprintf("%q is no setting", name)})
 		}
 		if edit.Remove {
@@ -64,11 +64,11 @@
 	return findings
 }
 
-// checkNarrowing finds the zones that an edit lists and the branch's parent
-// does not permit. It looks at the tree after all edits, so that one change
-// may widen a parent and its child together. A branch below an edited one may
-// be left without any zone: a rule that is tightened must never be refused
-// because of what it stops.
+// checkNarrowing finds zones that an edit lists but the branch's parent does
+// not permit. It uses the tree after all edits, so that one change may widen a
+// parent and its child together. A branch below an edited one may be left
+// without any zone: tightening a rule must never be refused because of the
+// work that it stops.
 func (s *state) checkNarrowing(change Change) []Finding {
 	var findings []Finding
 	for index, edit := range change.Edits {
@@ -80,7 +80,7 @@
 			if !parent.Contains(name) {
 				findings = append(findings, Finding{
 					Place:   fmt.Sprintf("edits[%d].values.zones[%d]", index, zoneIndex),
-					Message: fmt.Sprintf("zone %q is not permitted by the parent %q, which permits %s", name, edit.Path.Parent().String(), zoneList(parent)),
+					Message: fmt.Sprintf("zone %q is not permitted by the parent %q, which permits %s", name, edit.Path.Parent().String(), formatZones(parent)),
 				})
 			}
 		}
@@ -88,14 +88,15 @@
 	return findings
 }
 
-// checkTokens finds tokens that another branch lists already: a token counts
-// at one branch, so that nobody can draw another branch's callers to theirs.
+// checkTokens finds tokens that another branch already lists. A token belongs
+// to one branch, so that an operator cannot take over another branch's callers
+// by listing their tokens.
 func (s *state) checkTokens(edit Edit, place string) []Finding {
 	var findings []Finding
 	for kind, list := range [][]string{edit.Values.CallerTokens, edit.Values.OperatorTokens} {
 		for index, hash := range list {
-			holder, found := s.holder(tokenKind(kind), hash)
-			if !found || holder == edit.Path {
+			tokenBranch, found := s.tokenBranch(tokenKind(kind), hash)
+			if !found || tokenBranch == edit.Path {
 				continue
 			}
 			name := []string{fieldCallerTokens, fieldOperatorTokens}[kind]
@@ -108,7 +109,7 @@
 	return findings
 }
 
-func zoneList(placement zone.Placement) string {
+func formatZones(placement zone.Placement) string {
 	if placement == "" {
 		return "none"
 	}
--- a/contract/fleet_test.go
+++ b/contract/fleet_test.go
@@ -16,76 +16,77 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The messages of a fleet: each node probes one random other in each period,
-// and both tell the other their report, after a delay of one link.
+// Timing of the simulated messages: in each period, every node exchanges
+// reports with one random node. Each message takes one link delay.
 const (
-	fleetPeriod = time.Second
-	fleetTick   = 50 * time.Millisecond
-	fleetLink   = 10 * time.Millisecond
+	fleetPeriod    = time.Second
+	fleetTick      = 50 * time.Millisecond
+	fleetLinkDelay = 10 * time.Millisecond
 )
 
-// fleet is followers in virtual time that talk to random peers.
+// fleet simulates followers that exchange reports with random peers, in virtual
+// time.
 type fleet struct {
-	log     *settingsLog
-	nodes   []*reader
-	zones   []zone.Name
-	random  *rand.Rand
-	now     time.Time
-	talkDue []time.Time
-	// cut is a zone that no message enters or leaves.
-	cut zone.Name
+	log          *settingsLog
+	nodes        []*driver
+	zones        []zone.Name
+	random       *rand.Rand
+	now          time.Time
+	nextExchange []time.Time
+	// isolatedZone is a zone that no message enters or leaves.
+	isolatedZone zone.Name
 }
 
 func newFleet(count, zoneCount int) *fleet {
-	made := &fleet{log: &settingsLog{}, random: rand.New(rand.NewPCG(3, uint64(count))), now: start}
+	created := &fleet{log: &settingsLog{}, random: rand.New(rand.NewPCG(3, uint64(count))), now: start}
 	for index := range zoneCount {
-		made.zones = append(made.zones, zone.Name(fmt.Sprintf("zone-%d", index)))
+		created.zones = append(created.zones, zone.Name(fmt.Sprintf("zone-%d", index)))
 	}
-	made.log.add(set("root", 0, "", zones(made.zones...)))
+	created.log.add(set("root", 0, "", zones(created.zones...)))
 	for index := range count {
-		node := newReader(made.log, machine.ID(fmt.Sprintf("node-%03d", index)), made.zones[index%zoneCount], made.zones...)
+		node := newDriver(created.log, machine.ID(fmt.Sprintf("node-%03d", index)), created.zones[index%zoneCount], created.zones...)
 		node.run(start)
-		made.nodes = append(made.nodes, node)
-		made.talkDue = append(made.talkDue, start.Add(time.Duration(made.random.Int64N(int64(fleetPeriod)))))
+		created.nodes = append(created.nodes, node)
+		created.nextExchange = append(created.nextExchange, start.Add(time.Duration(created.random.Int64N(int64(fleetPeriod)))))
 	}
-	return made
+	return created
 }
 
-// run lets time pass until end and calls watch after each tick.
-func (f *fleet) run(end time.Time, watch func()) {
+// run advances the simulation to end and calls observe after each tick.
+func (f *fleet) run(end time.Time, observe func()) {
 	for f.now.Before(end) {
 		f.now = f.now.Add(fleetTick)
 		for index, node := range f.nodes {
 			node.runUntil(f.now)
-			if !f.now.Before(f.talkDue[index]) {
-				f.talkDue[index] = f.talkDue[index].Add(fleetPeriod)
-				f.talk(node, f.nodes[f.random.IntN(len(f.nodes))])
+			if !f.now.Before(f.nextExchange[index]) {
+				f.nextExchange[index] = f.nextExchange[index].Add(fleetPeriod)
+				f.exchangeReports(node, f.nodes[f.random.IntN(len(f.nodes))])
 			}
 		}
-		watch()
+		observe()
 	}
 }
 
-func (f *fleet) talk(from, to *reader) {
+func (f *fleet) exchangeReports(from, to *driver) {
 	probe, answer := from.Report(f.now), to.Report(f.now)
-	if f.cut != "" && (probe.Zone == f.cut) != (answer.Zone == f.cut) {
+	if f.isolatedZone != "" && (probe.Zone == f.isolatedZone) != (answer.Zone == f.isolatedZone) {
 		return
 	}
-	to.HeardReport(f.now.Add(fleetLink), probe)
-	to.perform(f.now.Add(fleetLink))
-	from.HeardReport(f.now.Add(2*fleetLink), answer)
-	from.perform(f.now.Add(2 * fleetLink))
+	to.HeardReport(f.now.Add(fleetLinkDelay), probe)
+	to.perform(f.now.Add(fleetLinkDelay))
+	from.HeardReport(f.now.Add(2*fleetLinkDelay), answer)
+	from.perform(f.now.Add(2 * fleetLinkDelay))
 }
 
-// setDown makes the store unreachable for every node, or reachable again.
-func (f *fleet) setDown(down bool) {
+// setStoreDown makes the store unreachable or reachable for every node.
+func (f *fleet) setStoreDown(storeDown bool) {
 	for _, node := range f.nodes {
-		node.down = down
+		node.storeDown = storeDown
 	}
 }
 
-// placing counts the nodes that may place work.
-func (f *fleet) placing() int {
+// mayPlaceCount returns the number of nodes that may start new work.
+func (f *fleet) mayPlaceCount() int {
 	count := 0
 	for _, node := range f.nodes {
 		if node.Freshness(f.now).MayPlace {
@@ -99,32 +100,33 @@
 	It("goes on placing through an outage of the store, though each node talks to few others", func() {
 		all := newFleet(100, 10)
 		all.run(start.Add(20*time.Second), func() {})
-		Expect(all.placing()).To(Equal(100))
-		all.setDown(true)
+		Expect(all.mayPlaceCount()).To(Equal(100))
+		all.setStoreDown(true)
 		least := 100
-		all.run(start.Add(2*time.Minute), func() { least = min(least, all.placing()) })
+		all.run(start.Add(2*time.Minute), func() { least = min(least, all.mayPlaceCount()) })
 		Expect(least).To(Equal(100), "at every moment, every node")
 	})
 
 	It("stops placing on both sides when a zone is cut off during an outage", func() {
 		all := newFleet(100, 10)
 		all.run(start.Add(20*time.Second), func() {})
-		all.setDown(true)
+		all.setStoreDown(true)
 		all.run(start.Add(time.Minute), func() {})
-		all.cut = "zone-3"
+		all.isolatedZone = "zone-3"
 		all.run(start.Add(time.Minute+10*time.Second), func() {})
-		Expect(all.placing()).To(BeZero())
+		Expect(all.mayPlaceCount()).To(BeZero())
 	})
 
 	It("never places under settings that were changed more than the bound ago", func() {
 		all := newFleet(100, 10)
 		all.run(start.Add(20*time.Second), func() {})
-		all.setDown(true)
+		all.setStoreDown(true)
 		all.run(start.Add(time.Minute), func() {})
-		// The store is back for one zone alone, which nobody else can reach.
-		all.cut = "zone-3"
+		// The store is reachable again, but only from a zone that is partitioned
+		// off from all others.
+		all.isolatedZone = "zone-3"
 		for _, node := range all.nodes {
-			node.down = node.Report(all.now).Zone != "zone-3"
+			node.storeDown = node.Report(all.now).Zone != "zone-3"
 		}
 		all.log.add(set("narrow", 1, "", zones("zone-3")))
 		changed := all.now
@@ -136,12 +138,13 @@
 				}
 			}
 		})
-		Expect(all.placing()).To(Equal(10), "the nodes of the zone that reaches the store")
+		Expect(all.mayPlaceCount()).To(Equal(10), "the nodes of the zone that reaches the store")
 	})
 })
 
-// BenchmarkSpread reports how long an accepted change takes to be in force on
-// every node, and how many nodes stop placing when the store goes away.
+// BenchmarkSpread reports how long an accepted change takes to reach every
+// node, and for how long nodes may not start work during an outage of the
+// store.
 func BenchmarkSpread(b *testing.B) {
 	RegisterTestingT(b)
 	for _, count := range []int{10, 50, 100, 200, 390} {
@@ -149,22 +152,22 @@
 			for range b.N {
 				all := newFleet(count, min(10, count))
 				all.run(start.Add(20*time.Second), func() {})
-				spread := all.spread()
-				b.ReportMetric(spread[len(spread)/2].Seconds(), "s-p50")
-				b.ReportMetric(spread[len(spread)*99/100].Seconds(), "s-p99")
-				fresh := all.reportBytes()
-				all.setDown(true)
+				changeLatencies := all.changeLatencies()
+				b.ReportMetric(changeLatencies[len(changeLatencies)/2].Seconds(), "s-p50")
+				b.ReportMetric(changeLatencies[len(changeLatencies)*99/100].Seconds(), "s-p99")
+				freshBytes := all.reportBytes()
+				all.setStoreDown(true)
 				stopped := 0
-				all.run(all.now.Add(time.Minute), func() { stopped += count - all.placing() })
+				all.run(all.now.Add(time.Minute), func() { stopped += count - all.mayPlaceCount() })
 				b.ReportMetric(float64(stopped)*fleetTick.Seconds()/float64(count), "s-stopped/node")
-				b.ReportMetric(fresh, "bytes/report")
+				b.ReportMetric(freshBytes, "bytes/report")
 				b.ReportMetric(all.reportBytes(), "bytes/report-outage")
 			}
 		})
 	}
 }
 
-// reportBytes returns the mean length of the reports in JSON.
+// reportBytes returns the mean size of the reports in JSON.
 func (f *fleet) reportBytes() float64 {
 	total := 0
 	for _, node := range f.nodes {
@@ -175,20 +178,21 @@
 	return float64(total) / float64(len(f.nodes))
 }
 
-// spread appends a change and returns how long each node took to have it.
-func (f *fleet) spread() []time.Duration {
+// changeLatencies appends a change and returns the sorted times that the nodes
+// took to apply it.
+func (f *fleet) changeLatencies() []time.Duration {
 	changed := f.now
 	f.log.add(set("spread", 1, "", contract.Values{Priority: pointer(1)}))
-	var took []time.Duration
-	having := map[*reader]bool{}
+	var latencies []time.Duration
+	updated := map[*driver]bool{}
 	f.run(changed.Add(20*time.Second), func() {
 		for _, node := range f.nodes {
-			if !having[node] && node.Tree().Revision() == 2 {
-				having[node] = true
-				took = append(took, f.now.Sub(changed))
+			if !updated[node] && node.Tree().Revision() == 2 {
+				updated[node] = true
+				latencies = append(latencies, f.now.Sub(changed))
 			}
 		}
 	})
-	slices.Sort(took)
-	return took
+	slices.Sort(latencies)
+	return latencies
 }
--- a/contract/snapshot.go
+++ b/contract/snapshot.go
@@ -11,10 +11,11 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// snapshotFormat changes when an older version could misread a snapshot.
+// snapshotFormat must be incremented when older versions could misread a
+// snapshot.
 const snapshotFormat = 1
 
-// snapshot is a whole fold in its JSON form. Checksum covers Body.
+// snapshot is the JSON form of a complete state. Checksum covers Body.
 type snapshot struct {
 	Format   int             `json:"format"`
 	Checksum string          `json:"checksum"`
@@ -32,14 +33,14 @@
 	Log        []snapshotRecord `json:"log"`
 }
 
-// snapshotBranch is a branch; a removed one has Absent set and nothing else.
+// snapshotBranch is a branch. One that did not exist has only Path and Absent.
 type snapshotBranch struct {
 	Path   Path     `json:"path"`
 	Absent bool     `json:"absent,omitempty"`
 	Values Values   `json:"values"`
 	Since  []uint64 `json:"since,omitempty"`
-	// Contract is the revision that last changed the branch's contract; it is
-	// left out for a branch that was replaced.
+	// Contract is the revision that last changed the branch's contract. It is
+	// omitted for a replaced branch in the log.
 	Contract Revision `json:"contract,omitempty"`
 }
 
@@ -55,22 +56,22 @@
 	Change   Change           `json:"change"`
 	Verdict  Verdict          `json:"verdict"`
 	Before   []snapshotBranch `json:"before,omitempty"`
-	// Duplicate marks a record whose change stood in an earlier one too.
+	// Duplicate is true if an earlier record holds the same change.
 	Duplicate bool `json:"duplicate,omitempty"`
 }
 
-// OlderSnapshotError says that a snapshot was not taken in because the tree
-// holds as much or more.
+// OlderSnapshotError reports a snapshot that was not imported because the tree
+// is at the same position or a later one.
 type OlderSnapshotError struct {
 	Held, Offered uint64
 }
 
-// Error describes the failure.
 func (e *OlderSnapshotError) Error() string {
 	return fmt.Sprintf("snapshot at position %d is not newer than the settings held, position %d", e.Offered, e.Held)
 }
 
-// Export returns the whole fold, for a node that cannot read the stream.
+// Export returns a snapshot of the whole state, for a node that cannot read
+// the stream.
 func (t *Tree) Export() ([]byte, error) {
 	body, err := json.Marshal(t.published.Load().export())
 	if err != nil {
@@ -89,13 +90,13 @@
 		body.Branches = append(body.Branches, exportBranch(entry))
 		return true
 	})
-	s.touched.Ascend(func(entry touch) bool {
+	s.lastEdits.Ascend(func(entry lastEdit) bool {
 		body.Touched = append(body.Touched, snapshotTouch{Path: entry.path, Revision: entry.revision, ChangeID: entry.changeID, Actor: entry.actor})
 		return true
 	})
 	s.log.Ascend(func(entry logEntry) bool {
 		record := snapshotRecord{Position: entry.position, Change: entry.change, Verdict: entry.verdict, Duplicate: entry.duplicate}
-		for _, replaced := range entry.before {
+		for _, replaced := range entry.replacedBranches {
 			record.Before = append(record.Before, exportBranch(replaced))
 		}
 		body.Log = append(body.Log, record)
@@ -108,35 +109,35 @@
 	if entry.branch == nil {
 		return snapshotBranch{Path: entry.path, Absent: true}
 	}
-	since := make([]uint64, len(entry.branch.since))
-	for index, revision := range entry.branch.since {
-		since[index] = uint64(revision)
+	fieldRevisions := make([]uint64, len(entry.branch.fieldRevisions))
+	for index, revision := range entry.branch.fieldRevisions {
+		fieldRevisions[index] = uint64(revision)
 	}
-	exported := snapshotBranch{Path: entry.path, Values: entry.branch.values, Since: since}
+	exported := snapshotBranch{Path: entry.path, Values: entry.branch.values, Since: fieldRevisions}
 	if entry.branch.contract != nil {
 		exported.Contract = entry.branch.contract.Revision
 	}
 	return exported
 }
 
-// Import replaces the state by a snapshot of a peer that is newer. The
-// snapshot is checked whole first: on an error nothing changes. The error is
-// an *OlderSnapshotError when there is nothing to gain.
+// Import replaces the state with a newer snapshot from a peer. The snapshot is
+// fully validated first: on an error nothing changes. The error is an
+// *OlderSnapshotError if the snapshot is not newer.
 func (t *Tree) Import(data []byte) error {
-	body, err := openSnapshot(data)
+	body, err := decodeSnapshot(data)
 	if err != nil {
 		return fmt.Errorf("settings snapshot: %w", err)
 	}
-	t.writing.Lock()
-	defer t.writing.Unlock()
-	imported, err := body.state(t.working.window)
+	t.writeMutex.Lock()
+	defer t.writeMutex.Unlock()
+	imported, err := body.state(t.working.windowRecords)
 	if err != nil {
 		return fmt.Errorf("settings snapshot: %w", err)
 	}
 	if imported.position <= t.working.position {
 		return &OlderSnapshotError{Held: uint64(t.working.position), Offered: uint64(imported.position)}
 	}
-	// Placements that were ever in force here stay known.
+	// Placements includes every placement that was ever in force here.
 	for _, placement := range t.working.placements {
 		imported.addPlacement(placement)
 	}
@@ -145,8 +146,8 @@
 	return nil
 }
 
-// openSnapshot checks the envelope.
-func openSnapshot(data []byte) (*snapshotBody, error) {
+// decodeSnapshot checks the format and checksum and decodes the body.
+func decodeSnapshot(data []byte) (*snapshotBody, error) {
 	var envelope snapshot
 	if err := decodeStrictly(data, &envelope); err != nil {
 		return nil, err
@@ -171,15 +172,15 @@
 	return decoder.Decode(target)
 }
 
-// state rebuilds the fold and checks that it is one that a fold can reach.
-func (b *snapshotBody) state(window Revision) (*state, error) {
-	built := newState(window)
+// state rebuilds the state from the snapshot and validates it.
+func (b *snapshotBody) state(windowRecords Revision) (*state, error) {
+	built := newState(windowRecords)
 	built.position, built.revision, built.horizon = b.Position, b.Revision, b.Horizon
 	if count, err := hex.Decode(built.digest[:], []byte(b.Digest)); err != nil || count != len(built.digest) {
 		return nil, errors.New("digest: want 64 hexadecimal digits")
 	}
 	if b.Revision > b.Position || b.Horizon > b.Position {
-		return nil, errors.New("the revision lies beyond the position")
+		return nil, errors.New("the revision or the horizon is greater than the position")
 	}
 	for _, entry := range b.Branches {
 		if err := built.importBranch(entry); err != nil {
@@ -187,7 +188,7 @@
 		}
 	}
 	for _, entry := range b.Touched {
-		built.touched.ReplaceOrInsert(touch{path: entry.Path, revision: entry.Revision, changeID: entry.ChangeID, actor: entry.Actor})
+		built.lastEdits.ReplaceOrInsert(lastEdit{path: entry.Path, revision: entry.Revision, changeID: entry.ChangeID, actor: entry.Actor})
 	}
 	for _, placement := range b.Placements {
 		if _, err := zone.ParsePlacement(string(placement)); err != nil {
@@ -220,23 +221,23 @@
 
 func newImportedBranch(entry snapshotBranch) (*branch, error) {
 	if len(entry.Since) != len(fields) {
-		return nil, fmt.Errorf("branch %q: want %d revisions of values", entry.Path, len(fields))
+		return nil, fmt.Errorf("branch %q: want %d field revisions", entry.Path, len(fields))
 	}
-	imported := &branch{path: entry.Path, values: entry.Values, since: make([]Revision, len(fields))}
+	imported := &branch{path: entry.Path, values: entry.Values, fieldRevisions: make([]Revision, len(fields))}
 	for index, revision := range entry.Since {
-		imported.since[index] = Revision(revision)
+		imported.fieldRevisions[index] = Revision(revision)
 	}
 	return imported, nil
 }
 
-// importLog fills the window.
+// importLog restores the records within the window.
 func (b *snapshotBody) importLog(built *state) error {
-	if Revision(len(b.Log)) > built.window {
-		return fmt.Errorf("log: %d records: want at most %d", len(b.Log), built.window)
+	if Revision(len(b.Log)) > built.windowRecords {
+		return fmt.Errorf("log: %d records: want at most %d", len(b.Log), built.windowRecords)
 	}
 	for _, record := range b.Log {
 		if record.Position <= b.Horizon || record.Position > b.Position {
-			return fmt.Errorf("log: record at position %d lies outside of the window", record.Position)
+			return fmt.Errorf("log: record at position %d is outside the window", record.Position)
 		}
 		entry := logEntry{position: record.Position, change: record.Change, verdict: record.Verdict, duplicate: record.Duplicate}
 		for _, replaced := range record.Before {
@@ -244,7 +245,7 @@
 			if err != nil {
 				return err
 			}
-			entry.before = append(entry.before, restored)
+			entry.replacedBranches = append(entry.replacedBranches, restored)
 		}
 		built.log.ReplaceOrInsert(entry)
 		if !entry.duplicate {
--- a/contract/state.go
+++ b/contract/state.go
@@ -8,35 +8,37 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Window is how many records of the settings stream a tree remembers, for
-// duplicates, verdicts, history and diffs. A change that is based on a
-// revision before the window, when a later one was accepted, is refused: the
-// tree no longer knows what it would clash with.
+// WindowRecords is the number of records of the settings stream that a tree
+// retains for duplicates, verdicts, history and diffs. A change that is based
+// on a revision before the window is refused if a later one was accepted, since
+// its conflicts can no longer be determined.
 const Window = 4096
 
 // treeDegree is the branching factor of the ordered maps.
 const treeDegree = 16
 
-// branch is one branch of the tree. It is never changed once it stands in a
-// state; a change puts a new one in its place.
+// branch is one branch of the tree. It is immutable once it is part of a
+// state; a change replaces it.
 type branch struct {
 	path   Path
 	values Values
-	// since holds, for each field that is set, the revision that set it.
-	since []Revision
-	// contract is the branch's values with everything inherited.
+	// fieldRevisions holds, for each field that is set, the revision that set
+	// it, and zero for the others.
+	fieldRevisions []Revision
+	// contract is the branch's values with inheritance resolved.
 	contract *Contract
 }
 
-// branchEntry is a branch under its path. The ordered map compares entries
-// by value, so that a lookup allocates nothing.
+// branchEntry is a branch with its path as the key. Entries are values rather
+// than pointers, so that a lookup does not allocate.
 type branchEntry struct {
 	path   Path
 	branch *branch
 }
 
-// touch says which accepted change edited a path last. It outlives the branch.
-type touch struct {
+// lastEdit records which accepted change edited a path last. It is kept after
+// the branch is removed.
+type lastEdit struct {
 	path     Path
 	revision Revision
 	changeID string
@@ -50,7 +52,7 @@
 	tokenOperator
 )
 
-// tokenEntry ties a token to the branch that lists it.
+// tokenEntry maps a token to the branch that lists it.
 type tokenEntry struct {
 	kind tokenKind
 	hash string
@@ -62,48 +64,52 @@
 	position Revision
 	change   Change
 	verdict  Verdict
-	// before holds the branches that the change replaced, in the order of
-	// their first edit and without their contracts; a nil branch did not exist.
-	before []branchEntry
-	// duplicate marks a record whose change stood in an earlier record too.
+	// replacedBranches holds the branches that the change replaced, in the
+	// order of their first edit and without their contracts. A nil branch did
+	// not exist before.
+	replacedBranches []branchEntry
+	// duplicate is true if an earlier record holds the same change.
 	duplicate bool
 }
 
-// changeKey finds a record of the window by its change's ID.
+// changeKey maps a change's ID to the position of its record in the window.
 type changeKey struct {
 	id       string
 	position Revision
 }
 
-// state is the whole fold. Its ordered maps are copied lazily, so that clone
-// costs a few words and a change costs the few nodes that it touches.
+// state is the result of applying the stream's records in order. Its B-trees
+// are copied on write, so that clone is cheap and a change copies only the
+// nodes that it modifies.
 type state struct {
-	// window is how many records are remembered.
-	window Revision
-	// position is the number of records folded; revision the last accepted.
+	// windowRecords is the number of records that the log retains.
+	windowRecords Revision
+	// position is the number of records applied, and revision the last
+	// accepted one.
 	position Revision
 	revision Revision
-	// horizon is the position of the last record that left the window.
+	// horizon is the position of the last record that was evicted from the
+	// log: the oldest revision that can be restored.
 	horizon    Revision
 	digest     digest
 	branches   *btree.BTreeG[branchEntry]
-	touched    *btree.BTreeG[touch]
+	lastEdits  *btree.BTreeG[lastEdit]
 	tokens     *btree.BTreeG[tokenEntry]
 	log        *btree.BTreeG[logEntry]
 	changes    *btree.BTreeG[changeKey]
 	placements []zone.Placement
 }
 
-func newState(window Revision) *state {
+func newState(windowRecords Revision) *state {
 	created := &state{
-		window:   window,
-		branches: btree.NewG(treeDegree, func(a, b branchEntry) bool { return a.path < b.path }),
-		touched:  btree.NewG(treeDegree, func(a, b touch) bool { return a.path < b.path }),
-		tokens:   btree.NewG(treeDegree, lessToken),
-		log:      btree.NewG(treeDegree, func(a, b logEntry) bool { return a.position < b.position }),
-		changes:  btree.NewG(treeDegree, func(a, b changeKey) bool { return a.id < b.id }),
+		windowRecords: windowRecords,
+		branches:      btree.NewG(treeDegree, func(a, b branchEntry) bool { return a.path < b.path }),
+		lastEdits:     btree.NewG(treeDegree, func(a, b lastEdit) bool { return a.path < b.path }),
+		tokens:        btree.NewG(treeDegree, lessToken),
+		log:           btree.NewG(treeDegree, func(a, b logEntry) bool { return a.position < b.position }),
+		changes:       btree.NewG(treeDegree, func(a, b changeKey) bool { return a.id < b.id }),
 	}
-	root := &branch{path: Root, since: make([]Revision, len(fields))}
+	root := &branch{path: Root, fieldRevisions: make([]Revision, len(fields))}
 	root.contract = created.resolve(root)
 	created.putBranch(root)
 	return created
@@ -119,12 +125,12 @@
 	return a.path < b.path
 }
 
-// clone returns an independent copy. The slice of placements is shared: it
-// is replaced, never written to.
+// clone returns an independent copy. The placements slice is shared, because
+// it is replaced and never modified.
 func (s *state) clone() *state {
 	copied := *s
 	copied.branches = s.branches.Clone()
-	copied.touched = s.touched.Clone()
+	copied.lastEdits = s.lastEdits.Clone()
 	copied.tokens = s.tokens.Clone()
 	copied.log = s.log.Clone()
 	copied.changes = s.changes.Clone()
@@ -140,13 +146,13 @@
 	s.branches.ReplaceOrInsert(branchEntry{path: branch.path, branch: branch})
 }
 
-// below returns the bounds of the paths that lie strictly below path. The
-// second bound works because "0" follows "/" in ASCII.
-func below(path Path) (from, to Path) {
+// descendantRange returns the half-open range of the paths strictly below
+// path. The upper bound is correct because "0" follows "/" in ASCII.
+func descendantRange(path Path) (from, to Path) {
 	return path + "/", path + "0"
 }
 
-// walk visits the branch at prefix and those below it, parents first.
+// walk visits the branch at prefix and its descendants, parents first.
 func (s *state) walk(prefix Path, visit func(*branch)) {
 	visitEntry := func(entry branchEntry) bool {
 		visit(entry.branch)
@@ -159,12 +165,13 @@
 	if found := s.branch(prefix); found != nil {
 		visit(found)
 	}
-	from, to := below(prefix)
+	from, to := descendantRange(prefix)
 	s.branches.AscendRange(branchEntry{path: from}, branchEntry{path: to}, visitEntry)
 }
 
-// holder returns the branch that lists a token. No two branches list the same.
-func (s *state) holder(kind tokenKind, hash string) (path Path, found bool) {
+// tokenBranch returns the branch that lists a token. A token is listed by at
+// most one branch.
+func (s *state) tokenBranch(kind tokenKind, hash string) (path Path, found bool) {
 	s.tokens.AscendGreaterOrEqual(tokenEntry{kind: kind, hash: hash}, func(entry tokenEntry) bool {
 		if entry.kind == kind && entry.hash == hash {
 			path, found = entry.path, true
@@ -174,7 +181,7 @@
 	return path, found
 }
 
-// setTokens replaces the tokens that a branch lists.
+// setTokens updates the token index after a branch's lists have changed.
 func (s *state) setTokens(path Path, before, after *Values) {
 	for kind, lists := range [][2][]string{
 		{before.CallerTokens, after.CallerTokens},
@@ -189,7 +196,7 @@
 	}
 }
 
-// addPlacement remembers a placement that came into force.
+// addPlacement adds a placement that came into force to the sorted list.
 func (s *state) addPlacement(placement zone.Placement) {
 	index, found := slices.BinarySearch(s.placements, placement)
 	if found || placement == "" {
