--- a/control/apply.go
+++ b/control/apply.go
@@ -45,15 +45,15 @@
 		pending.fetches = append(pending.fetches, *reply.fetch)
 	}
 	owned.outputs = append(owned.outputs, pending)
-	c.proposeWaiting(now, owned)
+	c.proposeRecords(now, owned)
 	for _, effect := range output.Immediate {
 		c.perform(now, owned, effect)
 	}
-	c.releaseDurable(now, owned)
+	c.performDurable(now, owned)
 }
 
-// proposeWaiting hands the replica the records it has room for, in order.
-func (c *Core) proposeWaiting(now time.Time, owned *ownedPartition) {
+// proposeRecords hands the replica the records it has room for, in order.
+func (c *Core) proposeRecords(now time.Time, owned *ownedPartition) {
 	first := owned.position - uint64(len(owned.unproposed))
 	for len(owned.unproposed) > 0 {
 		record := owned.unproposed[0]
@@ -72,13 +72,13 @@
 	owned.unproposed = nil
 }
 
-// releaseDurable performs the outputs whose records are all durable.
-func (c *Core) releaseDurable(now time.Time, owned *ownedPartition) {
-	for len(owned.outputs) > 0 && owned.outputs[0].position <= owned.durable {
+// performDurable performs the outputs whose records are all durable.
+func (c *Core) performDurable(now time.Time, owned *ownedPartition) {
+	for len(owned.outputs) > 0 && owned.outputs[0].position <= owned.durablePosition {
 		output := owned.outputs[0]
 		owned.outputs = owned.outputs[1:]
 		for _, record := range output.endings {
-			c.announceEnding(owned, record, output.effects)
+			c.emitFinished(owned, record, output.effects)
 		}
 		for _, effect := range output.effects {
 			c.perform(now, owned, effect)
@@ -96,11 +96,11 @@
 func (c *Core) perform(now time.Time, owned *ownedPartition, effect program.Effect) {
 	switch effect.Kind {
 	case program.EffectStart:
-		c.start(now, owned, effect)
+		c.scheduleCall(now, owned, effect)
 	case program.EffectSend:
-		c.send(now, owned, effect)
+		c.sendAttempt(now, owned, effect)
 	case program.EffectStop:
-		c.stop(owned, effect)
+		c.stopCall(owned, effect)
 	case program.EffectAnswer:
 		c.answerCall(owned, effect)
 	case program.EffectLookup:
@@ -110,9 +110,9 @@
 	}
 }
 
-// start hands a call to the scheduler, now or after its delay. A partition
+// scheduleCall hands a call to the scheduler, now or after its delay. A partition
 // that is being handed over keeps it for the next owner.
-func (c *Core) start(now time.Time, owned *ownedPartition, effect program.Effect) {
+func (c *Core) scheduleCall(now time.Time, owned *ownedPartition, effect program.Effect) {
 	if effect.Delay > 0 {
 		due := now.Add(effect.Delay)
 		effect.Delay = 0
@@ -136,7 +136,7 @@
 		PromptTokens: effect.PromptTokens,
 		OutputCap:    cmp.Or(call.MaxOutputTokens, effect.Terms.MaxOutputTokens),
 		Attained:     effect.Attained,
-		Arrived:      owned.arrived(effect.Attempt.Program),
+		Arrived:      owned.createdAt(effect.Attempt.Program),
 		Enqueued:     now,
 		Deadline:     effect.Deadline,
 		Avoid:        effect.Avoid,
@@ -144,17 +144,17 @@
 	})
 }
 
-// arrived returns when the program was created, by which its calls are ordered
+// createdAt returns when the program was created, by which its calls are ordered
 // among those of other programs.
-func (p *ownedPartition) arrived(id api.ProgramID) time.Time {
+func (p *ownedPartition) createdAt(id api.ProgramID) time.Time {
 	described, _ := p.store.Describe(id)
 	return described.CreatedAt
 }
 
-// send dispatches an attempt whose intent the programs have recorded.
-func (c *Core) send(now time.Time, owned *ownedPartition, effect program.Effect) {
+// sendAttempt dispatches an attempt whose intent the programs have recorded.
+func (c *Core) sendAttempt(now time.Time, owned *ownedPartition, effect program.Effect) {
 	placed, ok := owned.placed[effect.Attempt.CallRef]
-	backend, known := c.attendant.backend(effect.Backend)
+	backend, known := c.backendManager.backend(effect.Backend)
 	if !ok || !known {
 		backend = machine.Machine{ID: effect.Backend}
 	}
@@ -162,12 +162,12 @@
 	placed.backend = effect.Backend
 	placed.sent = true
 	owned.placed[effect.Attempt.CallRef] = placed
-	if refusal := c.forbids(now, owned, backend); refusal != nil {
+	if refusal := c.checkSend(now, owned, backend); refusal != nil {
 		outcome := program.Outcome{Attempt: effect.Attempt, Status: api.StatusNotRun, Error: refusal}
 		c.unsent = append(c.unsent, AttemptEnded{Backend: effect.Backend, Outcome: outcome})
 		return
 	}
-	importFrom, _ := c.attendant.backend(placed.decision.ImportFrom)
+	importFrom, _ := c.backendManager.backend(placed.decision.ImportFrom)
 	c.emit(SendAttempt{
 		Partition:  owned.id,
 		ImportFrom: importFrom,
@@ -182,10 +182,10 @@
 	})
 }
 
-// forbids says why an attempt must not be sent after all. The choice was made
+// checkSend says why an attempt must not be sent after all. The choice was made
 // before its intent was durable: the process may have slept since, and the
 // placement may have been narrowed without its knowing.
-func (c *Core) forbids(now time.Time, owned *ownedPartition, backend machine.Machine) *api.Error {
+func (c *Core) checkSend(now time.Time, owned *ownedPartition, backend machine.Machine) *api.Error {
 	if !c.follower.Freshness(now).MayPlace {
 		return api.Refuse(api.CodeSettingsStale, "the settings may have changed since the choice").After(0)
 	}
@@ -216,8 +216,8 @@
 	return prompt[:len(prompt)-1]
 }
 
-// stop takes a call out of the scheduler, or cancels its running attempt.
-func (c *Core) stop(owned *ownedPartition, effect program.Effect) {
+// stopCall takes a call out of the scheduler, or cancels its running attempt.
+func (c *Core) stopCall(owned *ownedPartition, effect program.Effect) {
 	if effect.Attempt.Attempt > 0 {
 		c.emit(StopAttempt{Attempt: effect.Attempt})
 		return
@@ -260,8 +260,8 @@
 	call.Error = ended.Error
 }
 
-// answerLost tells every waiting caller to ask the next owner by key.
-func (c *Core) answerLost(owned *ownedPartition) {
+// refuseWaiting tells every waiting caller to ask the next owner by key.
+func (c *Core) refuseWaiting(owned *ownedPartition) {
 	refusal := notOwner(owned.id)
 	for _, call := range sortedCalls(owned.waiters) {
 		for _, handle := range owned.waiters[call] {
@@ -286,15 +286,15 @@
 		Message: fmt.Sprintf("this node does not own partition %s", id),
 		Ran:     api.RanOutcomeUnknown,
 	}
-	return refusal.After(int64(notOwnerRetry / time.Millisecond))
+	return refusal.After(int64(notOwnerRetryAfter / time.Millisecond))
 }
 
-// notOwnerRetry is how soon a caller may ask again after CodeNotOwner.
-const notOwnerRetry = 200 * time.Millisecond
+// notOwnerRetryAfter is how soon a caller may ask again after CodeNotOwner.
+const notOwnerRetryAfter = 200 * time.Millisecond
 
-// announceEnding tells the driver of a durable end, for metrics and histories,
+// emitFinished tells the driver of a durable end, for metrics and histories,
 // and with the end of a call what its callers are answered.
-func (c *Core) announceEnding(owned *ownedPartition, record program.Record, effects []program.Effect) {
+func (c *Core) emitFinished(owned *ownedPartition, record program.Record, effects []program.Effect) {
 	if record.Closed != nil {
 		if described, ok := owned.store.Describe(record.Program); ok {
 			c.emit(ProgramFinished{Program: described, CreatedAt: described.CreatedAt, EndedAt: record.At})
@@ -344,7 +344,7 @@
 	if other.ID != "" {
 		return other, true
 	}
-	return c.attendant.backend(effect.Backend)
+	return c.backendManager.backend(effect.Backend)
 }
 
 var errBackendUnknown = errors.New("the back end is not in the machine list")
--- a/control/core.go
+++ b/control/core.go
@@ -20,29 +20,29 @@
 	// partitions holds a replica for each partition that this node owns,
 	// takes over, or is about to give up.
 	partitions map[partition.ID]*ownedPartition
-	// hints tell who owned a partition when it was last heard of.
-	hints map[partition.ID]machine.ID
-	// hintUntil is when a hint that only rests on the view expires.
-	hintUntil map[partition.ID]time.Time
-	// known are all partitions that can hold programs, sorted.
-	known []partition.ID
+	// ownerHints tell who owned a partition when it was last heard of.
+	ownerHints map[partition.ID]machine.ID
+	// hintExpiry is when a hint that only rests on the view expires.
+	hintExpiry map[partition.ID]time.Time
+	// knownPartitions are all partitions that can hold programs, sorted.
+	knownPartitions []partition.ID
 	// nodes are the nodes that are believed to run, leaving ones included.
 	nodes []machine.Machine
 
-	attendant attendant
-	delayed   delayedEffects
-	parked    []parkedRequest
-	actions   []Action
+	backendManager backendManager
+	delayed        delayedEffects
+	parked         []parkedRequest
+	actions        []Action
 	// unsent are attempts that ended before they were sent.
 	unsent []AttemptEnded
 
-	nextList time.Time
+	nextListAt time.Time
 	// listed is set once the machine list has settled; see settleList.
-	listed     bool
-	lastListed []machine.ID
-	stopping   bool
-	stopBy     time.Time
-	stopped    bool
+	listed          bool
+	lastListedNodes []machine.ID
+	stopping        bool
+	drainDeadline   time.Time
+	stopped         bool
 	// routingChanged is set until RoutingChanged is asked.
 	routingChanged bool
 }
@@ -72,14 +72,14 @@
 		return nil, err
 	}
 	core := &Core{
-		config:     config,
-		membership: membership,
-		follower:   follower,
-		mirrors:    mirrors,
-		partitions: make(map[partition.ID]*ownedPartition),
-		hints:      make(map[partition.ID]machine.ID),
-		hintUntil:  make(map[partition.ID]time.Time),
-		attendant:  newAttendant(config),
+		config:         config,
+		membership:     membership,
+		follower:       follower,
+		mirrors:        mirrors,
+		partitions:     make(map[partition.ID]*ownedPartition),
+		ownerHints:     make(map[partition.ID]machine.ID),
+		hintExpiry:     make(map[partition.ID]time.Time),
+		backendManager: newBackendManager(config),
 	}
 	return core, nil
 }
@@ -116,7 +116,7 @@
 	case PrefixesListed:
 		c.stepPrefixesListed(now, event)
 	case PrefixReleased:
-		c.attendant.released(event)
+		c.backendManager.released(event)
 	case LossAccepted:
 		c.acceptLoss(now, event.Partition)
 	case DrainRequested:
@@ -158,8 +158,8 @@
 
 // tickTimers runs everything whose time has come.
 func (c *Core) tickTimers(now time.Time) {
-	if !now.Before(c.nextList) {
-		c.nextList = now.Add(c.config.ListPeriod)
+	if !now.Before(c.nextListAt) {
+		c.nextListAt = now.Add(c.config.ListPeriod)
 		c.emit(ListMachines{Self: c.self()})
 	}
 	c.membership.Tick(now)
@@ -170,17 +170,17 @@
 	c.releaseDelayed(now)
 	c.expireHints(now)
 	c.expireParked(now)
-	c.tickAttendant(now)
+	c.tickBackends(now)
 }
 
 // NextWake returns when Tick must come if no other event does.
 func (c *Core) NextWake() time.Time {
-	wake := c.nextList
+	wake := c.nextListAt
 	earliest(&wake, c.membership.NextWake())
 	earliest(&wake, c.follower.NextWake())
 	earliest(&wake, c.config.Policy.NextWake())
-	earliest(&wake, c.delayed.next())
-	earliest(&wake, c.attendant.nextWake())
+	earliest(&wake, c.delayed.nextDue())
+	earliest(&wake, c.backendManager.nextWake())
 	for _, owned := range c.partitions {
 		earliest(&wake, owned.replica.NextWake())
 		if owned.acquired {
@@ -190,11 +190,11 @@
 	for _, request := range c.parked {
 		earliest(&wake, request.until)
 	}
-	for _, until := range c.hintUntil {
+	for _, until := range c.hintExpiry {
 		earliest(&wake, until)
 	}
 	if c.stopping && !c.stopped {
-		earliest(&wake, c.stopBy)
+		earliest(&wake, c.drainDeadline)
 	}
 	return wake
 }
--- a/control/delayed.go
+++ b/control/delayed.go
@@ -42,7 +42,7 @@
 	d.entries = slices.DeleteFunc(d.entries, func(entry delayedEffect) bool { return entry.id == id })
 }
 
-func (d *delayedEffects) next() time.Time {
+func (d *delayedEffects) nextDue() time.Time {
 	if len(d.entries) == 0 {
 		return time.Time{}
 	}
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -18,11 +18,11 @@
 var _ = Describe("A partition that is offered to a node", func() {
 	It("is not looked for there once the node turns out not to be its owner", func() {
 		peer := machine.Machine{ID: "node-2", Kind: machine.KindNode, Zone: "isando", Address: "10.0.0.2:1", Status: machine.StatusLive, Incarnation: 1}
-		node := newAttendant(peer)
-		node.haveSettings(contract.Change{ID: "first", Edits: []contract.Edit{
+		node := newTestNode(peer)
+		node.applySettings(contract.Change{ID: "first", Edits: []contract.Edit{
 			{Path: contract.Root, Values: contract.Values{Zones: []zone.Name{"isando"}}}, {Path: "cold"},
 		}})
-		id := peersPartition(node.listed, peer.ID)
+		id := partitionOwnedBy(node.listed, peer.ID)
 		// The node counts itself as an owner only once the list has settled.
 		for range 12 {
 			node.now = node.now.Add(500 * time.Millisecond)
@@ -40,21 +40,21 @@
 	})
 })
 
-// haveSettings answers the node's read of the settings stream.
-func (a *attendant) haveSettings(change contract.Change) {
+// applySettings answers the node's read of the settings stream.
+func (a *testNode) applySettings(change contract.Change) {
 	text, err := json.Marshal(change)
 	Expect(err).NotTo(HaveOccurred())
 	a.step(control.SettingsRead{Result: contract.ReadDone{Request: a.settingsRead.Request, Changes: [][]byte{text}, End: 1}})
 	Expect(a.core.Tree().Revision()).To(BeEquivalentTo(1))
 }
 
-func (a *attendant) owner(id partition.ID) machine.ID {
+func (a *testNode) owner(id partition.ID) machine.ID {
 	owner, _ := a.core.Owner(id)
 	return owner
 }
 
-// peersPartition returns a partition whose owner is the node, by the view.
-func peersPartition(listed []machine.Machine, wanted machine.ID) partition.ID {
+// partitionOwnedBy returns a partition whose owner is the node, by the view.
+func partitionOwnedBy(listed []machine.Machine, wanted machine.ID) partition.ID {
 	var nodes []machine.Machine
 	for _, each := range listed {
 		if each.Kind == machine.KindNode {
--- a/control/messages.go
+++ b/control/messages.go
@@ -36,8 +36,8 @@
 // its placement does not permit it. What a node outside still holds, since the
 // placement was narrowed, it gives up like any other: a new owner must read it.
 func (c *Core) stepPartitionMessage(now time.Time, from machine.ID, message partition.Message) {
-	brings := message.Mirror != nil || message.Handover != nil
-	if brings && !c.placement(message.Partition).Contains(c.config.Self.Zone) {
+	addsData := message.Mirror != nil || message.Handover != nil
+	if addsData && !c.placement(message.Partition).Contains(c.config.Self.Zone) {
 		return
 	}
 	if message.ForMirror() {
@@ -47,7 +47,7 @@
 		return
 	}
 	if message.Handover != nil {
-		c.handedOver(now, message.Partition)
+		c.handoverOffered(now, message.Partition)
 	}
 	owned, ok := c.partitions[message.Partition]
 	if ok {
@@ -57,13 +57,13 @@
 		c.routingChanged = c.routingChanged || before != after
 		return
 	}
-	if answer, ok := partition.AnswerUnowned(message); ok {
+	if answer, ok := partition.AnswerWithoutReplica(message); ok {
 		c.sendTo(from, link.Message{Partition: &answer})
 	}
 }
 
-// handedOver notes that a former owner has given the partition up to this node.
-func (c *Core) handedOver(now time.Time, id partition.ID) {
+// handoverOffered notes that a former owner has given the partition up to this node.
+func (c *Core) handoverOffered(now time.Time, id partition.ID) {
 	if c.stopping {
 		return
 	}
@@ -116,12 +116,12 @@
 		}
 	}
 	slices.Sort(nodes)
-	if slices.Contains(nodes, c.config.Self.ID) && slices.Equal(nodes, c.lastListed) {
+	if slices.Contains(nodes, c.config.Self.ID) && slices.Equal(nodes, c.lastListedNodes) {
 		c.listed = true
 		c.routingChanged = true
 		c.reviewPartitions(now)
 	}
-	c.lastListed = nodes
+	c.lastListedNodes = nodes
 }
 
 // advanceMembership sends probes and follows changes of the view.
@@ -138,8 +138,8 @@
 	c.routingChanged = true
 	before := c.nodes
 	c.nodes = presentNodes(c.membership.All())
-	c.rememberOwners(now, before)
-	c.attendant.setMachines(now, c.nodes, c.membership.Backends())
+	c.keepOwnerHints(now, before)
+	c.backendManager.setMachines(now, c.nodes, c.membership.Backends())
 	c.setBackends(now)
 	c.reviewPartitions(now)
 	return true
@@ -183,7 +183,7 @@
 // every replica of the new view.
 func (c *Core) reviewPartitions(now time.Time) {
 	if c.listed && !c.stopping {
-		for _, id := range c.known {
+		for _, id := range c.knownPartitions {
 			c.openIfDesired(now, id)
 		}
 	}
@@ -201,8 +201,8 @@
 	}
 }
 
-// desires reports whether this node should own the partition.
-func (c *Core) desires(owned *ownedPartition) bool {
+// shouldOwn reports whether this node should own the partition.
+func (c *Core) shouldOwn(owned *ownedPartition) bool {
 	if c.stopping {
 		return false
 	}
@@ -214,29 +214,29 @@
 // hand-over is held while attempts run, so that it cuts none of them.
 func (c *Core) setView(now time.Time, owned *ownedPartition) {
 	placement := c.placement(owned.id)
-	owned.held = owned.busy() && (!owned.draining || now.Before(owned.drainUntil))
+	owned.handoverHeld = owned.busy() && (!owned.draining || now.Before(owned.drainDeadline))
 	owned.replica.SetView(now, partition.View{
-		Placement: placement,
-		Nodes:     c.nodes,
-		Stopping:  c.stopping,
-		Excluded:  !placement.Contains(c.config.Self.Zone),
-		Hold:      owned.held,
+		Placement:     placement,
+		Nodes:         c.nodes,
+		Stopping:      c.stopping,
+		Excluded:      !placement.Contains(c.config.Self.Zone),
+		DeferHandover: owned.handoverHeld,
 	})
 }
 
-// setKnown replaces the list of partitions that can hold programs.
-func (c *Core) setKnown(now time.Time) {
-	var known []partition.ID
+// setKnownPartitions replaces the list of partitions that can hold programs.
+func (c *Core) setKnownPartitions(now time.Time) {
+	var knownPartitions []partition.ID
 	for _, branch := range c.Tree().Branches(contract.Root) {
 		resolved, err := c.Tree().Resolve(branch)
 		if err != nil || !resolved.Placement.Contains(c.config.Self.Zone) {
 			continue
 		}
 		for index := range c.config.PartitionsPerBranch {
-			known = append(known, partition.ID{Group: partition.GroupOf(string(branch)), Index: index})
+			knownPartitions = append(knownPartitions, partition.ID{Group: partition.GroupOf(string(branch)), Index: index})
 		}
 	}
-	slices.SortFunc(known, comparePartitions)
-	c.known = known
+	slices.SortFunc(knownPartitions, comparePartitions)
+	c.knownPartitions = knownPartitions
 	c.reviewPartitions(now)
 }
--- a/control/owned.go
+++ b/control/owned.go
@@ -27,15 +27,15 @@
 	// draining is set while a hand-over is due: no new attempt starts, and
 	// postponed keeps the calls that would have. held is set while the
 	// hand-over waits for the attempts that run.
-	draining   bool
-	drainUntil time.Time
-	held       bool
-	postponed  []program.Effect
+	draining      bool
+	drainDeadline time.Time
+	handoverHeld  bool
+	postponed     []program.Effect
 
 	// position counts the records that the store decided; durable counts
 	// those that are confirmed. Both start at zero with each acquisition.
-	position uint64
-	durable  uint64
+	position        uint64
+	durablePosition uint64
 	// unproposed are records that the replica had no room for yet.
 	unproposed []program.Record
 	proposed   map[recordlog.Token]proposedRecord
@@ -44,8 +44,8 @@
 	placed  map[program.CallRef]placedCall
 	waiters map[program.CallRef][]uint64
 	traces  map[api.ProgramID][]CallTrace
-	// residence tells which engines keep a program's prefix.
-	residence map[api.ProgramID]map[machine.ID]bool
+	// prefixEngines tells which engines keep a program's prefix.
+	prefixEngines map[api.ProgramID]map[machine.ID]bool
 	// queued are the calls that the scheduler holds.
 	queued map[program.CallRef]queuedCall
 }
@@ -158,16 +158,16 @@
 	p.acquired = false
 	p.unreadable = nil
 	p.draining = false
-	p.held = false
+	p.handoverHeld = false
 	p.postponed = nil
-	p.position, p.durable = 0, 0
+	p.position, p.durablePosition = 0, 0
 	p.unproposed = nil
 	p.proposed = make(map[recordlog.Token]proposedRecord)
 	p.outputs = nil
 	p.placed = make(map[program.CallRef]placedCall)
 	p.waiters = make(map[program.CallRef][]uint64)
 	p.traces = make(map[api.ProgramID][]CallTrace)
-	p.residence = make(map[api.ProgramID]map[machine.ID]bool)
+	p.prefixEngines = make(map[api.ProgramID]map[machine.ID]bool)
 	p.queued = make(map[program.CallRef]queuedCall)
 }
 
@@ -192,7 +192,7 @@
 func (c *Core) advancePartitions(now time.Time) bool {
 	progress := false
 	for _, owned := range c.sortedPartitions() {
-		c.proposeWaiting(now, owned)
+		c.proposeRecords(now, owned)
 		if owned.replica.HasReady() {
 			progress = true
 			c.performReplica(now, owned, owned.replica.Ready())
@@ -204,9 +204,9 @@
 
 // closeIfIdle forgets a replica that neither owns its partition nor should.
 func (c *Core) closeIfIdle(owned *ownedPartition) {
-	if owned.replica.State() == partition.StateFollowing && !owned.replica.HasReady() && !c.desires(owned) {
+	if owned.replica.State() == partition.StateFollowing && !owned.replica.HasReady() && !c.shouldOwn(owned) {
 		delete(c.partitions, owned.id)
-		if c.hints[owned.id] == c.config.Self.ID {
+		if c.ownerHints[owned.id] == c.config.Self.ID {
 			c.setHint(owned.id, "") // It was offered here, and never came.
 		}
 		c.routingChanged = true
@@ -233,7 +233,7 @@
 	if ready.Acquired {
 		c.acquired(now, owned, ready.Epoch)
 	}
-	c.releaseDurable(now, owned)
+	c.performDurable(now, owned)
 	if ready.Lost {
 		c.lost(now, owned)
 	}
@@ -247,12 +247,12 @@
 	if p.unreadable != nil {
 		return
 	}
-	if err := p.fold(recovered); err != nil {
+	if err := p.replay(recovered); err != nil {
 		p.unreadable = fmt.Errorf("partition %s, offset %d: %w", p.id, recovered.Offset, err)
 	}
 }
 
-func (p *ownedPartition) fold(recovered partition.Recovered) error {
+func (p *ownedPartition) replay(recovered partition.Recovered) error {
 	if recovered.Snapshot {
 		return p.store.RecoverSnapshot(recovered.Payload)
 	}
@@ -269,7 +269,7 @@
 	if !ok {
 		return
 	}
-	p.durable = max(p.durable, proposed.position)
+	p.durablePosition = max(p.durablePosition, proposed.position)
 	if confirmed.Offset == partition.NoOffset {
 		return
 	}
@@ -288,8 +288,8 @@
 	c.setHint(owned.id, c.config.Self.ID)
 	c.emit(PartitionChanged{Partition: owned.id, Owned: true, Epoch: epoch, Programs: owned.store.Count()})
 	c.apply(now, owned, owned.store.Resume(now, epoch), nil)
-	c.retargetPartition(now, owned)
-	c.replayParked(now, owned.id)
+	c.updatePartitionTerms(now, owned)
+	c.serveParked(now, owned.id)
 }
 
 // lost drops the partition's state: another owner has it, or will fold it
@@ -304,7 +304,7 @@
 		}
 	}
 	c.withdrawPartition(owned)
-	c.answerLost(owned)
+	c.refuseWaiting(owned)
 	owned.reset(c)
 	c.setHint(owned.id, "")
 	if wasOwned {
--- a/control/ready.go
+++ b/control/ready.go
@@ -15,7 +15,7 @@
 	if freshness := c.follower.Freshness(now); !freshness.MayPlace {
 		reasons = append(reasons, "settings: "+freshness.Reason)
 	}
-	if len(c.attendant.backends) == 0 {
+	if len(c.backendManager.backends) == 0 {
 		reasons = append(reasons, "no back end is known")
 	}
 	if !c.listed {
--- a/control/request.go
+++ b/control/request.go
@@ -28,9 +28,9 @@
 	OperationTrace Operation = "trace"
 )
 
-// reads reports whether the operation tells what the owner holds and changes
+// isRead reports whether the operation tells what the owner holds and changes
 // nothing. A trace is what one node remembers, and promises nothing.
-func (o Operation) reads() bool {
+func (o Operation) isRead() bool {
 	return o == OperationCall || o == OperationDescribe || o == OperationHistory
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -62,8 +62,8 @@
 	c.emit(Answer{Handle: handle, Reply: Reply{Error: refusal}})
 }
 
-// replayParked serves the requests that waited for the partition.
-func (c *Core) replayParked(now time.Time, id partition.ID) {
+// serveParked serves the requests that waited for the partition.
+func (c *Core) serveParked(now time.Time, id partition.ID) {
 	waiting := c.parked
 	c.parked = nil
 	for _, request := range waiting {
@@ -134,7 +134,7 @@
 		c.answerDurably(now, owned, handle, Reply{Error: refusal})
 		return
 	}
-	if request.Operation.reads() {
+	if request.Operation.isRead() {
 		c.confirmOwnership(now, owned, request.Program)
 	}
 	switch request.Operation {
@@ -184,7 +184,7 @@
 
 // command performs a command whose reply is what it acted on.
 func (c *Core) command(now time.Time, owned *ownedPartition, handle uint64, command program.Command) {
-	if refusal := c.room(owned); refusal != nil {
+	if refusal := c.checkCapacity(owned); refusal != nil {
 		c.reject(handle, refusal)
 		return
 	}
@@ -197,18 +197,18 @@
 	c.apply(now, owned, output, &pendingReply{answer: &Answer{Handle: handle, Reply: reply}})
 }
 
-// room refuses new work while the records under way have reached their bound,
+// checkCapacity refuses new work while the records under way have reached their bound,
 // as they do when the log service is down for long.
-func (c *Core) room(owned *ownedPartition) *api.Error {
+func (c *Core) checkCapacity(owned *ownedPartition) *api.Error {
 	if len(owned.unproposed) == 0 {
 		return nil
 	}
 	refusal := api.Refuse(api.CodeStoreUnavailable, "the log service does not take records and the mirrors are full")
-	return refusal.After(int64(storeRetry / time.Millisecond))
+	return refusal.After(int64(storeRetryAfter / time.Millisecond))
 }
 
-// storeRetry is when to come back after CodeStoreUnavailable.
-const storeRetry = 2 * time.Second
+// storeRetryAfter is when to come back after CodeStoreUnavailable.
+const storeRetryAfter = 2 * time.Second
 
 // create opens a program under the contract of its branch.
 func (c *Core) create(now time.Time, owned *ownedPartition, handle uint64, request Request) {
@@ -245,7 +245,7 @@
 // submit admits a call and replies when it is durable, or when it has ended
 // if the request waits.
 func (c *Core) submit(now time.Time, owned *ownedPartition, handle uint64, request Request) {
-	if refusal := c.room(owned); refusal != nil {
+	if refusal := c.checkCapacity(owned); refusal != nil {
 		c.reject(handle, refusal)
 		return
 	}
@@ -302,8 +302,8 @@
 // history replies with a part of a program's calls.
 func (c *Core) history(now time.Time, owned *ownedPartition, handle uint64, request Request) {
 	limit := request.Limit
-	if limit <= 0 || limit > maximumHistory {
-		limit = maximumHistory
+	if limit <= 0 || limit > maximumReplyItems {
+		limit = maximumReplyItems
 	}
 	from := max(request.Sequence, 1)
 	locations, _ := owned.store.History(request.Program, from, limit+1)
@@ -315,14 +315,14 @@
 	c.apply(now, owned, program.Output{}, &pendingReply{fetch: &fetch})
 }
 
-// maximumHistory bounds the calls in one reply.
-const maximumHistory = 200
+// maximumReplyItems bounds the calls in one reply.
+const maximumReplyItems = 200
 
 // list replies with the programs of a branch that this node owns.
 func (c *Core) list(request Request) Reply {
 	limit := request.Limit
 	if limit <= 0 {
-		limit = maximumHistory
+		limit = maximumReplyItems
 	}
 	programs := []api.Program{}
 	for _, owned := range c.sortedPartitions() {
@@ -358,5 +358,5 @@
 			return owner, known
 		}
 	}
-	return partition.Owner(id, c.placement(id), c.routable(), c.hints[id])
+	return partition.Owner(id, c.placement(id), c.routableNodes(), c.ownerHints[id])
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -14,32 +14,32 @@
 // Routing is an immutable copy of what a gateway needs to find the owner of a
 // partition. The Core makes a new one whenever something in it has changed.
 type Routing struct {
-	self  machine.ID
-	nodes []machine.Machine
-	tree  *contract.Tree
-	hints map[partition.ID]machine.ID
-	owned map[partition.ID]bool
+	self       machine.ID
+	nodes      []machine.Machine
+	tree       *contract.Tree
+	ownerHints map[partition.ID]machine.ID
+	owned      map[partition.ID]bool
 }
 
 // Routing returns the present routing.
 func (c *Core) Routing() *Routing {
-	routing := &Routing{self: c.config.Self.ID, nodes: c.routable(), tree: c.Tree(), hints: maps.Clone(c.hints), owned: make(map[partition.ID]bool)}
+	routing := &Routing{self: c.config.Self.ID, nodes: c.routableNodes(), tree: c.Tree(), ownerHints: maps.Clone(c.ownerHints), owned: make(map[partition.ID]bool)}
 	for id, owned := range c.partitions {
 		if owned.acquired {
 			routing.owned[id] = true
 			continue
 		}
 		if owner, ok := c.Owner(id); ok {
-			routing.hints[id] = owner
+			routing.ownerHints[id] = owner
 		}
 	}
 	return routing
 }
 
-// routable are the nodes that requests may go to. One that has just started
+// routableNodes are the nodes that requests may go to. One that has just started
 // leaves itself out until the machine list has settled: it owns nothing yet, and
 // by rendezvous the best of the others is whom its partitions are to come from.
-func (c *Core) routable() []machine.Machine {
+func (c *Core) routableNodes() []machine.Machine {
 	if c.listed {
 		return c.nodes
 	}
@@ -54,10 +54,10 @@
 // owner after the view has named another node.
 const hintMargin = time.Second
 
-// hintTime is how long requests stay with a former owner. One that stays hands
+// hintDuration is how long requests stay with a former owner. One that stays hands
 // nothing over within its dwell time. One that leaves may be gone soon, and its
 // successor, once it has dwelled, knows whether it still serves.
-func (c *Core) hintTime(owner machine.ID) time.Duration {
+func (c *Core) hintDuration(owner machine.ID) time.Duration {
 	for _, node := range c.nodes {
 		if node.ID == owner && node.Status == machine.StatusLeaving {
 			return c.config.Replica.ClaimDwell + hintMargin
@@ -66,13 +66,13 @@
 	return c.config.Replica.HandoverDwell + hintMargin
 }
 
-// rememberOwners keeps requests with the nodes that owned partitions by the
+// keepOwnerHints keeps requests with the nodes that owned partitions by the
 // view before this one and are still there: one that joins owns nothing yet,
 // and one that leaves serves until it has handed over.
-func (c *Core) rememberOwners(now time.Time, before []machine.Machine) {
-	for _, id := range c.known {
+func (c *Core) keepOwnerHints(now time.Time, before []machine.Machine) {
+	for _, id := range c.knownPartitions {
 		placement := c.placement(id)
-		owner, _ := partition.Owner(id, placement, before, c.hints[id])
+		owner, _ := partition.Owner(id, placement, before, c.ownerHints[id])
 		if owner == "" || owner == c.config.Self.ID {
 			continue
 		}
@@ -82,24 +82,24 @@
 		if kept, _ := partition.Owner(id, placement, c.nodes, owner); kept != owner {
 			continue
 		}
-		c.hints[id] = owner
-		c.hintUntil[id] = now.Add(c.hintTime(owner))
+		c.ownerHints[id] = owner
+		c.hintExpiry[id] = now.Add(c.hintDuration(owner))
 	}
 }
 
 // setHint notes the owner of a partition for certain, or that none is known.
 func (c *Core) setHint(id partition.ID, owner machine.ID) {
-	delete(c.hintUntil, id)
-	delete(c.hints, id)
+	delete(c.hintExpiry, id)
+	delete(c.ownerHints, id)
 	if owner != "" {
-		c.hints[id] = owner
+		c.ownerHints[id] = owner
 	}
 	c.routingChanged = true
 }
 
 // expireHints forgets former owners that have had their time.
 func (c *Core) expireHints(now time.Time) {
-	for id, until := range c.hintUntil {
+	for id, until := range c.hintExpiry {
 		if !now.Before(until) {
 			c.setHint(id, "")
 		}
@@ -131,7 +131,7 @@
 func (r *Routing) Owner(id partition.ID) (machine.Machine, bool) {
 	owner := r.self
 	if !r.owned[id] {
-		desired, ok := partition.Owner(id, placementOf(r.tree, id), r.nodes, r.hints[id])
+		desired, ok := partition.Owner(id, placementOf(r.tree, id), r.nodes, r.ownerHints[id])
 		if !ok {
 			return machine.Machine{}, false
 		}
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -19,12 +19,12 @@
 	}
 	decisions := c.config.Policy.Ready(now)
 	for _, decision := range decisions {
-		c.carryOut(now, decision)
+		c.execute(now, decision)
 	}
 	return len(decisions) > 0
 }
 
-func (c *Core) carryOut(now time.Time, decision schedule.Decision) {
+func (c *Core) execute(now time.Time, decision schedule.Decision) {
 	switch decision.Action {
 	case schedule.ActionPlace:
 		c.place(now, decision)
@@ -41,8 +41,8 @@
 
 // movePrefix moves a paused program's prefix to another engine.
 func (c *Core) movePrefix(decision schedule.Decision) {
-	from, fromKnown := c.attendant.backend(decision.Backend)
-	to, toKnown := c.attendant.backend(decision.ExportTo)
+	from, fromKnown := c.backendManager.backend(decision.Backend)
+	to, toKnown := c.backendManager.backend(decision.ExportTo)
 	owned, ok := c.ownerOf(decision.Program)
 	if !fromKnown || !toKnown || !ok {
 		return
@@ -51,13 +51,13 @@
 	if !terms.Placement.Contains(to.Zone) {
 		return
 	}
-	c.noteResidence(owned, decision.Program, to.ID, true)
+	c.setResident(owned, decision.Program, to.ID, true)
 	c.emit(MovePrefix{Owner: decision.Program, From: from, To: to})
 }
 
 // orderModel has an engine load or unload a model, if this node attends it.
 func (c *Core) orderModel(decision schedule.Decision) {
-	backend, ok := c.attendant.backend(decision.Backend)
+	backend, ok := c.backendManager.backend(decision.Backend)
 	if !ok || !c.Attends(decision.Backend) {
 		return
 	}
@@ -74,8 +74,8 @@
 // it. Two nodes that disagree on who is live may both think so; the fence of
 // the order settles which counts.
 func (c *Core) Attends(id machine.ID) bool {
-	_, attended := c.attendant.attended[id]
-	return attended
+	_, managed := c.backendManager.managed[id]
+	return managed
 }
 
 // place records the choice in the program, which then asks to send it. The
@@ -84,13 +84,13 @@
 func (c *Core) place(now time.Time, decision schedule.Decision) {
 	owned, ok := c.ownerOf(decision.Call.Program)
 	if !ok {
-		c.unplace(now, decision)
+		c.cancelPlacement(now, decision)
 		return
 	}
 	waiting, queued := owned.queued[decision.Call]
 	delete(owned.queued, decision.Call)
-	if !queued || !c.permits(owned, decision) {
-		c.unplace(now, decision)
+	if !queued || !c.placementPermits(owned, decision) {
+		c.cancelPlacement(now, decision)
 		if queued {
 			c.retryPlacement(now, owned, waiting.effect)
 		}
@@ -104,7 +104,7 @@
 	output, refusal := owned.store.Step(now, command)
 	if refusal != nil {
 		delete(owned.placed, decision.Call)
-		c.unplace(now, decision)
+		c.cancelPlacement(now, decision)
 		return
 	}
 	c.trace(now, owned, waiting.since, decision)
@@ -119,19 +119,19 @@
 // scheduler keeps calls only until it has decided.
 func (c *Core) retryPlacement(now time.Time, owned *ownedPartition, effect program.Effect) {
 	effect.Delay = placementRetry
-	c.start(now, owned, effect)
+	c.scheduleCall(now, owned, effect)
 }
 
-// permits reports whether the program's terms let the chosen back end have
+// placementPermits reports whether the program's terms let the chosen back end have
 // its data.
-func (c *Core) permits(owned *ownedPartition, decision schedule.Decision) bool {
+func (c *Core) placementPermits(owned *ownedPartition, decision schedule.Decision) bool {
 	terms, ok := owned.store.Terms(decision.Call.Program)
-	backend, known := c.attendant.backend(decision.Backend)
+	backend, known := c.backendManager.backend(decision.Backend)
 	return ok && known && terms.Placement.Contains(backend.Zone)
 }
 
-// unplace tells the scheduler that a choice was not carried out.
-func (c *Core) unplace(now time.Time, decision schedule.Decision) {
+// cancelPlacement tells the scheduler that a choice was not carried out.
+func (c *Core) cancelPlacement(now time.Time, decision schedule.Decision) {
 	c.config.Policy.Finished(now, decision.Call, decision.Backend, api.Usage{}, 0)
 }
 
@@ -166,7 +166,7 @@
 	if placed, ok := owned.placed[attempt.CallRef]; ok && placed.attempt == attempt.Attempt {
 		delete(owned.placed, attempt.CallRef)
 		c.config.Policy.Finished(now, attempt.CallRef, event.Backend, event.Outcome.Usage, event.Resident)
-		c.noteResidence(owned, attempt.Program, event.Backend, event.Resident > 0)
+		c.setResident(owned, attempt.Program, event.Backend, event.Resident > 0)
 		c.traceEnd(now, owned, attempt)
 	}
 	output, refusal := owned.store.Step(now, program.Command{Program: attempt.Program, Outcome: &event.Outcome})
@@ -175,16 +175,16 @@
 	}
 }
 
-// noteResidence remembers where a program's prefix is, for its release.
-func (c *Core) noteResidence(owned *ownedPartition, id api.ProgramID, backend machine.ID, resident bool) {
-	engines := owned.residence[id]
+// setResident remembers where a program's prefix is, for its release.
+func (c *Core) setResident(owned *ownedPartition, id api.ProgramID, backend machine.ID, resident bool) {
+	engines := owned.prefixEngines[id]
 	if !resident {
 		delete(engines, backend)
 		return
 	}
 	if engines == nil {
 		engines = make(map[machine.ID]bool)
-		owned.residence[id] = engines
+		owned.prefixEngines[id] = engines
 	}
 	engines[backend] = true
 }
@@ -192,17 +192,17 @@
 // releaseProgram frees everything that a program which is gone holds.
 func (c *Core) releaseProgram(now time.Time, owned *ownedPartition, id api.ProgramID) {
 	c.config.Policy.ProgramEnded(now, id)
-	for _, backend := range sortedMachines(owned.residence[id]) {
+	for _, backend := range sortedMachines(owned.prefixEngines[id]) {
 		c.releaseAt(id, backend)
 	}
-	delete(owned.residence, id)
+	delete(owned.prefixEngines, id)
 	delete(owned.traces, id)
 }
 
 // releaseAt frees a program's prefix at one engine. A release that is lost is
 // made good by the sweep.
 func (c *Core) releaseAt(id api.ProgramID, engineID machine.ID) {
-	if backend, ok := c.attendant.backend(engineID); ok {
+	if backend, ok := c.backendManager.backend(engineID); ok {
 		c.emit(ReleasePrefix{Backend: backend, Owner: id})
 	}
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -30,10 +30,10 @@
 	tree := c.Tree()
 	c.membership.SetRevision(uint64(tree.Revision()))
 	c.emit(SettingsChanged{Tree: tree})
-	c.setKnown(now)
+	c.setKnownPartitions(now)
 	c.setBackends(now)
 	for _, owned := range c.sortedPartitions() {
-		c.retargetPartition(now, owned)
+		c.updatePartitionTerms(now, owned)
 	}
 	return true
 }
@@ -56,21 +56,21 @@
 	}
 }
 
-// retargetPartition gives every program of a partition the terms that its
+// updatePartitionTerms gives every program of a partition the terms that its
 // branch has now.
-func (c *Core) retargetPartition(now time.Time, owned *ownedPartition) {
+func (c *Core) updatePartitionTerms(now time.Time, owned *ownedPartition) {
 	if !owned.acquired {
 		return
 	}
 	for _, described := range owned.store.List("", owned.store.Count()) {
-		c.retarget(now, owned, described)
+		c.updateTerms(now, owned, described)
 	}
 }
 
-// retarget binds a program's next dispatch to its branch's present contract.
+// updateTerms binds a program's next dispatch to its branch's present contract.
 // Prefixes at engines that the new placement forbids are released. The
 // contract of a branch that is gone permits no zone.
-func (c *Core) retarget(now time.Time, owned *ownedPartition, described api.Program) {
+func (c *Core) updateTerms(now time.Time, owned *ownedPartition, described api.Program) {
 	if described.Ended {
 		return
 	}
@@ -84,12 +84,12 @@
 		return
 	}
 	c.apply(now, owned, output, nil)
-	for _, engineID := range sortedMachines(owned.residence[described.ID]) {
-		backend, ok := c.attendant.backend(engineID)
+	for _, engineID := range sortedMachines(owned.prefixEngines[described.ID]) {
+		backend, ok := c.backendManager.backend(engineID)
 		if ok && !terms.Placement.Contains(backend.Zone) {
 			c.config.Policy.Evicted(now, described.ID, engineID)
 			c.releaseAt(described.ID, engineID)
-			delete(owned.residence[described.ID], engineID)
+			delete(owned.prefixEngines[described.ID], engineID)
 		}
 	}
 }
--- a/control/stop.go
+++ b/control/stop.go
@@ -14,8 +14,8 @@
 		return
 	}
 	c.stopping = true
-	c.stopBy = now.Add(c.config.DrainTimeout)
-	c.nextList = now
+	c.drainDeadline = now.Add(c.config.DrainTimeout)
+	c.nextListAt = now
 	c.membership.Leave(now)
 	c.expireParked(now)
 	for _, owned := range c.sortedPartitions() {
@@ -38,7 +38,7 @@
 	if !c.stopping || c.stopped {
 		return
 	}
-	if len(c.partitions) > 0 && now.Before(c.stopBy.Add(c.config.ParkTimeout)) {
+	if len(c.partitions) > 0 && now.Before(c.drainDeadline.Add(c.config.ParkTimeout)) {
 		return
 	}
 	c.stopped = true
@@ -59,13 +59,13 @@
 	switch {
 	case due && !owned.draining:
 		owned.draining = true
-		owned.drainUntil = now.Add(c.config.DrainTimeout)
+		owned.drainDeadline = now.Add(c.config.DrainTimeout)
 		owned.postponeQueued(c)
 	case !due && owned.draining && owned.serving():
 		c.endDrain(now, owned)
 	}
-	hold := owned.busy() && (!owned.draining || now.Before(owned.drainUntil))
-	if hold != owned.held {
+	hold := owned.busy() && (!owned.draining || now.Before(owned.drainDeadline))
+	if hold != owned.handoverHeld {
 		c.setView(now, owned)
 	}
 }
@@ -86,6 +86,6 @@
 	postponed := owned.postponed
 	owned.postponed = nil
 	for _, effect := range postponed {
-		c.start(now, owned, effect)
+		c.scheduleCall(now, owned, effect)
 	}
 }
--- a/control/sweep_test.go
+++ b/control/sweep_test.go
@@ -16,8 +16,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// attendant is a node that looks after one engine.
-type attendant struct {
+// testNode is a node that looks after one engine.
+type testNode struct {
 	core   *control.Core
 	now    time.Time
 	sweeps int
@@ -27,8 +27,8 @@
 	settingsRead contract.FollowerRead
 }
 
-// newAttendant starts the node, with peers that the machine list shows too.
-func newAttendant(peers ...machine.Machine) *attendant {
+// newTestNode starts the node, with peers that the machine list shows too.
+func newTestNode(peers ...machine.Machine) *testNode {
 	random := rand.New(rand.NewPCG(1, 1))
 	self := machine.Machine{ID: "node-1", Kind: machine.KindNode, Zone: "isando", Address: "10.0.0.1:1", Status: machine.StatusLive, Incarnation: 1}
 	settings := schedule.DefaultConfig()
@@ -41,7 +41,7 @@
 	config.Follower.Zones = []zone.Name{self.Zone}
 	core, err := control.New(config)
 	Expect(err).NotTo(HaveOccurred())
-	started := &attendant{core: core, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+	started := &testNode{core: core, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	started.listed = append([]machine.Machine{self, {
 		ID: "engine-1", Kind: machine.KindEngine, Zone: self.Zone, Address: "10.0.1.1:1",
 		Status: machine.StatusLive, Models: []string{"birch-8b"}, Slots: 1, CacheTokens: 1,
@@ -51,7 +51,7 @@
 }
 
 // step gives the core an event and notes what it asks for.
-func (a *attendant) step(event control.Event) {
+func (a *testNode) step(event control.Event) {
 	a.core.Step(a.now, event)
 	for _, action := range a.core.Ready() {
 		switch action := action.(type) {
@@ -65,7 +65,7 @@
 
 // observe hands over cache events and lets a moment pass, much shorter than
 // the period of the sweeps.
-func (a *attendant) observe(sequences ...uint64) {
+func (a *testNode) observe(sequences ...uint64) {
 	observed := control.BackendObserved{Backend: "engine-1"}
 	for _, sequence := range sequences {
 		observed.Events = append(observed.Events, engine.CacheEvent{Sequence: sequence, Owner: "cold.0.0000000000000001"})
@@ -77,7 +77,7 @@
 
 var _ = Describe("The memory of an engine", func() {
 	It("is looked through at once after a gap in its cache events, and not before", func() {
-		node := newAttendant()
+		node := newTestNode()
 		node.observe(5, 6)
 		node.observe(7)
 		Expect(node.sweeps).To(BeZero())
@@ -88,7 +88,7 @@
 	})
 
 	It("is looked through in every period, though events never come", func() {
-		node := newAttendant()
+		node := newTestNode()
 		for range 60 {
 			node.now = node.now.Add(time.Second)
 			node.step(control.Tick{})
--- a/partition/benchmark_test.go
+++ b/partition/benchmark_test.go
@@ -17,7 +17,7 @@
 // its owner.
 func newBenchmarkCluster(b *testing.B, adjust func(*Config)) (*cluster, *simulatedNode) {
 	c := newCluster(1, fiveNodes, adjust)
-	c.unchecked = true
+	c.skipChecks = true
 	if !c.runUntil(settleTime, c.hasOwner) {
 		b.Fatal("no owner")
 	}
--- a/partition/claim.go
+++ b/partition/claim.go
@@ -13,19 +13,19 @@
 	backoff retry.Backoff
 	// notBefore delays the next look at the stream, or the next question.
 	notBefore time.Time
-	// peeking is set while the end of the stream is being read.
-	peeking bool
-	// asked is the live node that is asked to hand over, and askedEpoch the
-	// epoch it won. heardAt is when it was first asked, or answered last.
-	asked      machine.ID
-	askedEpoch uint64
-	heardAt    time.Time
-	// free is the newest epoch that its winner has given up.
-	free uint64
-	// claimed is set once the claim was handed to the journal.
-	claimed bool
-	// previous is the machine that won the epoch before the claim.
-	previous machine.ID
+	// readingTail is set while the end of the stream is being read.
+	readingTail bool
+	// requestedFrom is the live node that is requestedFrom to hand over, and askedEpoch the
+	// epoch it won. heardAt is when it was first requestedFrom, or answered last.
+	requestedFrom  machine.ID
+	requestedEpoch uint64
+	respondedAt    time.Time
+	// releasedEpoch is the newest epoch that its winner has given up.
+	releasedEpoch uint64
+	// submitted is set once the claim was handed to the journal.
+	submitted bool
+	// previousOwner is the machine that won the epoch before the claim.
+	previousOwner machine.ID
 }
 
 func newClaim(config Config) claim {
@@ -39,15 +39,15 @@
 // postpone starts over after a wait.
 func (c *claim) postpone(now time.Time) {
 	c.notBefore = now.Add(c.backoff.Next())
-	c.restart()
+	c.reset()
 }
 
-// restart forgets what was learnt of the stream and its owner.
-func (c *claim) restart() {
-	c.peeking = false
-	c.claimed = false
-	c.asked = ""
-	c.askedEpoch = 0
+// reset forgets what was learnt of the stream and its owner.
+func (c *claim) reset() {
+	c.readingTail = false
+	c.submitted = false
+	c.requestedFrom = ""
+	c.requestedEpoch = 0
 }
 
 // SetView tells the replica which nodes are live. Nodes that come and go
@@ -60,7 +60,7 @@
 		r.desired = desired
 		r.desiredSince = now
 	}
-	r.mirrorsChanged()
+	r.scheduleMirrorReview()
 	r.advance()
 }
 
@@ -78,10 +78,10 @@
 	return others
 }
 
-// present reports whether the node is believed to run. It may be leaving, or
+// running reports whether the node is believed to run. It may be leaving, or
 // in a zone that the placement does not permit (any more): then it owns and
 // mirrors nothing new, but can still hand over and answer for what it holds.
-func (r *Replica) present(id machine.ID) bool {
+func (r *Replica) running(id machine.ID) bool {
 	for _, node := range r.view.Nodes {
 		if node.ID == id && node.Status != machine.StatusDead {
 			return true
@@ -100,25 +100,25 @@
 	return false
 }
 
-// dwelled reports whether the desired owner has been the same for the time.
-func (r *Replica) dwelled(dwell time.Duration) bool {
+// desiredFor reports whether the desired owner has been the same for the time.
+func (r *Replica) desiredFor(dwell time.Duration) bool {
 	return !r.desiredSince.IsZero() && !r.now.Before(r.desiredSince.Add(dwell))
 }
 
 // advanceFollowing looks at the stream once this node is to own it, and asks
 // a live owner to hand over.
 func (r *Replica) advanceFollowing() {
-	if r.desired != r.config.Self || !r.dwelled(r.config.ClaimDwell) {
-		r.claim.restart()
+	if r.desired != r.config.Self || !r.desiredFor(r.config.ClaimDwell) {
+		r.claim.reset()
 		return
 	}
-	if r.claim.asked != "" {
-		r.askAgain()
+	if r.claim.requestedFrom != "" {
+		r.repeatHandoverRequest()
 		return
 	}
-	if !r.claim.peeking {
+	if !r.claim.readingTail {
 		if !r.now.Before(r.claim.notBefore) {
-			r.claim.peeking = true
+			r.claim.readingTail = true
 			r.journal.Peek(r.now)
 		}
 		return
@@ -127,13 +127,13 @@
 	if !known {
 		return
 	}
-	r.claim.peeking = false
+	r.claim.readingTail = false
 	released := tail.Last.Kind == recordlog.KindMirrors && tail.Last.Mirrors.Released
 	if tail.End == 0 || released || r.claimable(tail.Last.Writer, tail.Last.Epoch) {
 		r.startClaiming()
 		return
 	}
-	r.ask(recordlog.WriterMachine(tail.Last.Writer), tail.Last.Epoch)
+	r.requestHandover(recordlog.WriterMachine(tail.Last.Writer), tail.Last.Epoch)
 }
 
 // claimable reports whether nothing speaks against a claim after the epoch:
@@ -141,7 +141,7 @@
 // node.
 func (r *Replica) claimable(writer string, epoch uint64) bool {
 	winner := recordlog.WriterMachine(writer)
-	return epoch <= r.claim.free || winner == r.config.Self || !r.present(winner)
+	return epoch <= r.claim.releasedEpoch || winner == r.config.Self || !r.running(winner)
 }
 
 func (r *Replica) startClaiming() {
@@ -149,38 +149,38 @@
 	r.journal.CatchUp(r.now)
 }
 
-// ask asks the live winner of the epoch to hand over.
-func (r *Replica) ask(owner machine.ID, epoch uint64) {
-	r.claim.asked = owner
-	r.claim.askedEpoch = epoch
-	r.claim.heardAt = r.now
-	r.sendAsk()
+// requestHandover asks the live winner of the epoch to hand over.
+func (r *Replica) requestHandover(owner machine.ID, epoch uint64) {
+	r.claim.requestedFrom = owner
+	r.claim.requestedEpoch = epoch
+	r.claim.respondedAt = r.now
+	r.sendHandoverRequest()
 }
 
-func (r *Replica) sendAsk() {
+func (r *Replica) sendHandoverRequest() {
 	r.claim.notBefore = r.now.Add(r.claim.backoff.Next())
-	r.send(r.claim.asked, Message{Ask: &HandoverAsk{Epoch: r.claim.askedEpoch}})
+	r.send(r.claim.requestedFrom, Message{RequestHandover: &HandoverRequest{Epoch: r.claim.requestedEpoch}})
 }
 
-// askAgain repeats the question until the owner hands over, leaves the view
+// repeatHandoverRequest repeats the question until the owner hands over, leaves the view
 // or has been silent for too long.
-func (r *Replica) askAgain() {
-	silent := !r.now.Before(r.claim.heardAt.Add(r.config.OwnerPatience))
-	if silent || !r.present(r.claim.asked) {
-		r.freed(r.claim.askedEpoch)
+func (r *Replica) repeatHandoverRequest() {
+	silent := !r.now.Before(r.claim.respondedAt.Add(r.config.OwnerPatience))
+	if silent || !r.running(r.claim.requestedFrom) {
+		r.ownerReleased(r.claim.requestedEpoch)
 		return
 	}
 	if !r.now.Before(r.claim.notBefore) {
-		r.sendAsk()
+		r.sendHandoverRequest()
 	}
 }
 
-// freed notes that the winner of the epoch does not stand against a claim,
+// ownerReleased notes that the winner of the epoch does not stand against a claim,
 // and looks at the stream again.
-func (r *Replica) freed(epoch uint64) {
-	r.holder = ""
-	r.claim.free = max(r.claim.free, epoch)
-	r.claim.restart()
+func (r *Replica) ownerReleased(epoch uint64) {
+	r.reportedOwner = ""
+	r.claim.releasedEpoch = max(r.claim.releasedEpoch, epoch)
+	r.claim.reset()
 	r.claim.notBefore = r.now
 	r.claim.backoff.Reset()
 	r.advanceFollowing()
@@ -194,7 +194,7 @@
 		r.startRecovering()
 		return
 	}
-	if r.claim.claimed || !r.journal.CaughtUp() {
+	if r.claim.submitted || !r.journal.CaughtUp() {
 		return
 	}
 	fold := r.journal.Fold()
@@ -205,22 +205,22 @@
 	}
 	if !free {
 		r.lose()
-		r.ask(recordlog.WriterMachine(fold.Writer), fold.Epoch)
+		r.requestHandover(recordlog.WriterMachine(fold.Writer), fold.Epoch)
 		return
 	}
-	r.claim.claimed = true
-	r.claim.previous = recordlog.WriterMachine(fold.Writer)
+	r.claim.submitted = true
+	r.claim.previousOwner = recordlog.WriterMachine(fold.Writer)
 	r.journal.Claim(r.now, r.config.Self)
 }
 
-// AnswerUnowned answers a message about a partition for which a node keeps no
+// AnswerWithoutReplica answers a message about a partition for which a node keeps no
 // Replica; false when the message needs no answer. Messages for mirrors go to
 // the MirrorStore.
-func AnswerUnowned(message Message) (Message, bool) {
-	if message.Ask == nil {
+func AnswerWithoutReplica(message Message) (Message, bool) {
+	if message.RequestHandover == nil {
 		return Message{}, false
 	}
-	offer := &HandoverOffer{Epoch: message.Ask.Epoch}
+	offer := &HandoverOffer{Epoch: message.RequestHandover.Epoch}
 	return Message{Partition: message.Partition, Handover: offer}, true
 }
 
@@ -233,23 +233,23 @@
 
 func (r *Replica) handle(from machine.ID, message Message) {
 	switch {
-	case message.Ask != nil:
-		r.checkSuperseded(message.Ask.Epoch)
-		r.answerAsk(from, *message.Ask)
+	case message.RequestHandover != nil:
+		r.checkSuperseded(message.RequestHandover.Epoch)
+		r.answerHandoverRequest(from, *message.RequestHandover)
 	case message.Handover != nil:
 		r.checkSuperseded(message.Handover.Epoch)
-		if r.state == StateFollowing && r.claim.asked == from && message.Handover.Epoch == r.claim.askedEpoch {
-			r.freed(message.Handover.Epoch)
+		if r.state == StateFollowing && r.claim.requestedFrom == from && message.Handover.Epoch == r.claim.requestedEpoch {
+			r.ownerReleased(message.Handover.Epoch)
 		}
-	case message.Keep != nil:
-		if r.claim.asked == from {
-			r.claim.heardAt = r.now
-			r.holder = from
+	case message.DeferHandover != nil:
+		if r.claim.requestedFrom == from {
+			r.claim.respondedAt = r.now
+			r.reportedOwner = from
 		}
 	case message.Claimed != nil:
 		r.checkSuperseded(message.Claimed.Epoch)
 	case message.Mirrored != nil:
-		r.stepMirrored(from, *message.Mirrored)
+		r.stepMirrorAck(from, *message.Mirrored)
 	case message.Answer != nil:
 		r.stepMirrorAnswer(from, *message.Answer)
 	}
@@ -263,11 +263,11 @@
 	}
 }
 
-// answerAsk keeps the partition while this node owns the epoch or is about
+// answerHandoverRequest keeps the partition while this node owns the epoch or is about
 // to, and gives the epoch up otherwise.
-func (r *Replica) answerAsk(from machine.ID, ask HandoverAsk) {
+func (r *Replica) answerHandoverRequest(from machine.ID, ask HandoverRequest) {
 	if r.state != StateFollowing && r.journal.Epoch() >= ask.Epoch {
-		r.send(from, Message{Keep: &HandoverKeep{Epoch: ask.Epoch}})
+		r.send(from, Message{DeferHandover: &HandoverDeferral{Epoch: ask.Epoch}})
 		return
 	}
 	r.send(from, Message{Handover: &HandoverOffer{Epoch: ask.Epoch}})
@@ -303,14 +303,14 @@
 	if r.desired != r.config.Self {
 		return nil
 	}
-	if !r.dwelled(r.config.ClaimDwell) {
+	if !r.desiredFor(r.config.ClaimDwell) {
 		return []time.Time{r.desiredSince.Add(r.config.ClaimDwell)}
 	}
-	if r.claim.peeking {
+	if r.claim.readingTail {
 		return nil
 	}
-	if r.claim.asked == "" {
+	if r.claim.requestedFrom == "" {
 		return []time.Time{r.claim.notBefore}
 	}
-	return []time.Time{r.claim.notBefore, r.claim.heardAt.Add(r.config.OwnerPatience)}
+	return []time.Time{r.claim.notBefore, r.claim.respondedAt.Add(r.config.OwnerPatience)}
 }
--- a/partition/cluster_test.go
+++ b/partition/cluster_test.go
@@ -54,7 +54,7 @@
 	starts   uint64
 	alive    bool
 	paused   bool
-	held     []func() // events that wait for the pause to end
+	deferred []func() // events that wait for the pause to end
 	wake     time.Time
 	state    []string // payloads of records, in order
 	owning   bool
@@ -65,29 +65,29 @@
 
 // cluster runs the replicas of one partition in virtual time.
 type cluster struct {
-	now      time.Time
-	events   eventQueue
-	order    int
-	random   *rand.Rand
-	id       ID
-	place    zone.Placement
-	log      *simulatedLog
-	nodes    []*simulatedNode
-	cut      map[[2]machine.ID]bool
-	hidden   map[machine.ID]bool // not in the machine list
-	stopping map[machine.ID]bool
-	holding  map[machine.ID]bool
-	adjust   func(*Config)
-	mirrored int
+	now                 time.Time
+	events              eventQueue
+	order               int
+	random              *rand.Rand
+	id                  ID
+	placement           zone.Placement
+	log                 *simulatedLog
+	nodes               []*simulatedNode
+	blocked             map[[2]machine.ID]bool
+	hidden              map[machine.ID]bool // not in the machine list
+	stopping            map[machine.ID]bool
+	deferring           map[machine.ID]bool
+	adjust              func(*Config)
+	mirrorConfirmations int
 	// confirmed lists the values that were confirmed to a caller, in order of
 	// confirmation.
 	confirmed []string
 	// proposer tells under which epoch a value was proposed.
 	proposer map[string]uint64
 	failures []string
-	// unchecked turns the account of values off, for benchmarks, which count
+	// skipChecks turns the account of values off, for benchmarks, which count
 	// confirmations and the bytes sent to mirrors instead.
-	unchecked     bool
+	skipChecks    bool
 	confirmations int
 	mirrorBytes   int
 	nextValue     int
@@ -95,17 +95,17 @@
 
 func newCluster(seed uint64, zones []zone.Name, adjust func(*Config)) *cluster {
 	c := &cluster{
-		now:      time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		random:   rand.New(rand.NewPCG(seed, seed)),
-		id:       ID{Group: "koudeketting~triage", Index: 0},
-		place:    zone.NewPlacement(zones...),
-		log:      &simulatedLog{},
-		cut:      map[[2]machine.ID]bool{},
-		hidden:   map[machine.ID]bool{},
-		stopping: map[machine.ID]bool{},
-		holding:  map[machine.ID]bool{},
-		adjust:   adjust,
-		proposer: map[string]uint64{},
+		now:       time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		random:    rand.New(rand.NewPCG(seed, seed)),
+		id:        ID{Group: "koudeketting~triage", Index: 0},
+		placement: zone.NewPlacement(zones...),
+		log:       &simulatedLog{},
+		blocked:   map[[2]machine.ID]bool{},
+		hidden:    map[machine.ID]bool{},
+		stopping:  map[machine.ID]bool{},
+		deferring: map[machine.ID]bool{},
+		adjust:    adjust,
+		proposer:  map[string]uint64{},
 	}
 	for index, name := range zones {
 		node := &simulatedNode{id: machine.ID(fmt.Sprintf("node-%d", index)), zone: name}
@@ -163,7 +163,7 @@
 		return
 	}
 	if node.paused {
-		node.held = append(node.held, func() { c.runOn(node, process, run) })
+		node.deferred = append(node.deferred, func() { c.runOn(node, process, run) })
 		return
 	}
 	run()
@@ -270,7 +270,7 @@
 // confirm notes that a caller was told that its record is durable.
 func (c *cluster) confirm(node *simulatedNode, confirmed Confirmed) {
 	c.confirmations++
-	if c.unchecked {
+	if c.skipChecks {
 		return
 	}
 	value, known := node.proposed[confirmed.Token]
@@ -279,7 +279,7 @@
 		return
 	}
 	if confirmed.Offset == NoOffset {
-		c.mirrored++
+		c.mirrorConfirmations++
 	} else {
 		delete(node.proposed, confirmed.Token)
 	}
@@ -301,19 +301,19 @@
 // checkRecovered holds a new owner's state against what was confirmed before:
 // every record once, those of one epoch in their order.
 func (c *cluster) checkRecovered(node *simulatedNode) {
-	if c.unchecked {
+	if c.skipChecks {
 		return
 	}
-	place := map[string]int{}
+	position := map[string]int{}
 	for index, value := range node.state {
-		if _, repeated := place[value]; repeated {
+		if _, repeated := position[value]; repeated {
 			c.fail("%s: %s recovered twice", node.id, value)
 		}
-		place[value] = index
+		position[value] = index
 	}
 	last := map[uint64]int{}
 	for _, value := range c.confirmed {
-		index, found := place[value]
+		index, found := position[value]
 		if !found {
 			c.fail("%s: confirmed %s is not recovered", node.id, value)
 			continue
@@ -328,10 +328,10 @@
 
 func (c *cluster) send(from *simulatedNode, outbound Outbound) {
 	to := c.node(outbound.To)
-	if to == nil || c.cut[[2]machine.ID{from.id, to.id}] {
+	if to == nil || c.blocked[[2]machine.ID{from.id, to.id}] {
 		return
 	}
-	if c.unchecked && outbound.Message.Mirror != nil {
+	if c.skipChecks && outbound.Message.Mirror != nil {
 		encoded, _ := json.Marshal(outbound.Message)
 		c.mirrorBytes += len(encoded)
 	}
@@ -377,7 +377,7 @@
 		}
 	}
 	for _, node := range c.nodes {
-		view := View{Placement: c.place, Nodes: nodes, Stopping: c.stopping[node.id], Hold: c.holding[node.id], Excluded: !c.place.Contains(node.zone)}
+		view := View{Placement: c.placement, Nodes: nodes, Stopping: c.stopping[node.id], DeferHandover: c.deferring[node.id], Excluded: !c.placement.Contains(node.zone)}
 		c.deliver(node, linkDelay, func() { node.replica.SetView(c.now, view) })
 	}
 }
@@ -401,9 +401,9 @@
 
 func (c *cluster) resume(node *simulatedNode) {
 	node.paused = false
-	held := node.held
-	node.held = nil
-	for _, run := range held {
+	deferred := node.deferred
+	node.deferred = nil
+	for _, run := range deferred {
 		run()
 	}
 	c.viewChanged()
--- a/partition/message.go
+++ b/partition/message.go
@@ -8,16 +8,16 @@
 // Message is what replicas and mirrors of one partition send to each other.
 // Exactly one of the optional fields is set.
 type Message struct {
-	Partition ID             `json:"partition"`
-	Mirror    *MirrorAppend  `json:"mirror,omitempty"`
-	Mirrored  *MirrorAck     `json:"mirrored,omitempty"`
-	Query     *MirrorQuery   `json:"query,omitempty"`
-	Answer    *MirrorAnswer  `json:"answer,omitempty"`
-	Trim      *MirrorTrim    `json:"trim,omitempty"`
-	Handover  *HandoverOffer `json:"handover,omitempty"`
-	Ask       *HandoverAsk   `json:"ask,omitempty"`
-	Keep      *HandoverKeep  `json:"keep,omitempty"`
-	Claimed   *Claimed       `json:"claimed,omitempty"`
+	Partition       ID                `json:"partition"`
+	Mirror          *MirrorAppend     `json:"mirror,omitempty"`
+	Mirrored        *MirrorAck        `json:"mirrored,omitempty"`
+	Query           *MirrorQuery      `json:"query,omitempty"`
+	Answer          *MirrorAnswer     `json:"answer,omitempty"`
+	Trim            *MirrorTrim       `json:"trim,omitempty"`
+	Handover        *HandoverOffer    `json:"handover,omitempty"`
+	RequestHandover *HandoverRequest  `json:"ask,omitempty"`
+	DeferHandover   *HandoverDeferral `json:"keep,omitempty"`
+	Claimed         *Claimed          `json:"claimed,omitempty"`
 }
 
 // MirrorAppend hands a mirror entries that the log has not confirmed. Without
@@ -27,10 +27,10 @@
 	Epoch uint64 `json:"epoch"`
 	// Instance is the process that must hold the entries.
 	Instance string `json:"instance,omitempty"`
-	// Logged says that the log holds every entry of the epoch up to it, so
+	// LoggedSequence says that the log holds every entry of the epoch up to it, so
 	// that mirrors may forget them.
-	Logged  uint64            `json:"logged"`
-	Entries []recordlog.Entry `json:"entries,omitempty"`
+	LoggedSequence uint64            `json:"logged"`
+	Entries        []recordlog.Entry `json:"entries,omitempty"`
 }
 
 // MirrorAck says that a mirror holds every entry of the epoch up to Sequence
@@ -52,21 +52,21 @@
 // MirrorQuery asks a mirror for what it holds of Epoch after Sequence. From
 // then on the mirror refuses entries of epochs before Reader.
 type MirrorQuery struct {
-	Epoch    uint64 `json:"epoch"`
-	Instance string `json:"instance"`
-	Sequence uint64 `json:"sequence"`
-	Reader   uint64 `json:"reader"`
+	Epoch       uint64 `json:"epoch"`
+	Instance    string `json:"instance"`
+	Sequence    uint64 `json:"sequence"`
+	ReaderEpoch uint64 `json:"reader"`
 }
 
 // MirrorAnswer answers a MirrorQuery.
 type MirrorAnswer struct {
-	Epoch    uint64 `json:"epoch"`
-	Instance string `json:"instance"`
-	Reader   uint64 `json:"reader"`
+	Epoch       uint64 `json:"epoch"`
+	Instance    string `json:"instance"`
+	ReaderEpoch uint64 `json:"reader"`
 	// Entries follow directly on the Sequence of the query, as many as one
 	// message may hold. Last is the newest sequence that the mirror holds.
-	Entries []recordlog.Entry `json:"entries,omitempty"`
-	Last    uint64            `json:"last"`
+	Entries      []recordlog.Entry `json:"entries,omitempty"`
+	LastSequence uint64            `json:"last"`
 	// Complete is set when the answering process owned the epoch and has lost
 	// it: Entries are all that anybody can have of it beyond the log.
 	Complete bool `json:"complete,omitempty"`
@@ -83,9 +83,9 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// HandoverAsk asks the winner of Epoch, which the sender believes live, to
+// HandoverRequest asks the winner of Epoch, which the sender believes live, to
 // hand the partition over to the sender.
-type HandoverAsk struct {
+type HandoverRequest struct {
 	Epoch uint64 `json:"epoch"`
 }
 
@@ -95,9 +95,9 @@
 	Epoch uint64 `json:"epoch"`
 }
 
-// HandoverKeep answers a HandoverAsk: the sender still owns the partition, and
+// HandoverDeferral answers a HandoverAsk: the sender still owns the partition, and
 // hands it over when it sees the same desired owner for long enough.
-type HandoverKeep struct {
+type HandoverDeferral struct {
 	Epoch uint64 `json:"epoch"`
 }
 
--- a/partition/mirroring.go
+++ b/partition/mirroring.go
@@ -25,8 +25,8 @@
 	nextSequence uint64
 	// links follow the members of both sets, ordered by machine.
 	links []*mirrorLink
-	// durable is the sequence up to which every set has a write quorum.
-	durable uint64
+	// durableSequence is the sequence up to which every set has a write quorum.
+	durableSequence uint64
 	// reviewAt is when missing members are looked for; zero for never.
 	reviewAt   time.Time
 	enlistment enlistment
@@ -38,10 +38,10 @@
 	// incarnation is the machine's incarnation in the view when it enlisted;
 	// a later one may mean that the process was restarted.
 	incarnation uint64
-	// acked is the sequence up to which the mirror holds what the log lacks.
-	acked uint64
-	// holding is set while the mirror may hold entries that the log has.
-	holding bool
+	// ackedSequence is the sequence up to which the mirror holds what the log lacks.
+	ackedSequence uint64
+	// mayHoldEntries is set while the mirror may hold entries that the log has.
+	mayHoldEntries bool
 	// restarted is set once the process that enlisted is gone.
 	restarted bool
 	// deadline is when the message under way is repeated; zero if none is.
@@ -73,8 +73,8 @@
 	}
 }
 
-// stepMirrored takes a mirror's acknowledgement.
-func (r *Replica) stepMirrored(from machine.ID, ack MirrorAck) {
+// stepMirrorAck takes a mirror's acknowledgement.
+func (r *Replica) stepMirrorAck(from machine.ID, ack MirrorAck) {
 	if r.state == StateFollowing || r.state == StateClaiming {
 		return
 	}
@@ -86,18 +86,18 @@
 		return
 	}
 	if ack.Trimmed {
-		r.settled.acknowledge(from)
+		r.pendingTrim.acknowledge(from)
 		return
 	}
-	r.noteAgreed(from, ack)
+	r.recordAgreement(from, ack)
 	for _, link := range r.mirrors.links {
 		if link.mirror.ID == from {
-			r.acknowledged(link, ack)
+			r.stepLinkAck(link, ack)
 		}
 	}
 }
 
-func (r *Replica) noteAgreed(from machine.ID, ack MirrorAck) {
+func (r *Replica) recordAgreement(from machine.ID, ack MirrorAck) {
 	enlistment := &r.mirrors.enlistment
 	known := func(mirror recordlog.Mirror) bool { return mirror.ID == from }
 	if slices.Contains(enlistment.asked, from) && !slices.ContainsFunc(enlistment.agreed, known) {
@@ -105,56 +105,56 @@
 	}
 }
 
-// acknowledged takes what a mirror holds. Only the process that enlisted
+// stepLinkAck takes what a mirror holds. Only the process that enlisted
 // counts: another one has lost what that one held.
-func (r *Replica) acknowledged(link *mirrorLink, ack MirrorAck) {
+func (r *Replica) stepLinkAck(link *mirrorLink, ack MirrorAck) {
 	if ack.Instance != link.mirror.Instance {
 		link.restarted = true
 		link.deadline = time.Time{}
 		r.reviewMirrorsAfter(r.config.HandoverDwell)
 		return
 	}
-	if ack.Sequence > link.acked || !ack.Full {
+	if ack.Sequence > link.ackedSequence || !ack.Full {
 		link.deadline = time.Time{}
 		link.backoff.Reset()
 	}
-	link.acked = max(link.acked, ack.Sequence)
-	if link.acked <= r.journal.Fold().Sequence {
-		link.holding = false
+	link.ackedSequence = max(link.ackedSequence, ack.Sequence)
+	if link.ackedSequence <= r.journal.Fold().Sequence {
+		link.mayHoldEntries = false
 	}
 	r.markDurable()
 }
 
 // markDurable confirms what every set that may come to be read holds.
 func (r *Replica) markDurable() {
-	durable := r.heldBy(r.mirrors.current)
+	durableSequence := r.quorumSequence(r.mirrors.current)
 	if r.mirrors.nextSequence > 0 {
-		durable = min(durable, r.heldBy(r.mirrors.next))
+		durableSequence = min(durableSequence, r.quorumSequence(r.mirrors.next))
 	}
-	if durable > r.mirrors.durable {
-		r.mirrors.durable = durable
-		r.journal.MarkMirrored(durable)
+	if durableSequence > r.mirrors.durableSequence {
+		r.mirrors.durableSequence = durableSequence
+		r.journal.MarkMirrored(durableSequence)
 	}
 }
 
-// heldBy is the sequence up to which a write quorum of the set holds the
+// quorumSequence is the sequence up to which a write quorum of the set holds the
 // epoch; zero for a set without members.
-func (r *Replica) heldBy(set []recordlog.Mirror) uint64 {
+func (r *Replica) quorumSequence(set []recordlog.Mirror) uint64 {
 	if len(set) == 0 {
 		return 0
 	}
 	var acked []uint64
 	for _, member := range set {
-		acked = append(acked, r.ackedBy(member))
+		acked = append(acked, r.ackedSequenceOf(member))
 	}
 	slices.Sort(acked)
 	return acked[len(acked)-recordlog.WriteQuorum(len(acked))]
 }
 
-func (r *Replica) ackedBy(member recordlog.Mirror) uint64 {
+func (r *Replica) ackedSequenceOf(member recordlog.Mirror) uint64 {
 	for _, link := range r.mirrors.links {
 		if link.mirror == member {
-			return link.acked
+			return link.ackedSequence
 		}
 	}
 	return 0
@@ -173,7 +173,7 @@
 	r.adoptMirrors()
 	degraded := r.degraded()
 	for _, link := range r.mirrors.links {
-		r.feed(link, degraded)
+		r.updateMirror(link, degraded)
 	}
 	r.reviewMirrors(degraded)
 }
@@ -192,23 +192,23 @@
 	})
 }
 
-// feed sends one mirror the entries that the log does not answer for, or tells
+// updateMirror sends one mirror the entries that the log does not answer for, or tells
 // it to forget what the log has.
-func (r *Replica) feed(link *mirrorLink, degraded bool) {
+func (r *Replica) updateMirror(link *mirrorLink, degraded bool) {
 	if link.restarted || r.now.Before(link.deadline) {
 		return
 	}
 	logged := r.journal.Fold().Sequence
-	next := max(link.acked, logged)
+	next := max(link.ackedSequence, logged)
 	lacking := degraded && next < r.journal.LastSequence()
-	if !lacking && !(link.holding && !degraded) {
+	if !lacking && !(link.mayHoldEntries && !degraded) {
 		link.deadline = time.Time{}
 		return
 	}
-	request := MirrorAppend{Epoch: r.journal.Epoch(), Instance: link.mirror.Instance, Logged: logged}
+	request := MirrorAppend{Epoch: r.journal.Epoch(), Instance: link.mirror.Instance, LoggedSequence: logged}
 	if lacking {
 		request.Entries = r.journal.Unconfirmed(next, r.config.MaximumBatchBytes)
-		link.holding = true
+		link.mayHoldEntries = true
 	}
 	link.deadline = r.now.Add(r.config.MirrorTimeout + link.backoff.Next())
 	r.send(link.mirror.ID, Message{Mirror: &request})
--- a/partition/mirrorset.go
+++ b/partition/mirrorset.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// mirrorsChanged schedules a review when the view gives a reason for one: a
+// scheduleMirrorReview schedules a review when the view gives a reason for one: a
 // member is gone or was restarted, or there are fewer than wanted.
-func (r *Replica) mirrorsChanged() {
+func (r *Replica) scheduleMirrorReview() {
 	if r.config.MirrorCount == 0 || r.state != StateOwning {
 		return
 	}
@@ -28,7 +28,7 @@
 			r.reviewMirrorsAfter(r.config.HandoverDwell)
 		}
 	}
-	if len(r.keptMirrors()) < r.config.MirrorCount && len(r.missingMirrors()) > 0 {
+	if len(r.healthyMirrors()) < r.config.MirrorCount && len(r.spareCandidates()) > 0 {
 		r.reviewMirrorsAfter(r.config.HandoverDwell)
 	}
 }
@@ -67,11 +67,11 @@
 			asked = append(asked, link.mirror.ID)
 		}
 	}
-	room := r.config.MirrorCount - len(r.keptMirrors())
-	for _, id := range r.missingMirrors() {
-		if room > 0 && !slices.Contains(asked, id) {
+	free := r.config.MirrorCount - len(r.healthyMirrors())
+	for _, id := range r.spareCandidates() {
+		if free > 0 && !slices.Contains(asked, id) {
 			asked = append(asked, id)
-			room--
+			free--
 		}
 	}
 	return asked
@@ -89,7 +89,7 @@
 		r.reviewMirrorsAfter(r.config.HandoverDwell)
 		return
 	}
-	members := r.keptMirrors()
+	members := r.healthyMirrors()
 	for _, mirror := range agreed {
 		members = slices.DeleteFunc(members, func(kept recordlog.Mirror) bool { return kept.ID == mirror.ID })
 	}
@@ -104,8 +104,8 @@
 	r.proposeMirrors(recordlog.MirrorSet{Members: members})
 }
 
-// keptMirrors are the members that are live and were not restarted.
-func (r *Replica) keptMirrors() []recordlog.Mirror {
+// healthyMirrors are the members that are live and were not restarted.
+func (r *Replica) healthyMirrors() []recordlog.Mirror {
 	var kept []recordlog.Mirror
 	for _, link := range r.mirrors.links {
 		if r.eligible(link.mirror.ID) && !link.restarted && slices.Contains(r.mirrors.current, link.mirror) {
@@ -115,11 +115,11 @@
 	return kept
 }
 
-// missingMirrors are the candidates that are no member, best first.
-func (r *Replica) missingMirrors() []machine.ID {
-	kept := r.keptMirrors()
-	everyone := len(r.view.Nodes)
-	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, everyone)
+// spareCandidates are the candidates that are no member, best first.
+func (r *Replica) spareCandidates() []machine.ID {
+	kept := r.healthyMirrors()
+	all := len(r.view.Nodes)
+	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, all)
 	return slices.DeleteFunc(candidates, func(id machine.ID) bool {
 		return slices.ContainsFunc(kept, func(mirror recordlog.Mirror) bool { return mirror.ID == id })
 	})
--- a/partition/mirrorstore.go
+++ b/partition/mirrorstore.go
@@ -31,28 +31,28 @@
 // another instance and holds nothing.
 type MirrorStore struct {
 	config     MirrorStoreConfig
-	partitions map[ID]*mirrored
+	partitions map[ID]*mirroredPartition
 	bytes      int
 }
 
-// mirrored is what a store knows of one partition.
-type mirrored struct {
-	// reader is the newest epoch that queried; older ones are refused.
-	reader uint64
-	epochs map[uint64]*mirroredEpoch
+// mirroredPartition is what a store knows of one partition.
+type mirroredPartition struct {
+	// readerEpoch is the newest epoch that queried; older ones are refused.
+	readerEpoch uint64
+	epochs      map[uint64]*mirroredEpoch
 }
 
 // mirroredEpoch holds the entries of one epoch after logged, without gaps.
 type mirroredEpoch struct {
-	// logged is the sequence up to which the log has the epoch.
-	logged  uint64
-	entries []recordlog.Entry
+	// loggedSequence is the sequence up to which the log has the epoch.
+	loggedSequence uint64
+	entries        []recordlog.Entry
 	// complete is set when this node owned the epoch itself.
 	complete bool
 }
 
-func (e *mirroredEpoch) last() uint64 {
-	return e.logged + uint64(len(e.entries))
+func (e *mirroredEpoch) lastSequence() uint64 {
+	return e.loggedSequence + uint64(len(e.entries))
 }
 
 // NewMirrorStore returns an empty store, or every finding about the config.
@@ -60,7 +60,7 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	return &MirrorStore{config: config, partitions: map[ID]*mirrored{}}, nil
+	return &MirrorStore{config: config, partitions: map[ID]*mirroredPartition{}}, nil
 }
 
 // Bytes is the size of the entries that the store holds.
@@ -75,7 +75,7 @@
 	var answer Message
 	switch {
 	case message.Mirror != nil:
-		answer.Mirrored = s.hold(id, *message.Mirror)
+		answer.Mirrored = s.appendEntries(id, *message.Mirror)
 	case message.Query != nil:
 		answer.Answer = s.answer(id, *message.Query)
 	case message.Trim != nil:
@@ -87,21 +87,21 @@
 	return []Outbound{{To: from, Message: answer}}
 }
 
-// partition returns what is known of a partition, remembering it from now on.
-func (s *MirrorStore) partition(id ID) *mirrored {
+// partitionState returns what is known of a partitionState, remembering it from now on.
+func (s *MirrorStore) partitionState(id ID) *mirroredPartition {
 	known := s.partitions[id]
 	if known == nil {
-		known = &mirrored{epochs: map[uint64]*mirroredEpoch{}}
+		known = &mirroredPartition{epochs: map[uint64]*mirroredEpoch{}}
 		s.partitions[id] = known
 	}
 	return known
 }
 
-// hold takes entries of an owner and acknowledges what it holds of the epoch.
-func (s *MirrorStore) hold(id ID, request MirrorAppend) *MirrorAck {
+// appendEntries takes entries of an owner and acknowledges what it holds of the epoch.
+func (s *MirrorStore) appendEntries(id ID, request MirrorAppend) *MirrorAck {
 	ack := &MirrorAck{Epoch: request.Epoch, Instance: s.config.Instance}
-	known := s.partition(id)
-	if request.Epoch < known.reader {
+	known := s.partitionState(id)
+	if request.Epoch < known.readerEpoch {
 		ack.Refused = true
 		return ack
 	}
@@ -114,15 +114,15 @@
 	}
 	// An owner appends to mirrors only after it opened its epoch, which
 	// settles the earlier ones.
-	s.forgetBefore(known, request.Epoch)
+	s.dropEpochsBefore(known, request.Epoch)
 	epoch := known.epochs[request.Epoch]
 	if epoch == nil {
 		epoch = &mirroredEpoch{}
 		known.epochs[request.Epoch] = epoch
 	}
-	s.forget(epoch, request.Logged)
+	s.dropThrough(epoch, request.LoggedSequence)
 	ack.Full = !s.extend(epoch, request.Entries)
-	ack.Sequence = epoch.last()
+	ack.Sequence = epoch.lastSequence()
 	return ack
 }
 
@@ -130,10 +130,10 @@
 // whether there was room for them.
 func (s *MirrorStore) extend(epoch *mirroredEpoch, entries []recordlog.Entry) bool {
 	for _, entry := range entries {
-		if entry.Sequence <= epoch.last() {
+		if entry.Sequence <= epoch.lastSequence() {
 			continue
 		}
-		if entry.Sequence != epoch.last()+1 {
+		if entry.Sequence != epoch.lastSequence()+1 {
 			return true
 		}
 		if s.bytes+entry.Size() > s.config.MaximumBytes {
@@ -145,43 +145,43 @@
 	return true
 }
 
-// forget drops the entries up to the sequence, which the log has.
-func (s *MirrorStore) forget(epoch *mirroredEpoch, logged uint64) {
-	if logged <= epoch.logged {
+// dropThrough drops the entries up to the sequence, which the log has.
+func (s *MirrorStore) dropThrough(epoch *mirroredEpoch, loggedSequence uint64) {
+	if loggedSequence <= epoch.loggedSequence {
 		return
 	}
-	count := min(logged-epoch.logged, uint64(len(epoch.entries)))
+	count := min(loggedSequence-epoch.loggedSequence, uint64(len(epoch.entries)))
 	for _, entry := range epoch.entries[:count] {
 		s.bytes -= entry.Size()
 	}
 	epoch.entries = slices.Clone(epoch.entries[count:])
-	epoch.logged = logged
+	epoch.loggedSequence = loggedSequence
 }
 
-// keep takes what this node had not logged of an epoch that it owned and lost,
+// keepOwned takes what this node had not logged of an epoch that it owned and lost,
 // if there is room. It answers for the whole epoch from then on.
-func (s *MirrorStore) keep(id ID, rest recordlog.Rest) {
-	epoch := &mirroredEpoch{logged: rest.Logged}
+func (s *MirrorStore) keepOwned(id ID, rest recordlog.Rest) {
+	epoch := &mirroredEpoch{loggedSequence: rest.Logged}
 	if !s.extend(epoch, rest.Entries) {
-		s.forget(epoch, epoch.last())
+		s.dropThrough(epoch, epoch.lastSequence())
 		return
 	}
 	epoch.complete = true
-	s.partition(id).epochs[rest.Epoch] = epoch
+	s.partitionState(id).epochs[rest.Epoch] = epoch
 }
 
-// settle forgets the epochs before one that this node opened: the log has them.
-func (s *MirrorStore) settle(id ID, epoch uint64) {
+// epochOpened forgets the epochs before one that this node opened: the log has them.
+func (s *MirrorStore) epochOpened(id ID, epoch uint64) {
 	if known := s.partitions[id]; known != nil {
-		s.forgetBefore(known, epoch)
+		s.dropEpochsBefore(known, epoch)
 	}
 }
 
-// forgetBefore drops every epoch before the given one.
-func (s *MirrorStore) forgetBefore(known *mirrored, epoch uint64) {
+// dropEpochsBefore drops every epoch before the given one.
+func (s *MirrorStore) dropEpochsBefore(known *mirroredPartition, epoch uint64) {
 	for number, older := range known.epochs {
 		if number < epoch {
-			s.forget(older, older.last())
+			s.dropThrough(older, older.lastSequence())
 			delete(known.epochs, number)
 		}
 	}
@@ -190,24 +190,24 @@
 // answer tells a later epoch's owner what the store holds, and refuses every
 // epoch before that one from then on.
 func (s *MirrorStore) answer(id ID, query MirrorQuery) *MirrorAnswer {
-	answer := &MirrorAnswer{Epoch: query.Epoch, Instance: s.config.Instance, Reader: query.Reader}
+	answer := &MirrorAnswer{Epoch: query.Epoch, Instance: s.config.Instance, ReaderEpoch: query.ReaderEpoch}
 	if query.Instance != s.config.Instance {
 		answer.Restarted = true
 		return answer
 	}
-	known := s.partition(id)
-	if query.Reader < known.reader {
+	known := s.partitionState(id)
+	if query.ReaderEpoch < known.readerEpoch {
 		answer.Refused = true
 		return answer
 	}
-	known.reader = query.Reader
+	known.readerEpoch = query.ReaderEpoch
 	epoch := known.epochs[query.Epoch]
 	if epoch == nil {
-		answer.Last = query.Sequence
+		answer.LastSequence = query.Sequence
 		return answer
 	}
 	answer.Complete = epoch.complete
-	answer.Last = max(epoch.last(), query.Sequence)
+	answer.LastSequence = max(epoch.lastSequence(), query.Sequence)
 	answer.Entries = s.chunk(epoch, query.Sequence)
 	return answer
 }
@@ -215,12 +215,12 @@
 // chunk returns the entries after the sequence that fit in one message, at
 // least one if there is any.
 func (s *MirrorStore) chunk(epoch *mirroredEpoch, sequence uint64) []recordlog.Entry {
-	if sequence >= epoch.last() || sequence < epoch.logged {
+	if sequence >= epoch.lastSequence() || sequence < epoch.loggedSequence {
 		return nil
 	}
 	var chunk []recordlog.Entry
 	bytes := 0
-	for _, entry := range epoch.entries[sequence-epoch.logged:] {
+	for _, entry := range epoch.entries[sequence-epoch.loggedSequence:] {
 		bytes += entry.Size()
 		if len(chunk) > 0 && bytes > s.config.MaximumMessageBytes {
 			break
@@ -238,11 +238,11 @@
 	if known == nil {
 		return ack
 	}
-	s.forgetBefore(known, trim.Epoch)
+	s.dropEpochsBefore(known, trim.Epoch)
 	if epoch := known.epochs[trim.Epoch]; epoch != nil {
-		s.forget(epoch, trim.Sequence)
+		s.dropThrough(epoch, trim.Sequence)
 	}
-	known.reader = max(known.reader, trim.Epoch)
+	known.readerEpoch = max(known.readerEpoch, trim.Epoch)
 	return ack
 }
 
--- a/partition/mirrorstore_test.go
+++ b/partition/mirrorstore_test.go
@@ -32,14 +32,14 @@
 
 	hold := func(logged uint64, entries []recordlog.Entry) MirrorAck {
 		GinkgoHelper()
-		request := &MirrorAppend{Epoch: 1, Instance: "m/1", Logged: logged, Entries: entries}
+		request := &MirrorAppend{Epoch: 1, Instance: "m/1", LoggedSequence: logged, Entries: entries}
 		out := store.Step(owner, Message{Partition: id, Mirror: request})
 		Expect(out).To(HaveLen(1))
 		Expect(out[0].To).To(Equal(owner))
 		return *out[0].Message.Mirrored
 	}
 	query := func(after uint64) MirrorAnswer {
-		request := &MirrorQuery{Epoch: 1, Instance: "m/1", Sequence: after, Reader: 2}
+		request := &MirrorQuery{Epoch: 1, Instance: "m/1", Sequence: after, ReaderEpoch: 2}
 		return *store.Step(reader, Message{Partition: id, Query: request})[0].Message.Answer
 	}
 
@@ -64,7 +64,7 @@
 		hold(0, entriesAfter(0, 5))
 		first := query(0)
 		Expect(first.Entries).To(HaveLen(3))
-		Expect(first.Last).To(Equal(uint64(5)))
+		Expect(first.LastSequence).To(Equal(uint64(5)))
 		Expect(query(3).Entries).To(HaveLen(2))
 	})
 
@@ -72,14 +72,14 @@
 		query(0)
 		Expect(hold(0, entriesAfter(0, 1)).Refused).To(BeTrue())
 		Expect(store.Bytes()).To(BeZero())
-		late := store.Step(reader, Message{Partition: id, Query: &MirrorQuery{Epoch: 1, Instance: "m/1", Reader: 1}})
+		late := store.Step(reader, Message{Partition: id, Query: &MirrorQuery{Epoch: 1, Instance: "m/1", ReaderEpoch: 1}})
 		Expect(late[0].Message.Answer.Refused).To(BeTrue())
 	})
 
 	It("says that it is another process than the one asked for", func() {
 		request := &MirrorAppend{Epoch: 1, Instance: "m/0", Entries: entriesAfter(0, 1)}
 		Expect(store.Step(owner, Message{Partition: id, Mirror: request})[0].Message.Mirrored.Restarted).To(BeTrue())
-		request2 := &MirrorQuery{Epoch: 1, Instance: "m/0", Reader: 2}
+		request2 := &MirrorQuery{Epoch: 1, Instance: "m/0", ReaderEpoch: 2}
 		Expect(store.Step(reader, Message{Partition: id, Query: request2})[0].Message.Answer.Restarted).To(BeTrue())
 	})
 
--- a/partition/ownership_test.go
+++ b/partition/ownership_test.go
@@ -119,37 +119,37 @@
 
 	It("waits with a hand-over that is due while it is held, and nobody claims meanwhile", func() {
 		c.stopping[first.id] = true
-		c.holding[first.id] = true
+		c.deferring[first.id] = true
 		c.viewChanged()
 		c.run(settleTime)
 		Expect(first.replica.HandoverDue()).To(BeTrue())
 		Expect(first.replica.State()).To(Equal(StateOwning))
 		expectConfirmed(c, proposeSome(c, first, 1))
-		c.holding[first.id] = false
+		c.deferring[first.id] = false
 		c.viewChanged()
 		Expect(c.runUntil(settleTime, func() bool { return c.hasOwner() && c.owner() != first })).To(BeTrue())
 		Expect(c.owner().replica.Epoch()).To(Equal(uint64(2)))
 	})
 
 	It("leaves a node that the place rule excludes at once", func() {
-		c.place = zone.NewPlacement(slices.DeleteFunc(slices.Clone(threeZones), func(name zone.Name) bool { return name == first.zone })...)
+		c.placement = zone.NewPlacement(slices.DeleteFunc(slices.Clone(threeZones), func(name zone.Name) bool { return name == first.zone })...)
 		c.viewChanged()
 		Expect(c.runUntil(time.Second, func() bool { return c.hasOwner() && c.owner() != first })).To(BeTrue())
 	})
 
 	It("lets a node that the place rule excludes finish what is held, and loses nothing", func() {
 		values := proposeSome(c, first, 5)
-		c.place = zone.NewPlacement(slices.DeleteFunc(slices.Clone(threeZones), func(name zone.Name) bool { return name == first.zone })...)
-		c.holding[first.id] = true
+		c.placement = zone.NewPlacement(slices.DeleteFunc(slices.Clone(threeZones), func(name zone.Name) bool { return name == first.zone })...)
+		c.deferring[first.id] = true
 		c.viewChanged()
 		c.run(settleTime)
 		values = append(values, proposeSome(c, first, 1)...)
 		expectConfirmed(c, values)
-		c.holding[first.id] = false
+		c.deferring[first.id] = false
 		c.viewChanged()
 		Expect(c.runUntil(time.Second, func() bool { return c.hasOwner() && c.owner() != first })).To(BeTrue())
 		Expect(c.owner().state).To(Equal(values))
-		Expect(c.place.Contains(c.owner().zone)).To(BeTrue())
+		Expect(c.placement.Contains(c.owner().zone)).To(BeTrue())
 	})
 
 	It("keeps the owner while the machine list flaps", func() {
@@ -193,8 +193,8 @@
 		c.crash(first)
 		second := expectOwner(c)
 		c.restart(first)
-		c.cut[[2]machine.ID{first.id, second.id}] = true
-		c.cut[[2]machine.ID{second.id, first.id}] = true
+		c.blocked[[2]machine.ID{first.id, second.id}] = true
+		c.blocked[[2]machine.ID{second.id, first.id}] = true
 		Expect(c.runUntil(time.Minute, func() bool { return c.owner() == first })).To(BeTrue())
 	})
 
@@ -247,7 +247,7 @@
 		c.log.down = true
 		values := proposeSome(c, first, 20)
 		expectConfirmed(c, values)
-		Expect(c.mirrored).To(Equal(20))
+		Expect(c.mirrorConfirmations).To(Equal(20))
 		Expect(c.log.entries).To(HaveLen(2))
 		c.run(10 * time.Minute)
 		c.log.down = false
@@ -297,7 +297,7 @@
 		c.log.down = false
 		recovering := func() bool {
 			return slices.ContainsFunc(c.nodes, func(node *simulatedNode) bool {
-				return node.alive && node.replica.State() == StateRecovering && node.replica.recover.opening > 0
+				return node.alive && node.replica.State() == StateRecovering && node.replica.recover.openingSequence > 0
 			})
 		}
 		Expect(c.runUntil(settleTime, recovering)).To(BeTrue())
@@ -339,13 +339,13 @@
 		added := first.replica.mirrors.next[2].ID
 		c.run(logDelay / 2)
 		c.log.down = true
-		c.cut[[2]machine.ID{first.id, old[2].ID}] = true
-		c.cut[[2]machine.ID{first.id, added}] = true
+		c.blocked[[2]machine.ID{first.id, old[2].ID}] = true
+		c.blocked[[2]machine.ID{first.id, added}] = true
 		values := proposeSome(c, first, 3)
 		c.run(settleTime)
 		Expect(c.confirmed).To(BeEmpty(), "the log names the new set already, of which one member holds them")
 
-		delete(c.cut, [2]machine.ID{first.id, added})
+		delete(c.blocked, [2]machine.ID{first.id, added})
 		expectConfirmed(c, values)
 		c.crash(first)
 		c.crash(c.node(old[1].ID))
@@ -407,13 +407,13 @@
 		c.crash(first)
 		for _, node := range c.nodes {
 			for _, mirror := range mirrors[:2] {
-				c.cut[[2]machine.ID{mirror.ID, node.id}] = true
+				c.blocked[[2]machine.ID{mirror.ID, node.id}] = true
 			}
 		}
 		c.log.down = false
 		c.run(10 * time.Minute)
 		Expect(c.hasOwner()).To(BeFalse(), "two mirrors are live, though out of reach")
-		clear(c.cut)
+		clear(c.blocked)
 		Expect(expectOwner(c).state).To(Equal(values))
 
 		c.run(settleTime)
--- a/partition/property_test.go
+++ b/partition/property_test.go
@@ -164,7 +164,7 @@
 
 func (w *faultyWorld) cutLink(t *rapid.T) {
 	link := [2]machine.ID{w.any(t).id, w.any(t).id}
-	w.cut[link] = !w.cut[link]
+	w.blocked[link] = !w.blocked[link]
 }
 
 func (w *faultyWorld) flapList(t *rapid.T) {
@@ -181,7 +181,7 @@
 
 func (w *faultyWorld) holdOne(t *rapid.T) {
 	id := w.any(t).id
-	w.holding[id] = !w.holding[id]
+	w.deferring[id] = !w.deferring[id]
 	w.viewChanged()
 }
 
@@ -189,7 +189,7 @@
 func (w *faultyWorld) changePlace(t *rapid.T) {
 	first := rapid.SampledFrom(w.nodes).Draw(t, "first").zone
 	second := rapid.SampledFrom(w.nodes).Draw(t, "second").zone
-	w.place = zone.NewPlacement(first, second)
+	w.placement = zone.NewPlacement(first, second)
 	w.viewChanged()
 }
 
@@ -234,11 +234,11 @@
 	w.log.down = false
 	w.log.loseAnswers = 0
 	w.log.extraDelay = 0
-	clear(w.cut)
+	clear(w.blocked)
 	clear(w.hidden)
 	clear(w.stopping)
-	clear(w.holding)
-	w.place = w.widest()
+	clear(w.deferring)
+	w.placement = w.widest()
 	for _, node := range w.nodes {
 		if !node.alive {
 			w.restart(node)
--- a/partition/ready.go
+++ b/partition/ready.go
@@ -74,7 +74,7 @@
 	// Excluded is set on a node that the placement does not permit, such as an
 	// owner after the placement changed: it hands the partition over at once.
 	Excluded bool
-	// Hold keeps an owner from handing over: work that must not be cut is under
+	// DeferHandover keeps an owner from handing over: work that must not be cut is under
 	// way. HandoverDue tells when it is waited for.
-	Hold bool
+	DeferHandover bool
 }
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -18,13 +18,13 @@
 	sources []*recoverySource
 	// suffix is what the mirrors hold after the log's last sequence of the
 	// epoch, without gaps.
-	suffix []recordlog.Entry
-	since  time.Time
-	// accepted is set when the operator or the policy gave the rest up.
-	accepted bool
-	// opening is the sequence of the entry that opens the epoch, once it was
+	suffix    []recordlog.Entry
+	startedAt time.Time
+	// lossAccepted is set when the operator or the policy gave the rest up.
+	lossAccepted bool
+	// openingSequence is the sequence of the entry that opens the epoch, once it was
 	// proposed.
-	opening uint64
+	openingSequence uint64
 }
 
 // recoverySource is one mirror that is read.
@@ -35,11 +35,11 @@
 	owner bool
 	// answered is set by the first answer of the process that enlisted; from
 	// then on last is all that it will ever hold of the epoch.
-	answered  bool
-	restarted bool
-	last      uint64
-	deadline  time.Time
-	backoff   retry.Backoff
+	answered     bool
+	restarted    bool
+	lastSequence uint64
+	deadline     time.Time
+	backoff      retry.Backoff
 }
 
 // Stall says why a recovery waits for mirrors.
@@ -61,9 +61,9 @@
 	r.claim.backoff.Reset()
 	r.state = StateRecovering
 	fold := r.journal.Fold()
-	r.recover = recovery{debt: fold.Debt, since: r.now}
-	if previous := r.claim.previous; previous != "" {
-		r.send(previous, Message{Claimed: &Claimed{Epoch: fold.Epoch}})
+	r.recover = recovery{debt: fold.Debt, startedAt: r.now}
+	if previousOwner := r.claim.previousOwner; previousOwner != "" {
+		r.send(previousOwner, Message{Claimed: &Claimed{Epoch: fold.Epoch}})
 	}
 	r.addSources()
 	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, r.config.MirrorCount)
@@ -92,8 +92,8 @@
 // advanceRecovering opens the epoch once the debt is read and the mirrors
 // agreed or had their time.
 func (r *Replica) advanceRecovering() {
-	if r.recover.opening > 0 {
-		if r.journal.Fold().Sequence >= r.recover.opening {
+	if r.recover.openingSequence > 0 {
+		if r.journal.Fold().Sequence >= r.recover.openingSequence {
 			r.acquire()
 		}
 		return
@@ -104,7 +104,7 @@
 	}
 	r.querySources()
 	enlisted := !r.mirrors.enlistment.active() || r.mirrors.enlistment.complete(r.now)
-	if !r.debtRead() || !enlisted {
+	if !r.debtRecovered() || !enlisted {
 		return
 	}
 	r.open()
@@ -113,15 +113,15 @@
 // querySources asks the mirrors for what was not read yet.
 func (r *Replica) querySources() {
 	for _, source := range r.recover.sources {
-		if r.recover.done(source) || r.now.Before(source.deadline) {
+		if r.recover.exhausted(source) || r.now.Before(source.deadline) {
 			continue
 		}
 		source.deadline = r.now.Add(r.config.MirrorTimeout + source.backoff.Next())
 		query := &MirrorQuery{
-			Epoch:    r.recover.debt.Epoch,
-			Instance: source.mirror.Instance,
-			Sequence: r.recover.suffixEnd(),
-			Reader:   r.journal.Epoch(),
+			Epoch:       r.recover.debt.Epoch,
+			Instance:    source.mirror.Instance,
+			Sequence:    r.recover.suffixEnd(),
+			ReaderEpoch: r.journal.Epoch(),
 		}
 		if source.owner {
 			r.send(source.mirror.ID, Message{Claimed: &Claimed{Epoch: r.journal.Epoch()}})
@@ -130,9 +130,9 @@
 	}
 }
 
-// done reports whether nothing more is to be had from the mirror.
-func (c *recovery) done(source *recoverySource) bool {
-	return source.restarted || source.answered && source.last <= c.suffixEnd()
+// exhausted reports whether nothing more is to be had from the mirror.
+func (c *recovery) exhausted(source *recoverySource) bool {
+	return source.restarted || source.answered && source.lastSequence <= c.suffixEnd()
 }
 
 // suffixEnd is the sequence up to which the debt's epoch is known.
@@ -146,8 +146,8 @@
 // stepMirrorAnswer takes what a mirror holds.
 func (r *Replica) stepMirrorAnswer(from machine.ID, answer MirrorAnswer) {
 	debt := r.recover.debt
-	relevant := r.state == StateRecovering && debt != nil && r.recover.opening == 0 &&
-		answer.Reader == r.journal.Epoch() && answer.Epoch == debt.Epoch
+	relevant := r.state == StateRecovering && debt != nil && r.recover.openingSequence == 0 &&
+		answer.ReaderEpoch == r.journal.Epoch() && answer.Epoch == debt.Epoch
 	if !relevant {
 		return
 	}
@@ -172,7 +172,7 @@
 	}
 	known := r.recover.suffixEnd()
 	source.answered = true
-	source.last = answer.Last
+	source.lastSequence = answer.LastSequence
 	for _, entry := range answer.Entries {
 		if entry.Sequence == r.recover.suffixEnd()+1 {
 			r.recover.suffix = append(r.recover.suffix, entry)
@@ -185,33 +185,33 @@
 	}
 }
 
-// debtRead reports whether a read quorum of the mirrors was read to the end.
-func (r *Replica) debtRead() bool {
-	if r.recover.debt == nil || r.recover.accepted {
+// debtRecovered reports whether a read quorum of the mirrors was read to the end.
+func (r *Replica) debtRecovered() bool {
+	if r.recover.debt == nil || r.recover.lossAccepted {
 		return true
 	}
 	stall, stalled := r.Stall()
 	if !stalled {
 		return true
 	}
-	patience := r.config.AcceptLossAfter
-	if patience > 0 && r.hopeless(stall) && !r.now.Before(stall.Since.Add(patience)) {
-		r.recover.accepted = true
+	limit := r.config.AcceptLossAfter
+	if limit > 0 && r.quorumUnreachable(stall) && !r.now.Before(stall.Since.Add(limit)) {
+		r.recover.lossAccepted = true
 	}
-	return r.recover.accepted
+	return r.recover.lossAccepted
 }
 
-// hopeless reports whether the mirrors that may still answer are too few, and
+// quorumUnreachable reports whether the mirrors that may still answer are too few, and
 // the epoch's owner is gone too, as far as this node's view goes.
-func (r *Replica) hopeless(stall Stall) bool {
+func (r *Replica) quorumUnreachable(stall Stall) bool {
 	for _, source := range r.recover.sources {
-		if source.owner && !source.restarted && r.present(source.mirror.ID) {
+		if source.owner && !source.restarted && r.running(source.mirror.ID) {
 			return false
 		}
 	}
 	reachable := stall.Read
 	for _, mirror := range stall.Silent {
-		if r.present(mirror) {
+		if r.running(mirror) {
 			reachable++
 		}
 	}
@@ -222,13 +222,13 @@
 // mirrors.
 func (r *Replica) Stall() (Stall, bool) {
 	debt := r.recover.debt
-	if r.state != StateRecovering || debt == nil || r.recover.opening > 0 {
+	if r.state != StateRecovering || debt == nil || r.recover.openingSequence > 0 {
 		return Stall{}, false
 	}
-	stall := Stall{Epoch: debt.Epoch, Needed: recordlog.ReadQuorum(len(debt.Mirrors)), Since: r.recover.since}
+	stall := Stall{Epoch: debt.Epoch, Needed: recordlog.ReadQuorum(len(debt.Mirrors)), Since: r.recover.startedAt}
 	for _, source := range r.recover.sources {
 		switch {
-		case source.owner && source.answered && r.recover.done(source):
+		case source.owner && source.answered && r.recover.exhausted(source):
 			return Stall{}, false
 		case source.owner:
 			// Nothing is missing if it stays silent.
@@ -236,7 +236,7 @@
 			stall.Restarted = append(stall.Restarted, source.mirror.ID)
 		case !source.answered:
 			stall.Silent = append(stall.Silent, source.mirror.ID)
-		case r.recover.done(source):
+		case r.recover.exhausted(source):
 			stall.Read++
 		}
 	}
@@ -249,7 +249,7 @@
 func (r *Replica) AcceptLoss(now time.Time) {
 	r.now = now
 	if _, stalled := r.Stall(); stalled {
-		r.recover.accepted = true
+		r.recover.lossAccepted = true
 	}
 	r.advance()
 }
@@ -265,7 +265,7 @@
 	}
 	set := recordlog.MirrorSet{Members: r.mirrors.enlistment.agreed}
 	r.mirrors.enlistment = enlistment{}
-	if r.recover.accepted {
+	if r.recover.lossAccepted {
 		set.Unread = r.recover.debt.Epoch
 	}
 	if r.recover.debt == nil && len(set.Members) == 0 {
@@ -273,96 +273,96 @@
 		return
 	}
 	r.proposeMirrors(set)
-	r.recover.opening = r.mirrors.nextSequence
+	r.recover.openingSequence = r.mirrors.nextSequence
 }
 
 // acquire opens the partition for proposals.
 func (r *Replica) acquire() {
 	if r.recover.debt != nil {
-		r.settled = newSettlement(*r.recover.debt, r.journal.Epoch(), r.mirrorBackoff())
+		r.pendingTrim = newTrimNotice(*r.recover.debt, r.journal.Epoch(), r.mirrorBackoff())
 	}
 	if r.config.Mirrors != nil {
-		r.config.Mirrors.settle(r.config.ID, r.journal.Epoch())
+		r.config.Mirrors.epochOpened(r.config.ID, r.journal.Epoch())
 	}
 	r.recover = recovery{}
 	r.state = StateOwning
 	r.ready.Acquired = true
 	r.adoptMirrors()
-	r.mirrorsChanged()
+	r.scheduleMirrorReview()
 	r.advanceOwning()
 }
 
 func (r *Replica) recoveringTimers() []time.Time {
 	var timers []time.Time
-	if r.recover.opening > 0 {
+	if r.recover.openingSequence > 0 {
 		return nil
 	}
 	if r.mirrors.enlistment.active() && !r.mirrors.enlistment.complete(r.now) {
 		timers = append(timers, r.mirrors.enlistment.deadline)
 	}
 	for _, source := range r.recover.sources {
-		if !r.recover.done(source) {
+		if !r.recover.exhausted(source) {
 			timers = append(timers, source.deadline)
 		}
 	}
 	if _, stalled := r.Stall(); stalled && r.config.AcceptLossAfter > 0 {
-		timers = append(timers, r.recover.since.Add(r.config.AcceptLossAfter))
+		timers = append(timers, r.recover.startedAt.Add(r.config.AcceptLossAfter))
 	}
 	return timers
 }
 
-// settlement tells the mirrors of an earlier epoch that the log has
+// trimNotice tells the mirrors of an earlier epoch that the log has
 // everything, until each of them has answered or is gone.
-type settlement struct {
-	trim  MirrorTrim
-	links []*settlementLink
+type trimNotice struct {
+	trim       MirrorTrim
+	recipients []*trimRecipient
 }
 
-type settlementLink struct {
+type trimRecipient struct {
 	mirror   machine.ID
 	attempts int
 	deadline time.Time
 	backoff  retry.Backoff
 }
 
-// settlementAttempts is how often a mirror that has left the view is told.
-const settlementAttempts = 20
+// trimAttempts is how often a mirror that has left the view is told.
+const trimAttempts = 20
 
-func newSettlement(debt recordlog.Debt, epoch uint64, backoff retry.Backoff) settlement {
+func newTrimNotice(debt recordlog.Debt, epoch uint64, backoff retry.Backoff) trimNotice {
 	// The trim is of this epoch: it forgets all earlier ones.
-	settled := settlement{trim: MirrorTrim{Epoch: epoch}}
+	settled := trimNotice{trim: MirrorTrim{Epoch: epoch}}
 	for _, mirror := range debt.Mirrors {
-		settled.links = append(settled.links, &settlementLink{mirror: mirror.ID, backoff: backoff})
+		settled.recipients = append(settled.recipients, &trimRecipient{mirror: mirror.ID, backoff: backoff})
 	}
 	owner := recordlog.WriterMachine(debt.Writer)
-	settled.links = append(settled.links, &settlementLink{mirror: owner, backoff: backoff})
+	settled.recipients = append(settled.recipients, &trimRecipient{mirror: owner, backoff: backoff})
 	return settled
 }
 
-// advanceSettlement repeats the trim to those that have not answered.
-func (r *Replica) advanceSettlement() {
-	r.settled.links = slices.DeleteFunc(r.settled.links, func(link *settlementLink) bool {
-		return link.attempts >= settlementAttempts && !r.present(link.mirror)
+// sendTrims repeats the trim to those that have not answered.
+func (r *Replica) sendTrims() {
+	r.pendingTrim.recipients = slices.DeleteFunc(r.pendingTrim.recipients, func(link *trimRecipient) bool {
+		return link.attempts >= trimAttempts && !r.running(link.mirror)
 	})
-	for _, link := range r.settled.links {
+	for _, link := range r.pendingTrim.recipients {
 		if r.now.Before(link.deadline) {
 			continue
 		}
 		link.attempts++
 		link.deadline = r.now.Add(link.backoff.Next())
-		trim := r.settled.trim
+		trim := r.pendingTrim.trim
 		r.send(link.mirror, Message{Trim: &trim})
 	}
 }
 
 // acknowledge notes that a mirror of an earlier epoch has forgotten it.
-func (s *settlement) acknowledge(from machine.ID) {
-	s.links = slices.DeleteFunc(s.links, func(link *settlementLink) bool { return link.mirror == from })
+func (s *trimNotice) acknowledge(from machine.ID) {
+	s.recipients = slices.DeleteFunc(s.recipients, func(link *trimRecipient) bool { return link.mirror == from })
 }
 
-func (s *settlement) timers() []time.Time {
+func (s *trimNotice) timers() []time.Time {
 	var timers []time.Time
-	for _, link := range s.links {
+	for _, link := range s.recipients {
 		timers = append(timers, link.deadline)
 	}
 	return timers
--- a/partition/release.go
+++ b/partition/release.go
@@ -12,34 +12,34 @@
 	sequence uint64
 }
 
-// idle follows how long the log has shown an owner nothing new.
-type idle struct {
-	next    uint64
-	checkAt time.Time
+// idleCheck follows how long the log has shown an owner nothing new.
+type idleCheck struct {
+	nextOffset uint64
+	checkAt    time.Time
 }
 
 // advanceOwning starts a planned hand-over when another node is to own the
 // partition for long enough, or at once when this node stops.
 func (r *Replica) advanceOwning() {
-	if r.HandoverDue() && !r.view.Hold {
+	if r.HandoverDue() && !r.view.DeferHandover {
 		r.state = StateReleasing
 		r.advanceReleasing()
 		return
 	}
 	r.advanceMirrors()
-	r.advanceSettlement()
+	r.sendTrims()
 	r.checkIdle()
 }
 
 // checkIdle looks for a later claim when the log has shown nothing new for
 // long.
 func (r *Replica) checkIdle() {
-	if next := r.journal.Fold().Next; next != r.idle.next || r.idle.checkAt.IsZero() {
-		r.idle = idle{next: next, checkAt: r.now.Add(r.config.IdleCheck)}
+	if nextOffset := r.journal.Fold().Next; nextOffset != r.idleCheck.nextOffset || r.idleCheck.checkAt.IsZero() {
+		r.idleCheck = idleCheck{nextOffset: nextOffset, checkAt: r.now.Add(r.config.IdleCheck)}
 		return
 	}
-	if !r.now.Before(r.idle.checkAt) {
-		r.idle.checkAt = r.now.Add(r.config.IdleCheck)
+	if !r.now.Before(r.idleCheck.checkAt) {
+		r.idleCheck.checkAt = r.now.Add(r.config.IdleCheck)
 		r.journal.CheckSuperseded(r.now)
 	}
 }
@@ -55,7 +55,7 @@
 	if r.view.Stopping || r.view.Excluded {
 		return true
 	}
-	return !r.degraded() && r.desired != "" && r.desired != r.config.Self && r.dwelled(r.config.HandoverDwell)
+	return !r.degraded() && r.desired != "" && r.desired != r.config.Self && r.desiredFor(r.config.HandoverDwell)
 }
 
 // advanceReleasing appends the entry that ends the epoch behind the last
@@ -79,8 +79,8 @@
 }
 
 func (r *Replica) owningTimers() []time.Time {
-	timers := append(r.mirrorTimers(), r.settled.timers()...)
-	timers = append(timers, r.idle.checkAt)
+	timers := append(r.mirrorTimers(), r.pendingTrim.timers()...)
+	timers = append(timers, r.idleCheck.checkAt)
 	if r.desired != "" && r.desired != r.config.Self {
 		timers = append(timers, r.desiredSince.Add(r.config.HandoverDwell))
 	}
--- a/partition/replica.go
+++ b/partition/replica.go
@@ -22,16 +22,16 @@
 	// desired is the owner by this node's view, wanted since desiredSince.
 	desired      machine.ID
 	desiredSince time.Time
-	// holder is the live node that owns the partition, as it told last.
-	holder  machine.ID
-	claim   claim
-	release release
-	recover recovery
-	mirrors mirroring
-	settled settlement
-	idle    idle
-	// local holds the answers of this node's own MirrorStore.
-	local []Message
+	// reportedOwner is the live node that owns the partition, as it told last.
+	reportedOwner machine.ID
+	claim         claim
+	release       release
+	recover       recovery
+	mirrors       mirroring
+	pendingTrim   trimNotice
+	idleCheck     idleCheck
+	// localAnswers holds the answers of this node's own MirrorStore.
+	localAnswers []Message
 }
 
 // NewReplica returns a following replica, or every finding about the config.
@@ -70,7 +70,7 @@
 	if r.state == StateOwning || r.state == StateReleasing {
 		return r.config.Self, true
 	}
-	return Owner(r.config.ID, r.view.Placement, r.view.Nodes, r.holder)
+	return Owner(r.config.ID, r.view.Placement, r.view.Nodes, r.reportedOwner)
 }
 
 // Step takes the driver's answer to a request: an Appended or a ReadDone.
@@ -145,9 +145,9 @@
 // advance drives the replica on after any event.
 func (r *Replica) advance() {
 	r.advanceState()
-	for len(r.local) > 0 {
-		answer := r.local[0]
-		r.local = r.local[1:]
+	for len(r.localAnswers) > 0 {
+		answer := r.localAnswers[0]
+		r.localAnswers = r.localAnswers[1:]
 		r.handle(r.config.Self, answer)
 		r.advanceState()
 	}
@@ -179,32 +179,32 @@
 // lose ends this node's part: what was not confirmed is void for it, and its
 // state is dropped.
 func (r *Replica) lose() {
-	r.collect()
-	r.keepRest()
+	r.collectFound()
+	r.keepUnlogged()
 	r.journal.Reset()
 	r.state = StateFollowing
 	r.ready.Lost = true
 	r.ready.Acquired = false
-	r.holder = ""
+	r.reportedOwner = ""
 	r.mirrors = mirroring{}
-	r.settled = settlement{}
+	r.pendingTrim = trimNotice{}
 	r.release = release{}
-	r.idle = idle{}
+	r.idleCheck = idleCheck{}
 	r.recover = recovery{}
 	r.claim.postpone(r.now)
 }
 
-// keepRest lets this node's MirrorStore answer for the epoch that it lost, if
+// keepUnlogged lets this node's MirrorStore answer for the epoch that it lost, if
 // the epoch had mirrors that a later one must read.
-func (r *Replica) keepRest() {
+func (r *Replica) keepUnlogged() {
 	owned := r.state == StateOwning || r.state == StateReleasing
 	if owned && len(r.mirrors.links) > 0 && r.config.Mirrors != nil {
-		r.config.Mirrors.keep(r.config.ID, r.journal.Rest())
+		r.config.Mirrors.keepOwned(r.config.ID, r.journal.Rest())
 	}
 }
 
-// collect takes over what the journal found before it is reset.
-func (r *Replica) collect() {
+// collectFound takes over what the journal found before it is reset.
+func (r *Replica) collectFound() {
 	found := r.journal.TakeFound()
 	r.ready.Recovered = append(r.ready.Recovered, found.Recovered...)
 	r.ready.Confirmed = append(r.ready.Confirmed, found.Confirmed...)
@@ -217,7 +217,7 @@
 	if to == r.config.Self {
 		if r.config.Mirrors != nil {
 			for _, answer := range r.config.Mirrors.Step(to, message) {
-				r.local = append(r.local, answer.Message)
+				r.localAnswers = append(r.localAnswers, answer.Message)
 			}
 		}
 		return
