--- a/partition/benchmark_test.go
+++ b/partition/benchmark_test.go
@@ -10,11 +10,11 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// benchmarkValue is as large as a typical record of a program.
+// benchmarkValue has the size of a typical record of a program.
 var benchmarkValue = strings.Repeat("x", 300)
 
-// newBenchmarkCluster returns a cluster that keeps no account of values, and
-// its owner.
+// newBenchmarkCluster returns a cluster that does not check values, and its
+// owner.
 func newBenchmarkCluster(b *testing.B, adjust func(*Config)) (*cluster, *simulatedNode) {
 	c := newCluster(1, fiveNodes, adjust)
 	c.skipChecks = true
@@ -30,9 +30,9 @@
 	}
 }
 
-// BenchmarkProposeMirrors measures a record from Propose to Confirmed, ten in
-// a group: the processor time of all nodes together, the virtual time with a
-// log of 5 ms and links of 2 ms, and what is sent to mirrors.
+// BenchmarkProposeMirrors measures a record from Propose to Confirmed, in
+// groups of ten: the processor time of all nodes together, the virtual time
+// with a log of 5 ms and links of 2 ms, and the bytes sent to mirrors.
 func BenchmarkProposeMirrors(b *testing.B) {
 	const group = 10
 	payload, _ := json.Marshal(benchmarkValue)
@@ -78,9 +78,9 @@
 }
 
 // BenchmarkRecover measures the takeover of a dead owner's partition, from the
-// moment the view shows the death: the processor time, the virtual time with
-// a log of 5 ms for each request, and the entries read. The state is one
-// record for each program; history is how many records each of them had.
+// time when the view shows the death: the processor time, the virtual time with
+// a log of 5 ms per request, and the entries read. The state has one record per
+// program; history is the number of records that were written for each program.
 func BenchmarkRecover(b *testing.B) {
 	cases := []struct {
 		programs, history int
@@ -121,7 +121,7 @@
 	}
 }
 
-// writeHistory has an owner write the records of its programs.
+// writeHistory has the owner write the records of its programs.
 func writeHistory(b *testing.B, c *cluster, owner *simulatedNode, programs, history int, snapshots bool) {
 	payload, _ := json.Marshal(benchmarkValue)
 	state := make([]string, programs)
--- a/partition/claim.go
+++ b/partition/claim.go
@@ -8,21 +8,24 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// claim follows this node on its way to ownership.
+// claim is the progress of this node towards ownership.
 type claim struct {
 	backoff retry.Backoff
-	// notBefore delays the next look at the stream, or the next question.
+	// notBefore is the earliest time of the next read of the stream's tail, or
+	// of the next handover request.
 	notBefore time.Time
 	// readingTail is set while the end of the stream is being read.
 	readingTail bool
-	// requestedFrom is the live node that is requestedFrom to hand over, and askedEpoch the
-	// epoch it won. heardAt is when it was first requestedFrom, or answered last.
+	// requestedFrom is the live node that was sent a handover request, and
+	// requestedEpoch the epoch that it won. respondedAt is the time of its last
+	// answer, or of the first request.
 	requestedFrom  machine.ID
 	requestedEpoch uint64
 	respondedAt    time.Time
-	// releasedEpoch is the newest epoch that its winner has given up.
+	// releasedEpoch is the newest epoch whose winner no longer prevents a
+	// claim.
 	releasedEpoch uint64
-	// submitted is set once the claim was handed to the journal.
+	// submitted is set once the claim was passed to the journal.
 	submitted bool
 	// previousOwner is the machine that won the epoch before the claim.
 	previousOwner machine.ID
@@ -36,13 +39,13 @@
 	}}
 }
 
-// postpone starts over after a wait.
+// postpone restarts the claim after a backoff.
 func (c *claim) postpone(now time.Time) {
 	c.notBefore = now.Add(c.backoff.Next())
 	c.reset()
 }
 
-// reset forgets what was learnt of the stream and its owner.
+// reset discards what was read about the stream and its owner.
 func (c *claim) reset() {
 	c.readingTail = false
 	c.submitted = false
@@ -50,8 +53,8 @@
 	c.requestedEpoch = 0
 }
 
-// SetView tells the replica which nodes are live. Nodes that come and go
-// within the dwell times change nothing.
+// SetView updates this node's view of the machine list. Changes that revert
+// within the dwell times have no effect.
 func (r *Replica) SetView(now time.Time, view View) {
 	r.now = now
 	r.view = view
@@ -64,7 +67,8 @@
 	r.advance()
 }
 
-// candidates are the nodes that may own: not this one while it stops.
+// candidates returns the nodes that may own the partition. It excludes this
+// node while it is stopping.
 func (r *Replica) candidates() []machine.Machine {
 	if !r.view.Stopping {
 		return r.view.Nodes
@@ -78,9 +82,9 @@
 	return others
 }
 
-// running reports whether the node is believed to run. It may be leaving, or
-// in a zone that the placement does not permit (any more): then it owns and
-// mirrors nothing new, but can still hand over and answer for what it holds.
+// running reports whether the node is believed to run. It may be leaving, or in
+// a zone that is not permitted: then it takes no new partitions or mirror
+// roles, but can still hand over and answer for what it holds.
 func (r *Replica) running(id machine.ID) bool {
 	for _, node := range r.view.Nodes {
 		if node.ID == id && node.Status != machine.StatusDead {
@@ -100,13 +104,15 @@
 	return false
 }
 
-// desiredFor reports whether the desired owner has been the same for the time.
+// desiredFor reports whether the desired owner has been the same for at least
+// dwell.
 func (r *Replica) desiredFor(dwell time.Duration) bool {
 	return !r.desiredSince.IsZero() && !r.now.Before(r.desiredSince.Add(dwell))
 }
 
-// advanceFollowing looks at the stream once this node is to own it, and asks
-// a live owner to hand over.
+// advanceFollowing reads the tail of the stream once this node has been the
+// desired owner for ClaimDwell. Depending on the tail it claims the partition
+// or asks the live owner to hand over.
 func (r *Replica) advanceFollowing() {
 	if r.desired != r.config.Self || !r.desiredFor(r.config.ClaimDwell) {
 		r.claim.reset()
@@ -136,9 +142,8 @@
 	r.requestHandover(recordlog.WriterMachine(tail.Last.Writer), tail.Last.Epoch)
 }
 
-// claimable reports whether nothing speaks against a claim after the epoch:
-// its winner is not live, gave the epoch up, or is an earlier process of this
-// node.
+// claimable reports whether the node may claim after the epoch: its winner is
+// not live, has released the epoch, or is an earlier process of this node.
 func (r *Replica) claimable(writer string, epoch uint64) bool {
 	winner := recordlog.WriterMachine(writer)
 	return epoch <= r.claim.releasedEpoch || winner == r.config.Self || !r.running(winner)
@@ -162,8 +167,8 @@
 	r.send(r.claim.requestedFrom, Message{RequestHandover: &HandoverRequest{Epoch: r.claim.requestedEpoch}})
 }
 
-// repeatHandoverRequest repeats the question until the owner hands over, leaves the view
-// or has been silent for too long.
+// repeatHandoverRequest repeats the request until the owner hands over, leaves
+// the view or has been silent for OwnerPatience.
 func (r *Replica) repeatHandoverRequest() {
 	silent := !r.now.Before(r.claim.respondedAt.Add(r.config.OwnerPatience))
 	if silent || !r.running(r.claim.requestedFrom) {
@@ -175,8 +180,8 @@
 	}
 }
 
-// ownerReleased notes that the winner of the epoch does not stand against a claim,
-// and looks at the stream again.
+// ownerReleased records that the winner of the epoch no longer prevents a
+// claim, and reads the tail of the stream again.
 func (r *Replica) ownerReleased(epoch uint64) {
 	r.reportedOwner = ""
 	r.claim.releasedEpoch = max(r.claim.releasedEpoch, epoch)
@@ -187,8 +192,8 @@
 }
 
 // advanceClaiming appends the claim once the stream is read to its end. A
-// claim that was sent is seen through whatever the view says meanwhile: it may
-// stand in the log already.
+// submitted claim is completed even if the view changes meanwhile, because the
+// log may already hold it.
 func (r *Replica) advanceClaiming() {
 	if r.journal.Open() {
 		r.startRecovering()
@@ -213,9 +218,9 @@
 	r.journal.Claim(r.now, r.config.Self)
 }
 
-// AnswerWithoutReplica answers a message about a partition for which a node keeps no
-// Replica; false when the message needs no answer. Messages for mirrors go to
-// the MirrorStore.
+// AnswerWithoutReplica answers a message about a partition for which a node has
+// no Replica. It returns false when the message needs no answer. Messages for
+// mirrors go to the MirrorStore instead.
 func AnswerWithoutReplica(message Message) (Message, bool) {
 	if message.RequestHandover == nil {
 		return Message{}, false
@@ -224,7 +229,7 @@
 	return Message{Partition: message.Partition, Handover: offer}, true
 }
 
-// StepMessage takes a message from another replica or a mirror.
+// StepMessage processes a message from another replica or a mirror.
 func (r *Replica) StepMessage(now time.Time, from machine.ID, message Message) {
 	r.now = now
 	r.handle(from, message)
@@ -255,16 +260,16 @@
 	}
 }
 
-// checkSuperseded reads the stream on when another node knows of a later epoch
-// than the one that this node owns.
+// checkSuperseded reads on in the stream when another node reports a later
+// epoch than the one that this node owns.
 func (r *Replica) checkSuperseded(epoch uint64) {
 	if epoch > r.journal.Epoch() {
 		r.journal.CheckSuperseded(r.now)
 	}
 }
 
-// answerHandoverRequest keeps the partition while this node owns the epoch or is about
-// to, and gives the epoch up otherwise.
+// answerHandoverRequest defers the handover while this node owns the epoch or
+// is about to, and otherwise offers the epoch.
 func (r *Replica) answerHandoverRequest(from machine.ID, ask HandoverRequest) {
 	if r.state != StateFollowing && r.journal.Epoch() >= ask.Epoch {
 		r.send(from, Message{DeferHandover: &HandoverDeferral{Epoch: ask.Epoch}})
@@ -273,8 +278,8 @@
 	r.send(from, Message{Handover: &HandoverOffer{Epoch: ask.Epoch}})
 }
 
-// NextWake returns when Tick is due, or the zero time. The replica has acted
-// on every timer up to the last event.
+// NextWake returns when Tick is due, or the zero time for never. Timers up to
+// the time of the last event have already been processed.
 func (r *Replica) NextWake() time.Time {
 	wake := r.journal.NextWake()
 	for _, at := range r.timers() {
@@ -285,7 +290,8 @@
 	return wake
 }
 
-// timers are the times at which the present state may change by itself.
+// timers returns the times at which the current state may change without an
+// event.
 func (r *Replica) timers() []time.Time {
 	switch r.state {
 	case StateFollowing:
--- a/partition/cluster_test.go
+++ b/partition/cluster_test.go
@@ -13,13 +13,14 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The delays of the simulated cluster.
+// Delays of the simulated cluster: logDelay is the time of a whole request to
+// the log, linkDelay that of a message between nodes.
 const (
 	logDelay  = 5 * time.Millisecond
 	linkDelay = 2 * time.Millisecond
 )
 
-// simulatedEvent is something that happens at a virtual time.
+// simulatedEvent is an event at a virtual time.
 type simulatedEvent struct {
 	at    time.Time
 	order int
@@ -44,8 +45,8 @@
 	return last
 }
 
-// simulatedNode is one node: its replica, its mirror store, and what a state
-// machine on it would hold.
+// simulatedNode is one node: its replica, its mirror store, and the state that
+// a state machine on it would hold.
 type simulatedNode struct {
 	id       machine.ID
 	zone     zone.Name
@@ -54,7 +55,7 @@
 	starts   uint64
 	alive    bool
 	paused   bool
-	deferred []func() // events that wait for the pause to end
+	deferred []func() // events to run after the pause
 	wake     time.Time
 	state    []string // payloads of records, in order
 	owning   bool
@@ -74,7 +75,7 @@
 	log                 *simulatedLog
 	nodes               []*simulatedNode
 	blocked             map[[2]machine.ID]bool
-	hidden              map[machine.ID]bool // not in the machine list
+	hidden              map[machine.ID]bool // missing from the machine list
 	stopping            map[machine.ID]bool
 	deferring           map[machine.ID]bool
 	adjust              func(*Config)
@@ -82,10 +83,10 @@
 	// confirmed lists the values that were confirmed to a caller, in order of
 	// confirmation.
 	confirmed []string
-	// proposer tells under which epoch a value was proposed.
+	// proposer maps each value to the epoch in which it was proposed.
 	proposer map[string]uint64
 	failures []string
-	// skipChecks turns the account of values off, for benchmarks, which count
+	// skipChecks disables the checks of values for benchmarks, which count
 	// confirmations and the bytes sent to mirrors instead.
 	skipChecks    bool
 	confirmations int
@@ -116,7 +117,7 @@
 	return c
 }
 
-// start begins a new process on the node, with empty memory.
+// start starts a new process on the node, with empty memory.
 func (c *cluster) start(node *simulatedNode) {
 	node.starts++
 	writer := recordlog.WriterName(node.id, node.starts)
@@ -149,8 +150,8 @@
 	heap.Push(&c.events, simulatedEvent{at: c.now.Add(delay), order: c.order, run: run})
 }
 
-// deliver runs an event on a node's present process, later if it is paused,
-// and never if the process died meanwhile.
+// deliver runs an event on the node's current process after the delay: later if
+// the process is paused, and never if it has died.
 func (c *cluster) deliver(node *simulatedNode, delay time.Duration, run func()) {
 	process := node.starts
 	c.after(delay, func() {
@@ -196,7 +197,7 @@
 	return true
 }
 
-// settle performs what a node's replica wants done.
+// settle performs all pending output of a node's replica.
 func (c *cluster) settle(node *simulatedNode) {
 	for node.replica.HasReady() {
 		c.perform(node, node.replica.Ready())
@@ -267,7 +268,7 @@
 	return value
 }
 
-// confirm notes that a caller was told that its record is durable.
+// confirm records that a caller was told that its record is durable.
 func (c *cluster) confirm(node *simulatedNode, confirmed Confirmed) {
 	c.confirmations++
 	if c.skipChecks {
@@ -298,8 +299,8 @@
 	c.failures = append(c.failures, fmt.Sprintf(format, values...))
 }
 
-// checkRecovered holds a new owner's state against what was confirmed before:
-// every record once, those of one epoch in their order.
+// checkRecovered compares a new owner's state with the values confirmed before:
+// it must have every confirmed value once, and those of one epoch in order.
 func (c *cluster) checkRecovered(node *simulatedNode) {
 	if c.skipChecks {
 		return
@@ -344,7 +345,7 @@
 	})
 }
 
-// receive hands a message to the replica or the mirror store.
+// receive passes a message to the replica or the mirror store.
 func (c *cluster) receive(node *simulatedNode, from machine.ID, message Message) {
 	if !message.ForMirror() {
 		node.replica.StepMessage(c.now, from, message)
@@ -364,7 +365,7 @@
 	return nil
 }
 
-// viewChanged tells every live node the machine list.
+// viewChanged sends the machine list to every node.
 func (c *cluster) viewChanged() {
 	var nodes []machine.Machine
 	for _, node := range c.nodes {
@@ -409,7 +410,7 @@
 	c.viewChanged()
 }
 
-// owner returns the newest node that may propose.
+// owner returns the node with the newest epoch that may propose.
 func (c *cluster) owner() *simulatedNode {
 	var newest *simulatedNode
 	for _, node := range c.nodes {
--- a/partition/config.go
+++ b/partition/config.go
@@ -10,49 +10,53 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// Config sets one node's part in one partition.
+// Config configures one node's Replica of one partition.
 type Config struct {
 	ID ID
-	// Self is this node.
+	// Self is the ID of this node.
 	Self machine.ID
-	// Writer is recordlog.WriterName of this process: another one at each start.
+	// Writer is the recordlog.WriterName of this process. It differs at each
+	// start of the process.
 	Writer string
 
-	// MirrorCount is how many mirrors an owner keeps ready; zero for none.
+	// MirrorCount is the number of mirrors that an owner keeps; zero for none.
 	MirrorCount int
-	// Mirrors is this node's own store, in which it mirrored owners before it.
-	// It is required when MirrorCount is more than zero.
+	// Mirrors is this node's own store, which may hold entries of previous
+	// owners. It is required when MirrorCount is more than zero.
 	Mirrors *MirrorStore
-	// MirrorDelay is how long an append may go unanswered before mirrors get
-	// the entries.
+	// MirrorDelay is how long an append may go unanswered before its entries
+	// are sent to mirrors.
 	MirrorDelay time.Duration
-	// MirrorTimeout is how long a mirror may leave a message unanswered
-	// before it is repeated, and before an owner opens without it.
+	// MirrorTimeout is how long to wait for a mirror's answer before a message
+	// is repeated, and before a new owner opens its epoch without that mirror.
 	MirrorTimeout time.Duration
-	// AcceptLossAfter is how long a recovery waits before it goes on with the
-	// mirrors that answered, when those that are live and were not restarted
-	// are too few for a quorum. Records that only the others hold are lost
-	// then. Zero waits until a quorum answers or AcceptLoss is called.
+	// AcceptLossAfter is how long a recovery waits when the mirrors that are
+	// live and have not been restarted are too few for a read quorum. After
+	// that it continues with those that answered, and records that only the
+	// others held are lost. Zero waits until a quorum answers or AcceptLoss is
+	// called.
 	AcceptLossAfter time.Duration
 
 	// ClaimDwell is how long this node must be the desired owner before it
-	// claims, and HandoverDwell how long an owner must see another desired
-	// owner before it hands over. Both bridge a flapping machine list.
+	// claims. HandoverDwell is how long an owner must see the same other
+	// desired owner before it hands over. Both keep a flapping machine list
+	// from moving the partition.
 	ClaimDwell    time.Duration
 	HandoverDwell time.Duration
-	// ClaimBackoff is the least wait before this node claims again after it
-	// lost, or asks a live owner again; the wait grows to eight times that.
+	// ClaimBackoff is the shortest wait before this node claims again after a
+	// lost claim, or repeats a handover request to a live owner. The wait grows
+	// to eight times that.
 	ClaimBackoff time.Duration
-	// OwnerPatience is how long a live owner may leave questions about a
-	// hand-over unanswered before this node claims all the same.
+	// OwnerPatience is how long a live owner may leave handover requests
+	// unanswered before this node claims without its consent.
 	OwnerPatience time.Duration
 
-	// IdleCheck is how often an owner that has nothing to append looks whether
-	// the stream holds a later claim. It bounds how long a lapsed owner that
-	// nobody told may answer reads from its state.
+	// IdleCheck is how often an owner with nothing to append checks the stream
+	// for a later claim. It bounds how long an owner that was superseded
+	// without being notified may serve reads from its state.
 	IdleCheck time.Duration
 
-	// The rest are the bounds of recordlog.Config.
+	// The remaining fields are passed to recordlog.Config.
 	AppendTimeout           time.Duration
 	AppendRetryMinimum      time.Duration
 	AppendRetryMaximum      time.Duration
@@ -61,16 +65,16 @@
 	MaximumBatchRecords     int
 	ReadBatch               int
 	SnapshotEvery           int
-	// Random draws the jitter of every backoff.
+	// Random provides the jitter of every backoff.
 	Random *rand.Rand
 }
 
-// claimBackoffGrowth is the ratio of the longest to the shortest wait between
-// two claims.
+// claimBackoffGrowth is the ratio of the longest to the shortest ClaimBackoff
+// wait.
 const claimBackoffGrowth = 8
 
-// DefaultConfig returns the config that the daemon uses for a partition.
-// Mirrors is left for the caller to set.
+// DefaultConfig returns the configuration that the daemon uses for a partition.
+// The caller sets Mirrors.
 func DefaultConfig(id ID, self machine.ID, writer string, random *rand.Rand) Config {
 	log := recordlog.DefaultConfig(writer, random)
 	return Config{
@@ -97,7 +101,7 @@
 	}
 }
 
-// journalConfig returns the part of the config that the journal checks.
+// journalConfig returns the configuration of the journal, which validates it.
 func (c Config) journalConfig() recordlog.Config {
 	return recordlog.Config{
 		Writer:                  c.Writer,
@@ -113,8 +117,8 @@
 	}
 }
 
-// validate returns every finding about the config besides the journal's,
-// joined.
+// validate returns all findings about the fields that the journal does not
+// validate, joined.
 func (c Config) validate() error {
 	found := findings.Of("partition config")
 	_, err := Parse(c.ID.String())
@@ -123,8 +127,8 @@
 	found.Require(strings.HasPrefix(c.Writer, string(c.Self)) && recordlog.WriterMachine(c.Writer) == c.Self, "Writer",
 		"got %q, want recordlog.WriterName of %q", c.Writer, c.Self)
 	findings.AtLeast(found, "MirrorCount", c.MirrorCount, 0)
-	found.Require(c.MirrorCount <= 0 || c.Mirrors != nil, "Mirrors", "missing, but MirrorCount asks for mirrors")
-	found.Require(c.Mirrors == nil || c.Mirrors.config.Instance == c.Writer, "Mirrors", "its Instance is another one than Writer")
+	found.Require(c.MirrorCount <= 0 || c.Mirrors != nil, "Mirrors", "missing, but required when MirrorCount is more than 0")
+	found.Require(c.Mirrors == nil || c.Mirrors.config.Instance == c.Writer, "Mirrors", "its Instance differs from Writer")
 	findings.Positive(found, "MirrorDelay", c.MirrorDelay)
 	findings.Positive(found, "MirrorTimeout", c.MirrorTimeout)
 	findings.Positive(found, "ClaimBackoff", c.ClaimBackoff)
--- a/partition/example_test.go
+++ b/partition/example_test.go
@@ -10,13 +10,13 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// stream is the partition's stream, in memory.
+// stream is the partition's stream, kept in memory.
 type stream struct {
 	entries []recordlog.Entry
 }
 
-// drive performs what the replica wants done, until it is idle. A real driver
-// performs the requests elsewhere, and sends the messages to other nodes.
+// drive performs the replica's output until there is no more. A real driver
+// performs the requests asynchronously, and sends the messages to other nodes.
 func (s *stream) drive(replica *partition.Replica, now time.Time) {
 	for replica.HasReady() {
 		ready := replica.Ready()
@@ -62,13 +62,13 @@
 	start := func(node machine.Machine) *partition.Replica {
 		writer := recordlog.WriterName(node.ID, 1)
 		config := partition.DefaultConfig(id, node.ID, writer, rand.New(rand.NewPCG(1, 2)))
-		config.MirrorCount = 0 // a deployment keeps mirrors in other zones
+		config.MirrorCount = 0 // a deployment has mirrors in other zones
 		replica, err := partition.NewReplica(config)
 		if err != nil {
 			fmt.Println(err)
 		}
 		replica.SetView(now, partition.View{Placement: "isando_midrand-a", Nodes: []machine.Machine{node}})
-		now = replica.NextWake() // the dwell time before a claim
+		now = replica.NextWake() // the end of ClaimDwell
 		replica.Tick(now)
 		log.drive(replica, now)
 		return replica
@@ -88,7 +88,7 @@
 	// owns epoch 2
 }
 
-// Every node computes the same owner from the same list.
+// All nodes compute the same owner from the same list.
 func ExampleOwner() {
 	nodes := []machine.Machine{
 		{ID: "10.0.0.1", Zone: "isando"},
--- a/partition/id.go
+++ b/partition/id.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// ID names a partition: one log stream, one placement, one valid owner. Its
-// text form is "<group>.<index>", which is also the stream's name.
+// ID identifies a partition. Its text form is "<group>.<index>", which is also
+// the name of its log stream.
 type ID struct {
 	Group Group `json:"group"`
 	Index int   `json:"index"`
 }
 
-// Group names the programs whose partitions share one placement: those of one
-// branch of the settings. Its placement is not part of the name, so that a
-// group whose place rule changes keeps its streams, and only its owners move.
+// Group identifies the programs of one branch of the settings, whose partitions
+// share one placement. The placement is not part of the name: when it changes,
+// the group keeps its streams and only the owners move.
 type Group string
 
-// indexSeparator divides the group from the index in a partition's text form.
+// indexSeparator separates the group from the index in a partition's text form.
 // No group contains it.
 const indexSeparator = "."
 
-// branchSeparator stands for "/" in the name of a branch's group.
+// branchSeparator replaces "/" of a branch's path in the name of its group.
 const branchSeparator = "~"
 
 var validGroup = regexp.MustCompile(`^(~|[a-z0-9-]+(~[a-z0-9-]+)*)$`)
@@ -49,7 +49,7 @@
 	return string(id.Group) + indexSeparator + strconv.Itoa(id.Index)
 }
 
-// Parse reads the text form of a partition.
+// Parse parses the text form of a partition's ID.
 func Parse(text string) (ID, error) {
 	group, index, found := strings.Cut(text, indexSeparator)
 	if !found {
--- a/partition/message.go
+++ b/partition/message.go
@@ -5,7 +5,7 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// Message is what replicas and mirrors of one partition send to each other.
+// Message is a message between the replicas and mirrors of one partition.
 // Exactly one of the optional fields is set.
 type Message struct {
 	Partition       ID                `json:"partition"`
@@ -20,37 +20,37 @@
 	Claimed         *Claimed          `json:"claimed,omitempty"`
 }
 
-// MirrorAppend hands a mirror entries that the log has not confirmed. Without
-// entries it only trims, and without Instance it asks whether the receiver
-// would be a mirror, and under which instance.
+// MirrorAppend sends a mirror entries that the log has not confirmed. Without
+// Entries it only trims. Without Instance it asks whether the receiver would be
+// a mirror, and as which instance.
 type MirrorAppend struct {
 	Epoch uint64 `json:"epoch"`
-	// Instance is the process that must hold the entries.
+	// Instance identifies the process that must hold the entries.
 	Instance string `json:"instance,omitempty"`
-	// LoggedSequence says that the log holds every entry of the epoch up to it, so
-	// that mirrors may forget them.
+	// LoggedSequence is the sequence up to which the log holds the epoch;
+	// mirrors may drop the entries up to it.
 	LoggedSequence uint64            `json:"logged"`
 	Entries        []recordlog.Entry `json:"entries,omitempty"`
 }
 
-// MirrorAck says that a mirror holds every entry of the epoch up to Sequence
+// MirrorAck reports that a mirror holds every entry of the epoch up to Sequence
 // that the log does not have.
 type MirrorAck struct {
 	Epoch    uint64 `json:"epoch"`
 	Instance string `json:"instance"`
 	Sequence uint64 `json:"sequence"`
-	// Refused is set when a later epoch has read this mirror.
+	// Refused is set when the mirror has been read by a later epoch.
 	Refused bool `json:"refused,omitempty"`
 	// Restarted is set when the process that was asked for is gone.
 	Restarted bool `json:"restarted,omitempty"`
 	// Trimmed is set in the answer to a MirrorTrim.
 	Trimmed bool `json:"trimmed,omitempty"`
-	// Full is set when the mirror's memory has no room for the entries.
+	// Full is set when the entries would exceed the mirror's memory limit.
 	Full bool `json:"full,omitempty"`
 }
 
-// MirrorQuery asks a mirror for what it holds of Epoch after Sequence. From
-// then on the mirror refuses entries of epochs before Reader.
+// MirrorQuery asks a mirror for its entries of Epoch after Sequence. From then
+// on the mirror refuses entries of epochs before ReaderEpoch.
 type MirrorQuery struct {
 	Epoch       uint64 `json:"epoch"`
 	Instance    string `json:"instance"`
@@ -63,46 +63,51 @@
 	Epoch       uint64 `json:"epoch"`
 	Instance    string `json:"instance"`
 	ReaderEpoch uint64 `json:"reader"`
-	// Entries follow directly on the Sequence of the query, as many as one
-	// message may hold. Last is the newest sequence that the mirror holds.
+	// Entries start directly after the Sequence of the query and are limited to
+	// the size of one message. LastSequence is the newest sequence that the
+	// mirror holds.
 	Entries      []recordlog.Entry `json:"entries,omitempty"`
 	LastSequence uint64            `json:"last"`
 	// Complete is set when the answering process owned the epoch and has lost
-	// it: Entries are all that anybody can have of it beyond the log.
+	// it: beyond the log, no other node can hold more of the epoch than
+	// Entries.
 	Complete bool `json:"complete,omitempty"`
 	// Restarted is set when the process that was asked for is gone.
 	Restarted bool `json:"restarted,omitempty"`
-	// Refused is set when a later epoch than Reader has read this mirror.
+	// Refused is set when the mirror has been read by an epoch later than
+	// ReaderEpoch.
 	Refused bool `json:"refused,omitempty"`
 }
 
-// MirrorTrim says that the log holds every entry of the epoch up to Sequence,
-// and of all earlier epochs, so that mirrors may forget them.
+// MirrorTrim reports that the log holds every entry of the epoch up to
+// Sequence, and all entries of earlier epochs, so that mirrors may drop them.
 type MirrorTrim struct {
 	Epoch    uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
 }
 
-// HandoverRequest asks the winner of Epoch, which the sender believes live, to
-// hand the partition over to the sender.
+// HandoverRequest asks the winner of Epoch, which the sender believes to be
+// live, to hand the partition over to the sender.
 type HandoverRequest struct {
 	Epoch uint64 `json:"epoch"`
 }
 
-// HandoverOffer tells the next owner that the sender does not write to Epoch
-// (any more), so that it may claim at once.
+// HandoverOffer notifies the next owner that the sender does not write to
+// Epoch, or no longer does, so that the receiver may claim at once.
 type HandoverOffer struct {
 	Epoch uint64 `json:"epoch"`
 }
 
-// HandoverDeferral answers a HandoverAsk: the sender still owns the partition, and
-// hands it over when it sees the same desired owner for long enough.
+// HandoverDeferral answers a HandoverRequest: the sender still owns the
+// partition and hands it over once it has seen the same desired owner for
+// HandoverDwell.
 type HandoverDeferral struct {
 	Epoch uint64 `json:"epoch"`
 }
 
-// Claimed tells the winner of an earlier epoch that Epoch has begun. It only
-// spares a former owner some time: what it writes is void without it.
+// Claimed notifies the winner of an earlier epoch that Epoch has begun. It only
+// lets a previous owner notice sooner: the entries that it still writes are
+// void in any case.
 type Claimed struct {
 	Epoch uint64 `json:"epoch"`
 }
--- a/partition/mirroring.go
+++ b/partition/mirroring.go
@@ -9,47 +9,54 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// mirrorTimeoutGrowth is the ratio of the longest to the shortest wait before
-// a message to a mirror is repeated.
+// mirrorTimeoutGrowth is the ratio of the longest to the shortest backoff of a
+// message to a mirror.
 const mirrorTimeoutGrowth = 16
 
-// mirroring follows the mirrors of an owner.
+// mirroring is an owner's state about its mirrors.
 //
-// The set in force is the newest one in the log. While another set waits for
-// its place in the log, a later epoch may come to read either of them, so a
-// record is durable only with a write quorum in both.
+// The current set is the newest one in the log. While the log has not confirmed
+// a proposed set, a later epoch may read either set, so a record is durable
+// only with a write quorum in both.
 type mirroring struct {
 	current []recordlog.Mirror
-	// next waits for the log at nextSequence, zero if there is none.
+	// next is the proposed set, confirmed once the log has nextSequence.
+	// nextSequence is zero if there is none.
 	next         []recordlog.Mirror
 	nextSequence uint64
-	// links follow the members of both sets, ordered by machine.
+	// links holds the state of each member of both sets.
 	links []*mirrorLink
 	// durableSequence is the sequence up to which every set has a write quorum.
 	durableSequence uint64
-	// reviewAt is when missing members are looked for; zero for never.
+	// reviewAt is when the owner next looks for replacements of missing
+	// members; zero for never.
 	reviewAt   time.Time
 	enlistment enlistment
 }
 
-// mirrorLink is what an owner knows of one mirror.
+// mirrorLink is an owner's state about one mirror.
 type mirrorLink struct {
 	mirror recordlog.Mirror
-	// incarnation is the machine's incarnation in the view when it enlisted;
-	// a later one may mean that the process was restarted.
+	// incarnation is the machine's incarnation in the view when the mirror was
+	// added or last reviewed. A different one may mean that the process was
+	// restarted.
 	incarnation uint64
-	// ackedSequence is the sequence up to which the mirror holds what the log lacks.
+	// ackedSequence is the sequence up to which the mirror has acknowledged the
+	// entries that the log lacks.
 	ackedSequence uint64
-	// mayHoldEntries is set while the mirror may hold entries that the log has.
+	// mayHoldEntries is set while the mirror may hold entries that the log has,
+	// and so needs a trim.
 	mayHoldEntries bool
-	// restarted is set once the process that enlisted is gone.
+	// restarted is set once the process that agreed to be a mirror is gone.
 	restarted bool
-	// deadline is when the message under way is repeated; zero if none is.
+	// deadline is when the message in flight is repeated; zero if there is
+	// none.
 	deadline time.Time
 	backoff  retry.Backoff
 }
 
-// enlistment asks nodes whether, and under which instance, they would mirror.
+// enlistment is the progress of asking nodes whether, and as which instance,
+// they would be mirrors.
 type enlistment struct {
 	asked    []machine.ID
 	agreed   []recordlog.Mirror
@@ -60,7 +67,8 @@
 	return len(e.asked) > 0
 }
 
-// complete reports whether every asked node agreed or the time is up.
+// complete reports whether every asked node has agreed or the deadline has
+// passed.
 func (e *enlistment) complete(now time.Time) bool {
 	return len(e.agreed) == len(e.asked) || !now.Before(e.deadline)
 }
@@ -73,7 +81,7 @@
 	}
 }
 
-// stepMirrorAck takes a mirror's acknowledgement.
+// stepMirrorAck processes a mirror's acknowledgement.
 func (r *Replica) stepMirrorAck(from machine.ID, ack MirrorAck) {
 	if r.state == StateFollowing || r.state == StateClaiming {
 		return
@@ -105,8 +113,8 @@
 	}
 }
 
-// stepLinkAck takes what a mirror holds. Only the process that enlisted
-// counts: another one has lost what that one held.
+// stepLinkAck processes an acknowledgement of entries. Only the process that
+// agreed to be the mirror counts: any other has lost the entries.
 func (r *Replica) stepLinkAck(link *mirrorLink, ack MirrorAck) {
 	if ack.Instance != link.mirror.Instance {
 		link.restarted = true
@@ -125,7 +133,8 @@
 	r.markDurable()
 }
 
-// markDurable confirms what every set that may come to be read holds.
+// markDurable confirms the entries for which every set that a later epoch may
+// read has a write quorum.
 func (r *Replica) markDurable() {
 	durableSequence := r.quorumSequence(r.mirrors.current)
 	if r.mirrors.nextSequence > 0 {
@@ -137,8 +146,8 @@
 	}
 }
 
-// quorumSequence is the sequence up to which a write quorum of the set holds the
-// epoch; zero for a set without members.
+// quorumSequence returns the sequence up to which a write quorum of the set
+// holds the epoch; zero for an empty set.
 func (r *Replica) quorumSequence(set []recordlog.Mirror) uint64 {
 	if len(set) == 0 {
 		return 0
@@ -160,15 +169,15 @@
 	return 0
 }
 
-// degraded reports whether the log has left an append unanswered for so long
-// that mirrors get the entries.
+// degraded reports whether the log has left an append unanswered for
+// MirrorDelay, so that mirrors get the entries.
 func (r *Replica) degraded() bool {
 	since := r.journal.UnansweredSince()
 	return !since.IsZero() && !r.now.Before(since.Add(r.config.MirrorDelay))
 }
 
-// advanceMirrors takes a new set into force, sends the mirrors what they lack
-// and looks for missing members.
+// advanceMirrors adopts a confirmed set, sends the mirrors the entries that
+// they lack and looks for missing members.
 func (r *Replica) advanceMirrors() {
 	r.adoptMirrors()
 	degraded := r.degraded()
@@ -178,7 +187,7 @@
 	r.reviewMirrors(degraded)
 }
 
-// adoptMirrors notices that the log has the next set.
+// adoptMirrors makes the proposed set current once the log has it.
 func (r *Replica) adoptMirrors() {
 	m := &r.mirrors
 	if m.nextSequence == 0 || r.journal.Fold().Sequence < m.nextSequence {
@@ -192,8 +201,8 @@
 	})
 }
 
-// updateMirror sends one mirror the entries that the log does not answer for, or tells
-// it to forget what the log has.
+// updateMirror sends one mirror the entries that the log has not confirmed
+// while the log is degraded, or has it drop the entries that the log has.
 func (r *Replica) updateMirror(link *mirrorLink, degraded bool) {
 	if link.restarted || r.now.Before(link.deadline) {
 		return
@@ -214,7 +223,8 @@
 	r.send(link.mirror.ID, Message{Mirror: &request})
 }
 
-// proposeMirrors puts a set into the log, to be in force from there on.
+// proposeMirrors proposes a mirror set to the log. It becomes current once the
+// log has it.
 func (r *Replica) proposeMirrors(set recordlog.MirrorSet) {
 	r.mirrors.next = set.Members
 	r.mirrors.nextSequence = r.journal.ProposeMirrors(r.now, set)
@@ -249,7 +259,7 @@
 	return 0
 }
 
-// mirrorTimers are the times at which mirrors need attention.
+// mirrorTimers returns the times at which mirrors need a message or a review.
 func (r *Replica) mirrorTimers() []time.Time {
 	var timers []time.Time
 	since := r.journal.UnansweredSince()
--- a/partition/mirrorset.go
+++ b/partition/mirrorset.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// reviewMirrorsAfter schedules a look for missing mirrors, unless an earlier
-// one is due.
+// reviewMirrorsAfter schedules a review of the mirror set, unless an earlier
+// one is scheduled.
 func (r *Replica) reviewMirrorsAfter(wait time.Duration) {
 	at := r.now.Add(wait)
 	if r.mirrors.reviewAt.IsZero() || at.Before(r.mirrors.reviewAt) {
@@ -17,8 +17,9 @@
 	}
 }
 
-// scheduleMirrorReview schedules a review when the view gives a reason for one: a
-// member is gone or was restarted, or there are fewer than wanted.
+// scheduleMirrorReview schedules a review of the mirror set if the view calls
+// for one: a member is gone or may have been restarted, or there are fewer than
+// MirrorCount members and other candidates exist.
 func (r *Replica) scheduleMirrorReview() {
 	if r.config.MirrorCount == 0 || r.state != StateOwning {
 		return
@@ -33,9 +34,9 @@
 	}
 }
 
-// reviewMirrors replaces members that are gone: it asks candidates, and puts
-// those that agree into the log with the members that stay. It waits while
-// the log does not answer, since only the log can change the set.
+// reviewMirrors replaces members that are gone: it asks candidates, and
+// proposes a set of those that agree and the members that stay. It waits while
+// the log does not answer, because only the log can change the set.
 func (r *Replica) reviewMirrors(degraded bool) {
 	m := &r.mirrors
 	if r.state != StateOwning || m.nextSequence > 0 {
@@ -58,8 +59,8 @@
 	}
 }
 
-// reviewCandidates are the nodes to ask: members that may have been restarted,
-// and nodes that could fill the set.
+// reviewCandidates returns the nodes to ask: members that may have been
+// restarted, and candidates to fill the set.
 func (r *Replica) reviewCandidates() []machine.ID {
 	var asked []machine.ID
 	for _, link := range r.mirrors.links {
@@ -77,7 +78,7 @@
 	return asked
 }
 
-// finishReview puts the new set into the log, if it is another one.
+// finishReview proposes the new set if it differs from the current one.
 func (r *Replica) finishReview(degraded bool) {
 	m := &r.mirrors
 	if !m.enlistment.complete(r.now) {
@@ -104,7 +105,7 @@
 	r.proposeMirrors(recordlog.MirrorSet{Members: members})
 }
 
-// healthyMirrors are the members that are live and were not restarted.
+// healthyMirrors returns the members that are live and have not been restarted.
 func (r *Replica) healthyMirrors() []recordlog.Mirror {
 	var kept []recordlog.Mirror
 	for _, link := range r.mirrors.links {
@@ -115,7 +116,8 @@
 	return kept
 }
 
-// spareCandidates are the candidates that are no member, best first.
+// spareCandidates returns the candidates that are not healthy members, best
+// first.
 func (r *Replica) spareCandidates() []machine.ID {
 	kept := r.healthyMirrors()
 	all := len(r.view.Nodes)
--- a/partition/mirrorstore.go
+++ b/partition/mirrorstore.go
@@ -8,13 +8,13 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// MirrorStoreConfig sets the bounds of a node's MirrorStore.
+// MirrorStoreConfig sets the limits of a node's MirrorStore.
 type MirrorStoreConfig struct {
-	// Instance is recordlog.WriterName of this process.
+	// Instance is the recordlog.WriterName of this process.
 	Instance string
-	// MaximumBytes bounds the entries held for all partitions together.
+	// MaximumBytes limits the size of the entries of all partitions together.
 	MaximumBytes int
-	// MaximumMessageBytes bounds the entries of one answer.
+	// MaximumMessageBytes limits the size of the entries of one answer.
 	MaximumMessageBytes int
 }
 
@@ -26,23 +26,25 @@
 	return found.Err()
 }
 
-// MirrorStore holds, for the owners of other nodes, entries that the log has
-// not confirmed. It lives in memory alone: a restarted process answers with
-// another instance and holds nothing.
+// MirrorStore holds entries that the log has not confirmed, for owners on other
+// nodes. It is kept in memory only: a restarted process answers as another
+// instance and holds nothing.
 type MirrorStore struct {
 	config     MirrorStoreConfig
 	partitions map[ID]*mirroredPartition
 	bytes      int
 }
 
-// mirroredPartition is what a store knows of one partition.
+// mirroredPartition is the state of one partition in a MirrorStore.
 type mirroredPartition struct {
-	// readerEpoch is the newest epoch that queried; older ones are refused.
+	// readerEpoch is the newest epoch that queried this store; entries of older
+	// epochs are refused.
 	readerEpoch uint64
 	epochs      map[uint64]*mirroredEpoch
 }
 
-// mirroredEpoch holds the entries of one epoch after logged, without gaps.
+// mirroredEpoch holds the entries of one epoch after loggedSequence, without
+// gaps.
 type mirroredEpoch struct {
 	// loggedSequence is the sequence up to which the log has the epoch.
 	loggedSequence uint64
@@ -55,7 +57,8 @@
 	return e.loggedSequence + uint64(len(e.entries))
 }
 
-// NewMirrorStore returns an empty store, or every finding about the config.
+// NewMirrorStore returns an empty store, or an error with all findings about
+// the config.
 func NewMirrorStore(config MirrorStoreConfig) (*MirrorStore, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -63,13 +66,13 @@
 	return &MirrorStore{config: config, partitions: map[ID]*mirroredPartition{}}, nil
 }
 
-// Bytes is the size of the entries that the store holds.
+// Bytes returns the size of the entries in the store.
 func (s *MirrorStore) Bytes() int {
 	return s.bytes
 }
 
-// Step takes a message for which Message.ForMirror holds and returns the
-// answers.
+// Step processes a message for which Message.ForMirror returns true, and
+// returns the answers.
 func (s *MirrorStore) Step(from machine.ID, message Message) []Outbound {
 	id := message.Partition
 	var answer Message
@@ -87,7 +90,7 @@
 	return []Outbound{{To: from, Message: answer}}
 }
 
-// partitionState returns what is known of a partitionState, remembering it from now on.
+// partitionState returns the state of a partition, creating it if needed.
 func (s *MirrorStore) partitionState(id ID) *mirroredPartition {
 	known := s.partitions[id]
 	if known == nil {
@@ -97,7 +100,8 @@
 	return known
 }
 
-// appendEntries takes entries of an owner and acknowledges what it holds of the epoch.
+// appendEntries stores an owner's entries and acknowledges the entries of the
+// epoch that the store holds.
 func (s *MirrorStore) appendEntries(id ID, request MirrorAppend) *MirrorAck {
 	ack := &MirrorAck{Epoch: request.Epoch, Instance: s.config.Instance}
 	known := s.partitionState(id)
@@ -112,8 +116,8 @@
 		ack.Restarted = true
 		return ack
 	}
-	// An owner appends to mirrors only after it opened its epoch, which
-	// settles the earlier ones.
+	// An owner sends entries to mirrors only after it has opened its epoch, so
+	// the log has the entries of all earlier epochs.
 	s.dropEpochsBefore(known, request.Epoch)
 	epoch := known.epochs[request.Epoch]
 	if epoch == nil {
@@ -126,8 +130,8 @@
 	return ack
 }
 
-// extend adds the entries that follow on what the epoch holds, and reports
-// whether there was room for them.
+// extend appends the entries that directly follow those of the epoch. It
+// reports false if they would exceed the store's limit.
 func (s *MirrorStore) extend(epoch *mirroredEpoch, entries []recordlog.Entry) bool {
 	for _, entry := range entries {
 		if entry.Sequence <= epoch.lastSequence() {
@@ -158,8 +162,8 @@
 	epoch.loggedSequence = loggedSequence
 }
 
-// keepOwned takes what this node had not logged of an epoch that it owned and lost,
-// if there is room. It answers for the whole epoch from then on.
+// keepOwned stores the unlogged entries of an epoch that this node owned and
+// lost, if they fit. From then on the store answers for the whole epoch.
 func (s *MirrorStore) keepOwned(id ID, rest recordlog.Rest) {
 	epoch := &mirroredEpoch{loggedSequence: rest.Logged}
 	if !s.extend(epoch, rest.Entries) {
@@ -170,7 +174,8 @@
 	s.partitionState(id).epochs[rest.Epoch] = epoch
 }
 
-// epochOpened forgets the epochs before one that this node opened: the log has them.
+// epochOpened drops the epochs before one that this node opened: the log has
+// their entries.
 func (s *MirrorStore) epochOpened(id ID, epoch uint64) {
 	if known := s.partitions[id]; known != nil {
 		s.dropEpochsBefore(known, epoch)
@@ -187,8 +192,8 @@
 	}
 }
 
-// answer tells a later epoch's owner what the store holds, and refuses every
-// epoch before that one from then on.
+// answer returns the store's entries to the owner of a later epoch, and refuses
+// every epoch before that one from then on.
 func (s *MirrorStore) answer(id ID, query MirrorQuery) *MirrorAnswer {
 	answer := &MirrorAnswer{Epoch: query.Epoch, Instance: s.config.Instance, ReaderEpoch: query.ReaderEpoch}
 	if query.Instance != s.config.Instance {
@@ -212,7 +217,7 @@
 	return answer
 }
 
-// chunk returns the entries after the sequence that fit in one message, at
+// chunk returns the entries after the sequence that fit in one message, but at
 // least one if there is any.
 func (s *MirrorStore) chunk(epoch *mirroredEpoch, sequence uint64) []recordlog.Entry {
 	if sequence >= epoch.lastSequence() || sequence < epoch.loggedSequence {
@@ -230,8 +235,8 @@
 	return chunk
 }
 
-// trim forgets what the log holds: all of the earlier epochs, and the epoch
-// itself up to the sequence.
+// trim drops the entries that the log holds: those of all earlier epochs, and
+// those of the epoch itself up to the sequence.
 func (s *MirrorStore) trim(id ID, trim MirrorTrim) *MirrorAck {
 	known := s.partitions[id]
 	ack := &MirrorAck{Epoch: trim.Epoch, Instance: s.config.Instance, Sequence: trim.Sequence, Trimmed: true}
@@ -247,7 +252,7 @@
 }
 
 // ForMirror reports whether the message is for the receiver's MirrorStore
-// rather than for its Replica.
+// rather than its Replica.
 func (m Message) ForMirror() bool {
 	return m.Mirror != nil || m.Query != nil || m.Trim != nil
 }
--- a/partition/mirrorstore_test.go
+++ b/partition/mirrorstore_test.go
@@ -8,7 +8,7 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// entriesAfter returns count entries of epoch 1 after a sequence.
+// entriesAfter returns count entries of epoch 1 that follow the sequence.
 func entriesAfter(sequence uint64, count int) []recordlog.Entry {
 	var entries []recordlog.Entry
 	for index := range count {
--- a/partition/owner.go
+++ b/partition/owner.go
@@ -10,18 +10,18 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Owner returns the node that should own the partition: the hint while it is
-// among the nodes in a permitted zone, else the permitted node with the greatest
-// rendezvous score. Without permitted nodes it returns false. A hint may be
-// leaving: it still serves until it has handed over.
+// Owner returns the node that should own the partition: the hint if it is
+// listed, not dead and in a permitted zone, otherwise the permitted node with
+// the highest rendezvous score. It returns false if no node is permitted. The
+// hint may be a leaving node: it serves until it has handed over.
 //
-// Rendezvous hashing moves only the partitions of a node that comes or goes,
-// and needs no agreement: two nodes with the same list name the same owner.
+// Rendezvous hashing moves only the partitions of a node that joins or leaves,
+// and needs no coordination: nodes with the same list compute the same owner.
 func Owner(id ID, placement zone.Placement, nodes []machine.Machine, hint machine.ID) (machine.ID, bool) {
 	var best machine.ID
 	var bestScore uint64
-	// The score is cheaper than the look into the placement, so that it comes
-	// first: this runs for each partition whenever a node comes or goes.
+	// The score is checked first because it is cheaper than the placement
+	// check, and this runs for each partition whenever a node joins or leaves.
 	for i := range nodes {
 		node := &nodes[i]
 		if node.ID == hint && node.Status != machine.StatusDead && placement.Contains(node.Zone) {
@@ -45,7 +45,7 @@
 	return placement.Contains(node.Zone)
 }
 
-// rendezvousScore ranks a node for a partition.
+// rendezvousScore returns the score that ranks a node for a partition.
 func rendezvousScore(id ID, node machine.ID) uint64 {
 	var buffer [128]byte
 	text := append(buffer[:0], id.Group...)
@@ -55,8 +55,8 @@
 }
 
 // MirrorCandidates returns up to count nodes that should mirror the partition
-// for the owner: permitted nodes other than the owner, by rendezvous rank,
-// nodes of zones that no holder is in yet first.
+// for the owner: permitted nodes other than the owner, by rendezvous rank.
+// Nodes in zones without the owner or another candidate come first.
 func MirrorCandidates(id ID, placement zone.Placement, nodes []machine.Machine, owner machine.ID, count int) []machine.ID {
 	ranked := rankedCandidates(id, placement, nodes, owner)
 	used := map[zone.Name]bool{}
--- a/partition/ownership_test.go
+++ b/partition/ownership_test.go
@@ -20,7 +20,7 @@
 // simulated cluster.
 const settleTime = 30 * time.Second
 
-// proposeSome proposes values on the node and returns them.
+// proposeSome proposes count values on the node and returns them.
 func proposeSome(c *cluster, node *simulatedNode, count int) []string {
 	GinkgoHelper()
 	var values []string
--- a/partition/programid.go
+++ b/partition/programid.go
@@ -10,18 +10,20 @@
 	"birchwood.example/birchwood/api"
 )
 
-// hashDigits is the length of the last part of a program's id.
+// hashDigits is the number of hexadecimal digits in the last part of a
+// program's ID.
 const hashDigits = 16
 
-// NewProgramID returns the id that a branch and a caller's key always name:
-// the branch's group, the index of one of its partitions, and a hash of both.
+// NewProgramID returns the ID of the program that a caller's key names on a
+// branch. It is deterministic: the branch's group, the index of one of its
+// partitions and a hash of branch and key.
 func NewProgramID(branch string, partitions int, key string) api.ProgramID {
 	hash := xxhash.Sum64String(branch + "\x00" + key)
 	id := ID{Group: GroupOf(branch), Index: int(hash % uint64(partitions))}
 	return api.ProgramID(fmt.Sprintf("%s.%016x", id, hash))
 }
 
-// OfProgram returns the partition that a program's id names.
+// OfProgram returns the partition that holds a program, as encoded in its ID.
 func OfProgram(program api.ProgramID) (ID, error) {
 	last := strings.LastIndexByte(string(program), '.')
 	if last < 0 {
@@ -38,8 +40,9 @@
 	return id, nil
 }
 
-// NewChildID returns the id that a parent program and a key always name: that
-// of a sub-agent, a program of its own in its parent's partition.
+// NewChildID returns the ID of the sub-agent that a key names under a parent
+// program. It is deterministic; the sub-agent is a program in its parent's
+// partition.
 func NewChildID(parent api.ProgramID, key string) (api.ProgramID, error) {
 	id, err := OfProgram(parent)
 	if err != nil {
--- a/partition/property_test.go
+++ b/partition/property_test.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The fixed part of the stateful search, the same in every run. A longer one
-// is `go test ./partition -run TestEveryConfirmedRecordSurvives -rapid.seed N
+// Defaults of the stateful search, the same in every run. For a longer search
+// run `go test ./partition -run TestEveryConfirmedRecordSurvives -rapid.seed N
 // -rapid.checks N`.
 const (
 	propertySeed   = "7"
@@ -20,7 +20,7 @@
 	propertyChecks = "2000"
 )
 
-// propertyLayouts are the zones of the nodes, one each.
+// propertyLayouts lists the zones of the nodes, one entry per node.
 var propertyLayouts = [][]zone.Name{
 	fiveNodes,
 	threeZones,
@@ -28,7 +28,7 @@
 	{"isando"},
 }
 
-// fixDefault sets a flag of rapid unless the command line did.
+// fixDefault sets a flag of rapid unless it was given on the command line.
 func fixDefault(t *testing.T, name, value string) {
 	set := false
 	flag.Visit(func(given *flag.Flag) { set = set || given.Name == name })
@@ -40,11 +40,11 @@
 	}
 }
 
-// TestEveryConfirmedRecordSurvives runs a partition under every fault at once
-// and holds it against what callers were told: a confirmed record is recovered
-// exactly once, in its order, by every later owner; a node of an earlier epoch
-// confirms nothing that a later owner does not have; and once the faults end,
-// somebody owns the partition and serves.
+// TestEveryConfirmedRecordSurvives runs a partition under combinations of all
+// faults and checks it against what callers were told: every later owner
+// recovers a confirmed record exactly once and in order; a node of an earlier
+// epoch confirms nothing that a later owner does not have; and once the faults
+// end, a node owns the partition and serves.
 func TestEveryConfirmedRecordSurvives(t *testing.T) {
 	fixDefault(t, "rapid.seed", propertySeed)
 	fixDefault(t, "rapid.steps", propertySteps)
@@ -86,7 +86,7 @@
 	})
 }
 
-// faultyWorld is a cluster with the faults that a search may choose from.
+// faultyWorld is a cluster with the faults that the search may inject.
 type faultyWorld struct {
 	*cluster
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// propose proposes on any node that believes to own the partition, lapsed
-// holders included.
+// propose proposes on any node that believes it owns the partition, including a
+// previous owner that was superseded.
 func (w *faultyWorld) propose(t *rapid.T) {
 	node := w.any(t)
 	for range rapid.IntRange(1, 20).Draw(t, "records") {
@@ -185,7 +185,8 @@
 	w.viewChanged()
 }
 
-// changePlace narrows the placement to some of its zones, or widens it again.
+// changePlace restricts the placement to the zones of one or two nodes, or
+// widens it again.
 func (w *faultyWorld) changePlace(t *rapid.T) {
 	first := rapid.SampledFrom(w.nodes).Draw(t, "first").zone
 	second := rapid.SampledFrom(w.nodes).Draw(t, "second").zone
@@ -193,9 +194,9 @@
 	w.viewChanged()
 }
 
-// healAndCheck ends every fault. The partition is then owned and serves,
-// unless a quorum of mirrors has lost its memory: that is said, and ends by
-// decision alone.
+// healAndCheck ends all faults. The partition must then be owned and serve,
+// unless a quorum of mirrors has lost its memory: then a Stall must report
+// that, and only accepting the loss ends it.
 func (w *faultyWorld) healAndCheck(t *rapid.T) {
 	w.heal()
 	w.run(time.Minute)
@@ -221,7 +222,7 @@
 	}
 }
 
-// widest is the placement of all zones that have a node.
+// widest returns the placement of all zones that have a node.
 func (w *faultyWorld) widest() zone.Placement {
 	var zones []zone.Name
 	for _, node := range w.nodes {
@@ -250,8 +251,8 @@
 	w.viewChanged()
 }
 
-// checkStalled accepts that nobody owns the partition only if a recovery says
-// that too many mirrors were restarted for a quorum to be left.
+// checkStalled accepts a partition without an owner only if a recovery reports
+// that so many mirrors were restarted that no quorum is left.
 func (w *faultyWorld) checkStalled(t *rapid.T) {
 	for _, node := range w.nodes {
 		stall, stalled := node.replica.Stall()
--- a/partition/ready.go
+++ b/partition/ready.go
@@ -6,45 +6,48 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// State is a replica's part in a partition.
+// State is a replica's role in a partition.
 type State string
 
 // The states of a Replica.
 const (
-	// StateFollowing: another node owns the partition, or nobody does yet.
+	// StateFollowing: another node owns the partition, or no node does.
 	StateFollowing State = "following"
 	// StateClaiming: this node reads the stream and appends its claim.
 	StateClaiming State = "claiming"
-	// StateRecovering: the claim won; records and mirrors are being read.
+	// StateRecovering: the claim won; the mirrors of an earlier epoch are read
+	// and this epoch is opened.
 	StateRecovering State = "recovering"
-	// StateOwning: records may be proposed.
+	// StateOwning: this node owns the partition and accepts proposals.
 	StateOwning State = "owning"
-	// StateReleasing: a planned hand-over flushes what is not confirmed yet.
+	// StateReleasing: a planned handover waits for the log to confirm all
+	// proposals.
 	StateReleasing State = "releasing"
 )
 
-// The requests to the log, their answers and what they add up to are those of
-// the journal.
+// The requests to the log, their answers and their results are those of
+// recordlog.
 type (
-	// Append asks the driver to append entries in one request.
+	// Append is a request to append entries to the partition's stream.
 	Append = recordlog.Append
-	// Read asks the driver to read the partition's stream.
+	// Read is a request to read the partition's stream.
 	Read = recordlog.Read
 	// Appended answers an Append.
 	Appended = recordlog.Appended
 	// ReadDone answers a Read.
 	ReadDone = recordlog.ReadDone
-	// Confirmed says that a proposed record is durable.
+	// Confirmed reports that a proposed record is durable.
 	Confirmed = recordlog.Confirmed
 	// Recovered is one valid record or snapshot part, in order.
 	Recovered = recordlog.Recovered
 )
 
-// NoOffset marks a record that mirrors hold and the log does not have yet.
+// NoOffset is the offset of a confirmed record that mirrors hold and the log
+// does not have yet.
 const NoOffset = recordlog.NoOffset
 
-// Ready is what a Replica wants done. The driver performs all of it, then
-// calls Ready again after the next Step.
+// Ready holds the pending output of a Replica. The driver performs all of it,
+// then calls Ready again after the next Step.
 type Ready struct {
 	State     State
 	Epoch     uint64
@@ -53,28 +56,31 @@
 	Messages  []Outbound
 	Recovered []Recovered
 	Confirmed []Confirmed
-	// Lost says that ownership ended: every unconfirmed proposal is void as
-	// far as this node knows, and its state must be dropped.
+	// Lost is set when ownership ended: this node must treat every unconfirmed
+	// proposal as void and drop the partition's state.
 	Lost bool
-	// Acquired says that recovery is complete and Propose is open. All of
-	// the partition's Recovered records were delivered before or with it.
+	// Acquired is set when recovery is complete and Propose accepts records.
+	// All of the partition's Recovered records were delivered before or with
+	// it.
 	Acquired bool
 }
 
-// View is what ownership depends on, as this node sees it.
+// View is this node's view of everything that ownership depends on.
 type View struct {
-	// Placement holds the zones that may own, mirror and read the partition.
+	// Placement lists the zones that may own, mirror and read the partition.
 	Placement zone.Placement
-	// Nodes are the nodes that are believed live, this one included. Leaving
-	// ones belong to them, with that status: they own and mirror nothing new,
-	// but are asked to hand over before anybody claims.
+	// Nodes lists the nodes that are believed to run, this one included.
+	// Leaving nodes are listed with that status: they take no new partitions or
+	// mirror roles, but are asked to hand over before another node claims.
 	Nodes []machine.Machine
-	// Stopping is set while this node leaves: it hands everything over.
+	// Stopping is set while this node leaves the cluster: it hands over all its
+	// partitions.
 	Stopping bool
-	// Excluded is set on a node that the placement does not permit, such as an
-	// owner after the placement changed: it hands the partition over at once.
+	// Excluded is set when the placement does not permit this node, for example
+	// after a change of the placement: an owner then hands the partition over
+	// at once.
 	Excluded bool
-	// DeferHandover keeps an owner from handing over: work that must not be cut is under
-	// way. HandoverDue tells when it is waited for.
+	// DeferHandover delays a handover that is due, because work that must not
+	// be interrupted is running. HandoverDue reports whether one is waiting.
 	DeferHandover bool
 }
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -9,32 +9,36 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// recovery follows this node from its claim to the opening of its epoch: it
-// reads a quorum of the mirrors that an earlier epoch may have left records
-// with, appends those records again and names its own mirrors.
+// recovery is the progress of this node from its claim to the opening of its
+// epoch. It reads a quorum of the mirrors that may hold records of an earlier
+// epoch, appends those records again and names its own mirrors.
 type recovery struct {
-	// debt is what must be read; nil when no mirror can hold anything.
+	// debt is the epoch whose mirrors must be read; nil when no mirror can hold
+	// records that the log lacks.
 	debt    *recordlog.Debt
 	sources []*recoverySource
-	// suffix is what the mirrors hold after the log's last sequence of the
-	// epoch, without gaps.
+	// suffix holds the entries that the mirrors have after the log's last
+	// sequence of the epoch, without gaps.
 	suffix    []recordlog.Entry
 	startedAt time.Time
-	// lossAccepted is set when the operator or the policy gave the rest up.
+	// lossAccepted is set when an operator or AcceptLossAfter gave up the
+	// records that were not read.
 	lossAccepted bool
-	// openingSequence is the sequence of the entry that opens the epoch, once it was
-	// proposed.
+	// openingSequence is the sequence of the entry that opens the epoch; zero
+	// until it is proposed.
 	openingSequence uint64
 }
 
-// recoverySource is one mirror that is read.
+// recoverySource is one process that is read during recovery.
 type recoverySource struct {
 	mirror recordlog.Mirror
-	// owner marks the process that owned the epoch. It is no mirror, and counts
-	// only once it has lost the epoch, but then for all of them.
+	// owner is set for the process that owned the epoch. It is not a mirror. It
+	// counts only once it has lost the epoch, but its answer then replaces
+	// those of all mirrors.
 	owner bool
-	// answered is set by the first answer of the process that enlisted; from
-	// then on last is all that it will ever hold of the epoch.
+	// answered is set by the first answer of the process that agreed to be a
+	// mirror. From then on that process accepts no more entries of the epoch,
+	// and lastSequence is final.
 	answered     bool
 	restarted    bool
 	lastSequence uint64
@@ -42,21 +46,22 @@
 	backoff      retry.Backoff
 }
 
-// Stall says why a recovery waits for mirrors.
+// Stall describes why a recovery waits for mirrors.
 type Stall struct {
 	// Epoch is the epoch whose mirrors may hold records that the log lacks.
 	Epoch uint64 `json:"epoch"`
-	// Needed is how many mirrors must be read; Read how many were.
+	// Needed is the number of mirrors that must be read, and Read the number
+	// that were.
 	Needed int `json:"needed"`
 	Read   int `json:"read"`
-	// Silent mirrors have not answered. Restarted ones have lost what they
-	// held: once fewer than Needed others are left, waiting cannot help.
+	// Silent mirrors have not answered. Restarted mirrors have lost the entries
+	// they held: if fewer than Needed others are left, waiting cannot help.
 	Silent    []machine.ID `json:"silent,omitempty"`
 	Restarted []machine.ID `json:"restarted,omitempty"`
 	Since     time.Time    `json:"since"`
 }
 
-// startRecovering begins what is left to do after the claim won.
+// startRecovering begins the recovery after the claim won.
 func (r *Replica) startRecovering() {
 	r.claim.backoff.Reset()
 	r.state = StateRecovering
@@ -73,8 +78,8 @@
 	r.advanceRecovering()
 }
 
-// addSources lists whom to read: the mirrors of the epoch in debt, and the
-// process that owned it, in case it lives.
+// addSources lists the processes to read: the mirrors of the epoch in debt, and
+// the process that owned it, which may still run.
 func (r *Replica) addSources() {
 	debt := r.recover.debt
 	if debt == nil {
@@ -89,8 +94,8 @@
 	r.recover.sources = append(r.recover.sources, source)
 }
 
-// advanceRecovering opens the epoch once the debt is read and the mirrors
-// agreed or had their time.
+// advanceRecovering opens the epoch once the debt is recovered and all nodes
+// that were asked to be mirrors have agreed or MirrorTimeout has passed.
 func (r *Replica) advanceRecovering() {
 	if r.recover.openingSequence > 0 {
 		if r.journal.Fold().Sequence >= r.recover.openingSequence {
@@ -110,7 +115,7 @@
 	r.open()
 }
 
-// querySources asks the mirrors for what was not read yet.
+// querySources queries the sources that have not been read to the end.
 func (r *Replica) querySources() {
 	for _, source := range r.recover.sources {
 		if r.recover.exhausted(source) || r.now.Before(source.deadline) {
@@ -130,12 +135,13 @@
 	}
 }
 
-// exhausted reports whether nothing more is to be had from the mirror.
+// exhausted reports whether the source can add no more entries.
 func (c *recovery) exhausted(source *recoverySource) bool {
 	return source.restarted || source.answered && source.lastSequence <= c.suffixEnd()
 }
 
-// suffixEnd is the sequence up to which the debt's epoch is known.
+// suffixEnd returns the sequence up to which the entries of the epoch in debt
+// are known.
 func (c *recovery) suffixEnd() uint64 {
 	if len(c.suffix) > 0 {
 		return c.suffix[len(c.suffix)-1].Sequence
@@ -143,7 +149,7 @@
 	return c.debt.Sequence
 }
 
-// stepMirrorAnswer takes what a mirror holds.
+// stepMirrorAnswer processes a mirror's answer to a query.
 func (r *Replica) stepMirrorAnswer(from machine.ID, answer MirrorAnswer) {
 	debt := r.recover.debt
 	relevant := r.state == StateRecovering && debt != nil && r.recover.openingSequence == 0 &&
@@ -179,13 +185,14 @@
 		}
 	}
 	if r.recover.suffixEnd() > known {
-		// The next part may be asked for at once.
+		// The next part may be requested at once.
 		source.deadline = time.Time{}
 		source.backoff.Reset()
 	}
 }
 
-// debtRecovered reports whether a read quorum of the mirrors was read to the end.
+// debtRecovered reports whether recovery may stop reading: a read quorum of the
+// mirrors was read to the end, or the loss of the rest was accepted.
 func (r *Replica) debtRecovered() bool {
 	if r.recover.debt == nil || r.recover.lossAccepted {
 		return true
@@ -201,8 +208,8 @@
 	return r.recover.lossAccepted
 }
 
-// quorumUnreachable reports whether the mirrors that may still answer are too few, and
-// the epoch's owner is gone too, as far as this node's view goes.
+// quorumUnreachable reports whether, by this node's view, too few mirrors can
+// still answer for a read quorum and the epoch's owner does not run either.
 func (r *Replica) quorumUnreachable(stall Stall) bool {
 	for _, source := range r.recover.sources {
 		if source.owner && !source.restarted && r.running(source.mirror.ID) {
@@ -218,7 +225,7 @@
 	return reachable < stall.Needed
 }
 
-// Stall tells what a recovery waits for, false when it does not wait for
+// Stall returns what a recovery waits for, or false when it does not wait for
 // mirrors.
 func (r *Replica) Stall() (Stall, bool) {
 	debt := r.recover.debt
@@ -231,7 +238,7 @@
 		case source.owner && source.answered && r.recover.exhausted(source):
 			return Stall{}, false
 		case source.owner:
-			// Nothing is missing if it stays silent.
+			// The owner is not a mirror: the quorum does not need its answer.
 		case source.restarted:
 			stall.Restarted = append(stall.Restarted, source.mirror.ID)
 		case !source.answered:
@@ -243,9 +250,9 @@
 	return stall, stall.Read < stall.Needed
 }
 
-// AcceptLoss lets a stalled recovery go on with the mirrors that answered.
-// Records that only the others hold are lost, which the log notes. It is an
-// operator's decision; Config.AcceptLossAfter makes it a policy.
+// AcceptLoss lets a stalled recovery continue with the mirrors that answered.
+// Records that only the others held are lost, and the log records this. An
+// operator decides this per case; Config.AcceptLossAfter does it automatically.
 func (r *Replica) AcceptLoss(now time.Time) {
 	r.now = now
 	if _, stalled := r.Stall(); stalled {
@@ -254,9 +261,9 @@
 	r.advance()
 }
 
-// open appends the records that only mirrors hold, and behind them the entry
-// that settles the debt and names the mirrors of this epoch. Nothing is
-// written when there is nothing to settle and nobody to name.
+// open appends the records that only mirrors hold, followed by the entry that
+// settles the debt and names the mirrors of this epoch. It writes nothing when
+// there is no debt and no mirror.
 func (r *Replica) open() {
 	for _, entry := range r.recover.suffix {
 		if entry.Kind == recordlog.KindRecord {
@@ -276,7 +283,7 @@
 	r.recover.openingSequence = r.mirrors.nextSequence
 }
 
-// acquire opens the partition for proposals.
+// acquire completes the recovery: from now on the replica accepts proposals.
 func (r *Replica) acquire() {
 	if r.recover.debt != nil {
 		r.pendingTrim = newTrimNotice(*r.recover.debt, r.journal.Epoch(), r.mirrorBackoff())
@@ -311,8 +318,9 @@
 	return timers
 }
 
-// trimNotice tells the mirrors of an earlier epoch that the log has
-// everything, until each of them has answered or is gone.
+// trimNotice notifies the mirrors and the owner of an earlier epoch that the
+// log has all its entries. It is repeated until each of them has answered or is
+// gone.
 type trimNotice struct {
 	trim       MirrorTrim
 	recipients []*trimRecipient
@@ -325,11 +333,12 @@
 	backoff  retry.Backoff
 }
 
-// trimAttempts is how often a mirror that has left the view is told.
+// trimAttempts is the number of attempts after which a recipient that has left
+// the view is dropped.
 const trimAttempts = 20
 
 func newTrimNotice(debt recordlog.Debt, epoch uint64, backoff retry.Backoff) trimNotice {
-	// The trim is of this epoch: it forgets all earlier ones.
+	// A trim of the new epoch drops all earlier epochs.
 	settled := trimNotice{trim: MirrorTrim{Epoch: epoch}}
 	for _, mirror := range debt.Mirrors {
 		settled.recipients = append(settled.recipients, &trimRecipient{mirror: mirror.ID, backoff: backoff})
@@ -339,7 +348,7 @@
 	return settled
 }
 
-// sendTrims repeats the trim to those that have not answered.
+// sendTrims repeats the trim to the recipients that have not answered.
 func (r *Replica) sendTrims() {
 	r.pendingTrim.recipients = slices.DeleteFunc(r.pendingTrim.recipients, func(link *trimRecipient) bool {
 		return link.attempts >= trimAttempts && !r.running(link.mirror)
@@ -355,7 +364,7 @@
 	}
 }
 
-// acknowledge notes that a mirror of an earlier epoch has forgotten it.
+// acknowledge removes a recipient that has answered.
 func (s *trimNotice) acknowledge(from machine.ID) {
 	s.recipients = slices.DeleteFunc(s.recipients, func(link *trimRecipient) bool { return link.mirror == from })
 }
--- a/partition/release.go
+++ b/partition/release.go
@@ -6,20 +6,21 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// release follows a planned hand-over.
+// release is the progress of a planned handover.
 type release struct {
-	// sequence is the place of the entry that ends the epoch, once proposed.
+	// sequence is that of the entry that ends the epoch; zero until it is
+	// proposed.
 	sequence uint64
 }
 
-// idleCheck follows how long the log has shown an owner nothing new.
+// idleCheck tracks how long the log has shown an owner no new entries.
 type idleCheck struct {
 	nextOffset uint64
 	checkAt    time.Time
 }
 
-// advanceOwning starts a planned hand-over when another node is to own the
-// partition for long enough, or at once when this node stops.
+// advanceOwning starts a handover that is due, unless the view defers it, and
+// otherwise keeps up the owner's mirrors and checks.
 func (r *Replica) advanceOwning() {
 	if r.HandoverDue() && !r.view.DeferHandover {
 		r.state = StateReleasing
@@ -31,8 +32,8 @@
 	r.checkIdle()
 }
 
-// checkIdle looks for a later claim when the log has shown nothing new for
-// long.
+// checkIdle checks the stream for a later claim when the log has shown no new
+// entry for IdleCheck.
 func (r *Replica) checkIdle() {
 	if nextOffset := r.journal.Fold().Next; nextOffset != r.idleCheck.nextOffset || r.idleCheck.checkAt.IsZero() {
 		r.idleCheck = idleCheck{nextOffset: nextOffset, checkAt: r.now.Add(r.config.IdleCheck)}
@@ -44,10 +45,10 @@
 	}
 }
 
-// HandoverDue reports whether an owner should hand the partition over: another
-// node has been the desired owner for the dwell time and the log answers, or
-// this node stops, or the place rule no longer permits it here. It does so at
-// once unless the view says Hold.
+// HandoverDue reports whether an owner should hand the partition over: this
+// node is stopping, the placement excludes it, or another node has been the
+// desired owner for HandoverDwell while the log answers. The handover starts at
+// once unless the view sets DeferHandover.
 func (r *Replica) HandoverDue() bool {
 	if r.state != StateOwning {
 		return false
@@ -58,9 +59,9 @@
 	return !r.degraded() && r.desired != "" && r.desired != r.config.Self && r.desiredFor(r.config.HandoverDwell)
 }
 
-// advanceReleasing appends the entry that ends the epoch behind the last
-// proposal, and offers the partition once the log has it. From then on nobody
-// needs to read a mirror of the epoch.
+// advanceReleasing appends the entry that ends the epoch after the last
+// proposal, and offers the partition once the log has it. From then on no
+// claimant needs to read the mirrors of the epoch.
 func (r *Replica) advanceReleasing() {
 	if r.release.sequence == 0 {
 		r.release.sequence = r.journal.ProposeMirrors(r.now, recordlog.MirrorSet{Released: true})
--- a/partition/replica.go
+++ b/partition/replica.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// Replica is one node's part in one partition. It is not safe for concurrent
-// use.
+// Replica is one node's state machine for one partition. It is not safe for
+// concurrent use.
 type Replica struct {
 	config  Config
 	now     time.Time
@@ -19,10 +19,11 @@
 	view    View
 	ready   Ready
 
-	// desired is the owner by this node's view, wanted since desiredSince.
+	// desired is the node that should own the partition by this node's view,
+	// since desiredSince.
 	desired      machine.ID
 	desiredSince time.Time
-	// reportedOwner is the live node that owns the partition, as it told last.
+	// reportedOwner is the live node that last reported owning the partition.
 	reportedOwner machine.ID
 	claim         claim
 	release       release
@@ -30,11 +31,12 @@
 	mirrors       mirroring
 	pendingTrim   trimNotice
 	idleCheck     idleCheck
-	// localAnswers holds the answers of this node's own MirrorStore.
+	// localAnswers are queued answers of this node's own MirrorStore.
 	localAnswers []Message
 }
 
-// NewReplica returns a following replica, or every finding about the config.
+// NewReplica returns a Replica in StateFollowing, or an error with all findings
+// about the config.
 func NewReplica(config Config) (*Replica, error) {
 	log, logErr := recordlog.New(config.journalConfig())
 	if err := errors.Join(config.validate(), logErr); err != nil {
@@ -48,24 +50,24 @@
 	}, nil
 }
 
-// State returns this node's part in the partition.
+// State returns this node's role in the partition.
 func (r *Replica) State() State {
 	return r.state
 }
 
-// Epoch returns the newest epoch that this replica knows of.
+// Epoch returns the newest epoch known to this replica.
 func (r *Replica) Epoch() uint64 {
 	return max(r.journal.Epoch(), r.journal.Fold().Epoch)
 }
 
-// Unconfirmed returns the bytes of proposals that the log has not confirmed.
+// Unconfirmed returns the size in bytes of the proposals that the log has not
+// confirmed.
 func (r *Replica) Unconfirmed() int {
 	return r.journal.UnconfirmedBytes()
 }
 
-// Owner returns the node that requests for the partition should go to, as far
-// as this node knows: the live node that last said it owns the partition, else
-// the one that should own it.
+// Owner returns the node that requests for the partition should go to: the live
+// node that last reported owning it, otherwise the node that should own it.
 func (r *Replica) Owner() (machine.ID, bool) {
 	if r.state == StateOwning || r.state == StateReleasing {
 		return r.config.Self, true
@@ -73,7 +75,7 @@
 	return Owner(r.config.ID, r.view.Placement, r.view.Nodes, r.reportedOwner)
 }
 
-// Step takes the driver's answer to a request: an Appended or a ReadDone.
+// Step processes the driver's answer to a request: an Appended or a ReadDone.
 func (r *Replica) Step(now time.Time, event any) {
 	r.now = now
 	switch answer := event.(type) {
@@ -85,14 +87,15 @@
 	r.advance()
 }
 
-// Tick lets timers act; NextWake tells when it is due.
+// Tick processes the timers that are due; NextWake returns the time of the next
+// one.
 func (r *Replica) Tick(now time.Time) {
 	r.now = now
 	r.journal.Tick(now)
 	r.advance()
 }
 
-// Propose queues a record. It is durable once Ready returns its token in
+// Propose queues a record. It is durable once a Ready returns its token in
 // Confirmed.
 func (r *Replica) Propose(now time.Time, payload json.RawMessage) (recordlog.Token, error) {
 	r.now = now
@@ -104,8 +107,8 @@
 	return token, err
 }
 
-// ProposeSnapshot queues the state as of every proposal so far, in parts.
-// Older entries need not be read again once all parts stand in the log.
+// ProposeSnapshot queues a snapshot of the state after every proposal so far,
+// in parts. Once the log has all parts, recovery need not read older entries.
 func (r *Replica) ProposeSnapshot(now time.Time, parts []json.RawMessage) error {
 	r.now = now
 	if r.state != StateOwning {
@@ -116,19 +119,19 @@
 	return err
 }
 
-// WantsSnapshot reports whether a snapshot is worth its cost by now.
+// WantsSnapshot reports whether the log has grown enough for a new snapshot.
 func (r *Replica) WantsSnapshot() bool {
 	return r.state == StateOwning && r.journal.WantsSnapshot()
 }
 
-// HasReady reports whether Ready has anything to do.
+// HasReady reports whether Ready would return any output.
 func (r *Replica) HasReady() bool {
 	return r.journal.HasReady() || len(r.ready.Messages) > 0 || r.ready.Lost || r.ready.Acquired ||
 		len(r.ready.Recovered) > 0 || len(r.ready.Confirmed) > 0
 }
 
-// Ready returns what is to be done and forgets it. Recovered and Confirmed
-// come before Lost, and Lost before Acquired, where one Ready holds several.
+// Ready returns the pending output and clears it. If one Ready holds several,
+// Recovered and Confirmed apply before Lost, and Lost before Acquired.
 func (r *Replica) Ready() Ready {
 	log := r.journal.Ready()
 	ready := r.ready
@@ -142,7 +145,7 @@
 	return ready
 }
 
-// advance drives the replica on after any event.
+// advance runs the state machine after an event.
 func (r *Replica) advance() {
 	r.advanceState()
 	for len(r.localAnswers) > 0 {
@@ -169,15 +172,15 @@
 	}
 }
 
-// observeJournal notices that another writer's claim won.
+// observeJournal detects that another writer's claim won.
 func (r *Replica) observeJournal() {
 	if r.journal.Superseded() {
 		r.lose()
 	}
 }
 
-// lose ends this node's part: what was not confirmed is void for it, and its
-// state is dropped.
+// lose ends this node's ownership or claim: its unconfirmed proposals are void
+// for it, and its state is dropped.
 func (r *Replica) lose() {
 	r.collectFound()
 	r.keepUnlogged()
@@ -194,8 +197,8 @@
 	r.claim.postpone(r.now)
 }
 
-// keepUnlogged lets this node's MirrorStore answer for the epoch that it lost, if
-// the epoch had mirrors that a later one must read.
+// keepUnlogged stores the unlogged entries of an epoch that this node lost in
+// its MirrorStore, if the epoch had mirrors that a later epoch must read.
 func (r *Replica) keepUnlogged() {
 	owned := r.state == StateOwning || r.state == StateReleasing
 	if owned && len(r.mirrors.links) > 0 && r.config.Mirrors != nil {
@@ -203,15 +206,16 @@
 	}
 }
 
-// collectFound takes over what the journal found before it is reset.
+// collectFound moves the journal's results to ready before the journal is
+// reset.
 func (r *Replica) collectFound() {
 	found := r.journal.TakeFound()
 	r.ready.Recovered = append(r.ready.Recovered, found.Recovered...)
 	r.ready.Confirmed = append(r.ready.Confirmed, found.Confirmed...)
 }
 
-// send queues a message to another node. What is for this node's own mirrors
-// is answered at once: it may have mirrored an owner before it.
+// send queues a message to another node. A message to this node's own
+// MirrorStore, which may hold entries of a previous owner, is answered at once.
 func (r *Replica) send(to machine.ID, message Message) {
 	message.Partition = r.config.ID
 	if to == r.config.Self {
--- a/partition/simulatedlog_test.go
+++ b/partition/simulatedlog_test.go
@@ -9,11 +9,12 @@
 
 var errAnswerLost = errors.New("answer lost")
 
-// simulatedLog is a stream of the log service with faults.
+// simulatedLog is an in-memory stream of the log service with injected faults.
 type simulatedLog struct {
 	entries []recordlog.Entry
 	down    bool
-	// loseAnswers is how many of the next appends take effect unanswered.
+	// loseAnswers is the number of next appends that take effect but whose
+	// answers are lost.
 	loseAnswers int
 	extraDelay  time.Duration
 	reads       int
@@ -21,7 +22,7 @@
 	appends     int
 }
 
-// append performs an append, which takes effect at half of its delay.
+// append performs an append, which takes effect after half of its delay.
 func (c *cluster) append(node *simulatedNode, request Append) {
 	c.log.appends++
 	delay := logDelay + c.log.extraDelay
