--- a/control/actions.go
+++ b/control/actions.go
@@ -12,7 +12,7 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// Action is an output of a Core: something that its driver does outside.
+// Action is an output of a Core that its driver performs.
 type Action interface{ isAction() }
 
 // AppendStream appends entries to a partition's stream; StreamAppended
@@ -31,18 +31,17 @@
 // ReadSettings reads the settings stream; SettingsRead answers it.
 type ReadSettings struct{ Read contract.FollowerRead }
 
-// FetchSettings asks a peer for the settings that it holds, because the log
-// service cannot be read and the peer knows newer ones; SettingsFetched
-// answers it.
+// FetchSettings requests the settings from a peer that has newer ones, because
+// the log service cannot be read; SettingsFetched answers it.
 type FetchSettings struct{ Peer machine.Machine }
 
-// SettingsVerdict tells what became of a change of the settings.
+// SettingsVerdict reports whether a change of the settings was accepted.
 type SettingsVerdict struct{ Verdict contract.Verdict }
 
-// SettingsChanged carries the tree that is in force on this node from now on.
+// SettingsChanged reports the tree that is now in force on this node.
 type SettingsChanged struct{ Tree *contract.Tree }
 
-// ListMachines asks for the machine list and renews this machine's own entry;
+// ListMachines reads the machine list and renews this node's own entry;
 // MachinesListed answers it.
 type ListMachines struct{ Self machine.Machine }
 
@@ -52,12 +51,13 @@
 	Message link.Message
 }
 
-// SendAttempt sends an attempt to its back end; AttemptEnded answers it, once.
+// SendAttempt sends an attempt to its back end; exactly one AttemptEnded
+// answers it.
 type SendAttempt struct {
 	Partition partition.ID
 	Attempt   program.AttemptRef
-	// Epoch goes back with the outcome, so that the outcome of another
-	// epoch's attempt of the same number is told apart.
+	// Epoch is returned with the outcome. It tells the outcomes of attempts
+	// with the same number in different epochs apart.
 	Epoch   uint64
 	Backend machine.Machine
 	Call    api.SubmitCall
@@ -68,14 +68,16 @@
 	// ImportFrom is the engine that holds the program's prefix, if it is to be
 	// transferred first.
 	ImportFrom machine.Machine
-	// Prompt locates the program's history, which precedes the call's input.
+	// Prompt holds the locations of the program's earlier calls, which precede
+	// the call's input in the prompt.
 	Prompt []program.CallLocation
 }
 
 // StopAttempt cancels an attempt; its AttemptEnded still follows.
 type StopAttempt struct{ Attempt program.AttemptRef }
 
-// LookUpKey asks a tool service about a call's key; LookupReturned answers it.
+// LookUpKey asks a tool service for the outcome of the call with a key;
+// LookupReturned answers it.
 type LookUpKey struct {
 	Call    program.CallRef
 	Backend machine.Machine
@@ -92,23 +94,23 @@
 // ListPrefixes asks an engine for its prefixes; PrefixesListed answers it.
 type ListPrefixes struct{ Backend machine.Machine }
 
-// ReleasePrefix frees a program's memory at an engine; PrefixReleased answers
-// it.
+// ReleasePrefix releases a program's prefix from an engine's cache;
+// PrefixReleased answers it.
 type ReleasePrefix struct {
 	Backend machine.Machine
 	Owner   api.ProgramID
 }
 
 // MovePrefix has the engine To fetch a program's prefix from the engine From.
-// A failure costs a prefill later and nothing else; nothing answers it.
+// If it fails, the only cost is a later prefill; nothing answers it.
 type MovePrefix struct {
 	Owner    api.ProgramID
 	From, To machine.Machine
 }
 
 // OrderModel orders an engine to load or unload a model. The driver takes the
-// fence from the log, whose order is the order of the commands; nothing
-// answers it but the machine list, once the engine has obeyed.
+// order's fencing number from the log, so that orders are ranked by their
+// position in the log. Nothing answers it: the machine list shows the result.
 type OrderModel struct {
 	Backend machine.Machine
 	Load    string
@@ -121,8 +123,8 @@
 	Reply  Reply
 }
 
-// FetchHistory reads calls back from the partition's stream and then replies
-// to a request with them: as the one Call when Single, else as History.
+// FetchHistory reads calls from the partition's stream and replies to a request
+// with them: as Reply.Call if Single is set, otherwise as Reply.History.
 type FetchHistory struct {
 	Handle    uint64
 	Partition partition.ID
@@ -132,21 +134,21 @@
 	Single    bool
 }
 
-// CallFinished says that a call is terminal and durable.
+// CallFinished reports that a call has ended and its end is durable.
 type CallFinished struct {
 	Branch string
 	Call   api.Call
 	Ended  time.Time
 }
 
-// ProgramFinished says that a program ended and the end is durable.
+// ProgramFinished reports that a program has ended and its end is durable.
 type ProgramFinished struct {
 	Program   api.Program
 	CreatedAt time.Time
 	EndedAt   time.Time
 }
 
-// PartitionChanged tells that this node acquired or lost a partition.
+// PartitionChanged reports that this node acquired or lost a partition.
 type PartitionChanged struct {
 	Partition partition.ID
 	Owned     bool
@@ -154,14 +156,15 @@
 	Programs  int
 }
 
-// PartitionUnreadable says that a partition stays closed on this node, because
-// a record of it could not be read.
+// PartitionUnreadable reports that a partition stays closed on this node
+// because one of its records cannot be decoded.
 type PartitionUnreadable struct {
 	Partition partition.ID
 	Err       error
 }
 
-// StopComplete says that a planned stop has handed everything over.
+// StopComplete reports that a planned stop has handed over every partition, or
+// has exceeded its time limit.
 type StopComplete struct{}
 
 func (AppendStream) isAction()        {}
--- a/control/apply.go
+++ b/control/apply.go
@@ -15,16 +15,17 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// pendingReply is the answer to a request that waits for durability.
+// pendingReply is a reply that waits for durability: either an answer or a
+// fetch.
 type pendingReply struct {
 	answer *Answer
 	fetch  *FetchHistory
 }
 
-// apply proposes an output's records, performs what may be done at once, and
-// keeps the rest until every record decided so far is durable. A reply waits
-// too, even when the output has no records of its own: what it tells may rest
-// on records that are still under way.
+// apply proposes an output's records, performs its immediate effects, and holds
+// the rest back until every record decided so far is durable. A reply waits
+// even if the output has no records of its own, because its content may depend
+// on earlier records that are not durable yet.
 func (c *Core) apply(now time.Time, owned *ownedPartition, output program.Output, reply *pendingReply) {
 	if len(output.Records) == 0 && len(output.Effects) == 0 && len(output.Immediate) == 0 && reply == nil {
 		return
@@ -52,14 +53,15 @@
 	c.performDurable(now, owned)
 }
 
-// proposeRecords hands the replica the records it has room for, in order.
+// proposeRecords proposes the waiting records in order, until the replica
+// refuses one.
 func (c *Core) proposeRecords(now time.Time, owned *ownedPartition) {
 	first := owned.position - uint64(len(owned.unproposed))
 	for len(owned.unproposed) > 0 {
 		record := owned.unproposed[0]
 		payload, err := json.Marshal(record)
 		if err != nil {
-			panic(fmt.Sprintf("control: a record has no JSON form: %v", err))
+			panic(fmt.Sprintf("control: encoding a program record as JSON: %v", err))
 		}
 		token, err := owned.replica.Propose(now, payload)
 		if err != nil {
@@ -92,7 +94,7 @@
 	}
 }
 
-// perform does what an effect of the programs asks for.
+// perform carries out an effect of the program store.
 func (c *Core) perform(now time.Time, owned *ownedPartition, effect program.Effect) {
 	switch effect.Kind {
 	case program.EffectStart:
@@ -110,8 +112,8 @@
 	}
 }
 
-// scheduleCall hands a call to the scheduler, now or after its delay. A partition
-// that is being handed over keeps it for the next owner.
+// scheduleCall passes a call to the scheduler, now or after its delay. A
+// partition that is being handed over postpones it for the next owner.
 func (c *Core) scheduleCall(now time.Time, owned *ownedPartition, effect program.Effect) {
 	if effect.Delay > 0 {
 		due := now.Add(effect.Delay)
@@ -144,14 +146,14 @@
 	})
 }
 
-// createdAt returns when the program was created, by which its calls are ordered
-// among those of other programs.
+// createdAt returns the program's creation time, by which the scheduler orders
+// its calls among those of other programs.
 func (p *ownedPartition) createdAt(id api.ProgramID) time.Time {
 	described, _ := p.store.Describe(id)
 	return described.CreatedAt
 }
 
-// sendAttempt dispatches an attempt whose intent the programs have recorded.
+// sendAttempt sends an attempt whose dispatch the program has recorded durably.
 func (c *Core) sendAttempt(now time.Time, owned *ownedPartition, effect program.Effect) {
 	placed, ok := owned.placed[effect.Attempt.CallRef]
 	backend, known := c.backendManager.backend(effect.Backend)
@@ -182,9 +184,10 @@
 	})
 }
 
-// checkSend says why an attempt must not be sent after all. The choice was made
-// before its intent was durable: the process may have slept since, and the
-// placement may have been narrowed without its knowing.
+// checkSend returns the reason why an attempt must not be sent after all, or
+// nil. The back end was chosen before the dispatch record was durable: since
+// then the process may have been paused, and the placement may have been
+// narrowed without this node having read it.
 func (c *Core) checkSend(now time.Time, owned *ownedPartition, backend machine.Machine) *api.Error {
 	if !c.follower.Freshness(now).MayPlace {
 		return api.Refuse(api.CodeSettingsStale, "the settings may have changed since the choice").After(0)
@@ -195,7 +198,7 @@
 	return nil
 }
 
-// endUnsent ends the attempts that were not sent after all, and reports
+// endUnsent ends the attempts that were refused by checkSend, and reports
 // whether there were any.
 func (c *Core) endUnsent(now time.Time) bool {
 	unsent := c.unsent
@@ -206,8 +209,8 @@
 	return len(unsent) > 0
 }
 
-// earlierCalls locates the history that precedes a call: its prompt less the
-// call itself, whose input the attempt carries.
+// earlierCalls returns the locations of the calls that precede a call in its
+// prompt. The call itself is left out because the attempt carries its input.
 func earlierCalls(store *program.Store, call program.CallRef) []program.CallLocation {
 	prompt, found := store.Prompt(call.Program, call.Sequence)
 	if !found {
@@ -216,7 +219,7 @@
 	return prompt[:len(prompt)-1]
 }
 
-// stopCall takes a call out of the scheduler, or cancels its running attempt.
+// stopCall withdraws a call from the scheduler, or cancels its running attempt.
 func (c *Core) stopCall(owned *ownedPartition, effect program.Effect) {
 	if effect.Attempt.Attempt > 0 {
 		c.emit(StopAttempt{Attempt: effect.Attempt})
@@ -239,7 +242,7 @@
 	p.postponed = kept
 }
 
-// answerCall gives the terminal call to everyone who waits for it.
+// answerCall replies to all requests that wait for the end of the call.
 func (c *Core) answerCall(owned *ownedPartition, effect program.Effect) {
 	call := effect.Attempt.CallRef
 	handles := owned.waiters[call]
@@ -250,7 +253,7 @@
 	}
 }
 
-// FillEnded copies a call's outcome into what callers see.
+// SetOutcome copies a call's outcome into its API form.
 func FillEnded(call *api.Call, ended *program.CallEnded) {
 	call.Status = ended.Status
 	call.Output = ended.Output
@@ -260,7 +263,8 @@
 	call.Error = ended.Error
 }
 
-// refuseWaiting tells every waiting caller to ask the next owner by key.
+// refuseWaiting refuses all waiting requests, so that their callers ask the
+// next owner by key.
 func (c *Core) refuseWaiting(owned *ownedPartition) {
 	refusal := notOwner(owned.id)
 	for _, call := range sortedCalls(owned.waiters) {
@@ -278,8 +282,9 @@
 	}
 }
 
-// notOwner is the refusal that sends a caller to another node. The request
-// may have been recorded here, so that only its key tells what became of it.
+// notOwner returns the refusal that sends a caller to another node. The request
+// may have been recorded here, so its outcome is unknown until the caller asks
+// by its key.
 func notOwner(id partition.ID) *api.Error {
 	refusal := &api.Error{
 		Code:    api.CodeNotOwner,
@@ -289,11 +294,11 @@
 	return refusal.After(int64(notOwnerRetryAfter / time.Millisecond))
 }
 
-// notOwnerRetryAfter is how soon a caller may ask again after CodeNotOwner.
+// notOwnerRetryAfter is the retry-after delay of CodeNotOwner.
 const notOwnerRetryAfter = 200 * time.Millisecond
 
-// emitFinished tells the driver of a durable end, for metrics and histories,
-// and with the end of a call what its callers are answered.
+// emitFinished reports the durable end of a program, or of a call with the
+// result its callers get, to the driver for metrics and histories.
 func (c *Core) emitFinished(owned *ownedPartition, record program.Record, effects []program.Effect) {
 	if record.Closed != nil {
 		if described, ok := owned.store.Describe(record.Program); ok {
@@ -310,7 +315,8 @@
 	}
 }
 
-// lookUp asks the tool service about a key, now or after the effect's delay.
+// lookUp asks the tool service for the outcome of a call by its key, now or
+// after the effect's delay.
 func (c *Core) lookUp(now time.Time, owned *ownedPartition, effect program.Effect) {
 	if effect.Delay > 0 {
 		due := now.Add(effect.Delay)
@@ -328,8 +334,8 @@
 }
 
 // lookupBackend returns the replica to ask about a key: the one that the call
-// was sent to, or, when the machine list no longer shows that one, another
-// replica of the same tool. The replicas of a service share what they know.
+// was sent to or, if the machine list no longer has it, another replica of the
+// same tool. The replicas of a service share their records of keys.
 func (c *Core) lookupBackend(owned *ownedPartition, effect program.Effect) (machine.Machine, bool) {
 	terms, _ := owned.store.Terms(effect.Attempt.Program)
 	var other machine.Machine
@@ -349,7 +355,7 @@
 
 var errBackendUnknown = errors.New("the back end is not in the machine list")
 
-// stepLookup hands the answer about a key to the program.
+// stepLookup passes the result of a key lookup to the program.
 func (c *Core) stepLookup(now time.Time, result program.LookupResult) {
 	owned, ok := c.ownerOf(result.Call.Program)
 	if !ok {
@@ -361,7 +367,8 @@
 	}
 }
 
-// tenantOf is the part of a branch that fairness counts by: its first step.
+// tenantOf returns the tenant of a branch for fair scheduling: the first
+// segment of its path.
 func tenantOf(branch string) string {
 	for i := range len(branch) {
 		if branch[i] == '/' {
--- a/control/attendant.go
+++ b/control/attendant.go
@@ -14,8 +14,9 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// backendManager looks after the back ends that fall to this node: each back end
-// has one node that asks for its load and sweeps its memory.
+// backendManager tracks the back ends that this node manages. Each back end is
+// managed by one node, which queries its load and searches its cache for
+// orphaned prefixes.
 type backendManager struct {
 	config    Config
 	backends  map[machine.ID]machine.Machine
@@ -24,15 +25,15 @@
 	nextLoad  time.Time
 }
 
-// managedBackend is what this node keeps of one back end that it attends.
+// managedBackend is the state of one back end that this node manages.
 type managedBackend struct {
 	// lastEvent is the sequence of the newest cache event that was read.
 	lastEvent uint64
 	nextSweep time.Time
 	// queryOutstanding is set while a query has not been answered.
 	queryOutstanding bool
-	// lastReport is the newest load report that peers get or got; unspread is set
-	// while it has not been sent.
+	// lastReport is the newest load report for peers. reportPending is set
+	// until it has been sent.
 	lastReport    schedule.Load
 	reportPending bool
 }
@@ -45,15 +46,15 @@
 	}
 }
 
-// backend returns a back end that the machine list has shown.
+// backend returns a back end that the machine list has shown at any time.
 func (a *backendManager) backend(id machine.ID) (machine.Machine, bool) {
 	backend, ok := a.backends[id]
 	return backend, ok
 }
 
-// setMachines works out anew which back ends this node attends. An entry that
-// the list no longer shows is kept for look-ups, so that a call sent to it can
-// still be asked about.
+// setMachines recomputes which back ends this node manages. Back ends that have
+// left the list stay available through backend, so that tool services can still
+// be asked about calls that were sent to them.
 func (a *backendManager) setMachines(now time.Time, nodes, backends []machine.Machine) {
 	a.sortedIDs = a.sortedIDs[:0]
 	for _, backend := range backends {
@@ -70,9 +71,9 @@
 	slices.Sort(a.sortedIDs)
 }
 
-// managerOf picks the node that attends a back end: one of the same zone if
-// there is any, by rendezvous hash. It runs for every back end whenever a node
-// comes or goes.
+// managerOf returns the node that manages a back end, by rendezvous hash: one
+// in the same zone if there is any. It runs for every back end whenever a node
+// joins or leaves.
 func managerOf(backend machine.Machine, nodes []machine.Machine) machine.ID {
 	sameZone := slices.ContainsFunc(nodes, func(node machine.Machine) bool {
 		return node.Zone == backend.Zone && node.Status != machine.StatusLeaving
@@ -91,8 +92,8 @@
 	return best
 }
 
-// managerScore ranks a node for a back end. It does not allocate for names
-// of the usual length.
+// managerScore returns the score that ranks a node for a back end. It does not
+// allocate for names of typical length.
 func managerScore(backend, node machine.ID) uint64 {
 	var buffer [128]byte
 	text := append(buffer[:0], backend...)
@@ -110,11 +111,12 @@
 	return wake
 }
 
-// released notes the answer to a release. One that failed is left to the next
-// sweep, which sees the prefix again.
+// released handles the answer to a release. Nothing is done after a failure:
+// the next sweep finds the prefix again.
 func (a *backendManager) released(PrefixReleased) {}
 
-// tickBackends asks the attended back ends for load and prefixes when due.
+// tickBackends queries the managed back ends for their load and prefixes when
+// due.
 func (c *Core) tickBackends(now time.Time) {
 	queryLoad := !now.Before(c.backendManager.nextLoad)
 	if queryLoad {
@@ -135,8 +137,8 @@
 	}
 }
 
-// stepBackendObserved takes a back end's load and cache events, and passes
-// the load on to a few random peers.
+// stepBackendObserved processes a back end's load and cache events, and queues
+// the load for a few random peers.
 func (c *Core) stepBackendObserved(now time.Time, event BackendObserved) {
 	managed, ok := c.backendManager.managed[event.Backend]
 	if !ok {
@@ -155,8 +157,9 @@
 	c.stepCacheEvents(now, event.Backend, managed, event.Events)
 }
 
-// stepCacheEvents forgets the prefixes that an engine evicted. After a gap in
-// the events the next sweep is due at once: it lists what is really there.
+// stepCacheEvents processes an engine's evictions. After a gap in the events
+// the next sweep is due at once, because it lists the prefixes that the engine
+// actually holds.
 func (c *Core) stepCacheEvents(now time.Time, backend machine.ID, managed *managedBackend, events []engine.CacheEvent) {
 	for _, event := range events {
 		if managed.lastEvent != 0 && event.Sequence > managed.lastEvent+1 {
@@ -169,7 +172,7 @@
 	}
 }
 
-// evicted notes that an engine no longer holds a program's prefix.
+// evicted records that an engine no longer holds a program's prefix.
 func (c *Core) evicted(now time.Time, owner api.ProgramID, backend machine.ID) {
 	c.config.Policy.Evicted(now, owner, backend)
 	if owned, ok := c.ownerOf(owner); ok {
@@ -181,11 +184,12 @@
 	c.config.Policy.ObserveLoad(now, load)
 }
 
-// unchangedLoadPeriod is how often a load report is spread that says the same as the
-// one before.
+// unchangedLoadPeriod is the shortest time between two shared load reports with
+// equal content.
 const unchangedLoadPeriod = 4 * time.Second
 
-// queueReport keeps a load queueReport to be spread, unless it says nothing new.
+// queueReport queues a load report for peers, unless it equals the last one and
+// unchangedLoadPeriod has not passed.
 func (a *managedBackend) queueReport(now time.Time, load schedule.Load) {
 	same := a.lastReport
 	same.At = load.At
@@ -196,10 +200,10 @@
 	a.reportPending = true
 }
 
-// shareLoads sends the load reports of one period, in one message, to a few
-// random peers. Nodes learn the loads of the back ends that they use from
-// those back ends' answers; this keeps the others from going stale, at a cost
-// that does not grow with the fleet.
+// shareLoads sends the load reports of one period to a few random peers, in one
+// message. Nodes get the loads of the back ends that they use from those back
+// ends' answers. These messages keep the loads on the other nodes from becoming
+// stale, at a cost that does not grow with the fleet.
 func (c *Core) shareLoads() {
 	var loads []schedule.Load
 	for _, id := range c.backendManager.sortedIDs {
@@ -229,8 +233,8 @@
 }
 
 // stepPrefixesListed begins a sweep: it asks the owners of the listed programs
-// which of them are gone. Programs of partitions on this node are answered
-// here.
+// which of the prefixes may be released. Prefixes of this node's own partitions
+// are checked directly.
 func (c *Core) stepPrefixesListed(now time.Time, event PrefixesListed) {
 	if event.Err != nil {
 		return
@@ -259,7 +263,8 @@
 	}
 }
 
-// stepSweep answers a sweep's question, or releases what an owner says is gone.
+// stepSweep answers a sweep's question, or releases the prefixes that an owner
+// reported as no longer needed.
 func (c *Core) stepSweep(_ time.Time, from machine.ID, sweep link.SweepMessage) {
 	if len(sweep.Question) > 0 {
 		if releasable := c.releasable(sweep.Backend, sweep.Question); len(releasable) > 0 {
@@ -269,16 +274,17 @@
 	c.releaseAll(sweep.Backend, sweep.Gone)
 }
 
-// branchRemoved reports whether the branch that a partition belongs to was
-// removed: nobody owns the partition any more, and no program of it may run.
+// branchRemoved reports whether a partition's branch was removed from the
+// settings. Then nobody owns the partition, and none of its programs may run.
 func (c *Core) branchRemoved(now time.Time, id partition.ID) bool {
 	return c.follower.Freshness(now).MayPlace && c.placement(id) == ""
 }
 
-// releasable returns the programs that this node is sure to have nothing to keep at
-// the back end: it owns their partitions, and they have ended, never were, or
-// may no longer have data in the back end's zone. A program's creation is
-// durable before its first call, so that no live program can be missing.
+// releasable returns the programs whose prefixes the back end need not keep:
+// this node owns their partitions, and they have ended, never existed, or may
+// no longer have data in the back end's zone. A program's creation is durable
+// before its first call, so a live program is never mistaken for one that never
+// existed.
 func (c *Core) releasable(backendID machine.ID, ids []api.ProgramID) []api.ProgramID {
 	backend, known := c.backendManager.backend(backendID)
 	var releasable []api.ProgramID
--- a/control/config.go
+++ b/control/config.go
@@ -13,51 +13,55 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Config holds what a Core needs to know at its start. DefaultConfig fills
-// every field but Self, Writer, Random and Policy.
+// Config is the configuration of a Core. DefaultConfig sets every field but
+// Self, Writer, Random and Policy.
 type Config struct {
-	// Self is this node as the machine list shows it.
+	// Self is this node's entry in the machine list.
 	Self machine.Machine
-	// Writer is unique to this start of the process.
+	// Writer identifies this process. It differs at each start.
 	Writer string
-	// Random drives every random choice, so that a seed replays a run.
+	// Random is the source of every random choice, so that a run can be
+	// replayed from its seed.
 	Random *rand.Rand
 	// Policy decides which back end serves each call.
 	Policy schedule.Policy
-	// PartitionsPerBranch is how many partitions each branch has. All
-	// nodes of a deployment must agree on it and it never changes, because
-	// program ids are spread over the partitions by it.
+	// PartitionsPerBranch is the number of partitions of each branch. It must
+	// be the same on all nodes of a deployment and must never change, because a
+	// program's ID determines its partition by this number.
 	PartitionsPerBranch int
 	Membership          machine.Config
 	Follower            contract.FollowerConfig
-	// Replica is the template of each partition's replica; the Core fills in
-	// the ID and this node's mirror store.
+	// Replica is the template of each partition's replica. The Core sets ID and
+	// Mirrors.
 	Replica partition.Config
-	// Store is the template of each partition's programs.
+	// Store is the template of each partition's program store.
 	Store program.Config
-	// MirrorBytes bounds what this node holds as a mirror for others.
+	// MirrorBytes limits the entries that this node holds as a mirror, in
+	// bytes.
 	MirrorBytes int
-	// ListPeriod is the time between two looks at the machine list.
+	// ListPeriod is the time between two reads of the machine list.
 	ListPeriod time.Duration
-	// LoadPeriod is the time between two load reports asked of each back end
-	// that this node attends.
+	// LoadPeriod is the time between two load queries to each back end that
+	// this node manages.
 	LoadPeriod time.Duration
-	// SweepPeriod is the time between two looks for orphaned prefixes at each
-	// engine that this node attends. Orphans are gone within two periods.
+	// SweepPeriod is the time between two searches for orphaned prefixes at
+	// each engine that this node manages. Orphans are released within two
+	// periods.
 	SweepPeriod time.Duration
-	// LoadFanout is how many random peers get each load report.
+	// LoadFanout is the number of random peers that get each load report.
 	LoadFanout int
-	// ParkTimeout bounds how long a request waits for this node to finish
-	// taking a partition over.
+	// ParkTimeout limits how long a request waits for this node to finish
+	// taking over a partition.
 	ParkTimeout time.Duration
-	// DrainTimeout bounds how long a planned stop waits for running attempts
-	// before it hands their partitions over all the same.
+	// DrainTimeout limits how long a planned stop waits for running attempts.
+	// After that their partitions are handed over anyway.
 	DrainTimeout time.Duration
-	// TraceLimit bounds the decisions kept for each program.
+	// TraceLimit is the maximum number of scheduling decisions kept for each
+	// program.
 	TraceLimit int
 }
 
-// DefaultConfig returns the configuration of a node with the usual times.
+// DefaultConfig returns the default configuration of a node.
 func DefaultConfig(self machine.Machine, writer string, random *rand.Rand, policy schedule.Policy) Config {
 	return Config{
 		Self:                self,
@@ -80,13 +84,14 @@
 	}
 }
 
-// bytesPerToken is how many bytes of text count as one token.
+// bytesPerToken is the assumed length of a token, in bytes of text.
 const bytesPerToken = 4
 
-// countTokens measures a text as engines do that publish no tokenizer.
+// countTokens estimates the number of tokens in a text, for engines that
+// publish no tokenizer.
 func countTokens(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
-// followerConfig returns the usual times of the settings follower.
+// followerConfig returns the default configuration of the settings follower.
 func followerConfig(self machine.Machine, random *rand.Rand) contract.FollowerConfig {
 	config := contract.DefaultFollowerConfig()
 	config.Self = self.ID
@@ -96,7 +101,7 @@
 	return config
 }
 
-// validate reports every field that is out of range.
+// validate returns all findings about the config, joined.
 func (c Config) validate() error {
 	found := findings.Of("control config")
 	found.Require(c.Self.ID != "", "Self.ID", "missing")
--- a/control/core.go
+++ b/control/core.go
@@ -9,31 +9,31 @@
 	"birchwood.example/birchwood/program"
 )
 
-// Core is the control state of one node. It is not safe for concurrent use:
-// one goroutine owns it, steps it with events and performs its actions.
+// Core is the control state of one node. It is not safe for concurrent use: one
+// goroutine owns it, passes it events and performs its actions.
 type Core struct {
 	config     Config
 	membership *machine.Membership
 	follower   *contract.Follower
 	mirrors    *partition.MirrorStore
 
-	// partitions holds a replica for each partition that this node owns,
-	// takes over, or is about to give up.
+	// partitions holds the partitions that this node owns, takes over or is
+	// about to hand over.
 	partitions map[partition.ID]*ownedPartition
-	// ownerHints tell who owned a partition when it was last heard of.
+	// ownerHints holds the last known owner of each partition.
 	ownerHints map[partition.ID]machine.ID
-	// hintExpiry is when a hint that only rests on the view expires.
+	// hintExpiry holds the expiry times of hints that rest on the view alone.
 	hintExpiry map[partition.ID]time.Time
-	// knownPartitions are all partitions that can hold programs, sorted.
+	// knownPartitions lists all partitions that can hold programs, sorted.
 	knownPartitions []partition.ID
-	// nodes are the nodes that are believed to run, leaving ones included.
+	// nodes lists the nodes that are believed to run, including leaving ones.
 	nodes []machine.Machine
 
 	backendManager backendManager
 	delayed        delayedEffects
 	parked         []parkedRequest
 	actions        []Action
-	// unsent are attempts that ended before they were sent.
+	// unsent holds attempts that ended before they were sent.
 	unsent []AttemptEnded
 
 	nextListAt time.Time
@@ -43,14 +43,14 @@
 	stopping        bool
 	drainDeadline   time.Time
 	stopped         bool
-	// routingChanged is set until RoutingChanged is asked.
+	// routingChanged is set until RoutingChanged is called.
 	routingChanged bool
 }
 
-// mirrorMessageBytes bounds the entries of one mirror's answer.
+// mirrorMessageBytes limits the entries in one answer of a mirror.
 const mirrorMessageBytes = 1 << 20
 
-// New returns the Core of a node that has just started and knows nothing.
+// New returns the Core of a node that has just started and has no state yet.
 func New(config Config) (*Core, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -84,7 +84,8 @@
 	return core, nil
 }
 
-// Step takes one event at the given time. Ready then returns what to do.
+// Step processes one event at the given time. Ready then returns the resulting
+// actions.
 func (c *Core) Step(now time.Time, event Event) {
 	switch event := event.(type) {
 	case Tick:
@@ -127,7 +128,7 @@
 	c.advance(now)
 }
 
-// Ready returns the actions that are due, in order, and forgets them.
+// Ready returns the pending actions in order and clears them.
 func (c *Core) Ready() []Action {
 	actions := c.actions
 	c.actions = nil
@@ -139,8 +140,8 @@
 	c.actions = append(c.actions, action)
 }
 
-// advance lets time pass in every part and moves what one part decided to the
-// parts that depend on it, until nothing changes any more.
+// advance runs the timers that are due, then passes the results of each part to
+// the parts that depend on it until nothing changes any more.
 func (c *Core) advance(now time.Time) {
 	c.tickTimers(now)
 	for {
@@ -156,7 +157,7 @@
 	c.finishStop(now)
 }
 
-// tickTimers runs everything whose time has come.
+// tickTimers runs all timers that are due.
 func (c *Core) tickTimers(now time.Time) {
 	if !now.Before(c.nextListAt) {
 		c.nextListAt = now.Add(c.config.ListPeriod)
@@ -173,7 +174,7 @@
 	c.tickBackends(now)
 }
 
-// NextWake returns when Tick must come if no other event does.
+// NextWake returns when a Tick is needed if no other event comes first.
 func (c *Core) NextWake() time.Time {
 	wake := c.nextListAt
 	earliest(&wake, c.membership.NextWake())
@@ -199,7 +200,8 @@
 	return wake
 }
 
-// earliest lowers wake to candidate unless candidate is the zero time.
+// earliest sets wake to candidate if candidate is earlier, unless candidate is
+// the zero time.
 func earliest(wake *time.Time, candidate time.Time) {
 	if candidate.IsZero() {
 		return
@@ -209,7 +211,7 @@
 	}
 }
 
-// self is this node's entry for the machine list.
+// self returns this node's entry for the machine list.
 func (c *Core) self() machine.Machine {
 	self := c.config.Self
 	self.Status = machine.StatusLive
@@ -222,17 +224,18 @@
 // Tree returns the settings in force on this node.
 func (c *Core) Tree() *contract.Tree { return c.follower.Tree() }
 
-// Freshness tells whether the settings may be relied on for new work.
+// Freshness reports whether the settings are recent enough for new work.
 func (c *Core) Freshness(now time.Time) contract.Freshness { return c.follower.Freshness(now) }
 
-// SettingsOfPeers tells what every node holds of the settings, as far as this
-// node has heard.
+// SettingsOfPeers returns the settings state of every node, as last reported to
+// this node.
 func (c *Core) SettingsOfPeers(now time.Time) []contract.PeerSettings { return c.follower.Peers(now) }
 
-// Machines returns every machine that this node knows, for operators.
+// Machines returns all machines known to this node, for operators.
 func (c *Core) Machines() []machine.Machine { return c.membership.All() }
 
-// Owned describes the partitions that this node owns, for operators.
+// PartitionStatuses describes the partitions that this node owns or takes over,
+// for operators.
 func (c *Core) Owned() []PartitionStatus {
 	var statuses []PartitionStatus
 	for _, owned := range c.sortedPartitions() {
@@ -241,7 +244,7 @@
 	return statuses
 }
 
-// storeConfig returns the configuration of one partition's programs.
+// storeConfig returns the configuration of one partition's program store.
 func (c *Core) storeConfig() program.Config {
 	config := c.config.Store
 	config.Random = c.config.Random
--- a/control/delayed.go
+++ b/control/delayed.go
@@ -8,14 +8,16 @@
 	"birchwood.example/birchwood/program"
 )
 
-// delayedEffect is a start or a look-up that waits out its backoff.
+// delayedEffect is a call to schedule or a key lookup that waits for its
+// backoff.
 type delayedEffect struct {
 	due    time.Time
 	id     partition.ID
 	effect program.Effect
 }
 
-// delayedEffects is ordered by due time, first come first among equals.
+// delayedEffects is a queue ordered by due time, and by insertion for equal
+// times.
 type delayedEffects struct {
 	entries []delayedEffect
 }
@@ -30,14 +32,14 @@
 	d.entries = slices.Insert(d.entries, at, delayedEffect{due: due, id: id, effect: effect})
 }
 
-// remove forgets what waits for the call.
+// remove removes the effects of the call.
 func (d *delayedEffects) remove(call program.CallRef) {
 	d.entries = slices.DeleteFunc(d.entries, func(entry delayedEffect) bool {
 		return entry.effect.Attempt.CallRef == call
 	})
 }
 
-// removePartition forgets what waits for any call of the partition.
+// removePartition removes the effects of all calls of the partition.
 func (d *delayedEffects) removePartition(id partition.ID) {
 	d.entries = slices.DeleteFunc(d.entries, func(entry delayedEffect) bool { return entry.id == id })
 }
@@ -49,7 +51,7 @@
 	return d.entries[0].due
 }
 
-// releaseDelayed performs the effects whose delay is over.
+// releaseDelayed performs the effects that are due.
 func (c *Core) releaseDelayed(now time.Time) {
 	for len(c.delayed.entries) > 0 && !c.delayed.entries[0].due.After(now) {
 		entry := c.delayed.entries[0]
--- a/control/events.go
+++ b/control/events.go
@@ -11,10 +11,10 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// Event is an input of a Core: something that happened outside of it.
+// Event is an input of a Core: something that happened outside it.
 type Event interface{ isEvent() }
 
-// Tick tells a Core only that time has passed.
+// Tick reports only that time has passed.
 type Tick struct{}
 
 // MessageReceived is a control message from a peer.
@@ -47,23 +47,25 @@
 	Err  error
 }
 
-// RequestReceived is a caller's or operator's request. The Core answers with
-// the same handle, once.
+// RequestReceived is a request of a caller or operator. The Core replies once,
+// with the same handle.
 type RequestReceived struct {
 	Handle  uint64
 	Request Request
 }
 
-// RequestAbandoned says that nobody waits for the handle's answer any more.
+// RequestAbandoned reports that nobody waits for the handle's answer any more.
 type RequestAbandoned struct{ Handle uint64 }
 
-// AttemptEnded is what became of an attempt at its back end.
+// AttemptEnded reports the outcome of an attempt at its back end.
 type AttemptEnded struct {
 	Backend machine.ID
 	Outcome program.Outcome
-	// Load is the back end's load as its answer told it, if it did.
+	// Load is the back end's load as reported in its answer; nil if it reported
+	// none.
 	Load *schedule.Load
-	// Resident is how much of the program's prefix the engine keeps.
+	// ResidentTokens is the number of tokens of the program's prefix that the
+	// engine keeps cached.
 	Resident int
 }
 
@@ -95,15 +97,16 @@
 // StopRequested begins the planned stop of this node.
 type StopRequested struct{}
 
-// LossAccepted is an operator's word that a partition's recovery on this node
-// may go on without mirrors that have lost what they held.
+// LossAccepted is an operator's decision that a partition's recovery on this
+// node may continue without mirrors that have lost their entries.
 type LossAccepted struct{ Partition partition.ID }
 
-// DrainRequested begins the planned stop of any node: a peer is told.
+// DrainRequested begins the planned stop of this node or, by a message, of a
+// peer.
 type DrainRequested struct{ Node machine.ID }
 
-// SettingsAppended says that this node appended a change to the settings
-// stream, at the offset that makes Revision.
+// SettingsAppended reports that this node appended a change to the settings
+// stream, at the offset of Revision.
 type SettingsAppended struct{ Revision contract.Revision }
 
 func (Tick) isEvent()             {}
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -23,7 +23,8 @@
 			{Path: contract.Root, Values: contract.Values{Zones: []zone.Name{"isando"}}}, {Path: "cold"},
 		}})
 		id := partitionOwnedBy(node.listed, peer.ID)
-		// The node counts itself as an owner only once the list has settled.
+		// The node considers itself a possible owner only once the list has
+		// settled.
 		for range 12 {
 			node.now = node.now.Add(500 * time.Millisecond)
 			node.step(control.MachinesListed{Machines: node.listed})
@@ -40,7 +41,7 @@
 	})
 })
 
-// applySettings answers the node's read of the settings stream.
+// applySettings answers the node's read of the settings stream with a change.
 func (a *testNode) applySettings(change contract.Change) {
 	text, err := json.Marshal(change)
 	Expect(err).NotTo(HaveOccurred())
@@ -53,7 +54,8 @@
 	return owner
 }
 
-// partitionOwnedBy returns a partition whose owner is the node, by the view.
+// partitionOwnedBy returns a partition whose owner by the listed machines is
+// wanted.
 func partitionOwnedBy(listed []machine.Machine, wanted machine.ID) partition.ID {
 	var nodes []machine.Machine
 	for _, each := range listed {
--- a/control/messages.go
+++ b/control/messages.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// stepMessage hands a peer's message to the part that it is for.
+// stepMessage passes a peer's message to the part that handles it.
 func (c *Core) stepMessage(now time.Time, message link.Message) {
 	if message.Settings != nil {
 		c.follower.HeardReport(now, *message.Settings)
@@ -31,10 +31,11 @@
 	}
 }
 
-// stepPartitionMessage serves a mirror's part, or hands the message to the
-// partition's replica on this node. Nothing new of a partition is taken where
-// its placement does not permit it. What a node outside still holds, since the
-// placement was narrowed, it gives up like any other: a new owner must read it.
+// stepPartitionMessage passes the message to this node's mirror store or to the
+// partition's replica. New data or an offer of the partition is ignored if the
+// placement does not permit this node. A node that held data before the
+// placement was narrowed still answers queries and trims, because a new owner
+// must read that data.
 func (c *Core) stepPartitionMessage(now time.Time, from machine.ID, message partition.Message) {
 	addsData := message.Mirror != nil || message.Handover != nil
 	if addsData && !c.placement(message.Partition).Contains(c.config.Self.Zone) {
@@ -62,7 +63,8 @@
 	}
 }
 
-// handoverOffered notes that a former owner has given the partition up to this node.
+// handoverOffered records that the previous owner has offered the partition to
+// this node.
 func (c *Core) handoverOffered(now time.Time, id partition.ID) {
 	if c.stopping {
 		return
@@ -73,14 +75,14 @@
 	}
 }
 
-// sendPartition sends a replica's or mirror's message; one to this node
-// itself never leaves it.
+// sendPartition sends a message of a replica or mirror store. A message to this
+// node itself is dropped.
 func (c *Core) sendPartition(outbound partition.Outbound) {
 	message := outbound.Message
 	c.sendTo(outbound.To, link.Message{Partition: &message})
 }
 
-// sendTo sends a message to a node, if its address is known.
+// sendTo sends a message to another node, if its address is known.
 func (c *Core) sendTo(to machine.ID, message link.Message) {
 	peer, ok := c.membership.Lookup(to)
 	if !ok || to == c.config.Self.ID {
@@ -91,8 +93,8 @@
 	c.emit(SendMessage{To: peer, Message: message})
 }
 
-// stepMachines takes the platform's machine list. A failure to get it changes
-// nothing: the probes go on with what is known.
+// stepMachines processes a read of the platform's machine list. If the read
+// failed, membership continues with its probes and the last known list.
 func (c *Core) stepMachines(now time.Time, event MachinesListed) {
 	if event.Err != nil {
 		return
@@ -101,10 +103,10 @@
 	c.settleList(now, event.Machines)
 }
 
-// settleList notes when the machine list has shown the same nodes, this one
-// among them, twice in a row: only then is the list good enough to claim by.
-// A node that has just started would otherwise claim everything, and nodes
-// that start together would claim from each other.
+// settleList sets listed once two successive reads of the machine list have
+// shown the same nodes, including this one. Only then does this node claim by
+// the list: otherwise a node that has just started would claim everything, and
+// nodes that start together would claim from each other.
 func (c *Core) settleList(now time.Time, listed []machine.Machine) {
 	if c.listed {
 		return
@@ -124,7 +126,7 @@
 	c.lastListedNodes = nodes
 }
 
-// advanceMembership sends probes and follows changes of the view.
+// advanceMembership sends probes and applies changes of the membership view.
 func (c *Core) advanceMembership(now time.Time) bool {
 	ready := c.membership.Ready()
 	for _, outbound := range ready.Messages {
@@ -145,8 +147,9 @@
 	return true
 }
 
-// presentNodes returns the nodes that are believed to run, leaving ones with
-// that status: those own nothing new, but still hold what they hand over.
+// presentNodes returns the nodes that are believed to run. Leaving nodes keep
+// that status: they take no new partitions, but still hold those they have not
+// handed over.
 func presentNodes(known []machine.Machine) []machine.Machine {
 	var nodes []machine.Machine
 	for _, entry := range known {
@@ -161,13 +164,13 @@
 	return nodes
 }
 
-// setBackends tells the scheduler which back ends there are.
+// setBackends updates the scheduler's list of back ends.
 func (c *Core) setBackends(now time.Time) {
 	c.config.Policy.SetBackends(now, c.Backends())
 }
 
-// Backends returns the back ends that this node knows. One that an operator
-// drains at the root counts as leaving, for every program.
+// Backends returns the back ends known to this node. Back ends that the root's
+// settings list as drained have the status leaving, for every program.
 func (c *Core) Backends() []machine.Machine {
 	backends := slices.Clone(c.membership.Backends())
 	root, err := c.Tree().Resolve(contract.Root)
@@ -179,8 +182,8 @@
 	return backends
 }
 
-// reviewPartitions opens the partitions that this node should own and tells
-// every replica of the new view.
+// reviewPartitions opens the partitions that this node should own and passes
+// the new view to every replica.
 func (c *Core) reviewPartitions(now time.Time) {
 	if c.listed && !c.stopping {
 		for _, id := range c.knownPartitions {
@@ -210,8 +213,9 @@
 	return ok && owner == c.config.Self.ID
 }
 
-// setView tells a replica who is live and what the place rule permits. A
-// hand-over is held while attempts run, so that it cuts none of them.
+// setView passes the live nodes and the placement to a replica. While attempts
+// run, a handover is deferred so that they are not interrupted, but not beyond
+// drainDeadline.
 func (c *Core) setView(now time.Time, owned *ownedPartition) {
 	placement := c.placement(owned.id)
 	owned.handoverHeld = owned.busy() && (!owned.draining || now.Before(owned.drainDeadline))
@@ -224,7 +228,7 @@
 	})
 }
 
-// setKnownPartitions replaces the list of partitions that can hold programs.
+// setKnownPartitions recomputes the list of partitions that can hold programs.
 func (c *Core) setKnownPartitions(now time.Time) {
 	var knownPartitions []partition.ID
 	for _, branch := range c.Tree().Branches(contract.Root) {
--- a/control/owned.go
+++ b/control/owned.go
@@ -15,28 +15,30 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// ownedPartition is a partition that this node owns or is taking over: its
-// replica, its programs, and what waits for durability.
+// ownedPartition is a partition that this node owns or is taking over, with its
+// replica, its programs and the outputs that wait for durability.
 type ownedPartition struct {
 	id       partition.ID
 	replica  *partition.Replica
 	store    *program.Store
 	acquired bool
-	// unreadable says why the partition stays closed on this node.
+	// unreadable is the error that keeps the partition closed on this node.
 	unreadable error
-	// draining is set while a hand-over is due: no new attempt starts, and
-	// postponed keeps the calls that would have. held is set while the
-	// hand-over waits for the attempts that run.
+	// draining is set while a handover is due: no new attempt starts, and the
+	// calls that would have started are kept in postponed. handoverHeld is the
+	// DeferHandover value last passed to the replica: it is set while running
+	// attempts or unproposed records delay a handover.
 	draining      bool
 	drainDeadline time.Time
 	handoverHeld  bool
 	postponed     []program.Effect
 
-	// position counts the records that the store decided; durable counts
-	// those that are confirmed. Both start at zero with each acquisition.
+	// position counts the records that the store has decided, and
+	// durablePosition those that are durable. Both start at zero with each
+	// acquisition.
 	position        uint64
 	durablePosition uint64
-	// unproposed are records that the replica had no room for yet.
+	// unproposed holds records that the replica has not accepted yet.
 	unproposed []program.Record
 	proposed   map[recordlog.Token]proposedRecord
 	outputs    []pendingOutput
@@ -44,36 +46,36 @@
 	placed  map[program.CallRef]placedCall
 	waiters map[program.CallRef][]uint64
 	traces  map[api.ProgramID][]CallTrace
-	// prefixEngines tells which engines keep a program's prefix.
+	// prefixEngines holds the engines that cache a prefix of each program.
 	prefixEngines map[api.ProgramID]map[machine.ID]bool
-	// queued are the calls that the scheduler holds.
+	// queued holds the calls that the scheduler has not placed yet.
 	queued map[program.CallRef]queuedCall
 }
 
-// proposedRecord is a record that the stream does not have yet.
+// proposedRecord is a record that the log has not confirmed yet.
 type proposedRecord struct {
 	position uint64
 	record   program.Record
 }
 
-// pendingOutput is what may happen only once all records up to position are
-// durable.
+// pendingOutput is the part of an output that may be performed only once all
+// records up to position are durable.
 type pendingOutput struct {
 	position uint64
 	effects  []program.Effect
-	// endings are the records of it that end a call or a program.
+	// endings holds those of its records that end a call or a program.
 	endings []program.Record
 	replies []Answer
 	fetches []FetchHistory
 }
 
-// queuedCall is a call that the scheduler holds, and since when.
+// queuedCall is a call in the scheduler and the time it was enqueued.
 type queuedCall struct {
 	effect program.Effect
 	since  time.Time
 }
 
-// placedCall is a call that was sent, or is about to be, to a back end.
+// placedCall is a call that was sent to a back end, or is about to be.
 type placedCall struct {
 	attempt  int
 	backend  machine.ID
@@ -89,13 +91,13 @@
 	Programs    int             `json:"programs"`
 	Running     int             `json:"running"`
 	Unconfirmed int             `json:"unconfirmed"`
-	// Stall tells what a recovery waits for; nil when it does not wait.
+	// Stall describes what a recovery waits for; nil when it does not wait.
 	Stall *partition.Stall `json:"stall,omitempty"`
 }
 
-// serving reports whether the partition's programs may be stepped: this node
-// has folded them and its records still count. While a hand-over flushes the
-// last records, further ones would be lost with this node's copy.
+// serving reports whether the partition's programs accept commands: this node
+// has replayed their records and can still add to them. It is false while a
+// handover flushes the last records, because further records would be lost.
 func (p *ownedPartition) serving() bool {
 	return p.acquired && p.replica.State() == partition.StateOwning
 }
@@ -118,7 +120,7 @@
 }
 
 // sortedPartitions returns the partitions of this node in a fixed order, so
-// that a run replays from its seed.
+// that a run can be replayed from its seed.
 func (c *Core) sortedPartitions() []*ownedPartition {
 	all := make([]*ownedPartition, 0, len(c.partitions))
 	for _, owned := range c.partitions {
@@ -132,14 +134,15 @@
 	return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Index, b.Index))
 }
 
-// openPartition starts a replica that will claim the partition when it should.
+// openPartition creates a replica, which claims the partition when this node
+// should own it.
 func (c *Core) openPartition(now time.Time, id partition.ID) {
 	config := c.config.Replica
 	config.ID = id
 	config.Mirrors = c.mirrors
 	replica, err := partition.NewReplica(config)
 	if err != nil {
-		panic(fmt.Sprintf("control: the replica template was not validated: %v", err))
+		panic(fmt.Sprintf("control: invalid replica config: %v", err))
 	}
 	owned := &ownedPartition{id: id, replica: replica}
 	owned.reset(c)
@@ -148,11 +151,11 @@
 	c.setView(now, owned)
 }
 
-// reset drops everything that only an owner may hold.
+// reset clears all state that only the owner may have.
 func (p *ownedPartition) reset(c *Core) {
 	store, err := program.NewStore(c.storeConfig())
 	if err != nil {
-		panic(fmt.Sprintf("control: the store template was not validated: %v", err))
+		panic(fmt.Sprintf("control: invalid store config: %v", err))
 	}
 	p.store = store
 	p.acquired = false
@@ -171,7 +174,7 @@
 	p.queued = make(map[program.CallRef]queuedCall)
 }
 
-// stepReplica hands an answer of the log service to the partition's replica.
+// stepReplica passes an answer of the log service to the partition's replica.
 func (c *Core) stepReplica(now time.Time, id partition.ID, result any) {
 	if owned, ok := c.partitions[id]; ok {
 		owned.replica.Step(now, result)
@@ -187,8 +190,8 @@
 	c.reviewDrain(now, owned)
 }
 
-// advancePartitions performs what the replicas want done and reports whether
-// anything was.
+// advancePartitions performs the pending output of all replicas and reports
+// whether there was any.
 func (c *Core) advancePartitions(now time.Time) bool {
 	progress := false
 	for _, owned := range c.sortedPartitions() {
@@ -202,18 +205,18 @@
 	return progress
 }
 
-// closeIfIdle forgets a replica that neither owns its partition nor should.
+// closeIfIdle removes a replica that neither owns its partition nor should.
 func (c *Core) closeIfIdle(owned *ownedPartition) {
 	if owned.replica.State() == partition.StateFollowing && !owned.replica.HasReady() && !c.shouldOwn(owned) {
 		delete(c.partitions, owned.id)
 		if c.ownerHints[owned.id] == c.config.Self.ID {
-			c.setHint(owned.id, "") // It was offered here, and never came.
+			c.setHint(owned.id, "") // Handover was offered but never completed.
 		}
 		c.routingChanged = true
 	}
 }
 
-// performReplica turns one Ready of a replica into actions and state changes.
+// performReplica applies one Ready of a replica.
 func (c *Core) performReplica(now time.Time, owned *ownedPartition, ready partition.Ready) {
 	for _, appendRequest := range ready.Appends {
 		c.emit(AppendStream{Partition: owned.id, Append: appendRequest})
@@ -240,9 +243,9 @@
 	c.proposeSnapshot(now, owned)
 }
 
-// recover folds one recovered record into the programs. A record that this
-// version cannot read keeps the partition closed: serving without it could
-// break what the record promised.
+// recover applies one recovered record to the programs. A record that this
+// version cannot decode keeps the partition closed: serving without it could
+// violate what the record guaranteed.
 func (p *ownedPartition) recover(recovered partition.Recovered) {
 	if p.unreadable != nil {
 		return
@@ -263,7 +266,8 @@
 	return p.store.Recover(recovered.Offset, record)
 }
 
-// confirm notes that a proposed record is durable, and where it stands.
+// confirm records that a proposed record is durable and, once the log has it,
+// its offset.
 func (p *ownedPartition) confirm(confirmed partition.Confirmed) {
 	proposed, ok := p.proposed[confirmed.Token]
 	if !ok {
@@ -277,8 +281,8 @@
 	p.store.Located(proposed.record.Program, proposed.record, confirmed.Offset)
 }
 
-// acquired opens the partition for requests and restarts what a former owner
-// left unfinished.
+// acquired starts serving requests, resumes what the previous owner left
+// unfinished, and applies the current terms to all programs.
 func (c *Core) acquired(now time.Time, owned *ownedPartition, epoch uint64) {
 	if owned.unreadable != nil {
 		c.emit(PartitionUnreadable{Partition: owned.id, Err: owned.unreadable})
@@ -292,8 +296,9 @@
 	c.serveParked(now, owned.id)
 }
 
-// lost drops the partition's state: another owner has it, or will fold it
-// again. Callers that wait are told to ask the next owner by their key.
+// lost drops the partition's state: another node owns it, or this node will
+// replay it after the next claim. Waiting callers are told to ask the next
+// owner by their key.
 func (c *Core) lost(now time.Time, owned *ownedPartition) {
 	wasOwned := owned.acquired
 	for _, call := range sortedCalls(owned.placed) {
@@ -313,20 +318,21 @@
 	c.setView(now, owned)
 }
 
-// acceptLoss lets a partition's stalled recovery go on without the mirrors
-// that cannot answer any more.
+// acceptLoss lets a partition's stalled recovery continue without the mirrors
+// that can no longer answer.
 func (c *Core) acceptLoss(now time.Time, id partition.ID) {
 	if owned, ok := c.partitions[id]; ok {
 		owned.replica.AcceptLoss(now)
 	}
 }
 
-// proposeSnapshot writes the programs' state when the replica asks for it.
+// proposeSnapshot proposes a snapshot of the programs' state when the replica
+// wants one.
 func (c *Core) proposeSnapshot(now time.Time, owned *ownedPartition) {
 	if !owned.serving() || len(owned.unproposed) > 0 || !owned.replica.WantsSnapshot() {
 		return
 	}
-	// A refusal only delays the snapshot: the replica asks again.
+	// The error can be ignored: WantsSnapshot stays true, so this is retried.
 	_ = owned.replica.ProposeSnapshot(now, owned.store.Snapshot())
 }
 
--- a/control/ready.go
+++ b/control/ready.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// NotReady lists why callers should not be sent to this node: it has no fresh
-// settings, knows no back end, leaves, or is still taking partitions over.
+// NotReady returns the reasons why callers should not be sent to this node: it
+// is stopping, its settings are not fresh, no back end is known, the machine
+// list has not settled, or it is taking partitions over.
 func (c *Core) NotReady(now time.Time) []string {
 	var reasons []string
 	if c.stopping {
--- a/control/requests.go
+++ b/control/requests.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/program"
 )
 
-// parkedRequest waits for this node to finish taking a partition over.
+// parkedRequest is a request that waits for this node to finish taking over a
+// partition.
 type parkedRequest struct {
 	handle  uint64
 	request Request
@@ -19,8 +20,8 @@
 	until   time.Time
 }
 
-// stepRequest serves a request, parks it while its partition is being taken
-// over, or refuses it.
+// stepRequest serves a request, parks it while this node takes over its
+// partition, or refuses it.
 func (c *Core) stepRequest(now time.Time, handle uint64, request Request) {
 	if request.Operation == OperationList {
 		c.emit(Answer{Handle: handle, Reply: c.list(request)})
@@ -51,7 +52,8 @@
 	c.reject(handle, notRunNotOwner(id))
 }
 
-// notRunNotOwner refuses a request that this node never held.
+// notRunNotOwner returns the refusal of a request that was never recorded on
+// this node.
 func notRunNotOwner(id partition.ID) *api.Error {
 	refusal := notOwner(id)
 	refusal.Ran = api.RanNotRun
@@ -62,7 +64,7 @@
 	c.emit(Answer{Handle: handle, Reply: Reply{Error: refusal}})
 }
 
-// serveParked serves the requests that waited for the partition.
+// serveParked serves the requests that were parked for the partition.
 func (c *Core) serveParked(now time.Time, id partition.ID) {
 	waiting := c.parked
 	c.parked = nil
@@ -75,8 +77,8 @@
 	}
 }
 
-// expireParked refuses the requests that waited too long, and those whose
-// partition another node is to own by now.
+// expireParked refuses the requests that have waited for ParkTimeout, and those
+// whose partition another node should own by now.
 func (c *Core) expireParked(now time.Time) {
 	kept := c.parked[:0]
 	for _, request := range c.parked {
@@ -95,8 +97,8 @@
 	c.parked = kept
 }
 
-// abandon forgets a request whose caller has gone. What the request started
-// goes on: the caller may ask for it by its key.
+// abandon drops a request whose caller has disconnected. The work that it
+// started continues: the caller may ask for it by its key.
 func (c *Core) abandon(handle uint64) {
 	for i, request := range c.parked {
 		if request.handle == handle {
@@ -161,17 +163,18 @@
 	}
 }
 
-// confirmOwnership makes the replies that follow wait until it is certain that
-// this node still owned the partition when they were made. Without it a node
-// that was replaced, and that nobody could tell so, would answer from memory
-// without the calls that its successor has acknowledged.
+// confirmOwnership delays the replies that follow until it is certain that this
+// node still owned the partition when they were made. It proposes a record,
+// which becomes durable only if no other node has claimed the partition.
+// Without it, a node that was replaced but cannot be reached would answer from
+// memory, without the calls that its successor has acknowledged.
 func (c *Core) confirmOwnership(now time.Time, owned *ownedPartition, id api.ProgramID) {
 	record := program.Record{At: now, Program: id, Confirmed: &program.Confirmed{}}
 	c.apply(now, owned, program.Output{Records: []program.Record{record}}, nil)
 }
 
 // inScope reports whether the program exists on a branch that the request's
-// bearer token may act on.
+// bearer token may access.
 func (c *Core) inScope(owned *ownedPartition, request Request) bool {
 	described, ok := owned.store.Describe(request.Program)
 	return ok && contract.Path(described.Branch).Within(request.Scope)
@@ -182,7 +185,8 @@
 	c.apply(now, owned, program.Output{}, &pendingReply{answer: &Answer{Handle: handle, Reply: reply}})
 }
 
-// command performs a command whose reply is what it acted on.
+// command performs a command and replies with the program or call that it
+// applied to.
 func (c *Core) command(now time.Time, owned *ownedPartition, handle uint64, command program.Command) {
 	if refusal := c.checkCapacity(owned); refusal != nil {
 		c.reject(handle, refusal)
@@ -197,8 +201,9 @@
 	c.apply(now, owned, output, &pendingReply{answer: &Answer{Handle: handle, Reply: reply}})
 }
 
-// checkCapacity refuses new work while the records under way have reached their bound,
-// as they do when the log service is down for long.
+// checkCapacity refuses new work while records wait because the replica's
+// unconfirmed records have reached their limit, as they do during a long outage
+// of the log service.
 func (c *Core) checkCapacity(owned *ownedPartition) *api.Error {
 	if len(owned.unproposed) == 0 {
 		return nil
@@ -207,10 +212,10 @@
 	return refusal.After(int64(storeRetryAfter / time.Millisecond))
 }
 
-// storeRetryAfter is when to come back after CodeStoreUnavailable.
+// storeRetryAfter is the retry-after delay of CodeStoreUnavailable.
 const storeRetryAfter = 2 * time.Second
 
-// create opens a program under the contract of its branch.
+// create creates a program under the contract of its branch.
 func (c *Core) create(now time.Time, owned *ownedPartition, handle uint64, request Request) {
 	branch := contract.Path(request.Create.Branch)
 	if request.Parent != "" && !c.parentInScope(owned, request) {
@@ -242,8 +247,8 @@
 	return c.inScope(owned, parent)
 }
 
-// submit admits a call and replies when it is durable, or when it has ended
-// if the request waits.
+// submit admits a call and replies once it is durable or, if the request waits,
+// once it has ended.
 func (c *Core) submit(now time.Time, owned *ownedPartition, handle uint64, request Request) {
 	if refusal := c.checkCapacity(owned); refusal != nil {
 		c.reject(handle, refusal)
@@ -261,8 +266,9 @@
 	c.replyWithCall(now, owned, handle, request.Wait, output)
 }
 
-// replyWithCall replies with the output's call: its whole answer if it has
-// ended, else its state, or its end once it comes if the request waits.
+// replyWithCall replies with the output's call. A call that has ended is
+// returned with its full answer; otherwise the reply has its current state or,
+// if the request waits, is delayed until its end.
 func (c *Core) replyWithCall(now time.Time, owned *ownedPartition, handle uint64, wait bool, output program.Output) {
 	call := output.Call
 	ref := program.CallRef{Program: call.Program, Sequence: call.Sequence}
@@ -278,7 +284,7 @@
 	c.apply(now, owned, output, &pendingReply{answer: &Answer{Handle: handle, Reply: Reply{Call: call}}})
 }
 
-// replyWithEnded replies with a call that is over, read back from the stream.
+// replyWithEnded replies with a call that has ended, read from the stream.
 func (c *Core) replyWithEnded(now time.Time, owned *ownedPartition, handle uint64, ref program.CallRef, output program.Output) {
 	locations, ok := owned.store.History(ref.Program, ref.Sequence, 1)
 	if !ok || len(locations) == 0 {
@@ -289,7 +295,7 @@
 	c.apply(now, owned, output, &pendingReply{fetch: &fetch})
 }
 
-// describeCall replies with one call, by its place or its key.
+// describeCall replies with one call, by its sequence number or its key.
 func (c *Core) describeCall(now time.Time, owned *ownedPartition, handle uint64, request Request) {
 	call, ok := owned.store.Call(request.Program, request.Sequence, request.Key)
 	if !ok {
@@ -299,7 +305,7 @@
 	c.replyWithCall(now, owned, handle, request.Wait, program.Output{Call: &call})
 }
 
-// history replies with a part of a program's calls.
+// history replies with one page of a program's calls.
 func (c *Core) history(now time.Time, owned *ownedPartition, handle uint64, request Request) {
 	limit := request.Limit
 	if limit <= 0 || limit > maximumReplyItems {
@@ -315,10 +321,10 @@
 	c.apply(now, owned, program.Output{}, &pendingReply{fetch: &fetch})
 }
 
-// maximumReplyItems bounds the calls in one reply.
+// maximumReplyItems limits the calls or programs in one reply.
 const maximumReplyItems = 200
 
-// list replies with the programs of a branch that this node owns.
+// list returns the programs of a branch that this node owns.
 func (c *Core) list(request Request) Reply {
 	limit := request.Limit
 	if limit <= 0 {
@@ -334,7 +340,7 @@
 	return Reply{Programs: programs}
 }
 
-// NewProgram returns the id that a branch and key always name.
+// ProgramID returns the ID of the program that a key names on a branch.
 func (c *Core) NewProgram(branch contract.Path, key string) (api.ProgramID, error) {
 	resolved, err := c.Tree().Resolve(branch)
 	if err != nil {
--- a/control/routing.go
+++ b/control/routing.go
@@ -11,8 +11,9 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Routing is an immutable copy of what a gateway needs to find the owner of a
-// partition. The Core makes a new one whenever something in it has changed.
+// Routing is an immutable snapshot of the data that a gateway needs to find the
+// owner of a partition. The driver takes a new one whenever RoutingChanged
+// reports a change.
 type Routing struct {
 	self       machine.ID
 	nodes      []machine.Machine
@@ -21,7 +22,7 @@
 	owned      map[partition.ID]bool
 }
 
-// Routing returns the present routing.
+// Routing returns a snapshot of the current routing.
 func (c *Core) Routing() *Routing {
 	routing := &Routing{self: c.config.Self.ID, nodes: c.routableNodes(), tree: c.Tree(), ownerHints: maps.Clone(c.ownerHints), owned: make(map[partition.ID]bool)}
 	for id, owned := range c.partitions {
@@ -36,9 +37,10 @@
 	return routing
 }
 
-// routableNodes are the nodes that requests may go to. One that has just started
-// leaves itself out until the machine list has settled: it owns nothing yet, and
-// by rendezvous the best of the others is whom its partitions are to come from.
+// routableNodes returns the nodes that requests may be sent to. A node that has
+// just started leaves itself out until the machine list has settled: it owns
+// nothing yet, and the highest-ranked of the others currently owns the
+// partitions that it will take over.
 func (c *Core) routableNodes() []machine.Machine {
 	if c.listed {
 		return c.nodes
@@ -50,13 +52,14 @@
 	return others
 }
 
-// hintMargin is how much longer than the dwell time requests stay with a former
-// owner after the view has named another node.
+// hintMargin is how much longer than the dwell time requests keep going to the
+// previous owner after the view has named another node.
 const hintMargin = time.Second
 
-// hintDuration is how long requests stay with a former owner. One that stays hands
-// nothing over within its dwell time. One that leaves may be gone soon, and its
-// successor, once it has dwelled, knows whether it still serves.
+// hintDuration returns how long requests keep going to the previous owner. An
+// owner that stays does not hand over before HandoverDwell. A leaving owner may
+// be gone soon, and after ClaimDwell its successor knows whether it still
+// serves.
 func (c *Core) hintDuration(owner machine.ID) time.Duration {
 	for _, node := range c.nodes {
 		if node.ID == owner && node.Status == machine.StatusLeaving {
@@ -66,9 +69,9 @@
 	return c.config.Replica.HandoverDwell + hintMargin
 }
 
-// keepOwnerHints keeps requests with the nodes that owned partitions by the
-// view before this one and are still there: one that joins owns nothing yet,
-// and one that leaves serves until it has handed over.
+// keepOwnerHints keeps requests going to the nodes that owned partitions in the
+// previous view and still run: a node that joins owns nothing yet, and a node
+// that leaves serves until it has handed over.
 func (c *Core) keepOwnerHints(now time.Time, before []machine.Machine) {
 	for _, id := range c.knownPartitions {
 		placement := c.placement(id)
@@ -87,7 +90,8 @@
 	}
 }
 
-// setHint notes the owner of a partition for certain, or that none is known.
+// setHint sets the known owner of a partition without expiry, or clears it if
+// owner is empty.
 func (c *Core) setHint(id partition.ID, owner machine.ID) {
 	delete(c.hintExpiry, id)
 	delete(c.ownerHints, id)
@@ -97,7 +101,7 @@
 	c.routingChanged = true
 }
 
-// expireHints forgets former owners that have had their time.
+// expireHints removes the hints that have expired.
 func (c *Core) expireHints(now time.Time) {
 	for id, until := range c.hintExpiry {
 		if !now.Before(until) {
@@ -106,8 +110,9 @@
 	}
 }
 
-// placementOf returns the zones that may hold a partition: those of the branch
-// that its group is named for. A branch that is gone permits none.
+// placementOf returns the zones that may hold a partition: the placement of its
+// group's branch. It is empty, so that it permits no zone, if the branch was
+// removed.
 func placementOf(tree *contract.Tree, id partition.ID) zone.Placement {
 	resolved, err := tree.Resolve(contract.Path(id.Group.Branch()))
 	if err != nil {
@@ -116,11 +121,10 @@
 	return resolved.Placement
 }
 
-// placement is placementOf by the settings in force on this node.
+// placement returns placementOf for the settings in force on this node.
 func (c *Core) placement(id partition.ID) zone.Placement { return placementOf(c.Tree(), id) }
 
-// RoutingChanged reports whether the routing has changed since the last time
-// it was asked.
+// RoutingChanged reports whether the routing has changed since the last call.
 func (c *Core) RoutingChanged() bool {
 	changed := c.routingChanged
 	c.routingChanged = false
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -10,9 +10,9 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// advanceSchedule carries out the scheduler's decisions and reports whether
-// there were any. While the settings are not fresh nothing new is placed: a
-// place rule may have changed without this node knowing.
+// advanceSchedule executes the scheduler's decisions and reports whether there
+// were any. While the settings are not fresh it executes none, because a
+// placement may have changed without this node having read it.
 func (c *Core) advanceSchedule(now time.Time) bool {
 	if !c.follower.Freshness(now).MayPlace {
 		return false
@@ -55,7 +55,8 @@
 	c.emit(MovePrefix{Owner: decision.Program, From: from, To: to})
 }
 
-// orderModel has an engine load or unload a model, if this node attends it.
+// orderModel has an engine load or unload a model, if this node manages the
+// engine.
 func (c *Core) orderModel(decision schedule.Decision) {
 	backend, ok := c.backendManager.backend(decision.Backend)
 	if !ok || !c.Attends(decision.Backend) {
@@ -70,17 +71,17 @@
 	c.emit(order)
 }
 
-// Attends reports whether this node looks after a back end, and so commands
-// it. Two nodes that disagree on who is live may both think so; the fence of
-// the order settles which counts.
+// Manages reports whether this node manages a back end, and so sends it orders.
+// Two nodes with different views may both believe so; the fencing number of an
+// order then decides which one takes effect.
 func (c *Core) Attends(id machine.ID) bool {
 	_, managed := c.backendManager.managed[id]
 	return managed
 }
 
-// place records the choice in the program, which then asks to send it. The
-// permission is checked once more here, where the choice takes effect: the
-// contract may have narrowed since the call was handed to the scheduler.
+// place records the scheduler's choice in the program, whose output then sends
+// the attempt. The terms are checked again here, where the choice takes effect,
+// because the contract may have been narrowed since the call was enqueued.
 func (c *Core) place(now time.Time, decision schedule.Decision) {
 	owned, ok := c.ownerOf(decision.Call.Program)
 	if !ok {
@@ -111,26 +112,26 @@
 	c.apply(now, owned, output, nil)
 }
 
-// placementRetry is how long a call waits to be scheduled again after a
-// choice that its terms no longer permitted.
+// placementRetry is the delay before a call is scheduled again after a choice
+// that its terms no longer permit.
 const placementRetry = 100 * time.Millisecond
 
-// retryPlacement hands a call to the scheduler once more, a little later. The
-// scheduler keeps calls only until it has decided.
+// retryPlacement schedules a call again after placementRetry. It must be
+// enqueued again because the scheduler drops a call once it has decided.
 func (c *Core) retryPlacement(now time.Time, owned *ownedPartition, effect program.Effect) {
 	effect.Delay = placementRetry
 	c.scheduleCall(now, owned, effect)
 }
 
-// placementPermits reports whether the program's terms let the chosen back end have
-// its data.
+// placementPermits reports whether the program's terms permit its data in the
+// zone of the chosen back end.
 func (c *Core) placementPermits(owned *ownedPartition, decision schedule.Decision) bool {
 	terms, ok := owned.store.Terms(decision.Call.Program)
 	backend, known := c.backendManager.backend(decision.Backend)
 	return ok && known && terms.Placement.Contains(backend.Zone)
 }
 
-// cancelPlacement tells the scheduler that a choice was not carried out.
+// cancelPlacement reports to the scheduler that a choice was not carried out.
 func (c *Core) cancelPlacement(now time.Time, decision schedule.Decision) {
 	c.config.Policy.Finished(now, decision.Call, decision.Backend, api.Usage{}, 0)
 }
@@ -152,8 +153,8 @@
 	}
 }
 
-// stepAttemptEnded hands an attempt's outcome to the scheduler and to its own
-// call, and to no other.
+// stepAttemptEnded passes an attempt's outcome to the program and, if it is the
+// call's current attempt, to the scheduler.
 func (c *Core) stepAttemptEnded(now time.Time, event AttemptEnded) {
 	if event.Load != nil {
 		c.observeLoad(now, *event.Load)
@@ -175,7 +176,8 @@
 	}
 }
 
-// setResident remembers where a program's prefix is, for its release.
+// setResident records whether an engine caches a program's prefix, so that it
+// can be released later.
 func (c *Core) setResident(owned *ownedPartition, id api.ProgramID, backend machine.ID, resident bool) {
 	engines := owned.prefixEngines[id]
 	if !resident {
@@ -189,7 +191,8 @@
 	engines[backend] = true
 }
 
-// releaseProgram frees everything that a program which is gone holds.
+// releaseProgram releases all resources of a program that has been removed from
+// the store.
 func (c *Core) releaseProgram(now time.Time, owned *ownedPartition, id api.ProgramID) {
 	c.config.Policy.ProgramEnded(now, id)
 	for _, backend := range sortedMachines(owned.prefixEngines[id]) {
@@ -199,15 +202,16 @@
 	delete(owned.traces, id)
 }
 
-// releaseAt frees a program's prefix at one engine. A release that is lost is
-// made good by the sweep.
+// releaseAt releases a program's prefix at one engine. If the release is lost,
+// the next sweep repeats it.
 func (c *Core) releaseAt(id api.ProgramID, engineID machine.ID) {
 	if backend, ok := c.backendManager.backend(engineID); ok {
 		c.emit(ReleasePrefix{Backend: backend, Owner: id})
 	}
 }
 
-// withdrawPartition takes every call of the partition out of the scheduler.
+// withdrawPartition withdraws all calls of the partition from the scheduler and
+// drops its delayed effects.
 func (c *Core) withdrawPartition(owned *ownedPartition) {
 	c.delayed.removePartition(owned.id)
 	for _, call := range sortedCalls(owned.queued) {
@@ -228,7 +232,7 @@
 	return owned, true
 }
 
-// trace keeps why a call was placed where it was.
+// trace records the scheduling decision for a call.
 func (c *Core) trace(now time.Time, owned *ownedPartition, since time.Time, decision schedule.Decision) {
 	id := decision.Call.Program
 	traces := owned.traces[id]
--- a/control/settings.go
+++ b/control/settings.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/program"
 )
 
-// advanceSettings follows the settings stream and puts a new revision in
-// force: partitions of new placements open, and programs get the new terms.
+// advanceSettings reads the settings stream and applies a new revision: it
+// opens partitions of new placements and updates the terms of programs.
 func (c *Core) advanceSettings(now time.Time) bool {
 	ready := c.follower.Ready()
 	if ready.Read != nil {
@@ -38,17 +38,17 @@
 	return true
 }
 
-// stepSettingsFetched takes in a peer's settings. A failure or an older copy
-// changes nothing: the follower asks again.
+// stepSettingsFetched imports a peer's settings. A failed fetch or an older
+// copy is ignored: the follower asks again.
 func (c *Core) stepSettingsFetched(now time.Time, event SettingsFetched) {
 	if event.Err == nil {
 		_ = c.follower.Import(now, event.Data)
 	}
 }
 
-// announceSettings tells every peer at once that a newer record of the
-// settings exists, so that each reads it without waiting for its next poll or
-// for gossip. Changes are rare: the cost is one small message a peer for each.
+// announceSettings notifies every peer at once of a new record in the settings
+// stream, so that they read it without waiting for their next poll or for
+// gossip. Changes are rare: each costs one small message per peer.
 func (c *Core) announceSettings(now time.Time) {
 	report := c.follower.Report(now)
 	for _, node := range c.nodes {
@@ -56,8 +56,8 @@
 	}
 }
 
-// updatePartitionTerms gives every program of a partition the terms that its
-// branch has now.
+// updatePartitionTerms updates the terms of every program of a partition to
+// those of its branch's current contract.
 func (c *Core) updatePartitionTerms(now time.Time, owned *ownedPartition) {
 	if !owned.acquired {
 		return
@@ -67,9 +67,9 @@
 	}
 }
 
-// updateTerms binds a program's next dispatch to its branch's present contract.
-// Prefixes at engines that the new placement forbids are released. The
-// contract of a branch that is gone permits no zone.
+// updateTerms sets a program's terms for its next dispatch to those of its
+// branch's current contract, and releases its prefixes at engines that the new
+// placement excludes. If the branch was removed, the terms permit no zone.
 func (c *Core) updateTerms(now time.Time, owned *ownedPartition, described api.Program) {
 	if described.Ended {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// termsOf takes from a contract what binds a program.
+// termsOf returns the terms of programs under a contract.
 func termsOf(resolved contract.Contract) program.Terms {
 	return program.Terms{
 		Revision:        uint64(resolved.Revision),
--- a/control/stop.go
+++ b/control/stop.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// requestStop begins the planned stop: the node announces that it leaves,
+// requestStop begins the planned stop: the node announces that it is leaving,
 // drains its partitions and hands each over once its attempts have ended.
 func (c *Core) requestStop(now time.Time) {
 	if c.stopping {
@@ -23,8 +23,8 @@
 	}
 }
 
-// requestDrain begins the planned stop of this node, or tells the peer whose
-// stop is asked for.
+// requestDrain begins the planned stop of this node, or sends the request to
+// the peer that should stop.
 func (c *Core) requestDrain(now time.Time, id machine.ID) {
 	if id == c.config.Self.ID {
 		c.requestStop(now)
@@ -33,7 +33,8 @@
 	c.sendTo(id, link.Message{Drain: true})
 }
 
-// finishStop reports that nothing is left to hand over.
+// finishStop emits StopComplete once all partitions are handed over, or once
+// the drain deadline plus ParkTimeout has passed.
 func (c *Core) finishStop(now time.Time) {
 	if !c.stopping || c.stopped {
 		return
@@ -45,15 +46,17 @@
 	c.emit(StopComplete{})
 }
 
-// busy reports whether work runs that a hand-over would cut.
+// busy reports whether a handover would interrupt running attempts or lose
+// unproposed records.
 func (p *ownedPartition) busy() bool {
 	return len(p.placed) > 0 || len(p.unproposed) > 0
 }
 
-// reviewDrain drains a partition whose hand-over is due: no new attempt
-// starts, and the hand-over is held while attempts run, but not longer than
-// the drain's time-out. An attempt that still runs then is resumed by the next
-// owner, under the same stream name, or looked up by its key.
+// reviewDrain starts and ends the draining of a partition whose handover is
+// due. While it drains, no new attempt starts, and the handover is deferred
+// while attempts run, but at most for DrainTimeout. An attempt that still runs
+// then is resumed by the next owner under the same stream name, or looked up by
+// its key.
 func (c *Core) reviewDrain(now time.Time, owned *ownedPartition) {
 	due := owned.serving() && owned.replica.HandoverDue()
 	switch {
@@ -70,8 +73,8 @@
 	}
 }
 
-// postponeQueued takes the partition's calls that are not placed yet out of
-// the scheduler; the next owner starts them.
+// postponeQueued withdraws the partition's unplaced calls from the scheduler.
+// The next owner schedules them.
 func (p *ownedPartition) postponeQueued(c *Core) {
 	for _, call := range sortedCalls(p.queued) {
 		c.config.Policy.Withdraw(call)
@@ -80,7 +83,8 @@
 	clear(p.queued)
 }
 
-// endDrain lets a partition that stays here after all go on.
+// endDrain schedules the postponed calls of a partition that stays on this node
+// after all.
 func (c *Core) endDrain(now time.Time, owned *ownedPartition) {
 	owned.draining = false
 	postponed := owned.postponed
--- a/control/sweep_test.go
+++ b/control/sweep_test.go
@@ -16,18 +16,18 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// testNode is a node that looks after one engine.
+// testNode is a node that manages one engine.
 type testNode struct {
 	core   *control.Core
 	now    time.Time
 	sweeps int
-	// listed is the machine list, and settingsRead the last read of the
-	// settings that the core asked for.
+	// listed is the machine list, and settingsRead the last settings read that
+	// the core requested.
 	listed       []machine.Machine
 	settingsRead contract.FollowerRead
 }
 
-// newTestNode starts the node, with peers that the machine list shows too.
+// newTestNode starts the node; the machine list also contains the peers.
 func newTestNode(peers ...machine.Machine) *testNode {
 	random := rand.New(rand.NewPCG(1, 1))
 	self := machine.Machine{ID: "node-1", Kind: machine.KindNode, Zone: "isando", Address: "10.0.0.1:1", Status: machine.StatusLive, Incarnation: 1}
@@ -50,7 +50,8 @@
 	return started
 }
 
-// step gives the core an event and notes what it asks for.
+// step passes an event to the core and records the actions that the specs
+// check.
 func (a *testNode) step(event control.Event) {
 	a.core.Step(a.now, event)
 	for _, action := range a.core.Ready() {
@@ -63,8 +64,8 @@
 	}
 }
 
-// observe hands over cache events and lets a moment pass, much shorter than
-// the period of the sweeps.
+// observe delivers cache events and advances the time by 10 ms, much less than
+// the sweep period.
 func (a *testNode) observe(sequences ...uint64) {
 	observed := control.BackendObserved{Backend: "engine-1"}
 	for _, sequence := range sequences {
--- a/control/trace.go
+++ b/control/trace.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// CallTrace tells how one attempt at a call was decided.
+// CallTrace records the scheduling decision for one attempt at a call.
 type CallTrace struct {
 	Sequence uint64     `json:"sequence"`
 	Attempt  int        `json:"attempt"`
