--- a/control/apply.go
+++ b/control/apply.go
@@ -233,13 +233,13 @@
 }
 
 func (p *ownedPartition) dropPostponed(call program.CallRef) {
-	kept := p.postponed[:0]
+	remaining := p.postponed[:0]
 	for _, effect := range p.postponed {
 		if effect.Attempt.CallRef != call {
-			kept = append(kept, effect)
+			remaining = append(remaining, effect)
 		}
 	}
-	p.postponed = kept
+	p.postponed = remaining
 }
 
 // answerCall replies to all requests that wait for the end of the call.
--- a/control/attendant.go
+++ b/control/attendant.go
@@ -47,28 +47,28 @@
 }
 
 // backend returns a back end that the machine list has shown at any time.
-func (a *backendManager) backend(id machine.ID) (machine.Machine, bool) {
-	backend, ok := a.backends[id]
+func (m *backendManager) backend(id machine.ID) (machine.Machine, bool) {
+	backend, ok := m.backends[id]
 	return backend, ok
 }
 
 // setMachines recomputes which back ends this node manages. Back ends that have
 // left the list stay available through backend, so that tool services can still
 // be asked about calls that were sent to them.
-func (a *backendManager) setMachines(now time.Time, nodes, backends []machine.Machine) {
-	a.sortedIDs = a.sortedIDs[:0]
+func (m *backendManager) setMachines(now time.Time, nodes, backends []machine.Machine) {
+	m.sortedIDs = m.sortedIDs[:0]
 	for _, backend := range backends {
-		a.backends[backend.ID] = backend
-		if managerOf(backend, nodes) != a.config.Self.ID {
-			delete(a.managed, backend.ID)
+		m.backends[backend.ID] = backend
+		if managerOf(backend, nodes) != m.config.Self.ID {
+			delete(m.managed, backend.ID)
 			continue
 		}
-		a.sortedIDs = append(a.sortedIDs, backend.ID)
-		if a.managed[backend.ID] == nil {
-			a.managed[backend.ID] = &managedBackend{nextSweep: now.Add(a.config.SweepPeriod)}
+		m.sortedIDs = append(m.sortedIDs, backend.ID)
+		if m.managed[backend.ID] == nil {
+			m.managed[backend.ID] = &managedBackend{nextSweep: now.Add(m.config.SweepPeriod)}
 		}
 	}
-	slices.Sort(a.sortedIDs)
+	slices.Sort(m.sortedIDs)
 }
 
 // managerOf returns the node that manages a back end, by rendezvous hash: one
@@ -101,10 +101,10 @@
 	return xxhash.Sum64(append(text, node...))
 }
 
-func (a *backendManager) nextWake() time.Time {
-	wake := a.nextLoad
-	for id, managed := range a.managed {
-		if a.backends[id].Kind == machine.KindEngine {
+func (m *backendManager) nextWake() time.Time {
+	wake := m.nextLoad
+	for id, managed := range m.managed {
+		if m.backends[id].Kind == machine.KindEngine {
 			earliest(&wake, managed.nextSweep)
 		}
 	}
@@ -113,7 +113,7 @@
 
 // released handles the answer to a release. Nothing is done after a failure:
 // the next sweep finds the prefix again.
-func (a *backendManager) released(PrefixReleased) {}
+func (m *backendManager) released(PrefixReleased) {}
 
 // tickBackends queries the managed back ends for their load and prefixes when
 // due.
@@ -190,14 +190,14 @@
 
 // queueReport queues a load report for peers, unless it equals the last one and
 // unchangedLoadPeriod has not passed.
-func (a *managedBackend) queueReport(now time.Time, load schedule.Load) {
-	same := a.lastReport
+func (b *managedBackend) queueReport(now time.Time, load schedule.Load) {
+	same := b.lastReport
 	same.At = load.At
-	if same == load && now.Before(a.lastReport.At.Add(unchangedLoadPeriod)) {
+	if same == load && now.Before(b.lastReport.At.Add(unchangedLoadPeriod)) {
 		return
 	}
-	a.lastReport = load
-	a.reportPending = true
+	b.lastReport = load
+	b.reportPending = true
 }
 
 // shareLoads sends the load reports of one period to a few random peers, in one
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -42,15 +42,15 @@
 })
 
 // applySettings answers the node's read of the settings stream with a change.
-func (a *testNode) applySettings(change contract.Change) {
+func (n *testNode) applySettings(change contract.Change) {
 	text, err := json.Marshal(change)
 	Expect(err).NotTo(HaveOccurred())
-	a.step(control.SettingsRead{Result: contract.ReadDone{Request: a.settingsRead.Request, Changes: [][]byte{text}, End: 1}})
-	Expect(a.core.Tree().Revision()).To(BeEquivalentTo(1))
+	n.step(control.SettingsRead{Result: contract.ReadDone{Request: n.settingsRead.Request, Changes: [][]byte{text}, End: 1}})
+	Expect(n.core.Tree().Revision()).To(BeEquivalentTo(1))
 }
 
-func (a *testNode) owner(id partition.ID) machine.ID {
-	owner, _ := a.core.Owner(id)
+func (n *testNode) owner(id partition.ID) machine.ID {
+	owner, _ := n.core.Owner(id)
 	return owner
 }
 
--- a/control/messages.go
+++ b/control/messages.go
@@ -138,9 +138,9 @@
 		return false
 	}
 	c.routingChanged = true
-	before := c.nodes
+	previous := c.nodes
 	c.nodes = presentNodes(c.membership.All())
-	c.keepOwnerHints(now, before)
+	c.keepOwnerHints(now, previous)
 	c.backendManager.setMachines(now, c.nodes, c.membership.Backends())
 	c.setBackends(now)
 	c.reviewPartitions(now)
--- a/control/requests.go
+++ b/control/requests.go
@@ -80,7 +80,7 @@
 // expireParked refuses the requests that have waited for ParkTimeout, and those
 // whose partition another node should own by now.
 func (c *Core) expireParked(now time.Time) {
-	kept := c.parked[:0]
+	remaining := c.parked[:0]
 	for _, request := range c.parked {
 		owner, ok := c.Owner(request.id)
 		if ok && owner != c.config.Self.ID || c.stopping {
@@ -92,9 +92,9 @@
 			c.reject(request.handle, refusal.After(int64(time.Second/time.Millisecond)))
 			continue
 		}
-		kept = append(kept, request)
+		remaining = append(remaining, request)
 	}
-	c.parked = kept
+	c.parked = remaining
 }
 
 // abandon drops a request whose caller has disconnected. The work that it
--- a/control/routing.go
+++ b/control/routing.go
@@ -72,17 +72,17 @@
 // keepOwnerHints keeps requests going to the nodes that owned partitions in the
 // previous view and still run: a node that joins owns nothing yet, and a node
 // that leaves serves until it has handed over.
-func (c *Core) keepOwnerHints(now time.Time, before []machine.Machine) {
+func (c *Core) keepOwnerHints(now time.Time, previous []machine.Machine) {
 	for _, id := range c.knownPartitions {
 		placement := c.placement(id)
-		owner, _ := partition.Owner(id, placement, before, c.ownerHints[id])
+		owner, _ := partition.Owner(id, placement, previous, c.ownerHints[id])
 		if owner == "" || owner == c.config.Self.ID {
 			continue
 		}
 		if next, _ := partition.Owner(id, placement, c.nodes, ""); next == owner {
 			continue
 		}
-		if kept, _ := partition.Owner(id, placement, c.nodes, owner); kept != owner {
+		if hinted, _ := partition.Owner(id, placement, c.nodes, owner); hinted != owner {
 			continue
 		}
 		c.ownerHints[id] = owner
--- a/control/sweep_test.go
+++ b/control/sweep_test.go
@@ -52,28 +52,28 @@
 
 // step passes an event to the core and records the actions that the specs
 // check.
-func (a *testNode) step(event control.Event) {
-	a.core.Step(a.now, event)
-	for _, action := range a.core.Ready() {
+func (n *testNode) step(event control.Event) {
+	n.core.Step(n.now, event)
+	for _, action := range n.core.Ready() {
 		switch action := action.(type) {
 		case control.ListPrefixes:
-			a.sweeps++
+			n.sweeps++
 		case control.ReadSettings:
-			a.settingsRead = action.Read
+			n.settingsRead = action.Read
 		}
 	}
 }
 
 // observe delivers cache events and advances the time by 10 ms, much less than
 // the sweep period.
-func (a *testNode) observe(sequences ...uint64) {
+func (n *testNode) observe(sequences ...uint64) {
 	observed := control.BackendObserved{Backend: "engine-1"}
 	for _, sequence := range sequences {
 		observed.Events = append(observed.Events, engine.CacheEvent{Sequence: sequence, Owner: "cold.0.0000000000000001"})
 	}
-	a.step(observed)
-	a.now = a.now.Add(10 * time.Millisecond)
-	a.step(control.Tick{})
+	n.step(observed)
+	n.now = n.now.Add(10 * time.Millisecond)
+	n.step(control.Tick{})
 }
 
 var _ = Describe("The memory of an engine", func() {
--- a/partition/claim.go
+++ b/partition/claim.go
@@ -203,12 +203,12 @@
 		return
 	}
 	fold := r.journal.Fold()
-	free := fold.Mirrors.Released || r.claimable(fold.Writer, fold.Epoch)
+	mayClaim := fold.Mirrors.Released || r.claimable(fold.Writer, fold.Epoch)
 	if r.desired != r.config.Self {
 		r.lose()
 		return
 	}
-	if !free {
+	if !mayClaim {
 		r.lose()
 		r.requestHandover(recordlog.WriterMachine(fold.Writer), fold.Epoch)
 		return
@@ -270,12 +270,12 @@
 
 // answerHandoverRequest defers the handover while this node owns the epoch or
 // is about to, and otherwise offers the epoch.
-func (r *Replica) answerHandoverRequest(from machine.ID, ask HandoverRequest) {
-	if r.state != StateFollowing && r.journal.Epoch() >= ask.Epoch {
-		r.send(from, Message{DeferHandover: &HandoverDeferral{Epoch: ask.Epoch}})
+func (r *Replica) answerHandoverRequest(from machine.ID, request HandoverRequest) {
+	if r.state != StateFollowing && r.journal.Epoch() >= request.Epoch {
+		r.send(from, Message{DeferHandover: &HandoverDeferral{Epoch: request.Epoch}})
 		return
 	}
-	r.send(from, Message{Handover: &HandoverOffer{Epoch: ask.Epoch}})
+	r.send(from, Message{Handover: &HandoverOffer{Epoch: request.Epoch}})
 }
 
 // NextWake returns when Tick is due, or the zero time for never. Timers up to
--- a/partition/cluster_test.go
+++ b/partition/cluster_test.go
@@ -83,9 +83,9 @@
 	// confirmed lists the values that were confirmed to a caller, in order of
 	// confirmation.
 	confirmed []string
-	// proposer maps each value to the epoch in which it was proposed.
-	proposer map[string]uint64
-	failures []string
+	// proposedEpoch maps each value to the epoch in which it was proposed.
+	proposedEpoch map[string]uint64
+	failures      []string
 	// skipChecks disables the checks of values for benchmarks, which count
 	// confirmations and the bytes sent to mirrors instead.
 	skipChecks    bool
@@ -96,17 +96,17 @@
 
 func newCluster(seed uint64, zones []zone.Name, adjust func(*Config)) *cluster {
 	c := &cluster{
-		now:       time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		random:    rand.New(rand.NewPCG(seed, seed)),
-		id:        ID{Group: "koudeketting~triage", Index: 0},
-		placement: zone.NewPlacement(zones...),
-		log:       &simulatedLog{},
-		blocked:   map[[2]machine.ID]bool{},
-		hidden:    map[machine.ID]bool{},
-		stopping:  map[machine.ID]bool{},
-		deferring: map[machine.ID]bool{},
-		adjust:    adjust,
-		proposer:  map[string]uint64{},
+		now:           time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		random:        rand.New(rand.NewPCG(seed, seed)),
+		id:            ID{Group: "koudeketting~triage", Index: 0},
+		placement:     zone.NewPlacement(zones...),
+		log:           &simulatedLog{},
+		blocked:       map[[2]machine.ID]bool{},
+		hidden:        map[machine.ID]bool{},
+		stopping:      map[machine.ID]bool{},
+		deferring:     map[machine.ID]bool{},
+		adjust:        adjust,
+		proposedEpoch: map[string]uint64{},
 	}
 	for index, name := range zones {
 		node := &simulatedNode{id: machine.ID(fmt.Sprintf("node-%d", index)), zone: name}
@@ -289,7 +289,7 @@
 	}
 	c.confirmed = append(c.confirmed, value)
 	for _, later := range c.nodes {
-		if later.owning && later.replica.Epoch() > c.proposer[value] && !slices.Contains(later.state, value) {
+		if later.owning && later.replica.Epoch() > c.proposedEpoch[value] && !slices.Contains(later.state, value) {
 			c.fail("%s confirmed %s after %s had opened a later epoch without it", node.id, value, later.id)
 		}
 	}
@@ -319,7 +319,7 @@
 			c.fail("%s: confirmed %s is not recovered", node.id, value)
 			continue
 		}
-		epoch := c.proposer[value]
+		epoch := c.proposedEpoch[value]
 		if index < last[epoch] {
 			c.fail("%s: confirmed %s is out of order", node.id, value)
 		}
@@ -437,7 +437,7 @@
 		return "", err
 	}
 	node.proposed[token] = value
-	c.proposer[value] = node.replica.Epoch()
+	c.proposedEpoch[value] = node.replica.Epoch()
 	node.state = append(node.state, value)
 	c.settle(node)
 	return value, nil
--- a/partition/mirrorset.go
+++ b/partition/mirrorset.go
@@ -92,7 +92,7 @@
 	}
 	members := r.healthyMirrors()
 	for _, mirror := range agreed {
-		members = slices.DeleteFunc(members, func(kept recordlog.Mirror) bool { return kept.ID == mirror.ID })
+		members = slices.DeleteFunc(members, func(member recordlog.Mirror) bool { return member.ID == mirror.ID })
 	}
 	members = append(members, agreed...)
 	members = members[:min(len(members), r.config.MirrorCount)]
@@ -107,23 +107,23 @@
 
 // healthyMirrors returns the members that are live and have not been restarted.
 func (r *Replica) healthyMirrors() []recordlog.Mirror {
-	var kept []recordlog.Mirror
+	var healthy []recordlog.Mirror
 	for _, link := range r.mirrors.links {
 		if r.eligible(link.mirror.ID) && !link.restarted && slices.Contains(r.mirrors.current, link.mirror) {
-			kept = append(kept, link.mirror)
+			healthy = append(healthy, link.mirror)
 		}
 	}
-	return kept
+	return healthy
 }
 
 // spareCandidates returns the candidates that are not healthy members, best
 // first.
 func (r *Replica) spareCandidates() []machine.ID {
-	kept := r.healthyMirrors()
+	healthy := r.healthyMirrors()
 	all := len(r.view.Nodes)
 	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, all)
 	return slices.DeleteFunc(candidates, func(id machine.ID) bool {
-		return slices.ContainsFunc(kept, func(mirror recordlog.Mirror) bool { return mirror.ID == id })
+		return slices.ContainsFunc(healthy, func(mirror recordlog.Mirror) bool { return mirror.ID == id })
 	})
 }
 
--- a/partition/mirrorstore.go
+++ b/partition/mirrorstore.go
@@ -92,20 +92,20 @@
 
 // partitionState returns the state of a partition, creating it if needed.
 func (s *MirrorStore) partitionState(id ID) *mirroredPartition {
-	known := s.partitions[id]
-	if known == nil {
-		known = &mirroredPartition{epochs: map[uint64]*mirroredEpoch{}}
-		s.partitions[id] = known
+	state := s.partitions[id]
+	if state == nil {
+		state = &mirroredPartition{epochs: map[uint64]*mirroredEpoch{}}
+		s.partitions[id] = state
 	}
-	return known
+	return state
 }
 
 // appendEntries stores an owner's entries and acknowledges the entries of the
 // epoch that the store holds.
 func (s *MirrorStore) appendEntries(id ID, request MirrorAppend) *MirrorAck {
 	ack := &MirrorAck{Epoch: request.Epoch, Instance: s.config.Instance}
-	known := s.partitionState(id)
-	if request.Epoch < known.readerEpoch {
+	state := s.partitionState(id)
+	if request.Epoch < state.readerEpoch {
 		ack.Refused = true
 		return ack
 	}
@@ -118,11 +118,11 @@
 	}
 	// An owner sends entries to mirrors only after it has opened its epoch, so
 	// the log has the entries of all earlier epochs.
-	s.dropEpochsBefore(known, request.Epoch)
-	epoch := known.epochs[request.Epoch]
+	s.dropEpochsBefore(state, request.Epoch)
+	epoch := state.epochs[request.Epoch]
 	if epoch == nil {
 		epoch = &mirroredEpoch{}
-		known.epochs[request.Epoch] = epoch
+		state.epochs[request.Epoch] = epoch
 	}
 	s.dropThrough(epoch, request.LoggedSequence)
 	ack.Full = !s.extend(epoch, request.Entries)
@@ -177,17 +177,17 @@
 // epochOpened drops the epochs before one that this node opened: the log has
 // their entries.
 func (s *MirrorStore) epochOpened(id ID, epoch uint64) {
-	if known := s.partitions[id]; known != nil {
-		s.dropEpochsBefore(known, epoch)
+	if state := s.partitions[id]; state != nil {
+		s.dropEpochsBefore(state, epoch)
 	}
 }
 
 // dropEpochsBefore drops every epoch before the given one.
-func (s *MirrorStore) dropEpochsBefore(known *mirroredPartition, epoch uint64) {
-	for number, older := range known.epochs {
+func (s *MirrorStore) dropEpochsBefore(state *mirroredPartition, epoch uint64) {
+	for number, older := range state.epochs {
 		if number < epoch {
 			s.dropThrough(older, older.lastSequence())
-			delete(known.epochs, number)
+			delete(state.epochs, number)
 		}
 	}
 }
@@ -200,13 +200,13 @@
 		answer.Restarted = true
 		return answer
 	}
-	known := s.partitionState(id)
-	if query.ReaderEpoch < known.readerEpoch {
+	state := s.partitionState(id)
+	if query.ReaderEpoch < state.readerEpoch {
 		answer.Refused = true
 		return answer
 	}
-	known.readerEpoch = query.ReaderEpoch
-	epoch := known.epochs[query.Epoch]
+	state.readerEpoch = query.ReaderEpoch
+	epoch := state.epochs[query.Epoch]
 	if epoch == nil {
 		answer.LastSequence = query.Sequence
 		return answer
@@ -238,16 +238,16 @@
 // trim drops the entries that the log holds: those of all earlier epochs, and
 // those of the epoch itself up to the sequence.
 func (s *MirrorStore) trim(id ID, trim MirrorTrim) *MirrorAck {
-	known := s.partitions[id]
+	state := s.partitions[id]
 	ack := &MirrorAck{Epoch: trim.Epoch, Instance: s.config.Instance, Sequence: trim.Sequence, Trimmed: true}
-	if known == nil {
+	if state == nil {
 		return ack
 	}
-	s.dropEpochsBefore(known, trim.Epoch)
-	if epoch := known.epochs[trim.Epoch]; epoch != nil {
+	s.dropEpochsBefore(state, trim.Epoch)
+	if epoch := state.epochs[trim.Epoch]; epoch != nil {
 		s.dropThrough(epoch, trim.Sequence)
 	}
-	known.readerEpoch = max(known.readerEpoch, trim.Epoch)
+	state.readerEpoch = max(state.readerEpoch, trim.Epoch)
 	return ack
 }
 
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -339,40 +339,40 @@
 
 func newTrimNotice(debt recordlog.Debt, epoch uint64, backoff retry.Backoff) trimNotice {
 	// A trim of the new epoch drops all earlier epochs.
-	settled := trimNotice{trim: MirrorTrim{Epoch: epoch}}
+	notice := trimNotice{trim: MirrorTrim{Epoch: epoch}}
 	for _, mirror := range debt.Mirrors {
-		settled.recipients = append(settled.recipients, &trimRecipient{mirror: mirror.ID, backoff: backoff})
+		notice.recipients = append(notice.recipients, &trimRecipient{mirror: mirror.ID, backoff: backoff})
 	}
 	owner := recordlog.WriterMachine(debt.Writer)
-	settled.recipients = append(settled.recipients, &trimRecipient{mirror: owner, backoff: backoff})
-	return settled
+	notice.recipients = append(notice.recipients, &trimRecipient{mirror: owner, backoff: backoff})
+	return notice
 }
 
 // sendTrims repeats the trim to the recipients that have not answered.
 func (r *Replica) sendTrims() {
-	r.pendingTrim.recipients = slices.DeleteFunc(r.pendingTrim.recipients, func(link *trimRecipient) bool {
-		return link.attempts >= trimAttempts && !r.running(link.mirror)
+	r.pendingTrim.recipients = slices.DeleteFunc(r.pendingTrim.recipients, func(recipient *trimRecipient) bool {
+		return recipient.attempts >= trimAttempts && !r.running(recipient.mirror)
 	})
-	for _, link := range r.pendingTrim.recipients {
-		if r.now.Before(link.deadline) {
+	for _, recipient := range r.pendingTrim.recipients {
+		if r.now.Before(recipient.deadline) {
 			continue
 		}
-		link.attempts++
-		link.deadline = r.now.Add(link.backoff.Next())
+		recipient.attempts++
+		recipient.deadline = r.now.Add(recipient.backoff.Next())
 		trim := r.pendingTrim.trim
-		r.send(link.mirror, Message{Trim: &trim})
+		r.send(recipient.mirror, Message{Trim: &trim})
 	}
 }
 
 // acknowledge removes a recipient that has answered.
-func (s *trimNotice) acknowledge(from machine.ID) {
-	s.recipients = slices.DeleteFunc(s.recipients, func(link *trimRecipient) bool { return link.mirror == from })
+func (n *trimNotice) acknowledge(from machine.ID) {
+	n.recipients = slices.DeleteFunc(n.recipients, func(recipient *trimRecipient) bool { return recipient.mirror == from })
 }
 
-func (s *trimNotice) timers() []time.Time {
+func (n *trimNotice) timers() []time.Time {
 	var timers []time.Time
-	for _, link := range s.recipients {
-		timers = append(timers, link.deadline)
+	for _, recipient := range n.recipients {
+		timers = append(timers, recipient.deadline)
 	}
 	return timers
 }
