--- a/control/core.go
+++ b/control/core.go
@@ -234,8 +234,8 @@
 // Machines returns all machines known to this node, for operators.
 func (c *Core) Machines() []machine.Machine { return c.membership.All() }
 
-// PartitionStatuses describes the partitions that this node owns or takes over,
-// for operators.
+// Owned describes the partitions that this node owns or takes over, for
+// operators.
 func (c *Core) Owned() []PartitionStatus {
 	var statuses []PartitionStatus
 	for _, owned := range c.sortedPartitions() {
--- a/control/events.go
+++ b/control/events.go
@@ -64,8 +64,8 @@
 	// Load is the back end's load as reported in its answer; nil if it reported
 	// none.
 	Load *schedule.Load
-	// ResidentTokens is the number of tokens of the program's prefix that the
-	// engine keeps cached.
+	// Resident is the number of tokens of the program's prefix that the engine
+	// keeps cached.
 	Resident int
 }
 
--- a/control/owned.go
+++ b/control/owned.go
@@ -43,7 +43,8 @@
 	proposed   map[recordlog.Token]proposedRecord
 	outputs    []pendingOutput
 
-	placed  map[program.CallRef]placedCall
+	placed map[program.CallRef]placedCall
+	// waiters holds the handles of the requests that wait for a call's end.
 	waiters map[program.CallRef][]uint64
 	traces  map[api.ProgramID][]CallTrace
 	// prefixEngines holds the engines that cache a prefix of each program.
--- a/control/requests.go
+++ b/control/requests.go
@@ -340,7 +340,7 @@
 	return Reply{Programs: programs}
 }
 
-// ProgramID returns the ID of the program that a key names on a branch.
+// ProgramIDFor returns the ID of the program that a key names on a branch.
 func (c *Core) NewProgram(branch contract.Path, key string) (api.ProgramID, error) {
 	resolved, err := c.Tree().Resolve(branch)
 	if err != nil {
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -191,8 +191,8 @@
 	engines[backend] = true
 }
 
-// releaseProgram releases all resources of a program that has been removed from
-// the store.
+// releaseProgram releases everything that an ended program still holds: its
+// scheduler state, its prefixes at engines and its traces.
 func (c *Core) releaseProgram(now time.Time, owned *ownedPartition, id api.ProgramID) {
 	c.config.Policy.ProgramEnded(now, id)
 	for _, backend := range sortedMachines(owned.prefixEngines[id]) {
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -13,8 +13,8 @@
 // epoch. It reads a quorum of the mirrors that may hold records of an earlier
 // epoch, appends those records again and names its own mirrors.
 type recovery struct {
-	// debt is the epoch whose mirrors must be read; nil when no mirror can hold
-	// records that the log lacks.
+	// debt describes the epoch whose mirrors must be read; nil when no mirror
+	// can hold records that the log lacks.
 	debt    *recordlog.Debt
 	sources []*recoverySource
 	// suffix holds the entries that the mirrors have after the log's last
