--- a/control/routing.go
+++ b/control/routing.go
@@ -11,35 +11,37 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Routing is an immutable copy of what a gateway needs to find the owner of a
-// partition. The Core makes a new one whenever something in it has changed.
+// Routing is an immutable snapshot of the data that a gateway needs to find the
+// owner of a partition. The driver takes a new one whenever RoutingChanged
+// reports a change.
 type Routing struct {
-	self  machine.ID
-	nodes []machine.Machine
-	tree  *contract.Tree
-	hints map[partition.ID]machine.ID
-	owned map[partition.ID]bool
+	self       machine.ID
+	nodes      []machine.Machine
+	tree       *contract.Tree
+	ownerHints map[partition.ID]machine.ID
+	owned      map[partition.ID]bool
 }
 
-// Routing returns the present routing.
+// Routing returns a snapshot of the current routing.
 func (c *Core) Routing() *Routing {
-	routing := &Routing{self: c.config.Self.ID, nodes: c.routable(), tree: c.Tree(), hints: maps.Clone(c.hints), owned: make(map[partition.ID]bool)}
+	routing := &Routing{self: c.config.Self.ID, nodes: c.routableNodes(), tree: c.Tree(), ownerHints: maps.Clone(c.ownerHints), owned: make(map[partition.ID]bool)}
 	for id, owned := range c.partitions {
 		if owned.acquired {
 			routing.owned[id] = true
 			continue
 		}
 		if owner, ok := c.Owner(id); ok {
-			routing.hints[id] = owner
+			routing.ownerHints[id] = owner
 		}
 	}
 	return routing
 }
 
-// routable are the nodes that requests may go to. One that has just started
-// leaves itself out until the machine list has settled: it owns nothing yet, and
-// by rendezvous the best of the others is whom its partitions are to come from.
-func (c *Core) routable() []machine.Machine {
+// routableNodes returns the nodes that requests may be sent to. A node that has
+// just started leaves itself out until the machine list has settled: it owns
+// nothing yet, and the highest-ranked of the others currently owns the
+// partitions that it will take over.
+func (c *Core) routableNodes() []machine.Machine {
 	if c.listed {
 		return c.nodes
 	}
@@ -50,14 +52,15 @@
 	return others
 }
 
-// hintMargin is how much longer than the dwell time requests stay with a former
-// owner after the view has named another node.
+// hintMargin is how much longer than the dwell time requests keep going to the
+// previous owner after the view has named another node.
 const hintMargin = time.Second
 
-// hintTime is how long requests stay with a former owner. One that stays hands
-// nothing over within its dwell time. One that leaves may be gone soon, and its
-// successor, once it has dwelled, knows whether it still serves.
-func (c *Core) hintTime(owner machine.ID) time.Duration {
+// hintDuration returns how long requests keep going to the previous owner. An
+// owner that stays does not hand over before HandoverDwell. A leaving owner may
+// be gone soon, and after ClaimDwell its successor knows whether it still
+// serves.
+func (c *Core) hintDuration(owner machine.ID) time.Duration {
 	for _, node := range c.nodes {
 		if node.ID == owner && node.Status == machine.StatusLeaving {
 			return c.config.Replica.ClaimDwell + hintMargin
@@ -66,48 +69,50 @@
 	return c.config.Replica.HandoverDwell + hintMargin
 }
 
-// rememberOwners keeps requests with the nodes that owned partitions by the
-// view before this one and are still there: one that joins owns nothing yet,
-// and one that leaves serves until it has handed over.
-func (c *Core) rememberOwners(now time.Time, before []machine.Machine) {
-	for _, id := range c.known {
+// keepOwnerHints keeps requests going to the nodes that owned partitions in the
+// previous view and still run: a node that joins owns nothing yet, and a node
+// that leaves serves until it has handed over.
+func (c *Core) keepOwnerHints(now time.Time, previous []machine.Machine) {
+	for _, id := range c.knownPartitions {
 		placement := c.placement(id)
-		owner, _ := partition.Owner(id, placement, before, c.hints[id])
+		owner, _ := partition.Owner(id, placement, previous, c.ownerHints[id])
 		if owner == "" || owner == c.config.Self.ID {
 			continue
 		}
 		if next, _ := partition.Owner(id, placement, c.nodes, ""); next == owner {
 			continue
 		}
-		if kept, _ := partition.Owner(id, placement, c.nodes, owner); kept != owner {
+		if hinted, _ := partition.Owner(id, placement, c.nodes, owner); hinted != owner {
 			continue
 		}
-		c.hints[id] = owner
-		c.hintUntil[id] = now.Add(c.hintTime(owner))
+		c.ownerHints[id] = owner
+		c.hintExpiry[id] = now.Add(c.hintDuration(owner))
 	}
 }
 
-// setHint notes the owner of a partition for certain, or that none is known.
+// setHint sets the known owner of a partition without expiry, or clears it if
+// owner is empty.
 func (c *Core) setHint(id partition.ID, owner machine.ID) {
-	delete(c.hintUntil, id)
-	delete(c.hints, id)
+	delete(c.hintExpiry, id)
+	delete(c.ownerHints, id)
 	if owner != "" {
-		c.hints[id] = owner
+		c.ownerHints[id] = owner
 	}
 	c.routingChanged = true
 }
 
-// expireHints forgets former owners that have had their time.
+// expireHints removes the hints that have expired.
 func (c *Core) expireHints(now time.Time) {
-	for id, until := range c.hintUntil {
+	for id, until := range c.hintExpiry {
 		if !now.Before(until) {
 			c.setHint(id, "")
 		}
 	}
 }
 
-// placementOf returns the zones that may hold a partition: those of the branch
-// that its group is named for. A branch that is gone permits none.
+// placementOf returns the zones that may hold a partition: the placement of its
+// group's branch. It is empty, so that it permits no zone, if the branch was
+// removed.
 func placementOf(tree *contract.Tree, id partition.ID) zone.Placement {
 	resolved, err := tree.Resolve(contract.Path(id.Group.Branch()))
 	if err != nil {
@@ -116,11 +121,10 @@
 	return resolved.Placement
 }
 
-// placement is placementOf by the settings in force on this node.
+// placement returns placementOf for the settings in force on this node.
 func (c *Core) placement(id partition.ID) zone.Placement { return placementOf(c.Tree(), id) }
 
-// RoutingChanged reports whether the routing has changed since the last time
-// it was asked.
+// RoutingChanged reports whether the routing has changed since the last call.
 func (c *Core) RoutingChanged() bool {
 	changed := c.routingChanged
 	c.routingChanged = false
@@ -131,7 +135,7 @@
 func (r *Routing) Owner(id partition.ID) (machine.Machine, bool) {
 	owner := r.self
 	if !r.owned[id] {
-		desired, ok := partition.Owner(id, placementOf(r.tree, id), r.nodes, r.hints[id])
+		desired, ok := partition.Owner(id, placementOf(r.tree, id), r.nodes, r.ownerHints[id])
 		if !ok {
 			return machine.Machine{}, false
 		}
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -10,21 +10,21 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// advanceSchedule carries out the scheduler's decisions and reports whether
-// there were any. While the settings are not fresh nothing new is placed: a
-// place rule may have changed without this node knowing.
+// advanceSchedule executes the scheduler's decisions and reports whether there
+// were any. While the settings are not fresh it executes none, because a
+// placement may have changed without this node having read it.
 func (c *Core) advanceSchedule(now time.Time) bool {
 	if !c.follower.Freshness(now).MayPlace {
 		return false
 	}
 	decisions := c.config.Policy.Ready(now)
 	for _, decision := range decisions {
-		c.carryOut(now, decision)
+		c.execute(now, decision)
 	}
 	return len(decisions) > 0
 }
 
-func (c *Core) carryOut(now time.Time, decision schedule.Decision) {
+func (c *Core) execute(now time.Time, decision schedule.Decision) {
 	switch decision.Action {
 	case schedule.ActionPlace:
 		c.place(now, decision)
@@ -41,8 +41,8 @@
 
 // movePrefix moves a paused program's prefix to another engine.
 func (c *Core) movePrefix(decision schedule.Decision) {
-	from, fromKnown := c.attendant.backend(decision.Backend)
-	to, toKnown := c.attendant.backend(decision.ExportTo)
+	from, fromKnown := c.backendManager.backend(decision.Backend)
+	to, toKnown := c.backendManager.backend(decision.ExportTo)
 	owned, ok := c.ownerOf(decision.Program)
 	if !fromKnown || !toKnown || !ok {
 		return
@@ -51,13 +51,14 @@
 	if !terms.Placement.Contains(to.Zone) {
 		return
 	}
-	c.noteResidence(owned, decision.Program, to.ID, true)
+	c.setResident(owned, decision.Program, to.ID, true)
 	c.emit(MovePrefix{Owner: decision.Program, From: from, To: to})
 }
 
-// orderModel has an engine load or unload a model, if this node attends it.
+// orderModel has an engine load or unload a model, if this node manages the
+// engine.
 func (c *Core) orderModel(decision schedule.Decision) {
-	backend, ok := c.attendant.backend(decision.Backend)
+	backend, ok := c.backendManager.backend(decision.Backend)
 	if !ok || !c.Attends(decision.Backend) {
 		return
 	}
@@ -70,27 +71,27 @@
 	c.emit(order)
 }
 
-// Attends reports whether this node looks after a back end, and so commands
-// it. Two nodes that disagree on who is live may both think so; the fence of
-// the order settles which counts.
+// Manages reports whether this node manages a back end, and so sends it orders.
+// Two nodes with different views may both believe so; the fencing number of an
+// order then decides which one takes effect.
 func (c *Core) Attends(id machine.ID) bool {
-	_, attended := c.attendant.attended[id]
-	return attended
+	_, managed := c.backendManager.managed[id]
+	return managed
 }
 
-// place records the choice in the program, which then asks to send it. The
-// permission is checked once more here, where the choice takes effect: the
-// contract may have narrowed since the call was handed to the scheduler.
+// place records the scheduler's choice in the program, whose output then sends
+// the attempt. The terms are checked again here, where the choice takes effect,
+// because the contract may have been narrowed since the call was enqueued.
 func (c *Core) place(now time.Time, decision schedule.Decision) {
 	owned, ok := c.ownerOf(decision.Call.Program)
 	if !ok {
-		c.unplace(now, decision)
+		c.cancelPlacement(now, decision)
 		return
 	}
 	waiting, queued := owned.queued[decision.Call]
 	delete(owned.queued, decision.Call)
-	if !queued || !c.permits(owned, decision) {
-		c.unplace(now, decision)
+	if !queued || !c.placementPermits(owned, decision) {
+		c.cancelPlacement(now, decision)
 		if queued {
 			c.retryPlacement(now, owned, waiting.effect)
 		}
@@ -104,34 +105,34 @@
 	output, refusal := owned.store.Step(now, command)
 	if refusal != nil {
 		delete(owned.placed, decision.Call)
-		c.unplace(now, decision)
+		c.cancelPlacement(now, decision)
 		return
 	}
 	c.trace(now, owned, waiting.since, decision)
 	c.apply(now, owned, output, nil)
 }
 
-// placementRetry is how long a call waits to be scheduled again after a
-// choice that its terms no longer permitted.
+// placementRetry is the delay before a call is scheduled again after a choice
+// that its terms no longer permit.
 const placementRetry = 100 * time.Millisecond
 
-// retryPlacement hands a call to the scheduler once more, a little later. The
-// scheduler keeps calls only until it has decided.
+// retryPlacement schedules a call again after placementRetry. It must be
+// enqueued again because the scheduler drops a call once it has decided.
 func (c *Core) retryPlacement(now time.Time, owned *ownedPartition, effect program.Effect) {
 	effect.Delay = placementRetry
-	c.start(now, owned, effect)
+	c.scheduleCall(now, owned, effect)
 }
 
-// permits reports whether the program's terms let the chosen back end have
-// its data.
-func (c *Core) permits(owned *ownedPartition, decision schedule.Decision) bool {
+// placementPermits reports whether the program's terms permit its data in the
+// zone of the chosen back end.
+func (c *Core) placementPermits(owned *ownedPartition, decision schedule.Decision) bool {
 	terms, ok := owned.store.Terms(decision.Call.Program)
-	backend, known := c.attendant.backend(decision.Backend)
+	backend, known := c.backendManager.backend(decision.Backend)
 	return ok && known && terms.Placement.Contains(backend.Zone)
 }
 
-// unplace tells the scheduler that a choice was not carried out.
-func (c *Core) unplace(now time.Time, decision schedule.Decision) {
+// cancelPlacement reports to the scheduler that a choice was not carried out.
+func (c *Core) cancelPlacement(now time.Time, decision schedule.Decision) {
 	c.config.Policy.Finished(now, decision.Call, decision.Backend, api.Usage{}, 0)
 }
 
@@ -152,8 +153,8 @@
 	}
 }
 
-// stepAttemptEnded hands an attempt's outcome to the scheduler and to its own
-// call, and to no other.
+// stepAttemptEnded passes an attempt's outcome to the program and, if it is the
+// call's current attempt, to the scheduler.
 func (c *Core) stepAttemptEnded(now time.Time, event AttemptEnded) {
 	if event.Load != nil {
 		c.observeLoad(now, *event.Load)
@@ -166,7 +167,7 @@
 	if placed, ok := owned.placed[attempt.CallRef]; ok && placed.attempt == attempt.Attempt {
 		delete(owned.placed, attempt.CallRef)
 		c.config.Policy.Finished(now, attempt.CallRef, event.Backend, event.Outcome.Usage, event.Resident)
-		c.noteResidence(owned, attempt.Program, event.Backend, event.Resident > 0)
+		c.setResident(owned, attempt.Program, event.Backend, event.Resident > 0)
 		c.traceEnd(now, owned, attempt)
 	}
 	output, refusal := owned.store.Step(now, program.Command{Program: attempt.Program, Outcome: &event.Outcome})
@@ -175,39 +176,42 @@
 	}
 }
 
-// noteResidence remembers where a program's prefix is, for its release.
-func (c *Core) noteResidence(owned *ownedPartition, id api.ProgramID, backend machine.ID, resident bool) {
-	engines := owned.residence[id]
+// setResident records whether an engine caches a program's prefix, so that it
+// can be released later.
+func (c *Core) setResident(owned *ownedPartition, id api.ProgramID, backend machine.ID, resident bool) {
+	engines := owned.prefixEngines[id]
 	if !resident {
 		delete(engines, backend)
 		return
 	}
 	if engines == nil {
 		engines = make(map[machine.ID]bool)
-		owned.residence[id] = engines
+		owned.prefixEngines[id] = engines
 	}
 	engines[backend] = true
 }
 
-// releaseProgram frees everything that a program which is gone holds.
+// releaseProgram releases everything that an ended program still holds: its
+// scheduler state, its prefixes at engines and its traces.
 func (c *Core) releaseProgram(now time.Time, owned *ownedPartition, id api.ProgramID) {
 	c.config.Policy.ProgramEnded(now, id)
-	for _, backend := range sortedMachines(owned.residence[id]) {
+	for _, backend := range sortedMachines(owned.prefixEngines[id]) {
 		c.releaseAt(id, backend)
 	}
-	delete(owned.residence, id)
+	delete(owned.prefixEngines, id)
 	delete(owned.traces, id)
 }
 
-// releaseAt frees a program's prefix at one engine. A release that is lost is
-// made good by the sweep.
+// releaseAt releases a program's prefix at one engine. If the release is lost,
+// the next sweep repeats it.
 func (c *Core) releaseAt(id api.ProgramID, engineID machine.ID) {
-	if backend, ok := c.attendant.backend(engineID); ok {
+	if backend, ok := c.backendManager.backend(engineID); ok {
 		c.emit(ReleasePrefix{Backend: backend, Owner: id})
 	}
 }
 
-// withdrawPartition takes every call of the partition out of the scheduler.
+// withdrawPartition withdraws all calls of the partition from the scheduler and
+// drops its delayed effects.
 func (c *Core) withdrawPartition(owned *ownedPartition) {
 	c.delayed.removePartition(owned.id)
 	for _, call := range sortedCalls(owned.queued) {
@@ -228,7 +232,7 @@
 	return owned, true
 }
 
-// trace keeps why a call was placed where it was.
+// trace records the scheduling decision for a call.
 func (c *Core) trace(now time.Time, owned *ownedPartition, since time.Time, decision schedule.Decision) {
 	id := decision.Call.Program
 	traces := owned.traces[id]
--- a/control/sweep_test.go
+++ b/control/sweep_test.go
@@ -16,19 +16,19 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// attendant is a node that looks after one engine.
-type attendant struct {
+// testNode is a node that manages one engine.
+type testNode struct {
 	core   *control.Core
 	now    time.Time
 	sweeps int
-	// listed is the machine list, and settingsRead the last read of the
-	// settings that the core asked for.
+	// listed is the machine list, and settingsRead the last settings read that
+	// the core requested.
 	listed       []machine.Machine
 	settingsRead contract.FollowerRead
 }
 
-// newAttendant starts the node, with peers that the machine list shows too.
-func newAttendant(peers ...machine.Machine) *attendant {
+// newTestNode starts the node; the machine list also contains the peers.
+func newTestNode(peers ...machine.Machine) *testNode {
 	random := rand.New(rand.NewPCG(1, 1))
 	self := machine.Machine{ID: "node-1", Kind: machine.KindNode, Zone: "isando", Address: "10.0.0.1:1", Status: machine.StatusLive, Incarnation: 1}
 	settings := schedule.DefaultConfig()
@@ -41,7 +41,7 @@
 	config.Follower.Zones = []zone.Name{self.Zone}
 	core, err := control.New(config)
 	Expect(err).NotTo(HaveOccurred())
-	started := &attendant{core: core, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+	started := &testNode{core: core, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	started.listed = append([]machine.Machine{self, {
 		ID: "engine-1", Kind: machine.KindEngine, Zone: self.Zone, Address: "10.0.1.1:1",
 		Status: machine.StatusLive, Models: []string{"birch-8b"}, Slots: 1, CacheTokens: 1,
@@ -50,34 +50,35 @@
 	return started
 }
 
-// step gives the core an event and notes what it asks for.
-func (a *attendant) step(event control.Event) {
-	a.core.Step(a.now, event)
-	for _, action := range a.core.Ready() {
+// step passes an event to the core and records the actions that the specs
+// check.
+func (n *testNode) step(event control.Event) {
+	n.core.Step(n.now, event)
+	for _, action := range n.core.Ready() {
 		switch action := action.(type) {
 		case control.ListPrefixes:
-			a.sweeps++
+			n.sweeps++
 		case control.ReadSettings:
-			a.settingsRead = action.Read
+			n.settingsRead = action.Read
 		}
 	}
 }
 
-// observe hands over cache events and lets a moment pass, much shorter than
-// the period of the sweeps.
-func (a *attendant) observe(sequences ...uint64) {
+// observe delivers cache events and advances the time by 10 ms, much less than
+// the sweep period.
+func (n *testNode) observe(sequences ...uint64) {
 	observed := control.BackendObserved{Backend: "engine-1"}
 	for _, sequence := range sequences {
 		observed.Events = append(observed.Events, engine.CacheEvent{Sequence: sequence, Owner: "cold.0.0000000000000001"})
 	}
-	a.step(observed)
-	a.now = a.now.Add(10 * time.Millisecond)
-	a.step(control.Tick{})
+	n.step(observed)
+	n.now = n.now.Add(10 * time.Millisecond)
+	n.step(control.Tick{})
 }
 
 var _ = Describe("The memory of an engine", func() {
 	It("is looked through at once after a gap in its cache events, and not before", func() {
-		node := newAttendant()
+		node := newTestNode()
 		node.observe(5, 6)
 		node.observe(7)
 		Expect(node.sweeps).To(BeZero())
@@ -88,7 +89,7 @@
 	})
 
 	It("is looked through in every period, though events never come", func() {
-		node := newAttendant()
+		node := newTestNode()
 		for range 60 {
 			node.now = node.now.Add(time.Second)
 			node.step(control.Tick{})
--- a/partition/mirroring.go
+++ b/partition/mirroring.go
@@ -9,47 +9,54 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// mirrorTimeoutGrowth is the ratio of the longest to the shortest wait before
-// a message to a mirror is repeated.
+// mirrorTimeoutGrowth is the ratio of the longest to the shortest backoff of a
+// message to a mirror.
 const mirrorTimeoutGrowth = 16
 
-// mirroring follows the mirrors of an owner.
+// mirroring is an owner's state about its mirrors.
 //
-// The set in force is the newest one in the log. While another set waits for
-// its place in the log, a later epoch may come to read either of them, so a
-// record is durable only with a write quorum in both.
+// The current set is the newest one in the log. While the log has not confirmed
+// a proposed set, a later epoch may read either set, so a record is durable
+// only with a write quorum in both.
 type mirroring struct {
 	current []recordlog.Mirror
-	// next waits for the log at nextSequence, zero if there is none.
+	// next is the proposed set, confirmed once the log has nextSequence.
+	// nextSequence is zero if there is none.
 	next         []recordlog.Mirror
 	nextSequence uint64
-	// links follow the members of both sets, ordered by machine.
+	// links holds the state of each member of both sets.
 	links []*mirrorLink
-	// durable is the sequence up to which every set has a write quorum.
-	durable uint64
-	// reviewAt is when missing members are looked for; zero for never.
+	// durableSequence is the sequence up to which every set has a write quorum.
+	durableSequence uint64
+	// reviewAt is when the owner next looks for replacements of missing
+	// members; zero for never.
 	reviewAt   time.Time
 	enlistment enlistment
 }
 
-// mirrorLink is what an owner knows of one mirror.
+// mirrorLink is an owner's state about one mirror.
 type mirrorLink struct {
 	mirror recordlog.Mirror
-	// incarnation is the machine's incarnation in the view when it enlisted;
-	// a later one may mean that the process was restarted.
+	// incarnation is the machine's incarnation in the view when the mirror was
+	// added or last reviewed. A different one may mean that the process was
+	// restarted.
 	incarnation uint64
-	// acked is the sequence up to which the mirror holds what the log lacks.
-	acked uint64
-	// holding is set while the mirror may hold entries that the log has.
-	holding bool
-	// restarted is set once the process that enlisted is gone.
+	// ackedSequence is the sequence up to which the mirror has acknowledged the
+	// entries that the log lacks.
+	ackedSequence uint64
+	// mayHoldEntries is set while the mirror may hold entries that the log has,
+	// and so needs a trim.
+	mayHoldEntries bool
+	// restarted is set once the process that agreed to be a mirror is gone.
 	restarted bool
-	// deadline is when the message under way is repeated; zero if none is.
+	// deadline is when the message in flight is repeated; zero if there is
+	// none.
 	deadline time.Time
 	backoff  retry.Backoff
 }
 
-// enlistment asks nodes whether, and under which instance, they would mirror.
+// enlistment is the progress of asking nodes whether, and as which instance,
+// they would be mirrors.
 type enlistment struct {
 	asked    []machine.ID
 	agreed   []recordlog.Mirror
@@ -60,7 +67,8 @@
 	return len(e.asked) > 0
 }
 
-// complete reports whether every asked node agreed or the time is up.
+// complete reports whether every asked node has agreed or the deadline has
+// passed.
 func (e *enlistment) complete(now time.Time) bool {
 	return len(e.agreed) == len(e.asked) || !now.Before(e.deadline)
 }
@@ -73,8 +81,8 @@
 	}
 }
 
-// stepMirrored takes a mirror's acknowledgement.
-func (r *Replica) stepMirrored(from machine.ID, ack MirrorAck) {
+// stepMirrorAck processes a mirror's acknowledgement.
+func (r *Replica) stepMirrorAck(from machine.ID, ack MirrorAck) {
 	if r.state == StateFollowing || r.state == StateClaiming {
 		return
 	}
@@ -86,18 +94,18 @@
 		return
 	}
 	if ack.Trimmed {
-		r.settled.acknowledge(from)
+		r.pendingTrim.acknowledge(from)
 		return
 	}
-	r.noteAgreed(from, ack)
+	r.recordAgreement(from, ack)
 	for _, link := range r.mirrors.links {
 		if link.mirror.ID == from {
-			r.acknowledged(link, ack)
+			r.stepLinkAck(link, ack)
 		}
 	}
 }
 
-func (r *Replica) noteAgreed(from machine.ID, ack MirrorAck) {
+func (r *Replica) recordAgreement(from machine.ID, ack MirrorAck) {
 	enlistment := &r.mirrors.enlistment
 	known := func(mirror recordlog.Mirror) bool { return mirror.ID == from }
 	if slices.Contains(enlistment.asked, from) && !slices.ContainsFunc(enlistment.agreed, known) {
@@ -105,80 +113,81 @@
 	}
 }
 
-// acknowledged takes what a mirror holds. Only the process that enlisted
-// counts: another one has lost what that one held.
-func (r *Replica) acknowledged(link *mirrorLink, ack MirrorAck) {
+// stepLinkAck processes an acknowledgement of entries. Only the process that
+// agreed to be the mirror counts: any other has lost the entries.
+func (r *Replica) stepLinkAck(link *mirrorLink, ack MirrorAck) {
 	if ack.Instance != link.mirror.Instance {
 		link.restarted = true
 		link.deadline = time.Time{}
 		r.reviewMirrorsAfter(r.config.HandoverDwell)
 		return
 	}
-	if ack.Sequence > link.acked || !ack.Full {
+	if ack.Sequence > link.ackedSequence || !ack.Full {
 		link.deadline = time.Time{}
 		link.backoff.Reset()
 	}
-	link.acked = max(link.acked, ack.Sequence)
-	if link.acked <= r.journal.Fold().Sequence {
-		link.holding = false
+	link.ackedSequence = max(link.ackedSequence, ack.Sequence)
+	if link.ackedSequence <= r.journal.Fold().Sequence {
+		link.mayHoldEntries = false
 	}
 	r.markDurable()
 }
 
-// markDurable confirms what every set that may come to be read holds.
+// markDurable confirms the entries for which every set that a later epoch may
+// read has a write quorum.
 func (r *Replica) markDurable() {
-	durable := r.heldBy(r.mirrors.current)
+	durableSequence := r.quorumSequence(r.mirrors.current)
 	if r.mirrors.nextSequence > 0 {
-		durable = min(durable, r.heldBy(r.mirrors.next))
+		durableSequence = min(durableSequence, r.quorumSequence(r.mirrors.next))
 	}
-	if durable > r.mirrors.durable {
-		r.mirrors.durable = durable
-		r.journal.MarkMirrored(durable)
+	if durableSequence > r.mirrors.durableSequence {
+		r.mirrors.durableSequence = durableSequence
+		r.journal.MarkMirrored(durableSequence)
 	}
 }
 
-// heldBy is the sequence up to which a write quorum of the set holds the
-// epoch; zero for a set without members.
-func (r *Replica) heldBy(set []recordlog.Mirror) uint64 {
+// quorumSequence returns the sequence up to which a write quorum of the set
+// holds the epoch; zero for an empty set.
+func (r *Replica) quorumSequence(set []recordlog.Mirror) uint64 {
 	if len(set) == 0 {
 		return 0
 	}
 	var acked []uint64
 	for _, member := range set {
-		acked = append(acked, r.ackedBy(member))
+		acked = append(acked, r.ackedSequenceOf(member))
 	}
 	slices.Sort(acked)
 	return acked[len(acked)-recordlog.WriteQuorum(len(acked))]
 }
 
-func (r *Replica) ackedBy(member recordlog.Mirror) uint64 {
+func (r *Replica) ackedSequenceOf(member recordlog.Mirror) uint64 {
 	for _, link := range r.mirrors.links {
 		if link.mirror == member {
-			return link.acked
+			return link.ackedSequence
 		}
 	}
 	return 0
 }
 
-// degraded reports whether the log has left an append unanswered for so long
-// that mirrors get the entries.
+// degraded reports whether the log has left an append unanswered for
+// MirrorDelay, so that mirrors get the entries.
 func (r *Replica) degraded() bool {
 	since := r.journal.UnansweredSince()
 	return !since.IsZero() && !r.now.Before(since.Add(r.config.MirrorDelay))
 }
 
-// advanceMirrors takes a new set into force, sends the mirrors what they lack
-// and looks for missing members.
+// advanceMirrors adopts a confirmed set, sends the mirrors the entries that
+// they lack and looks for missing members.
 func (r *Replica) advanceMirrors() {
 	r.adoptMirrors()
 	degraded := r.degraded()
 	for _, link := range r.mirrors.links {
-		r.feed(link, degraded)
+		r.updateMirror(link, degraded)
 	}
 	r.reviewMirrors(degraded)
 }
 
-// adoptMirrors notices that the log has the next set.
+// adoptMirrors makes the proposed set current once the log has it.
 func (r *Replica) adoptMirrors() {
 	m := &r.mirrors
 	if m.nextSequence == 0 || r.journal.Fold().Sequence < m.nextSequence {
@@ -192,29 +201,30 @@
 	})
 }
 
-// feed sends one mirror the entries that the log does not answer for, or tells
-// it to forget what the log has.
-func (r *Replica) feed(link *mirrorLink, degraded bool) {
+// updateMirror sends one mirror the entries that the log has not confirmed
+// while the log is degraded, or has it drop the entries that the log has.
+func (r *Replica) updateMirror(link *mirrorLink, degraded bool) {
 	if link.restarted || r.now.Before(link.deadline) {
 		return
 	}
 	logged := r.journal.Fold().Sequence
-	next := max(link.acked, logged)
+	next := max(link.ackedSequence, logged)
 	lacking := degraded && next < r.journal.LastSequence()
-	if !lacking && !(link.holding && !degraded) {
+	if !lacking && !(link.mayHoldEntries && !degraded) {
 		link.deadline = time.Time{}
 		return
 	}
-	request := MirrorAppend{Epoch: r.journal.Epoch(), Instance: link.mirror.Instance, Logged: logged}
+	request := MirrorAppend{Epoch: r.journal.Epoch(), Instance: link.mirror.Instance, LoggedSequence: logged}
 	if lacking {
 		request.Entries = r.journal.Unconfirmed(next, r.config.MaximumBatchBytes)
-		link.holding = true
+		link.mayHoldEntries = true
 	}
 	link.deadline = r.now.Add(r.config.MirrorTimeout + link.backoff.Next())
 	r.send(link.mirror.ID, Message{Mirror: &request})
 }
 
-// proposeMirrors puts a set into the log, to be in force from there on.
+// proposeMirrors proposes a mirror set to the log. It becomes current once the
+// log has it.
 func (r *Replica) proposeMirrors(set recordlog.MirrorSet) {
 	r.mirrors.next = set.Members
 	r.mirrors.nextSequence = r.journal.ProposeMirrors(r.now, set)
@@ -249,7 +259,7 @@
 	return 0
 }
 
-// mirrorTimers are the times at which mirrors need attention.
+// mirrorTimers returns the times at which mirrors need a message or a review.
 func (r *Replica) mirrorTimers() []time.Time {
 	var timers []time.Time
 	since := r.journal.UnansweredSince()
--- a/partition/mirrorset.go
+++ b/partition/mirrorset.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// reviewMirrorsAfter schedules a look for missing mirrors, unless an earlier
-// one is due.
+// reviewMirrorsAfter schedules a review of the mirror set, unless an earlier
+// one is scheduled.
 func (r *Replica) reviewMirrorsAfter(wait time.Duration) {
 	at := r.now.Add(wait)
 	if r.mirrors.reviewAt.IsZero() || at.Before(r.mirrors.reviewAt) {
@@ -17,9 +17,10 @@
 	}
 }
 
-// mirrorsChanged schedules a review when the view gives a reason for one: a
-// member is gone or was restarted, or there are fewer than wanted.
-func (r *Replica) mirrorsChanged() {
+// scheduleMirrorReview schedules a review of the mirror set if the view calls
+// for one: a member is gone or may have been restarted, or there are fewer than
+// MirrorCount members and other candidates exist.
+func (r *Replica) scheduleMirrorReview() {
 	if r.config.MirrorCount == 0 || r.state != StateOwning {
 		return
 	}
@@ -28,14 +29,14 @@
 			r.reviewMirrorsAfter(r.config.HandoverDwell)
 		}
 	}
-	if len(r.keptMirrors()) < r.config.MirrorCount && len(r.missingMirrors()) > 0 {
+	if len(r.healthyMirrors()) < r.config.MirrorCount && len(r.spareCandidates()) > 0 {
 		r.reviewMirrorsAfter(r.config.HandoverDwell)
 	}
 }
 
-// reviewMirrors replaces members that are gone: it asks candidates, and puts
-// those that agree into the log with the members that stay. It waits while
-// the log does not answer, since only the log can change the set.
+// reviewMirrors replaces members that are gone: it asks candidates, and
+// proposes a set of those that agree and the members that stay. It waits while
+// the log does not answer, because only the log can change the set.
 func (r *Replica) reviewMirrors(degraded bool) {
 	m := &r.mirrors
 	if r.state != StateOwning || m.nextSequence > 0 {
@@ -58,8 +59,8 @@
 	}
 }
 
-// reviewCandidates are the nodes to ask: members that may have been restarted,
-// and nodes that could fill the set.
+// reviewCandidates returns the nodes to ask: members that may have been
+// restarted, and candidates to fill the set.
 func (r *Replica) reviewCandidates() []machine.ID {
 	var asked []machine.ID
 	for _, link := range r.mirrors.links {
@@ -67,17 +68,17 @@
 			asked = append(asked, link.mirror.ID)
 		}
 	}
-	room := r.config.MirrorCount - len(r.keptMirrors())
-	for _, id := range r.missingMirrors() {
-		if room > 0 && !slices.Contains(asked, id) {
+	free := r.config.MirrorCount - len(r.healthyMirrors())
+	for _, id := range r.spareCandidates() {
+		if free > 0 && !slices.Contains(asked, id) {
 			asked = append(asked, id)
-			room--
+			free--
 		}
 	}
 	return asked
 }
 
-// finishReview puts the new set into the log, if it is another one.
+// finishReview proposes the new set if it differs from the current one.
 func (r *Replica) finishReview(degraded bool) {
 	m := &r.mirrors
 	if !m.enlistment.complete(r.now) {
@@ -89,9 +90,9 @@
 		r.reviewMirrorsAfter(r.config.HandoverDwell)
 		return
 	}
-	members := r.keptMirrors()
+	members := r.healthyMirrors()
 	for _, mirror := range agreed {
-		members = slices.DeleteFunc(members, func(kept recordlog.Mirror) bool { return kept.ID == mirror.ID })
+		members = slices.DeleteFunc(members, func(member recordlog.Mirror) bool { return member.ID == mirror.ID })
 	}
 	members = append(members, agreed...)
 	members = members[:min(len(members), r.config.MirrorCount)]
@@ -104,24 +105,25 @@
 	r.proposeMirrors(recordlog.MirrorSet{Members: members})
 }
 
-// keptMirrors are the members that are live and were not restarted.
-func (r *Replica) keptMirrors() []recordlog.Mirror {
-	var kept []recordlog.Mirror
+// healthyMirrors returns the members that are live and have not been restarted.
+func (r *Replica) healthyMirrors() []recordlog.Mirror {
+	var healthy []recordlog.Mirror
 	for _, link := range r.mirrors.links {
 		if r.eligible(link.mirror.ID) && !link.restarted && slices.Contains(r.mirrors.current, link.mirror) {
-			kept = append(kept, link.mirror)
+			healthy = append(healthy, link.mirror)
 		}
 	}
-	return kept
+	return healthy
 }
 
-// missingMirrors are the candidates that are no member, best first.
-func (r *Replica) missingMirrors() []machine.ID {
-	kept := r.keptMirrors()
-	everyone := len(r.view.Nodes)
-	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, everyone)
+// spareCandidates returns the candidates that are not healthy members, best
+// first.
+func (r *Replica) spareCandidates() []machine.ID {
+	healthy := r.healthyMirrors()
+	all := len(r.view.Nodes)
+	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, all)
 	return slices.DeleteFunc(candidates, func(id machine.ID) bool {
-		return slices.ContainsFunc(kept, func(mirror recordlog.Mirror) bool { return mirror.ID == id })
+		return slices.ContainsFunc(healthy, func(mirror recordlog.Mirror) bool { return mirror.ID == id })
 	})
 }
 
--- a/partition/mirrorstore.go
+++ b/partition/mirrorstore.go
@@ -8,13 +8,13 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// MirrorStoreConfig sets the bounds of a node's MirrorStore.
+// MirrorStoreConfig sets the limits of a node's MirrorStore.
 type MirrorStoreConfig struct {
-	// Instance is recordlog.WriterName of this process.
+	// Instance is the recordlog.WriterName of this process.
 	Instance string
-	// MaximumBytes bounds the entries held for all partitions together.
+	// MaximumBytes limits the size of the entries of all partitions together.
 	MaximumBytes int
-	// MaximumMessageBytes bounds the entries of one answer.
+	// MaximumMessageBytes limits the size of the entries of one answer.
 	MaximumMessageBytes int
 }
 
@@ -26,56 +26,59 @@
 	return found.Err()
 }
 
-// MirrorStore holds, for the owners of other nodes, entries that the log has
-// not confirmed. It lives in memory alone: a restarted process answers with
-// another instance and holds nothing.
+// MirrorStore holds entries that the log has not confirmed, for owners on other
+// nodes. It is kept in memory only: a restarted process answers as another
+// instance and holds nothing.
 type MirrorStore struct {
 	config     MirrorStoreConfig
-	partitions map[ID]*mirrored
+	partitions map[ID]*mirroredPartition
 	bytes      int
 }
 
-// mirrored is what a store knows of one partition.
-type mirrored struct {
-	// reader is the newest epoch that queried; older ones are refused.
-	reader uint64
-	epochs map[uint64]*mirroredEpoch
+// mirroredPartition is the state of one partition in a MirrorStore.
+type mirroredPartition struct {
+	// readerEpoch is the newest epoch that queried this store; entries of older
+	// epochs are refused.
+	readerEpoch uint64
+	epochs      map[uint64]*mirroredEpoch
 }
 
-// mirroredEpoch holds the entries of one epoch after logged, without gaps.
+// mirroredEpoch holds the entries of one epoch after loggedSequence, without
+// gaps.
 type mirroredEpoch struct {
-	// logged is the sequence up to which the log has the epoch.
-	logged  uint64
-	entries []recordlog.Entry
+	// loggedSequence is the sequence up to which the log has the epoch.
+	loggedSequence uint64
+	entries        []recordlog.Entry
 	// complete is set when this node owned the epoch itself.
 	complete bool
 }
 
-func (e *mirroredEpoch) last() uint64 {
-	return e.logged + uint64(len(e.entries))
+func (e *mirroredEpoch) lastSequence() uint64 {
+	return e.loggedSequence + uint64(len(e.entries))
 }
 
-// NewMirrorStore returns an empty store, or every finding about the config.
+// NewMirrorStore returns an empty store, or an error with all findings about
+// the config.
 func NewMirrorStore(config MirrorStoreConfig) (*MirrorStore, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	return &MirrorStore{config: config, partitions: map[ID]*mirrored{}}, nil
+	return &MirrorStore{config: config, partitions: map[ID]*mirroredPartition{}}, nil
 }
 
-// Bytes is the size of the entries that the store holds.
+// Bytes returns the size of the entries in the store.
 func (s *MirrorStore) Bytes() int {
 	return s.bytes
 }
 
-// Step takes a message for which Message.ForMirror holds and returns the
-// answers.
+// Step processes a message for which Message.ForMirror returns true, and
+// returns the answers.
 func (s *MirrorStore) Step(from machine.ID, message Message) []Outbound {
 	id := message.Partition
 	var answer Message
 	switch {
 	case message.Mirror != nil:
-		answer.Mirrored = s.hold(id, *message.Mirror)
+		answer.Mirrored = s.appendEntries(id, *message.Mirror)
 	case message.Query != nil:
 		answer.Answer = s.answer(id, *message.Query)
 	case message.Trim != nil:
@@ -87,21 +90,22 @@
 	return []Outbound{{To: from, Message: answer}}
 }
 
-// partition returns what is known of a partition, remembering it from now on.
-func (s *MirrorStore) partition(id ID) *mirrored {
-	known := s.partitions[id]
-	if known == nil {
-		known = &mirrored{epochs: map[uint64]*mirroredEpoch{}}
-		s.partitions[id] = known
+// partitionState returns the state of a partition, creating it if needed.
+func (s *MirrorStore) partitionState(id ID) *mirroredPartition {
+	state := s.partitions[id]
+	if state == nil {
+		state = &mirroredPartition{epochs: map[uint64]*mirroredEpoch{}}
+		s.partitions[id] = state
 	}
-	return known
+	return state
 }
 
-// hold takes entries of an owner and acknowledges what it holds of the epoch.
-func (s *MirrorStore) hold(id ID, request MirrorAppend) *MirrorAck {
+// appendEntries stores an owner's entries and acknowledges the entries of the
+// epoch that the store holds.
+func (s *MirrorStore) appendEntries(id ID, request MirrorAppend) *MirrorAck {
 	ack := &MirrorAck{Epoch: request.Epoch, Instance: s.config.Instance}
-	known := s.partition(id)
-	if request.Epoch < known.reader {
+	state := s.partitionState(id)
+	if request.Epoch < state.readerEpoch {
 		ack.Refused = true
 		return ack
 	}
@@ -112,28 +116,28 @@
 		ack.Restarted = true
 		return ack
 	}
-	// An owner appends to mirrors only after it opened its epoch, which
-	// settles the earlier ones.
-	s.forgetBefore(known, request.Epoch)
-	epoch := known.epochs[request.Epoch]
+	// An owner sends entries to mirrors only after it has opened its epoch, so
+	// the log has the entries of all earlier epochs.
+	s.dropEpochsBefore(state, request.Epoch)
+	epoch := state.epochs[request.Epoch]
 	if epoch == nil {
 		epoch = &mirroredEpoch{}
-		known.epochs[request.Epoch] = epoch
+		state.epochs[request.Epoch] = epoch
 	}
-	s.forget(epoch, request.Logged)
+	s.dropThrough(epoch, request.LoggedSequence)
 	ack.Full = !s.extend(epoch, request.Entries)
-	ack.Sequence = epoch.last()
+	ack.Sequence = epoch.lastSequence()
 	return ack
 }
 
-// extend adds the entries that follow on what the epoch holds, and reports
-// whether there was room for them.
+// extend appends the entries that directly follow those of the epoch. It
+// reports false if they would exceed the store's limit.
 func (s *MirrorStore) extend(epoch *mirroredEpoch, entries []recordlog.Entry) bool {
 	for _, entry := range entries {
-		if entry.Sequence <= epoch.last() {
+		if entry.Sequence <= epoch.lastSequence() {
 			continue
 		}
-		if entry.Sequence != epoch.last()+1 {
+		if entry.Sequence != epoch.lastSequence()+1 {
 			return true
 		}
 		if s.bytes+entry.Size() > s.config.MaximumBytes {
@@ -145,82 +149,83 @@
 	return true
 }
 
-// forget drops the entries up to the sequence, which the log has.
-func (s *MirrorStore) forget(epoch *mirroredEpoch, logged uint64) {
-	if logged <= epoch.logged {
+// dropThrough drops the entries up to the sequence, which the log has.
+func (s *MirrorStore) dropThrough(epoch *mirroredEpoch, loggedSequence uint64) {
+	if loggedSequence <= epoch.loggedSequence {
 		return
 	}
-	count := min(logged-epoch.logged, uint64(len(epoch.entries)))
+	count := min(loggedSequence-epoch.loggedSequence, uint64(len(epoch.entries)))
 	for _, entry := range epoch.entries[:count] {
 		s.bytes -= entry.Size()
 	}
 	epoch.entries = slices.Clone(epoch.entries[count:])
-	epoch.logged = logged
+	epoch.loggedSequence = loggedSequence
 }
 
-// keep takes what this node had not logged of an epoch that it owned and lost,
-// if there is room. It answers for the whole epoch from then on.
-func (s *MirrorStore) keep(id ID, rest recordlog.Rest) {
-	epoch := &mirroredEpoch{logged: rest.Logged}
+// keepOwned stores the unlogged entries of an epoch that this node owned and
+// lost, if they fit. From then on the store answers for the whole epoch.
+func (s *MirrorStore) keepOwned(id ID, rest recordlog.Rest) {
+	epoch := &mirroredEpoch{loggedSequence: rest.Logged}
 	if !s.extend(epoch, rest.Entries) {
-		s.forget(epoch, epoch.last())
+		s.dropThrough(epoch, epoch.lastSequence())
 		return
 	}
 	epoch.complete = true
-	s.partition(id).epochs[rest.Epoch] = epoch
+	s.partitionState(id).epochs[rest.Epoch] = epoch
 }
 
-// settle forgets the epochs before one that this node opened: the log has them.
-func (s *MirrorStore) settle(id ID, epoch uint64) {
-	if known := s.partitions[id]; known != nil {
-		s.forgetBefore(known, epoch)
+// epochOpened drops the epochs before one that this node opened: the log has
+// their entries.
+func (s *MirrorStore) epochOpened(id ID, epoch uint64) {
+	if state := s.partitions[id]; state != nil {
+		s.dropEpochsBefore(state, epoch)
 	}
 }
 
-// forgetBefore drops every epoch before the given one.
-func (s *MirrorStore) forgetBefore(known *mirrored, epoch uint64) {
-	for number, older := range known.epochs {
+// dropEpochsBefore drops every epoch before the given one.
+func (s *MirrorStore) dropEpochsBefore(state *mirroredPartition, epoch uint64) {
+	for number, older := range state.epochs {
 		if number < epoch {
-			s.forget(older, older.last())
-			delete(known.epochs, number)
+			s.dropThrough(older, older.lastSequence())
+			delete(state.epochs, number)
 		}
 	}
 }
 
-// answer tells a later epoch's owner what the store holds, and refuses every
-// epoch before that one from then on.
+// answer returns the store's entries to the owner of a later epoch, and refuses
+// every epoch before that one from then on.
 func (s *MirrorStore) answer(id ID, query MirrorQuery) *MirrorAnswer {
-	answer := &MirrorAnswer{Epoch: query.Epoch, Instance: s.config.Instance, Reader: query.Reader}
+	answer := &MirrorAnswer{Epoch: query.Epoch, Instance: s.config.Instance, ReaderEpoch: query.ReaderEpoch}
 	if query.Instance != s.config.Instance {
 		answer.Restarted = true
 		return answer
 	}
-	known := s.partition(id)
-	if query.Reader < known.reader {
+	state := s.partitionState(id)
+	if query.ReaderEpoch < state.readerEpoch {
 		answer.Refused = true
 		return answer
 	}
-	known.reader = query.Reader
-	epoch := known.epochs[query.Epoch]
+	state.readerEpoch = query.ReaderEpoch
+	epoch := state.epochs[query.Epoch]
 	if epoch == nil {
-		answer.Last = query.Sequence
+		answer.LastSequence = query.Sequence
 		return answer
 	}
 	answer.Complete = epoch.complete
-	answer.Last = max(epoch.last(), query.Sequence)
+	answer.LastSequence = max(epoch.lastSequence(), query.Sequence)
 	answer.Entries = s.chunk(epoch, query.Sequence)
 	return answer
 }
 
-// chunk returns the entries after the sequence that fit in one message, at
+// chunk returns the entries after the sequence that fit in one message, but at
 // least one if there is any.
 func (s *MirrorStore) chunk(epoch *mirroredEpoch, sequence uint64) []recordlog.Entry {
-	if sequence >= epoch.last() || sequence < epoch.logged {
+	if sequence >= epoch.lastSequence() || sequence < epoch.loggedSequence {
 		return nil
 	}
 	var chunk []recordlog.Entry
 	bytes := 0
-	for _, entry := range epoch.entries[sequence-epoch.logged:] {
+	for _, entry := range epoch.entries[sequence-epoch.loggedSequence:] {
 		bytes += entry.Size()
 		if len(chunk) > 0 && bytes > s.config.MaximumMessageBytes {
 			break
@@ -230,24 +235,24 @@
 	return chunk
 }
 
-// trim forgets what the log holds: all of the earlier epochs, and the epoch
-// itself up to the sequence.
+// trim drops the entries that the log holds: those of all earlier epochs, and
+// those of the epoch itself up to the sequence.
 func (s *MirrorStore) trim(id ID, trim MirrorTrim) *MirrorAck {
-	known := s.partitions[id]
+	state := s.partitions[id]
 	ack := &MirrorAck{Epoch: trim.Epoch, Instance: s.config.Instance, Sequence: trim.Sequence, Trimmed: true}
-	if known == nil {
+	if state == nil {
 		return ack
 	}
-	s.forgetBefore(known, trim.Epoch)
-	if epoch := known.epochs[trim.Epoch]; epoch != nil {
-		s.forget(epoch, trim.Sequence)
+	s.dropEpochsBefore(state, trim.Epoch)
+	if epoch := state.epochs[trim.Epoch]; epoch != nil {
+		s.dropThrough(epoch, trim.Sequence)
 	}
-	known.reader = max(known.reader, trim.Epoch)
+	state.readerEpoch = max(state.readerEpoch, trim.Epoch)
 	return ack
 }
 
 // ForMirror reports whether the message is for the receiver's MirrorStore
-// rather than for its Replica.
+// rather than its Replica.
 func (m Message) ForMirror() bool {
 	return m.Mirror != nil || m.Query != nil || m.Trim != nil
 }
