--- a/ingress/buffers.go
+++ b/ingress/buffers.go
@@ -8,15 +8,16 @@
 	"sync"
 )
 
-// buffers lends connections the buffers of one request. Most connections wait
-// for their next request most of the time, and need none then.
+// buffers pools read and write buffers. Most connections are idle between
+// requests most of the time, so a connection holds buffers only while it
+// serves a request.
 type buffers struct {
 	readers sync.Pool
 	writers sync.Pool
 }
 
-// reader returns a reader of at least the given size over a connection whose
-// first bytes were read already.
+// reader returns a reader with a buffer of at least size bytes. It yields the
+// bytes already read from the connection, then the rest of the connection.
 func (b *buffers) reader(socket net.Conn, first []byte, size int) *bufio.Reader {
 	source := io.MultiReader(bytes.NewReader(first), socket)
 	if known, _ := b.readers.Get().(*bufio.Reader); known != nil && known.Size() >= size {
@@ -26,7 +27,7 @@
 	return bufio.NewReaderSize(source, size)
 }
 
-// writer returns a writer to a connection.
+// writer returns a buffered writer to a connection.
 func (b *buffers) writer(socket net.Conn) *bufio.Writer {
 	if known, _ := b.writers.Get().(*bufio.Writer); known != nil {
 		known.Reset(socket)
@@ -35,7 +36,7 @@
 	return bufio.NewWriterSize(socket, writeBufferBytes)
 }
 
-// giveBack takes the buffers of a connection that needs them no more.
+// giveBack returns a connection's buffers to the pool.
 func (b *buffers) giveBack(reader *bufio.Reader, writer *bufio.Writer) {
 	reader.Reset(nil)
 	writer.Reset(nil)
--- a/ingress/connection.go
+++ b/ingress/connection.go
@@ -14,31 +14,34 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// ErrClientGone is the cause of an exchange whose client has hung up.
+// ErrClientGone is the cancellation cause of an exchange whose client has
+// disconnected.
 var ErrClientGone = errors.New("the client has left")
 
-// connection is one client's connection. Its goroutine reads a request, has it
-// handled, and goes on to the next.
+// connection is one client connection. Its goroutine reads and handles one
+// request at a time.
 type connection struct {
 	server *Server
 	socket net.Conn
 	probe  peek.Probe
-	// reader and writer are there from the first byte of a request on, and go
-	// back once it was answered and nothing of the next one was read.
+	// reader and writer are taken from the pool at the first byte of a request.
+	// They are returned after the response unless bytes of the next request are
+	// already buffered.
 	reader *bufio.Reader
 	writer *bufio.Writer
 	first  [1]byte
-	// exchange is the one under way, nil while a request is waited for.
+	// exchange is the one in progress; nil while the connection is idle.
 	exchange atomic.Pointer[Exchange]
-	// closing is set once the connection ends after this answer, or is idle
-	// and was told to go.
+	// closing is set when the connection is to be closed after the current
+	// response, or at once if it is idle.
 	closing atomic.Bool
 }
 
 const (
 	writeBufferBytes = 4096
-	// spareHeadBytes is what a head may exceed the limit by before it cannot
-	// be read at all.
+	// spareHeadBytes is the buffer space beyond the head limit. A head that
+	// exceeds the limit by less is read and refused after parsing; a larger one
+	// cannot be read.
 	spareHeadBytes = 1024
 	minimumHead    = 4096
 )
@@ -64,7 +67,7 @@
 	}
 }
 
-// giveBack returns the connection's buffers.
+// giveBack returns the connection's buffers to the pool.
 func (c *connection) giveBack() {
 	c.server.buffers.giveBack(c.reader, c.writer)
 	c.reader, c.writer = nil, nil
@@ -85,7 +88,7 @@
 		return false
 	}
 	if c.probe.Closed() {
-		// The client hung up while its request waited to be read.
+		// The client disconnected before its request was read.
 		return false
 	}
 	c.server.config.Handler(exchange)
@@ -110,7 +113,8 @@
 	return true
 }
 
-// deadlineIn returns the time after a span; none where the span is zero.
+// deadlineIn returns the current time plus span, or the zero time (no deadline)
+// if span is not positive.
 func deadlineIn(span time.Duration) time.Time {
 	if span <= 0 {
 		return time.Time{}
@@ -118,7 +122,8 @@
 	return time.Now().Add(span)
 }
 
-// closeIdle closes the connection unless an exchange is under way.
+// closeIdle closes the connection if it is idle; otherwise the connection
+// closes after the exchange in progress.
 func (c *connection) closeIdle() {
 	c.closing.Store(true)
 	if c.exchange.Load() == nil {
@@ -126,7 +131,7 @@
 	}
 }
 
-// checkClient cancels the exchange under way if the client has left.
+// checkClient cancels the exchange in progress if the client has disconnected.
 func (c *connection) checkClient() {
 	exchange := c.exchange.Load()
 	if exchange != nil && exchange.watched.Load() && c.probe.Closed() {
@@ -134,11 +139,12 @@
 	}
 }
 
-// problem is a request that is refused before any handler sees it.
+// problem describes why a request is refused before it reaches the handler.
 type problem struct {
 	status int
 	reason string
-	// silent closes the connection without an answer: nobody is there.
+	// silent closes the connection without a response, since the client has
+	// disconnected.
 	silent bool
 }
 
--- a/ingress/doc.go
+++ b/ingress/doc.go
@@ -1,12 +1,14 @@
 // Package ingress serves clients over HTTP/1.1. It reads requests within the
-// limits of the configuration in force, gives each to a handler as an Exchange,
-// and writes the answer, whole or as a stream, byte for byte as the handler
-// has it.
+// limits of the configuration in force, passes each to a handler as an
+// Exchange, and writes the handler's response unchanged, either complete or as
+// a stream.
 //
-// It parses with fasthttp but keeps connections itself, since fasthttp's own
-// server can neither tell a handler that the caller has hung up nor end a
-// connection without an answer. A watch looks at the connections of all
-// exchanges a few times a second and cancels those whose client has left.
+// It parses with fasthttp but manages connections itself, because fasthttp's
+// server can neither notify a handler that the client has disconnected nor
+// close a connection without a response. A background goroutine checks the
+// connections of all exchanges several times a second and cancels exchanges
+// whose client has disconnected.
 //
-// Drain begins a planned stop: answers then say that the connection closes.
+// Drain begins a planned stop: from then on, responses carry
+// "Connection: close".
 package ingress
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -18,27 +18,29 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// Exchange is one request and its answer. It belongs to the handler's
-// goroutine; only Cancel may be used by others.
+// Exchange is one request and its response. Only the handler's goroutine may
+// use it, except for Cancel, which is safe for concurrent use.
 type Exchange struct {
 	// Method, Target and Host are as the client sent them.
 	Method string
 	Target string
 	Host   string
-	// Body is the whole body, and HasBody tells an empty one from none.
+	// Body is the complete body. HasBody distinguishes an empty body from none.
 	Body    []byte
 	HasBody bool
-	// Arrived is when the first byte of the request was there.
+	// Arrived is when the first byte of the request was received.
 	Arrived time.Time
-	// Cancel ends the exchange, also when the client leaves.
+	// Cancel ends the exchange. It is triggered when the client disconnects.
 	Cancel *upstream.Cancel
 
 	connection *connection
 	head       fasthttp.RequestHeader
 	keepAlive  bool
-	// watched is set once the whole request was read.
+	// watched is set once the complete request has been read; from then on the
+	// client is checked for having disconnected.
 	watched atomic.Bool
-	// begun and ended follow the answer.
+	// begun is set when the head of the response is written, ended when the
+	// response is complete or aborted.
 	begun bool
 	ended bool
 }
@@ -57,7 +59,7 @@
 	return string(e.head.Peek(name))
 }
 
-// Values returns the values of all lines of a header field.
+// Values returns the values of all occurrences of a header field.
 func (e *Exchange) Values(name string) []string {
 	var values []string
 	for _, value := range e.head.PeekAll(name) {
@@ -66,8 +68,8 @@
 	return values
 }
 
-// ForwardedFields returns the raw lines of the head without those that concern
-// one connection, the host, and the named ones.
+// ForwardedFields returns the raw header lines to forward to a replica: all
+// except hop-by-hop fields, Host, and the named ones.
 func (e *Exchange) ForwardedFields(without ...string) []byte {
 	raw := e.head.RawHeaders()
 	kept := make([]byte, 0, len(raw)+256)
@@ -92,8 +94,9 @@
 	return false
 }
 
-// connectionFields concern one connection alone, besides those that the
-// Connection field lists. Lengths are set anew.
+// connectionFields are the fields that are not forwarded, besides those that
+// the Connection field lists: hop-by-hop fields, and Host and Content-Length,
+// which are written anew.
 var connectionFields = []string{
 	header.Connection, header.ContentLength, header.Expect, header.Host, header.KeepAlive, header.TransferEncoding,
 	"Proxy-Connection", "Te", "Trailer", "Upgrade",
@@ -111,7 +114,7 @@
 	return false
 }
 
-// read reads the request within the limits.
+// read reads the request, enforcing the limits.
 func (e *Exchange) read(limits routing.Limits) *problem {
 	connection := e.connection
 	_ = connection.socket.SetReadDeadline(deadlineIn(limits.HeaderTimeout))
@@ -137,7 +140,7 @@
 	return nil
 }
 
-// checkHead refuses heads that are too large or whose framing has two readings.
+// checkHead refuses heads that are too large or whose framing is ambiguous.
 func (e *Exchange) checkHead(limits routing.Limits) *problem {
 	if limits.HeaderBytes > 0 && len(e.head.Header()) > limits.HeaderBytes {
 		return &problem{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "the head is larger than the limit"}
@@ -165,9 +168,9 @@
 	return nil
 }
 
-// isToken reports whether a field's name has only the signs that RFC 9110 gives
-// it. A blank in or beside one has a line read in two ways: as a field, and as
-// the rest of the line before it.
+// isToken reports whether a field name is a token of RFC 9110. A name with
+// whitespace in or next to it is ambiguous: a parser may read its line as a
+// field of its own or as a continuation of the line before it.
 func isToken(name []byte) bool {
 	for _, sign := range name {
 		letter := 'a' <= sign|0x20 && sign|0x20 <= 'z'
@@ -179,7 +182,8 @@
 	return len(name) > 0
 }
 
-// invite answers a client that waits to be asked for the body.
+// invite sends "100 Continue" to a client that expects it before it sends the
+// body.
 func (e *Exchange) invite() error {
 	if !e.HasBody || !strings.EqualFold(e.Field(header.Expect), "100-continue") {
 		return nil
@@ -226,14 +230,14 @@
 	return nil
 }
 
-// isDisconnect reports whether the client ended the connection.
+// isDisconnect reports whether err means that the client closed the connection.
 func isDisconnect(err error) bool {
 	var nothing fasthttp.ErrNothingRead
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &nothing) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// refuse answers a request that no handler sees.
+// refuse answers a request that is not passed to the handler.
 func (e *Exchange) refuse(found *problem) {
 	if found.silent {
 		e.ended = true
@@ -243,10 +247,11 @@
 	e.Fail(found.status, found.reason, 0)
 }
 
-// refusalTimeout bounds the writing of a refusal to a client that misbehaves.
+// refusalTimeout limits the time for writing a refusal, in case the client does
+// not read it.
 const refusalTimeout = time.Second
 
-// retryAfter writes seconds with fractions.
+// retryAfter formats a Retry-After value in seconds with three decimals.
 func retryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -17,10 +17,11 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// limits are those of most tests; the times are far away.
+// limits are used by most tests; their timeouts are too long to expire in a test.
 var limits = routing.Limits{HeaderBytes: 1024, BodyBytes: 64, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 
-// startServer serves with a handler and returns a dialler.
+// startServer starts a server with the handler and returns it with a function
+// that connects to it.
 func startServer(limits routing.Limits, handler ingress.Handler) (*ingress.Server, func() net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -41,7 +42,7 @@
 	}
 }
 
-// echo answers with the request's body.
+// echo responds with the request's body.
 func echo(exchange *ingress.Exchange) {
 	head := &fasthttp.ResponseHeader{}
 	head.SetStatusCode(fasthttp.StatusOK)
@@ -50,7 +51,7 @@
 	exchange.Relay(head, exchange.Body)
 }
 
-// exchange writes raw bytes and reads one answer.
+// exchangeRaw writes raw bytes and reads one response.
 func exchangeRaw(socket net.Conn, reader *bufio.Reader, raw string) *http.Response {
 	_, err := io.WriteString(socket, raw)
 	Expect(err).NotTo(HaveOccurred())
@@ -167,7 +168,8 @@
 			Expect(err).NotTo(HaveOccurred())
 			return socket
 		}
-		// The server stands still until the first client has hung up.
+		// Both clients connect before the server accepts, so that the first has
+		// disconnected before its request is read.
 		Expect(send("/left").Close()).To(Succeed())
 		staying := send("/stays")
 		DeferCleanup(func() { _ = staying.Close() })
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// Handler answers one exchange. It runs on the connection's goroutine, and the
-// exchange must not be used after it returns.
+// Handler answers one exchange. It runs on the connection's goroutine. The
+// exchange must not be used after the handler returns.
 type Handler func(*Exchange)
 
 // Config sets up a Server.
@@ -20,12 +20,14 @@
 	Handler Handler
 	// Limits returns the limits in force.
 	Limits func() routing.Limits
-	// MaxConnections bounds the connections; 0 sets no bound. One over it is
-	// closed at once.
+	// MaxConnections limits the number of open connections; 0 means no limit.
+	// Connections accepted beyond it are closed immediately.
 	MaxConnections int
-	// Panicked is told of a handler that panicked; its connection is closed.
+	// OnPanic is called with the recovered value when a handler panics. The
+	// handler's connection is closed.
 	Panicked func(value any)
-	// WatchPeriod is how often clients are looked at for having left.
+	// WatchPeriod is the interval at which clients are checked for having
+	// disconnected.
 	WatchPeriod time.Duration
 }
 
@@ -36,7 +38,7 @@
 type Server struct {
 	config   Config
 	draining atomic.Bool
-	// diverting has answers close their connections until it is unset.
+	// diverting, while set, makes responses close their connections.
 	diverting atomic.Bool
 	buffers   buffers
 
@@ -44,7 +46,7 @@
 	connections map[*connection]struct{}
 	listeners   []net.Listener
 	closed      bool
-	// serving counts the goroutines of connections.
+	// serving counts the connections' goroutines.
 	serving sync.WaitGroup
 	stop    chan struct{}
 }
@@ -71,7 +73,8 @@
 			return nil
 		}
 		if err != nil {
-			// Out of descriptors, as a rule: connections that end make room.
+			// The usual cause is a lack of file descriptors; closing connections
+			// frees some.
 			time.Sleep(acceptPause)
 			continue
 		}
@@ -79,7 +82,7 @@
 	}
 }
 
-// acceptPause follows a failed accept.
+// acceptPause is the delay after a failed accept.
 const acceptPause = 20 * time.Millisecond
 
 func (s *Server) accept(socket net.Conn) {
@@ -97,8 +100,8 @@
 	go s.serveConnection(accepted)
 }
 
-// serveConnection serves one connection to its end. A handler that panics ends
-// its connection, not the process.
+// serveConnection serves one connection until it closes. A panic of the handler
+// closes its connection but does not end the process.
 func (s *Server) serveConnection(accepted *connection) {
 	defer s.serving.Done()
 	defer func() {
@@ -112,17 +115,17 @@
 	accepted.serve()
 }
 
-// Drain has every later answer close its connection.
+// Drain makes every later response close its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Divert has answers close their connections, or no longer, so that clients come back
-// on new ones, which may lead to other nodes.
+// Divert sets whether responses close their connections. Clients then reconnect,
+// possibly to other nodes.
 func (s *Server) Divert(diverting bool) { s.diverting.Store(diverting) }
 
-// closesConnections reports whether answers close their connections.
+// closesConnections reports whether responses close their connections.
 func (s *Server) closesConnections() bool { return s.draining.Load() || s.diverting.Load() }
 
-// Active returns how many exchanges are under way.
+// Active returns the number of exchanges in progress.
 func (s *Server) Active() int {
 	active := 0
 	for _, one := range s.snapshot() {
@@ -133,8 +136,8 @@
 	return active
 }
 
-// StopAccepting closes the listeners and the connections that wait for a
-// request. Exchanges under way go on.
+// StopAccepting closes the listeners and the idle connections. Exchanges in
+// progress continue.
 func (s *Server) StopAccepting() {
 	s.Drain()
 	s.mutex.Lock()
@@ -149,8 +152,8 @@
 	}
 }
 
-// Shutdown stops accepting, waits for the exchanges under way and closes what
-// remains when the context ends.
+// Shutdown calls StopAccepting, waits for the exchanges in progress until ctx
+// is done, and closes the remaining connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.StopAccepting()
 	done := make(chan struct{})
@@ -191,7 +194,7 @@
 	return all
 }
 
-// watch cancels the exchanges of clients that have left.
+// watch periodically cancels the exchanges of clients that have disconnected.
 func (s *Server) watch() {
 	ticker := time.NewTicker(s.config.WatchPeriod)
 	defer ticker.Stop()
