--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -10,8 +10,8 @@
 	"birchwood.example/birchwood/header"
 )
 
-// failure is the JSON body of a response that this process generates itself.
-type failure struct {
+// errorBody is the JSON body of a response that this process generates itself.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
@@ -19,11 +19,11 @@
 // reason. A wait greater than zero is sent as Retry-After. If the head of a
 // response has already been written, Fail aborts the exchange instead.
 func (e *Exchange) Fail(status int, reason string, wait time.Duration) {
-	if e.begun {
+	if e.headWritten {
 		e.Break()
 		return
 	}
-	body, err := json.Marshal(failure{Error: reason})
+	body, err := json.Marshal(errorBody{Error: reason})
 	if err != nil {
 		body = nil
 	}
@@ -32,7 +32,7 @@
 	if wait > 0 {
 		e.writeField(header.RetryAfter, retryAfter(wait))
 	}
-	e.finishWhole(status, body)
+	e.writeComplete(status, body)
 }
 
 // Relay sends a replica's response to the client: its status, its header fields
@@ -40,7 +40,7 @@
 func (e *Exchange) Relay(head *fasthttp.ResponseHeader, body []byte) {
 	e.writeStatus(head.StatusCode())
 	e.writeFields(head)
-	e.finishWhole(head.StatusCode(), body)
+	e.writeComplete(head.StatusCode(), body)
 }
 
 // BeginStream sends the head of a chunked response, whose body follows in calls
@@ -54,8 +54,8 @@
 	return e.connection.writer.Flush()
 }
 
-// hexBase is the number base of HTTP chunk sizes.
-const hexBase = 16
+// chunkSizeBase is the number base of HTTP chunk sizes.
+const chunkSizeBase = 16
 
 // Write sends one piece of a stream as a chunk and flushes it.
 func (e *Exchange) Write(piece []byte) error {
@@ -63,7 +63,7 @@
 		return nil
 	}
 	writer := e.connection.writer
-	_, _ = writer.WriteString(strconv.FormatInt(int64(len(piece)), hexBase))
+	_, _ = writer.WriteString(strconv.FormatInt(int64(len(piece)), chunkSizeBase))
 	_, _ = writer.WriteString("\r\n")
 	_, _ = writer.Write(piece)
 	_, _ = writer.WriteString("\r\n")
@@ -95,10 +95,10 @@
 }
 
 // HeadWritten reports whether the head of the response has been written.
-func (e *Exchange) Begun() bool { return e.begun }
+func (e *Exchange) Begun() bool { return e.headWritten }
 
 func (e *Exchange) writeStatus(status int) {
-	e.begun = true
+	e.headWritten = true
 	writer := e.connection.writer
 	_, _ = writer.WriteString("HTTP/1.1 ")
 	_, _ = writer.WriteString(strconv.Itoa(status))
@@ -117,9 +117,9 @@
 
 // writeFields forwards a replica's header fields except hop-by-hop ones.
 func (e *Exchange) writeFields(head *fasthttp.ResponseHeader) {
-	listed := string(head.Peek(header.Connection))
+	connectionOptions := string(head.Peek(header.Connection))
 	for name, value := range head.All() {
-		if !concernsConnection(string(name), listed) {
+		if !isExcluded(string(name), connectionOptions) {
 			e.writeField(string(name), string(value))
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-func (e *Exchange) finishWhole(status int, body []byte) {
+func (e *Exchange) writeComplete(status int, body []byte) {
 	e.ended = true
 	e.writeConnection()
 	writer := e.connection.writer
--- a/ingress/buffers.go
+++ b/ingress/buffers.go
@@ -18,26 +18,26 @@
 
 // reader returns a reader with a buffer of at least size bytes. It yields the
 // bytes already read from the connection, then the rest of the connection.
-func (b *buffers) reader(socket net.Conn, first []byte, size int) *bufio.Reader {
-	source := io.MultiReader(bytes.NewReader(first), socket)
-	if known, _ := b.readers.Get().(*bufio.Reader); known != nil && known.Size() >= size {
-		known.Reset(source)
-		return known
+func (b *buffers) reader(socket net.Conn, prefix []byte, size int) *bufio.Reader {
+	source := io.MultiReader(bytes.NewReader(prefix), socket)
+	if pooled, _ := b.readers.Get().(*bufio.Reader); pooled != nil && pooled.Size() >= size {
+		pooled.Reset(source)
+		return pooled
 	}
 	return bufio.NewReaderSize(source, size)
 }
 
 // writer returns a buffered writer to a connection.
 func (b *buffers) writer(socket net.Conn) *bufio.Writer {
-	if known, _ := b.writers.Get().(*bufio.Writer); known != nil {
-		known.Reset(socket)
-		return known
+	if pooled, _ := b.writers.Get().(*bufio.Writer); pooled != nil {
+		pooled.Reset(socket)
+		return pooled
 	}
 	return bufio.NewWriterSize(socket, writeBufferBytes)
 }
 
-// giveBack returns a connection's buffers to the pool.
-func (b *buffers) giveBack(reader *bufio.Reader, writer *bufio.Writer) {
+// release returns a connection's buffers to the pool.
+func (b *buffers) release(reader *bufio.Reader, writer *bufio.Writer) {
 	reader.Reset(nil)
 	writer.Reset(nil)
 	b.readers.Put(reader)
--- a/ingress/connection.go
+++ b/ingress/connection.go
@@ -27,9 +27,9 @@
 	// reader and writer are taken from the pool at the first byte of a request.
 	// They are returned after the response unless bytes of the next request are
 	// already buffered.
-	reader *bufio.Reader
-	writer *bufio.Writer
-	first  [1]byte
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	firstByte [1]byte
 	// exchange is the one in progress; nil while the connection is idle.
 	exchange atomic.Pointer[Exchange]
 	// closing is set when the connection is to be closed after the current
@@ -42,8 +42,8 @@
 	// spareHeadBytes is the buffer space beyond the head limit. A head that
 	// exceeds the limit by less is read and refused after parsing; a larger one
 	// cannot be read.
-	spareHeadBytes = 1024
-	minimumHead    = 4096
+	spareHeadBytes     = 1024
+	minHeadBufferBytes = 4096
 )
 
 func newConnection(server *Server, socket net.Conn) *connection {
@@ -59,17 +59,17 @@
 	defer func() { _ = c.socket.Close() }()
 	for c.serveOne() {
 		if c.reader.Buffered() == 0 {
-			c.giveBack()
+			c.release()
 		}
 	}
 	if c.reader != nil {
-		c.giveBack()
+		c.release()
 	}
 }
 
-// giveBack returns the connection's buffers to the pool.
-func (c *connection) giveBack() {
-	c.server.buffers.giveBack(c.reader, c.writer)
+// release returns the connection's buffers to the pool.
+func (c *connection) release() {
+	c.server.buffers.release(c.reader, c.writer)
 	c.reader, c.writer = nil, nil
 }
 
@@ -82,9 +82,9 @@
 	exchange := &Exchange{connection: c, Cancel: &upstream.Cancel{}, Arrived: time.Now()}
 	c.exchange.Store(exchange)
 	defer c.exchange.Store(nil)
-	if problem := exchange.read(limits); problem != nil {
+	if rejected := exchange.read(limits); rejected != nil {
 		exchange.keepAlive = false
-		exchange.refuse(problem)
+		exchange.refuse(rejected)
 		return false
 	}
 	if c.probe.Closed() {
@@ -105,21 +105,21 @@
 		_, err := c.reader.Peek(1)
 		return err == nil
 	}
-	if read, _ := c.socket.Read(c.first[:]); read == 0 {
+	if read, _ := c.socket.Read(c.firstByte[:]); read == 0 {
 		return false
 	}
-	c.reader = c.server.buffers.reader(c.socket, c.first[:], max(minimumHead, limits.HeaderBytes+spareHeadBytes))
+	c.reader = c.server.buffers.reader(c.socket, c.firstByte[:], max(minHeadBufferBytes, limits.HeaderBytes+spareHeadBytes))
 	c.writer = c.server.buffers.writer(c.socket)
 	return true
 }
 
-// deadlineIn returns the current time plus span, or the zero time (no deadline)
-// if span is not positive.
-func deadlineIn(span time.Duration) time.Time {
-	if span <= 0 {
+// deadlineIn returns the current time plus timeout, or the zero time (no
+// deadline) if timeout is not positive.
+func deadlineIn(timeout time.Duration) time.Time {
+	if timeout <= 0 {
 		return time.Time{}
 	}
-	return time.Now().Add(span)
+	return time.Now().Add(timeout)
 }
 
 // closeIdle closes the connection if it is idle; otherwise the connection
@@ -134,13 +134,13 @@
 // checkClient cancels the exchange in progress if the client has disconnected.
 func (c *connection) checkClient() {
 	exchange := c.exchange.Load()
-	if exchange != nil && exchange.watched.Load() && c.probe.Closed() {
+	if exchange != nil && exchange.requestRead.Load() && c.probe.Closed() {
 		exchange.Cancel.Trigger(ErrClientGone)
 	}
 }
 
-// problem describes why a request is refused before it reaches the handler.
-type problem struct {
+// rejection describes why a request is refused before it reaches the handler.
+type rejection struct {
 	status int
 	reason string
 	// silent closes the connection without a response, since the client has
@@ -148,17 +148,17 @@
 	silent bool
 }
 
-func problemOf(err error) *problem {
+func rejectionOf(err error) *rejection {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	switch {
 	case errors.As(err, &small):
-		return &problem{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "the head is larger than the limit"}
+		return &rejection{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "the head is larger than the limit"}
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return &problem{status: fasthttp.StatusRequestTimeout, reason: "the request did not come in time"}
+		return &rejection{status: fasthttp.StatusRequestTimeout, reason: "the request did not come in time"}
 	case isDisconnect(err):
-		return &problem{silent: true}
+		return &rejection{silent: true}
 	default:
-		return &problem{status: fasthttp.StatusBadRequest, reason: "not a valid HTTP/1.1 request"}
+		return &rejection{status: fasthttp.StatusBadRequest, reason: "not a valid HTTP/1.1 request"}
 	}
 }
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -36,13 +36,13 @@
 	connection *connection
 	head       fasthttp.RequestHeader
 	keepAlive  bool
-	// watched is set once the complete request has been read; from then on the
-	// client is checked for having disconnected.
-	watched atomic.Bool
-	// begun is set when the head of the response is written, ended when the
-	// response is complete or aborted.
-	begun bool
-	ended bool
+	// requestRead is set once the complete request has been read; from then on
+	// the client is checked for having disconnected.
+	requestRead atomic.Bool
+	// headWritten is set when the head of the response is written, ended when
+	// the response is complete or aborted.
+	headWritten bool
+	ended       bool
 }
 
 // Path returns the request target without its query.
@@ -72,17 +72,17 @@
 // except hop-by-hop fields, Host, and the named ones.
 func (e *Exchange) ForwardedFields(without ...string) []byte {
 	raw := e.head.RawHeaders()
-	kept := make([]byte, 0, len(raw)+256)
-	listed := e.Field(header.Connection)
+	forwarded := make([]byte, 0, len(raw)+256)
+	connectionOptions := e.Field(header.Connection)
 	for line := range bytes.Lines(raw) {
 		name, _, found := bytes.Cut(line, []byte(":"))
-		if !found || concernsConnection(string(name), listed) || containsFold(without, string(name)) {
+		if !found || isExcluded(string(name), connectionOptions) || containsFold(without, string(name)) {
 			continue
 		}
-		kept = append(kept, bytes.TrimRight(line, "\r\n")...)
-		kept = append(kept, "\r\n"...)
+		forwarded = append(forwarded, bytes.TrimRight(line, "\r\n")...)
+		forwarded = append(forwarded, "\r\n"...)
 	}
-	return kept
+	return forwarded
 }
 
 func containsFold(names []string, name string) bool {
@@ -94,19 +94,19 @@
 	return false
 }
 
-// connectionFields are the fields that are not forwarded, besides those that
-// the Connection field lists: hop-by-hop fields, and Host and Content-Length,
-// which are written anew.
-var connectionFields = []string{
+// excludedFields are the fields that are not forwarded, besides those that the
+// Connection field lists: hop-by-hop fields, and Host and Content-Length, which
+// are written anew.
+var excludedFields = []string{
 	header.Connection, header.ContentLength, header.Expect, header.Host, header.KeepAlive, header.TransferEncoding,
 	"Proxy-Connection", "Te", "Trailer", "Upgrade",
 }
 
-func concernsConnection(name, listed string) bool {
-	if containsFold(connectionFields, name) {
+func isExcluded(name, connectionOptions string) bool {
+	if containsFold(excludedFields, name) {
 		return true
 	}
-	for option := range strings.SplitSeq(listed, ",") {
+	for option := range strings.SplitSeq(connectionOptions, ",") {
 		if option = strings.TrimSpace(option); option != "" && strings.EqualFold(option, name) {
 			return true
 		}
@@ -115,35 +115,35 @@
 }
 
 // read reads the request, enforcing the limits.
-func (e *Exchange) read(limits routing.Limits) *problem {
+func (e *Exchange) read(limits routing.Limits) *rejection {
 	connection := e.connection
 	_ = connection.socket.SetReadDeadline(deadlineIn(limits.HeaderTimeout))
 	if err := e.head.Read(connection.reader); err != nil {
-		return problemOf(err)
+		return rejectionOf(err)
 	}
 	e.Method = string(e.head.Method())
 	e.Target = string(e.head.RequestURI())
 	e.Host = string(e.head.Host())
 	e.keepAlive = !e.head.ConnectionClose()
-	if found := e.checkHead(limits); found != nil {
-		return found
+	if rejected := e.checkHead(limits); rejected != nil {
+		return rejected
 	}
-	if err := e.invite(); err != nil {
-		return problemOf(err)
+	if err := e.sendContinue(); err != nil {
+		return rejectionOf(err)
 	}
 	_ = connection.socket.SetReadDeadline(deadlineIn(max(limits.HeaderTimeout, limits.IdleTimeout)))
-	if found := e.readBody(limits); found != nil {
-		return found
+	if rejected := e.readBody(limits); rejected != nil {
+		return rejected
 	}
 	_ = connection.socket.SetReadDeadline(time.Time{})
-	e.watched.Store(true)
+	e.requestRead.Store(true)
 	return nil
 }
 
 // checkHead refuses heads that are too large or whose framing is ambiguous.
-func (e *Exchange) checkHead(limits routing.Limits) *problem {
+func (e *Exchange) checkHead(limits routing.Limits) *rejection {
 	if limits.HeaderBytes > 0 && len(e.head.Header()) > limits.HeaderBytes {
-		return &problem{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "the head is larger than the limit"}
+		return &rejection{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "the head is larger than the limit"}
 	}
 	lengths, codings := 0, 0
 	for line := range bytes.Lines(e.head.RawHeaders()) {
@@ -151,7 +151,7 @@
 		switch {
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
 		case !found || !isToken(name):
-			return &problem{status: fasthttp.StatusBadRequest, reason: "the name of a header field is not valid"}
+			return &rejection{status: fasthttp.StatusBadRequest, reason: "the name of a header field is not valid"}
 		case strings.EqualFold(string(name), header.ContentLength):
 			lengths++
 		case strings.EqualFold(string(name), header.TransferEncoding):
@@ -159,10 +159,10 @@
 		}
 	}
 	if lengths+codings > 1 {
-		return &problem{status: fasthttp.StatusBadRequest, reason: "the length of the body is given twice"}
+		return &rejection{status: fasthttp.StatusBadRequest, reason: "the length of the body is given twice"}
 	}
 	if !strings.HasPrefix(e.Target, "/") {
-		return &problem{status: fasthttp.StatusBadRequest, reason: "the request target is not a path"}
+		return &rejection{status: fasthttp.StatusBadRequest, reason: "the request target is not a path"}
 	}
 	e.HasBody = lengths+codings > 0
 	return nil
@@ -172,19 +172,19 @@
 // whitespace in or next to it is ambiguous: a parser may read its line as a
 // field of its own or as a continuation of the line before it.
 func isToken(name []byte) bool {
-	for _, sign := range name {
-		letter := 'a' <= sign|0x20 && sign|0x20 <= 'z'
-		digit := '0' <= sign && sign <= '9'
-		if !letter && !digit && !strings.ContainsRune("!#$%&'*+-.^_`|~", rune(sign)) {
+	for _, char := range name {
+		letter := 'a' <= char|0x20 && char|0x20 <= 'z'
+		digit := '0' <= char && char <= '9'
+		if !letter && !digit && !strings.ContainsRune("!#$%&'*+-.^_`|~", rune(char)) {
 			return false
 		}
 	}
 	return len(name) > 0
 }
 
-// invite sends "100 Continue" to a client that expects it before it sends the
-// body.
-func (e *Exchange) invite() error {
+// sendContinue sends "100 Continue" to a client that expects it before it sends
+// the body.
+func (e *Exchange) sendContinue() error {
 	if !e.HasBody || !strings.EqualFold(e.Field(header.Expect), "100-continue") {
 		return nil
 	}
@@ -192,40 +192,40 @@
 	return e.connection.writer.Flush()
 }
 
-func (e *Exchange) readBody(limits routing.Limits) *problem {
+func (e *Exchange) readBody(limits routing.Limits) *rejection {
 	if !e.HasBody {
 		return nil
 	}
 	length := e.head.ContentLength()
 	limit := limits.BodyBytes
 	if limit > 0 && length > limit {
-		return &problem{status: fasthttp.StatusRequestEntityTooLarge, reason: "the body is larger than the limit"}
+		return &rejection{status: fasthttp.StatusRequestEntityTooLarge, reason: "the body is larger than the limit"}
 	}
 	if length >= 0 {
 		e.Body = make([]byte, length)
 		if _, err := io.ReadFull(e.connection.reader, e.Body); err != nil {
-			return problemOf(err)
+			return rejectionOf(err)
 		}
 		return nil
 	}
-	return e.readChunks(limit)
+	return e.readChunkedBody(limit)
 }
 
-func (e *Exchange) readChunks(limit int) *problem {
+func (e *Exchange) readChunkedBody(limit int) *rejection {
 	var source io.Reader = httputil.NewChunkedReader(e.connection.reader)
 	if limit > 0 {
 		source = io.LimitReader(source, int64(limit)+1)
 	}
 	body, err := io.ReadAll(source)
 	if err != nil {
-		return problemOf(err)
+		return rejectionOf(err)
 	}
 	if limit > 0 && len(body) > limit {
-		return &problem{status: fasthttp.StatusRequestEntityTooLarge, reason: "the body is larger than the limit"}
+		return &rejection{status: fasthttp.StatusRequestEntityTooLarge, reason: "the body is larger than the limit"}
 	}
 	e.Body = body
 	if err := header.SkipTrailer(e.connection.reader); err != nil {
-		return problemOf(err)
+		return rejectionOf(err)
 	}
 	return nil
 }
@@ -238,13 +238,13 @@
 }
 
 // refuse answers a request that is not passed to the handler.
-func (e *Exchange) refuse(found *problem) {
-	if found.silent {
+func (e *Exchange) refuse(rejected *rejection) {
+	if rejected.silent {
 		e.ended = true
 		return
 	}
 	_ = e.connection.socket.SetWriteDeadline(deadlineIn(refusalTimeout))
-	e.Fail(found.status, found.reason, 0)
+	e.Fail(rejected.status, rejected.reason, 0)
 }
 
 // refusalTimeout limits the time for writing a refusal, in case the client does
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -277,8 +277,8 @@
 			<-release
 			echo(exchange)
 		})
-		idle, busy := dial(), dial()
-		_, err := io.WriteString(busy, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\none")
+		idle, active := dial(), dial()
+		_, err := io.WriteString(active, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\none")
 		Expect(err).NotTo(HaveOccurred())
 		<-begun
 		stopped := make(chan error, 1)
@@ -286,7 +286,7 @@
 		_, err = idle.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 		close(release)
-		answer, err := http.ReadResponse(bufio.NewReader(busy), nil)
+		answer, err := http.ReadResponse(bufio.NewReader(active), nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bodyOf(answer)).To(Equal("one"))
 		Expect(answer.Close).To(BeTrue())
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -31,8 +31,8 @@
 	WatchPeriod time.Duration
 }
 
-// watchPeriod is the default of Config.WatchPeriod.
-const watchPeriod = 100 * time.Millisecond
+// defaultWatchPeriod is the default of Config.WatchPeriod.
+const defaultWatchPeriod = 100 * time.Millisecond
 
 // Server accepts the connections of clients.
 type Server struct {
@@ -54,10 +54,10 @@
 // NewServer returns a server without listeners.
 func NewServer(config Config) *Server {
 	if config.WatchPeriod <= 0 {
-		config.WatchPeriod = watchPeriod
+		config.WatchPeriod = defaultWatchPeriod
 	}
 	server := &Server{config: config, connections: make(map[*connection]struct{}), stop: make(chan struct{})}
-	go server.watch()
+	go server.watchClients()
 	return server
 }
 
@@ -75,15 +75,15 @@
 		if err != nil {
 			// The usual cause is a lack of file descriptors; closing connections
 			// frees some.
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.accept(socket)
 	}
 }
 
-// acceptPause is the delay after a failed accept.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
 func (s *Server) accept(socket net.Conn) {
 	accepted := newConnection(s, socket)
@@ -128,8 +128,8 @@
 // Active returns the number of exchanges in progress.
 func (s *Server) Active() int {
 	active := 0
-	for _, one := range s.snapshot() {
-		if one.exchange.Load() != nil {
+	for _, conn := range s.snapshot() {
+		if conn.exchange.Load() != nil {
 			active++
 		}
 	}
@@ -147,8 +147,8 @@
 	for _, listener := range listeners {
 		_ = listener.Close()
 	}
-	for _, one := range s.snapshot() {
-		one.closeIdle()
+	for _, conn := range s.snapshot() {
+		conn.closeIdle()
 	}
 }
 
@@ -179,23 +179,23 @@
 		return
 	}
 	close(s.stop)
-	for _, one := range s.snapshot() {
-		_ = one.socket.Close()
+	for _, conn := range s.snapshot() {
+		_ = conn.socket.Close()
 	}
 }
 
 func (s *Server) snapshot() []*connection {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	all := make([]*connection, 0, len(s.connections))
-	for one := range s.connections {
-		all = append(all, one)
+	open := make([]*connection, 0, len(s.connections))
+	for conn := range s.connections {
+		open = append(open, conn)
 	}
-	return all
+	return open
 }
 
-// watch periodically cancels the exchanges of clients that have disconnected.
-func (s *Server) watch() {
+// watchClients periodically cancels the exchanges of clients that have disconnected.
+func (s *Server) watchClients() {
 	ticker := time.NewTicker(s.config.WatchPeriod)
 	defer ticker.Stop()
 	for {
@@ -204,8 +204,8 @@
 			return
 		case <-ticker.C:
 		}
-		for _, one := range s.snapshot() {
-			one.checkClient()
+		for _, conn := range s.snapshot() {
+			conn.checkClient()
 		}
 	}
 }
