--- a/upstream/cancel.go
+++ b/upstream/cancel.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Cancel ends one exchange from another goroutine: it breaks whatever
-// connection the exchange waits on. The zero value is ready; it must not be
-// copied.
+// Cancel cancels one exchange from another goroutine, by expiring the deadline
+// of the connection that the exchange is using. The zero value is ready to use.
+// A Cancel must not be copied.
 type Cancel struct {
 	mutex sync.Mutex
 	conn  net.Conn
 	cause error
-	// children end with this exchange.
+	// children are cancelled together with this exchange.
 	children []*Cancel
 }
 
-// Child returns a Cancel of one of several attempts of the same exchange: it
-// ends with the exchange, or alone.
+// Child returns a Cancel for one attempt of this exchange. It is triggered
+// together with its parent, and can be triggered without affecting the parent or
+// other attempts.
 func (c *Cancel) Child() *Cancel {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -27,7 +28,7 @@
 	return child
 }
 
-// Trigger ends the exchange for the given cause. Only the first cause counts.
+// Trigger cancels the exchange for the given cause. Later calls have no effect.
 func (c *Cancel) Trigger(cause error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -43,15 +44,16 @@
 	}
 }
 
-// Cause returns why the exchange was ended, or nil.
+// Cause returns why the exchange was cancelled, or nil if it was not.
 func (c *Cancel) Cause() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.cause
 }
 
-// bind names the connection that a trigger breaks from now on, nil for none.
-// It returns the cause if the exchange was ended already.
+// bind sets the connection that Trigger interrupts, nil for none, and sets the
+// connection's deadline. It returns the cause if the exchange has already been
+// cancelled.
 func (c *Cancel) bind(conn net.Conn, deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -65,5 +67,6 @@
 	return nil
 }
 
-// longAgo is a deadline that has passed on every clock.
+// longAgo is a deadline that has passed on any clock. Setting it interrupts
+// pending reads and writes.
 var longAgo = time.Unix(1, 0)
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -18,9 +18,9 @@
 	raw    syscall.RawConn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// idleSince is when the last exchange ended.
+	// idleSince is when the last exchange on the connection ended.
 	idleSince time.Time
-	// idleLimit is how long the replica keeps the connection when idle.
+	// idleLimit is how long the replica keeps the connection open while idle.
 	idleLimit time.Duration
 }
 
@@ -37,8 +37,8 @@
 	return connection
 }
 
-// quiet reports whether the connection is open and no byte waits on it. Bytes
-// that wait belong to a surplus answer.
+// quiet reports whether the connection is open and has no unread bytes. Unread
+// bytes belong to an extra answer that no request expects.
 func (c *conn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -55,11 +55,13 @@
 	return err == nil && quiet
 }
 
-// fresh reports whether the replica should still keep the idle connection.
+// fresh reports whether the connection has been idle for less than the
+// replica's limit.
 func (c *conn) fresh(now time.Time) bool { return now.Sub(c.idleSince) < c.idleLimit }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged, and has an
-// idle peer probed, so that a machine that fell silent is noticed.
+// setUserTimeout limits how long sent bytes may stay unacknowledged and enables
+// keep-alive probes, so that a machine that stops responding is detected. It
+// also disables Nagle's algorithm.
 func setUserTimeout(socket net.Conn, timeout time.Duration) {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
@@ -76,7 +78,8 @@
 	})
 }
 
-// The probes of an idle connection: the least that TCP has.
+// The keep-alive settings have the shortest idle time and interval that TCP
+// permits.
 const (
 	keepAliveIdle   = time.Second
 	keepAliveProbes = 2
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -10,34 +10,31 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("upstream")
 
-// ErrCancelled says that the exchange was ended from this side.
+// ErrCancelled means that this process ended the exchange, because its deadline
+// passed before a connection was opened.
 var ErrCancelled = errors.New("the exchange was cancelled")
 
-// NotSentError says that certainly nothing of the request reached a replica.
-// The request may be sent to another one.
+// NotSentError means that no part of the request reached a replica. The request
+// may be sent to another replica.
 type NotSentError struct{ Cause error }
 
-// Error describes the failure.
 func (e *NotSentError) Error() string { return "not sent: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// UnknownError says that the request was sent, at least in part, and that it
-// may have run.
+// UnknownError means that the request was sent, at least in part, and may have
+// run.
 type UnknownError struct {
-	// Stage tells what failed, such as "read answer".
+	// Stage is the step that failed, such as "read answer".
 	Stage string
 	Cause error
 }
 
-// Error describes the failure.
 func (e *UnknownError) Error() string { return fmt.Sprintf("may have run: %s: %v", e.Stage, e.Cause) }
 
-// Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// NotSent reports whether the error says that nothing was sent.
+// NotSent reports whether err is or wraps a NotSentError.
 func NotSent(err error) bool {
 	var notSent *NotSentError
 	return errors.As(err, &notSent)
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -12,14 +12,14 @@
 // Config sets up a Pool.
 type Config struct {
 	Names header.Names
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// SilenceTimeout bounds how long sent bytes stay unacknowledged.
+	// SilenceTimeout limits how long sent bytes may stay unacknowledged.
 	SilenceTimeout time.Duration
-	// IdleLimit is how long an idle connection is kept where the replica does
-	// not tell.
+	// IdleLimit is how long an idle connection is kept if the replica sends no
+	// Keep-Alive timeout.
 	IdleLimit time.Duration
-	// HeadBytes bounds the head of an answer, BodyBytes a body that is read whole.
+	// HeadBytes limits the head of an answer, BodyBytes a body read by ReadAll.
 	HeadBytes int
 	BodyBytes int
 }
@@ -36,14 +36,14 @@
 	}
 }
 
-// Target is one replica.
+// Target identifies one replica and its address.
 type Target struct {
 	// Identity is the id of the replica's incarnation.
 	Identity string
 	Address  netip.AddrPort
 }
 
-// Pool keeps connections to replicas. It is safe for concurrent use.
+// Pool holds connections to replicas. It is safe for concurrent use.
 type Pool struct {
 	config Config
 
@@ -53,7 +53,7 @@
 	reused  uint64
 }
 
-// target is what the pool keeps for one replica.
+// target holds the idle connections to one replica, the last used one last.
 type target struct {
 	idle []*conn
 }
@@ -63,7 +63,7 @@
 	return &Pool{config: config, targets: make(map[Target]*target)}
 }
 
-// Free reports whether a kept connection to the replica waits to be used.
+// HasIdle reports whether the pool has an idle connection to the replica.
 func (p *Pool) Free(to Target) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -71,7 +71,8 @@
 	return known != nil && len(known.idle) > 0
 }
 
-// Forget closes the idle connections to a replica that is gone.
+// RemoveTarget closes the idle connections to a replica that is gone.
+// Connections still in use are closed when their exchange ends.
 func (p *Pool) Forget(to Target) {
 	p.mutex.Lock()
 	known := p.targets[to]
@@ -85,15 +86,16 @@
 	}
 }
 
-// Counts returns how many connections were opened and how often one was used
-// again.
+// Counts returns how many connections have been opened and how many exchanges
+// reused one.
 func (p *Pool) Counts() (opened, reused uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.opened, p.reused
 }
 
-// target returns the entry of a replica. The mutex is held.
+// target returns the entry of a replica, creating it if necessary. The caller
+// holds the mutex.
 func (p *Pool) target(to Target) *target {
 	known := p.targets[to]
 	if known == nil {
@@ -103,7 +105,7 @@
 	return known
 }
 
-// get returns a connection to the replica, kept or new.
+// get returns a connection to the replica, from the pool or new.
 func (p *Pool) get(to Target, deadline time.Time) (*conn, error) {
 	for {
 		kept := p.takeIdle(to)
@@ -124,7 +126,7 @@
 	p.mutex.Unlock()
 }
 
-// takeIdle returns the connection that was used last, or nil.
+// takeIdle removes and returns the most recently used idle connection, or nil.
 func (p *Pool) takeIdle(to Target) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -151,7 +153,8 @@
 	return newConn(socket, p.config.IdleLimit), nil
 }
 
-// put keeps a connection whose exchange ended cleanly.
+// put returns a connection to the pool after an exchange that ended cleanly. It
+// closes the connection if the target was removed.
 func (p *Pool) put(to Target, connection *conn) {
 	connection.idleSince = time.Now()
 	p.mutex.Lock()
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -13,10 +13,10 @@
 	"birchwood.example/birchwood/header"
 )
 
-// Response is the answer to a request whose head was read. Exactly one of
-// ReadAll, Abort or Finish ends it.
+// Response is an answer whose head has been read. Exactly one of ReadAll, Abort
+// or Finish must end it.
 type Response struct {
-	// Header is the head; its framing fields are as the replica sent them.
+	// Header is the head, with the framing fields as the replica sent them.
 	Header fasthttp.ResponseHeader
 
 	pool    *Pool
@@ -24,18 +24,18 @@
 	conn    *conn
 	cancel  *Cancel
 	writing <-chan error
-	// surplus says that an answer of another request came first.
+	// surplus is set if answers to other requests were skipped before this one.
 	surplus bool
 	body    io.Reader
-	// whole is set once the body was read up to a certain end.
+	// whole is set once the body was read up to an unambiguous end.
 	whole bool
 }
 
 // Status returns the status code.
 func (r *Response) Status() int { return r.Header.StatusCode() }
 
-// length returns the length of the body: -1 for chunks, -2 where it ends with
-// the connection.
+// length returns the length of the body: -1 if it is chunked, -2 if it ends
+// when the connection closes.
 func (r *Response) length() int {
 	if r.bodiless() {
 		return 0
@@ -48,11 +48,11 @@
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// ErrTooLarge says that a body was longer than this process holds.
+// ErrTooLarge means that a body exceeds Config.BodyBytes.
 var ErrTooLarge = errors.New("the answer is too large")
 
-// ReadAll reads the whole body and ends the exchange. An error is an
-// *UnknownError: the body was cut off, or too large.
+// ReadAll reads the complete body and ends the exchange. Its errors are of type
+// *UnknownError: the body was truncated or too large.
 func (r *Response) ReadAll() ([]byte, error) {
 	limit := r.pool.config.BodyBytes
 	body, err := io.ReadAll(io.LimitReader(r.reader(), int64(limit)+1))
@@ -67,10 +67,11 @@
 	return body, nil
 }
 
-// Read yields the body as it comes, and io.EOF only after a certain end.
+// Read implements io.Reader. It yields the body as it arrives, and io.EOF only
+// after an unambiguous end.
 func (r *Response) Read(into []byte) (int, error) { return r.reader().Read(into) }
 
-// reader returns the body without its framing.
+// reader returns a reader of the body without its framing.
 func (r *Response) reader() io.Reader {
 	if r.body == nil {
 		r.body = r.newReader()
@@ -89,7 +90,7 @@
 	}
 }
 
-// sizedBody is a body of a known length.
+// sizedBody reads a body of a known length.
 type sizedBody struct {
 	response *Response
 	rest     int
@@ -109,13 +110,14 @@
 	return read, err
 }
 
-// closedBody ends with its connection; a reset is no end.
+// closedBody reads a body that ends when the connection closes. A reset is an
+// error, not an end.
 type closedBody struct{ response *Response }
 
 // Read implements io.Reader.
 func (b *closedBody) Read(into []byte) (int, error) { return b.response.conn.reader.Read(into) }
 
-// chunkedBody is a body in chunks, with its last chunk and trailer.
+// chunkedBody reads a chunked body, including its last chunk and trailer.
 type chunkedBody struct {
 	response *Response
 	chunks   io.Reader
@@ -137,8 +139,10 @@
 	return read, io.EOF
 }
 
-// Finish ends an exchange whose body was read to its end. The connection is
-// kept if nothing speaks against it.
+// Finish ends an exchange. The connection returns to the pool if the request
+// was fully written, the body was read to its end, no answer was skipped, the
+// answer does not ask to close the connection and the exchange was not
+// cancelled; otherwise Finish closes it.
 func (r *Response) Finish() {
 	if r.conn == nil {
 		return
@@ -155,7 +159,7 @@
 	r.pool.put(r.to, connection)
 }
 
-// written reports whether the whole request was written.
+// written reports whether the complete request was written.
 func (r *Response) written() bool {
 	if r.writing == nil {
 		return true
@@ -168,8 +172,8 @@
 	}
 }
 
-// Abort ends the exchange wherever it stands and closes the connection, which
-// tells the replica to stop.
+// Abort ends the exchange at any point and closes the connection, on which the
+// replica stops working on the request.
 func (r *Response) Abort() {
 	if r.conn == nil {
 		return
@@ -180,11 +184,12 @@
 	_ = connection.Close()
 }
 
-// idleSlack is taken off the time for which a replica promises to keep a
-// connection: a request that is sent at the last moment may be lost.
+// idleSlack is subtracted from a replica's Keep-Alive timeout, since a request
+// that is sent just before the timeout may be lost.
 const idleSlack = 300 * time.Millisecond
 
-// keepAliveLimit reads a Keep-Alive field such as "timeout=5".
+// keepAliveLimit parses a Keep-Alive field such as "timeout=5" and returns the
+// timeout less idleSlack, or otherwise if the field has none.
 func keepAliveLimit(value []byte, otherwise time.Duration) time.Duration {
 	for parameter := range strings.SplitSeq(string(value), ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -12,29 +12,30 @@
 	"birchwood.example/birchwood/header"
 )
 
-// Request is one request as a replica gets it.
+// Request is one request to a replica.
 type Request struct {
 	Method string
 	// Target is the request target of the first line, as the client sent it.
 	Target string
 	Host   string
-	// ID is the value of the request id that the answer must echo.
+	// ID is the request id. An answer that echoes another id is skipped.
 	ID string
 	// Fields are raw header lines, each ended by CRLF.
 	Fields []byte
 	Body   []byte
-	// HasBody says that a length is sent even for an empty body.
+	// HasBody makes the request carry a Content-Length even if Body is empty.
 	HasBody bool
-	// Deadline is when the exchange ends at the latest.
+	// Deadline is the time by which the exchange has to end.
 	Deadline time.Time
 }
 
-// inlineBody is the largest body that is written before the answer is read.
-// A replica may answer before it has read a longer one.
+// inlineBody is the size in bytes up to which a body is written before the
+// answer is read. A longer one is written concurrently, since a replica may
+// answer before it has read all of it.
 const inlineBody = 16 << 10
 
-// Send writes a request to the replica and reads the head of the answer. An
-// error is a *NotSentError or an *UnknownError.
+// Send writes a request to the replica and reads the head of the answer. Its
+// errors are of type *NotSentError or *UnknownError.
 func (p *Pool) Send(to Target, request *Request, cancel *Cancel) (*Response, error) {
 	connection, err := p.get(to, request.Deadline)
 	if err != nil {
@@ -53,8 +54,9 @@
 	return response, nil
 }
 
-// causeOr prefers the cause of a cancelled exchange over the broken connection
-// that it led to.
+// causeOr returns the cause of a cancelled exchange, or err if the exchange was
+// not cancelled. A cancellation makes reads and writes fail, and their errors
+// are less informative than its cause.
 func causeOr(cancel *Cancel, err error) error {
 	if cause := cancel.Cause(); cause != nil {
 		return cause
@@ -62,14 +64,15 @@
 	return err
 }
 
-// writeRequest writes the request, a long body beside the reading of the
-// answer. The channel, nil where nothing is left to write, yields the result.
+// writeRequest writes the request. A body longer than inlineBody is written by
+// another goroutine, which sends its result on the returned channel; otherwise
+// the channel is nil.
 func writeRequest(writer *bufio.Writer, request *Request) <-chan error {
 	writeHead(writer, request)
 	if len(request.Body) <= inlineBody {
 		_, _ = writer.Write(request.Body)
-		// A failed write shows when the answer is read: the replica may have
-		// answered before it closed.
+		// A write error is ignored here, since the replica may have answered before
+		// it closed the connection. If not, reading the answer fails.
 		_ = writer.Flush()
 		return nil
 	}
@@ -92,14 +95,16 @@
 	_, _ = writer.WriteString("\r\n")
 }
 
-// maximumSurplus bounds the answers of other requests that are skipped.
+// maximumSurplus is the number of heads of other requests' answers after which
+// an exchange fails.
 const maximumSurplus = 3
 
-// errCrossed says that another request's answer came and could not be skipped.
+// errCrossed means that an answer to another request arrived and could not be
+// skipped.
 var errCrossed = errors.New("the answer belongs to another request")
 
-// readHead reads heads until the one of the request, skipping informational
-// ones and the answers of earlier requests.
+// readHead reads answers until it has read the head of the request's own,
+// skipping informational responses and answers to earlier requests.
 func (r *Response) readHead(id string) error {
 	for range maximumSurplus {
 		if err := r.readOneHead(); err != nil {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -17,15 +17,16 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// names are header fields of a made-up platform.
+// names are the header fields of a fictitious platform.
 var names = header.Names{RequestID: "Test-Id", Seal: "Test-Seal"}
 
-// scriptedReplica answers each request on each connection with the next
-// script, written as is. A script of "close" closes the connection, and one of
-// "reset" resets it.
+// scriptedReplica answers each request, on any connection, with the next script,
+// written unchanged. The script "close" closes the connection and "reset" resets
+// it; the suffix "!close" closes it after the script is written.
 type scriptedReplica struct {
 	listener net.Listener
-	// heads are the request heads that came, and connections how many were made.
+	// heads receives each request's head and body, connections each accepted
+	// connection.
 	heads       chan string
 	connections chan net.Conn
 }
@@ -258,7 +259,7 @@
 	})
 })
 
-// addressOf returns where a listener listens.
+// addressOf returns the address of a listener.
 func addressOf(listener net.Listener) netip.AddrPort {
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
