--- a/upstream/cancel.go
+++ b/upstream/cancel.go
@@ -37,7 +37,7 @@
 	}
 	c.cause = cause
 	if c.conn != nil {
-		_ = c.conn.SetDeadline(longAgo)
+		_ = c.conn.SetDeadline(pastDeadline)
 	}
 	for _, child := range c.children {
 		child.Trigger(cause)
@@ -67,6 +67,6 @@
 	return nil
 }
 
-// longAgo is a deadline that has passed on any clock. Setting it interrupts
-// pending reads and writes.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed on any clock. Setting it
+// interrupts pending reads and writes.
+var pastDeadline = time.Unix(1, 0)
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -37,27 +37,27 @@
 	return connection
 }
 
-// quiet reports whether the connection is open and has no unread bytes. Unread
-// bytes belong to an extra answer that no request expects.
-func (c *conn) quiet() bool {
+// reusable reports whether the connection is open and has no unread bytes.
+// Unread bytes belong to an extra answer that no request expects.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	if c.raw == nil {
 		return true
 	}
-	quiet := false
+	reusable := false
 	var next [1]byte
 	err := c.raw.Control(func(descriptor uintptr) {
 		_, _, err := unix.Recvfrom(int(descriptor), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		reusable = err == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// fresh reports whether the connection has been idle for less than the
-// replica's limit.
-func (c *conn) fresh(now time.Time) bool { return now.Sub(c.idleSince) < c.idleLimit }
+// withinIdleLimit reports whether the connection has been idle for less than
+// the replica's limit.
+func (c *conn) withinIdleLimit(now time.Time) bool { return now.Sub(c.idleSince) < c.idleLimit }
 
 // setUserTimeout limits how long sent bytes may stay unacknowledged and enables
 // keep-alive probes, so that a machine that stops responding is detected. It
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -67,21 +67,21 @@
 func (p *Pool) Free(to Target) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.targets[to]
-	return known != nil && len(known.idle) > 0
+	entry := p.targets[to]
+	return entry != nil && len(entry.idle) > 0
 }
 
 // RemoveTarget closes the idle connections to a replica that is gone.
 // Connections still in use are closed when their exchange ends.
 func (p *Pool) Forget(to Target) {
 	p.mutex.Lock()
-	known := p.targets[to]
+	entry := p.targets[to]
 	delete(p.targets, to)
 	p.mutex.Unlock()
-	if known == nil {
+	if entry == nil {
 		return
 	}
-	for _, idle := range known.idle {
+	for _, idle := range entry.idle {
 		_ = idle.Close()
 	}
 }
@@ -97,26 +97,26 @@
 // target returns the entry of a replica, creating it if necessary. The caller
 // holds the mutex.
 func (p *Pool) target(to Target) *target {
-	known := p.targets[to]
-	if known == nil {
-		known = &target{}
-		p.targets[to] = known
+	entry := p.targets[to]
+	if entry == nil {
+		entry = &target{}
+		p.targets[to] = entry
 	}
-	return known
+	return entry
 }
 
 // get returns a connection to the replica, from the pool or new.
 func (p *Pool) get(to Target, deadline time.Time) (*conn, error) {
 	for {
-		kept := p.takeIdle(to)
-		if kept == nil {
+		connection := p.takeIdle(to)
+		if connection == nil {
 			return p.dial(to, deadline)
 		}
-		if kept.fresh(time.Now()) && kept.quiet() {
+		if connection.withinIdleLimit(time.Now()) && connection.reusable() {
 			p.count(&p.reused)
-			return kept, nil
+			return connection, nil
 		}
-		_ = kept.Close()
+		_ = connection.Close()
 	}
 }
 
@@ -130,11 +130,11 @@
 func (p *Pool) takeIdle(to Target) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.target(to)
-	if last := len(known.idle) - 1; last >= 0 {
-		kept := known.idle[last]
-		known.idle = known.idle[:last]
-		return kept
+	entry := p.target(to)
+	if last := len(entry.idle) - 1; last >= 0 {
+		connection := entry.idle[last]
+		entry.idle = entry.idle[:last]
+		return connection
 	}
 	return nil
 }
@@ -158,12 +158,12 @@
 func (p *Pool) put(to Target, connection *conn) {
 	connection.idleSince = time.Now()
 	p.mutex.Lock()
-	known := p.targets[to]
-	if known != nil {
-		known.idle = append(known.idle, connection)
+	entry := p.targets[to]
+	if entry != nil {
+		entry.idle = append(entry.idle, connection)
 	}
 	p.mutex.Unlock()
-	if known == nil {
+	if entry == nil {
 		_ = connection.Close()
 	}
 }
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -19,16 +19,16 @@
 	// Header is the head, with the framing fields as the replica sent them.
 	Header fasthttp.ResponseHeader
 
-	pool    *Pool
-	to      Target
-	conn    *conn
-	cancel  *Cancel
-	writing <-chan error
-	// surplus is set if answers to other requests were skipped before this one.
-	surplus bool
-	body    io.Reader
-	// whole is set once the body was read up to an unambiguous end.
-	whole bool
+	pool        *Pool
+	to          Target
+	conn        *conn
+	cancel      *Cancel
+	writeResult <-chan error
+	// skippedAnswers is set if answers to other requests preceded this one.
+	skippedAnswers bool
+	body           io.Reader
+	// complete is set once the body was read up to an unambiguous end.
+	complete bool
 }
 
 // Status returns the status code.
@@ -61,7 +61,7 @@
 	}
 	if err != nil {
 		r.Abort()
-		return nil, &UnknownError{Stage: "read body", Cause: causeOr(r.cancel, err)}
+		return nil, &UnknownError{Stage: "read body", Cause: cancelCauseOr(r.cancel, err)}
 	}
 	r.Finish()
 	return body, nil
@@ -84,38 +84,38 @@
 	case length == -1:
 		return &chunkedBody{response: r, chunks: httputil.NewChunkedReader(r.conn.reader)}
 	case length < 0:
-		return &closedBody{response: r}
+		return &untilCloseBody{response: r}
 	default:
-		return &sizedBody{response: r, rest: length}
+		return &sizedBody{response: r, remaining: length}
 	}
 }
 
 // sizedBody reads a body of a known length.
 type sizedBody struct {
-	response *Response
-	rest     int
+	response  *Response
+	remaining int
 }
 
 // Read implements io.Reader.
 func (b *sizedBody) Read(into []byte) (int, error) {
-	if b.rest == 0 {
-		b.response.whole = true
+	if b.remaining == 0 {
+		b.response.complete = true
 		return 0, io.EOF
 	}
-	read, err := b.response.conn.reader.Read(into[:min(len(into), b.rest)])
-	b.rest -= read
+	read, err := b.response.conn.reader.Read(into[:min(len(into), b.remaining)])
+	b.remaining -= read
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return read, err
 }
 
-// closedBody reads a body that ends when the connection closes. A reset is an
-// error, not an end.
-type closedBody struct{ response *Response }
+// untilCloseBody reads a body that ends when the connection closes. A reset is
+// an error, not an end.
+type untilCloseBody struct{ response *Response }
 
 // Read implements io.Reader.
-func (b *closedBody) Read(into []byte) (int, error) { return b.response.conn.reader.Read(into) }
+func (b *untilCloseBody) Read(into []byte) (int, error) { return b.response.conn.reader.Read(into) }
 
 // chunkedBody reads a chunked body, including its last chunk and trailer.
 type chunkedBody struct {
@@ -125,7 +125,7 @@
 
 // Read implements io.Reader.
 func (b *chunkedBody) Read(into []byte) (int, error) {
-	if b.response.whole {
+	if b.response.complete {
 		return 0, io.EOF
 	}
 	read, err := b.chunks.Read(into)
@@ -135,7 +135,7 @@
 	if err := header.SkipTrailer(b.response.conn.reader); err != nil {
 		return read, err
 	}
-	b.response.whole = true
+	b.response.complete = true
 	return read, io.EOF
 }
 
@@ -150,7 +150,7 @@
 	connection := r.conn
 	r.conn = nil
 	_ = r.cancel.bind(nil, time.Time{})
-	if !r.whole || !r.written() || r.surplus || r.Header.ConnectionClose() || r.cancel.Cause() != nil {
+	if !r.complete || !r.requestWritten() || r.skippedAnswers || r.Header.ConnectionClose() || r.cancel.Cause() != nil {
 		_ = connection.Close()
 		return
 	}
@@ -159,13 +159,13 @@
 	r.pool.put(r.to, connection)
 }
 
-// written reports whether the complete request was written.
-func (r *Response) written() bool {
-	if r.writing == nil {
+// requestWritten reports whether the complete request was written.
+func (r *Response) requestWritten() bool {
+	if r.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-r.writing:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 		return false
@@ -189,8 +189,8 @@
 const idleSlack = 300 * time.Millisecond
 
 // keepAliveLimit parses a Keep-Alive field such as "timeout=5" and returns the
-// timeout less idleSlack, or otherwise if the field has none.
-func keepAliveLimit(value []byte, otherwise time.Duration) time.Duration {
+// timeout less idleSlack, or fallback if the field has none.
+func keepAliveLimit(value []byte, fallback time.Duration) time.Duration {
 	for parameter := range strings.SplitSeq(string(value), ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -201,5 +201,5 @@
 			return max(0, time.Duration(seconds)*time.Second-idleSlack)
 		}
 	}
-	return otherwise
+	return fallback
 }
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -29,10 +29,10 @@
 	Deadline time.Time
 }
 
-// inlineBody is the size in bytes up to which a body is written before the
-// answer is read. A longer one is written concurrently, since a replica may
-// answer before it has read all of it.
-const inlineBody = 16 << 10
+// inlineBodyBytes is the size up to which a body is written before the answer
+// is read. A longer one is written concurrently, since a replica may answer
+// before it has read all of it.
+const inlineBodyBytes = 16 << 10
 
 // Send writes a request to the replica and reads the head of the answer. Its
 // errors are of type *NotSentError or *UnknownError.
@@ -46,30 +46,30 @@
 		return nil, &NotSentError{Cause: err}
 	}
 	response := &Response{pool: p, to: to, conn: connection, cancel: cancel}
-	response.writing = writeRequest(connection.writer, request)
+	response.writeResult = writeRequest(connection.writer, request)
 	if err := response.readHead(request.ID); err != nil {
 		response.Abort()
-		return nil, &UnknownError{Stage: "read answer", Cause: causeOr(cancel, err)}
+		return nil, &UnknownError{Stage: "read answer", Cause: cancelCauseOr(cancel, err)}
 	}
 	return response, nil
 }
 
-// causeOr returns the cause of a cancelled exchange, or err if the exchange was
-// not cancelled. A cancellation makes reads and writes fail, and their errors
-// are less informative than its cause.
-func causeOr(cancel *Cancel, err error) error {
+// cancelCauseOr returns the cause of a cancelled exchange, or err if the
+// exchange was not cancelled. A cancellation makes reads and writes fail, and
+// their errors are less informative than its cause.
+func cancelCauseOr(cancel *Cancel, err error) error {
 	if cause := cancel.Cause(); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// writeRequest writes the request. A body longer than inlineBody is written by
-// another goroutine, which sends its result on the returned channel; otherwise
-// the channel is nil.
+// writeRequest writes the request. A body longer than inlineBodyBytes is
+// written by another goroutine, which sends its result on the returned channel;
+// otherwise the channel is nil.
 func writeRequest(writer *bufio.Writer, request *Request) <-chan error {
 	writeHead(writer, request)
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= inlineBodyBytes {
 		_, _ = writer.Write(request.Body)
 		// A write error is ignored here, since the replica may have answered before
 		// it closed the connection. If not, reading the answer fails.
@@ -95,18 +95,18 @@
 	_, _ = writer.WriteString("\r\n")
 }
 
-// maximumSurplus is the number of heads of other requests' answers after which
-// an exchange fails.
-const maximumSurplus = 3
+// maxForeignAnswers is the number of answers to other requests after which an
+// exchange fails.
+const maxForeignAnswers = 3
 
-// errCrossed means that an answer to another request arrived and could not be
-// skipped.
-var errCrossed = errors.New("the answer belongs to another request")
+// errForeignAnswer means that an answer to another request arrived and could
+// not be skipped.
+var errForeignAnswer = errors.New("the answer belongs to another request")
 
 // readHead reads answers until it has read the head of the request's own,
 // skipping informational responses and answers to earlier requests.
 func (r *Response) readHead(id string) error {
-	for range maximumSurplus {
+	for range maxForeignAnswers {
 		if err := r.readOneHead(); err != nil {
 			return err
 		}
@@ -114,15 +114,15 @@
 		if len(echoed) == 0 || string(echoed) == id {
 			return nil
 		}
-		r.surplus = true
+		r.skippedAnswers = true
 		if r.length() < 0 {
-			return errCrossed
+			return errForeignAnswer
 		}
 		if _, err := io.CopyN(io.Discard, r.conn.reader, int64(r.length())); err != nil {
 			return err
 		}
 	}
-	return errCrossed
+	return errForeignAnswer
 }
 
 func (r *Response) readOneHead() error {
