--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -72,7 +72,8 @@
 }
 
 // RemoveTarget closes the idle connections to a replica that is gone.
-// Connections still in use are closed when their exchange ends.
+// Connections in use are closed when their exchange ends, unless a later request
+// has added the replica again.
 func (p *Pool) Forget(to Target) {
 	p.mutex.Lock()
 	entry := p.targets[to]
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// Abort ends the exchange at any point and closes the connection, on which the
-// replica stops working on the request.
+// Abort ends the exchange at any point. It closes the connection, which makes the
+// replica stop working on the request.
 func (r *Response) Abort() {
 	if r.conn == nil {
 		return
