--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -12,14 +12,14 @@
 // Config sets up a Pool.
 type Config struct {
 	Names header.Names
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// SilenceTimeout bounds how long sent bytes stay unacknowledged.
+	// SilenceTimeout limits how long sent bytes may stay unacknowledged.
 	SilenceTimeout time.Duration
-	// IdleLimit is how long an idle connection is kept where the replica does
-	// not tell.
+	// IdleLimit is how long an idle connection is kept if the replica sends no
+	// Keep-Alive timeout.
 	IdleLimit time.Duration
-	// HeadBytes bounds the head of an answer, BodyBytes a body that is read whole.
+	// HeadBytes limits the head of an answer, BodyBytes a body read by ReadAll.
 	HeadBytes int
 	BodyBytes int
 }
@@ -36,14 +36,14 @@
 	}
 }
 
-// Target is one replica.
+// Target identifies one replica and its address.
 type Target struct {
 	// Identity is the id of the replica's incarnation.
 	Identity string
 	Address  netip.AddrPort
 }
 
-// Pool keeps connections to replicas. It is safe for concurrent use.
+// Pool holds connections to replicas. It is safe for concurrent use.
 type Pool struct {
 	config Config
 
@@ -53,7 +53,7 @@
 	reused  uint64
 }
 
-// target is what the pool keeps for one replica.
+// target holds the idle connections to one replica, the last used one last.
 type target struct {
 	idle []*conn
 }
@@ -63,58 +63,61 @@
 	return &Pool{config: config, targets: make(map[Target]*target)}
 }
 
-// Free reports whether a kept connection to the replica waits to be used.
+// HasIdle reports whether the pool has an idle connection to the replica.
 func (p *Pool) Free(to Target) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.targets[to]
-	return known != nil && len(known.idle) > 0
+	entry := p.targets[to]
+	return entry != nil && len(entry.idle) > 0
 }
 
-// Forget closes the idle connections to a replica that is gone.
+// RemoveTarget closes the idle connections to a replica that is gone.
+// Connections in use are closed when their exchange ends, unless a later request
+// has added the replica again.
 func (p *Pool) Forget(to Target) {
 	p.mutex.Lock()
-	known := p.targets[to]
+	entry := p.targets[to]
 	delete(p.targets, to)
 	p.mutex.Unlock()
-	if known == nil {
+	if entry == nil {
 		return
 	}
-	for _, idle := range known.idle {
+	for _, idle := range entry.idle {
 		_ = idle.Close()
 	}
 }
 
-// Counts returns how many connections were opened and how often one was used
-// again.
+// Counts returns how many connections have been opened and how many exchanges
+// reused one.
 func (p *Pool) Counts() (opened, reused uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.opened, p.reused
 }
 
-// target returns the entry of a replica. The mutex is held.
+// target returns the entry of a replica, creating it if necessary. The caller
+// holds the mutex.
 func (p *Pool) target(to Target) *target {
-	known := p.targets[to]
-	if known == nil {
-		known = &target{}
-		p.targets[to] = known
+	entry := p.targets[to]
+	if entry == nil {
+		entry = &target{}
+		p.targets[to] = entry
 	}
-	return known
+	return entry
 }
 
-// get returns a connection to the replica, kept or new.
+// get returns a connection to the replica, from the pool or new.
 func (p *Pool) get(to Target, deadline time.Time) (*conn, error) {
 	for {
-		kept := p.takeIdle(to)
-		if kept == nil {
+		connection := p.takeIdle(to)
+		if connection == nil {
 			return p.dial(to, deadline)
 		}
-		if kept.fresh(time.Now()) && kept.quiet() {
+		if connection.withinIdleLimit(time.Now()) && connection.reusable() {
 			p.count(&p.reused)
-			return kept, nil
+			return connection, nil
 		}
-		_ = kept.Close()
+		_ = connection.Close()
 	}
 }
 
@@ -124,15 +127,15 @@
 	p.mutex.Unlock()
 }
 
-// takeIdle returns the connection that was used last, or nil.
+// takeIdle removes and returns the most recently used idle connection, or nil.
 func (p *Pool) takeIdle(to Target) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.target(to)
-	if last := len(known.idle) - 1; last >= 0 {
-		kept := known.idle[last]
-		known.idle = known.idle[:last]
-		return kept
+	entry := p.target(to)
+	if last := len(entry.idle) - 1; last >= 0 {
+		connection := entry.idle[last]
+		entry.idle = entry.idle[:last]
+		return connection
 	}
 	return nil
 }
@@ -151,16 +154,17 @@
 	return newConn(socket, p.config.IdleLimit), nil
 }
 
-// put keeps a connection whose exchange ended cleanly.
+// put returns a connection to the pool after an exchange that ended cleanly. It
+// closes the connection if the target was removed.
 func (p *Pool) put(to Target, connection *conn) {
 	connection.idleSince = time.Now()
 	p.mutex.Lock()
-	known := p.targets[to]
-	if known != nil {
-		known.idle = append(known.idle, connection)
+	entry := p.targets[to]
+	if entry != nil {
+		entry.idle = append(entry.idle, connection)
 	}
 	p.mutex.Unlock()
-	if known == nil {
+	if entry == nil {
 		_ = connection.Close()
 	}
 }
