--- a/soak/fault.go
+++ b/soak/fault.go
@@ -16,26 +16,26 @@
 
 // How strong the faults are.
 const (
-	slowStore     = 250 * time.Millisecond
-	storeAnswer   = 4 * time.Millisecond
-	slowReplica   = 60 * time.Millisecond
-	answersLost   = 20
-	answersFaulty = 12
+	slowStoreDelay   = 250 * time.Millisecond
+	storeDelay       = 4 * time.Millisecond
+	slowReplicaDelay = 60 * time.Millisecond
+	lostAnswers      = 20
+	faultyAnswers    = 12
 	// leaving is how long a replica that leaves serves on: longer than nodes may go on
 	// sending to it.
-	leaving = 5 * time.Second
+	drainTime = 5 * time.Second
 	// stopPatience is how long a node may take to stop in order.
-	stopPatience = nodeGrace + 2*time.Second
+	stopTimeout = nodeGrace + 2*time.Second
 )
 
 // disturb brings the faults about, each at its time.
-func (s *soak) disturb(ctx context.Context) {
+func (s *soak) injectFaults(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, fault := range s.options.Faults {
 		running.Go(func() {
 			at := time.Duration(fault.AtMS) * time.Millisecond
-			if pause(ctx, at-time.Since(s.begun)) {
-				s.carryOut(ctx, fault)
+			if sleep(ctx, at-time.Since(s.startedAt)) {
+				s.inject(ctx, fault)
 			}
 		})
 	}
@@ -43,69 +43,69 @@
 }
 
 // carryOut brings one fault about and ends it.
-func (s *soak) carryOut(ctx context.Context, fault Fault) {
+func (s *soak) inject(ctx context.Context, fault Fault) {
 	span := time.Duration(fault.ForMS) * time.Millisecond
-	nodes, replicas := s.nodesOf(fault), s.replicasOf(fault)
-	scopes := scopesOf(fault.Kind, nodes, replicas)
-	s.seeing.Lock()
-	s.print(fmt.Sprintf("%6.1fs %s %s for %.1fs", time.Since(s.begun).Seconds(), fault.Kind, strings.Join(namesOf(nodes, replicas), " "), span.Seconds()))
-	s.seeing.Unlock()
+	nodes, replicas := s.targetNodes(fault), s.targetReplicas(fault)
+	scopes := disturbedScopes(fault.Kind, nodes, replicas)
+	s.checkerMutex.Lock()
+	s.print(fmt.Sprintf("%6.1fs %s %s for %.1fs", time.Since(s.startedAt).Seconds(), fault.Kind, strings.Join(namesOf(nodes, replicas), " "), span.Seconds()))
+	s.checkerMutex.Unlock()
 	for _, scope := range scopes {
-		s.see(promise.Disturbed{Scope: scope, Begin: true})
+		s.record(promise.Disturbance{Scope: scope, Begin: true})
 	}
 	switch fault.Kind {
 	case Kill, Stop, KillAll:
 		s.restart(ctx, fault.Kind, nodes, span)
 	case ReplicaDrain, ReplicaKill:
-		s.replace(ctx, fault.Kind, replicas)
+		s.replaceReplicas(ctx, fault.Kind, replicas)
 	case Reload:
 		reload(ctx, nodes, span)
 	default:
-		s.apply(fault.Kind, nodes, replicas, 1)
-		pause(ctx, span)
-		s.apply(fault.Kind, nodes, replicas, -1)
+		s.setFault(fault.Kind, nodes, replicas, 1)
+		sleep(ctx, span)
+		s.setFault(fault.Kind, nodes, replicas, -1)
 	}
 	for _, scope := range scopes {
-		s.see(promise.Disturbed{Scope: scope})
+		s.record(promise.Disturbance{Scope: scope})
 	}
 }
 
 // nodesOf returns the nodes that a fault hits.
-func (s *soak) nodesOf(fault Fault) []*process {
+func (s *soak) targetNodes(fault Fault) []*process {
 	var found []*process
-	for index, one := range s.processes {
+	for index, node := range s.processes {
 		hit := false
 		for _, target := range fault.Targets {
 			switch fault.Kind {
 			case Pause, Kill, Stop, Reload, StoreSilent, StoreOneWay, StoreReset, ClientReset:
 				hit = hit || target == index
 			case ZoneCut:
-				hit = hit || target == one.zone
+				hit = hit || target == node.zone
 			}
 		}
 		hit = hit || fault.Kind == KillAll || fault.Kind == StoreMute || fault.Kind == StoreRefuses && index%refusedNodes == 0
 		if hit {
-			found = append(found, one)
+			found = append(found, node)
 		}
 	}
 	return found
 }
 
 // replicasOf returns the replicas that a fault hits.
-func (s *soak) replicasOf(fault Fault) []*standin.Replica {
+func (s *soak) targetReplicas(fault Fault) []*standin.Replica {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var found []*standin.Replica
-	for index, one := range s.replicas {
+	for index, replica := range s.replicas {
 		for _, target := range fault.Targets {
 			switch fault.Kind {
 			case ReplicaDrain, ReplicaKill, ReplicaFault, ReplicaSlow:
 				if target == index {
-					found = append(found, one)
+					found = append(found, replica)
 				}
 			case ZoneCut:
-				if one.Zone == zones[target] {
-					found = append(found, one)
+				if replica.Zone == zones[target] {
+					found = append(found, replica)
 				}
 			}
 		}
@@ -115,10 +115,10 @@
 
 // scopesOf names what a fault disturbs. A replica that leaves in order, and settings
 // that are read again, disturb nobody.
-func scopesOf(kind Kind, nodes []*process, replicas []*standin.Replica) []string {
+func disturbedScopes(kind Kind, nodes []*process, replicas []*standin.Replica) []string {
 	switch kind {
 	case StoreDown, StoreSlow, StoreLost, StoreForget, StoreMute:
-		return []string{promise.Everything}
+		return []string{promise.AllNodes}
 	case ReplicaDrain, Reload:
 		return nil
 	}
@@ -137,15 +137,15 @@
 }
 
 // reloadGap is the time between two signals of a series.
-const reloadGap = 50 * time.Millisecond
+const reloadPeriod = 50 * time.Millisecond
 
 // reload has nodes read their settings again until a span is over, also while they stop for
 // another fault.
 func reload(ctx context.Context, nodes []*process, span time.Duration) {
 	until := time.Now().Add(span)
-	for time.Now().Before(until) && pause(ctx, reloadGap) {
-		for _, one := range nodes {
-			one.reload()
+	for time.Now().Before(until) && sleep(ctx, reloadPeriod) {
+		for _, node := range nodes {
+			node.reload()
 		}
 	}
 }
@@ -153,23 +153,23 @@
 // restart ends nodes and starts them again.
 func (s *soak) restart(ctx context.Context, kind Kind, nodes []*process, span time.Duration) {
 	var restarting sync.WaitGroup
-	for _, one := range nodes {
+	for _, node := range nodes {
 		restarting.Go(func() {
 			if kind == Stop {
-				one.signal(syscall.SIGTERM)
+				node.signal(syscall.SIGTERM)
 				select {
-				case <-one.awaitGone():
-				case <-time.After(stopPatience):
+				case <-node.exitChannel():
+				case <-time.After(stopTimeout):
 				case <-ctx.Done():
 				}
 			}
-			one.signal(syscall.SIGKILL)
-			<-one.awaitGone()
-			if !pause(ctx, span) {
+			node.signal(syscall.SIGKILL)
+			<-node.exitChannel()
+			if !sleep(ctx, span) {
 				return
 			}
-			if err := one.start(); err != nil {
-				s.see(promise.Exited{Node: one.settings.Node, Detail: err.Error()})
+			if err := node.start(); err != nil {
+				s.record(promise.Exited{Node: node.settings.Node, Detail: err.Error()})
 			}
 		})
 	}
@@ -177,48 +177,48 @@
 }
 
 // replace has replicas leave, in order or at once, and others come.
-func (s *soak) replace(ctx context.Context, kind Kind, replicas []*standin.Replica) {
+func (s *soak) replaceReplicas(ctx context.Context, kind Kind, replicas []*standin.Replica) {
 	if kind == ReplicaDrain {
-		for _, one := range replicas {
-			s.system.List(one, "draining")
-			s.see(promise.Drained{Replica: one.ID})
+		for _, replica := range replicas {
+			s.system.List(replica, "draining")
+			s.record(promise.Drained{Replica: replica.ID})
 		}
-		pause(ctx, leaving)
+		sleep(ctx, drainTime)
 	}
-	for _, one := range replicas {
-		if err := s.swap(one); err != nil {
-			s.seeing.Lock()
+	for _, replica := range replicas {
+		if err := s.replaceReplica(replica); err != nil {
+			s.checkerMutex.Lock()
 			s.print("replica not replaced: " + err.Error())
-			s.seeing.Unlock()
+			s.checkerMutex.Unlock()
 		}
 	}
 }
 
 // swap ends a replica and starts another in its place, unless another fault did.
-func (s *soak) swap(gone *standin.Replica) error {
-	s.swapping.Lock()
-	defer s.swapping.Unlock()
+func (s *soak) replaceReplica(old *standin.Replica) error {
+	s.replaceMutex.Lock()
+	defer s.replaceMutex.Unlock()
 	s.mutex.Lock()
-	place, between := slices.Index(s.replicas, gone), s.proxies[gone.ID]
+	index, oldProxy := slices.Index(s.replicas, old), s.proxies[old.ID]
 	s.mutex.Unlock()
-	if place < 0 {
+	if index < 0 {
 		return nil
 	}
-	s.system.Unlist(gone)
-	between.close()
-	added, err := s.system.AddReplica(gone.Events > 0)
+	s.system.Unlist(old)
+	oldProxy.close()
+	added, err := s.system.AddReplica(old.Events > 0)
 	if err != nil {
-		return errors.Join(err, gone.Close())
+		return errors.Join(err, old.Close())
 	}
 	s.mutex.Lock()
-	s.replicas[place] = added
+	s.replicas[index] = added
 	s.mutex.Unlock()
-	return gone.Close()
+	return old.Close()
 }
 
 // apply begins (1) or ends (-1) a fault that lasts.
-func (s *soak) apply(kind Kind, nodes []*process, replicas []*standin.Replica, by int) {
-	begins := by > 0
+func (s *soak) setFault(kind Kind, nodes []*process, replicas []*standin.Replica, delta int) {
+	begins := delta > 0
 	for _, one := range nodes {
 		switch {
 		case kind == Pause && begins:
@@ -226,52 +226,52 @@
 		case kind == Pause:
 			one.signal(syscall.SIGCONT)
 		case kind == StoreSilent, kind == ZoneCut:
-			one.store.hold(by, onward, back)
+			one.store.hold(delta, toTarget, toClient)
 		case kind == StoreOneWay:
-			one.store.hold(by, back)
+			one.store.hold(delta, toClient)
 		case kind == StoreMute:
-			one.store.mute(by)
+			one.store.mute(delta)
 		case kind == StoreReset:
 			one.store.resetAll()
 		case kind == ClientReset && begins:
 			one.clients.resetAll()
 		}
 		if kind == ZoneCut {
-			one.clients.hold(by, onward, back)
+			one.clients.hold(delta, toTarget, toClient)
 		}
 	}
 	for _, one := range replicas {
-		s.applyToReplica(kind, one, by)
+		s.setReplicaFault(kind, one, delta)
 	}
-	s.applyToStore(kind, by)
+	s.setStoreFault(kind, delta)
 }
 
-func (s *soak) applyToReplica(kind Kind, one *standin.Replica, by int) {
+func (s *soak) setReplicaFault(kind Kind, replica *standin.Replica, delta int) {
 	s.mutex.Lock()
-	between := s.proxies[one.ID]
+	replicaProxy := s.proxies[replica.ID]
 	s.mutex.Unlock()
 	switch {
 	case kind == ZoneCut:
-		between.hold(by, onward, back)
-	case kind == ReplicaSlow && by > 0:
-		between.setDelay(slowReplica)
+		replicaProxy.hold(delta, toTarget, toClient)
+	case kind == ReplicaSlow && delta > 0:
+		replicaProxy.setDelay(slowReplicaDelay)
 	case kind == ReplicaSlow:
-		between.setDelay(0)
+		replicaProxy.setDelay(0)
 	case kind == ReplicaFault:
 		// What is left of them at the end does not come any more.
-		faulty := answersFaulty * max(0, by)
-		one.Refuse(faulty)
-		one.BreakOff(faulty)
-		one.Reset(faulty)
-		one.Hang(faulty / answersFaulty)
+		faulty := faultyAnswers * max(0, delta)
+		replica.Refuse(faulty)
+		replica.BreakOff(faulty)
+		replica.Reset(faulty)
+		replica.Hang(faulty / faultyAnswers)
 	}
 }
 
 // applyToStore begins the first of the store's faults of a kind, and ends the last.
-func (s *soak) applyToStore(kind Kind, by int) {
+func (s *soak) setStoreFault(kind Kind, delta int) {
 	s.mutex.Lock()
-	s.lasting[kind] += by
-	on := s.lasting[kind] > 0
+	s.activeFaults[kind] += delta
+	on := s.activeFaults[kind] > 0
 	s.mutex.Unlock()
 	store := s.system.Store
 	switch kind {
@@ -280,9 +280,9 @@
 	case StoreRefuses:
 		store.SetTurnedAway(on)
 	case StoreSlow:
-		store.SetDelay(map[bool]time.Duration{true: slowStore, false: storeAnswer}[on])
+		store.SetDelay(map[bool]time.Duration{true: slowStoreDelay, false: storeDelay}[on])
 	case StoreLost:
-		store.LoseAnswers(map[bool]int{true: answersLost}[on])
+		store.LoseAnswers(map[bool]int{true: lostAnswers}[on])
 	case StoreForget:
 		store.Forget()
 	}
--- a/soak/process.go
+++ b/soak/process.go
@@ -27,14 +27,14 @@
 
 // anyHost draws an address of the loopback network for the nodes of one run: their ports
 // on it are nobody else's, also while a node is not there.
-func anyHost() string {
+func randomHost() string {
 	return netip.AddrFrom4([4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))}).String()
 }
 
 // addressesOf returns the addresses of a node for clients, readiness and peers.
 func addressesOf(host string, index int) (addresses [3]string) {
-	for place := range addresses {
-		addresses[place] = net.JoinHostPort(host, strconv.Itoa(firstPort+index*len(addresses)+place))
+	for offset := range addresses {
+		addresses[offset] = net.JoinHostPort(host, strconv.Itoa(firstPort+index*len(addresses)+offset))
 	}
 	return addresses
 }
@@ -68,19 +68,19 @@
 	store    *proxy
 	clients  *proxy
 	binary   string
-	without  string
+	disabled string
 	folder   string
 	starter  starter
 	// ended is told of an end that nobody asked for.
-	ended func(promise.Exited)
+	onExit func(promise.Exited)
 
-	mutex sync.Mutex
-	life  int
+	mutex       sync.Mutex
+	incarnation int
 	// command is nil while the process is not there, and asked says that its end was
 	// asked for.
-	command *exec.Cmd
-	asked   bool
-	gone    chan struct{}
+	command      *exec.Cmd
+	exitExpected bool
+	exited       chan struct{}
 }
 
 // start starts the next life of the process.
@@ -94,14 +94,14 @@
 	if err := standin.WriteSettings(path, p.settings); err != nil {
 		return err
 	}
-	p.life++
-	output, err := os.Create(p.logPath(p.life))
+	p.incarnation++
+	output, err := os.Create(p.logPath(p.incarnation))
 	if err != nil {
 		return err
 	}
 	var arguments []string
-	if p.without != "" {
-		arguments = append(arguments, "--without", p.without)
+	if p.disabled != "" {
+		arguments = append(arguments, "--without", p.disabled)
 	}
 	command := exec.Command(p.binary, arguments...)
 	command.Env = append(os.Environ(), platform.SettingsVariable+"="+path)
@@ -109,28 +109,28 @@
 	if err := p.starter.start(command); err != nil {
 		return errors.Join(fmt.Errorf("start %s: %w", p.settings.Node, err), output.Close())
 	}
-	p.command, p.asked, p.gone = command, false, make(chan struct{})
-	go p.await(command, output, p.gone)
+	p.command, p.exitExpected, p.exited = command, false, make(chan struct{})
+	go p.awaitExit(command, output, p.exited)
 	return nil
 }
 
 // await takes in the end of a life.
-func (p *process) await(command *exec.Cmd, output *os.File, gone chan struct{}) {
+func (p *process) awaitExit(command *exec.Cmd, output *os.File, gone chan struct{}) {
 	err := command.Wait()
 	_ = output.Close()
 	p.mutex.Lock()
-	asked, life := p.asked, p.life
+	exitExpected, incarnation := p.exitExpected, p.incarnation
 	p.command = nil
 	p.mutex.Unlock()
 	close(gone)
-	if !asked {
-		p.ended(promise.Exited{Node: p.settings.Node, Detail: fmt.Sprintf("life %d ended: %v: %s", life, err, p.lastLine(life))})
+	if !exitExpected {
+		p.onExit(promise.Exited{Node: p.settings.Node, Detail: fmt.Sprintf("life %d ended: %v: %s", incarnation, err, p.lastLine(incarnation))})
 	}
 }
 
 // lastLine returns the last line of a life's log.
-func (p *process) lastLine(life int) string {
-	text, err := os.ReadFile(p.logPath(life))
+func (p *process) lastLine(incarnation int) string {
+	text, err := os.ReadFile(p.logPath(incarnation))
 	if err != nil {
 		return err.Error()
 	}
@@ -138,8 +138,8 @@
 	return lines[len(lines)-1]
 }
 
-func (p *process) logPath(life int) string {
-	return filepath.Join(p.folder, fmt.Sprintf("%s.%d.log", p.settings.Node, life))
+func (p *process) logPath(incarnation int) string {
+	return filepath.Join(p.folder, fmt.Sprintf("%s.%d.log", p.settings.Node, incarnation))
 }
 
 // signal sends a signal to the process, if it is there. Signals that end it are noted
@@ -151,7 +151,7 @@
 		return
 	}
 	if signal == syscall.SIGKILL || signal == syscall.SIGTERM {
-		p.asked = true
+		p.exitExpected = true
 	}
 	// A process that just ended is noted by await.
 	_ = p.command.Process.Signal(signal)
@@ -161,7 +161,7 @@
 // system ends a program that has not come to its first instructions yet.
 func (p *process) reload() {
 	p.mutex.Lock()
-	path := p.logPath(p.life)
+	path := p.logPath(p.incarnation)
 	p.mutex.Unlock()
 	if output, err := os.Stat(path); err == nil && output.Size() > 0 {
 		p.signal(syscall.SIGHUP)
@@ -169,25 +169,25 @@
 }
 
 // awaitGone returns what is closed when the process is not there.
-func (p *process) awaitGone() <-chan struct{} {
+func (p *process) exitChannel() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.gone
+	return p.exited
 }
 
 // current returns the number of the process's life, and its id or 0.
-func (p *process) current() (life, pid int) {
+func (p *process) current() (incarnation, pid int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.command != nil {
 		pid = p.command.Process.Pid
 	}
-	return p.life, pid
+	return p.incarnation, pid
 }
 
 // sample reads what the process takes, or returns false where it is not there.
 func (p *process) sample() (promise.Sampled, bool) {
-	life, pid := p.current()
+	incarnation, pid := p.current()
 	if pid == 0 {
 		return promise.Sampled{}, false
 	}
@@ -206,16 +206,16 @@
 	}
 	pages, err := strconv.ParseInt(fields[1], 10, 64)
 	return promise.Sampled{
-		Node: p.settings.Node, Life: life, MemoryBytes: pages * int64(os.Getpagesize()), Descriptors: len(descriptors),
+		Node: p.settings.Node, Incarnation: incarnation, MemoryBytes: pages * int64(os.Getpagesize()), Descriptors: len(descriptors),
 	}, err == nil
 }
 
 // linesOf returns the lines about a request in the logs of all lives.
-func (p *process) linesOf(id string, most int) []string {
+func (p *process) logLines(id string, most int) []string {
 	var found []string
-	life, _ := p.current()
-	for one := 1; one <= life; one++ {
-		text, err := os.ReadFile(p.logPath(one))
+	last, _ := p.current()
+	for incarnation := 1; incarnation <= last; incarnation++ {
+		text, err := os.ReadFile(p.logPath(incarnation))
 		if err != nil {
 			continue
 		}
--- a/soak/promise/answer.go
+++ b/soak/promise/answer.go
@@ -9,12 +9,12 @@
 
 // attemptsUnserved is how many attempts of a program in a row may fail while nothing
 // is disturbed: one more than a client's retries.
-const attemptsUnserved = 4
+const maxFailedAttempts = 4
 
 // The statuses that a check is about.
 const (
 	statusUnauthorized = 401
-	statusSpent        = 402
+	statusBudgetSpent  = 402
 	statusNotFound     = 404
 	statusTooMany      = 429
 )
@@ -24,22 +24,22 @@
 	if sent == nil || sent.answered {
 		return
 	}
-	sent.answered, sent.answeredAt, sent.status, sent.whole = true, at, event.Status, event.Whole
+	sent.answered, sent.answeredAt, sent.status, sent.complete = true, at, event.Status, event.Whole
 	if saysNotRun(event.Status) && sent.runs > 0 {
 		c.breach(at, TrueRefusals, sent, "", fmt.Sprintf("answered %d after it ran on %v", event.Status, sent.replicas))
 	}
 	if succeeded(event.Status) {
 		c.checkBody(at, sent, event)
-		c.checkForward(at, sent)
+		c.checkConfigRollback(at, sent)
 	}
-	c.countTokens(at, sent, event)
+	c.checkBudget(at, sent, event)
 	switch event.Status {
 	case statusUnauthorized:
 		c.checkDenial(at, sent)
-	case statusSpent:
-		c.checkEnd(at, sent)
+	case statusBudgetSpent:
+		c.checkProgramEnd(at, sent)
 	case statusNotFound:
-		c.checkFound(at, sent)
+		c.checkStoredTurn(at, sent)
 	}
 	c.checkServed(at, sent)
 }
@@ -56,7 +56,7 @@
 		}
 		return
 	}
-	want := stream(sent.ID, sent.Events)
+	want := completeStream(sent.ID, sent.Events)
 	switch {
 	case event.Whole && event.Body != want:
 		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q as whole", shorten(event.Body)))
@@ -66,21 +66,21 @@
 }
 
 // countTokens holds what a program got in all against its budget.
-func (c *Checker) countTokens(at time.Time, sent *request, event Answered) {
+func (c *Checker) checkBudget(at time.Time, sent *request, event Answered) {
 	known := c.programs[sent.Program]
 	if known == nil || !succeeded(event.Status) {
 		return
 	}
 	sent.tokens = strings.Count(event.Body, "\n\n") * c.config.TokensPerEvent
-	known.handed += sent.tokens
-	if sent.tokens > 0 && known.handed > sent.Budget+sent.Most {
-		c.breach(at, Budget, sent, "", fmt.Sprintf("program %s got %d tokens of %d + %d", sent.Program, known.handed, sent.Budget, sent.Most))
+	known.deliveredTokens += sent.tokens
+	if sent.tokens > 0 && known.deliveredTokens > sent.Budget+sent.MaxTokens {
+		c.breach(at, Budget, sent, "", fmt.Sprintf("program %s got %d tokens of %d + %d", sent.Program, known.deliveredTokens, sent.Budget, sent.MaxTokens))
 	}
 }
 
 // checkEnd holds the end of a program against its budget. Turns that ran and have not
 // ended well some time ago count at their most.
-func (c *Checker) checkEnd(at time.Time, ended *request) {
+func (c *Checker) checkProgramEnd(at time.Time, ended *request) {
 	known := c.programs[ended.Program]
 	if known == nil {
 		return
@@ -89,35 +89,35 @@
 	for _, turn := range known.turns {
 		switch {
 		case turn == ended || turn.runs == 0:
-		case turn.answered && turn.whole && turn.answeredAt.Before(at.Add(-c.config.Settle)):
+		case turn.answered && turn.complete && turn.answeredAt.Before(at.Add(-c.config.Settle)):
 			used += turn.tokens
 		default:
-			used += turn.Most
+			used += turn.MaxTokens
 		}
 	}
-	if used+ended.Most <= ended.Budget {
-		c.breach(at, NoFalseEnd, ended, "", fmt.Sprintf("program %s used at most %d of %d, one turn being %d", ended.Program, used, ended.Budget, ended.Most))
+	if used+ended.MaxTokens <= ended.Budget {
+		c.breach(at, NoEarlyEnd, ended, "", fmt.Sprintf("program %s used at most %d of %d, one turn being %d", ended.Program, used, ended.Budget, ended.MaxTokens))
 	}
 }
 
 // checkFound holds an answer "no such turn" against the turns that are kept.
-func (c *Checker) checkFound(at time.Time, sent *request) {
+func (c *Checker) checkStoredTurn(at time.Time, sent *request) {
 	previous := c.requests[sent.Previous]
 	switch {
 	case sent.Previous == "":
-		if sent.Proper {
-			c.breach(at, KeptTurns, sent, "", "404 for a request on a route that all configurations have")
+		if sent.MustServe {
+			c.breach(at, StoredTurns, sent, "", "404 for a request on a route that all configurations have")
 		}
 	case previous == nil || previous.Tenant != sent.Tenant:
-	case previous.whole && succeeded(previous.status) && sent.at.Before(previous.answeredAt.Add(c.config.Retention)):
-		c.breach(at, KeptTurns, sent, "", fmt.Sprintf("turn %s was answered whole %s before, and is not found", previous.ID, sent.at.Sub(previous.answeredAt)))
+	case previous.complete && succeeded(previous.status) && sent.at.Before(previous.answeredAt.Add(c.config.Retention)):
+		c.breach(at, StoredTurns, sent, "", fmt.Sprintf("turn %s was answered whole %s before, and is not found", previous.ID, sent.at.Sub(previous.answeredAt)))
 	}
 }
 
 // checkDenial holds the refusal of a key against the configurations.
 func (c *Checker) checkDenial(at time.Time, sent *request) {
 	if _, revoked := c.revoked[sent.Key]; revoked {
-		c.denied[denial{process{sent.Node, sent.Life}, sent.Key}] = at
+		c.denied[denial{process{sent.Node, sent.Incarnation}, sent.Key}] = at
 		return
 	}
 	since, valid := c.added[sent.Key]
@@ -128,35 +128,35 @@
 
 // checkForward holds the success of a key that was taken away against what the same
 // process said of it before.
-func (c *Checker) checkForward(at time.Time, sent *request) {
-	denied, before := c.denied[denial{process{sent.Node, sent.Life}, sent.Key}]
+func (c *Checker) checkConfigRollback(at time.Time, sent *request) {
+	denied, before := c.denied[denial{process{sent.Node, sent.Incarnation}, sent.Key}]
 	if before && sent.at.After(denied) {
-		c.breach(at, Forward, sent, "", fmt.Sprintf("key %q works again %s after the same process refused it as taken away", sent.Key, sent.at.Sub(denied)))
+		c.breach(at, NoConfigRollback, sent, "", fmt.Sprintf("key %q works again %s after the same process refused it as taken away", sent.Key, sent.at.Sub(denied)))
 	}
 }
 
 // busy reports whether turns of the program are under way, which may hold the rest of
 // its budget.
-func (p *program) busy() bool {
+func (p *program) hasOpenTurn() bool {
 	return slices.ContainsFunc(p.turns, func(turn *request) bool { return !turn.answered })
 }
 
 // checkServed counts the attempts in a row that fail while nothing is disturbed.
 func (c *Checker) checkServed(at time.Time, sent *request) {
 	known := c.programs[sent.Program]
-	if known == nil || !sent.Proper {
+	if known == nil || !sent.MustServe {
 		return
 	}
-	if sent.whole && succeeded(sent.status) || sent.status == statusSpent || sent.status == statusTooMany {
-		known.unserved = 0
+	if sent.complete && succeeded(sent.status) || sent.status == statusBudgetSpent || sent.status == statusTooMany {
+		known.failedAttempts = 0
 		return
 	}
-	if !sent.calm || !c.disturbances.calm(at, c.config.Recovery) || known.busy() {
+	if !sent.faultFree || !c.disturbances.faultFree(at, c.config.Recovery) || known.hasOpenTurn() {
 		return
 	}
-	known.unserved++
-	if known.unserved == attemptsUnserved {
+	known.failedAttempts++
+	if known.failedAttempts == maxFailedAttempts {
 		c.breach(at, ServedAgain, sent, "", fmt.Sprintf("%d attempts of program %s in a row failed (now with %d) though nothing was disturbed for %s",
-			known.unserved, sent.Program, sent.status, c.config.Recovery))
+			known.failedAttempts, sent.Program, sent.status, c.config.Recovery))
 	}
 }
--- a/soak/promise/checker.go
+++ b/soak/promise/checker.go
@@ -9,7 +9,7 @@
 
 // breachesPerPromise bounds what is kept of one promise, so that a fault that breaks
 // it all the time does not fill the memory.
-const breachesPerPromise = 3
+const maxBreachesPerPromise = 3
 
 // Checker holds events against the promises. It is not safe for concurrent use.
 type Checker struct {
@@ -17,8 +17,8 @@
 	requests map[string]*request
 	programs map[string]*program
 	// grants are the runs of tenants with a limit, and colds those of cold replicas.
-	grants map[string][]arrival
-	colds  map[string]*cold
+	grants       map[string][]arrival
+	coldReplicas map[string]*coldReplica
 	// drained and evacuated are since when, and added and revoked are since when a
 	// key is valid or taken away.
 	drained   map[string]time.Time
@@ -31,32 +31,32 @@
 	samples      map[process][]Sampled
 	breaches     []Breach
 	counts       map[Promise]int
-	found        []Breach
+	newBreaches  []Breach
 }
 
 type request struct {
 	Sent
 	at         time.Time
-	calm       bool
+	faultFree  bool
 	runs       int
 	replicas   []string
 	answered   bool
 	answeredAt time.Time
 	status     int
-	whole      bool
+	complete   bool
 	tokens     int
 }
 
 type program struct {
-	turns  []*request
-	handed int
+	turns           []*request
+	deliveredTokens int
 	// unserved counts the attempts in a row that failed while nothing was disturbed.
-	unserved int
+	failedAttempts int
 }
 
 type process struct {
-	node string
-	life int
+	node        string
+	incarnation int
 }
 
 type denial struct {
@@ -68,7 +68,7 @@
 func New(config Config) *Checker {
 	return &Checker{
 		config: config, requests: make(map[string]*request), programs: make(map[string]*program),
-		grants: make(map[string][]arrival), colds: make(map[string]*cold),
+		grants: make(map[string][]arrival), coldReplicas: make(map[string]*coldReplica),
 		drained: make(map[string]time.Time), evacuated: make(map[string]time.Time),
 		added: make(map[string]time.Time), revoked: make(map[string]time.Time), denied: make(map[denial]time.Time),
 		disturbances: newDisturbances(), samples: make(map[process][]Sampled), counts: make(map[Promise]int),
@@ -77,7 +77,7 @@
 
 // Add takes an event in and returns the promises that it shows broken.
 func (c *Checker) Add(at time.Time, event Event) []Breach {
-	c.found = nil
+	c.newBreaches = nil
 	switch event := event.(type) {
 	case Sent:
 		c.send(at, event)
@@ -92,18 +92,18 @@
 	case KeyRevoked:
 		delete(c.added, event.Key)
 		c.revoked[event.Key] = at
-	case Disturbed:
-		c.disturbances.note(at, event)
+	case Disturbance:
+		c.disturbances.record(at, event)
 	case Exited:
-		c.breach(at, NoExits, nil, event.Node, event.Detail)
+		c.breach(at, NoUnexpectedExits, nil, event.Node, event.Detail)
 	case Sampled:
 		c.sample(at, event)
 	case Evacuated:
 		c.evacuate(at, event)
 	case Cooled:
-		c.cool(event)
+		c.setCold(event)
 	}
-	return c.found
+	return c.newBreaches
 }
 
 // Counts returns how often each promise was broken.
@@ -113,9 +113,9 @@
 func (c *Checker) Breaches() []Breach { return c.breaches }
 
 // Seen returns how many requests were sent, and how many ended whole with success.
-func (c *Checker) Seen() (sent, served int) {
+func (c *Checker) RequestCounts() (sent, served int) {
 	for _, one := range c.requests {
-		if one.whole && succeeded(one.status) {
+		if one.complete && succeeded(one.status) {
 			served++
 		}
 	}
@@ -124,7 +124,7 @@
 
 func (c *Checker) breach(at time.Time, promise Promise, about *request, node, detail string) {
 	c.counts[promise]++
-	if c.counts[promise] > breachesPerPromise {
+	if c.counts[promise] > maxBreachesPerPromise {
 		return
 	}
 	broken := Breach{At: at, Promise: promise, Node: node, Detail: detail}
@@ -132,11 +132,11 @@
 		broken.Request, broken.Node = about.ID, about.Node
 	}
 	c.breaches = append(c.breaches, broken)
-	c.found = append(c.found, broken)
+	c.newBreaches = append(c.newBreaches, broken)
 }
 
 func (c *Checker) send(at time.Time, event Sent) {
-	sent := &request{Sent: event, at: at, calm: c.disturbances.calm(at, c.config.Recovery)}
+	sent := &request{Sent: event, at: at, faultFree: c.disturbances.faultFree(at, c.config.Recovery)}
 	c.requests[event.ID] = sent
 	if event.Program == "" {
 		return
@@ -157,17 +157,17 @@
 	}
 	ran.runs++
 	ran.replicas = append(ran.replicas, event.Replica)
-	if ran.runs > 1 && !ran.Repeats {
+	if ran.runs > 1 && !ran.Repeatable {
 		c.breach(at, AtMostOnce, ran, "", fmt.Sprintf("run %d, on %v", ran.runs, ran.replicas))
 	}
 	if ran.answered && saysNotRun(ran.status) {
 		c.breach(at, TrueRefusals, ran, "", fmt.Sprintf("answered %d, and ran afterwards on %s", ran.status, event.Replica))
 	}
 	if event.Tenant != ran.Tenant {
-		c.breach(at, Tenancy, ran, "", fmt.Sprintf("sent by tenant %q, ran as one of %q", ran.Tenant, event.Tenant))
+		c.breach(at, TenantIsolation, ran, "", fmt.Sprintf("sent by tenant %q, ran as one of %q", ran.Tenant, event.Tenant))
 	}
 	if len(event.Forged) > 0 {
-		c.breach(at, OwnFields, ran, "", fmt.Sprintf("%s got the client's %v", event.Replica, event.Forged))
+		c.breach(at, ReservedFields, ran, "", fmt.Sprintf("%s got the client's %v", event.Replica, event.Forged))
 	}
 	c.checkKey(at, ran)
 	c.checkChain(at, ran, event.Body)
@@ -192,50 +192,50 @@
 			return
 		}
 		if previous.Tenant != ran.Tenant {
-			c.breach(at, Tenancy, ran, "", fmt.Sprintf("tenant %q goes on from turn %s of %q, and it ran", ran.Tenant, previous.ID, previous.Tenant))
+			c.breach(at, TenantIsolation, ran, "", fmt.Sprintf("tenant %q goes on from turn %s of %q, and it ran", ran.Tenant, previous.ID, previous.Tenant))
 			return
 		}
 	}
-	if want := c.before(ran) + ran.Body; body != want {
+	if want := c.chainBefore(ran) + ran.Body; body != want {
 		c.breach(at, Chain, ran, "", fmt.Sprintf("a replica got %q, want %q", shorten(body), shorten(want)))
 	}
 }
 
 // before returns the inputs and outputs of the turns that a turn goes on from.
-func (c *Checker) before(turn *request) string {
+func (c *Checker) chainBefore(turn *request) string {
 	previous := c.requests[turn.Previous]
 	if turn.Previous == "" || previous == nil {
 		return ""
 	}
 	var text strings.Builder
-	text.WriteString(c.before(previous))
+	text.WriteString(c.chainBefore(previous))
 	text.WriteString(previous.Body)
 	for event := 1; event <= previous.Events; event++ {
-		text.WriteString(Data(previous.ID, event) + "\n")
+		text.WriteString(EventData(previous.ID, event) + "\n")
 	}
 	return text.String()
 }
 
 // Data is what the data of an event of a request's answer has to be.
-func Data(id string, event int) string { return fmt.Sprintf("%s-%d", id, event) }
+func EventData(id string, event int) string { return fmt.Sprintf("%s-%d", id, event) }
 
 // stream returns a whole answer of so many events.
-func stream(id string, events int) string {
+func completeStream(id string, events int) string {
 	var text strings.Builder
 	for event := 1; event <= events; event++ {
-		_, _ = fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", event, Data(id, event))
+		_, _ = fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", event, EventData(id, event))
 	}
 	return text.String()
 }
 
 // shownBytes is how much of a body a breach shows.
-const shownBytes = 120
+const maxShownBytes = 120
 
 func shorten(text string) string {
-	if len(text) <= shownBytes {
+	if len(text) <= maxShownBytes {
 		return text
 	}
-	return text[:shownBytes] + "..."
+	return text[:maxShownBytes] + "..."
 }
 
 func succeeded(status int) bool { return status >= 200 && status < 300 }
--- a/soak/promise/checker_test.go
+++ b/soak/promise/checker_test.go
@@ -18,12 +18,12 @@
 }
 
 var config = promise.Config{
-	TokensPerEvent: 10, Contact: 4 * time.Second, Recovery: 8 * time.Second, Settle: time.Second, Retention: time.Minute,
+	TokensPerEvent: 10, FaultFree: 4 * time.Second, Recovery: 8 * time.Second, Settle: time.Second, Retention: time.Minute,
 	DrainBound: 3 * time.Second, RevokeBound: 5 * time.Second, ApplyBound: 3 * time.Second, EvacuationBound: 5 * time.Second,
 	Limits:      map[string]promise.Limit{"small": {Rate: 4, Burst: 2}},
 	QuotaWindow: 5 * time.Second, QuotaOverrun: 0.1, QuotaSlack: 20, ColdOverrun: 1.5, ColdSlack: 5,
-	Homes:   map[string][]string{"/home/": {"north"}},
-	Regions: map[string]string{"north-a": "north", "south-a": "south"}, MemoryBytes: 256 << 20, Descriptors: 1000,
+	RouteRegions: map[string][]string{"/home/": {"north"}},
+	ZoneRegions:  map[string]string{"north-a": "north", "south-a": "south"}, MemoryBytes: 256 << 20, Descriptors: 1000,
 }
 
 // world feeds a checker with events at times of its own.
@@ -52,8 +52,8 @@
 	w.next++
 	id := fmt.Sprintf("t-%d", w.next)
 	sent := promise.Sent{
-		ID: id, Node: "n", Tenant: "a", Key: "k", Program: program, Previous: previous, Kept: true, Events: 2,
-		Budget: 60, Most: 30, Body: "in-" + id, Proper: true,
+		ID: id, Node: "n", Tenant: "a", Key: "k", Program: program, Previous: previous, Stored: true, Events: 2,
+		Budget: 60, MaxTokens: 30, Body: "in-" + id, MustServe: true,
 	}
 	ran := promise.Ran{ID: id, Replica: "r", Zone: "north-a", Tenant: "a", Body: "in-" + id}
 	if previous != "" {
@@ -92,7 +92,7 @@
 		w.turn("q", "nothing", refused(404))
 		w.turn("q", "", refused(503))
 		Expect(w.found).To(BeEmpty())
-		sent, served := w.Seen()
+		sent, served := w.RequestCounts()
 		Expect([]int{sent, served}).To(Equal([]int{6, 3}))
 	})
 
@@ -124,7 +124,7 @@
 	})
 
 	It("finds a second run only of what may not repeat, and a run that nobody sent", func() {
-		w.see(0, promise.Sent{ID: "safe", Repeats: true}, promise.Ran{ID: "safe"}, promise.Ran{ID: "safe"})
+		w.see(0, promise.Sent{ID: "safe", Repeatable: true}, promise.Ran{ID: "safe"}, promise.Ran{ID: "safe"})
 		Expect(w.found).To(BeEmpty())
 		w.see(0, promise.Sent{ID: "once"}, promise.Ran{ID: "once"}, promise.Ran{ID: "once"}, promise.Ran{ID: "strange"})
 		Expect(w.found).To(Equal([]promise.Promise{promise.AtMostOnce, promise.KnownRequests}))
@@ -144,7 +144,7 @@
 	It("finds a program that got more than its budget and one turn, broken turns counted", func() {
 		for range 4 {
 			w.turn("p", "", func(sent *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
-				sent.Proper, answer.Whole = false, false
+				sent.MustServe, answer.Whole = false, false
 			})
 		}
 		Expect(w.found).To(BeEmpty())
@@ -156,7 +156,7 @@
 		w.turn("p", "", nil)
 		w.see(2 * time.Second)
 		w.turn("p", "", refused(402))
-		Expect(w.found).To(Equal([]promise.Promise{promise.NoFalseEnd}))
+		Expect(w.found).To(Equal([]promise.Promise{promise.NoEarlyEnd}))
 		w.turn("q", "", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) { answer.Status = 0 })
 		w.turn("q", "", nil)
 		w.turn("q", "", refused(402))
@@ -202,22 +202,22 @@
 
 	It("finds a process that goes back to an older configuration, and not its next life", func() {
 		w.see(0, promise.KeyAdded{Key: "k"}, promise.KeyRevoked{Key: "k"})
-		w.see(0, promise.Sent{ID: "1", Node: "n", Life: 1, Key: "k"}, promise.Answered{ID: "1", Status: 401})
+		w.see(0, promise.Sent{ID: "1", Node: "n", Incarnation: 1, Key: "k"}, promise.Answered{ID: "1", Status: 401})
 		works := func(id string, life int) {
-			w.see(time.Second, promise.Sent{ID: id, Node: "n", Life: life, Key: "k"}, promise.Ran{ID: id},
+			w.see(time.Second, promise.Sent{ID: id, Node: "n", Incarnation: life, Key: "k"}, promise.Ran{ID: id},
 				promise.Answered{ID: id, Status: 200, Whole: true, Body: " for " + id})
 		}
 		works("2", 2)
 		Expect(w.found).To(BeEmpty())
 		works("3", 1)
-		Expect(w.found).To(Equal([]promise.Promise{promise.Forward}))
+		Expect(w.found).To(Equal([]promise.Promise{promise.NoConfigRollback}))
 	})
 
 	It("finds a tenant that reads another's turn, and one that runs as another", func() {
 		first := w.turn("p", "", nil)
 		w.turn("q", first, func(sent *promise.Sent, ran *promise.Ran, _ *promise.Answered) { sent.Tenant, ran.Tenant = "b", "b" })
 		w.turn("r", "", func(_ *promise.Sent, ran *promise.Ran, _ *promise.Answered) { ran.Tenant = "b" })
-		Expect(w.found).To(Equal([]promise.Promise{promise.Tenancy, promise.Tenancy}))
+		Expect(w.found).To(Equal([]promise.Promise{promise.TenantIsolation, promise.TenantIsolation}))
 	})
 
 	It("finds a turn that is not found while it is kept, and none of another tenant", func() {
@@ -227,7 +227,7 @@
 		})
 		Expect(w.found).To(BeEmpty())
 		w.turn("p", first, refused(404))
-		Expect(w.found).To(Equal([]promise.Promise{promise.KeptTurns}))
+		Expect(w.found).To(Equal([]promise.Promise{promise.StoredTurns}))
 		w.see(time.Minute)
 		w.turn("p", first, refused(404))
 		Expect(w.found).To(HaveLen(1))
@@ -242,7 +242,7 @@
 
 	It("finds a client's field that only the system sets", func() {
 		w.see(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a", Forged: []string{"Hold"}})
-		Expect(w.found).To(Equal([]promise.Promise{promise.OwnFields}))
+		Expect(w.found).To(Equal([]promise.Promise{promise.ReservedFields}))
 	})
 
 	It("counts its breaches, and keeps the first ones", func() {
@@ -267,9 +267,9 @@
 	It("finds what reaches a leaving replica past the bound, from nodes in touch alone", func() {
 		w.see(0, promise.Drained{Replica: "r"})
 		run(2900*time.Millisecond, "north-a", "")
-		w.see(0, promise.Disturbed{Scope: "n", Begin: true})
+		w.see(0, promise.Disturbance{Scope: "n", Begin: true})
 		run(time.Second, "north-a", "")
-		w.see(0, promise.Disturbed{Scope: "n"})
+		w.see(0, promise.Disturbance{Scope: "n"})
 		run(3900*time.Millisecond, "north-a", "")
 		Expect(w.found).To(BeEmpty())
 		run(200*time.Millisecond, "north-a", "")
@@ -278,12 +278,12 @@
 
 	It("excuses what the store or the replica's link held up, and not another's", func() {
 		w.see(0, promise.Drained{Replica: "r"})
-		for _, scope := range []string{promise.Everything, "r"} {
-			w.see(4*time.Second, promise.Disturbed{Scope: scope, Begin: true}, promise.Disturbed{Scope: scope})
+		for _, scope := range []string{promise.AllNodes, "r"} {
+			w.see(4*time.Second, promise.Disturbance{Scope: scope, Begin: true}, promise.Disturbance{Scope: scope})
 			run(time.Second, "north-a", "")
 		}
 		Expect(w.found).To(BeEmpty())
-		w.see(4*time.Second, promise.Disturbed{Scope: "other", Begin: true})
+		w.see(4*time.Second, promise.Disturbance{Scope: "other", Begin: true})
 		run(0, "north-a", "")
 		Expect(w.found).To(Equal([]promise.Promise{promise.Draining}))
 	})
@@ -295,13 +295,13 @@
 		Expect(w.found).To(BeEmpty())
 		run(0, "north-a", "")
 		Expect(w.found).To(Equal([]promise.Promise{promise.Evacuation}))
-		w.see(0, promise.Evacuated{Zone: "north-a", Back: true})
+		w.see(0, promise.Evacuated{Zone: "north-a", Ended: true})
 		run(0, "north-a", "")
 		Expect(w.found).To(HaveLen(1))
 	})
 
 	It("finds a cold replica that gets more than it bears in a second, whoever sends it", func() {
-		w.see(0, promise.Cooled{Replica: "r", Rate: 4}, promise.Disturbed{Scope: promise.Everything, Begin: true})
+		w.see(0, promise.Cooled{Replica: "r", Rate: 4}, promise.Disturbance{Scope: promise.AllNodes, Begin: true})
 		for range 40 {
 			run(time.Second/10, "north-a", "")
 		}
@@ -318,11 +318,11 @@
 		run(0, "south-a", "/elsewhere/")
 		Expect(w.found).To(BeEmpty())
 		run(0, "south-a", "/home/")
-		Expect(w.found).To(Equal([]promise.Promise{promise.Homes}))
+		Expect(w.found).To(Equal([]promise.Promise{promise.RouteRegions}))
 	})
 
 	It("finds programs that are not served again, once nothing is disturbed", func() {
-		w.see(0, promise.Disturbed{Scope: "n", Begin: true}, promise.Disturbed{Scope: "n"})
+		w.see(0, promise.Disturbance{Scope: "n", Begin: true}, promise.Disturbance{Scope: "n"})
 		w.see(7 * time.Second)
 		for range 5 {
 			w.turn("p", "", refused(503))
@@ -341,7 +341,7 @@
 	})
 
 	It("excuses attempts beside a turn of the program that is under way", func() {
-		w.see(0, promise.Sent{ID: "open", Program: "p", Proper: true})
+		w.see(0, promise.Sent{ID: "open", Program: "p", MustServe: true})
 		for range 5 {
 			w.turn("p", "", refused(503))
 		}
@@ -355,7 +355,7 @@
 
 	It("finds an end of its own, and growth without end", func() {
 		w.see(0, promise.Exited{Node: "n"})
-		Expect(w.found).To(Equal([]promise.Promise{promise.NoExits}))
+		Expect(w.found).To(Equal([]promise.Promise{promise.NoUnexpectedExits}))
 		for index := range 120 {
 			Expect(w.found).To(HaveLen(1))
 			w.see(time.Second, promise.Sampled{Node: "steady", MemoryBytes: 50 << 20, Descriptors: 100},
--- a/soak/promise/growth.go
+++ b/soak/promise/growth.go
@@ -10,22 +10,22 @@
 const (
 	// leastSamples is how many samples a process must have given: with fewer, a quarter
 	// of them is as short as an outage, in which connections are opened that rest then.
-	leastSamples = 120
+	minSamples = 120
 	// grownShare and the slacks are what the least of the last quarter may lie over
 	// the most of the second.
-	grownShare       = 1.25
-	grownMemory      = 16 << 20
-	grownDescriptors = 32
+	maxGrowthRatio   = 1.25
+	memorySlackBytes = 16 << 20
+	descriptorSlack  = 32
 )
 
 func (c *Checker) sample(at time.Time, event Sampled) {
-	of := process{event.Node, event.Life}
+	of := process{event.Node, event.Incarnation}
 	c.samples[of] = append(c.samples[of], event)
 	if event.MemoryBytes > c.config.MemoryBytes || event.Descriptors > c.config.Descriptors {
 		c.breach(at, NoGrowth, nil, event.Node, fmt.Sprintf("%d bytes of memory and %d descriptors, want at most %d and %d",
 			event.MemoryBytes, event.Descriptors, c.config.MemoryBytes, c.config.Descriptors))
 	}
-	if samples := c.samples[of]; len(samples)%leastSamples == 0 {
+	if samples := c.samples[of]; len(samples)%minSamples == 0 {
 		c.checkGrowth(at, event.Node, samples)
 	}
 }
@@ -37,11 +37,11 @@
 	byMemory := func(a, b Sampled) int { return int(a.MemoryBytes - b.MemoryBytes) }
 	byDescriptors := func(a, b Sampled) int { return a.Descriptors - b.Descriptors }
 	before, after := slices.MaxFunc(second, byMemory).MemoryBytes, slices.MinFunc(last, byMemory).MemoryBytes
-	if float64(after) > grownShare*float64(before)+grownMemory {
+	if float64(after) > maxGrowthRatio*float64(before)+memorySlackBytes {
 		c.breach(at, NoGrowth, nil, node, fmt.Sprintf("memory grew from %d to %d bytes", before, after))
 	}
 	open, now := slices.MaxFunc(second, byDescriptors).Descriptors, slices.MinFunc(last, byDescriptors).Descriptors
-	if float64(now) > grownShare*float64(open)+grownDescriptors {
+	if float64(now) > maxGrowthRatio*float64(open)+descriptorSlack {
 		c.breach(at, NoGrowth, nil, node, fmt.Sprintf("descriptors grew from %d to %d", open, now))
 	}
 }
--- a/soak/promise/place.go
+++ b/soak/promise/place.go
@@ -19,7 +19,7 @@
 	return disturbances{open: make(map[string]int), ended: make(map[string]time.Time)}
 }
 
-func (d *disturbances) note(at time.Time, event Disturbed) {
+func (d *disturbances) record(at time.Time, event Disturbance) {
 	if event.Begin {
 		d.open[event.Scope]++
 		d.running++
@@ -31,14 +31,14 @@
 }
 
 // calm reports whether nothing at all was disturbed for so long.
-func (d *disturbances) calm(at time.Time, span time.Duration) bool {
+func (d *disturbances) faultFree(at time.Time, span time.Duration) bool {
 	return d.running == 0 && at.Sub(d.last) >= span
 }
 
 // inTouch reports whether neither a node or replica nor everything was disturbed for
 // so long.
-func (d *disturbances) inTouch(at time.Time, scope string, span time.Duration) bool {
-	for _, one := range []string{scope, Everything} {
+func (d *disturbances) scopeFaultFree(at time.Time, scope string, span time.Duration) bool {
+	for _, one := range []string{scope, AllNodes} {
 		if d.open[one] > 0 || at.Sub(d.ended[one]) < span {
 			return false
 		}
@@ -48,12 +48,12 @@
 
 // checkPlace holds a run against where its request may go.
 func (c *Checker) checkPlace(at time.Time, ran *request, event Ran) {
-	region := c.config.Regions[event.Zone]
-	if homes := c.config.Homes[ran.Route]; len(homes) > 0 && !slices.Contains(homes, region) {
-		c.breach(at, Homes, ran, "", fmt.Sprintf("ran on %s in %s, want one of %v", event.Replica, region, homes))
+	region := c.config.ZoneRegions[event.Zone]
+	if allowed := c.config.RouteRegions[ran.Route]; len(allowed) > 0 && !slices.Contains(allowed, region) {
+		c.breach(at, RouteRegions, ran, "", fmt.Sprintf("ran on %s in %s, want one of %v", event.Replica, region, allowed))
 	}
-	inTouch := c.disturbances.inTouch(at, ran.Node, c.config.Contact) && c.disturbances.inTouch(at, event.Replica, c.config.Contact)
-	if !inTouch {
+	scopeFaultFree := c.disturbances.scopeFaultFree(at, ran.Node, c.config.FaultFree) && c.disturbances.scopeFaultFree(at, event.Replica, c.config.FaultFree)
+	if !scopeFaultFree {
 		return
 	}
 	if since, drained := c.drained[event.Replica]; drained && at.Sub(since) > c.config.DrainBound {
@@ -65,7 +65,7 @@
 }
 
 func (c *Checker) evacuate(at time.Time, event Evacuated) {
-	if event.Back {
+	if event.Ended {
 		delete(c.evacuated, event.Zone)
 		return
 	}
@@ -76,7 +76,7 @@
 type arrival struct{ sent, at time.Time }
 
 // cold is a replica that bears few requests.
-type cold struct {
+type coldReplica struct {
 	rate     float64
 	arrivals []arrival
 }
@@ -84,12 +84,12 @@
 // coldWindow is the span in which what reaches a cold replica is counted.
 const coldWindow = time.Second
 
-func (c *Checker) cool(event Cooled) {
+func (c *Checker) setCold(event Cooled) {
 	if event.Warm {
-		delete(c.colds, event.Replica)
+		delete(c.coldReplicas, event.Replica)
 		return
 	}
-	c.colds[event.Replica] = &cold{rate: event.Rate}
+	c.coldReplicas[event.Replica] = &coldReplica{rate: event.Rate}
 }
 
 // checkRates holds the requests that were both sent and run in a window against what
@@ -98,17 +98,17 @@
 	reached := arrival{sent: ran.at, at: at}
 	if limit, limited := c.config.Limits[event.Tenant]; limited && ran.runs == 1 {
 		window := c.config.QuotaWindow
-		most := (limit.Rate*window.Seconds()+limit.Burst)*(1+c.config.QuotaOverrun) + c.config.QuotaSlack
+		maxRequests := (limit.Rate*window.Seconds()+limit.Burst)*(1+c.config.QuotaOverrun) + c.config.QuotaSlack
 		c.grants[event.Tenant] = append(within(c.grants[event.Tenant], at, window), reached)
-		if count := len(c.grants[event.Tenant]); float64(count) > most {
-			c.breach(at, Quota, ran, "", fmt.Sprintf("%d requests of tenant %q ran within %s, want at most %g", count, event.Tenant, window, most))
+		if count := len(c.grants[event.Tenant]); float64(count) > maxRequests {
+			c.breach(at, Quota, ran, "", fmt.Sprintf("%d requests of tenant %q ran within %s, want at most %g", count, event.Tenant, window, maxRequests))
 		}
 	}
-	if slow := c.colds[event.Replica]; slow != nil {
-		most := slow.rate*c.config.ColdOverrun + c.config.ColdSlack
+	if slow := c.coldReplicas[event.Replica]; slow != nil {
+		maxRequests := slow.rate*c.config.ColdOverrun + c.config.ColdSlack
 		slow.arrivals = append(within(slow.arrivals, at, coldWindow), reached)
-		if count := len(slow.arrivals); float64(count) > most {
-			c.breach(at, ColdRate, ran, "", fmt.Sprintf("%d requests reached %s within %s, want at most %g", count, event.Replica, coldWindow, most))
+		if count := len(slow.arrivals); float64(count) > maxRequests {
+			c.breach(at, ColdRate, ran, "", fmt.Sprintf("%d requests reached %s within %s, want at most %g", count, event.Replica, coldWindow, maxRequests))
 		}
 	}
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -9,19 +9,19 @@
 )
 
 // way is a direction through a proxy.
-type way int
+type direction int
 
 const (
 	// onward is from who connects to the target, and back the other one.
-	onward way = iota
-	back
+	toTarget direction = iota
+	toClient
 )
 
 // proxyBytes is how much one read of a proxy takes.
-const proxyBytes = 32 << 10
+const proxyBufferBytes = 32 << 10
 
 // proxyDial bounds how long a proxy waits for its target.
-const proxyDial = time.Second
+const proxyDialTimeout = time.Second
 
 // proxy passes connections on to a target, until it is told to hold, mute or reset them.
 // What it holds passes once it is told so, as on a link that was cut and mended. A
@@ -60,17 +60,17 @@
 		if err != nil {
 			return
 		}
-		go p.pass(from)
+		go p.forward(from)
 	}
 }
 
 // pass carries one connection both ways.
-func (p *proxy) pass(from net.Conn) {
-	if !p.await(onward) {
+func (p *proxy) forward(from net.Conn) {
+	if !p.awaitRelease(toTarget) {
 		_ = from.Close()
 		return
 	}
-	to, err := net.DialTimeout("tcp", p.target, proxyDial)
+	to, err := net.DialTimeout("tcp", p.target, proxyDialTimeout)
 	if err != nil {
 		reset(from)
 		return
@@ -78,10 +78,10 @@
 	if !p.add(from, to) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(to, from, onward) })
-	both.Go(func() { p.copy(from, to, back) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copy(to, from, toTarget) })
+	copies.Go(func() { p.copy(from, to, toClient) })
+	copies.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.conns, from)
@@ -103,15 +103,15 @@
 	return !p.closed
 }
 
-func (p *proxy) copy(to, from net.Conn, in way) {
-	buffer := make([]byte, proxyBytes)
+func (p *proxy) copy(to, from net.Conn, in direction) {
+	buffer := make([]byte, proxyBufferBytes)
 	for {
 		size, err := from.Read(buffer)
-		if !p.await(in) {
+		if !p.awaitRelease(in) {
 			return
 		}
 		if size > 0 && !p.isMuted(from) {
-			if _, wrong := to.Write(buffer[:size]); wrong != nil {
+			if _, writeErr := to.Write(buffer[:size]); writeErr != nil {
 				reset(from)
 				return
 			}
@@ -131,7 +131,7 @@
 
 // await holds what passes one way as long as it is to be held. It returns false once
 // the proxy has ended.
-func (p *proxy) await(in way) bool {
+func (p *proxy) awaitRelease(in direction) bool {
 	p.mutex.Lock()
 	delay := p.delay
 	for p.held[in] > 0 && !p.closed {
@@ -149,11 +149,11 @@
 }
 
 // hold holds what passes some ways, until it is released as often.
-func (p *proxy) hold(by int, ways ...way) {
+func (p *proxy) hold(delta int, ways ...direction) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, one := range ways {
-		p.held[one] += by
+		p.held[one] += delta
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -161,10 +161,10 @@
 
 // mute ends what passes over all connections, and over new ones until it is taken back as
 // often.
-func (p *proxy) mute(by int) {
+func (p *proxy) mute(delta int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.muted += by
+	p.muted += delta
 	for conn := range p.conns {
 		p.conns[conn] = p.conns[conn] || p.muted > 0
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -19,12 +19,12 @@
 var ErrBroken = errors.New("a promise was broken")
 
 // leastSeconds is the shortest run that has time for a fault and what follows it.
-const leastSeconds = 25
+const minSeconds = 25
 
 // validate returns every finding about a scenario.
 func (s *Scenario) validate(place string) error {
 	found := findings.Of(place)
-	found.Require(s.Seconds >= leastSeconds, "seconds", "got %d, want at least %d", s.Seconds, leastSeconds)
+	found.Require(s.Seconds >= minSeconds, "seconds", "got %d, want at least %d", s.Seconds, minSeconds)
 	found.Require(s.Nodes > 0, "nodes", "got %d, want at least 1", s.Nodes)
 	return found.Err()
 }
@@ -52,9 +52,9 @@
 	watching := make(chan struct{})
 	go func() {
 		defer close(watching)
-		run.watch(watched)
+		run.monitor(watched)
 	}()
-	err = run.play(ctx)
+	err = run.drive(ctx)
 	endWatch()
 	<-watching
 	return err
@@ -72,24 +72,24 @@
 		return nil, err
 	}
 	return &soak{
-		options: options, begun: time.Now(), folder: folder, host: anyHost(), starter: newStarter(), checker: promise.New(bounds),
+		options: options, startedAt: time.Now(), folder: folder, host: randomHost(), starter: newStarter(), checker: promise.New(bounds),
 		random: rand.New(rand.NewPCG(options.Seed, 0)), ready: make(map[*process]bool), proxies: make(map[string]*proxy),
-		lasting: make(map[Kind]int), keys: keys{next: keysValid}, replicas: []*standin.Replica{},
+		activeFaults: make(map[Kind]int), keys: keys{next: validKeyCount}, replicas: []*standin.Replica{},
 	}, nil
 }
 
 // play drives the load and the faults for the run's time, and says the verdict.
-func (s *soak) play(ctx context.Context) error {
+func (s *soak) drive(ctx context.Context) error {
 	if err := s.awaitReady(ctx); err != nil {
 		return err
 	}
-	s.begun = time.Now()
+	s.startedAt = time.Now()
 	span, end := context.WithTimeout(ctx, time.Duration(s.options.Seconds)*time.Second)
 	defer end()
 	disturbing := make(chan struct{})
 	go func() {
 		defer close(disturbing)
-		s.disturb(span)
+		s.injectFaults(span)
 	}()
 	s.load(span)
 	<-disturbing
@@ -97,10 +97,10 @@
 }
 
 func (s *soak) verdict(ctx context.Context) error {
-	s.seeing.Lock()
-	defer s.seeing.Unlock()
+	s.checkerMutex.Lock()
+	defer s.checkerMutex.Unlock()
 	counts := s.checker.Counts()
-	sent, served := s.checker.Seen()
+	sent, served := s.checker.RequestCounts()
 	broken := 0
 	for _, one := range slices.Sorted(maps.Keys(counts)) {
 		known := ""
@@ -111,16 +111,16 @@
 		}
 		s.print(fmt.Sprintf("broken %d times%s: %s", counts[one], known, one))
 	}
-	held := "every promise held"
+	result := "every promise held"
 	switch {
 	case broken > 0:
-		held = "BROKEN"
+		result = "BROKEN"
 	case len(counts) > 0:
-		held = "no promise was broken but known ones"
+		result = "no promise was broken but known ones"
 	case ctx.Err() != nil:
-		held = "interrupted; no promise was broken until then"
+		result = "interrupted; no promise was broken until then"
 	}
-	s.print(fmt.Sprintf("verdict: seed %d, %.0f s, %d requests, %d served: %s", s.options.Seed, time.Since(s.begun).Seconds(), sent, served, held))
+	s.print(fmt.Sprintf("verdict: seed %d, %.0f s, %d requests, %d served: %s", s.options.Seed, time.Since(s.startedAt).Seconds(), sent, served, result))
 	if broken > 0 {
 		return ErrBroken
 	}
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -76,21 +76,21 @@
 // Times of a schedule, in milliseconds.
 const (
 	// firstFault leaves the programs time to begin.
-	firstFault = 4000
+	firstFaultMS = 4000
 	// Bursts of faults last so long, with pauses between that are longer than what
 	// the nodes may take to recover.
-	burstLeast, burstMost = 12000, 24000
-	calmSpan              = 15000
+	minBurstMS, maxBurstMS = 12000, 24000
+	calmMS                 = 15000
 	// calmDrain is when in such a pause replicas leave in order, which disturbs nobody:
 	// late enough for the nodes to be in touch when the bound of it has passed.
-	calmDrain = 3000
+	calmDrainMS = 3000
 	// faultGap is the most between two faults of a burst, and faultMost how long one
 	// lasts.
-	faultGap  = 3000
-	faultMost = 8000
+	maxFaultGapMS = 3000
+	maxFaultMS    = 8000
 	// outageMost is how long the store may be out of reach: longer than a key may be
 	// honoured without proof.
-	outageMost = 12000
+	maxOutageMS = 12000
 )
 
 // weights are how often each kind of fault comes.
@@ -108,35 +108,35 @@
 	random := rand.New(rand.NewPCG(scenario.Seed, uint64(scenario.Nodes)))
 	end := int64(scenario.Seconds) * int64(time.Second/time.Millisecond)
 	var faults []Fault
-	for at := int64(firstFault); at < end-calmSpan; at += calmSpan {
-		burst := min(at+burstLeast+random.Int64N(burstMost-burstLeast), end-calmSpan)
+	for at := int64(firstFaultMS); at < end-calmMS; at += calmMS {
+		burst := min(at+minBurstMS+random.Int64N(maxBurstMS-minBurstMS), end-calmMS)
 		for at < burst {
 			fault := drawFault(random, scenario, at)
 			fault.ForMS = min(fault.ForMS, max(0, burst-at))
 			faults = append(faults, fault)
-			at += 1 + random.Int64N(faultGap)
+			at += 1 + random.Int64N(maxFaultGapMS)
 		}
 		at = burst
-		faults = append(faults, Fault{Kind: ReplicaDrain, AtMS: burst + calmDrain, Targets: draw(random, scenario.Replicas, 2)})
+		faults = append(faults, Fault{Kind: ReplicaDrain, AtMS: burst + calmDrainMS, Targets: draw(random, scenario.Replicas, 2)})
 	}
 	return faults
 }
 
 func drawFault(random *rand.Rand, scenario Scenario, at int64) Fault {
-	fault := Fault{Kind: drawKind(random), AtMS: at, ForMS: 500 + random.Int64N(faultMost)}
+	fault := Fault{Kind: drawKind(random), AtMS: at, ForMS: 500 + random.Int64N(maxFaultMS)}
 	switch fault.Kind {
 	case Pause, Kill, Stop, Reload, StoreSilent, StoreOneWay, StoreReset, ClientReset:
 		fault.Targets = draw(random, scenario.Nodes, 1+random.IntN(max(1, scenario.Nodes/2)))
 	case ReplicaDrain, ReplicaKill, ReplicaFault, ReplicaSlow:
 		fault.Targets = draw(random, scenario.Replicas, 1+random.IntN(3))
-		if plain := models + int(at%plains); fault.Kind == ReplicaFault && !slices.Contains(fault.Targets, plain) {
+		if plain := modelReplicas + int(at%plainReplicas); fault.Kind == ReplicaFault && !slices.Contains(fault.Targets, plain) {
 			// One that serves calls which may not repeat is always among them.
 			fault.Targets = append(fault.Targets, plain)
 		}
 	case ZoneCut:
 		fault.Targets = draw(random, len(zones), 1)
 	case StoreDown, StoreRefuses, StoreMute:
-		fault.ForMS = 500 + random.Int64N(outageMost)
+		fault.ForMS = 500 + random.Int64N(maxOutageMS)
 	}
 	return fault
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -34,14 +34,14 @@
 			kinds[fault.Kind] = true
 			if fault.Kind == ReplicaDrain {
 				// It disturbs nobody, and comes in calm times too.
-				g.Expect(fault.AtMS).To(BeNumerically("<", int64(scenario.Seconds)*1000-leaving.Milliseconds()))
+				g.Expect(fault.AtMS).To(BeNumerically("<", int64(scenario.Seconds)*1000-drainTime.Milliseconds()))
 				continue
 			}
 			if fault.AtMS-end >= bounds.Recovery.Milliseconds() {
 				calms++
 			}
 			end = max(end, fault.AtMS+fault.ForMS)
-			g.Expect(end).To(BeNumerically("<=", int64(scenario.Seconds)*1000-calmSpan))
+			g.Expect(end).To(BeNumerically("<=", int64(scenario.Seconds)*1000-calmMS))
 			for _, target := range fault.Targets {
 				g.Expect(target).To(BeNumerically("<", 12))
 			}
@@ -91,11 +91,11 @@
 	pass(client, server, "onward")
 	pass(server, client, "back")
 	// Answers are held, and pass once they are released; what goes onward passes on.
-	between.hold(1, back)
+	between.hold(1, toClient)
 	_, err = io.WriteString(server, "held")
 	g.Expect(err).NotTo(HaveOccurred())
 	pass(client, server, "onward still")
-	between.hold(-1, back)
+	between.hold(-1, toClient)
 	read := make([]byte, len("held"))
 	_, err = io.ReadFull(client, read)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/soak/system.go
+++ b/soak/system.go
@@ -28,9 +28,9 @@
 
 // What the system under test is like.
 const (
-	models         = 6
-	plains         = 3
-	replicaCount   = models + plains
+	modelReplicas  = 6
+	plainReplicas  = 3
+	replicaCount   = modelReplicas + plainReplicas
 	partitions     = 24
 	eventsOfAnswer = 4
 	eventStep      = 10 * time.Millisecond
@@ -42,7 +42,7 @@
 // these do not name what a machine of one node can bear.
 var bounds = promise.Config{
 	TokensPerEvent: standin.TokensPerEvent,
-	Contact:        4 * time.Second,
+	FaultFree:      4 * time.Second,
 	Recovery:       8 * time.Second,
 	Settle:         time.Second,
 	Retention:      60 * time.Second,
@@ -52,7 +52,7 @@
 	Limits:      map[string]promise.Limit{limitedTenant: {Rate: limitedRate, Burst: limitedBurst}},
 	QuotaWindow: 5 * time.Second, QuotaOverrun: 0.1, QuotaSlack: 20,
 	ColdOverrun: 1.5, ColdSlack: 5,
-	Regions:     regions,
+	ZoneRegions: regions,
 	MemoryBytes: nodeMemory, Descriptors: 1000,
 }
 
@@ -75,7 +75,7 @@
 // soak is one run.
 type soak struct {
 	options   Options
-	begun     time.Time
+	startedAt time.Time
 	folder    string
 	host      string
 	system    *standin.System
@@ -83,11 +83,11 @@
 	starter   starter
 
 	// seeing guards the checker and the report.
-	seeing  sync.Mutex
-	checker *promise.Checker
+	checkerMutex sync.Mutex
+	checker      *promise.Checker
 
 	// swapping guards the replacement of replicas.
-	swapping sync.Mutex
+	replaceMutex sync.Mutex
 
 	mutex sync.Mutex
 	// random draws what the load does; it is not what the faults are drawn from.
@@ -97,29 +97,29 @@
 	replicas []*standin.Replica
 	proxies  map[string]*proxy
 	// lasting counts the store's faults of a kind that go on.
-	lasting map[Kind]int
-	kept    []keptTurn
-	stopped []stoppedProgram
-	keys    keys
+	activeFaults map[Kind]int
+	storedTurns  []storedTurn
+	exhausted    []exhaustedProgram
+	keys         keys
 }
 
 // see hands an event to the checker, and reports the promises that it shows broken.
-func (s *soak) see(event promise.Event) {
-	s.seeing.Lock()
-	defer s.seeing.Unlock()
+func (s *soak) record(event promise.Event) {
+	s.checkerMutex.Lock()
+	defer s.checkerMutex.Unlock()
 	for _, broken := range s.checker.Add(time.Now(), event) {
 		s.report(broken)
 	}
 }
 
 // linesShown is how many lines of one node's logs a broken promise shows.
-const linesShown = 4
+const maxLogLines = 4
 
 func (s *soak) report(broken promise.Breach) {
-	text := fmt.Sprintf("%6.1fs BROKEN: %s\n        request %q at node %q: %s", broken.At.Sub(s.begun).Seconds(), broken.Promise, broken.Request, broken.Node, broken.Detail)
+	text := fmt.Sprintf("%6.1fs BROKEN: %s\n        request %q at node %q: %s", broken.At.Sub(s.startedAt).Seconds(), broken.Promise, broken.Request, broken.Node, broken.Detail)
 	if broken.Request != "" {
 		for _, one := range s.processes {
-			for _, line := range one.linesOf(broken.Request, linesShown) {
+			for _, line := range one.logLines(broken.Request, maxLogLines) {
 				text += "\n        " + line
 			}
 		}
@@ -133,27 +133,27 @@
 // open starts the stand-ins, the proxies and the processes.
 func (s *soak) open() error {
 	system, err := standin.StartSystem(standin.Options{
-		Models: models, Plain: plains, Events: eventsOfAnswer, Step: eventStep, Zones: zones, Prepare: s.prepare,
+		Models: modelReplicas, Plain: plainReplicas, Events: eventsOfAnswer, Step: eventStep, Zones: zones, Prepare: s.prepare,
 		Tenants: s.keys.tenants(),
 	})
 	if err != nil {
 		return err
 	}
 	s.system = system
-	system.Store.SetDelay(storeAnswer)
+	system.Store.SetDelay(storeDelay)
 	s.replicas = append(append(s.replicas, system.Models...), system.Plain...)
 	for _, key := range s.keys.valid() {
-		s.see(promise.KeyAdded{Key: key})
+		s.record(promise.KeyAdded{Key: key})
 	}
 	for index := range s.options.Nodes {
-		one, err := s.newProcess(index)
+		node, err := s.newProcess(index)
 		if err != nil {
 			return err
 		}
-		s.processes = append(s.processes, one)
+		s.processes = append(s.processes, node)
 	}
-	for _, one := range s.processes {
-		if err := one.start(); err != nil {
+	for _, node := range s.processes {
+		if err := node.start(); err != nil {
 			return err
 		}
 	}
@@ -162,19 +162,19 @@
 
 // prepare puts a proxy before a replica.
 func (s *soak) prepare(replica *standin.Replica) error {
-	between, err := newProxy(replica.Address())
+	replicaProxy, err := newProxy(replica.Address())
 	if err != nil {
 		return err
 	}
-	replica.Listed, replica.Echo, replica.Ran = between.address(), true, s.ran
+	replica.Listed, replica.Echo, replica.Ran = replicaProxy.address(), true, s.recordRun
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.proxies[replica.ID] = between
+	s.proxies[replica.ID] = replicaProxy
 	return nil
 }
 
 // ran tells of what a replica runs.
-func (s *soak) ran(replica *standin.Replica, run standin.Run) {
+func (s *soak) recordRun(replica *standin.Replica, run standin.Run) {
 	names := platform.Names()
 	seen := promise.Ran{
 		ID: run.ID, Replica: replica.ID, Zone: replica.Zone, Tenant: run.Header.Get(names.Tenant),
@@ -185,7 +185,7 @@
 			seen.Forged = append(seen.Forged, name)
 		}
 	}
-	s.see(seen)
+	s.record(seen)
 }
 
 // refusedNodes is how many nodes share the store's other address: one in so many.
@@ -213,8 +213,8 @@
 			Partitions: partitions, MemoryBytes: nodeMemory, Cores: 1, Grace: nodeGrace, KeyLease: bounds.RevokeBound,
 			Quota: tenant.Config{Window: bounds.QuotaWindow, Overrun: bounds.QuotaOverrun, Slack: bounds.QuotaSlack},
 		},
-		zone: zone, store: store, clients: clients, binary: s.options.Binary, without: s.options.Without,
-		folder: s.folder, starter: s.starter, ended: func(exit promise.Exited) { s.see(exit) },
+		zone: zone, store: store, clients: clients, binary: s.options.Binary, disabled: s.options.Without,
+		folder: s.folder, starter: s.starter, onExit: func(exit promise.Exited) { s.record(exit) },
 	}, nil
 }
 
@@ -224,7 +224,7 @@
 	for _, one := range s.processes {
 		ending.Go(func() {
 			one.signal(syscall.SIGKILL)
-			if gone := one.awaitGone(); gone != nil {
+			if gone := one.exitChannel(); gone != nil {
 				<-gone
 			}
 		})
@@ -257,81 +257,81 @@
 const (
 	watchPeriod = 500 * time.Millisecond
 	// samplePeriods is after how many looks memory and descriptors are read.
-	samplePeriods = 2
+	sampleEvery = 2
 	// startPatience bounds how long the nodes may take to be ready at first.
-	startPatience = 60 * time.Second
+	startTimeout = 60 * time.Second
 )
 
 // watch asks the nodes whether they are ready, and reads what they take.
-func (s *soak) watch(ctx context.Context) {
-	asker := &http.Client{Timeout: watchPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
-	for look := 0; ; look++ {
-		var asking sync.WaitGroup
-		for _, one := range s.processes {
-			asking.Go(func() { s.lookAt(asker, one, look%samplePeriods == 0) })
+func (s *soak) monitor(ctx context.Context) {
+	client := &http.Client{Timeout: watchPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
+	for round := 0; ; round++ {
+		var probes sync.WaitGroup
+		for _, node := range s.processes {
+			probes.Go(func() { s.probe(client, node, round%sampleEvery == 0) })
 		}
-		asking.Wait()
-		if !pause(ctx, watchPeriod) {
+		probes.Wait()
+		if !sleep(ctx, watchPeriod) {
 			return
 		}
 	}
 }
 
-func (s *soak) lookAt(asker *http.Client, one *process, sampled bool) {
-	response, err := asker.Get("http://" + one.settings.Readiness + platform.ReadyPath)
+func (s *soak) probe(client *http.Client, node *process, sampled bool) {
+	response, err := client.Get("http://" + node.settings.Readiness + platform.ReadyPath)
 	ready := err == nil && response.StatusCode == http.StatusOK
 	if err == nil {
 		_ = response.Body.Close()
 	}
 	s.mutex.Lock()
-	s.ready[one] = ready
+	s.ready[node] = ready
 	s.mutex.Unlock()
 	if !sampled {
 		return
 	}
-	if sample, there := one.sample(); there {
-		s.see(sample)
+	if sample, there := node.sample(); there {
+		s.record(sample)
 	}
 }
 
 // awaitReady waits until all nodes are ready.
 func (s *soak) awaitReady(ctx context.Context) error {
-	for range int(startPatience / watchPeriod) {
-		if len(s.in()) == len(s.processes) {
+	for range int(startTimeout / watchPeriod) {
+		if len(s.readyNodes()) == len(s.processes) {
 			return nil
 		}
-		if !pause(ctx, watchPeriod) {
+		if !sleep(ctx, watchPeriod) {
 			return ctx.Err()
 		}
 	}
 	var missing []string
-	for _, one := range s.processes {
-		if !s.isReady(one) {
-			missing = append(missing, one.settings.Node)
+	for _, node := range s.processes {
+		if !s.isReady(node) {
+			missing = append(missing, node.settings.Node)
 		}
 	}
-	return fmt.Errorf("not ready after %s: %s", startPatience, strings.Join(missing, ", "))
+	return fmt.Errorf("not ready after %s: %s", startTimeout, strings.Join(missing, ", "))
 }
 
-func (s *soak) isReady(one *process) bool {
+func (s *soak) isReady(node *process) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.ready[one]
+	return s.ready[node]
 }
 
 // in returns the nodes that get new connections.
-func (s *soak) in() []*process {
+func (s *soak) readyNodes() []*process {
 	var found []*process
-	for _, one := range s.processes {
-		if s.isReady(one) {
-			found = append(found, one)
+	for _, node := range s.processes {
+		if s.isReady(node) {
+			found = append(found, node)
 		}
 	}
 	return found
 }
 
 // pause waits, and returns false if the run ends meanwhile.
-func pause(ctx context.Context, span time.Duration) bool {
+func sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
