--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,10 +1,10 @@
-// Package soak runs real nodes as processes of their own before stand-ins of the
-// users' platform, drives agent programs, tools, tenants and an operator at them,
-// brings faults about from outside by a schedule drawn from a seed, and holds what
-// callers and replicas see against package promise while it runs.
+// Package soak runs real node processes against stand-ins of the users' platform under
+// load from agent programs, tools, tenants and an operator. It injects faults from outside
+// the nodes, on a schedule drawn from a seed, and checks what clients and replicas observe
+// against package promise during the run.
 //
-// Nodes reach the store and the replicas, and clients reach nodes, through proxies
-// that delay, silence and reset. Nodes reach each other directly, since a node is
-// known to its peers by the address that it listens on; they lose each other by being
-// paused, killed or stopped.
+// Connections from nodes to the store and the replicas, and from clients to nodes, pass
+// through proxies that can delay, hold, mute and reset them. Nodes connect to each other
+// directly, because peers know a node by the address that it listens on; they lose contact
+// with each other only when a process is paused, killed or stopped.
 package soak
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -14,21 +14,21 @@
 	"birchwood.example/birchwood/soak/promise"
 )
 
-// How strong the faults are.
+// Strength of the faults.
 const (
 	slowStoreDelay   = 250 * time.Millisecond
 	storeDelay       = 4 * time.Millisecond
 	slowReplicaDelay = 60 * time.Millisecond
 	lostAnswers      = 20
 	faultyAnswers    = 12
-	// leaving is how long a replica that leaves serves on: longer than nodes may go on
-	// sending to it.
+	// drainTime is how long a draining replica keeps serving. It exceeds the time for which
+	// nodes may still send requests to it.
 	drainTime = 5 * time.Second
-	// stopPatience is how long a node may take to stop in order.
+	// stopTimeout bounds an orderly shutdown of a node. A node that takes longer is killed.
 	stopTimeout = nodeGrace + 2*time.Second
 )
 
-// disturb brings the faults about, each at its time.
+// injectFaults injects each fault at its scheduled time.
 func (s *soak) injectFaults(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, fault := range s.options.Faults {
@@ -42,7 +42,7 @@
 	running.Wait()
 }
 
-// carryOut brings one fault about and ends it.
+// inject runs one fault from beginning to end, and records both as disturbances of its scopes.
 func (s *soak) inject(ctx context.Context, fault Fault) {
 	span := time.Duration(fault.ForMS) * time.Millisecond
 	nodes, replicas := s.targetNodes(fault), s.targetReplicas(fault)
@@ -70,7 +70,7 @@
 	}
 }
 
-// nodesOf returns the nodes that a fault hits.
+// targetNodes returns the nodes that a fault affects.
 func (s *soak) targetNodes(fault Fault) []*process {
 	var found []*process
 	for index, node := range s.processes {
@@ -91,7 +91,7 @@
 	return found
 }
 
-// replicasOf returns the replicas that a fault hits.
+// targetReplicas returns the replicas that a fault affects.
 func (s *soak) targetReplicas(fault Fault) []*standin.Replica {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -113,8 +113,8 @@
 	return found
 }
 
-// scopesOf names what a fault disturbs. A replica that leaves in order, and settings
-// that are read again, disturb nobody.
+// disturbedScopes returns the scopes that a fault disturbs. Draining a replica and reloading
+// settings must not disturb anything, so they have none.
 func disturbedScopes(kind Kind, nodes []*process, replicas []*standin.Replica) []string {
 	switch kind {
 	case StoreDown, StoreSlow, StoreLost, StoreForget, StoreMute:
@@ -136,11 +136,11 @@
 	return names
 }
 
-// reloadGap is the time between two signals of a series.
+// reloadPeriod is the interval between two reload signals.
 const reloadPeriod = 50 * time.Millisecond
 
-// reload has nodes read their settings again until a span is over, also while they stop for
-// another fault.
+// reload signals the nodes to read their settings again, repeatedly until span has elapsed.
+// It continues while other faults stop the same nodes.
 func reload(ctx context.Context, nodes []*process, span time.Duration) {
 	until := time.Now().Add(span)
 	for time.Now().Before(until) && sleep(ctx, reloadPeriod) {
@@ -150,7 +150,7 @@
 	}
 }
 
-// restart ends nodes and starts them again.
+// restart stops or kills nodes, and starts them again after span.
 func (s *soak) restart(ctx context.Context, kind Kind, nodes []*process, span time.Duration) {
 	var restarting sync.WaitGroup
 	for _, node := range nodes {
@@ -176,7 +176,7 @@
 	restarting.Wait()
 }
 
-// replace has replicas leave, in order or at once, and others come.
+// replaceReplicas removes replicas, with or without draining them first, and starts others.
 func (s *soak) replaceReplicas(ctx context.Context, kind Kind, replicas []*standin.Replica) {
 	if kind == ReplicaDrain {
 		for _, replica := range replicas {
@@ -194,7 +194,8 @@
 	}
 }
 
-// swap ends a replica and starts another in its place, unless another fault did.
+// replaceReplica ends a replica and starts another in its place. It does nothing if another
+// fault has already replaced it.
 func (s *soak) replaceReplica(old *standin.Replica) error {
 	s.replaceMutex.Lock()
 	defer s.replaceMutex.Unlock()
@@ -216,7 +217,7 @@
 	return old.Close()
 }
 
-// apply begins (1) or ends (-1) a fault that lasts.
+// setFault begins (delta 1) or ends (delta -1) a lasting fault.
 func (s *soak) setFault(kind Kind, nodes []*process, replicas []*standin.Replica, delta int) {
 	begins := delta > 0
 	for _, one := range nodes {
@@ -258,7 +259,7 @@
 	case kind == ReplicaSlow:
 		replicaProxy.setDelay(0)
 	case kind == ReplicaFault:
-		// What is left of them at the end does not come any more.
+		// Faults that are not used up when the fault ends are cancelled.
 		faulty := faultyAnswers * max(0, delta)
 		replica.Refuse(faulty)
 		replica.BreakOff(faulty)
@@ -267,7 +268,8 @@
 	}
 }
 
-// applyToStore begins the first of the store's faults of a kind, and ends the last.
+// setStoreFault switches a fault of the store on with its first concurrent instance, and off
+// with its last one.
 func (s *soak) setStoreFault(kind Kind, delta int) {
 	s.mutex.Lock()
 	s.activeFaults[kind] += delta
--- a/soak/load.go
+++ b/soak/load.go
@@ -17,54 +17,56 @@
 	"birchwood.example/birchwood/soak/promise"
 )
 
-// The tenants of the load. Keys of the passing one come and go.
+// Tenants of the load. The keys of rotatingTenant are added and revoked during the run.
 const (
 	firstTenant    = "acme"
 	secondTenant   = "bolt"
 	limitedTenant  = "small"
 	rotatingTenant = "passing"
-	// forged is what clients put into the fields that only the system sets.
+	// forgedValue is sent by clients in header fields that only the system may set.
 	forgedValue  = "forged"
 	limitedRate  = 4
 	limitedBurst = 2
 )
 
-// What the load is like.
+// Parameters of the load.
 const (
 	concurrentPrograms = 12
 	programBudget      = 400
 	maxTurnTokens      = 50
-	// loopShare is the share of the programs that go on until their budget ends, with
-	// some lines of turns side by side, and keptShare that of those whose turns are kept.
+	// loopShare is the share of programs that run until their budget is spent, in loopSessions
+	// concurrent sessions; storedShare is the share of programs whose turns are stored.
 	loopShare    = 0.4
 	loopSessions = 3
 	storedShare  = 0.6
-	// stoppedShare is how often a program comes back whose budget ended, one of the
-	// last stoppedKnown.
+	// exhaustedShare is the probability that a program is an exhausted one that tries again,
+	// drawn from the last maxExhausted ones.
 	exhaustedShare = 0.3
 	maxExhausted   = 100
-	// foreignShare is how often after a kept turn another tenant names it, and
-	// returnShare how often a program of the same tenant goes on from an old one.
+	// foreignShare is the probability that another tenant refers to a turn just stored, and
+	// resumeShare that a program with stored turns continues an older turn of its tenant.
 	foreignShare = 0.1
 	resumeShare  = 0.3
 	turnAttempts = 4
-	// returns is how often a line whose turn failed comes back, within returnMost.
+	// maxSessionRetries is how often a session retries a turn that failed, each time after at
+	// most maxSessionRetryDelay.
 	maxSessionRetries    = 3
 	maxSessionRetryDelay = 4 * time.Second
-	// keptKnown is how many kept turns the load remembers, and keptFresh how old one
-	// may be to be gone on from: well within their retention. keptDeep bounds the turns
-	// before it, so that chains do not grow without end.
+	// maxStoredTurns bounds the stored turns that the load remembers. maxStoredAge is the oldest
+	// age at which one is continued, well within the nodes' retention. maxChainDepth bounds the
+	// turns before it, so that chains do not grow without bound.
 	maxStoredTurns = 400
 	maxChainDepth  = 30
 	maxStoredAge   = 45 * time.Second
-	// clientPatience is when a client leaves, after its own deadline.
+	// requestDeadline is the deadline that clients send. They disconnect after clientTimeout,
+	// which is longer.
 	requestDeadline   = 4 * time.Second
 	clientTimeout     = 5 * time.Second
 	limitedCallPeriod = 33 * time.Millisecond
 	keyCallPeriod     = 50 * time.Millisecond
 	operatorPeriod    = 1500 * time.Millisecond
-	// keysValid and keysRevoked are how many passing keys are valid at once, and how
-	// many taken away ones are tried.
+	// validKeyCount is how many keys of rotatingTenant are valid at a time, and
+	// revokedKeyCount how many of those revoked last are tried as well.
 	validKeyCount   = 3
 	revokedKeyCount = 6
 )
@@ -73,22 +75,22 @@
 	id     string
 	tenant string
 	at     time.Time
-	// depth is how many turns its chain has.
+	// depth is the number of turns in the chain, this one included.
 	depth int
 }
 
-// stoppedProgram is a program that went on until its budget ended.
+// exhaustedProgram is a program that ran until its budget was spent.
 type exhaustedProgram struct {
 	turn promise.Sent
 	at   time.Time
 }
 
-// keys are the passing tenant's: those from taken on to before next are valid.
+// keys numbers the keys of rotatingTenant: those from oldest up to but excluding next are valid.
 type keys struct{ oldest, next int }
 
 func keyName(number int) string { return fmt.Sprintf("passing-key-%d", number) }
 
-// valid returns the keys that are valid.
+// valid returns the valid keys of all tenants.
 func (k keys) valid() []string {
 	valid := []string{firstTenant + "-key", secondTenant + "-key", limitedTenant + "-key"}
 	for number := k.oldest; number < k.next; number++ {
@@ -97,7 +99,7 @@
 	return valid
 }
 
-// tenants returns the tenants of the configuration, in the platform's form.
+// tenants returns the tenants of the configuration, in the platform's format.
 func (k keys) tenants() string {
 	var passing []string
 	for number := k.oldest; number < k.next; number++ {
@@ -109,7 +111,7 @@
 		limitedTenant, limitedTenant+"-key", limitedRate, limitedBurst, rotatingTenant, strings.Join(passing, ","))
 }
 
-// load drives all clients and the operator until the run ends.
+// load runs all clients and the operator until the run ends.
 func (s *soak) load(ctx context.Context) {
 	var running sync.WaitGroup
 	for index := range concurrentPrograms {
@@ -126,7 +128,7 @@
 	running.Wait()
 }
 
-// every calls again and again, each time beside what goes on still.
+// every starts call once per period, without waiting for earlier calls to return.
 func (s *soak) every(ctx context.Context, period time.Duration, call func()) {
 	var running sync.WaitGroup
 	for sleep(ctx, period) {
@@ -135,7 +137,7 @@
 	running.Wait()
 }
 
-// program takes the turns of one program, with calls between them.
+// program runs one program: its turns, in one or several sessions, and the calls between them.
 func (s *soak) program(ctx context.Context, tenant string) {
 	turn := promise.Sent{
 		Tenant: tenant, Key: tenant + "-key", Route: standin.ModelPath, Repeatable: true, Events: eventsOfAnswer,
@@ -169,7 +171,8 @@
 	s.exhausted = s.exhausted[max(0, len(s.exhausted)-maxExhausted):]
 }
 
-// stoppedProgram returns a program whose budget ended some time ago, if there is any.
+// exhaustedProgram returns a random recently exhausted program of a tenant, and false if
+// there is none.
 func (s *soak) exhaustedProgram(tenant string) (promise.Sent, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -182,7 +185,7 @@
 	return fresh[s.random.IntN(len(fresh))].turn, true
 }
 
-// line takes the turns of one line of a program.
+// session runs one session of a program, up to the given number of turns.
 func (s *soak) session(ctx context.Context, turn promise.Sent, previous storedTurn, turns int) {
 	turn.Session = s.nextID("s")
 	turn.Previous = previous.id
@@ -204,17 +207,18 @@
 	}
 }
 
-// ending tells how the tries of a turn ended.
+// ending is the outcome of all attempts of a turn.
 type ending int
 
 const (
 	served ending = iota
 	failed
-	// over ends the program.
+	// over means that the program cannot continue or the run has ended.
 	over
 )
 
-// turn asks for one turn with a client's tries, and returns the id of the last one.
+// turn sends one turn, with retries as a client makes them, and returns the id of the last
+// attempt.
 func (s *soak) turn(ctx context.Context, turn promise.Sent) (id string, end ending) {
 	for range turnAttempts {
 		turn.ID = s.nextID("t")
@@ -235,7 +239,7 @@
 	return turn.ID, failed
 }
 
-// call calls a tool, which may repeat or not.
+// call sends a tool call that may or may not be repeated.
 func (s *soak) call(tenant string, repeats bool) {
 	call := promise.Sent{ID: s.nextID("c"), Tenant: tenant, Key: tenant + "-key", Route: standin.LookupPath, Repeatable: true}
 	method := http.MethodGet
@@ -247,7 +251,7 @@
 
 func (s *soak) limitedCall() { s.call(limitedTenant, true) }
 
-// tryForeign has another tenant name a turn now and then.
+// sendForeignTurn occasionally sends a turn of another tenant that refers to the given one.
 func (s *soak) sendForeignTurn(previous, tenant string) {
 	if !s.chance(foreignShare) {
 		return
@@ -260,7 +264,8 @@
 	})
 }
 
-// tryKey asks one node with one of the passing tenant's keys, valid or taken away.
+// sendWithRandomKey calls a random node with one of the rotating tenant's keys, valid or
+// revoked.
 func (s *soak) sendWithRandomKey() {
 	s.mutex.Lock()
 	first := max(0, s.keys.oldest-revokedKeyCount)
@@ -272,7 +277,7 @@
 	})
 }
 
-// operate writes the next configuration: one more key, and one less.
+// rotateKeys writes a configuration with one key added and the oldest valid key revoked.
 func (s *soak) rotateKeys() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -283,21 +288,21 @@
 	s.record(promise.KeyRevoked{Key: keyName(s.keys.oldest - 1)})
 }
 
-// ask sends a request to a node, and tells what is sent and how it ends.
+// send sends a request to a node, and records the request and its outcome for the checker.
 func (s *soak) send(node *process, method string, sent promise.Sent) standin.Answer {
 	sent.Node = node.settings.Node
 	sent.Incarnation, _ = node.current()
 	s.record(sent)
 	answer, err := standin.AskWithin(clientTimeout, node.clients.address(), method, standin.Host, sent.Route+"x", headerOf(sent), sent.Body)
 	if err != nil {
-		// No answer makes no promise; the checker counts it as unserved.
+		// Without an answer, the nodes have promised nothing. The checker counts the attempt as failed.
 		answer = standin.Answer{}
 	}
 	s.record(promise.Answered{ID: sent.ID, Status: answer.Status, Body: answer.Body, Whole: answer.Whole})
 	return answer
 }
 
-// fieldsOf returns the header of a request.
+// headerOf returns the header fields of a request, including forged ones.
 func headerOf(sent promise.Sent) map[string]string {
 	names := platform.Names()
 	fields := map[string]string{
@@ -321,7 +326,7 @@
 	return fields
 }
 
-// pick returns the node that a client's connection goes to.
+// pickNode returns the node for a new client connection: a ready one if there is any.
 func (s *soak) pickNode() *process {
 	readyNodes := s.readyNodes()
 	if len(readyNodes) == 0 {
@@ -360,7 +365,8 @@
 	s.storedTurns = s.storedTurns[max(0, len(s.storedTurns)-maxStoredTurns):]
 }
 
-// knownTurn returns a turn of a tenant that is kept still, or none.
+// randomStoredTurn returns a random turn of a tenant that nodes still store, or the zero
+// value if there is none.
 func (s *soak) randomStoredTurn(tenant string) storedTurn {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/soak/process.go
+++ b/soak/process.go
@@ -22,16 +22,16 @@
 	"birchwood.example/birchwood/soak/promise"
 )
 
-// firstPort is the port of the first node's first address.
+// firstPort is the port of the first address of node 0.
 const firstPort = 12000
 
-// anyHost draws an address of the loopback network for the nodes of one run: their ports
-// on it are nobody else's, also while a node is not there.
+// randomHost returns a random loopback address for the nodes of one run. No other process
+// uses their ports on this address, even while a node is down.
 func randomHost() string {
 	return netip.AddrFrom4([4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))}).String()
 }
 
-// addressesOf returns the addresses of a node for clients, readiness and peers.
+// addressesOf returns a node's addresses for clients, readiness probes and peers.
 func addressesOf(host string, index int) (addresses [3]string) {
 	for offset := range addresses {
 		addresses[offset] = net.JoinHostPort(host, strconv.Itoa(firstPort+index*len(addresses)+offset))
@@ -39,8 +39,9 @@
 	return addresses
 }
 
-// starter starts processes on one thread: the system ends a process whose parent's
-// thread is gone, so that nothing is left behind however this process ends.
+// starter starts processes from one locked OS thread. The kernel kills a process with
+// Pdeathsig when the thread that started it exits, so no process is left behind, however
+// this one ends.
 type starter chan func()
 
 func newStarter() starter {
@@ -61,7 +62,7 @@
 	return <-done
 }
 
-// process is one node as a process, through all of its lives.
+// process is a node that runs as an operating-system process, over all its incarnations.
 type process struct {
 	settings edge.Settings
 	zone     int
@@ -71,19 +72,19 @@
 	disabled string
 	folder   string
 	starter  starter
-	// ended is told of an end that nobody asked for.
+	// onExit is called when the process exits unexpectedly.
 	onExit func(promise.Exited)
 
 	mutex       sync.Mutex
 	incarnation int
-	// command is nil while the process is not there, and asked says that its end was
-	// asked for.
+	// command is nil while the process is not running. exitExpected is set once a signal that
+	// ends the process has been sent. exited is closed when it has exited.
 	command      *exec.Cmd
 	exitExpected bool
 	exited       chan struct{}
 }
 
-// start starts the next life of the process.
+// start starts the next incarnation, unless the process is running.
 func (p *process) start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// await takes in the end of a life.
+// awaitExit waits for the end of an incarnation, and reports it if it was not expected.
 func (p *process) awaitExit(command *exec.Cmd, output *os.File, gone chan struct{}) {
 	err := command.Wait()
 	_ = output.Close()
@@ -128,7 +129,7 @@
 	}
 }
 
-// lastLine returns the last line of a life's log.
+// lastLine returns the last line of an incarnation's log.
 func (p *process) lastLine(incarnation int) string {
 	text, err := os.ReadFile(p.logPath(incarnation))
 	if err != nil {
@@ -142,8 +143,8 @@
 	return filepath.Join(p.folder, fmt.Sprintf("%s.%d.log", p.settings.Node, incarnation))
 }
 
-// signal sends a signal to the process, if it is there. Signals that end it are noted
-// as asked for.
+// signal sends a signal to the process if it is running. After SIGKILL and SIGTERM, its
+// exit is expected.
 func (p *process) signal(signal syscall.Signal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -153,12 +154,12 @@
 	if signal == syscall.SIGKILL || signal == syscall.SIGTERM {
 		p.exitExpected = true
 	}
-	// A process that just ended is noted by await.
+	// If the process has just exited, awaitExit handles it.
 	_ = p.command.Process.Signal(signal)
 }
 
-// reload has the process read its settings again, once it has written that it started: the
-// system ends a program that has not come to its first instructions yet.
+// reload signals the process to read its settings again, if it has written to its log.
+// Before a program has installed its signal handler, SIGHUP would end it.
 func (p *process) reload() {
 	p.mutex.Lock()
 	path := p.logPath(p.incarnation)
@@ -168,14 +169,15 @@
 	}
 }
 
-// awaitGone returns what is closed when the process is not there.
+// exitChannel returns a channel that is closed when the current incarnation has exited, or
+// nil if the process was never started.
 func (p *process) exitChannel() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.exited
 }
 
-// current returns the number of the process's life, and its id or 0.
+// current returns the process's incarnation, and its pid, or 0 while it is not running.
 func (p *process) current() (incarnation, pid int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -185,7 +187,8 @@
 	return p.incarnation, pid
 }
 
-// sample reads what the process takes, or returns false where it is not there.
+// sample reads the memory and the open descriptors of the process. It returns false if the
+// process is not running or they cannot be read.
 func (p *process) sample() (promise.Sampled, bool) {
 	incarnation, pid := p.current()
 	if pid == 0 {
@@ -210,7 +213,7 @@
 	}, err == nil
 }
 
-// linesOf returns the lines about a request in the logs of all lives.
+// logLines returns up to most log lines about a request, from all incarnations.
 func (p *process) logLines(id string, most int) []string {
 	var found []string
 	last, _ := p.current()
--- a/soak/promise/answer.go
+++ b/soak/promise/answer.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// attemptsUnserved is how many attempts of a program in a row may fail while nothing
-// is disturbed: one more than a client's retries.
+// maxFailedAttempts is the number of consecutive attempts of a program that must fail in a
+// fault-free period for a breach: one more than a client's retries.
 const maxFailedAttempts = 4
 
-// The statuses that a check is about.
+// HTTP statuses that have a check of their own.
 const (
 	statusUnauthorized = 401
 	statusBudgetSpent  = 402
@@ -44,7 +44,7 @@
 	c.checkServed(at, sent)
 }
 
-// checkBody holds an answer against what the request's own runs wrote.
+// checkBody checks an answer against the output of the runs of its request.
 func (c *Checker) checkBody(at time.Time, sent *request, event Answered) {
 	if sent.runs == 0 {
 		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("answered %d, though no replica ran it", event.Status))
@@ -65,7 +65,8 @@
 	}
 }
 
-// countTokens holds what a program got in all against its budget.
+// checkBudget checks that the tokens delivered to a program do not exceed its budget by more
+// than one turn.
 func (c *Checker) checkBudget(at time.Time, sent *request, event Answered) {
 	known := c.programs[sent.Program]
 	if known == nil || !succeeded(event.Status) {
@@ -78,8 +79,9 @@
 	}
 }
 
-// checkEnd holds the end of a program against its budget. Turns that ran and have not
-// ended well some time ago count at their most.
+// checkProgramEnd checks that a program that is refused for its budget had less than one
+// turn left. Turns that ran count with their maximum tokens, unless they ended completely
+// more than Settle ago.
 func (c *Checker) checkProgramEnd(at time.Time, ended *request) {
 	known := c.programs[ended.Program]
 	if known == nil {
@@ -100,7 +102,8 @@
 	}
 }
 
-// checkFound holds an answer "no such turn" against the turns that are kept.
+// checkStoredTurn checks an answer 404. A request without a previous turn that must be served
+// has to find its route, and one with a previous turn has to find it while it is stored.
 func (c *Checker) checkStoredTurn(at time.Time, sent *request) {
 	previous := c.requests[sent.Previous]
 	switch {
@@ -114,7 +117,8 @@
 	}
 }
 
-// checkDenial holds the refusal of a key against the configurations.
+// checkDenial checks that a refused key was not valid for longer than ApplyBound. It records
+// refusals of revoked keys for checkConfigRollback.
 func (c *Checker) checkDenial(at time.Time, sent *request) {
 	if _, revoked := c.revoked[sent.Key]; revoked {
 		c.denied[denial{process{sent.Node, sent.Incarnation}, sent.Key}] = at
@@ -126,8 +130,8 @@
 	}
 }
 
-// checkForward holds the success of a key that was taken away against what the same
-// process said of it before.
+// checkConfigRollback checks that a process does not accept a key that it has refused as
+// revoked before.
 func (c *Checker) checkConfigRollback(at time.Time, sent *request) {
 	denied, before := c.denied[denial{process{sent.Node, sent.Incarnation}, sent.Key}]
 	if before && sent.at.After(denied) {
@@ -135,13 +139,14 @@
 	}
 }
 
-// busy reports whether turns of the program are under way, which may hold the rest of
-// its budget.
+// hasOpenTurn reports whether a turn of the program is unanswered, and so may hold the rest
+// of its budget.
 func (p *program) hasOpenTurn() bool {
 	return slices.ContainsFunc(p.turns, func(turn *request) bool { return !turn.answered })
 }
 
-// checkServed counts the attempts in a row that fail while nothing is disturbed.
+// checkServed counts consecutive failed attempts of a program in fault-free periods, except
+// while another turn of it may hold the rest of its budget.
 func (c *Checker) checkServed(at time.Time, sent *request) {
 	known := c.programs[sent.Program]
 	if known == nil || !sent.MustServe {
--- a/soak/promise/checker.go
+++ b/soak/promise/checker.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// breachesPerPromise bounds what is kept of one promise, so that a fault that breaks
-// it all the time does not fill the memory.
+// maxBreachesPerPromise bounds the breaches stored per promise, so that a persistent fault
+// does not fill the memory.
 const maxBreachesPerPromise = 3
 
-// Checker holds events against the promises. It is not safe for concurrent use.
+// Checker verifies the promises against events. It is not safe for concurrent use.
 type Checker struct {
 	config   Config
 	requests map[string]*request
 	programs map[string]*program
-	// grants are the runs of tenants with a limit, and colds those of cold replicas.
+	// grants holds the recent requests of each tenant with a limit, and coldReplicas the cold
+	// replicas with their recent requests.
 	grants       map[string][]arrival
 	coldReplicas map[string]*coldReplica
-	// drained and evacuated are since when, and added and revoked are since when a
-	// key is valid or taken away.
+	// drained and evacuated hold the start of each drain and evacuation; added and revoked hold
+	// when each key became valid or was revoked.
 	drained   map[string]time.Time
 	evacuated map[string]time.Time
 	added     map[string]time.Time
 	revoked   map[string]time.Time
-	// denied is when a process refused a key that was taken away.
+	// denied holds when a process last refused a revoked key.
 	denied       map[denial]time.Time
 	disturbances disturbances
 	samples      map[process][]Sampled
@@ -50,7 +51,7 @@
 type program struct {
 	turns           []*request
 	deliveredTokens int
-	// unserved counts the attempts in a row that failed while nothing was disturbed.
+	// failedAttempts counts consecutive failed attempts in fault-free periods.
 	failedAttempts int
 }
 
@@ -64,7 +65,7 @@
 	key string
 }
 
-// New returns a checker that has seen nothing.
+// New returns a checker without any events.
 func New(config Config) *Checker {
 	return &Checker{
 		config: config, requests: make(map[string]*request), programs: make(map[string]*program),
@@ -75,7 +76,7 @@
 	}
 }
 
-// Add takes an event in and returns the promises that it shows broken.
+// Add processes an event and returns the breaches that it reveals.
 func (c *Checker) Add(at time.Time, event Event) []Breach {
 	c.newBreaches = nil
 	switch event := event.(type) {
@@ -106,13 +107,14 @@
 	return c.newBreaches
 }
 
-// Counts returns how often each promise was broken.
+// Counts returns the number of breaches by promise.
 func (c *Checker) Counts() map[Promise]int { return c.counts }
 
-// Breaches returns the first broken promises of each kind.
+// Breaches returns the first breaches of each promise, up to maxBreachesPerPromise.
 func (c *Checker) Breaches() []Breach { return c.breaches }
 
-// Seen returns how many requests were sent, and how many ended whole with success.
+// RequestCounts returns the number of requests sent, and of those that were answered
+// successfully and completely.
 func (c *Checker) RequestCounts() (sent, served int) {
 	for _, one := range c.requests {
 		if one.complete && succeeded(one.status) {
@@ -175,7 +177,8 @@
 	c.checkRates(at, ran, event)
 }
 
-// checkKey holds a run against the keys that were taken away before it was sent.
+// checkKey checks that a request sent later than RevokeBound after the revocation of its key
+// does not run.
 func (c *Checker) checkKey(at time.Time, ran *request) {
 	since, revoked := c.revoked[ran.Key]
 	if revoked && ran.at.After(since.Add(c.config.RevokeBound)) {
@@ -183,7 +186,8 @@
 	}
 }
 
-// checkChain holds what a replica was handed against the turns before.
+// checkChain checks that a replica receives the inputs and outputs of the previous turns of
+// the same tenant, followed by the new input.
 func (c *Checker) checkChain(at time.Time, ran *request, body string) {
 	if ran.Previous != "" {
 		previous := c.requests[ran.Previous]
@@ -201,7 +205,7 @@
 	}
 }
 
-// before returns the inputs and outputs of the turns that a turn goes on from.
+// chainBefore returns the inputs and outputs of all previous turns in the chain of a turn.
 func (c *Checker) chainBefore(turn *request) string {
 	previous := c.requests[turn.Previous]
 	if turn.Previous == "" || previous == nil {
@@ -216,10 +220,10 @@
 	return text.String()
 }
 
-// Data is what the data of an event of a request's answer has to be.
+// EventData returns the expected data of the numbered event in the answer to a request.
 func EventData(id string, event int) string { return fmt.Sprintf("%s-%d", id, event) }
 
-// stream returns a whole answer of so many events.
+// completeStream returns the complete answer to a request, with the given number of events.
 func completeStream(id string, events int) string {
 	var text strings.Builder
 	for event := 1; event <= events; event++ {
@@ -228,7 +232,7 @@
 	return text.String()
 }
 
-// shownBytes is how much of a body a breach shows.
+// maxShownBytes bounds the part of a body that a breach shows.
 const maxShownBytes = 120
 
 func shorten(text string) string {
@@ -240,7 +244,7 @@
 
 func succeeded(status int) bool { return status >= 200 && status < 300 }
 
-// saysNotRun reports whether a status promises that the request did not run.
+// saysNotRun reports whether a status guarantees that the request did not run.
 func saysNotRun(status int) bool {
 	return slices.Contains([]int{401, 402, 404, 408, 421, 429, 503}, status)
 }
--- a/soak/promise/checker_test.go
+++ b/soak/promise/checker_test.go
@@ -26,7 +26,7 @@
 	ZoneRegions:  map[string]string{"north-a": "north", "south-a": "south"}, MemoryBytes: 256 << 20, Descriptors: 1000,
 }
 
-// world feeds a checker with events at times of its own.
+// world feeds a checker with events under a simulated clock.
 type world struct {
 	*promise.Checker
 	now   time.Time
@@ -47,7 +47,7 @@
 	}
 }
 
-// turn sends a kept turn of two events that runs and is answered, changed by a test.
+// turn sends a stored turn of two events that runs and is answered; change can alter each step.
 func (w *world) turn(program, previous string, change func(*promise.Sent, *promise.Ran, *promise.Answered)) string {
 	w.next++
 	id := fmt.Sprintf("t-%d", w.next)
@@ -71,7 +71,7 @@
 	return id
 }
 
-// refused has a turn answered without a run.
+// refused makes a turn be answered with a status without a run.
 func refused(status int) func(*promise.Sent, *promise.Ran, *promise.Answered) {
 	return func(_ *promise.Sent, ran *promise.Ran, answer *promise.Answered) {
 		ran.ID = ""
--- a/soak/promise/doc.go
+++ b/soak/promise/doc.go
@@ -1,7 +1,8 @@
-// Package promise checks what nodes promise against what their callers, their
-// replicas and their operator saw. It is pure: events go in with their times,
-// broken promises come out, so that the same events always give the same verdict.
+// Package promise checks the guarantees of the nodes, called promises, against what their
+// clients, replicas and operator observe. It is pure: events go in with their times and
+// breaches come out, so the same events always give the same verdict.
 //
-// A fault excuses only what the promise excuses: checks that bind nodes in touch
-// look at the disturbances that they were told of; the others always hold.
+// A fault excuses only what a promise exempts. Some checks apply only to nodes and replicas
+// that were fault-free for long enough, according to the recorded disturbances; the others
+// always apply.
 package promise
--- a/soak/promise/event.go
+++ b/soak/promise/event.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Event is something that was seen from outside the nodes.
+// Event is something observed from outside the nodes.
 type Event interface{ event() }
 
-// Sent says that a client sends a request.
+// Sent records that a client sends a request.
 type Sent struct {
-	// ID is the request's own; each attempt has another.
+	// ID is unique to the request. Each attempt has its own.
 	ID string
-	// Node is the node that it goes to, and Life counts that node's processes.
+	// Node is the node that receives it, and Incarnation numbers that node's processes.
 	Node        string
 	Incarnation int
-	// Tenant is the one that the key belongs to.
+	// Tenant is the tenant that Key belongs to.
 	Tenant string
 	Key    string
 	Route  string
-	// Repeats says that it may run more than once.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Events is how many events a whole answer has; 0 for a plain body.
+	// Events is the number of events of a complete answer, or 0 for a plain body.
 	Events int
-	// Program, Session, Previous, Budget and Most are those of a turn; Kept says that the
-	// nodes keep it.
+	// Program, Session, Previous, Budget and MaxTokens are those of a turn; the last two are
+	// in tokens. Stored is set if the nodes store the turn.
 	Program   string
 	Session   string
 	Previous  string
@@ -29,57 +29,58 @@
 	Budget    int
 	MaxTokens int
 	Body      string
-	// Proper says that it has to be served while nothing is disturbed.
+	// MustServe is set if the request has to be served in fault-free periods.
 	MustServe bool
 }
 
-// Answered says how a request ended for its client.
+// Answered records how a request ended for its client.
 type Answered struct {
 	ID string
-	// Status is 0 where no answer came.
+	// Status is the HTTP status, or 0 if no answer was received.
 	Status int
 	Body   string
-	// Whole is false for an answer that broke off.
+	// Complete is false if the answer broke off.
 	Whole bool
 }
 
-// Ran says that a replica began to work on a request.
+// Ran records that a replica started to run a request.
 type Ran struct {
 	ID      string
 	Replica string
 	Zone    string
 	Tenant  string
 	Body    string
-	// Forged are the client's fields in it that clients may not set at a replica.
+	// Forged lists the header fields set by the client that must not reach a replica from a
+	// client.
 	Forged []string
 }
 
-// Drained says that the store took a replica's word that it leaves.
+// Drained records that the store accepted a replica's entry as draining.
 type Drained struct{ Replica string }
 
-// KeyAdded and KeyRevoked say that the store took a configuration with the change.
+// KeyAdded and KeyRevoked record that the store accepted a configuration with the change.
 type (
 	KeyAdded   struct{ Key string }
 	KeyRevoked struct{ Key string }
 )
 
-// Disturbed says that a disturbance begins or ends. Scope is a node or a replica, or
-// Everything.
+// Disturbance records the beginning or the end of a disturbance. Scope is a node, a replica
+// or AllNodes.
 type Disturbance struct {
 	Scope string
 	Begin bool
 }
 
-// Everything is the scope of a disturbance that all nodes feel.
+// AllNodes is the scope of a disturbance that affects all nodes.
 const AllNodes = ""
 
-// Exited says that a process ended that nobody ended.
+// Exited records that a process exited unexpectedly.
 type Exited struct {
 	Node   string
 	Detail string
 }
 
-// Sampled is what a node's process takes of the machine.
+// Sampled records the resource usage of a node's process.
 type Sampled struct {
 	Node        string
 	Incarnation int
@@ -87,15 +88,15 @@
 	Descriptors int
 }
 
-// Evacuated says that the store took the order to send nothing to a zone, or that the
-// zone is taken back.
+// Evacuated records that the store accepted the order to evacuate a zone, or with Ended the
+// order to end the evacuation.
 type Evacuated struct {
 	Zone  string
 	Ended bool
 }
 
-// Cooled says that a replica is cold and bears a rate of requests a second, or that
-// it is warm again.
+// Cooled records that a replica is cold and can take Rate requests per second, or with Warm
+// that it is warm again.
 type Cooled struct {
 	Replica string
 	Rate    float64
@@ -114,10 +115,9 @@
 func (Evacuated) event()   {}
 func (Cooled) event()      {}
 
-// Promise names what nodes promise.
+// Promise names a guarantee of the nodes. Reports show it.
 type Promise string
 
-// The promises.
 const (
 	WholeAnswers      Promise = "answers are whole and in order"
 	AtMostOnce        Promise = "what may not repeat runs at most once"
@@ -142,7 +142,7 @@
 	KnownRequests     Promise = "a replica runs only what a client sent"
 )
 
-// Breach is one broken promise.
+// Breach is one observed violation of a promise.
 type Breach struct {
 	At      time.Time
 	Promise Promise
@@ -151,7 +151,7 @@
 	Detail  string
 }
 
-// Limit is a tenant's limit.
+// Limit is a tenant's rate limit, in requests per second, with its burst in requests.
 type Limit struct {
 	Rate  float64
 	Burst float64
@@ -159,35 +159,39 @@
 
 // Config holds the bounds of the promises.
 type Config struct {
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
-	// Contact is how long nothing may have disturbed a node for it to be in touch.
+	// FaultFree is how long a node and a replica must have been undisturbed before the checks of
+	// draining and evacuation apply to them.
 	FaultFree time.Duration
-	// Recovery is how long after the last disturbance programs are served again.
+	// Recovery is how long after the last disturbance programs must be served again.
 	Recovery time.Duration
-	// Settle is how long after its end a turn counts with what it used.
+	// Settle is how long after its end a turn counts with its actual usage instead of its
+	// maximum.
 	Settle time.Duration
-	// Retention is how long kept turns are found.
+	// Retention is how long a stored turn can be continued.
 	Retention time.Duration
-	// DrainBound, RevokeBound, ApplyBound and EvacuationBound run from the store's
-	// word.
+	// DrainBound, RevokeBound, ApplyBound and EvacuationBound start when the store accepts the
+	// change.
 	DrainBound      time.Duration
 	RevokeBound     time.Duration
 	ApplyBound      time.Duration
 	EvacuationBound time.Duration
-	// Limits are those of the tenants that have one; QuotaWindow, QuotaOverrun and
-	// QuotaSlack tell how they are judged.
+	// Limits holds the rate limits by tenant. In QuotaWindow, a tenant may exceed its limit by
+	// the share QuotaOverrun and by QuotaSlack requests more.
 	Limits       map[string]Limit
 	QuotaWindow  time.Duration
 	QuotaOverrun float64
 	QuotaSlack   float64
-	// ColdOverrun and ColdSlack tell how the rates of cold replicas are judged.
+	// A cold replica may receive ColdOverrun times its rate plus ColdSlack requests in a
+	// window.
 	ColdOverrun float64
 	ColdSlack   float64
-	// Homes are the regions of routes that have any, and Regions those of zones.
+	// RouteRegions holds the permitted regions of routes that have a zone constraint, and
+	// ZoneRegions the region of each zone.
 	RouteRegions map[string][]string
 	ZoneRegions  map[string]string
-	// MemoryBytes and Descriptors bound what one process takes.
+	// MemoryBytes and Descriptors bound the resource usage of one process.
 	MemoryBytes int64
 	Descriptors int
 }
--- a/soak/promise/growth.go
+++ b/soak/promise/growth.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// How growth is told from a process that warms up.
+// Thresholds that distinguish unbounded growth from the warm-up of a process.
 const (
-	// leastSamples is how many samples a process must have given: with fewer, a quarter
-	// of them is as short as an outage, in which connections are opened that rest then.
+	// minSamples is the number of samples before the first check and between checks. With fewer,
+	// a quarter of them would be as short as an outage, in which connections are opened that
+	// are idle afterwards.
 	minSamples = 120
-	// grownShare and the slacks are what the least of the last quarter may lie over
-	// the most of the second.
+	// maxGrowthRatio and the slacks limit how far the minimum of the last quarter may exceed the
+	// maximum of the second.
 	maxGrowthRatio   = 1.25
 	memorySlackBytes = 16 << 20
 	descriptorSlack  = 32
@@ -30,7 +31,7 @@
 	}
 }
 
-// checkGrowth holds the last quarter of a process's samples against the second.
+// checkGrowth compares the last quarter of a process's samples with the second.
 func (c *Checker) checkGrowth(at time.Time, node string, samples []Sampled) {
 	quarter := len(samples) / 4
 	second, last := samples[quarter:2*quarter], samples[3*quarter:]
--- a/soak/promise/place.go
+++ b/soak/promise/place.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// disturbances tell what was disturbed until when.
+// disturbances tracks the current disturbances and the end of the last one, by scope and in
+// total.
 type disturbances struct {
 	open  map[string]int
 	ended map[string]time.Time
-	// running counts all that go on, and last is when the last one ended.
+	// running counts all current disturbances, and last is when the latest one ended.
 	running int
 	last    time.Time
 }
@@ -30,13 +31,13 @@
 	d.ended[event.Scope], d.last = at, at
 }
 
-// calm reports whether nothing at all was disturbed for so long.
+// faultFree reports whether nothing was disturbed for at least span.
 func (d *disturbances) faultFree(at time.Time, span time.Duration) bool {
 	return d.running == 0 && at.Sub(d.last) >= span
 }
 
-// inTouch reports whether neither a node or replica nor everything was disturbed for
-// so long.
+// scopeFaultFree reports whether neither the scope nor AllNodes was disturbed for at least
+// span.
 func (d *disturbances) scopeFaultFree(at time.Time, scope string, span time.Duration) bool {
 	for _, one := range []string{scope, AllNodes} {
 		if d.open[one] > 0 || at.Sub(d.ended[one]) < span {
@@ -46,7 +47,9 @@
 	return true
 }
 
-// checkPlace holds a run against where its request may go.
+// checkPlace checks that a request runs in the regions of its route and, if its node and its
+// replica were fault-free for long enough, neither on a draining replica nor in an evacuated
+// zone after the bound.
 func (c *Checker) checkPlace(at time.Time, ran *request, event Ran) {
 	region := c.config.ZoneRegions[event.Zone]
 	if allowed := c.config.RouteRegions[ran.Route]; len(allowed) > 0 && !slices.Contains(allowed, region) {
@@ -72,16 +75,16 @@
 	c.evacuated[event.Zone] = at
 }
 
-// arrival is a request that reached a replica.
+// arrival records when a request was sent and when a replica started it.
 type arrival struct{ sent, at time.Time }
 
-// cold is a replica that bears few requests.
+// coldReplica is a replica that can take only a limited rate of requests.
 type coldReplica struct {
 	rate     float64
 	arrivals []arrival
 }
 
-// coldWindow is the span in which what reaches a cold replica is counted.
+// coldWindow is the window in which the requests of a cold replica are counted.
 const coldWindow = time.Second
 
 func (c *Checker) setCold(event Cooled) {
@@ -92,8 +95,8 @@
 	c.coldReplicas[event.Replica] = &coldReplica{rate: event.Rate}
 }
 
-// checkRates holds the requests that were both sent and run in a window against what
-// tenants and cold replicas may have.
+// checkRates checks the rates of limited tenants and cold replicas. A request counts only if
+// it was both sent and run within the window, so late arrivals cause no breach.
 func (c *Checker) checkRates(at time.Time, ran *request, event Ran) {
 	reached := arrival{sent: ran.at, at: at}
 	if limit, limited := c.config.Limits[event.Tenant]; limited && ran.runs == 1 {
@@ -113,7 +116,7 @@
 	}
 }
 
-// within drops what was sent before the window that ends at a time.
+// within drops requests that were sent before the window that ends at the given time.
 func within(arrivals []arrival, at time.Time, window time.Duration) []arrival {
 	return slices.DeleteFunc(arrivals, func(one arrival) bool { return at.Sub(one.sent) > window })
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// way is a direction through a proxy.
+// direction is a direction of traffic through a proxy.
 type direction int
 
 const (
-	// onward is from who connects to the target, and back the other one.
+	// toTarget is from the connecting side to the target; toClient is the reverse.
 	toTarget direction = iota
 	toClient
 )
 
-// proxyBytes is how much one read of a proxy takes.
+// proxyBufferBytes is the size of the read buffer per direction of a connection.
 const proxyBufferBytes = 32 << 10
 
-// proxyDial bounds how long a proxy waits for its target.
+// proxyDialTimeout bounds connecting to the target.
 const proxyDialTimeout = time.Second
 
-// proxy passes connections on to a target, until it is told to hold, mute or reset them.
-// What it holds passes once it is told so, as on a link that was cut and mended. A
-// connection that was muted passes nothing any more, and stays open.
+// proxy forwards connections to a target. It can hold, mute, delay or reset them. Held data
+// passes on release, as on a link that was interrupted and repaired. A muted connection
+// stays open but never passes data again.
 type proxy struct {
 	listener net.Listener
 
 	mutex  sync.Mutex
 	target string
 	held   [2]int
-	// muted counts what mutes the proxy; connections are muted for good meanwhile.
+	// muted counts the faults that mute the proxy. While it is above 0, all connections are
+	// muted, permanently.
 	muted int
 	delay time.Duration
-	// conns are both ends of the connections, and whether they are muted.
+	// conns holds both ends of each connection, and whether it is muted.
 	conns map[net.Conn]bool
-	// changed is closed and replaced when held changes, and at the end.
+	// changed is closed and replaced when held changes, and when the proxy is closed.
 	changed chan struct{}
 	closed  bool
 }
@@ -64,7 +65,7 @@
 	}
 }
 
-// pass carries one connection both ways.
+// forward copies data in both directions between a connection and the target.
 func (p *proxy) forward(from net.Conn) {
 	if !p.awaitRelease(toTarget) {
 		_ = from.Close()
@@ -89,7 +90,7 @@
 	_, _ = from.Close(), to.Close()
 }
 
-// add remembers both ends of a connection, or ends them where the proxy has ended.
+// add registers both ends of a connection, or closes them if the proxy is closed.
 func (p *proxy) add(ends ...net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -129,8 +130,8 @@
 	}
 }
 
-// await holds what passes one way as long as it is to be held. It returns false once
-// the proxy has ended.
+// awaitRelease blocks while a direction is held, then for the delay of the proxy. It returns
+// false if the proxy is closed.
 func (p *proxy) awaitRelease(in direction) bool {
 	p.mutex.Lock()
 	delay := p.delay
@@ -148,7 +149,8 @@
 	return open
 }
 
-// hold holds what passes some ways, until it is released as often.
+// hold adds delta to the hold counts of the directions. A direction passes data while its
+// count is 0.
 func (p *proxy) hold(delta int, ways ...direction) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -159,8 +161,8 @@
 	p.changed = make(chan struct{})
 }
 
-// mute ends what passes over all connections, and over new ones until it is taken back as
-// often.
+// mute adds delta to the mute count. While it is above 0, open and new connections are
+// muted; they stay so when it returns to 0.
 func (p *proxy) mute(delta int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -182,7 +184,6 @@
 	p.delay = delay
 }
 
-// resetAll resets all connections.
 func (p *proxy) resetAll() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -201,7 +202,7 @@
 	p.resetAll()
 }
 
-// reset ends a connection without the end of its stream.
+// reset closes a connection with a TCP reset instead of an orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/soak/run.go
+++ b/soak/run.go
@@ -15,13 +15,13 @@
 	"birchwood.example/birchwood/soak/promise"
 )
 
-// ErrBroken says that a promise was broken.
+// ErrBroken is returned by Run if a promise was broken that is not in Options.KnownBroken.
 var ErrBroken = errors.New("a promise was broken")
 
-// leastSeconds is the shortest run that has time for a fault and what follows it.
+// minSeconds is the shortest run with time for a fault and the recovery from it.
 const minSeconds = 25
 
-// validate returns every finding about a scenario.
+// validate returns all findings about a scenario. place names its source in them.
 func (s *Scenario) validate(place string) error {
 	found := findings.Of(place)
 	found.Require(s.Seconds >= minSeconds, "seconds", "got %d, want at least %d", s.Seconds, minSeconds)
@@ -29,8 +29,9 @@
 	return found.Err()
 }
 
-// Run runs a scenario and reports it. It returns ErrBroken if a promise was broken.
-// It ends all that it started, also when the context ends.
+// Run runs a scenario and reports it. It returns ErrBroken if a promise was broken that is not
+// in Options.KnownBroken. Everything that it starts is ended on return, also when ctx is
+// cancelled.
 func Run(ctx context.Context, options Options) (err error) {
 	if err := options.validate("soak"); err != nil {
 		return err
@@ -78,7 +79,8 @@
 	}, nil
 }
 
-// play drives the load and the faults for the run's time, and says the verdict.
+// drive waits for the nodes, runs the load and the faults for the duration of the scenario,
+// and reports the verdict.
 func (s *soak) drive(ctx context.Context) error {
 	if err := s.awaitReady(ctx); err != nil {
 		return err
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -9,62 +9,64 @@
 	"time"
 )
 
-// Kind names a fault.
+// Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults.
 const (
-	// Pause stops processes and lets them go on; Kill ends them at once, Stop in
-	// order, and both start them again.
+	// Pause suspends processes and resumes them. Kill kills them, Stop shuts them down in
+	// order; both start them again.
 	Pause Kind = "pause"
 	Kill  Kind = "kill"
 	Stop  Kind = "stop"
-	// Reload has processes read their settings again, time after time.
+	// Reload signals processes repeatedly to read their settings again.
 	Reload Kind = "reload"
-	// KillAll ends all processes at once.
+	// KillAll kills all processes at once, and starts them again.
 	KillAll Kind = "kill-all"
-	// StoreSilent lets nothing pass between nodes and the store, StoreOneWay no
-	// answers, and StoreReset ends their connections.
+	// StoreSilent holds all traffic between nodes and the store, StoreOneWay only the store's
+	// answers. StoreReset resets the connections.
 	StoreSilent Kind = "store-silent"
 	StoreOneWay Kind = "store-one-way"
 	StoreReset  Kind = "store-reset"
-	// StoreMute leaves all calls to the store without an answer, and the connections over
-	// which they came silent for good.
+	// StoreMute leaves all calls to the store unanswered. The connections stay open but never
+	// pass data again.
 	StoreMute Kind = "store-mute"
-	// ZoneCut lets nothing pass between a zone's nodes and store and clients.
+	// ZoneCut holds all traffic of a zone's nodes with the store and clients, and of its
+	// replicas with all nodes.
 	ZoneCut Kind = "zone-cut"
-	// ClientReset ends the connections of clients.
+	// ClientReset resets the connections of clients.
 	ClientReset Kind = "client-reset"
-	// StoreDown, StoreSlow, StoreLost, StoreForget and StoreRefuses are the store's
-	// own; the last turns some nodes away.
+	// The following are faults of the store itself. StoreDown refuses all calls, StoreSlow
+	// delays them, and StoreLost carries out appends without answering. StoreForget drops the
+	// history except the newest record of each key. StoreRefuses refuses calls to the store's
+	// second address, which some nodes use.
 	StoreDown    Kind = "store-down"
 	StoreSlow    Kind = "store-slow"
 	StoreLost    Kind = "store-lost"
 	StoreForget  Kind = "store-forget"
 	StoreRefuses Kind = "store-refuses"
-	// ReplicaDrain has replicas leave in order, ReplicaKill at once; others come.
-	// ReplicaFault has them break off, reset, refuse and hang, and ReplicaSlow delays
-	// what passes between nodes and them.
+	// ReplicaDrain drains replicas and ReplicaKill removes them at once; others replace them.
+	// ReplicaFault makes them abort answers, reset connections, refuse and hang. ReplicaSlow
+	// delays the traffic between them and nodes.
 	ReplicaDrain Kind = "replica-drain"
 	ReplicaKill  Kind = "replica-kill"
 	ReplicaFault Kind = "replica-fault"
 	ReplicaSlow  Kind = "replica-slow"
 )
 
-// Fault is one disturbance of a run.
+// Fault is one scheduled fault.
 type Fault struct {
 	Kind Kind `json:"kind"`
-	// AtMS is when it begins after the first load, and ForMS how long it lasts, both
-	// in milliseconds.
+	// AtMS is when the fault begins, from the start of the load, and ForMS its duration, both in
+	// milliseconds.
 	AtMS  int64 `json:"at_ms"`
 	ForMS int64 `json:"for_ms"`
-	// Targets are the numbers of the nodes, replicas or zones that it hits.
+	// Targets are the indexes of the affected nodes, replicas or zones, depending on the kind.
 	Targets []int `json:"targets,omitempty"`
 }
 
-// Scenario is a whole run, as a file holds it.
+// Scenario describes a run, and is the content of a scenario file.
 type Scenario struct {
-	// Cause says why a run that once failed did, for those who read the file.
+	// Cause explains, for readers of the file, why this run once failed.
 	Cause    string  `json:"cause,omitempty"`
 	Seed     uint64  `json:"seed"`
 	Seconds  int     `json:"seconds"`
@@ -75,25 +77,25 @@
 
 // Times of a schedule, in milliseconds.
 const (
-	// firstFault leaves the programs time to begin.
+	// firstFaultMS leaves programs time to start.
 	firstFaultMS = 4000
-	// Bursts of faults last so long, with pauses between that are longer than what
-	// the nodes may take to recover.
+	// A burst of faults lasts from minBurstMS to maxBurstMS. The pause between two bursts,
+	// calmMS, is longer than the nodes' recovery bound.
 	minBurstMS, maxBurstMS = 12000, 24000
 	calmMS                 = 15000
-	// calmDrain is when in such a pause replicas leave in order, which disturbs nobody:
-	// late enough for the nodes to be in touch when the bound of it has passed.
+	// calmDrainMS is how long after a burst replicas are drained, which disturbs nothing. It is
+	// late enough that all nodes count as fault-free when the drain bound has passed.
 	calmDrainMS = 3000
-	// faultGap is the most between two faults of a burst, and faultMost how long one
-	// lasts.
+	// maxFaultGapMS is the longest gap between the starts of two faults of a burst, and
+	// maxFaultMS bounds the random part of a fault's duration.
 	maxFaultGapMS = 3000
 	maxFaultMS    = 8000
-	// outageMost is how long the store may be out of reach: longer than a key may be
-	// honoured without proof.
+	// maxOutageMS bounds the random part of a store outage. It is longer than a key may be
+	// accepted without a freshness proof.
 	maxOutageMS = 12000
 )
 
-// weights are how often each kind of fault comes.
+// weights are the relative frequencies of the kinds of faults.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -103,7 +105,7 @@
 	{ReplicaDrain, 4}, {ReplicaKill, 2}, {ReplicaFault, 3}, {ReplicaSlow, 2},
 }
 
-// Schedule draws the faults of a run. The same scenario always gives the same ones.
+// Schedule draws the faults of a run. It is deterministic for a given scenario.
 func Schedule(scenario Scenario) []Fault {
 	random := rand.New(rand.NewPCG(scenario.Seed, uint64(scenario.Nodes)))
 	end := int64(scenario.Seconds) * int64(time.Second/time.Millisecond)
@@ -130,7 +132,7 @@
 	case ReplicaDrain, ReplicaKill, ReplicaFault, ReplicaSlow:
 		fault.Targets = draw(random, scenario.Replicas, 1+random.IntN(3))
 		if plain := modelReplicas + int(at%plainReplicas); fault.Kind == ReplicaFault && !slices.Contains(fault.Targets, plain) {
-			// One that serves calls which may not repeat is always among them.
+			// Always include a replica that serves non-repeatable calls.
 			fault.Targets = append(fault.Targets, plain)
 		}
 	case ZoneCut:
@@ -155,14 +157,14 @@
 	return Pause
 }
 
-// draw returns some of the numbers below a bound, in order.
+// draw returns up to count distinct numbers below bound, sorted.
 func draw(random *rand.Rand, bound, count int) []int {
 	drawn := random.Perm(bound)[:min(count, bound)]
 	slices.Sort(drawn)
 	return drawn
 }
 
-// ReadScenario reads a scenario from a file; one without faults draws them.
+// ReadScenario reads a scenario file. If it has no faults, Run draws them.
 func ReadScenario(path string) (Scenario, error) {
 	var read Scenario
 	text, err := os.ReadFile(path)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -9,20 +9,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// aScenario is one whose faults are drawn.
+// aScenario returns a scenario whose faults are drawn from the seed.
 func aScenario(seed uint64) Scenario {
 	return Scenario{Seed: seed, Seconds: 120, Nodes: 12, Replicas: replicaCount}
 }
 
-// TestScheduleFollowsFromTheSeed and from nothing else.
+// TestScheduleFollowsFromTheSeed checks that the same seed gives the same schedule, and
+// another seed another one.
 func TestScheduleFollowsFromTheSeed(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(Schedule(aScenario(1))).To(Equal(Schedule(aScenario(1))))
 	g.Expect(Schedule(aScenario(1))).NotTo(Equal(Schedule(aScenario(2))))
 }
 
-// TestScheduleKeepsToTheRun: every fault hits what is there, and leaves calm times
-// that are longer than the nodes may take to recover.
+// TestScheduleKeepsToTheRun checks that every fault has existing targets and ends well before
+// the end of the run, that fault-free periods of at least the nodes' recovery bound occur,
+// and that all kinds of faults are drawn.
 func TestScheduleKeepsToTheRun(t *testing.T) {
 	g := NewWithT(t)
 	kinds := make(map[Kind]bool)
@@ -33,7 +35,7 @@
 		for _, fault := range Schedule(scenario) {
 			kinds[fault.Kind] = true
 			if fault.Kind == ReplicaDrain {
-				// It disturbs nobody, and comes in calm times too.
+				// Draining disturbs nothing, and occurs in fault-free periods too.
 				g.Expect(fault.AtMS).To(BeNumerically("<", int64(scenario.Seconds)*1000-drainTime.Milliseconds()))
 				continue
 			}
@@ -51,7 +53,8 @@
 	g.Expect(kinds).To(HaveLen(len(weights)))
 }
 
-// TestRegressionsAreWhole reads the runs that once failed.
+// TestRegressionsAreWhole checks that the scenarios of earlier failures are valid and name
+// their cause.
 func TestRegressionsAreWhole(t *testing.T) {
 	g := NewWithT(t)
 	files, err := filepath.Glob("testdata/*.json")
@@ -67,7 +70,8 @@
 	g.Expect((&Scenario{}).validate("x")).To(MatchError(And(ContainSubstring("seconds"), ContainSubstring("nodes"))))
 }
 
-// TestProxyHoldsAndResets what passes it, one way or both.
+// TestProxyHoldsAndResets checks that a proxy holds one direction without the other, mutes
+// connections permanently, and resets them.
 func TestProxyHoldsAndResets(t *testing.T) {
 	g := NewWithT(t)
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +94,7 @@
 	}
 	pass(client, server, "onward")
 	pass(server, client, "back")
-	// Answers are held, and pass once they are released; what goes onward passes on.
+	// Held answers pass once released; the other direction is not affected.
 	between.hold(1, toClient)
 	_, err = io.WriteString(server, "held")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -100,7 +104,7 @@
 	_, err = io.ReadFull(client, read)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(read)).To(Equal("held"))
-	// A connection that was muted stays so; a new one passes.
+	// A muted connection stays muted; a new one passes data.
 	between.mute(1)
 	_, err = io.WriteString(server, "lost")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/soak/system.go
+++ b/soak/system.go
@@ -20,13 +20,13 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// zones and their regions; nodes and replicas are dealt to them in turn.
+// zones and their regions. Nodes and replicas are assigned to zones round-robin.
 var (
 	zones   = []string{"north-a", "north-b", "south-a"}
 	regions = map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}
 )
 
-// What the system under test is like.
+// Parameters of the system under test.
 const (
 	modelReplicas  = 6
 	plainReplicas  = 3
@@ -38,8 +38,8 @@
 	nodeGrace      = 8 * time.Second
 )
 
-// bounds are what the nodes are held to: those of the users' deployments, and for what
-// these do not name what a machine of one node can bear.
+// bounds are the limits that the nodes must keep: those of the users' deployments, and for
+// what these leave open, what a machine with one node can sustain.
 var bounds = promise.Config{
 	TokensPerEvent: standin.TokensPerEvent,
 	FaultFree:      4 * time.Second,
@@ -56,23 +56,24 @@
 	MemoryBytes: nodeMemory, Descriptors: 1000,
 }
 
-// Options set up a run.
+// Options configures a run.
 type Options struct {
 	Scenario
-	// Without lists the nodes' mechanisms that are switched off.
+	// Disabled lists the mechanisms of the nodes to switch off, separated by commas.
 	Without string
-	// Known are promises that are known to be broken: they are reported, and do not
-	// decide the verdict.
+	// KnownBroken lists promises that are known to be broken. Breaches of them are reported but
+	// do not affect the verdict.
 	Known []string
-	// Binary is the program of a node.
+	// Binary is the path of the node executable.
 	Binary string
-	// Output takes the report.
+	// Output receives the report.
 	Output io.Writer
-	// Logs is the folder that the nodes' logs stay in; "" keeps none.
+	// Logs is the directory for the nodes' logs. If it is empty, the logs are deleted at the
+	// end of the run.
 	Logs string
 }
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	options   Options
 	startedAt time.Time
@@ -82,28 +83,28 @@
 	processes []*process
 	starter   starter
 
-	// seeing guards the checker and the report.
+	// checkerMutex guards checker and the output of the report.
 	checkerMutex sync.Mutex
 	checker      *promise.Checker
 
-	// swapping guards the replacement of replicas.
+	// replaceMutex serialises the replacement of replicas.
 	replaceMutex sync.Mutex
 
 	mutex sync.Mutex
-	// random draws what the load does; it is not what the faults are drawn from.
+	// random drives the load. The faults are drawn from a separate generator.
 	random   *rand.Rand
 	ids      int
 	ready    map[*process]bool
 	replicas []*standin.Replica
 	proxies  map[string]*proxy
-	// lasting counts the store's faults of a kind that go on.
+	// activeFaults counts the active faults of the store by kind.
 	activeFaults map[Kind]int
 	storedTurns  []storedTurn
 	exhausted    []exhaustedProgram
 	keys         keys
 }
 
-// see hands an event to the checker, and reports the promises that it shows broken.
+// record passes an event to the checker, and reports the breaches that it reveals.
 func (s *soak) record(event promise.Event) {
 	s.checkerMutex.Lock()
 	defer s.checkerMutex.Unlock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// linesShown is how many lines of one node's logs a broken promise shows.
+// maxLogLines bounds the log lines of one node in the report of a breach.
 const maxLogLines = 4
 
 func (s *soak) report(broken promise.Breach) {
@@ -127,10 +128,10 @@
 	s.print(text)
 }
 
-// print writes a line of the report; one that cannot be written has no other place.
+// print writes a line of the report. Write errors are ignored, as there is no other output.
 func (s *soak) print(text string) { _, _ = fmt.Fprintln(s.options.Output, text) }
 
-// open starts the stand-ins, the proxies and the processes.
+// open starts the stand-ins, the proxies and the node processes.
 func (s *soak) open() error {
 	system, err := standin.StartSystem(standin.Options{
 		Models: modelReplicas, Plain: plainReplicas, Events: eventsOfAnswer, Step: eventStep, Zones: zones, Prepare: s.prepare,
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// prepare puts a proxy before a replica.
+// prepare puts a proxy in front of a replica.
 func (s *soak) prepare(replica *standin.Replica) error {
 	replicaProxy, err := newProxy(replica.Address())
 	if err != nil {
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// ran tells of what a replica runs.
+// recordRun records that a replica runs a request, and which of its header fields are forged.
 func (s *soak) recordRun(replica *standin.Replica, run standin.Run) {
 	names := platform.Names()
 	seen := promise.Ran{
@@ -188,7 +189,8 @@
 	s.record(seen)
 }
 
-// refusedNodes is how many nodes share the store's other address: one in so many.
+// refusedNodes is the interval between the indexes of nodes that use the store's second
+// address.
 const refusedNodes = 3
 
 func (s *soak) newProcess(index int) (*process, error) {
@@ -218,7 +220,8 @@
 	}, nil
 }
 
-// close ends all that the run started, and removes its folder.
+// close ends everything that the run started, and removes its directory unless the logs are
+// kept.
 func (s *soak) close() error {
 	var ending sync.WaitGroup
 	for _, one := range s.processes {
@@ -253,16 +256,16 @@
 	return errors.Join(found...)
 }
 
-// Times of the watch over processes.
+// Timing of the process monitor.
 const (
 	watchPeriod = 500 * time.Millisecond
-	// samplePeriods is after how many looks memory and descriptors are read.
+	// sampleEvery is the number of rounds between two samples of memory and descriptors.
 	sampleEvery = 2
-	// startPatience bounds how long the nodes may take to be ready at first.
+	// startTimeout bounds how long the nodes may take to become ready at the start.
 	startTimeout = 60 * time.Second
 )
 
-// watch asks the nodes whether they are ready, and reads what they take.
+// monitor periodically probes the nodes' readiness and samples their resource usage.
 func (s *soak) monitor(ctx context.Context) {
 	client := &http.Client{Timeout: watchPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
 	for round := 0; ; round++ {
@@ -294,7 +297,7 @@
 	}
 }
 
-// awaitReady waits until all nodes are ready.
+// awaitReady waits up to startTimeout for all nodes to be ready.
 func (s *soak) awaitReady(ctx context.Context) error {
 	for range int(startTimeout / watchPeriod) {
 		if len(s.readyNodes()) == len(s.processes) {
@@ -319,7 +322,7 @@
 	return s.ready[node]
 }
 
-// in returns the nodes that get new connections.
+// readyNodes returns the nodes that receive new client connections.
 func (s *soak) readyNodes() []*process {
 	var found []*process
 	for _, node := range s.processes {
@@ -330,7 +333,7 @@
 	return found
 }
 
-// pause waits, and returns false if the run ends meanwhile.
+// sleep waits for span. It returns false if ctx ends first.
 func sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
