--- a/soak/fault.go
+++ b/soak/fault.go
@@ -72,7 +72,7 @@
 
 // targetNodes returns the nodes that a fault affects.
 func (s *soak) targetNodes(fault Fault) []*process {
-	var found []*process
+	var matching []*process
 	for index, node := range s.processes {
 		hit := false
 		for _, target := range fault.Targets {
@@ -80,37 +80,37 @@
 			case Pause, Kill, Stop, Reload, StoreSilent, StoreOneWay, StoreReset, ClientReset:
 				hit = hit || target == index
 			case ZoneCut:
-				hit = hit || target == node.zone
+				hit = hit || target == node.zoneIndex
 			}
 		}
 		hit = hit || fault.Kind == KillAll || fault.Kind == StoreMute || fault.Kind == StoreRefuses && index%refusedNodes == 0
 		if hit {
-			found = append(found, node)
+			matching = append(matching, node)
 		}
 	}
-	return found
+	return matching
 }
 
 // targetReplicas returns the replicas that a fault affects.
 func (s *soak) targetReplicas(fault Fault) []*standin.Replica {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var found []*standin.Replica
+	var matching []*standin.Replica
 	for index, replica := range s.replicas {
 		for _, target := range fault.Targets {
 			switch fault.Kind {
 			case ReplicaDrain, ReplicaKill, ReplicaFault, ReplicaSlow:
 				if target == index {
-					found = append(found, replica)
+					matching = append(matching, replica)
 				}
 			case ZoneCut:
 				if replica.Zone == zones[target] {
-					found = append(found, replica)
+					matching = append(matching, replica)
 				}
 			}
 		}
 	}
-	return found
+	return matching
 }
 
 // disturbedScopes returns the scopes that a fault disturbs. Draining a replica and reloading
@@ -127,11 +127,11 @@
 
 func namesOf(nodes []*process, replicas []*standin.Replica) []string {
 	var names []string
-	for _, one := range nodes {
-		names = append(names, one.settings.Node)
+	for _, target := range nodes {
+		names = append(names, target.settings.Node)
 	}
-	for _, one := range replicas {
-		names = append(names, one.ID)
+	for _, target := range replicas {
+		names = append(names, target.ID)
 	}
 	return names
 }
@@ -220,29 +220,29 @@
 // setFault begins (delta 1) or ends (delta -1) a lasting fault.
 func (s *soak) setFault(kind Kind, nodes []*process, replicas []*standin.Replica, delta int) {
 	begins := delta > 0
-	for _, one := range nodes {
+	for _, target := range nodes {
 		switch {
 		case kind == Pause && begins:
-			one.signal(syscall.SIGSTOP)
+			target.signal(syscall.SIGSTOP)
 		case kind == Pause:
-			one.signal(syscall.SIGCONT)
+			target.signal(syscall.SIGCONT)
 		case kind == StoreSilent, kind == ZoneCut:
-			one.store.hold(delta, toTarget, toClient)
+			target.store.hold(delta, toTarget, toClient)
 		case kind == StoreOneWay:
-			one.store.hold(delta, toClient)
+			target.store.hold(delta, toClient)
 		case kind == StoreMute:
-			one.store.mute(delta)
+			target.store.mute(delta)
 		case kind == StoreReset:
-			one.store.resetAll()
+			target.store.resetAll()
 		case kind == ClientReset && begins:
-			one.clients.resetAll()
+			target.clients.resetAll()
 		}
 		if kind == ZoneCut {
-			one.clients.hold(delta, toTarget, toClient)
+			target.clients.hold(delta, toTarget, toClient)
 		}
 	}
-	for _, one := range replicas {
-		s.setReplicaFault(kind, one, delta)
+	for _, target := range replicas {
+		s.setReplicaFault(kind, target, delta)
 	}
 	s.setStoreFault(kind, delta)
 }
--- a/soak/load.go
+++ b/soak/load.go
@@ -113,28 +113,28 @@
 
 // load runs all clients and the operator until the run ends.
 func (s *soak) load(ctx context.Context) {
-	var running sync.WaitGroup
+	var clients sync.WaitGroup
 	for index := range concurrentPrograms {
 		tenant := []string{firstTenant, secondTenant}[index%2]
-		running.Go(func() {
+		clients.Go(func() {
 			for sleep(ctx, s.randomDuration(20*time.Millisecond, 100*time.Millisecond)) {
 				s.program(ctx, tenant)
 			}
 		})
 	}
-	running.Go(func() { s.every(ctx, limitedCallPeriod, s.limitedCall) })
-	running.Go(func() { s.every(ctx, keyCallPeriod, s.sendWithRandomKey) })
-	running.Go(func() { s.every(ctx, operatorPeriod, s.rotateKeys) })
-	running.Wait()
+	clients.Go(func() { s.every(ctx, limitedCallPeriod, s.limitedCall) })
+	clients.Go(func() { s.every(ctx, keyCallPeriod, s.sendWithRandomKey) })
+	clients.Go(func() { s.every(ctx, operatorPeriod, s.rotateKeys) })
+	clients.Wait()
 }
 
 // every starts call once per period, without waiting for earlier calls to return.
 func (s *soak) every(ctx context.Context, period time.Duration, call func()) {
-	var running sync.WaitGroup
+	var calls sync.WaitGroup
 	for sleep(ctx, period) {
-		running.Go(call)
+		calls.Go(call)
 	}
-	running.Wait()
+	calls.Wait()
 }
 
 // program runs one program: its turns, in one or several sessions, and the calls between them.
@@ -176,8 +176,8 @@
 func (s *soak) exhaustedProgram(tenant string) (promise.Sent, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	fresh := slices.DeleteFunc(slices.Clone(s.exhausted), func(one exhaustedProgram) bool {
-		return one.turn.Tenant != tenant || time.Since(one.at) > maxStoredAge
+	fresh := slices.DeleteFunc(slices.Clone(s.exhausted), func(candidate exhaustedProgram) bool {
+		return candidate.turn.Tenant != tenant || time.Since(candidate.at) > maxStoredAge
 	})
 	if len(fresh) == 0 {
 		return promise.Sent{}, false
@@ -186,10 +186,10 @@
 }
 
 // session runs one session of a program, up to the given number of turns.
-func (s *soak) session(ctx context.Context, turn promise.Sent, previous storedTurn, turns int) {
+func (s *soak) session(ctx context.Context, turn promise.Sent, previous storedTurn, maxTurns int) {
 	turn.Session = s.nextID("s")
 	turn.Previous = previous.id
-	for taken, retries := 1, 0; taken <= turns; taken++ {
+	for number, retries := 1, 0; number <= maxTurns; number++ {
 		id, end := s.turn(ctx, turn)
 		if end == failed && retries < maxSessionRetries && sleep(ctx, s.randomDuration(time.Second, maxSessionRetryDelay)) {
 			retries++
@@ -200,7 +200,7 @@
 		}
 		if turn.Stored {
 			turn.Previous = id
-			s.rememberTurn(storedTurn{id: id, tenant: turn.Tenant, at: time.Now(), depth: previous.depth + taken})
+			s.rememberTurn(storedTurn{id: id, tenant: turn.Tenant, at: time.Now(), depth: previous.depth + number})
 			s.sendForeignTurn(id, turn.Tenant)
 		}
 		s.call(turn.Tenant, s.chance(0.5))
@@ -338,8 +338,8 @@
 func (s *soak) nextID(kind string) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ids++
-	return fmt.Sprintf("%s%d-%d", kind, s.options.Seed, s.ids)
+	s.lastID++
+	return fmt.Sprintf("%s%d-%d", kind, s.options.Seed, s.lastID)
 }
 
 func (s *soak) randomInt(bound int) int {
@@ -370,8 +370,8 @@
 func (s *soak) randomStoredTurn(tenant string) storedTurn {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	fresh := slices.DeleteFunc(slices.Clone(s.storedTurns), func(one storedTurn) bool {
-		return one.tenant != tenant || one.depth > maxChainDepth || time.Since(one.at) > maxStoredAge
+	fresh := slices.DeleteFunc(slices.Clone(s.storedTurns), func(candidate storedTurn) bool {
+		return candidate.tenant != tenant || candidate.depth > maxChainDepth || time.Since(candidate.at) > maxStoredAge
 	})
 	if len(fresh) == 0 {
 		return storedTurn{}
--- a/soak/process.go
+++ b/soak/process.go
@@ -64,14 +64,14 @@
 
 // process is a node that runs as an operating-system process, over all its incarnations.
 type process struct {
-	settings edge.Settings
-	zone     int
-	store    *proxy
-	clients  *proxy
-	binary   string
-	disabled string
-	folder   string
-	starter  starter
+	settings  edge.Settings
+	zoneIndex int
+	store     *proxy
+	clients   *proxy
+	binary    string
+	disabled  string
+	folder    string
+	starter   starter
 	// onExit is called when the process exits unexpectedly.
 	onExit func(promise.Exited)
 
--- a/soak/promise/answer.go
+++ b/soak/promise/answer.go
@@ -9,7 +9,7 @@
 
 // maxFailedAttempts is the number of consecutive attempts of a program that must fail in a
 // fault-free period for a breach: one more than a client's retries.
-const maxFailedAttempts = 4
+const failedAttemptsPerBreach = 4
 
 // HTTP statuses that have a check of their own.
 const (
@@ -25,8 +25,8 @@
 		return
 	}
 	sent.answered, sent.answeredAt, sent.status, sent.complete = true, at, event.Status, event.Whole
-	if saysNotRun(event.Status) && sent.runs > 0 {
-		c.breach(at, TrueRefusals, sent, "", fmt.Sprintf("answered %d after it ran on %v", event.Status, sent.replicas))
+	if meansNotRun(event.Status) && sent.runs > 0 {
+		c.addBreach(at, TrueRefusals, sent, "", fmt.Sprintf("answered %d after it ran on %v", event.Status, sent.replicas))
 	}
 	if succeeded(event.Status) {
 		c.checkBody(at, sent, event)
@@ -47,35 +47,35 @@
 // checkBody checks an answer against the output of the runs of its request.
 func (c *Checker) checkBody(at time.Time, sent *request, event Answered) {
 	if sent.runs == 0 {
-		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("answered %d, though no replica ran it", event.Status))
+		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("answered %d, though no replica ran it", event.Status))
 		return
 	}
 	if sent.Events == 0 {
 		if event.Whole && !strings.HasSuffix(event.Body, " for "+sent.ID) {
-			c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q", shorten(event.Body)))
+			c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q", shorten(event.Body)))
 		}
 		return
 	}
 	want := completeStream(sent.ID, sent.Events)
 	switch {
 	case event.Whole && event.Body != want:
-		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q as whole", shorten(event.Body)))
+		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q as whole", shorten(event.Body)))
 	case !strings.HasPrefix(want, event.Body):
-		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q before it broke off", shorten(event.Body)))
+		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q before it broke off", shorten(event.Body)))
 	}
 }
 
 // checkBudget checks that the tokens delivered to a program do not exceed its budget by more
 // than one turn.
 func (c *Checker) checkBudget(at time.Time, sent *request, event Answered) {
-	known := c.programs[sent.Program]
-	if known == nil || !succeeded(event.Status) {
+	prog := c.programs[sent.Program]
+	if prog == nil || !succeeded(event.Status) {
 		return
 	}
 	sent.tokens = strings.Count(event.Body, "\n\n") * c.config.TokensPerEvent
-	known.deliveredTokens += sent.tokens
-	if sent.tokens > 0 && known.deliveredTokens > sent.Budget+sent.MaxTokens {
-		c.breach(at, Budget, sent, "", fmt.Sprintf("program %s got %d tokens of %d + %d", sent.Program, known.deliveredTokens, sent.Budget, sent.MaxTokens))
+	prog.deliveredTokens += sent.tokens
+	if sent.tokens > 0 && prog.deliveredTokens > sent.Budget+sent.MaxTokens {
+		c.addBreach(at, Budget, sent, "", fmt.Sprintf("program %s got %d tokens of %d + %d", sent.Program, prog.deliveredTokens, sent.Budget, sent.MaxTokens))
 	}
 }
 
@@ -83,12 +83,12 @@
 // turn left. Turns that ran count with their maximum tokens, unless they ended completely
 // more than Settle ago.
 func (c *Checker) checkProgramEnd(at time.Time, ended *request) {
-	known := c.programs[ended.Program]
-	if known == nil {
+	prog := c.programs[ended.Program]
+	if prog == nil {
 		return
 	}
 	used := 0
-	for _, turn := range known.turns {
+	for _, turn := range prog.turns {
 		switch {
 		case turn == ended || turn.runs == 0:
 		case turn.answered && turn.complete && turn.answeredAt.Before(at.Add(-c.config.Settle)):
@@ -98,7 +98,7 @@
 		}
 	}
 	if used+ended.MaxTokens <= ended.Budget {
-		c.breach(at, NoEarlyEnd, ended, "", fmt.Sprintf("program %s used at most %d of %d, one turn being %d", ended.Program, used, ended.Budget, ended.MaxTokens))
+		c.addBreach(at, NoEarlyEnd, ended, "", fmt.Sprintf("program %s used at most %d of %d, one turn being %d", ended.Program, used, ended.Budget, ended.MaxTokens))
 	}
 }
 
@@ -109,11 +109,11 @@
 	switch {
 	case sent.Previous == "":
 		if sent.MustServe {
-			c.breach(at, StoredTurns, sent, "", "404 for a request on a route that all configurations have")
+			c.addBreach(at, StoredTurns, sent, "", "404 for a request on a route that all configurations have")
 		}
 	case previous == nil || previous.Tenant != sent.Tenant:
 	case previous.complete && succeeded(previous.status) && sent.at.Before(previous.answeredAt.Add(c.config.Retention)):
-		c.breach(at, StoredTurns, sent, "", fmt.Sprintf("turn %s was answered whole %s before, and is not found", previous.ID, sent.at.Sub(previous.answeredAt)))
+		c.addBreach(at, StoredTurns, sent, "", fmt.Sprintf("turn %s was answered whole %s before, and is not found", previous.ID, sent.at.Sub(previous.answeredAt)))
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	since, valid := c.added[sent.Key]
 	if valid && sent.at.After(since.Add(c.config.ApplyBound)) {
-		c.breach(at, ValidKeys, sent, "", fmt.Sprintf("key %q was added %s before the request was sent, and is refused", sent.Key, sent.at.Sub(since)))
+		c.addBreach(at, ValidKeys, sent, "", fmt.Sprintf("key %q was added %s before the request was sent, and is refused", sent.Key, sent.at.Sub(since)))
 	}
 }
 
@@ -135,7 +135,7 @@
 func (c *Checker) checkConfigRollback(at time.Time, sent *request) {
 	denied, before := c.denied[denial{process{sent.Node, sent.Incarnation}, sent.Key}]
 	if before && sent.at.After(denied) {
-		c.breach(at, NoConfigRollback, sent, "", fmt.Sprintf("key %q works again %s after the same process refused it as taken away", sent.Key, sent.at.Sub(denied)))
+		c.addBreach(at, NoConfigRollback, sent, "", fmt.Sprintf("key %q works again %s after the same process refused it as taken away", sent.Key, sent.at.Sub(denied)))
 	}
 }
 
@@ -148,20 +148,20 @@
 // checkServed counts consecutive failed attempts of a program in fault-free periods, except
 // while another turn of it may hold the rest of its budget.
 func (c *Checker) checkServed(at time.Time, sent *request) {
-	known := c.programs[sent.Program]
-	if known == nil || !sent.MustServe {
+	prog := c.programs[sent.Program]
+	if prog == nil || !sent.MustServe {
 		return
 	}
 	if sent.complete && succeeded(sent.status) || sent.status == statusBudgetSpent || sent.status == statusTooMany {
-		known.failedAttempts = 0
+		prog.failedAttempts = 0
 		return
 	}
-	if !sent.faultFree || !c.disturbances.faultFree(at, c.config.Recovery) || known.hasOpenTurn() {
+	if !sent.faultFree || !c.disturbances.faultFree(at, c.config.Recovery) || prog.hasOpenTurn() {
 		return
 	}
-	known.failedAttempts++
-	if known.failedAttempts == maxFailedAttempts {
-		c.breach(at, ServedAgain, sent, "", fmt.Sprintf("%d attempts of program %s in a row failed (now with %d) though nothing was disturbed for %s",
-			known.failedAttempts, sent.Program, sent.status, c.config.Recovery))
+	prog.failedAttempts++
+	if prog.failedAttempts == failedAttemptsPerBreach {
+		c.addBreach(at, ServedAgain, sent, "", fmt.Sprintf("%d attempts of program %s in a row failed (now with %d) though nothing was disturbed for %s",
+			prog.failedAttempts, sent.Program, sent.status, c.config.Recovery))
 	}
 }
--- a/soak/promise/checker.go
+++ b/soak/promise/checker.go
@@ -18,8 +18,8 @@
 	programs map[string]*program
 	// grants holds the recent requests of each tenant with a limit, and coldReplicas the cold
 	// replicas with their recent requests.
-	grants       map[string][]arrival
-	coldReplicas map[string]*coldReplica
+	limitedRequests map[string][]arrival
+	coldReplicas    map[string]*coldReplica
 	// drained and evacuated hold the start of each drain and evacuation; added and revoked hold
 	// when each key became valid or was revoked.
 	drained   map[string]time.Time
@@ -69,7 +69,7 @@
 func New(config Config) *Checker {
 	return &Checker{
 		config: config, requests: make(map[string]*request), programs: make(map[string]*program),
-		grants: make(map[string][]arrival), coldReplicas: make(map[string]*coldReplica),
+		limitedRequests: make(map[string][]arrival), coldReplicas: make(map[string]*coldReplica),
 		drained: make(map[string]time.Time), evacuated: make(map[string]time.Time),
 		added: make(map[string]time.Time), revoked: make(map[string]time.Time), denied: make(map[denial]time.Time),
 		disturbances: newDisturbances(), samples: make(map[process][]Sampled), counts: make(map[Promise]int),
@@ -96,7 +96,7 @@
 	case Disturbance:
 		c.disturbances.record(at, event)
 	case Exited:
-		c.breach(at, NoUnexpectedExits, nil, event.Node, event.Detail)
+		c.addBreach(at, NoUnexpectedExits, nil, event.Node, event.Detail)
 	case Sampled:
 		c.sample(at, event)
 	case Evacuated:
@@ -116,25 +116,25 @@
 // RequestCounts returns the number of requests sent, and of those that were answered
 // successfully and completely.
 func (c *Checker) RequestCounts() (sent, served int) {
-	for _, one := range c.requests {
-		if one.complete && succeeded(one.status) {
+	for _, r := range c.requests {
+		if r.complete && succeeded(r.status) {
 			served++
 		}
 	}
 	return len(c.requests), served
 }
 
-func (c *Checker) breach(at time.Time, promise Promise, about *request, node, detail string) {
+func (c *Checker) addBreach(at time.Time, promise Promise, related *request, node, detail string) {
 	c.counts[promise]++
 	if c.counts[promise] > maxBreachesPerPromise {
 		return
 	}
-	broken := Breach{At: at, Promise: promise, Node: node, Detail: detail}
-	if about != nil {
-		broken.Request, broken.Node = about.ID, about.Node
+	breach := Breach{At: at, Promise: promise, Node: node, Detail: detail}
+	if related != nil {
+		breach.Request, breach.Node = related.ID, related.Node
 	}
-	c.breaches = append(c.breaches, broken)
-	c.newBreaches = append(c.newBreaches, broken)
+	c.breaches = append(c.breaches, breach)
+	c.newBreaches = append(c.newBreaches, breach)
 }
 
 func (c *Checker) send(at time.Time, event Sent) {
@@ -143,33 +143,33 @@
 	if event.Program == "" {
 		return
 	}
-	known := c.programs[event.Program]
-	if known == nil {
-		known = &program{}
-		c.programs[event.Program] = known
+	prog := c.programs[event.Program]
+	if prog == nil {
+		prog = &program{}
+		c.programs[event.Program] = prog
 	}
-	known.turns = append(known.turns, sent)
+	prog.turns = append(prog.turns, sent)
 }
 
 func (c *Checker) run(at time.Time, event Ran) {
 	ran := c.requests[event.ID]
 	if ran == nil {
-		c.breach(at, KnownRequests, nil, "", fmt.Sprintf("replica %s ran %q, which nobody sent", event.Replica, event.ID))
+		c.addBreach(at, KnownRequests, nil, "", fmt.Sprintf("replica %s ran %q, which nobody sent", event.Replica, event.ID))
 		return
 	}
 	ran.runs++
 	ran.replicas = append(ran.replicas, event.Replica)
 	if ran.runs > 1 && !ran.Repeatable {
-		c.breach(at, AtMostOnce, ran, "", fmt.Sprintf("run %d, on %v", ran.runs, ran.replicas))
+		c.addBreach(at, AtMostOnce, ran, "", fmt.Sprintf("run %d, on %v", ran.runs, ran.replicas))
 	}
-	if ran.answered && saysNotRun(ran.status) {
-		c.breach(at, TrueRefusals, ran, "", fmt.Sprintf("answered %d, and ran afterwards on %s", ran.status, event.Replica))
+	if ran.answered && meansNotRun(ran.status) {
+		c.addBreach(at, TrueRefusals, ran, "", fmt.Sprintf("answered %d, and ran afterwards on %s", ran.status, event.Replica))
 	}
 	if event.Tenant != ran.Tenant {
-		c.breach(at, TenantIsolation, ran, "", fmt.Sprintf("sent by tenant %q, ran as one of %q", ran.Tenant, event.Tenant))
+		c.addBreach(at, TenantIsolation, ran, "", fmt.Sprintf("sent by tenant %q, ran as one of %q", ran.Tenant, event.Tenant))
 	}
 	if len(event.Forged) > 0 {
-		c.breach(at, ReservedFields, ran, "", fmt.Sprintf("%s got the client's %v", event.Replica, event.Forged))
+		c.addBreach(at, ReservedFields, ran, "", fmt.Sprintf("%s got the client's %v", event.Replica, event.Forged))
 	}
 	c.checkKey(at, ran)
 	c.checkChain(at, ran, event.Body)
@@ -182,7 +182,7 @@
 func (c *Checker) checkKey(at time.Time, ran *request) {
 	since, revoked := c.revoked[ran.Key]
 	if revoked && ran.at.After(since.Add(c.config.RevokeBound)) {
-		c.breach(at, RevokedKeys, ran, "", fmt.Sprintf("key %q was taken away %s before the request was sent", ran.Key, ran.at.Sub(since)))
+		c.addBreach(at, RevokedKeys, ran, "", fmt.Sprintf("key %q was taken away %s before the request was sent", ran.Key, ran.at.Sub(since)))
 	}
 }
 
@@ -192,16 +192,16 @@
 	if ran.Previous != "" {
 		previous := c.requests[ran.Previous]
 		if previous == nil {
-			c.breach(at, Chain, ran, "", fmt.Sprintf("goes on from %q, which is no turn, and ran", ran.Previous))
+			c.addBreach(at, Chain, ran, "", fmt.Sprintf("goes on from %q, which is no turn, and ran", ran.Previous))
 			return
 		}
 		if previous.Tenant != ran.Tenant {
-			c.breach(at, TenantIsolation, ran, "", fmt.Sprintf("tenant %q goes on from turn %s of %q, and it ran", ran.Tenant, previous.ID, previous.Tenant))
+			c.addBreach(at, TenantIsolation, ran, "", fmt.Sprintf("tenant %q goes on from turn %s of %q, and it ran", ran.Tenant, previous.ID, previous.Tenant))
 			return
 		}
 	}
 	if want := c.chainBefore(ran) + ran.Body; body != want {
-		c.breach(at, Chain, ran, "", fmt.Sprintf("a replica got %q, want %q", shorten(body), shorten(want)))
+		c.addBreach(at, Chain, ran, "", fmt.Sprintf("a replica got %q, want %q", shorten(body), shorten(want)))
 	}
 }
 
@@ -245,6 +245,6 @@
 func succeeded(status int) bool { return status >= 200 && status < 300 }
 
 // saysNotRun reports whether a status guarantees that the request did not run.
-func saysNotRun(status int) bool {
+func meansNotRun(status int) bool {
 	return slices.Contains([]int{401, 402, 404, 408, 421, 429, 503}, status)
 }
--- a/soak/promise/checker_test.go
+++ b/soak/promise/checker_test.go
@@ -27,18 +27,18 @@
 }
 
 // world feeds a checker with events under a simulated clock.
-type world struct {
+type harness struct {
 	*promise.Checker
 	now   time.Time
 	found []promise.Promise
 	next  int
 }
 
-func newWorld() *world {
-	return &world{Checker: promise.New(config), now: time.Unix(1000, 0)}
+func newHarness() *harness {
+	return &harness{Checker: promise.New(config), now: time.Unix(1000, 0)}
 }
 
-func (w *world) see(after time.Duration, events ...promise.Event) {
+func (w *harness) observe(after time.Duration, events ...promise.Event) {
 	w.now = w.now.Add(after)
 	for _, event := range events {
 		for _, broken := range w.Add(w.now, event) {
@@ -48,7 +48,7 @@
 }
 
 // turn sends a stored turn of two events that runs and is answered; change can alter each step.
-func (w *world) turn(program, previous string, change func(*promise.Sent, *promise.Ran, *promise.Answered)) string {
+func (w *harness) turn(program, previous string, change func(*promise.Sent, *promise.Ran, *promise.Answered)) string {
 	w.next++
 	id := fmt.Sprintf("t-%d", w.next)
 	sent := promise.Sent{
@@ -63,11 +63,11 @@
 	if change != nil {
 		change(&sent, &ran, &answer)
 	}
-	w.see(10*time.Millisecond, sent)
+	w.observe(10*time.Millisecond, sent)
 	if ran.ID != "" {
-		w.see(10*time.Millisecond, ran)
+		w.observe(10*time.Millisecond, ran)
 	}
-	w.see(10*time.Millisecond, answer)
+	w.observe(10*time.Millisecond, answer)
 	return id
 }
 
@@ -80,13 +80,13 @@
 }
 
 var _ = Describe("A checker", func() {
-	var w *world
-	BeforeEach(func() { w = newWorld() })
+	var w *harness
+	BeforeEach(func() { w = newHarness() })
 
 	It("finds nothing where all is well", func() {
 		first := w.turn("p", "", nil)
 		w.turn("p", first, nil)
-		w.see(2*time.Second, promise.Sent{ID: "c", Node: "n", Tenant: "a", Key: "k"}, promise.Ran{ID: "c", Tenant: "a", Zone: "north-a"},
+		w.observe(2*time.Second, promise.Sent{ID: "c", Node: "n", Tenant: "a", Key: "k"}, promise.Ran{ID: "c", Tenant: "a", Zone: "north-a"},
 			promise.Answered{ID: "c", Status: 200, Whole: true, Body: "done by r for c"})
 		w.turn("p", "", refused(402))
 		w.turn("q", "nothing", refused(404))
@@ -124,20 +124,20 @@
 	})
 
 	It("finds a second run only of what may not repeat, and a run that nobody sent", func() {
-		w.see(0, promise.Sent{ID: "safe", Repeatable: true}, promise.Ran{ID: "safe"}, promise.Ran{ID: "safe"})
+		w.observe(0, promise.Sent{ID: "safe", Repeatable: true}, promise.Ran{ID: "safe"}, promise.Ran{ID: "safe"})
 		Expect(w.found).To(BeEmpty())
-		w.see(0, promise.Sent{ID: "once"}, promise.Ran{ID: "once"}, promise.Ran{ID: "once"}, promise.Ran{ID: "strange"})
+		w.observe(0, promise.Sent{ID: "once"}, promise.Ran{ID: "once"}, promise.Ran{ID: "once"}, promise.Ran{ID: "strange"})
 		Expect(w.found).To(Equal([]promise.Promise{promise.AtMostOnce, promise.KnownRequests}))
 	})
 
 	DescribeTable("finds a refusal that is not true, whichever comes first", func(status int) {
-		w.see(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a"}, promise.Answered{ID: "a", Status: status})
-		w.see(0, promise.Sent{ID: "b"}, promise.Answered{ID: "b", Status: status}, promise.Ran{ID: "b"})
+		w.observe(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a"}, promise.Answered{ID: "a", Status: status})
+		w.observe(0, promise.Sent{ID: "b"}, promise.Answered{ID: "b", Status: status}, promise.Ran{ID: "b"})
 		Expect(w.found).To(Equal([]promise.Promise{promise.TrueRefusals, promise.TrueRefusals}))
 	}, Entry(nil, 429), Entry(nil, 503), Entry(nil, 408), Entry(nil, 421), Entry(nil, 402))
 
 	It("believes a failure that promises nothing", func() {
-		w.see(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a"}, promise.Answered{ID: "a", Status: 502})
+		w.observe(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a"}, promise.Answered{ID: "a", Status: 502})
 		Expect(w.found).To(BeEmpty())
 	})
 
@@ -154,7 +154,7 @@
 
 	It("finds a program that ended while its budget held a turn, and counts uncertain turns at their most", func() {
 		w.turn("p", "", nil)
-		w.see(2 * time.Second)
+		w.observe(2 * time.Second)
 		w.turn("p", "", refused(402))
 		Expect(w.found).To(Equal([]promise.Promise{promise.NoEarlyEnd}))
 		w.turn("q", "", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) { answer.Status = 0 })
@@ -167,7 +167,7 @@
 		call := func(after time.Duration) {
 			w.next++
 			id := fmt.Sprint(w.next)
-			w.see(after, promise.Sent{ID: id, Tenant: "small"}, promise.Ran{ID: id, Tenant: "small"})
+			w.observe(after, promise.Sent{ID: id, Tenant: "small"}, promise.Ran{ID: id, Tenant: "small"})
 		}
 		for range 60 {
 			call(time.Second / 8)
@@ -179,32 +179,32 @@
 		Expect(w.found).NotTo(BeEmpty())
 		Expect(w.found[0]).To(Equal(promise.Quota))
 
-		w = newWorld()
+		w = newHarness()
 		for index := range 80 {
-			w.see(time.Second/8, promise.Sent{ID: fmt.Sprint(index), Tenant: "small"})
+			w.observe(time.Second/8, promise.Sent{ID: fmt.Sprint(index), Tenant: "small"})
 		}
 		for index := range 40 {
-			w.see(0, promise.Ran{ID: fmt.Sprint(index), Tenant: "small"})
+			w.observe(0, promise.Ran{ID: fmt.Sprint(index), Tenant: "small"})
 		}
 		Expect(w.found).To(BeEmpty())
 	})
 
 	It("finds a key that runs past its bound, a valid one that is refused, and one that comes back", func() {
-		w.see(0, promise.KeyAdded{Key: "k"})
-		w.see(10*time.Second, promise.Sent{ID: "1", Node: "n", Key: "k"}, promise.Answered{ID: "1", Status: 401})
+		w.observe(0, promise.KeyAdded{Key: "k"})
+		w.observe(10*time.Second, promise.Sent{ID: "1", Node: "n", Key: "k"}, promise.Answered{ID: "1", Status: 401})
 		Expect(w.found).To(Equal([]promise.Promise{promise.ValidKeys}))
-		w.see(0, promise.KeyRevoked{Key: "k"})
-		w.see(4900*time.Millisecond, promise.Sent{ID: "2", Node: "n", Key: "k"}, promise.Ran{ID: "2"})
+		w.observe(0, promise.KeyRevoked{Key: "k"})
+		w.observe(4900*time.Millisecond, promise.Sent{ID: "2", Node: "n", Key: "k"}, promise.Ran{ID: "2"})
 		Expect(w.found).To(HaveLen(1))
-		w.see(200*time.Millisecond, promise.Sent{ID: "3", Node: "n", Key: "k"}, promise.Ran{ID: "3"})
+		w.observe(200*time.Millisecond, promise.Sent{ID: "3", Node: "n", Key: "k"}, promise.Ran{ID: "3"})
 		Expect(w.found[1:]).To(Equal([]promise.Promise{promise.RevokedKeys}))
 	})
 
 	It("finds a process that goes back to an older configuration, and not its next life", func() {
-		w.see(0, promise.KeyAdded{Key: "k"}, promise.KeyRevoked{Key: "k"})
-		w.see(0, promise.Sent{ID: "1", Node: "n", Incarnation: 1, Key: "k"}, promise.Answered{ID: "1", Status: 401})
+		w.observe(0, promise.KeyAdded{Key: "k"}, promise.KeyRevoked{Key: "k"})
+		w.observe(0, promise.Sent{ID: "1", Node: "n", Incarnation: 1, Key: "k"}, promise.Answered{ID: "1", Status: 401})
 		works := func(id string, life int) {
-			w.see(time.Second, promise.Sent{ID: id, Node: "n", Incarnation: life, Key: "k"}, promise.Ran{ID: id},
+			w.observe(time.Second, promise.Sent{ID: id, Node: "n", Incarnation: life, Key: "k"}, promise.Ran{ID: id},
 				promise.Answered{ID: id, Status: 200, Whole: true, Body: " for " + id})
 		}
 		works("2", 2)
@@ -228,7 +228,7 @@
 		Expect(w.found).To(BeEmpty())
 		w.turn("p", first, refused(404))
 		Expect(w.found).To(Equal([]promise.Promise{promise.StoredTurns}))
-		w.see(time.Minute)
+		w.observe(time.Minute)
 		w.turn("p", first, refused(404))
 		Expect(w.found).To(HaveLen(1))
 	})
@@ -241,13 +241,13 @@
 	})
 
 	It("finds a client's field that only the system sets", func() {
-		w.see(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a", Forged: []string{"Hold"}})
+		w.observe(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a", Forged: []string{"Hold"}})
 		Expect(w.found).To(Equal([]promise.Promise{promise.ReservedFields}))
 	})
 
 	It("counts its breaches, and keeps the first ones", func() {
 		for range 50 {
-			w.see(0, promise.Ran{ID: "strange"})
+			w.observe(0, promise.Ran{ID: "strange"})
 		}
 		Expect(w.Counts()).To(Equal(map[promise.Promise]int{promise.KnownRequests: 50}))
 		Expect(w.Breaches()).To(HaveLen(3))
@@ -255,21 +255,21 @@
 })
 
 var _ = Describe("A checker of places and machines", func() {
-	var w *world
-	BeforeEach(func() { w = newWorld() })
+	var w *harness
+	BeforeEach(func() { w = newHarness() })
 
 	run := func(after time.Duration, zone, route string) {
 		w.next++
 		id := fmt.Sprint(w.next)
-		w.see(after, promise.Sent{ID: id, Node: "n", Route: route}, promise.Ran{ID: id, Replica: "r", Zone: zone})
+		w.observe(after, promise.Sent{ID: id, Node: "n", Route: route}, promise.Ran{ID: id, Replica: "r", Zone: zone})
 	}
 
 	It("finds what reaches a leaving replica past the bound, from nodes in touch alone", func() {
-		w.see(0, promise.Drained{Replica: "r"})
+		w.observe(0, promise.Drained{Replica: "r"})
 		run(2900*time.Millisecond, "north-a", "")
-		w.see(0, promise.Disturbance{Scope: "n", Begin: true})
+		w.observe(0, promise.Disturbance{Scope: "n", Begin: true})
 		run(time.Second, "north-a", "")
-		w.see(0, promise.Disturbance{Scope: "n"})
+		w.observe(0, promise.Disturbance{Scope: "n"})
 		run(3900*time.Millisecond, "north-a", "")
 		Expect(w.found).To(BeEmpty())
 		run(200*time.Millisecond, "north-a", "")
@@ -277,38 +277,38 @@
 	})
 
 	It("excuses what the store or the replica's link held up, and not another's", func() {
-		w.see(0, promise.Drained{Replica: "r"})
+		w.observe(0, promise.Drained{Replica: "r"})
 		for _, scope := range []string{promise.AllNodes, "r"} {
-			w.see(4*time.Second, promise.Disturbance{Scope: scope, Begin: true}, promise.Disturbance{Scope: scope})
+			w.observe(4*time.Second, promise.Disturbance{Scope: scope, Begin: true}, promise.Disturbance{Scope: scope})
 			run(time.Second, "north-a", "")
 		}
 		Expect(w.found).To(BeEmpty())
-		w.see(4*time.Second, promise.Disturbance{Scope: "other", Begin: true})
+		w.observe(4*time.Second, promise.Disturbance{Scope: "other", Begin: true})
 		run(0, "north-a", "")
 		Expect(w.found).To(Equal([]promise.Promise{promise.Draining}))
 	})
 
 	It("finds what reaches an evacuated zone past the bound, until it is taken back", func() {
-		w.see(0, promise.Evacuated{Zone: "north-a"})
+		w.observe(0, promise.Evacuated{Zone: "north-a"})
 		run(4900*time.Millisecond, "north-a", "")
 		run(time.Second, "south-a", "")
 		Expect(w.found).To(BeEmpty())
 		run(0, "north-a", "")
 		Expect(w.found).To(Equal([]promise.Promise{promise.Evacuation}))
-		w.see(0, promise.Evacuated{Zone: "north-a", Ended: true})
+		w.observe(0, promise.Evacuated{Zone: "north-a", Ended: true})
 		run(0, "north-a", "")
 		Expect(w.found).To(HaveLen(1))
 	})
 
 	It("finds a cold replica that gets more than it bears in a second, whoever sends it", func() {
-		w.see(0, promise.Cooled{Replica: "r", Rate: 4}, promise.Disturbance{Scope: promise.AllNodes, Begin: true})
+		w.observe(0, promise.Cooled{Replica: "r", Rate: 4}, promise.Disturbance{Scope: promise.AllNodes, Begin: true})
 		for range 40 {
 			run(time.Second/10, "north-a", "")
 		}
 		Expect(w.found).To(BeEmpty())
 		run(0, "north-a", "")
 		Expect(w.found).To(Equal([]promise.Promise{promise.ColdRate}))
-		w.see(0, promise.Cooled{Replica: "r", Warm: true})
+		w.observe(0, promise.Cooled{Replica: "r", Warm: true})
 		run(0, "north-a", "")
 		Expect(w.found).To(HaveLen(1))
 	})
@@ -322,12 +322,12 @@
 	})
 
 	It("finds programs that are not served again, once nothing is disturbed", func() {
-		w.see(0, promise.Disturbance{Scope: "n", Begin: true}, promise.Disturbance{Scope: "n"})
-		w.see(7 * time.Second)
+		w.observe(0, promise.Disturbance{Scope: "n", Begin: true}, promise.Disturbance{Scope: "n"})
+		w.observe(7 * time.Second)
 		for range 5 {
 			w.turn("p", "", refused(503))
 		}
-		w.see(time.Second)
+		w.observe(time.Second)
 		for range 3 {
 			w.turn("p", "", refused(503))
 		}
@@ -341,12 +341,12 @@
 	})
 
 	It("excuses attempts beside a turn of the program that is under way", func() {
-		w.see(0, promise.Sent{ID: "open", Program: "p", MustServe: true})
+		w.observe(0, promise.Sent{ID: "open", Program: "p", MustServe: true})
 		for range 5 {
 			w.turn("p", "", refused(503))
 		}
 		Expect(w.found).To(BeEmpty())
-		w.see(0, promise.Answered{ID: "open", Status: 200, Whole: true})
+		w.observe(0, promise.Answered{ID: "open", Status: 200, Whole: true})
 		for range 4 {
 			w.turn("p", "", refused(503))
 		}
@@ -354,16 +354,16 @@
 	})
 
 	It("finds an end of its own, and growth without end", func() {
-		w.see(0, promise.Exited{Node: "n"})
+		w.observe(0, promise.Exited{Node: "n"})
 		Expect(w.found).To(Equal([]promise.Promise{promise.NoUnexpectedExits}))
 		for index := range 120 {
 			Expect(w.found).To(HaveLen(1))
-			w.see(time.Second, promise.Sampled{Node: "steady", MemoryBytes: 50 << 20, Descriptors: 100},
+			w.observe(time.Second, promise.Sampled{Node: "steady", MemoryBytes: 50 << 20, Descriptors: 100},
 				promise.Sampled{Node: "leaks", MemoryBytes: int64(index) * 2 << 20, Descriptors: 100},
 				promise.Sampled{Node: "opens", MemoryBytes: 50 << 20, Descriptors: 4 * index})
 		}
 		Expect(w.found[1:]).To(Equal([]promise.Promise{promise.NoGrowth, promise.NoGrowth}))
-		w.see(0, promise.Sampled{Node: "large", MemoryBytes: 257 << 20})
+		w.observe(0, promise.Sampled{Node: "large", MemoryBytes: 257 << 20})
 		Expect(w.found[3:]).To(Equal([]promise.Promise{promise.NoGrowth}))
 	})
 })
--- a/soak/promise/growth.go
+++ b/soak/promise/growth.go
@@ -20,13 +20,13 @@
 )
 
 func (c *Checker) sample(at time.Time, event Sampled) {
-	of := process{event.Node, event.Incarnation}
-	c.samples[of] = append(c.samples[of], event)
+	owner := process{event.Node, event.Incarnation}
+	c.samples[owner] = append(c.samples[owner], event)
 	if event.MemoryBytes > c.config.MemoryBytes || event.Descriptors > c.config.Descriptors {
-		c.breach(at, NoGrowth, nil, event.Node, fmt.Sprintf("%d bytes of memory and %d descriptors, want at most %d and %d",
+		c.addBreach(at, NoGrowth, nil, event.Node, fmt.Sprintf("%d bytes of memory and %d descriptors, want at most %d and %d",
 			event.MemoryBytes, event.Descriptors, c.config.MemoryBytes, c.config.Descriptors))
 	}
-	if samples := c.samples[of]; len(samples)%minSamples == 0 {
+	if samples := c.samples[owner]; len(samples)%minSamples == 0 {
 		c.checkGrowth(at, event.Node, samples)
 	}
 }
@@ -37,12 +37,12 @@
 	second, last := samples[quarter:2*quarter], samples[3*quarter:]
 	byMemory := func(a, b Sampled) int { return int(a.MemoryBytes - b.MemoryBytes) }
 	byDescriptors := func(a, b Sampled) int { return a.Descriptors - b.Descriptors }
-	before, after := slices.MaxFunc(second, byMemory).MemoryBytes, slices.MinFunc(last, byMemory).MemoryBytes
-	if float64(after) > maxGrowthRatio*float64(before)+memorySlackBytes {
-		c.breach(at, NoGrowth, nil, node, fmt.Sprintf("memory grew from %d to %d bytes", before, after))
+	memoryBefore, memoryAfter := slices.MaxFunc(second, byMemory).MemoryBytes, slices.MinFunc(last, byMemory).MemoryBytes
+	if float64(memoryAfter) > maxGrowthRatio*float64(memoryBefore)+memorySlackBytes {
+		c.addBreach(at, NoGrowth, nil, node, fmt.Sprintf("memory grew from %d to %d bytes", memoryBefore, memoryAfter))
 	}
-	open, now := slices.MaxFunc(second, byDescriptors).Descriptors, slices.MinFunc(last, byDescriptors).Descriptors
-	if float64(now) > maxGrowthRatio*float64(open)+descriptorSlack {
-		c.breach(at, NoGrowth, nil, node, fmt.Sprintf("descriptors grew from %d to %d", open, now))
+	descriptorsBefore, descriptorsAfter := slices.MaxFunc(second, byDescriptors).Descriptors, slices.MinFunc(last, byDescriptors).Descriptors
+	if float64(descriptorsAfter) > maxGrowthRatio*float64(descriptorsBefore)+descriptorSlack {
+		c.addBreach(at, NoGrowth, nil, node, fmt.Sprintf("descriptors grew from %d to %d", descriptorsBefore, descriptorsAfter))
 	}
 }
--- a/soak/promise/place.go
+++ b/soak/promise/place.go
@@ -9,24 +9,24 @@
 // disturbances tracks the current disturbances and the end of the last one, by scope and in
 // total.
 type disturbances struct {
-	open  map[string]int
-	ended map[string]time.Time
+	active map[string]int
+	ended  map[string]time.Time
 	// running counts all current disturbances, and last is when the latest one ended.
 	running int
 	last    time.Time
 }
 
 func newDisturbances() disturbances {
-	return disturbances{open: make(map[string]int), ended: make(map[string]time.Time)}
+	return disturbances{active: make(map[string]int), ended: make(map[string]time.Time)}
 }
 
 func (d *disturbances) record(at time.Time, event Disturbance) {
 	if event.Begin {
-		d.open[event.Scope]++
+		d.active[event.Scope]++
 		d.running++
 		return
 	}
-	d.open[event.Scope]--
+	d.active[event.Scope]--
 	d.running--
 	d.ended[event.Scope], d.last = at, at
 }
@@ -39,8 +39,8 @@
 // scopeFaultFree reports whether neither the scope nor AllNodes was disturbed for at least
 // span.
 func (d *disturbances) scopeFaultFree(at time.Time, scope string, span time.Duration) bool {
-	for _, one := range []string{scope, AllNodes} {
-		if d.open[one] > 0 || at.Sub(d.ended[one]) < span {
+	for _, name := range []string{scope, AllNodes} {
+		if d.active[name] > 0 || at.Sub(d.ended[name]) < span {
 			return false
 		}
 	}
@@ -53,17 +53,17 @@
 func (c *Checker) checkPlace(at time.Time, ran *request, event Ran) {
 	region := c.config.ZoneRegions[event.Zone]
 	if allowed := c.config.RouteRegions[ran.Route]; len(allowed) > 0 && !slices.Contains(allowed, region) {
-		c.breach(at, RouteRegions, ran, "", fmt.Sprintf("ran on %s in %s, want one of %v", event.Replica, region, allowed))
+		c.addBreach(at, RouteRegions, ran, "", fmt.Sprintf("ran on %s in %s, want one of %v", event.Replica, region, allowed))
 	}
 	scopeFaultFree := c.disturbances.scopeFaultFree(at, ran.Node, c.config.FaultFree) && c.disturbances.scopeFaultFree(at, event.Replica, c.config.FaultFree)
 	if !scopeFaultFree {
 		return
 	}
 	if since, drained := c.drained[event.Replica]; drained && at.Sub(since) > c.config.DrainBound {
-		c.breach(at, Draining, ran, "", fmt.Sprintf("reached %s %s after it said that it leaves", event.Replica, at.Sub(since)))
+		c.addBreach(at, Draining, ran, "", fmt.Sprintf("reached %s %s after it said that it leaves", event.Replica, at.Sub(since)))
 	}
 	if since, evacuated := c.evacuated[event.Zone]; evacuated && at.Sub(since) > c.config.EvacuationBound {
-		c.breach(at, Evacuation, ran, "", fmt.Sprintf("reached %s %s after the evacuation of %s", event.Replica, at.Sub(since), event.Zone))
+		c.addBreach(at, Evacuation, ran, "", fmt.Sprintf("reached %s %s after the evacuation of %s", event.Replica, at.Sub(since), event.Zone))
 	}
 }
 
@@ -102,21 +102,21 @@
 	if limit, limited := c.config.Limits[event.Tenant]; limited && ran.runs == 1 {
 		window := c.config.QuotaWindow
 		maxRequests := (limit.Rate*window.Seconds()+limit.Burst)*(1+c.config.QuotaOverrun) + c.config.QuotaSlack
-		c.grants[event.Tenant] = append(within(c.grants[event.Tenant], at, window), reached)
-		if count := len(c.grants[event.Tenant]); float64(count) > maxRequests {
-			c.breach(at, Quota, ran, "", fmt.Sprintf("%d requests of tenant %q ran within %s, want at most %g", count, event.Tenant, window, maxRequests))
+		c.limitedRequests[event.Tenant] = append(dropBefore(c.limitedRequests[event.Tenant], at, window), reached)
+		if count := len(c.limitedRequests[event.Tenant]); float64(count) > maxRequests {
+			c.addBreach(at, Quota, ran, "", fmt.Sprintf("%d requests of tenant %q ran within %s, want at most %g", count, event.Tenant, window, maxRequests))
 		}
 	}
-	if slow := c.coldReplicas[event.Replica]; slow != nil {
-		maxRequests := slow.rate*c.config.ColdOverrun + c.config.ColdSlack
-		slow.arrivals = append(within(slow.arrivals, at, coldWindow), reached)
-		if count := len(slow.arrivals); float64(count) > maxRequests {
-			c.breach(at, ColdRate, ran, "", fmt.Sprintf("%d requests reached %s within %s, want at most %g", count, event.Replica, coldWindow, maxRequests))
+	if replica := c.coldReplicas[event.Replica]; replica != nil {
+		maxRequests := replica.rate*c.config.ColdOverrun + c.config.ColdSlack
+		replica.arrivals = append(dropBefore(replica.arrivals, at, coldWindow), reached)
+		if count := len(replica.arrivals); float64(count) > maxRequests {
+			c.addBreach(at, ColdRate, ran, "", fmt.Sprintf("%d requests reached %s within %s, want at most %g", count, event.Replica, coldWindow, maxRequests))
 		}
 	}
 }
 
 // within drops requests that were sent before the window that ends at the given time.
-func within(arrivals []arrival, at time.Time, window time.Duration) []arrival {
-	return slices.DeleteFunc(arrivals, func(one arrival) bool { return at.Sub(one.sent) > window })
+func dropBefore(arrivals []arrival, at time.Time, window time.Duration) []arrival {
+	return slices.DeleteFunc(arrivals, func(entry arrival) bool { return at.Sub(entry.sent) > window })
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -29,13 +29,13 @@
 type proxy struct {
 	listener net.Listener
 
-	mutex  sync.Mutex
-	target string
-	held   [2]int
+	mutex      sync.Mutex
+	target     string
+	holdCounts [2]int
 	// muted counts the faults that mute the proxy. While it is above 0, all connections are
 	// muted, permanently.
-	muted int
-	delay time.Duration
+	muteCount int
+	delay     time.Duration
 	// conns holds both ends of each connection, and whether it is muted.
 	conns map[net.Conn]bool
 	// changed is closed and replaced when held changes, and when the proxy is closed.
@@ -48,9 +48,9 @@
 	if err != nil {
 		return nil, err
 	}
-	made := &proxy{listener: listener, target: target, conns: make(map[net.Conn]bool), changed: make(chan struct{})}
-	go made.accept()
-	return made, nil
+	p := &proxy{listener: listener, target: target, conns: make(map[net.Conn]bool), changed: make(chan struct{})}
+	go p.accept()
+	return p, nil
 }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
@@ -99,7 +99,7 @@
 			_ = end.Close()
 			continue
 		}
-		p.conns[end] = p.muted > 0
+		p.conns[end] = p.muteCount > 0
 	}
 	return !p.closed
 }
@@ -135,7 +135,7 @@
 func (p *proxy) awaitRelease(in direction) bool {
 	p.mutex.Lock()
 	delay := p.delay
-	for p.held[in] > 0 && !p.closed {
+	for p.holdCounts[in] > 0 && !p.closed {
 		changed := p.changed
 		p.mutex.Unlock()
 		<-changed
@@ -151,11 +151,11 @@
 
 // hold adds delta to the hold counts of the directions. A direction passes data while its
 // count is 0.
-func (p *proxy) hold(delta int, ways ...direction) {
+func (p *proxy) hold(delta int, directions ...direction) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range ways {
-		p.held[one] += delta
+	for _, dir := range directions {
+		p.holdCounts[dir] += delta
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -166,9 +166,9 @@
 func (p *proxy) mute(delta int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.muted += delta
+	p.muteCount += delta
 	for conn := range p.conns {
-		p.conns[conn] = p.conns[conn] || p.muted > 0
+		p.conns[conn] = p.conns[conn] || p.muteCount > 0
 	}
 }
 
--- a/soak/run.go
+++ b/soak/run.go
@@ -22,8 +22,8 @@
 const minSeconds = 25
 
 // validate returns all findings about a scenario. place names its source in them.
-func (s *Scenario) validate(place string) error {
-	found := findings.Of(place)
+func (s *Scenario) validate(location string) error {
+	found := findings.Of(location)
 	found.Require(s.Seconds >= minSeconds, "seconds", "got %d, want at least %d", s.Seconds, minSeconds)
 	found.Require(s.Nodes > 0, "nodes", "got %d, want at least 1", s.Nodes)
 	return found.Err()
@@ -49,26 +49,26 @@
 	if err := run.open(); err != nil {
 		return err
 	}
-	watched, endWatch := context.WithCancel(ctx)
-	watching := make(chan struct{})
+	monitorCtx, stopMonitor := context.WithCancel(ctx)
+	monitorDone := make(chan struct{})
 	go func() {
-		defer close(watching)
-		run.monitor(watched)
+		defer close(monitorDone)
+		run.monitor(monitorCtx)
 	}()
 	err = run.drive(ctx)
-	endWatch()
-	<-watching
+	stopMonitor()
+	<-monitorDone
 	return err
 }
 
 func newSoak(options Options) (*soak, error) {
 	folder := options.Logs
 	if folder == "" {
-		made, err := os.MkdirTemp("", "birchwood-soak-")
+		created, err := os.MkdirTemp("", "birchwood-soak-")
 		if err != nil {
 			return nil, err
 		}
-		folder = made
+		folder = created
 	} else if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
 	}
@@ -86,15 +86,15 @@
 		return err
 	}
 	s.startedAt = time.Now()
-	span, end := context.WithTimeout(ctx, time.Duration(s.options.Seconds)*time.Second)
-	defer end()
-	disturbing := make(chan struct{})
+	runCtx, cancel := context.WithTimeout(ctx, time.Duration(s.options.Seconds)*time.Second)
+	defer cancel()
+	faultsDone := make(chan struct{})
 	go func() {
-		defer close(disturbing)
-		s.injectFaults(span)
+		defer close(faultsDone)
+		s.injectFaults(runCtx)
 	}()
-	s.load(span)
-	<-disturbing
+	s.load(runCtx)
+	<-faultsDone
 	return s.verdict(ctx)
 }
 
@@ -104,14 +104,14 @@
 	counts := s.checker.Counts()
 	sent, served := s.checker.RequestCounts()
 	broken := 0
-	for _, one := range slices.Sorted(maps.Keys(counts)) {
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		known := ""
-		if slices.Contains(s.options.Known, string(one)) {
+		if slices.Contains(s.options.Known, string(name)) {
 			known = " (known)"
 		} else {
 			broken++
 		}
-		s.print(fmt.Sprintf("broken %d times%s: %s", counts[one], known, one))
+		s.print(fmt.Sprintf("broken %d times%s: %s", counts[name], known, name))
 	}
 	result := "every promise held"
 	switch {
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -145,13 +145,13 @@
 
 func drawKind(random *rand.Rand) Kind {
 	total := 0
-	for _, one := range weights {
-		total += one.weight
+	for _, entry := range weights {
+		total += entry.weight
 	}
 	drawn := random.IntN(total)
-	for _, one := range weights {
-		if drawn -= one.weight; drawn < 0 {
-			return one.kind
+	for _, entry := range weights {
+		if drawn -= entry.weight; drawn < 0 {
+			return entry.kind
 		}
 	}
 	return Pause
--- a/soak/system.go
+++ b/soak/system.go
@@ -93,7 +93,7 @@
 	mutex sync.Mutex
 	// random drives the load. The faults are drawn from a separate generator.
 	random   *rand.Rand
-	ids      int
+	lastID   int
 	ready    map[*process]bool
 	replicas []*standin.Replica
 	proxies  map[string]*proxy
@@ -108,19 +108,19 @@
 func (s *soak) record(event promise.Event) {
 	s.checkerMutex.Lock()
 	defer s.checkerMutex.Unlock()
-	for _, broken := range s.checker.Add(time.Now(), event) {
-		s.report(broken)
+	for _, breach := range s.checker.Add(time.Now(), event) {
+		s.report(breach)
 	}
 }
 
 // maxLogLines bounds the log lines of one node in the report of a breach.
 const maxLogLines = 4
 
-func (s *soak) report(broken promise.Breach) {
-	text := fmt.Sprintf("%6.1fs BROKEN: %s\n        request %q at node %q: %s", broken.At.Sub(s.startedAt).Seconds(), broken.Promise, broken.Request, broken.Node, broken.Detail)
-	if broken.Request != "" {
-		for _, one := range s.processes {
-			for _, line := range one.logLines(broken.Request, maxLogLines) {
+func (s *soak) report(breach promise.Breach) {
+	text := fmt.Sprintf("%6.1fs BROKEN: %s\n        request %q at node %q: %s", breach.At.Sub(s.startedAt).Seconds(), breach.Promise, breach.Request, breach.Node, breach.Detail)
+	if breach.Request != "" {
+		for _, node := range s.processes {
+			for _, line := range node.logLines(breach.Request, maxLogLines) {
 				text += "\n        " + line
 			}
 		}
@@ -177,16 +177,16 @@
 // recordRun records that a replica runs a request, and which of its header fields are forged.
 func (s *soak) recordRun(replica *standin.Replica, run standin.Run) {
 	names := platform.Names()
-	seen := promise.Ran{
+	event := promise.Ran{
 		ID: run.ID, Replica: replica.ID, Zone: replica.Zone, Tenant: run.Header.Get(names.Tenant),
 		Body: run.Body,
 	}
 	for _, name := range append([]string{names.APIKey}, names.Reserved...) {
 		if run.Header.Get(name) != "" {
-			seen.Forged = append(seen.Forged, name)
+			event.Forged = append(event.Forged, name)
 		}
 	}
-	s.record(seen)
+	s.record(event)
 }
 
 // refusedNodes is the interval between the indexes of nodes that use the store's second
@@ -207,15 +207,15 @@
 	if err != nil {
 		return nil, errors.Join(err, store.listener.Close())
 	}
-	zone := index % len(zones)
+	zoneIndex := index % len(zones)
 	return &process{
 		settings: edge.Settings{
-			Node: fmt.Sprintf("edge-%d", index), Zone: zones[zone],
+			Node: fmt.Sprintf("edge-%d", index), Zone: zones[zoneIndex],
 			Clients: addresses[0], Readiness: addresses[1], Peers: addresses[2], Store: store.address(),
 			Partitions: partitions, MemoryBytes: nodeMemory, Cores: 1, Grace: nodeGrace, KeyLease: bounds.RevokeBound,
 			Quota: tenant.Config{Window: bounds.QuotaWindow, Overrun: bounds.QuotaOverrun, Slack: bounds.QuotaSlack},
 		},
-		zone: zone, store: store, clients: clients, binary: s.options.Binary, disabled: s.options.Without,
+		zoneIndex: zoneIndex, store: store, clients: clients, binary: s.options.Binary, disabled: s.options.Without,
 		folder: s.folder, starter: s.starter, onExit: func(exit promise.Exited) { s.record(exit) },
 	}, nil
 }
@@ -227,8 +227,8 @@
 	for _, one := range s.processes {
 		ending.Go(func() {
 			one.signal(syscall.SIGKILL)
-			if gone := one.exitChannel(); gone != nil {
-				<-gone
+			if exited := one.exitChannel(); exited != nil {
+				<-exited
 			}
 		})
 	}
