--- a/soak/promise/answer.go
+++ b/soak/promise/answer.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxFailedAttempts is the number of consecutive attempts of a program that must fail in a
+// failedAttemptsPerBreach is the number of consecutive attempts of a program that must fail in a
 // fault-free period for a breach: one more than a client's retries.
 const failedAttemptsPerBreach = 4
 
--- a/soak/promise/checker.go
+++ b/soak/promise/checker.go
@@ -16,7 +16,7 @@
 	config   Config
 	requests map[string]*request
 	programs map[string]*program
-	// grants holds the recent requests of each tenant with a limit, and coldReplicas the cold
+	// limitedRequests holds the recent requests of each tenant with a limit, and coldReplicas the cold
 	// replicas with their recent requests.
 	limitedRequests map[string][]arrival
 	coldReplicas    map[string]*coldReplica
@@ -244,7 +244,7 @@
 
 func succeeded(status int) bool { return status >= 200 && status < 300 }
 
-// saysNotRun reports whether a status guarantees that the request did not run.
+// meansNotRun reports whether a status guarantees that the request did not run.
 func meansNotRun(status int) bool {
 	return slices.Contains([]int{401, 402, 404, 408, 421, 429, 503}, status)
 }
--- a/soak/promise/checker_test.go
+++ b/soak/promise/checker_test.go
@@ -26,7 +26,7 @@
 	ZoneRegions:  map[string]string{"north-a": "north", "south-a": "south"}, MemoryBytes: 256 << 20, Descriptors: 1000,
 }
 
-// world feeds a checker with events under a simulated clock.
+// harness feeds a checker with events under a simulated clock.
 type harness struct {
 	*promise.Checker
 	now   time.Time
@@ -71,7 +71,7 @@
 	return id
 }
 
-// refused makes a turn be answered with a status without a run.
+// refused changes a turn to be answered with the given status without a run.
 func refused(status int) func(*promise.Sent, *promise.Ran, *promise.Answered) {
 	return func(_ *promise.Sent, ran *promise.Ran, answer *promise.Answered) {
 		ran.ID = ""
--- a/soak/promise/place.go
+++ b/soak/promise/place.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// within drops requests that were sent before the window that ends at the given time.
+// dropBefore drops requests that were sent before the window that ends at the given time.
 func dropBefore(arrivals []arrival, at time.Time, window time.Duration) []arrival {
 	return slices.DeleteFunc(arrivals, func(entry arrival) bool { return at.Sub(entry.sent) > window })
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -32,13 +32,13 @@
 	mutex      sync.Mutex
 	target     string
 	holdCounts [2]int
-	// muted counts the faults that mute the proxy. While it is above 0, all connections are
+	// muteCount counts the faults that mute the proxy. While it is above 0, all connections are
 	// muted, permanently.
 	muteCount int
 	delay     time.Duration
 	// conns holds both ends of each connection, and whether it is muted.
 	conns map[net.Conn]bool
-	// changed is closed and replaced when held changes, and when the proxy is closed.
+	// changed is closed and replaced when holdCounts changes, and when the proxy is closed.
 	changed chan struct{}
 	closed  bool
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -21,7 +21,7 @@
 // minSeconds is the shortest run with time for a fault and the recovery from it.
 const minSeconds = 25
 
-// validate returns all findings about a scenario. place names its source in them.
+// validate returns all findings about a scenario. location names its source in them.
 func (s *Scenario) validate(location string) error {
 	found := findings.Of(location)
 	found.Require(s.Seconds >= minSeconds, "seconds", "got %d, want at least %d", s.Seconds, minSeconds)
