--- a/soak/promise/answer.go
+++ b/soak/promise/answer.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// attemptsUnserved is how many attempts of a program in a row may fail while nothing
-// is disturbed: one more than a client's retries.
-const attemptsUnserved = 4
+// failedAttemptsPerBreach is the number of consecutive attempts of a program that must fail in a
+// fault-free period for a breach: one more than a client's retries.
+const failedAttemptsPerBreach = 4
 
-// The statuses that a check is about.
+// HTTP statuses that have a check of their own.
 const (
 	statusUnauthorized = 401
-	statusSpent        = 402
+	statusBudgetSpent  = 402
 	statusNotFound     = 404
 	statusTooMany      = 429
 )
@@ -24,139 +24,144 @@
 	if sent == nil || sent.answered {
 		return
 	}
-	sent.answered, sent.answeredAt, sent.status, sent.whole = true, at, event.Status, event.Whole
-	if saysNotRun(event.Status) && sent.runs > 0 {
-		c.breach(at, TrueRefusals, sent, "", fmt.Sprintf("answered %d after it ran on %v", event.Status, sent.replicas))
+	sent.answered, sent.answeredAt, sent.status, sent.complete = true, at, event.Status, event.Whole
+	if meansNotRun(event.Status) && sent.runs > 0 {
+		c.addBreach(at, TrueRefusals, sent, "", fmt.Sprintf("answered %d after it ran on %v", event.Status, sent.replicas))
 	}
 	if succeeded(event.Status) {
 		c.checkBody(at, sent, event)
-		c.checkForward(at, sent)
+		c.checkConfigRollback(at, sent)
 	}
-	c.countTokens(at, sent, event)
+	c.checkBudget(at, sent, event)
 	switch event.Status {
 	case statusUnauthorized:
 		c.checkDenial(at, sent)
-	case statusSpent:
-		c.checkEnd(at, sent)
+	case statusBudgetSpent:
+		c.checkProgramEnd(at, sent)
 	case statusNotFound:
-		c.checkFound(at, sent)
+		c.checkStoredTurn(at, sent)
 	}
 	c.checkServed(at, sent)
 }
 
-// checkBody holds an answer against what the request's own runs wrote.
+// checkBody checks an answer against the output of the runs of its request.
 func (c *Checker) checkBody(at time.Time, sent *request, event Answered) {
 	if sent.runs == 0 {
-		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("answered %d, though no replica ran it", event.Status))
+		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("answered %d, though no replica ran it", event.Status))
 		return
 	}
 	if sent.Events == 0 {
 		if event.Whole && !strings.HasSuffix(event.Body, " for "+sent.ID) {
-			c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q", shorten(event.Body)))
+			c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q", shorten(event.Body)))
 		}
 		return
 	}
-	want := stream(sent.ID, sent.Events)
+	want := completeStream(sent.ID, sent.Events)
 	switch {
 	case event.Whole && event.Body != want:
-		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q as whole", shorten(event.Body)))
+		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q as whole", shorten(event.Body)))
 	case !strings.HasPrefix(want, event.Body):
-		c.breach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q before it broke off", shorten(event.Body)))
+		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q before it broke off", shorten(event.Body)))
 	}
 }
 
-// countTokens holds what a program got in all against its budget.
-func (c *Checker) countTokens(at time.Time, sent *request, event Answered) {
-	known := c.programs[sent.Program]
-	if known == nil || !succeeded(event.Status) {
+// checkBudget checks that the tokens delivered to a program do not exceed its budget by more
+// than one turn.
+func (c *Checker) checkBudget(at time.Time, sent *request, event Answered) {
+	prog := c.programs[sent.Program]
+	if prog == nil || !succeeded(event.Status) {
 		return
 	}
 	sent.tokens = strings.Count(event.Body, "\n\n") * c.config.TokensPerEvent
-	known.handed += sent.tokens
-	if sent.tokens > 0 && known.handed > sent.Budget+sent.Most {
-		c.breach(at, Budget, sent, "", fmt.Sprintf("program %s got %d tokens of %d + %d", sent.Program, known.handed, sent.Budget, sent.Most))
+	prog.deliveredTokens += sent.tokens
+	if sent.tokens > 0 && prog.deliveredTokens > sent.Budget+sent.MaxTokens {
+		c.addBreach(at, Budget, sent, "", fmt.Sprintf("program %s got %d tokens of %d + %d", sent.Program, prog.deliveredTokens, sent.Budget, sent.MaxTokens))
 	}
 }
 
-// checkEnd holds the end of a program against its budget. Turns that ran and have not
-// ended well some time ago count at their most.
-func (c *Checker) checkEnd(at time.Time, ended *request) {
-	known := c.programs[ended.Program]
-	if known == nil {
+// checkProgramEnd checks that a program that is refused for its budget had less than one
+// turn left. Turns that ran count with their maximum tokens, unless they ended completely
+// more than Settle ago.
+func (c *Checker) checkProgramEnd(at time.Time, ended *request) {
+	prog := c.programs[ended.Program]
+	if prog == nil {
 		return
 	}
 	used := 0
-	for _, turn := range known.turns {
+	for _, turn := range prog.turns {
 		switch {
 		case turn == ended || turn.runs == 0:
-		case turn.answered && turn.whole && turn.answeredAt.Before(at.Add(-c.config.Settle)):
+		case turn.answered && turn.complete && turn.answeredAt.Before(at.Add(-c.config.Settle)):
 			used += turn.tokens
 		default:
-			used += turn.Most
+			used += turn.MaxTokens
 		}
 	}
-	if used+ended.Most <= ended.Budget {
-		c.breach(at, NoFalseEnd, ended, "", fmt.Sprintf("program %s used at most %d of %d, one turn being %d", ended.Program, used, ended.Budget, ended.Most))
+	if used+ended.MaxTokens <= ended.Budget {
+		c.addBreach(at, NoEarlyEnd, ended, "", fmt.Sprintf("program %s used at most %d of %d, one turn being %d", ended.Program, used, ended.Budget, ended.MaxTokens))
 	}
 }
 
-// checkFound holds an answer "no such turn" against the turns that are kept.
-func (c *Checker) checkFound(at time.Time, sent *request) {
+// checkStoredTurn checks an answer 404. A request without a previous turn that must be served
+// has to find its route, and one with a previous turn has to find it while it is stored.
+func (c *Checker) checkStoredTurn(at time.Time, sent *request) {
 	previous := c.requests[sent.Previous]
 	switch {
 	case sent.Previous == "":
-		if sent.Proper {
-			c.breach(at, KeptTurns, sent, "", "404 for a request on a route that all configurations have")
+		if sent.MustServe {
+			c.addBreach(at, StoredTurns, sent, "", "404 for a request on a route that all configurations have")
 		}
 	case previous == nil || previous.Tenant != sent.Tenant:
-	case previous.whole && succeeded(previous.status) && sent.at.Before(previous.answeredAt.Add(c.config.Retention)):
-		c.breach(at, KeptTurns, sent, "", fmt.Sprintf("turn %s was answered whole %s before, and is not found", previous.ID, sent.at.Sub(previous.answeredAt)))
+	case previous.complete && succeeded(previous.status) && sent.at.Before(previous.answeredAt.Add(c.config.Retention)):
+		c.addBreach(at, StoredTurns, sent, "", fmt.Sprintf("turn %s was answered whole %s before, and is not found", previous.ID, sent.at.Sub(previous.answeredAt)))
 	}
 }
 
-// checkDenial holds the refusal of a key against the configurations.
+// checkDenial checks that a refused key was not valid for longer than ApplyBound. It records
+// refusals of revoked keys for checkConfigRollback.
 func (c *Checker) checkDenial(at time.Time, sent *request) {
 	if _, revoked := c.revoked[sent.Key]; revoked {
-		c.denied[denial{process{sent.Node, sent.Life}, sent.Key}] = at
+		c.denied[denial{process{sent.Node, sent.Incarnation}, sent.Key}] = at
 		return
 	}
 	since, valid := c.added[sent.Key]
 	if valid && sent.at.After(since.Add(c.config.ApplyBound)) {
-		c.breach(at, ValidKeys, sent, "", fmt.Sprintf("key %q was added %s before the request was sent, and is refused", sent.Key, sent.at.Sub(since)))
+		c.addBreach(at, ValidKeys, sent, "", fmt.Sprintf("key %q was added %s before the request was sent, and is refused", sent.Key, sent.at.Sub(since)))
 	}
 }
 
-// checkForward holds the success of a key that was taken away against what the same
-// process said of it before.
-func (c *Checker) checkForward(at time.Time, sent *request) {
-	denied, before := c.denied[denial{process{sent.Node, sent.Life}, sent.Key}]
+// checkConfigRollback checks that a process does not accept a key that it has refused as
+// revoked before.
+func (c *Checker) checkConfigRollback(at time.Time, sent *request) {
+	denied, before := c.denied[denial{process{sent.Node, sent.Incarnation}, sent.Key}]
 	if before && sent.at.After(denied) {
-		c.breach(at, Forward, sent, "", fmt.Sprintf("key %q works again %s after the same process refused it as taken away", sent.Key, sent.at.Sub(denied)))
+		c.addBreach(at, NoConfigRollback, sent, "", fmt.Sprintf("key %q works again %s after the same process refused it as taken away", sent.Key, sent.at.Sub(denied)))
 	}
 }
 
-// busy reports whether turns of the program are under way, which may hold the rest of
-// its budget.
-func (p *program) busy() bool {
+// hasOpenTurn reports whether a turn of the program is unanswered, and so may hold the rest
+// of its budget.
+func (p *program) hasOpenTurn() bool {
 	return slices.ContainsFunc(p.turns, func(turn *request) bool { return !turn.answered })
 }
 
-// checkServed counts the attempts in a row that fail while nothing is disturbed.
+// checkServed counts consecutive failed attempts of a program in fault-free periods, except
+// while another turn of it may hold the rest of its budget.
 func (c *Checker) checkServed(at time.Time, sent *request) {
-	known := c.programs[sent.Program]
-	if known == nil || !sent.Proper {
+	prog := c.programs[sent.Program]
+	if prog == nil || !sent.MustServe {
 		return
 	}
-	if sent.whole && succeeded(sent.status) || sent.status == statusSpent || sent.status == statusTooMany {
-		known.unserved = 0
+	if sent.complete && succeeded(sent.status) || sent.status == statusBudgetSpent || sent.status == statusTooMany {
+		prog.failedAttempts = 0
 		return
 	}
-	if !sent.calm || !c.disturbances.calm(at, c.config.Recovery) || known.busy() {
+	if !sent.faultFree || !c.disturbances.faultFree(at, c.config.Recovery) || prog.hasOpenTurn() {
 		return
 	}
-	known.unserved++
-	if known.unserved == attemptsUnserved {
-		c.breach(at, ServedAgain, sent, "", fmt.Sprintf("%d attempts of program %s in a row failed (now with %d) though nothing was disturbed for %s",
-			known.unserved, sent.Program, sent.status, c.config.Recovery))
+	prog.failedAttempts++
+	if prog.failedAttempts == failedAttemptsPerBreach {
+		c.addBreach(at, ServedAgain, sent, "", fmt.Sprintf("%d attempts of program %s in a row failed (now with %d) though nothing was disturbed for %s",
+			prog.failedAttempts, sent.Program, sent.status, c.config.Recovery))
 	}
 }
--- a/soak/promise/growth.go
+++ b/soak/promise/growth.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// How growth is told from a process that warms up.
+// Thresholds that distinguish unbounded growth from the warm-up of a process.
 const (
-	// leastSamples is how many samples a process must have given: with fewer, a quarter
-	// of them is as short as an outage, in which connections are opened that rest then.
-	leastSamples = 120
-	// grownShare and the slacks are what the least of the last quarter may lie over
-	// the most of the second.
-	grownShare       = 1.25
-	grownMemory      = 16 << 20
-	grownDescriptors = 32
+	// minSamples is the number of samples before the first check and between checks. With fewer,
+	// a quarter of them would be as short as an outage, in which connections are opened that
+	// are idle afterwards.
+	minSamples = 120
+	// maxGrowthRatio and the slacks limit how far the minimum of the last quarter may exceed the
+	// maximum of the second.
+	maxGrowthRatio   = 1.25
+	memorySlackBytes = 16 << 20
+	descriptorSlack  = 32
 )
 
 func (c *Checker) sample(at time.Time, event Sampled) {
-	of := process{event.Node, event.Life}
-	c.samples[of] = append(c.samples[of], event)
+	owner := process{event.Node, event.Incarnation}
+	c.samples[owner] = append(c.samples[owner], event)
 	if event.MemoryBytes > c.config.MemoryBytes || event.Descriptors > c.config.Descriptors {
-		c.breach(at, NoGrowth, nil, event.Node, fmt.Sprintf("%d bytes of memory and %d descriptors, want at most %d and %d",
+		c.addBreach(at, NoGrowth, nil, event.Node, fmt.Sprintf("%d bytes of memory and %d descriptors, want at most %d and %d",
 			event.MemoryBytes, event.Descriptors, c.config.MemoryBytes, c.config.Descriptors))
 	}
-	if samples := c.samples[of]; len(samples)%leastSamples == 0 {
+	if samples := c.samples[owner]; len(samples)%minSamples == 0 {
 		c.checkGrowth(at, event.Node, samples)
 	}
 }
 
-// checkGrowth holds the last quarter of a process's samples against the second.
+// checkGrowth compares the last quarter of a process's samples with the second.
 func (c *Checker) checkGrowth(at time.Time, node string, samples []Sampled) {
 	quarter := len(samples) / 4
 	second, last := samples[quarter:2*quarter], samples[3*quarter:]
 	byMemory := func(a, b Sampled) int { return int(a.MemoryBytes - b.MemoryBytes) }
 	byDescriptors := func(a, b Sampled) int { return a.Descriptors - b.Descriptors }
-	before, after := slices.MaxFunc(second, byMemory).MemoryBytes, slices.MinFunc(last, byMemory).MemoryBytes
-	if float64(after) > grownShare*float64(before)+grownMemory {
-		c.breach(at, NoGrowth, nil, node, fmt.Sprintf("memory grew from %d to %d bytes", before, after))
+	memoryBefore, memoryAfter := slices.MaxFunc(second, byMemory).MemoryBytes, slices.MinFunc(last, byMemory).MemoryBytes
+	if float64(memoryAfter) > maxGrowthRatio*float64(memoryBefore)+memorySlackBytes {
+		c.addBreach(at, NoGrowth, nil, node, fmt.Sprintf("memory grew from %d to %d bytes", memoryBefore, memoryAfter))
 	}
-	open, now := slices.MaxFunc(second, byDescriptors).Descriptors, slices.MinFunc(last, byDescriptors).Descriptors
-	if float64(now) > grownShare*float64(open)+grownDescriptors {
-		c.breach(at, NoGrowth, nil, node, fmt.Sprintf("descriptors grew from %d to %d", open, now))
+	descriptorsBefore, descriptorsAfter := slices.MaxFunc(second, byDescriptors).Descriptors, slices.MinFunc(last, byDescriptors).Descriptors
+	if float64(descriptorsAfter) > maxGrowthRatio*float64(descriptorsBefore)+descriptorSlack {
+		c.addBreach(at, NoGrowth, nil, node, fmt.Sprintf("descriptors grew from %d to %d", descriptorsBefore, descriptorsAfter))
 	}
 }
--- a/soak/promise/place.go
+++ b/soak/promise/place.go
@@ -6,114 +6,117 @@
 	"time"
 )
 
-// disturbances tell what was disturbed until when.
+// disturbances tracks the current disturbances and the end of the last one, by scope and in
+// total.
 type disturbances struct {
-	open  map[string]int
-	ended map[string]time.Time
-	// running counts all that go on, and last is when the last one ended.
+	active map[string]int
+	ended  map[string]time.Time
+	// running counts all current disturbances, and last is when the latest one ended.
 	running int
 	last    time.Time
 }
 
 func newDisturbances() disturbances {
-	return disturbances{open: make(map[string]int), ended: make(map[string]time.Time)}
+	return disturbances{active: make(map[string]int), ended: make(map[string]time.Time)}
 }
 
-func (d *disturbances) note(at time.Time, event Disturbed) {
+func (d *disturbances) record(at time.Time, event Disturbance) {
 	if event.Begin {
-		d.open[event.Scope]++
+		d.active[event.Scope]++
 		d.running++
 		return
 	}
-	d.open[event.Scope]--
+	d.active[event.Scope]--
 	d.running--
 	d.ended[event.Scope], d.last = at, at
 }
 
-// calm reports whether nothing at all was disturbed for so long.
-func (d *disturbances) calm(at time.Time, span time.Duration) bool {
+// faultFree reports whether nothing was disturbed for at least span.
+func (d *disturbances) faultFree(at time.Time, span time.Duration) bool {
 	return d.running == 0 && at.Sub(d.last) >= span
 }
 
-// inTouch reports whether neither a node or replica nor everything was disturbed for
-// so long.
-func (d *disturbances) inTouch(at time.Time, scope string, span time.Duration) bool {
-	for _, one := range []string{scope, Everything} {
-		if d.open[one] > 0 || at.Sub(d.ended[one]) < span {
+// scopeFaultFree reports whether neither the scope nor AllNodes was disturbed for at least
+// span.
+func (d *disturbances) scopeFaultFree(at time.Time, scope string, span time.Duration) bool {
+	for _, name := range []string{scope, AllNodes} {
+		if d.active[name] > 0 || at.Sub(d.ended[name]) < span {
 			return false
 		}
 	}
 	return true
 }
 
-// checkPlace holds a run against where its request may go.
+// checkPlace checks that a request runs in the regions of its route and, if its node and its
+// replica were fault-free for long enough, neither on a draining replica nor in an evacuated
+// zone after the bound.
 func (c *Checker) checkPlace(at time.Time, ran *request, event Ran) {
-	region := c.config.Regions[event.Zone]
-	if homes := c.config.Homes[ran.Route]; len(homes) > 0 && !slices.Contains(homes, region) {
-		c.breach(at, Homes, ran, "", fmt.Sprintf("ran on %s in %s, want one of %v", event.Replica, region, homes))
+	region := c.config.ZoneRegions[event.Zone]
+	if allowed := c.config.RouteRegions[ran.Route]; len(allowed) > 0 && !slices.Contains(allowed, region) {
+		c.addBreach(at, RouteRegions, ran, "", fmt.Sprintf("ran on %s in %s, want one of %v", event.Replica, region, allowed))
 	}
-	inTouch := c.disturbances.inTouch(at, ran.Node, c.config.Contact) && c.disturbances.inTouch(at, event.Replica, c.config.Contact)
-	if !inTouch {
+	scopeFaultFree := c.disturbances.scopeFaultFree(at, ran.Node, c.config.FaultFree) && c.disturbances.scopeFaultFree(at, event.Replica, c.config.FaultFree)
+	if !scopeFaultFree {
 		return
 	}
 	if since, drained := c.drained[event.Replica]; drained && at.Sub(since) > c.config.DrainBound {
-		c.breach(at, Draining, ran, "", fmt.Sprintf("reached %s %s after it said that it leaves", event.Replica, at.Sub(since)))
+		c.addBreach(at, Draining, ran, "", fmt.Sprintf("reached %s %s after it said that it leaves", event.Replica, at.Sub(since)))
 	}
 	if since, evacuated := c.evacuated[event.Zone]; evacuated && at.Sub(since) > c.config.EvacuationBound {
-		c.breach(at, Evacuation, ran, "", fmt.Sprintf("reached %s %s after the evacuation of %s", event.Replica, at.Sub(since), event.Zone))
+		c.addBreach(at, Evacuation, ran, "", fmt.Sprintf("reached %s %s after the evacuation of %s", event.Replica, at.Sub(since), event.Zone))
 	}
 }
 
 func (c *Checker) evacuate(at time.Time, event Evacuated) {
-	if event.Back {
+	if event.Ended {
 		delete(c.evacuated, event.Zone)
 		return
 	}
 	c.evacuated[event.Zone] = at
 }
 
-// arrival is a request that reached a replica.
+// arrival records when a request was sent and when a replica started it.
 type arrival struct{ sent, at time.Time }
 
-// cold is a replica that bears few requests.
-type cold struct {
+// coldReplica is a replica that can take only a limited rate of requests.
+type coldReplica struct {
 	rate     float64
 	arrivals []arrival
 }
 
-// coldWindow is the span in which what reaches a cold replica is counted.
+// coldWindow is the window in which the requests of a cold replica are counted.
 const coldWindow = time.Second
 
-func (c *Checker) cool(event Cooled) {
+func (c *Checker) setCold(event Cooled) {
 	if event.Warm {
-		delete(c.colds, event.Replica)
+		delete(c.coldReplicas, event.Replica)
 		return
 	}
-	c.colds[event.Replica] = &cold{rate: event.Rate}
+	c.coldReplicas[event.Replica] = &coldReplica{rate: event.Rate}
 }
 
-// checkRates holds the requests that were both sent and run in a window against what
-// tenants and cold replicas may have.
+// checkRates checks the rates of limited tenants and cold replicas. A request counts only if
+// it was both sent and run within the window, so late arrivals cause no breach.
 func (c *Checker) checkRates(at time.Time, ran *request, event Ran) {
 	reached := arrival{sent: ran.at, at: at}
 	if limit, limited := c.config.Limits[event.Tenant]; limited && ran.runs == 1 {
 		window := c.config.QuotaWindow
-		most := (limit.Rate*window.Seconds()+limit.Burst)*(1+c.config.QuotaOverrun) + c.config.QuotaSlack
-		c.grants[event.Tenant] = append(within(c.grants[event.Tenant], at, window), reached)
-		if count := len(c.grants[event.Tenant]); float64(count) > most {
-			c.breach(at, Quota, ran, "", fmt.Sprintf("%d requests of tenant %q ran within %s, want at most %g", count, event.Tenant, window, most))
+		maxRequests := (limit.Rate*window.Seconds()+limit.Burst)*(1+c.config.QuotaOverrun) + c.config.QuotaSlack
+		c.limitedRequests[event.Tenant] = append(dropBefore(c.limitedRequests[event.Tenant], at, window), reached)
+		if count := len(c.limitedRequests[event.Tenant]); float64(count) > maxRequests {
+			c.addBreach(at, Quota, ran, "", fmt.Sprintf("%d requests of tenant %q ran within %s, want at most %g", count, event.Tenant, window, maxRequests))
 		}
 	}
-	if slow := c.colds[event.Replica]; slow != nil {
-		most := slow.rate*c.config.ColdOverrun + c.config.ColdSlack
-		slow.arrivals = append(within(slow.arrivals, at, coldWindow), reached)
-		if count := len(slow.arrivals); float64(count) > most {
-			c.breach(at, ColdRate, ran, "", fmt.Sprintf("%d requests reached %s within %s, want at most %g", count, event.Replica, coldWindow, most))
+	if replica := c.coldReplicas[event.Replica]; replica != nil {
+		maxRequests := replica.rate*c.config.ColdOverrun + c.config.ColdSlack
+		replica.arrivals = append(dropBefore(replica.arrivals, at, coldWindow), reached)
+		if count := len(replica.arrivals); float64(count) > maxRequests {
+			c.addBreach(at, ColdRate, ran, "", fmt.Sprintf("%d requests reached %s within %s, want at most %g", count, event.Replica, coldWindow, maxRequests))
 		}
 	}
 }
 
-// within drops what was sent before the window that ends at a time.
-func within(arrivals []arrival, at time.Time, window time.Duration) []arrival {
-	return slices.DeleteFunc(arrivals, func(one arrival) bool { return at.Sub(one.sent) > window })
+// dropBefore drops requests that were sent before the window that ends at the given time.
+func dropBefore(arrivals []arrival, at time.Time, window time.Duration) []arrival {
+	return slices.DeleteFunc(arrivals, func(entry arrival) bool { return at.Sub(entry.sent) > window })
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -15,22 +15,23 @@
 	"birchwood.example/birchwood/soak/promise"
 )
 
-// ErrBroken says that a promise was broken.
+// ErrBroken is returned by Run if a promise was broken that is not in Options.KnownBroken.
 var ErrBroken = errors.New("a promise was broken")
 
-// leastSeconds is the shortest run that has time for a fault and what follows it.
-const leastSeconds = 25
+// minSeconds is the shortest run with time for a fault and the recovery from it.
+const minSeconds = 25
 
-// validate returns every finding about a scenario.
-func (s *Scenario) validate(place string) error {
-	found := findings.Of(place)
-	found.Require(s.Seconds >= leastSeconds, "seconds", "got %d, want at least %d", s.Seconds, leastSeconds)
+// validate returns all findings about a scenario. location names its source in them.
+func (s *Scenario) validate(location string) error {
+	found := findings.Of(location)
+	found.Require(s.Seconds >= minSeconds, "seconds", "got %d, want at least %d", s.Seconds, minSeconds)
 	found.Require(s.Nodes > 0, "nodes", "got %d, want at least 1", s.Nodes)
 	return found.Err()
 }
 
-// Run runs a scenario and reports it. It returns ErrBroken if a promise was broken.
-// It ends all that it started, also when the context ends.
+// Run runs a scenario and reports it. It returns ErrBroken if a promise was broken that is not
+// in Options.KnownBroken. Everything that it starts is ended on return, also when ctx is
+// cancelled.
 func Run(ctx context.Context, options Options) (err error) {
 	if err := options.validate("soak"); err != nil {
 		return err
@@ -48,79 +49,80 @@
 	if err := run.open(); err != nil {
 		return err
 	}
-	watched, endWatch := context.WithCancel(ctx)
-	watching := make(chan struct{})
+	monitorCtx, stopMonitor := context.WithCancel(ctx)
+	monitorDone := make(chan struct{})
 	go func() {
-		defer close(watching)
-		run.watch(watched)
+		defer close(monitorDone)
+		run.monitor(monitorCtx)
 	}()
-	err = run.play(ctx)
-	endWatch()
-	<-watching
+	err = run.drive(ctx)
+	stopMonitor()
+	<-monitorDone
 	return err
 }
 
 func newSoak(options Options) (*soak, error) {
 	folder := options.Logs
 	if folder == "" {
-		made, err := os.MkdirTemp("", "birchwood-soak-")
+		created, err := os.MkdirTemp("", "birchwood-soak-")
 		if err != nil {
 			return nil, err
 		}
-		folder = made
+		folder = created
 	} else if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
 	}
 	return &soak{
-		options: options, begun: time.Now(), folder: folder, host: anyHost(), starter: newStarter(), checker: promise.New(bounds),
+		options: options, startedAt: time.Now(), folder: folder, host: randomHost(), starter: newStarter(), checker: promise.New(bounds),
 		random: rand.New(rand.NewPCG(options.Seed, 0)), ready: make(map[*process]bool), proxies: make(map[string]*proxy),
-		lasting: make(map[Kind]int), keys: keys{next: keysValid}, replicas: []*standin.Replica{},
+		activeFaults: make(map[Kind]int), keys: keys{next: validKeyCount}, replicas: []*standin.Replica{},
 	}, nil
 }
 
-// play drives the load and the faults for the run's time, and says the verdict.
-func (s *soak) play(ctx context.Context) error {
+// drive waits for the nodes, runs the load and the faults for the duration of the scenario,
+// and reports the verdict.
+func (s *soak) drive(ctx context.Context) error {
 	if err := s.awaitReady(ctx); err != nil {
 		return err
 	}
-	s.begun = time.Now()
-	span, end := context.WithTimeout(ctx, time.Duration(s.options.Seconds)*time.Second)
-	defer end()
-	disturbing := make(chan struct{})
+	s.startedAt = time.Now()
+	runCtx, cancel := context.WithTimeout(ctx, time.Duration(s.options.Seconds)*time.Second)
+	defer cancel()
+	faultsDone := make(chan struct{})
 	go func() {
-		defer close(disturbing)
-		s.disturb(span)
+		defer close(faultsDone)
+		s.injectFaults(runCtx)
 	}()
-	s.load(span)
-	<-disturbing
+	s.load(runCtx)
+	<-faultsDone
 	return s.verdict(ctx)
 }
 
 func (s *soak) verdict(ctx context.Context) error {
-	s.seeing.Lock()
-	defer s.seeing.Unlock()
+	s.checkerMutex.Lock()
+	defer s.checkerMutex.Unlock()
 	counts := s.checker.Counts()
-	sent, served := s.checker.Seen()
+	sent, served := s.checker.RequestCounts()
 	broken := 0
-	for _, one := range slices.Sorted(maps.Keys(counts)) {
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		known := ""
-		if slices.Contains(s.options.Known, string(one)) {
+		if slices.Contains(s.options.Known, string(name)) {
 			known = " (known)"
 		} else {
 			broken++
 		}
-		s.print(fmt.Sprintf("broken %d times%s: %s", counts[one], known, one))
+		s.print(fmt.Sprintf("broken %d times%s: %s", counts[name], known, name))
 	}
-	held := "every promise held"
+	result := "every promise held"
 	switch {
 	case broken > 0:
-		held = "BROKEN"
+		result = "BROKEN"
 	case len(counts) > 0:
-		held = "no promise was broken but known ones"
+		result = "no promise was broken but known ones"
 	case ctx.Err() != nil:
-		held = "interrupted; no promise was broken until then"
+		result = "interrupted; no promise was broken until then"
 	}
-	s.print(fmt.Sprintf("verdict: seed %d, %.0f s, %d requests, %d served: %s", s.options.Seed, time.Since(s.begun).Seconds(), sent, served, held))
+	s.print(fmt.Sprintf("verdict: seed %d, %.0f s, %d requests, %d served: %s", s.options.Seed, time.Since(s.startedAt).Seconds(), sent, served, result))
 	if broken > 0 {
 		return ErrBroken
 	}
