--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -59,7 +59,7 @@
 // engine.
 func (c *Core) orderModel(decision schedule.Decision) {
 	backend, ok := c.backendManager.backend(decision.Backend)
-	if !ok || !c.Attends(decision.Backend) {
+	if !ok || !c.Manages(decision.Backend) {
 		return
 	}
 	order := OrderModel{Backend: backend}
@@ -74,7 +74,7 @@
 // Manages reports whether this node manages a back end, and so sends it orders.
 // Two nodes with different views may both believe so; the fencing number of an
 // order then decides which one takes effect.
-func (c *Core) Attends(id machine.ID) bool {
+func (c *Core) Manages(id machine.ID) bool {
 	_, managed := c.backendManager.managed[id]
 	return managed
 }
--- a/node/wire.go
+++ b/node/wire.go
@@ -107,7 +107,7 @@
 
 // managed reports whether the node manages an engine. Like the scheduler, it runs
 // on the control goroutine.
-func (c *managedEngines) managed(id machine.ID) bool { return c.node != nil && c.node.core.Attends(id) }
+func (c *managedEngines) managed(id machine.ID) bool { return c.node != nil && c.node.core.Manages(id) }
 
 // newNode builds the node and makes it available to its scheduler.
 func newNode(settings Config, dependencies Dependencies, managed *managedEngines) (*Node, error) {
