--- a/control/requests.go
+++ b/control/requests.go
@@ -341,7 +341,7 @@
 }
 
 // ProgramIDFor returns the ID of the program that a key names on a branch.
-func (c *Core) NewProgram(branch contract.Path, key string) (api.ProgramID, error) {
+func (c *Core) ProgramIDFor(branch contract.Path, key string) (api.ProgramID, error) {
 	resolved, err := c.Tree().Resolve(branch)
 	if err != nil {
 		return "", err
--- a/emulator/cluster/agent.go
+++ b/emulator/cluster/agent.go
@@ -161,7 +161,7 @@
 		if a.parent != "" {
 			request.Program, err = partition.NewChildID(a.parent, a.key)
 		} else {
-			request.Program, err = at.core.NewProgram(branch, a.key)
+			request.Program, err = at.core.ProgramIDFor(branch, a.key)
 		}
 		return request, err == nil
 	}
