--- a/edge/run.go
+++ b/edge/run.go
@@ -142,7 +142,7 @@
 	}
 	n.replicas.ended(entry.ID, resultForStatus(response.Status()))
 	r.status = response.Status()
-	if r.exchange.Begun() {
+	if r.exchange.HeadWritten() {
 		r.abort("the replica that was to continue answered " + strconv.Itoa(response.Status()))
 		return true
 	}
@@ -202,7 +202,7 @@
 
 func (t *turnRun) relayEvent(ctx context.Context, response *upstream.Response, event eventstream.Event) error {
 	r := t.request
-	if !r.exchange.Begun() && !t.holdsOutput() {
+	if !r.exchange.HeadWritten() && !t.holdsOutput() {
 		if err := t.beginResponse(ctx, response); err != nil {
 			return err
 		}
@@ -287,7 +287,7 @@
 func (t *turnRun) complete(ctx context.Context, response *upstream.Response) error {
 	r := t.request
 	response.Finish()
-	if !r.exchange.Begun() && !t.holdsOutput() {
+	if !r.exchange.HeadWritten() && !t.holdsOutput() {
 		if err := t.beginResponse(ctx, response); err != nil {
 			return err
 		}
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -95,7 +95,7 @@
 }
 
 // HeadWritten reports whether the head of the response has been written.
-func (e *Exchange) Begun() bool { return e.headWritten }
+func (e *Exchange) HeadWritten() bool { return e.headWritten }
 
 func (e *Exchange) writeStatus(status int) {
 	e.headWritten = true
