--- a/edge/request.go
+++ b/edge/request.go
@@ -141,7 +141,7 @@
 func (r *requestState) abort(reason string) {
 	r.status = 0
 	r.reason = reason
-	r.exchange.Break()
+	r.exchange.Abort()
 }
 
 // timeLeft returns the time until the request's deadline.
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -20,7 +20,7 @@
 // response has already been written, Fail aborts the exchange instead.
 func (e *Exchange) Fail(status int, reason string, wait time.Duration) {
 	if e.headWritten {
-		e.Break()
+		e.Abort()
 		return
 	}
 	body, err := json.Marshal(errorBody{Error: reason})
@@ -82,7 +82,7 @@
 }
 
 // Abort closes the connection without completing the response.
-func (e *Exchange) Break() {
+func (e *Exchange) Abort() {
 	e.ended = true
 	e.keepAlive = false
 	e.connection.closing.Store(true)
--- a/ingress/connection.go
+++ b/ingress/connection.go
@@ -93,7 +93,7 @@
 	}
 	c.server.config.Handler(exchange)
 	if !exchange.ended {
-		exchange.Break()
+		exchange.Abort()
 	}
 	return exchange.keepAlive && !c.closing.Load()
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -191,7 +191,7 @@
 			head.SetStatusCode(fasthttp.StatusOK)
 			Expect(exchange.BeginStream(head)).To(Succeed())
 			Expect(exchange.Write([]byte("half"))).To(Succeed())
-			exchange.Break()
+			exchange.Abort()
 		})
 		socket := dial()
 		answer := exchangeRaw(socket, bufio.NewReader(socket), "GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
