--- a/edge/node.go
+++ b/edge/node.go
@@ -176,7 +176,7 @@
 	node.control = newControl(node, core)
 	node.clients = ingress.NewServer(ingress.Config{
 		Handler: node.handle, Limits: node.limits, MaxConnections: maximumConnections(settings),
-		Panicked: func(value any) { logger.Error().Any("panic", value).Msg("edge: request handler panicked") },
+		OnPanic: func(value any) { logger.Error().Any("panic", value).Msg("edge: request handler panicked") },
 	})
 	return node, nil
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -206,7 +206,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		server := ingress.NewServer(ingress.Config{
 			Limits:         func() routing.Limits { return limits },
-			Panicked:       func(value any) { panicked <- value },
+			OnPanic:        func(value any) { panicked <- value },
 			MaxConnections: 1,
 			Handler: func(exchange *ingress.Exchange) {
 				if exchange.Path() == "/bad" {
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -25,7 +25,7 @@
 	MaxConnections int
 	// OnPanic is called with the recovered value when a handler panics. The
 	// handler's connection is closed.
-	Panicked func(value any)
+	OnPanic func(value any)
 	// WatchPeriod is the interval at which clients are checked for having
 	// disconnected.
 	WatchPeriod time.Duration
@@ -105,8 +105,8 @@
 func (s *Server) serveConnection(accepted *connection) {
 	defer s.serving.Done()
 	defer func() {
-		if value := recover(); value != nil && s.config.Panicked != nil {
-			s.config.Panicked(value)
+		if value := recover(); value != nil && s.config.OnPanic != nil {
+			s.config.OnPanic(value)
 		}
 		s.mutex.Lock()
 		delete(s.connections, accepted)
