--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -50,7 +50,7 @@
 	n.updateProgress(r)
 	request := n.selectionRequest(r)
 	request.MaxPerNode, request.Draw = n.maxPerNode(table, r.service), n.draw()
-	request.Connected = func(entry replica.Entry) bool { return n.pool.Free(targetOf(entry)) }
+	request.Connected = func(entry replica.Entry) bool { return n.pool.HasIdle(targetOf(entry)) }
 	choice, err := n.chooseWithinColdRates(r, request)
 	if err != nil {
 		n.metrics.choiceRefused(err)
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -64,7 +64,7 @@
 }
 
 // HasIdle reports whether the pool has an idle connection to the replica.
-func (p *Pool) Free(to Target) bool {
+func (p *Pool) HasIdle(to Target) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	entry := p.targets[to]
