--- a/edge/node.go
+++ b/edge/node.go
@@ -165,7 +165,7 @@
 		failed:                make(chan error, 4),
 		nodeListKnown:         make(chan struct{}),
 	}
-	node.replicas.forget = node.pool.Forget
+	node.replicas.forget = node.pool.RemoveTarget
 	node.ctx, node.cancel = context.WithCancel(context.Background())
 	coreRandom := rand.New(rand.NewPCG(seed+1, uint64(now.UnixNano())))
 	core, err := coordinator.New(now, coreConfig(settings, node.self, coreRandom))
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -74,7 +74,7 @@
 // RemoveTarget closes the idle connections to a replica that is gone.
 // Connections in use are closed when their exchange ends, unless a later request
 // has added the replica again.
-func (p *Pool) Forget(to Target) {
+func (p *Pool) RemoveTarget(to Target) {
 	p.mutex.Lock()
 	entry := p.targets[to]
 	delete(p.targets, to)
