--- a/soak/system.go
+++ b/soak/system.go
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	replica.Listed, replica.Echo, replica.OnRun = replicaProxy.address(), true, s.recordRun
+	replica.AdvertisedAddress, replica.Echo, replica.OnRun = replicaProxy.address(), true, s.recordRun
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.proxies[replica.ID] = replicaProxy
