--- a/soak/fault.go
+++ b/soak/fault.go
@@ -262,7 +262,7 @@
 		// Faults that are not used up when the fault ends are cancelled.
 		faulty := faultyAnswers * max(0, delta)
 		replica.Refuse(faulty)
-		replica.BreakOff(faulty)
+		replica.AbortStreams(faulty)
 		replica.Reset(faulty)
 		replica.Hang(faulty / faultyAnswers)
 	}
