--- a/soak/fault.go
+++ b/soak/fault.go
@@ -280,7 +280,7 @@
 	case StoreDown:
 		store.SetDown(on)
 	case StoreRefuses:
-		store.SetTurnedAway(on)
+		store.SetSecondDown(on)
 	case StoreSlow:
 		store.SetDelay(map[bool]time.Duration{true: slowStoreDelay, false: storeDelay}[on])
 	case StoreLost:
