--- a/soak/fault.go
+++ b/soak/fault.go
@@ -286,6 +286,6 @@
 	case StoreLost:
 		store.LoseAnswers(map[bool]int{true: lostAnswers}[on])
 	case StoreForget:
-		store.Forget()
+		store.TrimAll()
 	}
 }
