--- a/soak/fault.go
+++ b/soak/fault.go
@@ -180,7 +180,7 @@
 func (s *soak) replaceReplicas(ctx context.Context, kind Kind, replicas []*standin.Replica) {
 	if kind == ReplicaDrain {
 		for _, replica := range replicas {
-			s.system.List(replica, "draining")
+			s.system.PutEntry(replica, "draining")
 			s.record(promise.Drained{Replica: replica.ID})
 		}
 		sleep(ctx, drainTime)
