--- a/soak/fault.go
+++ b/soak/fault.go
@@ -205,7 +205,7 @@
 	if index < 0 {
 		return nil
 	}
-	s.system.Unlist(old)
+	s.system.RemoveEntry(old)
 	oldProxy.close()
 	added, err := s.system.AddReplica(old.Events > 0)
 	if err != nil {
