--- a/soak/load.go
+++ b/soak/load.go
@@ -226,7 +226,7 @@
 		answer := s.send(s.pickNode(), http.MethodPost, turn)
 		switch answer.Status {
 		case http.StatusOK:
-			if answer.Whole {
+			if answer.Complete {
 				return turn.ID, served
 			}
 		case http.StatusPaymentRequired, http.StatusUnauthorized, http.StatusNotFound, http.StatusBadRequest:
@@ -298,7 +298,7 @@
 		// Without an answer, the nodes have promised nothing. The checker counts the attempt as failed.
 		answer = standin.Answer{}
 	}
-	s.record(promise.Answered{ID: sent.ID, Status: answer.Status, Body: answer.Body, Whole: answer.Whole})
+	s.record(promise.Answered{ID: sent.ID, Status: answer.Status, Body: answer.Body, Whole: answer.Complete})
 	return answer
 }
 
