--- a/command/edgecommand/edge.go
+++ b/command/edgecommand/edge.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return &exit.Error{Code: exit.Usage, Cause: err}
 	}
-	settings.Without = without
+	settings.Disabled = without
 	lines := &decisionWriter{}
 	logger, flush := newDecisionLogger(settings.Node, lines)
 	defer flush()
--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -18,7 +18,7 @@
 // coldNode returns a node with replicas that stay cold. Its control goroutine does not run,
 // so that the test answers the charges.
 func coldNode(g *WithT, without []Mechanism, ids ...replica.ID) *Node {
-	node, err := New(Settings{Node: "n", Zone: "z", Partitions: 1, Without: without}, Adapter{Names: header.Names{ColdLeft: "X-Left"}}, quietLogger)
+	node, err := New(Settings{Node: "n", Zone: "z", Partitions: 1, Disabled: without}, Adapter{Names: header.Names{ColdLeft: "X-Left"}}, quietLogger)
 	g.Expect(err).NotTo(HaveOccurred())
 	table := &routing.Table{Services: map[string]routing.Service{"s": {Name: "s", ColdRate: 28}}}
 	node.replicas.configure(table)
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -58,7 +58,7 @@
 	node.roles.Store(&coordinator.Roles{Readers: []machine.Machine{{ID: "n"}}})
 	g.Expect(node.configurationWait()).To(BeZero())
 	g.Expect(node.configurationPause()).To(Equal(provingPause))
-	alone := keyNode(g, Settings{Without: []Mechanism{ShareProofs}}, true)
+	alone := keyNode(g, Settings{Disabled: []Mechanism{ShareProofs}}, true)
 	defer alone.Kill()
 	g.Expect(alone.configurationWait()).To(Equal(configurationWait))
 }
@@ -72,7 +72,7 @@
 	g.Expect(all.IgnoreRedirects).To(BeFalse())
 	g.Expect(all.Tenants).To(Equal(tenant.DefaultConfig()))
 	g.Expect(all.Ledger.AfterFailureShare).To(BeNumerically(">", 0))
-	without := coreConfig(Settings{Partitions: 1, Without: []Mechanism{CountCentrally, RedirectCharges, PreferStartedPrograms, RankRetriesLast, BeginAfterFailure}}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
+	without := coreConfig(Settings{Partitions: 1, Disabled: []Mechanism{CountCentrally, RedirectCharges, PreferStartedPrograms, RankRetriesLast, BeginAfterFailure}}, machine.Machine{ID: "n"}, rand.New(rand.NewPCG(1, 2)))
 	g.Expect(without.CountLocally).To(BeTrue())
 	g.Expect(without.IgnoreRedirects).To(BeTrue())
 	g.Expect(without.Tenants.ArrivalOrder).To(BeTrue())
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -198,4 +198,4 @@
 }
 
 // uses reports whether a mechanism is switched on.
-func (s *Settings) uses(mechanism Mechanism) bool { return !slices.Contains(s.Without, mechanism) }
+func (s *Settings) uses(mechanism Mechanism) bool { return !slices.Contains(s.Disabled, mechanism) }
--- a/edge/mechanisms_test.go
+++ b/edge/mechanisms_test.go
@@ -27,7 +27,7 @@
 
 func TestUses(t *testing.T) {
 	for _, mechanism := range Mechanisms() {
-		off := Settings{Without: []Mechanism{mechanism}}
+		off := Settings{Disabled: []Mechanism{mechanism}}
 		for _, other := range Mechanisms() {
 			if got, want := off.uses(other), other != mechanism; got != want {
 				t.Errorf("without %s: uses(%s) = %v", mechanism, other, got)
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -53,7 +53,7 @@
 	// selects the default.
 	ColdReplicas tenant.Config
 	// Disabled lists the mechanisms that are switched off.
-	Without []Mechanism
+	Disabled []Mechanism
 	// Grace is the time between the stop signal and the kill.
 	Grace time.Duration
 	// LogLinesDropped returns how many log lines were dropped; nil if that is not counted.
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -21,7 +21,7 @@
 
 // without returns settings with one mechanism switched off.
 func without(mechanism Mechanism) Settings {
-	return Settings{Node: "n", Zone: "z", Partitions: 2, Without: []Mechanism{mechanism}}
+	return Settings{Node: "n", Zone: "z", Partitions: 2, Disabled: []Mechanism{mechanism}}
 }
 
 // TestSwitchesOfTheCore checks that mechanisms that are switched off show in the
@@ -93,7 +93,7 @@
 // mechanism is switched off.
 func TestFollowReaders(t *testing.T) {
 	g := NewWithT(t)
-	for _, settings := range []Settings{{RelayAbove: 1}, {RelayAbove: 1, Without: []Mechanism{FollowReaders}}} {
+	for _, settings := range []Settings{{RelayAbove: 1}, {RelayAbove: 1, Disabled: []Mechanism{FollowReaders}}} {
 		node := &Node{settings: settings, replicas: newReplicas(&settings)}
 		node.replicas.put(replica.Entry{ID: "r", Service: "s", Status: replica.StatusReady, Slots: 1})
 		node.liveNodes.Store(9)
