--- a/command/settings.go
+++ b/command/settings.go
@@ -44,9 +44,9 @@
 	switch {
 	case value.Default:
 		return "default"
-	case len(value.Narrowed) > 0:
-		narrowed := make([]string, len(value.Narrowed))
-		for i, path := range value.Narrowed {
+	case len(value.NarrowedBy) > 0:
+		narrowed := make([]string, len(value.NarrowedBy))
+		for i, path := range value.NarrowedBy {
 			narrowed[i] = path.String()
 		}
 		return value.From.String() + ", narrowed by " + strings.Join(narrowed, ", ")
--- a/contract/explain.go
+++ b/contract/explain.go
@@ -21,7 +21,7 @@
 	Default  bool     `json:"default,omitempty"`
 	// NarrowedBy lists the ancestors of From that exclude some of its zones,
 	// nearest first.
-	Narrowed []Path `json:"narrowed,omitempty"`
+	NarrowedBy []Path `json:"narrowed,omitempty"`
 }
 
 // Explain returns each inheritable value of a branch and the branch that sets
@@ -70,7 +70,7 @@
 			continue
 		}
 		if s.narrows(ancestor, explanation.From) {
-			explanation.Narrowed = append(explanation.Narrowed, ancestor)
+			explanation.NarrowedBy = append(explanation.NarrowedBy, ancestor)
 		}
 	}
 	return explanation
--- a/contract/tree_test.go
+++ b/contract/tree_test.go
@@ -158,7 +158,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(explanations).To(HaveLen(inheritedValues()))
 		Expect(explanations).To(ContainElements(
-			contract.Explanation{Name: "zones", Value: json.RawMessage(`["b"]`), From: "tenant", Revision: 2, Narrowed: []contract.Path{""}},
+			contract.Explanation{Name: "zones", Value: json.RawMessage(`["b"]`), From: "tenant", Revision: 2, NarrowedBy: []contract.Path{""}},
 			contract.Explanation{Name: "priority", Value: json.RawMessage(`9`), From: "tenant/desk", Revision: 3},
 			contract.Explanation{Name: "models", Value: json.RawMessage(`["m"]`), From: "", Revision: 1},
 			contract.Explanation{Name: "call_timeout", Value: json.RawMessage(`"1m0s"`), Default: true},
