--- a/contract/freshness.go
+++ b/contract/freshness.go
@@ -45,8 +45,8 @@
 	Revision Revision `json:"revision"`
 	// ConfirmedAt is the last time at which the settings held were known to be
 	// the newest.
-	Confirmed time.Time `json:"confirmed"`
-	Reason    string    `json:"reason"`
+	ConfirmedAt time.Time `json:"confirmed"`
+	Reason      string    `json:"reason"`
 }
 
 // Report describes a node's settings to its peers. Each membership message
@@ -92,7 +92,7 @@
 // Freshness returns how current this node's settings are.
 func (f *Follower) Freshness(now time.Time) Freshness {
 	result := Freshness{
-		Position: f.tree.Position(), Known: f.known, Revision: f.tree.Revision(), Confirmed: f.confirmedAt,
+		Position: f.tree.Position(), Known: f.known, Revision: f.tree.Revision(), ConfirmedAt: f.confirmedAt,
 	}
 	freshUntil := f.confirmedAt.Add(f.config.FreshnessBound)
 	switch {
--- a/node/operator.go
+++ b/node/operator.go
@@ -131,7 +131,7 @@
 		}
 		freshness := core.Freshness(now)
 		snapshot.SettingsMayPlace = freshness.MayPlace
-		snapshot.SettingsAge = now.Sub(freshness.Confirmed)
+		snapshot.SettingsAge = now.Sub(freshness.ConfirmedAt)
 		snapshot.Members = make(map[operator.Member]int)
 		for _, known := range core.Machines() {
 			snapshot.Members[operator.Member{Kind: string(known.Kind), Status: string(known.Status)}]++
