--- a/contract/follower.go
+++ b/contract/follower.go
@@ -310,10 +310,10 @@
 	report := Report{
 		Peer: f.config.Self, Zone: f.config.Zone,
 		Position: uint64(current.position), Known: f.known,
-		Age: neverConfirmedAge, Digest: current.digest.Short(),
+		ConfirmedAge: neverConfirmedAge, Digest: current.digest.Short(),
 	}
 	if !f.confirmedAt.IsZero() && f.known <= report.Position {
-		report.Age = now.Sub(f.confirmedAt)
+		report.ConfirmedAge = now.Sub(f.confirmedAt)
 	}
 	report.Zones = f.zoneAgreementAges(now)
 	return report
--- a/contract/freshness.go
+++ b/contract/freshness.go
@@ -61,7 +61,7 @@
 	// ConfirmedAge is the time from when the peer's settings were last known
 	// to be the newest until the report was sent, or negative if they never
 	// were. It is an age rather than a time because clocks differ.
-	Age time.Duration `json:"age"`
+	ConfirmedAge time.Duration `json:"age"`
 	// Digest is the chained digest of the records up to Position.
 	Digest uint64 `json:"digest"`
 	// ZoneAges holds, per zone, how long ago a node there was known to hold
@@ -83,10 +83,10 @@
 // peerConfirmedAt returns when the peer's settings were last known to be the
 // newest, by this node's clock.
 func (f *Follower) peerConfirmedAt(peer peerReport) time.Time {
-	if peer.report.Age < 0 {
+	if peer.report.ConfirmedAge < 0 {
 		return time.Time{}
 	}
-	return peer.receivedAt.Add(-f.config.MessageDelay - peer.report.Age)
+	return peer.receivedAt.Add(-f.config.MessageDelay - peer.report.ConfirmedAge)
 }
 
 // Freshness returns how current this node's settings are.
