--- a/contract/follower.go
+++ b/contract/follower.go
@@ -315,7 +315,7 @@
 	if !f.confirmedAt.IsZero() && f.known <= report.Position {
 		report.ConfirmedAge = now.Sub(f.confirmedAt)
 	}
-	report.Zones = f.zoneAgreementAges(now)
+	report.ZoneAges = f.zoneAgreementAges(now)
 	return report
 }
 
--- a/contract/freshness.go
+++ b/contract/freshness.go
@@ -67,7 +67,7 @@
 	// ZoneAges holds, per zone, how long ago a node there was known to hold
 	// Position and to know of no newer record. It is omitted until the
 	// sender's last confirmation is older than half the freshness bound.
-	Zones map[zone.Name]time.Duration `json:"zones,omitempty"`
+	ZoneAges map[zone.Name]time.Duration `json:"zones,omitempty"`
 }
 
 // neverConfirmedAge is the age in reports of a node whose settings were never
@@ -150,7 +150,7 @@
 	sent := now.Add(-f.config.MessageDelay)
 	f.peerAgreedAt = now
 	f.recordZoneAgreement(report.Zone, sent)
-	for name, age := range report.Zones {
+	for name, age := range report.ZoneAges {
 		if age >= 0 {
 			f.recordZoneAgreement(name, sent.Add(-age))
 		}
