--- a/contract/follower.go
+++ b/contract/follower.go
@@ -279,7 +279,7 @@
 // it is newer than the settings held, a read starts at once, unless reads are
 // failing: then the backoff stays in force, so that a store that recovers is
 // not overloaded by all nodes at once.
-func (f *Follower) Heard(now time.Time, revision Revision) {
+func (f *Follower) ObserveRevision(now time.Time, revision Revision) {
 	f.raiseKnown(now, uint64(revision))
 	if f.known > f.tree.Position() && !f.reading && f.failedReads == 0 {
 		f.startRead(now)
@@ -296,7 +296,7 @@
 	f.expirePeers(now)
 	peer := peerReport{report: report, receivedAt: now}
 	f.peers[report.Peer] = peer
-	f.Heard(now, Revision(max(report.Known, report.Position)))
+	f.ObserveRevision(now, Revision(max(report.Known, report.Position)))
 	f.recordAgreement(now, report)
 	confirmedAt := f.peerConfirmedAt(peer)
 	if report.Position == f.tree.Position() && report.Known <= report.Position && confirmedAt.After(f.confirmedAt) {
--- a/control/core.go
+++ b/control/core.go
@@ -102,7 +102,7 @@
 	case SettingsFetched:
 		c.stepSettingsFetched(now, event)
 	case SettingsAppended:
-		c.follower.Heard(now, event.Revision)
+		c.follower.ObserveRevision(now, event.Revision)
 		c.announceSettings(now)
 	case RequestReceived:
 		c.stepRequest(now, event.Handle, event.Request)
