--- a/contract/fleet_test.go
+++ b/contract/fleet_test.go
@@ -72,9 +72,9 @@
 	if f.isolatedZone != "" && (probe.Zone == f.isolatedZone) != (answer.Zone == f.isolatedZone) {
 		return
 	}
-	to.HeardReport(f.now.Add(fleetLinkDelay), probe)
+	to.ObserveReport(f.now.Add(fleetLinkDelay), probe)
 	to.perform(f.now.Add(fleetLinkDelay))
-	from.HeardReport(f.now.Add(2*fleetLinkDelay), answer)
+	from.ObserveReport(f.now.Add(2*fleetLinkDelay), answer)
 	from.perform(f.now.Add(2 * fleetLinkDelay))
 }
 
--- a/contract/follower.go
+++ b/contract/follower.go
@@ -289,7 +289,7 @@
 // ObserveReport handles a peer's report. It does what ObserveRevision does; in
 // addition, the report may confirm that the settings held are the newest, or
 // that the peer cannot reach the store either.
-func (f *Follower) HeardReport(now time.Time, report Report) {
+func (f *Follower) ObserveReport(now time.Time, report Report) {
 	if report.Peer == f.config.Self {
 		return
 	}
--- a/contract/follower_test.go
+++ b/contract/follower_test.go
@@ -117,7 +117,7 @@
 		log.add(set("narrow", 7, "", zones("b")))
 		south.runUntil(start.Add(3 * time.Second))
 		now := start.Add(time.Second)
-		north.HeardReport(now, south.Report(start.Add(3*time.Second)))
+		north.ObserveReport(now, south.Report(start.Add(3*time.Second)))
 		Expect(north.Freshness(now)).To(And(HaveField("State", contract.FreshnessBehind), HaveField("MayPlace", false), HaveField("Known", uint64(8))))
 		north.run(now)
 		Expect(north.Tree().Revision()).To(Equal(contract.Revision(8)))
@@ -143,7 +143,7 @@
 		for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 			north.runUntil(now)
 			south.runUntil(now)
-			north.HeardReport(now, south.Report(now))
+			north.ObserveReport(now, south.Report(now))
 		}
 		Expect(north.Freshness(start.Add(time.Minute)).State).To(Equal(contract.FreshnessFresh))
 	})
@@ -159,7 +159,7 @@
 		})
 
 		It("goes on when peers in every zone hold the same settings and cannot reach it either", func() {
-			north.HeardReport(now, south.Report(now))
+			north.ObserveReport(now, south.Report(now))
 			freshness := north.Freshness(now)
 			Expect(freshness.State).To(Equal(contract.FreshnessOutage), freshness.Reason)
 			Expect(freshness.MayPlace).To(BeTrue())
@@ -179,7 +179,7 @@
 		It("places nothing when a whole zone is silent, since that zone may reach the store", func() {
 			neighbour := south.Report(now)
 			neighbour.Zone = "a"
-			north.HeardReport(now, neighbour)
+			north.ObserveReport(now, neighbour)
 			Expect(north.Freshness(now)).To(And(HaveField("MayPlace", false), HaveField("Reason", ContainSubstring("zone b"))))
 		})
 
@@ -188,11 +188,11 @@
 			middle.run(start)
 			middle.storeDown = true
 			middle.runUntil(now)
-			middle.HeardReport(now, south.Report(now))
+			middle.ObserveReport(now, south.Report(now))
 			later := now.Add(6 * time.Second)
-			north.HeardReport(later, middle.Report(later))
+			north.ObserveReport(later, middle.Report(later))
 			Expect(north.Freshness(later).State).To(Equal(contract.FreshnessOutage), north.Freshness(later).Reason)
-			north.HeardReport(later.Add(4*time.Second), middle.Report(later.Add(4*time.Second)))
+			north.ObserveReport(later.Add(4*time.Second), middle.Report(later.Add(4*time.Second)))
 			Expect(north.Freshness(later.Add(4*time.Second)).MayPlace).To(BeFalse(), "the word of zone b is older than the bound")
 		})
 
@@ -204,9 +204,9 @@
 			single.storeDown = true
 			single.runUntil(now)
 			for _, node := range []*driver{north, single} {
-				node.HeardReport(now, newcomer.Report(now))
+				node.ObserveReport(now, newcomer.Report(now))
 				Expect(node.Freshness(now).MayPlace).To(BeFalse())
-				node.HeardReport(now, south.Report(now))
+				node.ObserveReport(now, south.Report(now))
 				Expect(node.Freshness(now).MayPlace).To(BeTrue())
 				Expect(node.Freshness(now.Add(10 * time.Second)).MayPlace).To(BeFalse())
 			}
@@ -215,8 +215,8 @@
 		It("places nothing when a peer tells of a newer record, whoever else agrees", func() {
 			report := south.Report(now)
 			report.Known++
-			north.HeardReport(now, south.Report(now))
-			north.HeardReport(now, report)
+			north.ObserveReport(now, south.Report(now))
+			north.ObserveReport(now, report)
 			Expect(north.Freshness(now)).To(And(HaveField("State", contract.FreshnessBehind), HaveField("MayPlace", false)))
 		})
 
@@ -224,7 +224,7 @@
 			newcomer := newDriver(log, "newcomer", "a", "a", "b")
 			newcomer.storeDown = true
 			newcomer.run(now)
-			newcomer.HeardReport(now, south.Report(now))
+			newcomer.ObserveReport(now, south.Report(now))
 			Expect(newcomer.Freshness(now).State).To(Equal(contract.FreshnessBehind))
 			newcomer.runUntil(now.Add(500 * time.Millisecond))
 			Expect(newcomer.fetches).To(ContainElement(machine.ID("south")))
@@ -237,8 +237,8 @@
 			newcomer.runUntil(now.Add(30 * time.Second))
 			Expect(newcomer.fetches).To(BeEmpty(), "no peer holds newer settings any more")
 			Expect(newcomer.Tree().Revision()).To(Equal(south.Tree().Revision()))
-			newcomer.HeardReport(now, south.Report(now))
-			newcomer.HeardReport(now, north.Report(now))
+			newcomer.ObserveReport(now, south.Report(now))
+			newcomer.ObserveReport(now, north.Report(now))
 			Expect(newcomer.Freshness(now).State).To(Equal(contract.FreshnessOutage), newcomer.Freshness(now).Reason)
 		})
 
@@ -280,7 +280,7 @@
 	It("does not read without pause when a peer tells of a record that the service does not show", func() {
 		report := south.Report(start)
 		report.Known = 9
-		north.HeardReport(start, report)
+		north.ObserveReport(start, report)
 		reads := north.reads
 		north.run(start)
 		north.runUntil(start.Add(time.Minute))
--- a/control/messages.go
+++ b/control/messages.go
@@ -13,7 +13,7 @@
 // stepMessage passes a peer's message to the part that handles it.
 func (c *Core) stepMessage(now time.Time, message link.Message) {
 	if message.Settings != nil {
-		c.follower.HeardReport(now, *message.Settings)
+		c.follower.ObserveReport(now, *message.Settings)
 	}
 	switch {
 	case message.Membership != nil:
