--- a/contract/follower.go
+++ b/contract/follower.go
@@ -108,7 +108,7 @@
 	// of the stream. The driver requests its Export and passes the answer to
 	// Import. A failed fetch need not be reported: the next failed read
 	// requests another one.
-	Fetch machine.ID
+	FetchFrom machine.ID
 	// Verdicts holds the verdicts since the last Ready, in stream order.
 	Verdicts []Verdict
 	// Changed is true if the revision has increased since the last Ready.
@@ -321,7 +321,7 @@
 
 // Ready returns the pending actions and results, and clears them.
 func (f *Follower) Ready() FollowerReady {
-	ready := FollowerReady{Verdicts: f.verdicts, Fetch: f.fetchFrom}
+	ready := FollowerReady{Verdicts: f.verdicts, FetchFrom: f.fetchFrom}
 	f.verdicts = nil
 	f.fetchFrom = ""
 	if f.readPending {
--- a/contract/follower_test.go
+++ b/contract/follower_test.go
@@ -66,8 +66,8 @@
 	for {
 		ready := d.Ready()
 		d.verdicts = append(d.verdicts, ready.Verdicts...)
-		if ready.Fetch != "" {
-			d.fetches = append(d.fetches, ready.Fetch)
+		if ready.FetchFrom != "" {
+			d.fetches = append(d.fetches, ready.FetchFrom)
 		}
 		if ready.Read == nil {
 			return
--- a/control/settings.go
+++ b/control/settings.go
@@ -18,7 +18,7 @@
 	if ready.Read != nil {
 		c.emit(ReadSettings{Read: *ready.Read})
 	}
-	if peer, ok := c.membership.Lookup(ready.Fetch); ok {
+	if peer, ok := c.membership.Lookup(ready.FetchFrom); ok {
 		c.emit(FetchSettings{Peer: peer})
 	}
 	for _, verdict := range ready.Verdicts {
