--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -195,8 +195,8 @@
 	Epoch uint64
 	// LoggedSequence is the last sequence of the epoch that the log has
 	// confirmed.
-	Logged  uint64
-	Entries []Entry
+	LoggedSequence uint64
+	Entries        []Entry
 }
 
 // Unlogged returns this writer's unlogged entries; after it was superseded,
@@ -205,10 +205,10 @@
 	if j.phase == phaseSuperseded {
 		return j.unlogged
 	}
-	unlogged := Rest{Epoch: j.epoch, Logged: j.LastSequence()}
+	unlogged := Rest{Epoch: j.epoch, LoggedSequence: j.LastSequence()}
 	if len(j.queue) > 0 {
-		unlogged.Logged = j.queue[0].entry.Sequence - 1
-		unlogged.Entries = j.Unconfirmed(unlogged.Logged, math.MaxInt)
+		unlogged.LoggedSequence = j.queue[0].entry.Sequence - 1
+		unlogged.Entries = j.Unconfirmed(unlogged.LoggedSequence, math.MaxInt)
 	}
 	return unlogged
 }
