--- a/partition/replica.go
+++ b/partition/replica.go
@@ -202,7 +202,7 @@
 func (r *Replica) keepUnlogged() {
 	owned := r.state == StateOwning || r.state == StateReleasing
 	if owned && len(r.mirrors.links) > 0 && r.config.Mirrors != nil {
-		r.config.Mirrors.keepOwned(r.config.ID, r.journal.Rest())
+		r.config.Mirrors.keepOwned(r.config.ID, r.journal.Unlogged())
 	}
 }
 
--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -201,7 +201,7 @@
 
 // Unlogged returns this writer's unlogged entries; after it was superseded,
 // those of the time when that happened.
-func (j *Journal) Rest() Rest {
+func (j *Journal) Unlogged() Rest {
 	if j.phase == phaseSuperseded {
 		return j.unlogged
 	}
@@ -291,7 +291,7 @@
 // that were obtained before remain valid and are kept.
 func (j *Journal) supersede() {
 	results := j.TakeFound()
-	unlogged := j.Rest()
+	unlogged := j.Unlogged()
 	j.Reset()
 	j.unlogged = unlogged
 	j.ready = results
