--- a/partition/replica.go
+++ b/partition/replica.go
@@ -209,7 +209,7 @@
 // collectFound moves the journal's results to ready before the journal is
 // reset.
 func (r *Replica) collectFound() {
-	found := r.journal.TakeFound()
+	found := r.journal.TakeResults()
 	r.ready.Recovered = append(r.ready.Recovered, found.Recovered...)
 	r.ready.Confirmed = append(r.ready.Confirmed, found.Confirmed...)
 }
--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -290,7 +290,7 @@
 // supersede ends the epoch of this writer, because another claim won. Results
 // that were obtained before remain valid and are kept.
 func (j *Journal) supersede() {
-	results := j.TakeFound()
+	results := j.TakeResults()
 	unlogged := j.Unlogged()
 	j.Reset()
 	j.unlogged = unlogged
--- a/recordlog/journal.go
+++ b/recordlog/journal.go
@@ -215,7 +215,7 @@
 }
 
 // TakeResults returns the results that were not delivered yet, and clears them.
-func (j *Journal) TakeFound() Ready {
+func (j *Journal) TakeResults() Ready {
 	results := Ready{Recovered: j.ready.Recovered, Confirmed: j.ready.Confirmed}
 	j.ready.Recovered = nil
 	j.ready.Confirmed = nil
