--- a/partition/recover.go
+++ b/partition/recover.go
@@ -267,7 +267,7 @@
 func (r *Replica) open() {
 	for _, entry := range r.recover.suffix {
 		if entry.Kind == recordlog.KindRecord {
-			r.journal.Repeat(r.now, entry)
+			r.journal.Repropose(r.now, entry)
 		}
 	}
 	set := recordlog.MirrorSet{Members: r.mirrors.enlistment.agreed}
--- a/recordlog/journal.go
+++ b/recordlog/journal.go
@@ -246,7 +246,7 @@
 // Repropose queues a record of an older epoch that only mirrors held. It is
 // delivered in Recovered once the log has it. MaximumUnconfirmedBytes does not
 // apply, because mirrors hold no more than the previous owner's limit.
-func (j *Journal) Repeat(now time.Time, old Entry) {
+func (j *Journal) Repropose(now time.Time, old Entry) {
 	j.now = now
 	origin := &Origin{Epoch: old.Epoch, Sequence: old.Sequence}
 	j.enqueue(Entry{Kind: KindRecord, Origin: origin, Payload: old.Payload}, 0)
