--- a/partition/claim.go
+++ b/partition/claim.go
@@ -195,7 +195,7 @@
 // submitted claim is completed even if the view changes meanwhile, because the
 // log may already hold it.
 func (r *Replica) advanceClaiming() {
-	if r.journal.Open() {
+	if r.journal.IsOpen() {
 		r.startRecovering()
 		return
 	}
--- a/recordlog/benchmark_test.go
+++ b/recordlog/benchmark_test.go
@@ -24,7 +24,7 @@
 	log.drain(writer)
 	writer.Claim(log.now, "a")
 	log.drain(writer)
-	if !writer.Open() {
+	if !writer.IsOpen() {
 		b.Fatal("the claim did not win")
 	}
 	return writer
--- a/recordlog/journal.go
+++ b/recordlog/journal.go
@@ -204,7 +204,7 @@
 
 // IsOpen reports whether this writer's claim won and, as far as the writer
 // knows, its epoch has not ended.
-func (j *Journal) Open() bool {
+func (j *Journal) IsOpen() bool {
 	return j.phase == phaseOpen
 }
 
--- a/recordlog/journal_test.go
+++ b/recordlog/journal_test.go
@@ -22,7 +22,7 @@
 		writer.ReadDone(now, ReadDone{Request: writer.Ready().Reads[0].Request})
 		writer.Claim(now, "a")
 		writer.Appended(now, Appended{Request: writer.Ready().Appends[0].Request})
-		Expect(writer.Open()).To(BeTrue())
+		Expect(writer.IsOpen()).To(BeTrue())
 	})
 
 	propose := func() {
