--- a/emulator/cluster/loss.go
+++ b/emulator/cluster/loss.go
@@ -14,7 +14,7 @@
 	for _, id := range c.partitions() {
 		entries, _ := c.log.Read(id.String(), 0, maximumEntries, maximumBytes)
 		for _, text := range entries {
-			if entry := decodeEntry(text); entry.Mirrors != nil && entry.Mirrors.Unread > 0 {
+			if entry := decodeEntry(text); entry.Mirrors != nil && entry.Mirrors.AbandonedEpoch > 0 {
 				declared[id] = true
 			}
 		}
--- a/partition/ownership_test.go
+++ b/partition/ownership_test.go
@@ -456,6 +456,6 @@
 		c.deliver(c.nodes[stalled], 0, func() { c.nodes[stalled].replica.AcceptLoss(c.now) })
 		owner := expectOwner(c)
 		Expect(owner.state).To(Equal(values), "the third mirror held them")
-		Expect(owner.replica.journal.Fold().Mirrors.Unread).To(Equal(uint64(1)))
+		Expect(owner.replica.journal.Fold().Mirrors.AbandonedEpoch).To(Equal(uint64(1)))
 	})
 })
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -273,7 +273,7 @@
 	set := recordlog.MirrorSet{Members: r.mirrors.enlistment.agreed}
 	r.mirrors.enlistment = enlistment{}
 	if r.recover.lossAccepted {
-		set.Unread = r.recover.debt.Epoch
+		set.AbandonedEpoch = r.recover.debt.Epoch
 	}
 	if r.recover.debt == nil && len(set.Members) == 0 {
 		r.acquire()
--- a/recordlog/entry.go
+++ b/recordlog/entry.go
@@ -64,7 +64,7 @@
 	// AbandonedEpoch is the epoch whose mirrors were not all read, by decision
 	// of an operator or of the configured policy. Records that only the unread
 	// mirrors held are lost. Zero if no records were abandoned.
-	Unread uint64 `json:"unread,omitempty"`
+	AbandonedEpoch uint64 `json:"unread,omitempty"`
 }
 
 // Part gives the position of a KindSnapshot entry within its snapshot.
