--- a/partition/release.go
+++ b/partition/release.go
@@ -35,7 +35,7 @@
 // checkIdle checks the stream for a later claim when the log has shown no new
 // entry for IdleCheck.
 func (r *Replica) checkIdle() {
-	if nextOffset := r.journal.Fold().Next; nextOffset != r.idleCheck.nextOffset || r.idleCheck.checkAt.IsZero() {
+	if nextOffset := r.journal.Fold().NextOffset; nextOffset != r.idleCheck.nextOffset || r.idleCheck.checkAt.IsZero() {
 		r.idleCheck = idleCheck{nextOffset: nextOffset, checkAt: r.now.Add(r.config.IdleCheck)}
 		return
 	}
--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -101,7 +101,7 @@
 // they directly follow the last applied entry, no other entry can precede them.
 // Otherwise the gap is read first, together with the entries.
 func (j *Journal) applyAppended(offset uint64, entries []Entry) {
-	if offset != j.fold.Next {
+	if offset != j.fold.NextOffset {
 		j.readUpTo(offset + uint64(len(entries)))
 		return
 	}
@@ -125,7 +125,7 @@
 // proves that the entries are in the log, so reading finds them.
 func (j *Journal) handleLateAnswer(answer Appended) {
 	writing := j.phase == phaseOpen || j.phase == phaseClaiming
-	if answer.Err == nil && writing && answer.FirstOffset >= j.fold.Next {
+	if answer.Err == nil && writing && answer.FirstOffset >= j.fold.NextOffset {
 		j.readUpTo(answer.FirstOffset + 1)
 	}
 }
@@ -232,7 +232,7 @@
 // confirms a proposal of this writer, ends this writer's epoch, or is delivered
 // as recovered.
 func (j *Journal) applyEntry(entry Entry) {
-	offset := j.fold.Next
+	offset := j.fold.NextOffset
 	verdict := j.fold.Add(entry)
 	if verdict != VerdictValid {
 		return
--- a/recordlog/fold.go
+++ b/recordlog/fold.go
@@ -33,7 +33,7 @@
 // whichever snapshot it starts from. The zero Fold starts at offset zero.
 type Fold struct {
 	// NextOffset is the offset of the next entry to add.
-	Next uint64
+	NextOffset uint64
 	// Epoch is the newest epoch and Writer its winner.
 	Epoch  uint64
 	Writer string
@@ -69,13 +69,13 @@
 // StartAt resets the fold to start with the first part of a snapshot. The
 // header and mirror set of that entry replace the earlier entries.
 func (f *Fold) StartAt(snapshot uint64) {
-	*f = Fold{Next: snapshot, atSnapshotStart: true}
+	*f = Fold{NextOffset: snapshot, atSnapshotStart: true}
 }
 
 // Add processes the entry at NextOffset.
 func (f *Fold) Add(entry Entry) Verdict {
-	offset := f.Next
-	f.Next++
+	offset := f.NextOffset
+	f.NextOffset++
 	if f.atSnapshotStart {
 		f.atSnapshotStart = false
 		f.adoptSnapshot(entry)
--- a/recordlog/fold_test.go
+++ b/recordlog/fold_test.go
@@ -32,7 +32,7 @@
 				verdicts = append(verdicts, fold.Add(entry))
 			}
 			Expect(verdicts).To(Equal(want))
-			Expect(fold.Next).To(Equal(uint64(len(entries))))
+			Expect(fold.NextOffset).To(Equal(uint64(len(entries))))
 		},
 		ginkgo.Entry(nil, []Entry{claimBy(a, 1), recordBy(a, 1, 1)}, VerdictValid, VerdictValid),
 		ginkgo.Entry("the first claim of an epoch wins", []Entry{claimBy(a, 1), claimBy(b, 1), recordBy(b, 1, 1)},
--- a/recordlog/read.go
+++ b/recordlog/read.go
@@ -57,7 +57,7 @@
 	}
 	read := j.reader.next
 	if j.phase != phasePeeking {
-		read.From = j.fold.Next
+		read.From = j.fold.NextOffset
 	}
 	read.Request = j.nextRequest()
 	j.reader.pending = false
@@ -75,7 +75,7 @@
 
 // readNext schedules a read from the fold's next offset.
 func (j *Journal) readNext() {
-	j.reader.schedule(Read{From: j.fold.Next, Maximum: j.config.ReadBatch})
+	j.reader.schedule(Read{From: j.fold.NextOffset, Maximum: j.config.ReadBatch})
 }
 
 // readUpTo makes a writer read and apply all entries before the target offset
@@ -83,7 +83,7 @@
 func (j *Journal) readUpTo(target uint64) {
 	j.reader.target = max(j.reader.target, target)
 	j.reader.fillingGap = true
-	if j.fold.Next < j.reader.target && !j.reader.busy() {
+	if j.fold.NextOffset < j.reader.target && !j.reader.busy() {
 		j.readNext()
 	}
 }
@@ -135,13 +135,13 @@
 }
 
 func (j *Journal) handleReadAnswer(answer ReadDone) {
-	if answer.FirstOffset > j.fold.Next {
+	if answer.FirstOffset > j.fold.NextOffset {
 		j.readFailed()
 		return
 	}
 	// An append that was confirmed in the meantime may have applied some or
 	// all of the entries.
-	skip := min(j.fold.Next-answer.FirstOffset, uint64(len(answer.Entries)))
+	skip := min(j.fold.NextOffset-answer.FirstOffset, uint64(len(answer.Entries)))
 	entries := answer.Entries[skip:]
 	if j.fold.atSnapshotStart && len(entries) > 0 && !IsSnapshotStart(entries[0]) {
 		j.fold = Fold{}
@@ -163,7 +163,7 @@
 // for a writer at least up to the target, because the reported end may lag.
 func (j *Journal) continueReading(end uint64, progress bool, phase phase) {
 	target := max(j.reader.target, end)
-	if j.fold.Next < target {
+	if j.fold.NextOffset < target {
 		j.readNext()
 		if !progress {
 			j.readFailed()
