--- a/command/soak.go
+++ b/command/soak.go
@@ -55,7 +55,7 @@
 	flags.Uint64Var(&options.Seed, "seed", uint64(time.Now().UnixNano()%1_000_000), "what the faults and the load are drawn from; a fresh one by default")
 	flags.DurationVar(&duration, "duration", duration, "how long to run")
 	flags.IntVar(&options.Nodes, "nodes", options.Nodes, "how many nodes to start")
-	flags.StringVar(&options.Without, "without", "", "mechanisms of the nodes to switch off, separated by commas, to see whether that is noticed")
+	flags.StringVar(&options.Disabled, "without", "", "mechanisms of the nodes to switch off, separated by commas, to see whether that is noticed")
 	flags.StringArrayVar(&options.Known, "known", nil, "a promise that is known to be broken, in the report's words: reported, but no reason to fail; may be given again")
 	flags.StringVar(&replay, "replay", "", "a file with a run to make again, in place of --seed, --duration and --nodes")
 	flags.StringVar(&options.Logs, "logs", "", "a folder that the nodes' logs stay in; without it they go")
@@ -65,7 +65,7 @@
 
 // runSoak runs until the end or a signal.
 func runSoak(parent context.Context, options soak.Options) error {
-	if _, err := edge.ParseMechanisms("--without", options.Without); err != nil {
+	if _, err := edge.ParseMechanisms("--without", options.Disabled); err != nil {
 		return &ExitError{Code: ExitUsage, Cause: err}
 	}
 	if options.Binary == "" {
--- a/soak/run.go
+++ b/soak/run.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, run.close()) }()
-	run.print(fmt.Sprintf("seed %d: %d nodes, %d s, %d faults, without %q", options.Seed, options.Nodes, options.Seconds, len(options.Faults), options.Without))
+	run.print(fmt.Sprintf("seed %d: %d nodes, %d s, %d faults, without %q", options.Seed, options.Nodes, options.Seconds, len(options.Faults), options.Disabled))
 	if err := run.open(); err != nil {
 		return err
 	}
--- a/soak/system.go
+++ b/soak/system.go
@@ -60,7 +60,7 @@
 type Options struct {
 	Scenario
 	// Disabled lists the mechanisms of the nodes to switch off, separated by commas.
-	Without string
+	Disabled string
 	// KnownBroken lists promises that are known to be broken. Breaches of them are reported but
 	// do not affect the verdict.
 	Known []string
@@ -215,7 +215,7 @@
 			Partitions: partitions, MemoryBytes: nodeMemory, Cores: 1, Grace: nodeGrace, KeyLease: bounds.RevokeBound,
 			Quota: tenant.Config{Window: bounds.QuotaWindow, Overrun: bounds.QuotaOverrun, Slack: bounds.QuotaSlack},
 		},
-		zoneIndex: zoneIndex, store: store, clients: clients, binary: s.options.Binary, disabled: s.options.Without,
+		zoneIndex: zoneIndex, store: store, clients: clients, binary: s.options.Binary, disabled: s.options.Disabled,
 		folder: s.folder, starter: s.starter, onExit: func(exit promise.Exited) { s.record(exit) },
 	}, nil
 }
