--- a/command/soak.go
+++ b/command/soak.go
@@ -56,7 +56,7 @@
 	flags.DurationVar(&duration, "duration", duration, "how long to run")
 	flags.IntVar(&options.Nodes, "nodes", options.Nodes, "how many nodes to start")
 	flags.StringVar(&options.Disabled, "without", "", "mechanisms of the nodes to switch off, separated by commas, to see whether that is noticed")
-	flags.StringArrayVar(&options.Known, "known", nil, "a promise that is known to be broken, in the report's words: reported, but no reason to fail; may be given again")
+	flags.StringArrayVar(&options.KnownBroken, "known", nil, "a promise that is known to be broken, in the report's words: reported, but no reason to fail; may be given again")
 	flags.StringVar(&replay, "replay", "", "a file with a run to make again, in place of --seed, --duration and --nodes")
 	flags.StringVar(&options.Logs, "logs", "", "a folder that the nodes' logs stay in; without it they go")
 	flags.StringVar(&options.Binary, "binary", "", "the program of a node; by default "+nodeProgram+" beside this program")
--- a/soak/run.go
+++ b/soak/run.go
@@ -106,7 +106,7 @@
 	broken := 0
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		known := ""
-		if slices.Contains(s.options.Known, string(name)) {
+		if slices.Contains(s.options.KnownBroken, string(name)) {
 			known = " (known)"
 		} else {
 			broken++
--- a/soak/system.go
+++ b/soak/system.go
@@ -63,7 +63,7 @@
 	Disabled string
 	// KnownBroken lists promises that are known to be broken. Breaches of them are reported but
 	// do not affect the verdict.
-	Known []string
+	KnownBroken []string
 	// Binary is the path of the node executable.
 	Binary string
 	// Output receives the report.
