--- a/soak/load.go
+++ b/soak/load.go
@@ -298,7 +298,7 @@
 		// Without an answer, the nodes have promised nothing. The checker counts the attempt as failed.
 		answer = standin.Answer{}
 	}
-	s.record(promise.Answered{ID: sent.ID, Status: answer.Status, Body: answer.Body, Whole: answer.Complete})
+	s.record(promise.Answered{ID: sent.ID, Status: answer.Status, Body: answer.Body, Complete: answer.Complete})
 	return answer
 }
 
--- a/soak/promise/answer.go
+++ b/soak/promise/answer.go
@@ -24,7 +24,7 @@
 	if sent == nil || sent.answered {
 		return
 	}
-	sent.answered, sent.answeredAt, sent.status, sent.complete = true, at, event.Status, event.Whole
+	sent.answered, sent.answeredAt, sent.status, sent.complete = true, at, event.Status, event.Complete
 	if meansNotRun(event.Status) && sent.runs > 0 {
 		c.addBreach(at, TrueRefusals, sent, "", fmt.Sprintf("answered %d after it ran on %v", event.Status, sent.replicas))
 	}
@@ -51,14 +51,14 @@
 		return
 	}
 	if sent.Events == 0 {
-		if event.Whole && !strings.HasSuffix(event.Body, " for "+sent.ID) {
+		if event.Complete && !strings.HasSuffix(event.Body, " for "+sent.ID) {
 			c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q", shorten(event.Body)))
 		}
 		return
 	}
 	want := completeStream(sent.ID, sent.Events)
 	switch {
-	case event.Whole && event.Body != want:
+	case event.Complete && event.Body != want:
 		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q as whole", shorten(event.Body)))
 	case !strings.HasPrefix(want, event.Body):
 		c.addBreach(at, WholeAnswers, sent, "", fmt.Sprintf("got %q before it broke off", shorten(event.Body)))
--- a/soak/promise/checker_test.go
+++ b/soak/promise/checker_test.go
@@ -59,7 +59,7 @@
 	if previous != "" {
 		ran.Body = "in-" + previous + previous + "-1\n" + previous + "-2\n" + ran.Body
 	}
-	answer := promise.Answered{ID: id, Status: 200, Whole: true, Body: "id: 1\ndata: " + id + "-1\n\nid: 2\ndata: " + id + "-2\n\n"}
+	answer := promise.Answered{ID: id, Status: 200, Complete: true, Body: "id: 1\ndata: " + id + "-1\n\nid: 2\ndata: " + id + "-2\n\n"}
 	if change != nil {
 		change(&sent, &ran, &answer)
 	}
@@ -87,7 +87,7 @@
 		first := w.turn("p", "", nil)
 		w.turn("p", first, nil)
 		w.observe(2*time.Second, promise.Sent{ID: "c", Node: "n", Tenant: "a", Key: "k"}, promise.Ran{ID: "c", Tenant: "a", Zone: "north-a"},
-			promise.Answered{ID: "c", Status: 200, Whole: true, Body: "done by r for c"})
+			promise.Answered{ID: "c", Status: 200, Complete: true, Body: "done by r for c"})
 		w.turn("p", "", refused(402))
 		w.turn("q", "nothing", refused(404))
 		w.turn("q", "", refused(503))
@@ -111,14 +111,14 @@
 			answer.Body = strings.ReplaceAll(answer.Body, "t-1", "t-9")
 		}),
 		Entry("broken off, and wrong until there", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
-			answer.Whole, answer.Body = false, "id: 2"
+			answer.Complete, answer.Body = false, "id: 2"
 		}),
 		Entry("that nobody made", func(_ *promise.Sent, ran *promise.Ran, _ *promise.Answered) { ran.ID = "" }),
 	)
 
 	It("allows an answer that broke off in its order", func() {
 		w.turn("p", "", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
-			answer.Whole, answer.Body = false, "id: 1\ndata: t-1-1\n\nid"
+			answer.Complete, answer.Body = false, "id: 1\ndata: t-1-1\n\nid"
 		})
 		Expect(w.found).To(BeEmpty())
 	})
@@ -144,7 +144,7 @@
 	It("finds a program that got more than its budget and one turn, broken turns counted", func() {
 		for range 4 {
 			w.turn("p", "", func(sent *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
-				sent.MustServe, answer.Whole = false, false
+				sent.MustServe, answer.Complete = false, false
 			})
 		}
 		Expect(w.found).To(BeEmpty())
@@ -205,7 +205,7 @@
 		w.observe(0, promise.Sent{ID: "1", Node: "n", Incarnation: 1, Key: "k"}, promise.Answered{ID: "1", Status: 401})
 		works := func(id string, life int) {
 			w.observe(time.Second, promise.Sent{ID: id, Node: "n", Incarnation: life, Key: "k"}, promise.Ran{ID: id},
-				promise.Answered{ID: id, Status: 200, Whole: true, Body: " for " + id})
+				promise.Answered{ID: id, Status: 200, Complete: true, Body: " for " + id})
 		}
 		works("2", 2)
 		Expect(w.found).To(BeEmpty())
@@ -346,7 +346,7 @@
 			w.turn("p", "", refused(503))
 		}
 		Expect(w.found).To(BeEmpty())
-		w.observe(0, promise.Answered{ID: "open", Status: 200, Whole: true})
+		w.observe(0, promise.Answered{ID: "open", Status: 200, Complete: true})
 		for range 4 {
 			w.turn("p", "", refused(503))
 		}
--- a/soak/promise/event.go
+++ b/soak/promise/event.go
@@ -40,7 +40,7 @@
 	Status int
 	Body   string
 	// Complete is false if the answer broke off.
-	Whole bool
+	Complete bool
 }
 
 // Ran records that a replica started to run a request.
