--- a/control/apply.go
+++ b/control/apply.go
@@ -254,7 +254,7 @@
 }
 
 // SetOutcome copies a call's outcome into its API form.
-func FillEnded(call *api.Call, ended *program.CallEnded) {
+func SetOutcome(call *api.Call, ended *program.CallEnded) {
 	call.Status = ended.Status
 	call.Output = ended.Output
 	call.Usage = ended.Usage
--- a/emulator/cluster/transcript.go
+++ b/emulator/cluster/transcript.go
@@ -106,7 +106,7 @@
 		}
 		ended = record.Ended
 	}
-	control.FillEnded(&call, ended)
+	control.SetOutcome(&call, ended)
 	return call, nil
 }
 
--- a/node/history.go
+++ b/node/history.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return api.Call{}, err
 	}
-	control.FillEnded(&call, ended)
+	control.SetOutcome(&call, ended)
 	return call, nil
 }
 
