--- a/soak/load.go
+++ b/soak/load.go
@@ -151,7 +151,7 @@
 	}
 	var previous storedTurn
 	if s.chance(storedShare) {
-		turn.Route, turn.Repeatable, turn.Stored = standin.KeptPath, false, true
+		turn.Route, turn.Repeatable, turn.Stored = standin.StoredPath, false, true
 		if s.chance(resumeShare) {
 			previous = s.randomStoredTurn(tenant)
 		}
@@ -259,7 +259,7 @@
 	other := map[string]string{firstTenant: secondTenant, secondTenant: firstTenant}[tenant]
 	id := s.nextID("f")
 	s.send(s.pickNode(), http.MethodPost, promise.Sent{
-		ID: id, Tenant: other, Key: other + "-key", Route: standin.KeptPath, Events: eventsOfAnswer, Program: s.nextID("p"),
+		ID: id, Tenant: other, Key: other + "-key", Route: standin.StoredPath, Events: eventsOfAnswer, Program: s.nextID("p"),
 		Session: id, Previous: previous, Stored: true, Budget: programBudget, MaxTokens: maxTurnTokens, Body: "input of " + id + ";",
 	})
 }
