--- a/soak/load.go
+++ b/soak/load.go
@@ -293,7 +293,7 @@
 	sent.Node = node.settings.Node
 	sent.Incarnation, _ = node.current()
 	s.record(sent)
-	answer, err := standin.AskWithin(clientTimeout, node.clients.address(), method, standin.Host, sent.Route+"x", headerOf(sent), sent.Body)
+	answer, err := standin.SendRequestWithin(clientTimeout, node.clients.address(), method, standin.Host, sent.Route+"x", headerOf(sent), sent.Body)
 	if err != nil {
 		// Without an answer, the nodes have promised nothing. The checker counts the attempt as failed.
 		answer = standin.Answer{}
