--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -93,7 +93,7 @@
 // used are settled with its own owner.
 func (t *turnRun) storeInOtherPartition(ctx context.Context, search *requestState, keepRequest coordinator.KeepRequest) (stored bool) {
 	n, partitions := t.node, t.node.settings.Partitions
-	if !n.settings.uses(KeepAside) || !wait.For(ctx, otherPartitionDelay) {
+	if !n.settings.uses(StoreInOtherPartition) || !wait.For(ctx, otherPartitionDelay) {
 		return false
 	}
 	keepRequest.Turn.Base, keepRequest.HasBase, keepRequest.RefuseWhenStalled = t.grant.chain, true, true
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -63,7 +63,7 @@
 	HoldBack Mechanism = "hold-back"
 	// StoreInOtherPartition stores a turn in another partition if the log accepts no
 	// records of its program's partition.
-	KeepAside Mechanism = "keep-aside"
+	StoreInOtherPartition Mechanism = "keep-aside"
 	// EnforceLimits enforces the rate limits of tenants.
 	EnforceLimits Mechanism = "keep-quotas"
 	// LeaseKeys accepts keys only while this node has a recent freshness proof for them.
@@ -151,7 +151,7 @@
 		GrantTurnAfterFailure,
 		HandOver,
 		HoldBack,
-		KeepAside,
+		StoreInOtherPartition,
 		EnforceLimits,
 		LeaseKeys,
 		LimitCold,
