--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -60,7 +60,7 @@
 	HandOver Mechanism = "hand-over"
 	// HoldUntilStored holds an answer until its turn is stored, if the log accepted no
 	// records when the turn was admitted.
-	HoldBack Mechanism = "hold-back"
+	HoldUntilStored Mechanism = "hold-back"
 	// StoreInOtherPartition stores a turn in another partition if the log accepts no
 	// records of its program's partition.
 	StoreInOtherPartition Mechanism = "keep-aside"
@@ -150,7 +150,7 @@
 		GatherLoads,
 		GrantTurnAfterFailure,
 		HandOver,
-		HoldBack,
+		HoldUntilStored,
 		StoreInOtherPartition,
 		EnforceLimits,
 		LeaseKeys,
--- a/edge/run.go
+++ b/edge/run.go
@@ -225,7 +225,7 @@
 // would otherwise have used its tokens in vain, and they would be missing from the budget
 // when the client repeats the request.
 func (t *turnRun) holdsOutput() bool {
-	return t.grant.stalled && t.request.route.Retain && t.node.settings.uses(HoldBack)
+	return t.grant.stalled && t.request.route.Retain && t.node.settings.uses(HoldUntilStored)
 }
 
 // writeOrHold sends a part of the answer to the client, or holds it.
