--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -123,7 +123,7 @@
 // TestLimitCold checks that nothing is charged if the mechanism is switched off.
 func TestLimitCold(t *testing.T) {
 	g := NewWithT(t)
-	node := coldNode(g, []Mechanism{LimitCold}, "r0")
+	node := coldNode(g, []Mechanism{LimitColdReplicas}, "r0")
 	defer node.Kill()
 	_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -70,7 +70,7 @@
 	LeaseKeys Mechanism = "lease-keys"
 	// LimitColdReplicas limits the rate of requests from all nodes together to a cold
 	// replica.
-	LimitCold Mechanism = "limit-cold"
+	LimitColdReplicas Mechanism = "limit-cold"
 	// MarkAhead raises marks beyond what a program needs at once.
 	MarkAhead Mechanism = "mark-ahead"
 	// OrderBySlack makes full engines first serve the programs with the least slack, within
@@ -154,7 +154,7 @@
 		StoreInOtherPartition,
 		EnforceLimits,
 		LeaseKeys,
-		LimitCold,
+		LimitColdReplicas,
 		MarkAhead,
 		DetectIsolationEarly,
 		OrderBySlack,
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -68,7 +68,7 @@
 		Connections:   !settings.uses(PreferConnections),
 		Faults:        !settings.uses(AvoidFaultyReplicas),
 		Suspicion:     !settings.uses(AvoidUnresponsiveReplicas),
-		Cold:          !settings.uses(LimitCold),
+		Cold:          !settings.uses(LimitColdReplicas),
 		TokenTimes:    !settings.uses(WeighTokenTimes),
 		Slack:         !settings.uses(WeighSlack),
 	}
