--- a/edge/join.go
+++ b/edge/join.go
@@ -23,7 +23,7 @@
 // this node has a list from any source. If the store is slow, nodes that did not restart
 // have the list much sooner.
 func (n *Node) joinThroughPeers(ctx context.Context) {
-	if !n.settings.uses(AskForList) {
+	if !n.settings.uses(AskPeersForNodes) {
 		return
 	}
 	backoff := n.backoffOf(joinMinimumBackoff, peerQueryMaximumBackoff)
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -15,7 +15,7 @@
 const (
 	// AskPeersForNodes makes a starting node query known peers for the list of nodes,
 	// besides reading it from the store.
-	AskForList Mechanism = "ask-for-list"
+	AskPeersForNodes Mechanism = "ask-for-list"
 	// EstimateSharedPrompts estimates which prompt parts that many programs share are in
 	// the engines' caches because of requests from other nodes.
 	EstimateSharedPrompts Mechanism = "assume-shared"
@@ -132,7 +132,7 @@
 // Mechanisms returns all mechanisms, ordered by their strings.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
-		AskForList,
+		AskPeersForNodes,
 		EstimateSharedPrompts,
 		AwaitLateAppends,
 		BeginAfterFailure,
