--- a/contract/benchmark_test.go
+++ b/contract/benchmark_test.go
@@ -124,7 +124,7 @@
 		before := heapInUse()
 		tree := benchmarkTree(b)
 		fresh := heapInUse()
-		for index := range contract.Window {
+		for index := range contract.WindowRecords {
 			position := contract.Revision(tree.Position())
 			tree.Apply(position+1, set(fmt.Sprint("change-", index), position, benchmarkPath(index), contract.Values{Priority: pointer(index % 10)}))
 		}
--- a/contract/state.go
+++ b/contract/state.go
@@ -12,7 +12,7 @@
 // retains for duplicates, verdicts, history and diffs. A change that is based
 // on a revision before the window is refused if a later one was accepted, since
 // its conflicts can no longer be determined.
-const Window = 4096
+const WindowRecords = 4096
 
 // treeDegree is the branching factor of the ordered maps.
 const treeDegree = 16
--- a/contract/tree.go
+++ b/contract/tree.go
@@ -23,7 +23,7 @@
 
 // NewTree returns an empty tree: a root that has the default values, permits
 // no zone and lists no token.
-func NewTree() *Tree { return newTree(Window) }
+func NewTree() *Tree { return newTree(WindowRecords) }
 
 func newTree(windowRecords Revision) *Tree {
 	tree := &Tree{working: newState(windowRecords)}
