--- a/partition/mirrorstore.go
+++ b/partition/mirrorstore.go
@@ -164,7 +164,7 @@
 
 // keepOwned stores the unlogged entries of an epoch that this node owned and
 // lost, if they fit. From then on the store answers for the whole epoch.
-func (s *MirrorStore) keepOwned(id ID, rest recordlog.Rest) {
+func (s *MirrorStore) keepOwned(id ID, rest recordlog.Unlogged) {
 	epoch := &mirroredEpoch{loggedSequence: rest.LoggedSequence}
 	if !s.extend(epoch, rest.Entries) {
 		s.dropThrough(epoch, epoch.lastSequence())
--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -191,7 +191,7 @@
 
 // Unlogged holds the entries of a writer's epoch that it proposed and that the
 // log has not confirmed. When the writer loses its epoch, they remain unlogged.
-type Rest struct {
+type Unlogged struct {
 	Epoch uint64
 	// LoggedSequence is the last sequence of the epoch that the log has
 	// confirmed.
@@ -201,11 +201,11 @@
 
 // Unlogged returns this writer's unlogged entries; after it was superseded,
 // those of the time when that happened.
-func (j *Journal) Unlogged() Rest {
+func (j *Journal) Unlogged() Unlogged {
 	if j.phase == phaseSuperseded {
 		return j.unlogged
 	}
-	unlogged := Rest{Epoch: j.epoch, LoggedSequence: j.LastSequence()}
+	unlogged := Unlogged{Epoch: j.epoch, LoggedSequence: j.LastSequence()}
 	if len(j.queue) > 0 {
 		unlogged.LoggedSequence = j.queue[0].entry.Sequence - 1
 		unlogged.Entries = j.Unconfirmed(unlogged.LoggedSequence, math.MaxInt)
--- a/recordlog/journal.go
+++ b/recordlog/journal.go
@@ -88,7 +88,7 @@
 	mirrors MirrorSet
 
 	// unlogged holds the unlogged entries of the time when another claim won.
-	unlogged Rest
+	unlogged Unlogged
 
 	lastRequest uint64
 	ready       Ready
@@ -136,7 +136,7 @@
 	j.deferredRecords = nil
 	j.snapshotting = false
 	j.snapshotParts = nil
-	j.unlogged = Rest{}
+	j.unlogged = Unlogged{}
 	j.mirrors = MirrorSet{}
 	j.ready = Ready{}
 }
