--- a/contract/export_test.go
+++ b/contract/export_test.go
@@ -1,14 +1,15 @@
 package contract
 
-// NewTreeWithWindow returns a tree that forgets sooner, so that tests reach
-// the end of its memory.
-func NewTreeWithWindow(window Revision) *Tree { return newTree(window) }
+// NewTreeWithWindow returns a tree that retains fewer records, so that short
+// tests exceed its window.
+func NewTreeWithWindow(windowRecords Revision) *Tree { return newTree(windowRecords) }
 
-// Digest returns the chained digest of the records that the tree folded.
+// Digest returns the chained digest of the records applied to the tree.
 func (t *Tree) Digest() uint64 { return t.published.Load().digest.Short() }
 
-// Held counts what the tree remembers: records, change ids and touched paths.
-func (t *Tree) Held() (records, changes, touched int) {
+// RetainedCounts returns how many records, change IDs and last edits of paths
+// the tree holds.
+func (t *Tree) RetainedCounts() (records, changes, lastEdits int) {
 	current := t.published.Load()
-	return current.log.Len(), current.changes.Len(), current.touched.Len()
+	return current.log.Len(), current.changes.Len(), current.lastEdits.Len()
 }
--- a/contract/fold.go
+++ b/contract/fold.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// Bounds of one change.
+// Limits on one change.
 const (
 	// MaximumEdits bounds the edits of one change.
 	MaximumEdits       = 2048
@@ -19,11 +19,11 @@
 	maximumActorLength = 256
 )
 
-// digest chains the records that were folded: equal digests at equal
+// digest is a hash chain over the applied records: equal digests at equal
 // positions mean the same stream.
 type digest [sha256.Size]byte
 
-// Short returns the first eight bytes, for messages between nodes.
+// Short returns the first eight bytes, which messages between nodes carry.
 func (d digest) Short() uint64 { return binary.BigEndian.Uint64(d[:8]) }
 
 // next returns the digest after one more record.
@@ -34,11 +34,12 @@
 	return digest(hash.Sum(nil))
 }
 
-// foldBytes folds one record of the stream as it stands there.
-func (s *state) foldBytes(revision Revision, data []byte) Verdict {
+// applyBytes applies one record in its encoded form. A malformed record is
+// refused with a finding and skipped.
+func (s *state) applyBytes(revision Revision, data []byte) Verdict {
 	change, err := decodeChange(data)
 	if err == nil {
-		return s.foldRecord(revision, change, data)
+		return s.applyRecord(revision, change, data)
 	}
 	if revision <= s.position {
 		return s.verdictAt(revision)
@@ -65,18 +66,18 @@
 	return change, nil
 }
 
-// fold folds a change that was not read from the stream's bytes.
-func (s *state) fold(revision Revision, change Change) Verdict {
+// applyChange applies a change that was not read from the stream.
+func (s *state) applyChange(revision Revision, change Change) Verdict {
 	data, err := json.Marshal(change)
 	if err != nil {
 		data = []byte(err.Error())
 	}
-	return s.foldRecord(revision, change, data)
+	return s.applyRecord(revision, change, data)
 }
 
-// foldRecord folds one change. It is the whole rule by which every node
-// reaches the same verdict.
-func (s *state) foldRecord(revision Revision, change Change, data []byte) Verdict {
+// applyRecord applies one change. Its result depends on the state and the
+// record alone, so every node reaches the same verdict.
+func (s *state) applyRecord(revision Revision, change Change, data []byte) Verdict {
 	if revision <= s.position {
 		return s.verdictAt(revision)
 	}
@@ -85,9 +86,9 @@
 		return earlier
 	}
 	verdict := Verdict{ID: change.ID, Revision: s.revision}
-	verdict.Findings, verdict.Winner = s.conflicts(revision, change)
+	verdict.Findings, verdict.Winner = s.findConflicts(revision, change)
 	trial := s.clone()
-	before, findings := trial.applyEdits(revision, change)
+	replacedBranches, findings := trial.applyEdits(revision, change)
 	verdict.Findings = append(verdict.Findings, findings...)
 	if len(verdict.Findings) > 0 {
 		s.record(revision, data, logEntry{change: change, verdict: verdict})
@@ -97,11 +98,11 @@
 	s.revision = revision
 	verdict.Accepted = true
 	verdict.Revision = revision
-	s.record(revision, data, logEntry{change: change, verdict: verdict, before: before})
+	s.record(revision, data, logEntry{change: change, verdict: verdict, replacedBranches: replacedBranches})
 	return verdict
 }
 
-// verdictAt returns the verdict of a record that was folded before.
+// verdictAt returns the verdict of a record that was already applied.
 func (s *state) verdictAt(revision Revision) Verdict {
 	entry, found := s.log.Get(logEntry{position: revision})
 	if !found {
@@ -110,7 +111,7 @@
 	return entry.verdict
 }
 
-// record advances the position over one record and remembers it.
+// record advances the position past one record and adds it to the log.
 func (s *state) record(revision Revision, data []byte, entry logEntry) {
 	entry.position = revision
 	s.log.ReplaceOrInsert(entry)
@@ -119,14 +120,14 @@
 	}
 	s.position = revision
 	s.digest = s.digest.next(data)
-	s.forget()
+	s.evictOldRecords()
 }
 
-// forget drops the records that left the window.
-func (s *state) forget() {
+// evictOldRecords drops the records that are outside the window.
+func (s *state) evictOldRecords() {
 	for {
 		oldest, found := s.log.Min()
-		if !found || oldest.position+s.window > s.position {
+		if !found || oldest.position+s.windowRecords > s.position {
 			return
 		}
 		s.log.DeleteMin()
@@ -135,76 +136,77 @@
 		if found && key.position == oldest.position {
 			s.changes.Delete(key)
 		}
-		s.forgetRemoved(oldest)
+		s.evictRemovedPaths(oldest)
 	}
 }
 
-// forgetRemoved drops the memory of branches that a record removed for good.
-// A change that could clash with the removal is based before the window now,
-// and refused for that.
-func (s *state) forgetRemoved(forgotten logEntry) {
-	for _, replaced := range forgotten.before {
-		last, found := s.touched.Get(touch{path: replaced.path})
-		if found && last.revision == forgotten.position && s.branch(replaced.path) == nil {
-			s.touched.Delete(last)
+// evictRemovedPaths drops the last edit of each path that the evicted record
+// removed and that was not created again. A change that would conflict with
+// the removal is now based before the window and refused for that reason.
+func (s *state) evictRemovedPaths(evicted logEntry) {
+	for _, replaced := range evicted.replacedBranches {
+		last, found := s.lastEdits.Get(lastEdit{path: replaced.path})
+		if found && last.revision == evicted.position && s.branch(replaced.path) == nil {
+			s.lastEdits.Delete(last)
 		}
 	}
 }
 
-// conflicts compares the change with what was accepted after Based. The
-// winner is the latest of the accepted changes that it clashes with.
-func (s *state) conflicts(revision Revision, change Change) ([]Finding, string) {
+// findConflicts compares the change with those accepted after Based. It also
+// returns the ID of the latest accepted change that it conflicts with.
+func (s *state) findConflicts(revision Revision, change Change) ([]Finding, string) {
 	if change.Based >= revision {
 		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d: the stream has not reached it", change.Based)}}, ""
 	}
-	if change.Based < s.revision && change.Based+s.window < revision {
-		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d is more than %d records back: read the settings again", change.Based, s.window)}}, ""
+	if change.Based < s.revision && change.Based+s.windowRecords < revision {
+		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d is more than %d records back: read the settings again", change.Based, s.windowRecords)}}, ""
 	}
 	var findings []Finding
-	var winner touch
+	var winner lastEdit
 	for index, edit := range change.Edits {
-		clash, found := s.clash(edit.Path, change.Based)
+		latestConflict, found := s.latestConflict(edit.Path, change.Based)
 		if !found {
 			continue
 		}
 		findings = append(findings, Finding{
 			Place: fmt.Sprintf("edits[%d].path", index),
 			Message: fmt.Sprintf("conflict: change %q by %q edited %q at revision %d, after revision %d that this change is based on",
-				clash.changeID, clash.actor, clash.path.String(), clash.revision, change.Based),
+				latestConflict.changeID, latestConflict.actor, latestConflict.path.String(), latestConflict.revision, change.Based),
 		})
-		if clash.revision > winner.revision {
-			winner = clash
+		if latestConflict.revision > winner.revision {
+			winner = latestConflict
 		}
 	}
 	return findings, winner.changeID
 }
 
-// clash returns the latest edit after based at the path, above it or below it.
-func (s *state) clash(path Path, based Revision) (latest touch, found bool) {
-	consider := func(candidate touch) bool {
+// latestConflict returns the latest edit after based at the path, or at an
+// ancestor or descendant of it.
+func (s *state) latestConflict(path Path, based Revision) (latest lastEdit, found bool) {
+	consider := func(candidate lastEdit) bool {
 		if candidate.revision > based && candidate.revision > latest.revision {
 			latest, found = candidate, true
 		}
 		return true
 	}
-	for _, ancestor := range path.lineage() {
-		if candidate, exists := s.touched.Get(touch{path: ancestor}); exists {
+	for _, ancestor := range path.selfAndAncestors() {
+		if candidate, exists := s.lastEdits.Get(lastEdit{path: ancestor}); exists {
 			consider(candidate)
 		}
 	}
 	if path == Root {
-		s.touched.Ascend(consider)
+		s.lastEdits.Ascend(consider)
 		return latest, found
 	}
-	from, to := below(path)
-	s.touched.AscendRange(touch{path: from}, touch{path: to}, consider)
+	from, to := descendantRange(path)
+	s.lastEdits.AscendRange(lastEdit{path: from}, lastEdit{path: to}, consider)
 	return latest, found
 }
 
-// applyEdits performs the edits in order and returns the branches that they
-// replaced, or what is wrong with them.
+// applyEdits applies the edits in order. It returns the branches that they
+// replaced, and the findings.
 func (s *state) applyEdits(revision Revision, change Change) ([]branchEntry, []Finding) {
-	findings := checkEnvelope(change)
+	findings := checkChangeFields(change)
 	if len(findings) > 0 {
 		return nil, findings
 	}
@@ -229,24 +231,24 @@
 	return entries, findings
 }
 
-// withoutContract returns what the log keeps of a replaced branch: its contract
-// can be computed again.
+// withoutContract returns a copy for the log, without the contract, which can
+// be computed again.
 func (b *branch) withoutContract() *branch {
 	if b == nil {
 		return nil
 	}
-	return &branch{path: b.path, values: b.values, since: b.since}
+	return &branch{path: b.path, values: b.values, fieldRevisions: b.fieldRevisions}
 }
 
-// applyEdit performs one edit. An edit with findings is performed as far as it
-// goes, so that the edits that build on it are checked too; the state is then
-// of no more use.
+// applyEdit applies one edit. An edit with findings is applied as far as
+// possible, so that later edits that depend on it are checked too; the caller
+// must then discard the state.
 func (s *state) applyEdit(revision Revision, change Change, edit Edit, place string) []Finding {
 	findings := checkEdit(edit, place)
 	if edit.Path.Validate() != nil || edit.Remove && edit.Path == Root {
 		return findings
 	}
-	s.touched.ReplaceOrInsert(touch{path: edit.Path, revision: revision, changeID: change.ID, actor: change.Actor})
+	s.lastEdits.ReplaceOrInsert(lastEdit{path: edit.Path, revision: revision, changeID: change.ID, actor: change.Actor})
 	existing := s.branch(edit.Path)
 	if edit.Remove {
 		return append(findings, s.removeBranch(existing, edit, place)...)
@@ -255,9 +257,9 @@
 		if s.branch(edit.Path.Parent()) == nil {
 			return append(findings, Finding{Place: place + ".path", Message: fmt.Sprintf("%q has no parent branch %q", edit.Path, edit.Path.Parent())})
 		}
-		existing = &branch{path: edit.Path, since: make([]Revision, len(fields))}
+		existing = &branch{path: edit.Path, fieldRevisions: make([]Revision, len(fields))}
 	}
-	updated := &branch{path: edit.Path, values: existing.values, since: slices.Clone(existing.since), contract: existing.contract}
+	updated := &branch{path: edit.Path, values: existing.values, fieldRevisions: slices.Clone(existing.fieldRevisions), contract: existing.contract}
 	for index := range fields {
 		updated.edit(index, edit, revision)
 	}
@@ -267,15 +269,15 @@
 	return findings
 }
 
-// edit applies one field of an edit to a branch that no state holds yet.
+// edit applies one field of an edit to a branch that is not in a state yet.
 func (b *branch) edit(index int, edit Edit, revision Revision) {
 	if slices.Contains(edit.Unset, fields[index].name) {
 		fields[index].assign(&b.values, &Values{})
-		b.since[index] = 0
+		b.fieldRevisions[index] = 0
 	}
 	if fields[index].isSet(&edit.Values) {
 		fields[index].assign(&b.values, &edit.Values)
-		b.since[index] = revision
+		b.fieldRevisions[index] = revision
 	}
 }
 
@@ -290,7 +292,7 @@
 		}
 	})
 	if len(findings) > 0 {
-		return findings // a branch never lacks its parent
+		return findings // removing it would leave its children without a parent
 	}
 	s.setTokens(edit.Path, &existing.values, &Values{})
 	s.branches.Delete(branchEntry{path: edit.Path})
--- a/control/apply.go
+++ b/control/apply.go
@@ -15,16 +15,17 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// pendingReply is the answer to a request that waits for durability.
+// pendingReply is a reply that waits for durability: either an answer or a
+// fetch.
 type pendingReply struct {
 	answer *Answer
 	fetch  *FetchHistory
 }
 
-// apply proposes an output's records, performs what may be done at once, and
-// keeps the rest until every record decided so far is durable. A reply waits
-// too, even when the output has no records of its own: what it tells may rest
-// on records that are still under way.
+// apply proposes an output's records, performs its immediate effects, and holds
+// the rest back until every record decided so far is durable. A reply waits
+// even if the output has no records of its own, because its content may depend
+// on earlier records that are not durable yet.
 func (c *Core) apply(now time.Time, owned *ownedPartition, output program.Output, reply *pendingReply) {
 	if len(output.Records) == 0 && len(output.Effects) == 0 && len(output.Immediate) == 0 && reply == nil {
 		return
@@ -45,21 +46,22 @@
 		pending.fetches = append(pending.fetches, *reply.fetch)
 	}
 	owned.outputs = append(owned.outputs, pending)
-	c.proposeWaiting(now, owned)
+	c.proposeRecords(now, owned)
 	for _, effect := range output.Immediate {
 		c.perform(now, owned, effect)
 	}
-	c.releaseDurable(now, owned)
+	c.performDurable(now, owned)
 }
 
-// proposeWaiting hands the replica the records it has room for, in order.
-func (c *Core) proposeWaiting(now time.Time, owned *ownedPartition) {
+// proposeRecords proposes the waiting records in order, until the replica
+// refuses one.
+func (c *Core) proposeRecords(now time.Time, owned *ownedPartition) {
 	first := owned.position - uint64(len(owned.unproposed))
 	for len(owned.unproposed) > 0 {
 		record := owned.unproposed[0]
 		payload, err := json.Marshal(record)
 		if err != nil {
-			panic(fmt.Sprintf("control: a record has no JSON form: %v", err))
+			panic(fmt.Sprintf("control: encoding a program record as JSON: %v", err))
 		}
 		token, err := owned.replica.Propose(now, payload)
 		if err != nil {
@@ -72,13 +74,13 @@
 	owned.unproposed = nil
 }
 
-// releaseDurable performs the outputs whose records are all durable.
-func (c *Core) releaseDurable(now time.Time, owned *ownedPartition) {
-	for len(owned.outputs) > 0 && owned.outputs[0].position <= owned.durable {
+// performDurable performs the outputs whose records are all durable.
+func (c *Core) performDurable(now time.Time, owned *ownedPartition) {
+	for len(owned.outputs) > 0 && owned.outputs[0].position <= owned.durablePosition {
 		output := owned.outputs[0]
 		owned.outputs = owned.outputs[1:]
 		for _, record := range output.endings {
-			c.announceEnding(owned, record, output.effects)
+			c.emitFinished(owned, record, output.effects)
 		}
 		for _, effect := range output.effects {
 			c.perform(now, owned, effect)
@@ -92,15 +94,15 @@
 	}
 }
 
-// perform does what an effect of the programs asks for.
+// perform carries out an effect of the program store.
 func (c *Core) perform(now time.Time, owned *ownedPartition, effect program.Effect) {
 	switch effect.Kind {
-	case program.EffectStart:
-		c.start(now, owned, effect)
+	case program.EffectSchedule:
+		c.scheduleCall(now, owned, effect)
 	case program.EffectSend:
-		c.send(now, owned, effect)
+		c.sendAttempt(now, owned, effect)
 	case program.EffectStop:
-		c.stop(owned, effect)
+		c.stopCall(owned, effect)
 	case program.EffectAnswer:
 		c.answerCall(owned, effect)
 	case program.EffectLookup:
@@ -110,9 +112,9 @@
 	}
 }
 
-// start hands a call to the scheduler, now or after its delay. A partition
-// that is being handed over keeps it for the next owner.
-func (c *Core) start(now time.Time, owned *ownedPartition, effect program.Effect) {
+// scheduleCall passes a call to the scheduler, now or after its delay. A
+// partition that is being handed over postpones it for the next owner.
+func (c *Core) scheduleCall(now time.Time, owned *ownedPartition, effect program.Effect) {
 	if effect.Delay > 0 {
 		due := now.Add(effect.Delay)
 		effect.Delay = 0
@@ -135,26 +137,26 @@
 		Priority:       effect.Terms.Priority,
 		PromptTokens:   effect.PromptTokens,
 		OutputCap:      cmp.Or(call.MaxOutputTokens, effect.Terms.MaxOutputTokens),
-		AttainedTokens: effect.Attained,
-		Arrived:        owned.arrived(effect.Attempt.Program),
+		AttainedTokens: effect.AttainedTokens,
+		Arrived:        owned.createdAt(effect.Attempt.Program),
 		Enqueued:       now,
 		Deadline:       effect.Deadline,
 		Avoid:          effect.Avoid,
-		Excluded:       effect.Terms.Drained,
+		Excluded:       effect.Terms.DrainedBackends,
 	})
 }
 
-// arrived returns when the program was created, by which its calls are ordered
-// among those of other programs.
-func (p *ownedPartition) arrived(id api.ProgramID) time.Time {
+// createdAt returns the program's creation time, by which the scheduler orders
+// its calls among those of other programs.
+func (p *ownedPartition) createdAt(id api.ProgramID) time.Time {
 	described, _ := p.store.Describe(id)
 	return described.CreatedAt
 }
 
-// send dispatches an attempt whose intent the programs have recorded.
-func (c *Core) send(now time.Time, owned *ownedPartition, effect program.Effect) {
+// sendAttempt sends an attempt whose dispatch the program has recorded durably.
+func (c *Core) sendAttempt(now time.Time, owned *ownedPartition, effect program.Effect) {
 	placed, ok := owned.placed[effect.Attempt.CallRef]
-	backend, known := c.attendant.backend(effect.Backend)
+	backend, known := c.backendManager.backend(effect.Backend)
 	if !ok || !known {
 		backend = machine.Machine{ID: effect.Backend}
 	}
@@ -162,12 +164,12 @@
 	placed.backend = effect.Backend
 	placed.sent = true
 	owned.placed[effect.Attempt.CallRef] = placed
-	if refusal := c.forbids(now, owned, backend); refusal != nil {
+	if refusal := c.checkSend(now, owned, backend); refusal != nil {
 		outcome := program.Outcome{Attempt: effect.Attempt, Status: api.StatusNotRun, Error: refusal}
 		c.unsent = append(c.unsent, AttemptEnded{Backend: effect.Backend, Outcome: outcome})
 		return
 	}
-	importFrom, _ := c.attendant.backend(placed.decision.ImportFrom)
+	importFrom, _ := c.backendManager.backend(placed.decision.ImportFrom)
 	c.emit(SendAttempt{
 		Partition:  owned.id,
 		ImportFrom: importFrom,
@@ -182,10 +184,11 @@
 	})
 }
 
-// forbids says why an attempt must not be sent after all. The choice was made
-// before its intent was durable: the process may have slept since, and the
-// placement may have been narrowed without its knowing.
-func (c *Core) forbids(now time.Time, owned *ownedPartition, backend machine.Machine) *api.Error {
+// checkSend returns the reason why an attempt must not be sent after all, or
+// nil. The back end was chosen before the dispatch record was durable: since
+// then the process may have been paused, and the placement may have been
+// narrowed without this node having read it.
+func (c *Core) checkSend(now time.Time, owned *ownedPartition, backend machine.Machine) *api.Error {
 	if !c.follower.Freshness(now).MayPlace {
 		return api.Refuse(api.CodeSettingsStale, "the settings may have changed since the choice").After(0)
 	}
@@ -195,7 +198,7 @@
 	return nil
 }
 
-// endUnsent ends the attempts that were not sent after all, and reports
+// endUnsent ends the attempts that were refused by checkSend, and reports
 // whether there were any.
 func (c *Core) endUnsent(now time.Time) bool {
 	unsent := c.unsent
@@ -206,8 +209,8 @@
 	return len(unsent) > 0
 }
 
-// earlierCalls locates the history that precedes a call: its prompt less the
-// call itself, whose input the attempt carries.
+// earlierCalls returns the locations of the calls that precede a call in its
+// prompt. The call itself is left out because the attempt carries its input.
 func earlierCalls(store *program.Store, call program.CallRef) []program.CallLocation {
 	prompt, found := store.Prompt(call.Program, call.Sequence)
 	if !found {
@@ -216,8 +219,8 @@
 	return prompt[:len(prompt)-1]
 }
 
-// stop takes a call out of the scheduler, or cancels its running attempt.
-func (c *Core) stop(owned *ownedPartition, effect program.Effect) {
+// stopCall withdraws a call from the scheduler, or cancels its running attempt.
+func (c *Core) stopCall(owned *ownedPartition, effect program.Effect) {
 	if effect.Attempt.Attempt > 0 {
 		c.emit(StopAttempt{Attempt: effect.Attempt})
 		return
@@ -230,16 +233,16 @@
 }
 
 func (p *ownedPartition) dropPostponed(call program.CallRef) {
-	kept := p.postponed[:0]
+	remaining := p.postponed[:0]
 	for _, effect := range p.postponed {
 		if effect.Attempt.CallRef != call {
-			kept = append(kept, effect)
+			remaining = append(remaining, effect)
 		}
 	}
-	p.postponed = kept
+	p.postponed = remaining
 }
 
-// answerCall gives the terminal call to everyone who waits for it.
+// answerCall replies to all requests that wait for the end of the call.
 func (c *Core) answerCall(owned *ownedPartition, effect program.Effect) {
 	call := effect.Attempt.CallRef
 	handles := owned.waiters[call]
@@ -250,8 +253,8 @@
 	}
 }
 
-// FillEnded copies a call's outcome into what callers see.
-func FillEnded(call *api.Call, ended *program.CallEnded) {
+// SetOutcome copies a call's outcome into its API form.
+func SetOutcome(call *api.Call, ended *program.CallEnded) {
 	call.Status = ended.Status
 	call.Output = ended.Output
 	call.Usage = ended.Usage
@@ -260,8 +263,9 @@
 	call.Error = ended.Error
 }
 
-// answerLost tells every waiting caller to ask the next owner by key.
-func (c *Core) answerLost(owned *ownedPartition) {
+// refuseWaiting refuses all waiting requests, so that their callers ask the
+// next owner by key.
+func (c *Core) refuseWaiting(owned *ownedPartition) {
 	refusal := notOwner(owned.id)
 	for _, call := range sortedCalls(owned.waiters) {
 		for _, handle := range owned.waiters[call] {
@@ -278,23 +282,24 @@
 	}
 }
 
-// notOwner is the refusal that sends a caller to another node. The request
-// may have been recorded here, so that only its key tells what became of it.
+// notOwner returns the refusal that sends a caller to another node. The request
+// may have been recorded here, so its outcome is unknown until the caller asks
+// by its key.
 func notOwner(id partition.ID) *api.Error {
 	refusal := &api.Error{
 		Code:    api.CodeNotOwner,
 		Message: fmt.Sprintf("this node does not own partition %s", id),
 		Ran:     api.RanOutcomeUnknown,
 	}
-	return refusal.After(int64(notOwnerRetry / time.Millisecond))
+	return refusal.After(int64(notOwnerRetryAfter / time.Millisecond))
 }
 
-// notOwnerRetry is how soon a caller may ask again after CodeNotOwner.
-const notOwnerRetry = 200 * time.Millisecond
+// notOwnerRetryAfter is the retry-after delay of CodeNotOwner.
+const notOwnerRetryAfter = 200 * time.Millisecond
 
-// announceEnding tells the driver of a durable end, for metrics and histories,
-// and with the end of a call what its callers are answered.
-func (c *Core) announceEnding(owned *ownedPartition, record program.Record, effects []program.Effect) {
+// emitFinished reports the durable end of a program, or of a call with the
+// result its callers get, to the driver for metrics and histories.
+func (c *Core) emitFinished(owned *ownedPartition, record program.Record, effects []program.Effect) {
 	if record.Closed != nil {
 		if described, ok := owned.store.Describe(record.Program); ok {
 			c.emit(ProgramFinished{Program: described, CreatedAt: described.CreatedAt, EndedAt: record.At})
@@ -310,7 +315,8 @@
 	}
 }
 
-// lookUp asks the tool service about a key, now or after the effect's delay.
+// lookUp asks the tool service for the outcome of a call by its key, now or
+// after the effect's delay.
 func (c *Core) lookUp(now time.Time, owned *ownedPartition, effect program.Effect) {
 	if effect.Delay > 0 {
 		due := now.Add(effect.Delay)
@@ -328,8 +334,8 @@
 }
 
 // lookupBackend returns the replica to ask about a key: the one that the call
-// was sent to, or, when the machine list no longer shows that one, another
-// replica of the same tool. The replicas of a service share what they know.
+// was sent to or, if the machine list no longer has it, another replica of the
+// same tool. The replicas of a service share their records of keys.
 func (c *Core) lookupBackend(owned *ownedPartition, effect program.Effect) (machine.Machine, bool) {
 	terms, _ := owned.store.Terms(effect.Attempt.Program)
 	var other machine.Machine
@@ -344,12 +350,12 @@
 	if other.ID != "" {
 		return other, true
 	}
-	return c.attendant.backend(effect.Backend)
+	return c.backendManager.backend(effect.Backend)
 }
 
 var errBackendUnknown = errors.New("the back end is not in the machine list")
 
-// stepLookup hands the answer about a key to the program.
+// stepLookup passes the result of a key lookup to the program.
 func (c *Core) stepLookup(now time.Time, result program.LookupResult) {
 	owned, ok := c.ownerOf(result.Call.Program)
 	if !ok {
@@ -361,7 +367,8 @@
 	}
 }
 
-// tenantOf is the part of a branch that fairness counts by: its first step.
+// tenantOf returns the tenant of a branch for fair scheduling: the first
+// segment of its path.
 func tenantOf(branch string) string {
 	for i := range len(branch) {
 		if branch[i] == '/' {
--- a/control/attendant.go
+++ b/control/attendant.go
@@ -14,135 +14,137 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// attendant looks after the back ends that fall to this node: each back end
-// has one node that asks for its load and sweeps its memory.
-type attendant struct {
-	config   Config
-	backends map[machine.ID]machine.Machine
-	attended map[machine.ID]*attendedBackend
-	order    []machine.ID
-	nextLoad time.Time
+// backendManager tracks the back ends that this node manages. Each back end is
+// managed by one node, which queries its load and searches its cache for
+// orphaned prefixes.
+type backendManager struct {
+	config    Config
+	backends  map[machine.ID]machine.Machine
+	managed   map[machine.ID]*managedBackend
+	sortedIDs []machine.ID
+	nextLoad  time.Time
 }
 
-// attendedBackend is what this node keeps of one back end that it attends.
-type attendedBackend struct {
+// managedBackend is the state of one back end that this node manages.
+type managedBackend struct {
 	// lastEvent is the sequence of the newest cache event that was read.
 	lastEvent uint64
 	nextSweep time.Time
-	// outstanding is set while a query has not been answered.
-	outstanding bool
-	// spread is the newest load report that peers get or got; unspread is set
-	// while it has not been sent.
-	spread   schedule.Load
-	unspread bool
+	// queryOutstanding is set while a query has not been answered.
+	queryOutstanding bool
+	// lastReport is the newest load report for peers. reportPending is set
+	// until it has been sent.
+	lastReport    schedule.Load
+	reportPending bool
 }
 
-func newAttendant(config Config) attendant {
-	return attendant{
+func newBackendManager(config Config) backendManager {
+	return backendManager{
 		config:   config,
 		backends: make(map[machine.ID]machine.Machine),
-		attended: make(map[machine.ID]*attendedBackend),
+		managed:  make(map[machine.ID]*managedBackend),
 	}
 }
 
-// backend returns a back end that the machine list has shown.
-func (a *attendant) backend(id machine.ID) (machine.Machine, bool) {
-	backend, ok := a.backends[id]
+// backend returns a back end that the machine list has shown at any time.
+func (m *backendManager) backend(id machine.ID) (machine.Machine, bool) {
+	backend, ok := m.backends[id]
 	return backend, ok
 }
 
-// setMachines works out anew which back ends this node attends. An entry that
-// the list no longer shows is kept for look-ups, so that a call sent to it can
-// still be asked about.
-func (a *attendant) setMachines(now time.Time, nodes, backends []machine.Machine) {
-	a.order = a.order[:0]
+// setMachines recomputes which back ends this node manages. Back ends that have
+// left the list stay available through backend, so that tool services can still
+// be asked about calls that were sent to them.
+func (m *backendManager) setMachines(now time.Time, nodes, backends []machine.Machine) {
+	m.sortedIDs = m.sortedIDs[:0]
 	for _, backend := range backends {
-		a.backends[backend.ID] = backend
-		if attendantOf(backend, nodes) != a.config.Self.ID {
-			delete(a.attended, backend.ID)
+		m.backends[backend.ID] = backend
+		if managerOf(backend, nodes) != m.config.Self.ID {
+			delete(m.managed, backend.ID)
 			continue
 		}
-		a.order = append(a.order, backend.ID)
-		if a.attended[backend.ID] == nil {
-			a.attended[backend.ID] = &attendedBackend{nextSweep: now.Add(a.config.SweepPeriod)}
+		m.sortedIDs = append(m.sortedIDs, backend.ID)
+		if m.managed[backend.ID] == nil {
+			m.managed[backend.ID] = &managedBackend{nextSweep: now.Add(m.config.SweepPeriod)}
 		}
 	}
-	slices.Sort(a.order)
+	slices.Sort(m.sortedIDs)
 }
 
-// attendantOf picks the node that attends a back end: one of the same zone if
-// there is any, by rendezvous hash. It runs for every back end whenever a node
-// comes or goes.
-func attendantOf(backend machine.Machine, nodes []machine.Machine) machine.ID {
-	near := slices.ContainsFunc(nodes, func(node machine.Machine) bool {
+// managerOf returns the node that manages a back end, by rendezvous hash: one
+// in the same zone if there is any. It runs for every back end whenever a node
+// joins or leaves.
+func managerOf(backend machine.Machine, nodes []machine.Machine) machine.ID {
+	sameZone := slices.ContainsFunc(nodes, func(node machine.Machine) bool {
 		return node.Zone == backend.Zone && node.Status != machine.StatusLeaving
 	})
 	var best machine.ID
 	var bestScore uint64
 	for i := range nodes {
 		node := &nodes[i]
-		if node.Status == machine.StatusLeaving || near && node.Zone != backend.Zone {
+		if node.Status == machine.StatusLeaving || sameZone && node.Zone != backend.Zone {
 			continue
 		}
-		if score := attendantScore(backend.ID, node.ID); best == "" || score > bestScore {
+		if score := managerScore(backend.ID, node.ID); best == "" || score > bestScore {
 			best, bestScore = node.ID, score
 		}
 	}
 	return best
 }
 
-// attendantScore ranks a node for a back end. It does not allocate for names
-// of the usual length.
-func attendantScore(backend, node machine.ID) uint64 {
+// managerScore returns the score that ranks a node for a back end. It does not
+// allocate for names of typical length.
+func managerScore(backend, node machine.ID) uint64 {
 	var buffer [128]byte
 	text := append(buffer[:0], backend...)
 	text = append(text, 0)
 	return xxhash.Sum64(append(text, node...))
 }
 
-func (a *attendant) nextWake() time.Time {
-	wake := a.nextLoad
-	for id, attended := range a.attended {
-		if a.backends[id].Kind == machine.KindEngine {
-			earliest(&wake, attended.nextSweep)
+func (m *backendManager) nextWake() time.Time {
+	wake := m.nextLoad
+	for id, managed := range m.managed {
+		if m.backends[id].Kind == machine.KindEngine {
+			earliest(&wake, managed.nextSweep)
 		}
 	}
 	return wake
 }
 
-// released notes the answer to a release. One that failed is left to the next
-// sweep, which sees the prefix again.
-func (a *attendant) released(PrefixReleased) {}
+// released handles the answer to a release. Nothing is done after a failure:
+// the next sweep finds the prefix again.
+func (m *backendManager) released(PrefixReleased) {}
 
-// tickAttendant asks the attended back ends for load and prefixes when due.
-func (c *Core) tickAttendant(now time.Time) {
-	queryLoad := !now.Before(c.attendant.nextLoad)
+// tickBackends queries the managed back ends for their load and prefixes when
+// due.
+func (c *Core) tickBackends(now time.Time) {
+	queryLoad := !now.Before(c.backendManager.nextLoad)
 	if queryLoad {
-		c.attendant.nextLoad = now.Add(c.config.LoadPeriod)
-		c.spreadLoads()
+		c.backendManager.nextLoad = now.Add(c.config.LoadPeriod)
+		c.shareLoads()
 	}
-	for _, id := range c.attendant.order {
-		attended := c.attendant.attended[id]
-		backend := c.attendant.backends[id]
-		if queryLoad && !attended.outstanding {
-			attended.outstanding = true
-			c.emit(QueryBackend{Backend: backend, AfterEvent: attended.lastEvent})
+	for _, id := range c.backendManager.sortedIDs {
+		managed := c.backendManager.managed[id]
+		backend := c.backendManager.backends[id]
+		if queryLoad && !managed.queryOutstanding {
+			managed.queryOutstanding = true
+			c.emit(QueryBackend{Backend: backend, AfterEvent: managed.lastEvent})
 		}
-		if backend.Kind == machine.KindEngine && !now.Before(attended.nextSweep) {
-			attended.nextSweep = now.Add(c.config.SweepPeriod)
+		if backend.Kind == machine.KindEngine && !now.Before(managed.nextSweep) {
+			managed.nextSweep = now.Add(c.config.SweepPeriod)
 			c.emit(ListPrefixes{Backend: backend})
 		}
 	}
 }
 
-// stepBackendObserved takes a back end's load and cache events, and passes
-// the load on to a few random peers.
+// stepBackendObserved processes a back end's load and cache events, and queues
+// the load for a few random peers.
 func (c *Core) stepBackendObserved(now time.Time, event BackendObserved) {
-	attended, ok := c.attendant.attended[event.Backend]
+	managed, ok := c.backendManager.managed[event.Backend]
 	if !ok {
 		return
 	}
-	attended.outstanding = false
+	managed.queryOutstanding = false
 	if event.Err != nil {
 		return
 	}
@@ -150,30 +152,31 @@
 		load := *event.Load
 		load.At = now
 		c.observeLoad(now, load)
-		attended.report(now, load)
+		managed.queueReport(now, load)
 	}
-	c.stepCacheEvents(now, event.Backend, attended, event.Events)
+	c.stepCacheEvents(now, event.Backend, managed, event.Events)
 }
 
-// stepCacheEvents forgets the prefixes that an engine evicted. After a gap in
-// the events the next sweep is due at once: it lists what is really there.
-func (c *Core) stepCacheEvents(now time.Time, backend machine.ID, attended *attendedBackend, events []engine.CacheEvent) {
+// stepCacheEvents processes an engine's evictions. After a gap in the events
+// the next sweep is due at once, because it lists the prefixes that the engine
+// actually holds.
+func (c *Core) stepCacheEvents(now time.Time, backend machine.ID, managed *managedBackend, events []engine.CacheEvent) {
 	for _, event := range events {
-		if attended.lastEvent != 0 && event.Sequence > attended.lastEvent+1 {
-			attended.nextSweep = now
+		if managed.lastEvent != 0 && event.Sequence > managed.lastEvent+1 {
+			managed.nextSweep = now
 		}
-		attended.lastEvent = max(attended.lastEvent, event.Sequence)
+		managed.lastEvent = max(managed.lastEvent, event.Sequence)
 		if event.Evicted {
 			c.evicted(now, event.Owner, backend)
 		}
 	}
 }
 
-// evicted notes that an engine no longer holds a program's prefix.
+// evicted records that an engine no longer holds a program's prefix.
 func (c *Core) evicted(now time.Time, owner api.ProgramID, backend machine.ID) {
 	c.config.Policy.Evicted(now, owner, backend)
 	if owned, ok := c.ownerOf(owner); ok {
-		delete(owned.residence[owner], backend)
+		delete(owned.prefixEngines[owner], backend)
 	}
 }
 
@@ -181,32 +184,33 @@
 	c.config.Policy.ObserveLoad(now, load)
 }
 
-// unchangedLoad is how often a load report is spread that says the same as the
-// one before.
-const unchangedLoad = 4 * time.Second
+// unchangedLoadPeriod is the shortest time between two shared load reports with
+// equal content.
+const unchangedLoadPeriod = 4 * time.Second
 
-// report keeps a load report to be spread, unless it says nothing new.
-func (a *attendedBackend) report(now time.Time, load schedule.Load) {
-	same := a.spread
+// queueReport queues a load report for peers, unless it equals the last one and
+// unchangedLoadPeriod has not passed.
+func (b *managedBackend) queueReport(now time.Time, load schedule.Load) {
+	same := b.lastReport
 	same.At = load.At
-	if same == load && now.Before(a.spread.At.Add(unchangedLoad)) {
+	if same == load && now.Before(b.lastReport.At.Add(unchangedLoadPeriod)) {
 		return
 	}
-	a.spread = load
-	a.unspread = true
+	b.lastReport = load
+	b.reportPending = true
 }
 
-// spreadLoads sends the load reports of one period, in one message, to a few
-// random peers. Nodes learn the loads of the back ends that they use from
-// those back ends' answers; this keeps the others from going stale, at a cost
-// that does not grow with the fleet.
-func (c *Core) spreadLoads() {
+// shareLoads sends the load reports of one period to a few random peers, in one
+// message. Nodes get the loads of the back ends that they use from those back
+// ends' answers. These messages keep the loads on the other nodes from becoming
+// stale, at a cost that does not grow with the fleet.
+func (c *Core) shareLoads() {
 	var loads []schedule.Load
-	for _, id := range c.attendant.order {
-		attended := c.attendant.attended[id]
-		if attended.unspread {
-			attended.unspread = false
-			loads = append(loads, attended.spread)
+	for _, id := range c.backendManager.sortedIDs {
+		managed := c.backendManager.managed[id]
+		if managed.reportPending {
+			managed.reportPending = false
+			loads = append(loads, managed.lastReport)
 		}
 	}
 	if len(loads) == 0 {
@@ -229,8 +233,8 @@
 }
 
 // stepPrefixesListed begins a sweep: it asks the owners of the listed programs
-// which of them are gone. Programs of partitions on this node are answered
-// here.
+// which of the prefixes may be released. Prefixes of this node's own partitions
+// are checked directly.
 func (c *Core) stepPrefixesListed(now time.Time, event PrefixesListed) {
 	if event.Err != nil {
 		return
@@ -241,7 +245,7 @@
 		if err != nil {
 			continue
 		}
-		if c.branchGone(now, id) {
+		if c.branchRemoved(now, id) {
 			c.releaseAt(prefix.Owner, event.Backend)
 			continue
 		}
@@ -250,38 +254,40 @@
 		}
 	}
 	for _, owner := range sortedMachines(questions) {
-		sweep := link.SweepMessage{Backend: event.Backend, Question: questions[owner]}
+		sweep := link.SweepMessage{Backend: event.Backend, Queried: questions[owner]}
 		if owner == c.config.Self.ID {
-			c.releaseGone(event.Backend, c.gone(event.Backend, sweep.Question))
+			c.releaseAll(event.Backend, c.releasable(event.Backend, sweep.Queried))
 			continue
 		}
 		c.sendTo(owner, link.Message{Sweep: &sweep})
 	}
 }
 
-// stepSweep answers a sweep's question, or releases what an owner says is gone.
+// stepSweep answers a sweep's question, or releases the prefixes that an owner
+// reported as no longer needed.
 func (c *Core) stepSweep(_ time.Time, from machine.ID, sweep link.SweepMessage) {
-	if len(sweep.Question) > 0 {
-		if gone := c.gone(sweep.Backend, sweep.Question); len(gone) > 0 {
-			c.sendTo(from, link.Message{Sweep: &link.SweepMessage{Backend: sweep.Backend, Gone: gone}})
+	if len(sweep.Queried) > 0 {
+		if releasable := c.releasable(sweep.Backend, sweep.Queried); len(releasable) > 0 {
+			c.sendTo(from, link.Message{Sweep: &link.SweepMessage{Backend: sweep.Backend, Gone: releasable}})
 		}
 	}
-	c.releaseGone(sweep.Backend, sweep.Gone)
+	c.releaseAll(sweep.Backend, sweep.Gone)
 }
 
-// branchGone reports whether the branch that a partition belongs to was
-// removed: nobody owns the partition any more, and no program of it may run.
-func (c *Core) branchGone(now time.Time, id partition.ID) bool {
+// branchRemoved reports whether a partition's branch was removed from the
+// settings. Then nobody owns the partition, and none of its programs may run.
+func (c *Core) branchRemoved(now time.Time, id partition.ID) bool {
 	return c.follower.Freshness(now).MayPlace && c.placement(id) == ""
 }
 
-// gone returns the programs that this node is sure to have nothing to keep at
-// the back end: it owns their partitions, and they have ended, never were, or
-// may no longer have data in the back end's zone. A program's creation is
-// durable before its first call, so that no live program can be missing.
-func (c *Core) gone(backendID machine.ID, ids []api.ProgramID) []api.ProgramID {
-	backend, known := c.attendant.backend(backendID)
-	var gone []api.ProgramID
+// releasable returns the programs whose prefixes the back end need not keep:
+// this node owns their partitions, and they have ended, never existed, or may
+// no longer have data in the back end's zone. A program's creation is durable
+// before its first call, so a live program is never mistaken for one that never
+// existed.
+func (c *Core) releasable(backendID machine.ID, ids []api.ProgramID) []api.ProgramID {
+	backend, known := c.backendManager.backend(backendID)
+	var releasable []api.ProgramID
 	for _, id := range ids {
 		owned, ok := c.ownerOf(id)
 		if !ok {
@@ -289,13 +295,13 @@
 		}
 		terms, _ := owned.store.Terms(id)
 		if !owned.store.Live(id) || known && !terms.Placement.Contains(backend.Zone) {
-			gone = append(gone, id)
+			releasable = append(releasable, id)
 		}
 	}
-	return gone
+	return releasable
 }
 
-func (c *Core) releaseGone(backend machine.ID, gone []api.ProgramID) {
+func (c *Core) releaseAll(backend machine.ID, gone []api.ProgramID) {
 	for _, id := range gone {
 		c.releaseAt(id, backend)
 	}
--- a/edge/appending.go
+++ b/edge/appending.go
@@ -10,14 +10,15 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// errNoAnswerYet says that a try of a call has not been answered in its time.
+// errNoAnswerYet says that a try was not answered within its timeout. Its answer may still
+// arrive.
 var errNoAnswerYet = errors.New("the store has not answered yet")
 
-// appending is an append that is repeated until the store answers. Tries that were not
-// answered in their time go on beside the next one, and the first answer counts: the store
-// takes a repeated append once and gives it the answer of the first, so that one which is
-// slow need not be asked for anew.
-type appending struct {
+// appendCall is an append that is repeated until the store answers. Tries that time out
+// continue concurrently with the next one, and the first answer counts: the store applies a
+// repeated append once and gives it the answer of the first, so that a slow one need not be
+// repeated in vain.
+type appendCall struct {
 	node      *Node
 	partition int
 	writer    recordstore.Writer
@@ -25,9 +26,9 @@
 	answers   chan error
 }
 
-// newAppending returns an append of records under an epoch. A batch without records renews
-// the record of the owner, so that the store checks the epoch.
-func (n *Node) newAppending(partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record) *appending {
+// newAppendCall returns an append of records under an epoch. An empty batch rewrites the
+// owner record, so that the store checks the epoch.
+func (n *Node) newAppendCall(partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record) *appendCall {
 	records := make([]recordstore.Record, 0, len(batch)+1)
 	if len(batch) == 0 {
 		records = append(records, n.ownerRecord(epoch))
@@ -35,42 +36,42 @@
 	for _, record := range batch {
 		records = append(records, recordstore.Record{Key: record.Key, Value: record.Value})
 	}
-	return &appending{
+	return &appendCall{
 		node: n, partition: partition, writer: writerOf(partition, epoch, sequence), records: records, answers: make(chan error),
 	}
 }
 
-// try sends the append once more, and waits for any answer for so long, or until the store
-// answers again after an outage in which the append was sent.
-func (a *appending) try(ctx context.Context, patience time.Duration, regained <-chan struct{}) error {
-	most := patience
+// try sends the append once more, and waits for an answer to any try until the timeout, or
+// until the store answers again after an outage during which the append was sent.
+func (a *appendCall) try(ctx context.Context, timeout time.Duration, regained <-chan struct{}) error {
+	maximum := timeout
 	if a.node.settings.uses(AwaitLateAppends) {
-		most = appendTimeout
+		maximum = appendTimeout
 	}
-	go a.send(ctx, most)
-	return a.await(ctx, patience, regained)
+	go a.send(ctx, maximum)
+	return a.await(ctx, timeout, regained)
 }
 
-// send makes one call to the store. That the store answered is noted once the answer was
-// handed over, so that the append is not sent again for it.
-func (a *appending) send(ctx context.Context, most time.Duration) {
-	begun := time.Now()
-	callCtx, cancel := context.WithTimeout(ctx, most)
+// send makes one call to the store. It records the answer with recordStoreCall only after
+// handing it over, so that the end of an outage does not cause the append to be sent again.
+func (a *appendCall) send(ctx context.Context, timeout time.Duration) {
+	start := time.Now()
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := a.node.adapter.Store.Append(callCtx, ledgerStream(a.partition), a.writer, a.records)
 	if err == nil {
-		a.node.observeAppend(time.Since(begun))
+		a.node.observeAppend(time.Since(start))
 	}
 	select {
 	case a.answers <- err:
 	case <-ctx.Done():
 	}
-	a.node.noteStore(err)
+	a.node.recordStoreCall(err)
 }
 
-// await waits for an answer of any try, or until the store is regained.
-func (a *appending) await(ctx context.Context, patience time.Duration, regained <-chan struct{}) error {
-	timer := time.NewTimer(patience)
+// await waits for the answer to any try, or until the store answers again after an outage.
+func (a *appendCall) await(ctx context.Context, timeout time.Duration, regained <-chan struct{}) error {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case err := <-a.answers:
@@ -84,8 +85,8 @@
 	}
 }
 
-// answered reports whether a try's outcome ends the append.
-func answered(err error) bool {
+// conclusive reports whether the outcome of a try ends the append.
+func conclusive(err error) bool {
 	var fenced *recordstore.FencedError
 	return err == nil || errors.As(err, &fenced)
 }
--- a/edge/chains_test.go
+++ b/edge/chains_test.go
@@ -8,42 +8,42 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestChains keeps chains for a while, and within bounds.
+// TestChains checks that chains are cached for a limited time and within the size limit.
 func TestChains(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	kept := newChains(true)
-	kept.put(start, "a", []byte("chain"))
-	chain, found := kept.get(start.Add(chainsFor), "a")
+	cached := newChains(true)
+	cached.put(start, "a", []byte("chain"))
+	chain, found := cached.get(start.Add(chainsFor), "a")
 	g.Expect(found).To(BeTrue())
 	g.Expect(string(chain)).To(Equal("chain"))
-	_, found = kept.get(start.Add(chainsFor+1), "a")
+	_, found = cached.get(start.Add(chainsFor+1), "a")
 	g.Expect(found).To(BeFalse())
-	_, found = kept.get(start, "")
+	_, found = cached.get(start, "")
 	g.Expect(found).To(BeFalse())
 
 	for index := range 100 {
-		kept.put(start, fmt.Sprint(index), make([]byte, chainsBytes/10))
+		cached.put(start, fmt.Sprint(index), make([]byte, chainsBytes/10))
 	}
-	g.Expect(kept.bytes).To(BeNumerically("<=", chainsBytes))
-	g.Expect(kept.byID).To(HaveLen(len(kept.order)))
-	_, found = kept.get(start, "99")
+	g.Expect(cached.bytes).To(BeNumerically("<=", chainsBytes))
+	g.Expect(cached.byID).To(HaveLen(len(cached.order)))
+	_, found = cached.get(start, "99")
 	g.Expect(found).To(BeTrue())
-	_, found = kept.get(start, "0")
+	_, found = cached.get(start, "0")
 	g.Expect(found).To(BeFalse())
-	kept.put(start.Add(2*chainsFor), "late", []byte("x"))
-	g.Expect(kept.byID).To(HaveLen(1))
-	kept.put(start, "large", make([]byte, chainsBytes+1))
-	_, found = kept.get(start, "large")
+	cached.put(start.Add(2*chainsFor), "late", []byte("x"))
+	g.Expect(cached.byID).To(HaveLen(1))
+	cached.put(start, "large", make([]byte, chainsBytes+1))
+	_, found = cached.get(start, "large")
 	g.Expect(found).To(BeFalse())
 }
 
-// TestChainsSwitchedOff keeps nothing where the mechanism is switched off.
+// TestChainsSwitchedOff checks that nothing is cached if the mechanism is switched off.
 func TestChainsSwitchedOff(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	kept := newChains(false)
-	kept.put(start, "a", []byte("chain"))
-	_, found := kept.get(start, "a")
+	cached := newChains(false)
+	cached.put(start, "a", []byte("chain"))
+	_, found := cached.get(start, "a")
 	g.Expect(found).To(BeFalse())
 }
--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -15,10 +15,10 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// coldNode returns a node whose control answers no question by itself, with replicas
-// that are cold for long.
+// coldNode returns a node with replicas that stay cold. Its control goroutine does not run,
+// so that the test answers the charges.
 func coldNode(g *WithT, without []Mechanism, ids ...replica.ID) *Node {
-	node, err := New(Settings{Node: "n", Zone: "z", Partitions: 1, Without: without}, Adapter{Names: header.Names{ColdLeft: "X-Left"}}, quietLogger)
+	node, err := New(Settings{Node: "n", Zone: "z", Partitions: 1, Disabled: without}, Adapter{Names: header.Names{ColdLeft: "X-Left"}}, quietLogger)
 	g.Expect(err).NotTo(HaveOccurred())
 	table := &routing.Table{Services: map[string]routing.Service{"s": {Name: "s", ColdRate: 28}}}
 	node.replicas.configure(table)
@@ -30,118 +30,122 @@
 	return node
 }
 
-// answerCold answers the next questions with these statuses, in turn.
-func answerCold(node *Node, asked *[]coordinator.Charge, statuses ...coordinator.ChargeStatus) {
+// answerCold answers the next charges with the given statuses, and appends the charges to
+// requested.
+func answerCold(node *Node, requested *[]coordinator.Charge, statuses ...coordinator.ChargeStatus) {
 	go func() {
 		for _, status := range statuses {
-			question, isCharge := (<-node.control.inbox).(chargeQuestion)
+			pending, isCharge := (<-node.control.inbox).(chargeRequest)
 			if !isCharge {
 				return
 			}
-			*asked = append(*asked, question.charge)
-			question.answer <- coordinator.Charged{Status: status, Decision: tenant.Decision{RetryAfter: time.Hour}}
+			*requested = append(*requested, pending.charge)
+			pending.answer <- coordinator.Charged{Status: status, Decision: tenant.Decision{RetryAfter: time.Hour}}
 		}
 	}()
 }
 
 func coldRequest() *requestState {
-	return &requestState{id: "q", version: 3, deadline: time.Now().Add(time.Hour), beside: true}
+	return &requestState{id: "q", version: 3, deadline: time.Now().Add(time.Hour), attemptInFlight: true}
 }
 
-// TestColdReplicaIsAskedFor before a request goes to it, and the next best is chosen at
-// once where it is refused.
+// TestColdReplicaIsAskedFor checks that a request goes to a cold replica only after a
+// grant. If that is refused, the next best replica is selected at once.
 func TestColdReplicaIsAskedFor(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0", "r1")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeRefused, coordinator.ChargeGranted)
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeRefused, coordinator.ChargeGranted)
 	request := coldRequest()
-	choice, err := node.chooseWithin(request, &replica.Request{Service: "s"})
+	choice, err := node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(asked).To(HaveLen(2))
-	g.Expect(asked[0].Replica).To(Equal("r0"))
-	g.Expect(asked[0].Request.Limit).To(Equal(tenant.Limit{Rate: 28}))
-	g.Expect(asked[0].Request.Version).To(BeEquivalentTo(3))
+	g.Expect(requested).To(HaveLen(2))
+	g.Expect(requested[0].Replica).To(Equal("r0"))
+	g.Expect(requested[0].Request.Limit).To(Equal(tenant.Limit{Rate: 28}))
+	g.Expect(requested[0].Request.Version).To(BeEquivalentTo(3))
 	g.Expect(choice.Entry.ID).To(BeEquivalentTo("r1"))
-	g.Expect(node.replicas.own()).To(Equal(map[string]int{"r1": 1}))
-	// The refused one is not asked for again until it may be.
-	answerCold(node, &asked, coordinator.ChargeGranted)
-	choice, err = node.chooseWithin(request, &replica.Request{Service: "s"})
+	g.Expect(node.replicas.ownRequests()).To(Equal(map[string]int{"r1": 1}))
+	// The refused replica is skipped until its retry delay is over.
+	answerCold(node, &requested, coordinator.ChargeGranted)
+	choice, err = node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.Entry.ID).To(BeEquivalentTo("r1"))
-	g.Expect(asked).To(HaveLen(3))
+	g.Expect(requested).To(HaveLen(3))
 }
 
-// TestColdOffersCountApart also where a client uses the id of a request again: what was
-// granted under it does not grant another one.
+// TestColdOffersCountApart checks that two requests with the same client id are charged
+// separately, so that the grant for one does not cover the other.
 func TestColdOffersCountApart(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeGranted, coordinator.ChargeGranted)
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeGranted, coordinator.ChargeGranted)
 	for range 2 {
-		_, err := node.chooseWithin(coldRequest(), &replica.Request{Service: "s"})
+		_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(asked).To(HaveLen(2))
-	g.Expect(asked[0].Request.ID).NotTo(Equal(asked[1].Request.ID))
+	g.Expect(requested).To(HaveLen(2))
+	g.Expect(requested[0].Request.ID).NotTo(Equal(requested[1].Request.ID))
 }
 
-// TestColdReplicaWithoutAnswer is passed over.
+// TestColdReplicaWithoutAnswer checks that a cold replica whose charge is not answered is
+// skipped.
 func TestColdReplicaWithoutAnswer(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeUnknown)
-	_, err := node.chooseWithin(coldRequest(), &replica.Request{Service: "s"})
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeUnknown)
+	_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 	g.Expect(err).To(MatchError(replica.ErrColdRate))
-	g.Expect(node.replicas.own()).To(BeEmpty())
+	g.Expect(node.replicas.ownRequests()).To(BeEmpty())
 }
 
-// TestColdGrantIsGivenBack where the replica did not run the request.
+// TestColdGrantIsGivenBack checks that the grant is refunded, once, if the replica did not
+// run the request.
 func TestColdGrantIsGivenBack(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
-	var asked []coordinator.Charge
-	answerCold(node, &asked, coordinator.ChargeGranted)
+	var requested []coordinator.Charge
+	answerCold(node, &requested, coordinator.ChargeGranted)
 	request := coldRequest()
-	choice, err := node.chooseWithin(request, &replica.Request{Service: "s"})
+	choice, err := node.chooseWithinColdRates(request, &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
-	node.reject(request, choice.Entry, replica.ResultRejected)
-	g.Expect(<-node.control.inbox).To(Equal(coordinator.ChargeRefunded{Charge: asked[0]}))
-	node.reject(request, choice.Entry, replica.ResultRejected)
+	node.attemptRejected(request, choice.Entry, replica.ResultRejected)
+	g.Expect(<-node.control.inbox).To(Equal(coordinator.ChargeRefunded{Charge: requested[0]}))
+	node.attemptRejected(request, choice.Entry, replica.ResultRejected)
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
 
-// TestLimitCold asks for nothing where it is switched off.
+// TestLimitCold checks that nothing is charged if the mechanism is switched off.
 func TestLimitCold(t *testing.T) {
 	g := NewWithT(t)
-	node := coldNode(g, []Mechanism{LimitCold}, "r0")
+	node := coldNode(g, []Mechanism{LimitColdReplicas}, "r0")
 	defer node.Kill()
-	_, err := node.chooseWithin(coldRequest(), &replica.Request{Service: "s"})
+	_, err := node.chooseWithinColdRates(coldRequest(), &replica.Request{Service: "s"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(node.control.inbox).To(BeEmpty())
 }
 
-// TestColdTimeOfAnswers is taken in, and one that is not understood is not.
+// TestColdTimeOfAnswers checks that a valid cold time in an answer is applied, and an
+// invalid one is ignored.
 func TestColdTimeOfAnswers(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil)
 	defer node.Kill()
 	node.replicas.put(replica.Entry{ID: "r0", Service: "s", Status: replica.StatusReady, Slots: 4})
-	before, _, _ := node.replicas.since(&relayQuestion{}, false)
+	before, _, _ := node.replicas.since(&relayRequest{}, false)
 	g.Expect(before[0].Entry.Cold.Remaining).To(BeZero())
 	for _, value := range []string{"", "soon", "0"} {
-		node.hearCold("r0", answerWith(value))
+		node.observeColdStatus("r0", answerWith(value))
 		g.Expect(node.ColdReplicas()).To(BeZero(), value)
 	}
-	node.hearCold("r0", answerWith("3600000"))
+	node.observeColdStatus("r0", answerWith("3600000"))
 	g.Expect(node.ColdReplicas()).To(Equal(1))
-	changes, _, _ := node.replicas.since(&relayQuestion{since: 1}, true)
+	changes, _, _ := node.replicas.since(&relayRequest{since: 1}, true)
 	g.Expect(changes).To(HaveLen(1))
 	g.Expect(changes[0].Entry.Cold.Remaining).To(BeNumerically("~", time.Hour, time.Minute))
 }
--- a/edge/ledgers.go
+++ b/edge/ledgers.go
@@ -15,25 +15,25 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// ownerKey is the key of the record that names a partition's owner. It sorts
-// before the keys of the ledger.
+// ownerKey is the key of the record that names a partition's owner. It sorts before the
+// keys of the ledger.
 const ownerKey = "!owner"
 
-// ownerValue is that record.
+// ownerValue is the value of that record.
 type ownerValue struct {
 	Node  string          `json:"node"`
 	Epoch ownership.Epoch `json:"epoch"`
 }
 
-// Times of the calls to the store.
+// Timeouts and backoff of the calls to the store.
 const (
-	appendTimeout    = 1200 * time.Millisecond
-	appendTimeoutMin = 60 * time.Millisecond
-	appendFactor     = 6
-	appendRetryFirst = 15 * time.Millisecond
-	appendRetryMost  = 300 * time.Millisecond
-	// slowAppend is from when on an append is written to the log.
-	slowAppend = 700 * time.Millisecond
+	appendTimeout        = 1200 * time.Millisecond
+	appendTimeoutMin     = 60 * time.Millisecond
+	appendFactor         = 6
+	appendMinimumBackoff = 15 * time.Millisecond
+	appendMaximumBackoff = 300 * time.Millisecond
+	// slowAppendThreshold is the duration from which on an append is logged.
+	slowAppendThreshold = 700 * time.Millisecond
 )
 
 func ledgerStream(partition int) recordstore.Stream {
@@ -52,17 +52,17 @@
 	return recordstore.Record{Key: ownerKey, Value: value}
 }
 
-// readNewest reads all pages of a stream's newest records. The end is that of
-// the first page, so that no later change is missed.
+// readNewest reads all pages of a stream's newest records. The returned end is that of the
+// first page, so that no later change is missed.
 func (n *Node) readNewest(ctx context.Context, stream recordstore.Stream) (records []recordstore.Record, end uint64, err error) {
 	return n.readPages(ctx, stream, func([]recordstore.Record) {})
 }
 
-// readPages is readNewest, and hands each page over as it comes.
+// readPages is readNewest, and also passes each page to take as soon as it is read.
 func (n *Node) readPages(ctx context.Context, stream recordstore.Stream, take func([]recordstore.Record)) (records []recordstore.Record, end uint64, err error) {
 	after := ""
 	for page := 0; ; page++ {
-		read, err := n.readPage(ctx, stream, after, newestTries)
+		read, err := n.readPage(ctx, stream, after, newestRetry)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -78,10 +78,12 @@
 	}
 }
 
-// backoff spaces the retries of one call to the store.
-func (n *Node) backoff() *retry.Backoff { return n.backoffOf(appendRetryFirst, appendRetryMost) }
+// backoff returns the backoff for the retries of one call to the store.
+func (n *Node) backoff() *retry.Backoff {
+	return n.backoffOf(appendMinimumBackoff, appendMaximumBackoff)
+}
 
-// backoffOf spaces the retries of one call between two bounds.
+// backoffOf returns the backoff for the retries of one call, between two bounds.
 func (n *Node) backoffOf(first, most time.Duration) *retry.Backoff {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
@@ -89,17 +91,17 @@
 	return &retry.Backoff{Minimum: first, Maximum: most, Random: random}
 }
 
-// append writes a batch, repeats it until the store has answered, and tells
-// the core how it ended.
+// append writes a batch, repeats it until the store has answered, and reports the outcome
+// to the core.
 func (n *Node) append(batch coordinator.Append) {
 	n.run(func(ctx context.Context) {
-		begun := time.Now()
+		start := time.Now()
 		err := n.appendRecords(ctx, batch.Partition, batch.Epoch, batch.Sequence, batch.Records, 0)
-		took := time.Since(begun)
+		took := time.Since(start)
 		n.metrics.appended(took)
-		if took > slowAppend || err != nil {
+		if took > slowAppendThreshold || err != nil {
 			n.logger.Warn().Int("partition", batch.Partition).Uint64("epoch", uint64(batch.Epoch)).Dur("took", took).
-				Int("records", len(batch.Records)).Err(err).Msg("ledger: append was late or refused")
+				Int("records", len(batch.Records)).Err(err).Msg("ledger: append was slow or refused")
 		}
 		outcome := coordinator.OutcomeDone
 		var fenced *recordstore.FencedError
@@ -115,25 +117,25 @@
 	})
 }
 
-// appendRecords appends under an epoch until the store acknowledges or fences,
-// the context ends, or the attempts are used up (0 sets no bound). They count anew
-// once the store answers again after an outage. A batch without records renews the
-// record of the owner, so that the store checks the epoch.
+// appendRecords appends under an epoch until the store acknowledges or fences the append,
+// the context ends, or the attempts are used up (0 means no limit). The attempts are
+// counted anew after an outage of the store. An empty batch rewrites the owner record, so
+// that the store checks the epoch.
 func (n *Node) appendRecords(ctx context.Context, partition int, epoch ownership.Epoch, sequence uint64, batch []ledger.Record, attempts int) error {
 	tries, cancel := context.WithCancel(ctx)
 	defer cancel()
-	appending := n.newAppending(partition, epoch, sequence, batch)
+	call := n.newAppendCall(partition, epoch, sequence, batch)
 	backoff := n.backoff()
 	for attempt := 1; ; attempt++ {
 		regained := n.store.nextRegain()
-		err := appending.try(tries, n.appendPatience(attempt), regained)
-		if !answered(err) && !errors.Is(err, errStoreRegained) && attempt != attempts {
+		err := call.try(tries, n.appendTryTimeout(attempt), regained)
+		if !conclusive(err) && !errors.Is(err, errStoreRegained) && attempt != attempts {
 			pause := backoff.Next()
 			if isFull(err) {
 				n.makeSpace(ctx, partition, epoch)
 				pause = fullPause
 			}
-			if late := appending.await(tries, pause, regained); answered(late) || errors.Is(late, errStoreRegained) {
+			if late := call.await(tries, pause, regained); conclusive(late) || errors.Is(late, errStoreRegained) {
 				err = late
 			}
 		}
@@ -142,9 +144,9 @@
 			continue
 		}
 		if err == nil {
-			n.appendedTo(partition, appending.records)
+			n.recordAppend(partition, call.records)
 		}
-		if answered(err) || attempt == attempts {
+		if conclusive(err) || attempt == attempts {
 			return err
 		}
 		if ctx.Err() != nil {
@@ -153,32 +155,32 @@
 	}
 }
 
-// appendPatience bounds one try of an append: one whose answer was lost is
-// repeated soon, which the store counts once.
-func (n *Node) appendPatience(attempt int) time.Duration {
+// appendTryTimeout returns the timeout of one try of an append. It is short, since the
+// store applies a repeated append once and its answer may have been lost.
+func (n *Node) appendTryTimeout(attempt int) time.Duration {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
-	return n.patience.Timeout(attempt)
+	return n.adaptiveAppendTimeout.Timeout(attempt)
 }
 
 func (n *Node) observeAppend(took time.Duration) {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
-	n.patience.Observe(took)
+	n.adaptiveAppendTimeout.Observe(took)
 }
 
-// noteStore counts a call to the store, and notes that it answered. A store that
-// turns every call away is not reached, however fast it does so.
-func (n *Node) noteStore(err error) {
+// recordStoreCall counts a call to the store, and records whether the store answered. A
+// store that refuses every call as unavailable is not reached, however fast it answers.
+func (n *Node) recordStoreCall(err error) {
 	n.metrics.storeCall(err)
 	var refused *recordstore.RefusedError
 	var fenced *recordstore.FencedError
 	answered := errors.As(err, &refused) && !refused.Unavailable()
 	if err == nil || answered || errors.As(err, &fenced) || errors.Is(err, recordstore.ErrGap) {
-		n.store.note(time.Now())
+		n.store.recordAnswer(time.Now())
 		return
 	}
 	if !errors.Is(err, context.Canceled) {
-		n.store.fail()
+		n.store.recordFailure()
 	}
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -27,8 +27,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("edge")
 
-// Node is one node of the system. New builds it, Start has it serve, and Stop
-// ends it without cutting a request.
+// Node is one node of the system. New creates it, Start makes it serve, and Stop ends it
+// without cutting off requests.
 type Node struct {
 	settings Settings
 	adapter  Adapter
@@ -37,74 +37,75 @@
 
 	routes routing.LatestTable
 	config latestConfiguration
-	// evacuations is what this node knows of evacuated zones.
-	evacuations evacuations
-	replicas    *replicas
-	pool        *upstream.Pool
-	calls       *calls
-	placing     *placing
-	shares      *shares
-	chains      *chains
-	// takeovers are those under way here.
+	// evacuations is what this node knows about evacuated zones.
+	evacuations   evacuations
+	replicas      *replicas
+	pool          *upstream.Pool
+	callStats     *callStats
+	turnEstimates *turnEstimates
+	shares        *shares
+	chains        *chains
+	// takeovers are the takeovers in progress at this node.
 	takeovers *takeovers
-	// space is what the partitions take in the store.
+	// space tracks how much the partitions occupy in the store.
 	space   *space
 	clients *ingress.Server
 	control *control
 	peers   *peers
 	metrics *Metrics
-	// waiting are the requests that wait for room.
-	waiting *waiting
-	// standings know how much longer programs take.
-	standings *standings
-	// returns spreads the times at which refused callers come back.
-	returns returns
-	// coldOffers counts the offers to cold replicas, for their ids.
+	// waitQueue holds the requests that wait for capacity.
+	waitQueue *waitQueue
+	// scheduling holds the remaining-time estimates of programs.
+	scheduling *scheduling
+	// refusals spreads the times at which refused callers retry.
+	refusals refusals
+	// coldOffers numbers the charges for cold replicas, to give them unique ids.
 	coldOffers atomic.Uint64
-	// withheld are the fields of clients that no replica gets.
-	withheld []string
+	// strippedFields are the header fields of clients that are not forwarded to replicas.
+	strippedFields []string
 
-	// randomMutex guards random, which draws for traffic, and patience, which
-	// bounds the appends.
-	randomMutex sync.Mutex
-	random      *rand.Rand
-	patience    retry.AdaptiveTimeout
+	// randomMutex guards random, used for request handling, and adaptiveAppendTimeout,
+	// which bounds each try of an append.
+	randomMutex           sync.Mutex
+	random                *rand.Rand
+	adaptiveAppendTimeout retry.AdaptiveTimeout
 
-	store contact
-	proof *proof
-	// listedAt is when the list of replicas was last that of the store, in
+	store          storeContact
+	freshnessProof *freshnessProof
+	// replicasAsOf is when the list of replicas was last equal to that of the store, in
 	// nanoseconds since started.
-	started  time.Time
-	listedAt atomic.Int64
-	stopping atomic.Bool
-	// The streams that were read whole.
+	started      time.Time
+	replicasAsOf atomic.Int64
+	stopping     atomic.Bool
+	// syncedConfiguration and syncedReplicas say that the stream was read completely.
 	syncedConfiguration atomic.Bool
 	syncedReplicas      atomic.Bool
-	// roles are what nodes do for others in a large fleet.
+	// roles are the tasks that nodes perform for others in a large fleet.
 	roles atomic.Pointer[coordinator.Roles]
-	// following is set while this node follows another one, and relayedAt is when that
-	// one answered last, in nanoseconds since started.
-	following atomic.Bool
-	relayedAt atomic.Int64
-	// holdsAll says that this node holds all replicas that the store lists, and not a
-	// part of them.
-	holdsAll atomic.Bool
-	// unproven counts the reads in a row that brought no proof in time.
-	unproven atomic.Int64
-	// unusable are the entries of the list that name no replica to use.
+	// following is set while this node follows another one, and readerAnsweredAt is when
+	// that node answered last, in nanoseconds since started.
+	following        atomic.Bool
+	readerAnsweredAt atomic.Int64
+	// holdsAllReplicas says that this node holds all replicas that the store lists, rather
+	// than a part of them.
+	holdsAllReplicas atomic.Bool
+	// readsWithoutProof counts the consecutive reads of the configuration that did not
+	// yield a freshness proof in time.
+	readsWithoutProof atomic.Int64
+	// unusable are the entries of the list of replicas that are invalid.
 	unusable unusableEntries
-	// listed is closed once this node has the list of nodes.
-	listed     chan struct{}
-	listedOnce sync.Once
-	// watching ends the read by which a follower notes that the store is reached; nil
-	// while there is none.
-	watching atomic.Pointer[context.CancelFunc]
-	// askedReader is the reader whose first answer is waited for; nil while none is.
-	askedReader atomic.Pointer[askedReader]
-	// liveNodes is how many nodes are live, this one included.
+	// nodeListKnown is closed once this node has the list of nodes.
+	nodeListKnown chan struct{}
+	nodeListOnce  sync.Once
+	// cancelWatch cancels the read by which a follower checks that the store can be
+	// reached; nil while there is none.
+	cancelWatch atomic.Pointer[context.CancelFunc]
+	// pendingReader is the reader whose first answer is awaited; nil while there is none.
+	pendingReader atomic.Pointer[pendingReader]
+	// liveNodes is the number of live nodes, including this one.
 	liveNodes atomic.Int32
-	// isolatedSince is since when the node has reached neither the store nor most of
-	// the zones it knows; nil while it does.
+	// isolatedSince is since when the node has reached neither the store nor most of the
+	// zones it knows; nil while it reaches them.
 	isolatedSince atomic.Pointer[time.Time]
 
 	ctx    context.Context
@@ -112,23 +113,23 @@
 	failed chan error
 }
 
-// A node's memory is dear and its heap small, so that the collector costs little.
+// The garbage collector trades memory for processor time: a node has little memory and a
+// small heap, so collecting often costs little.
 const (
-	// memoryShare is the share of the memory bound that the heap may take before
-	// the collector works harder.
-	memoryShare = 0.7
-	// heapGrowth is how much the heap may grow before a collection, in
-	// hundredths of what the last one left.
-	heapGrowth = 25
+	// heapLimitShare is the soft memory limit as a share of Settings.MemoryBytes.
+	heapLimitShare = 0.7
+	// gcPercent is how much the heap may grow before the next collection, in percent of
+	// what the last one left.
+	gcPercent = 25
 )
 
-// New builds a node. It opens nothing yet.
+// New creates a node. It opens no sockets yet.
 func New(settings Settings, adapter Adapter, logger *log.Logger) (*Node, error) {
 	if settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * memoryShare))
-		debug.SetGCPercent(heapGrowth)
+		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * heapLimitShare))
+		debug.SetGCPercent(gcPercent)
 	}
-	repeats, err := newCalls()
+	stats, err := newCallStats()
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -144,27 +145,27 @@
 			Address: settings.Peers, Status: machine.StatusLive, Incarnation: uint64(now.UnixNano()),
 			Weight: settings.Cores * settings.LinkMegabits,
 		},
-		replicas:  newReplicas(&settings),
-		pool:      upstream.NewPool(upstream.DefaultConfig(adapter.Names)),
-		calls:     repeats,
-		placing:   newPlacing(),
-		shares:    newShares(),
-		chains:    newChains(settings.uses(RecallChains)),
-		takeovers: newTakeovers(),
-		space:     newSpace(),
-		standings: newStandings(),
-		waiting:   newWaiting(&settings),
-		metrics:   newMetrics(settings.LogLinesDropped),
-		random:    random,
-		patience:  retry.AdaptiveTimeout{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
-		store:     contact{last: now},
-		proof:     newProof(now),
-		started:   now,
-		withheld:  withheldFields(adapter.Names),
-		failed:    make(chan error, 4),
-		listed:    make(chan struct{}),
+		replicas:              newReplicas(&settings),
+		pool:                  upstream.NewPool(upstream.DefaultConfig(adapter.Names)),
+		callStats:             stats,
+		turnEstimates:         newTurnEstimates(),
+		shares:                newShares(),
+		chains:                newChains(settings.uses(CacheChains)),
+		takeovers:             newTakeovers(),
+		space:                 newSpace(),
+		scheduling:            newScheduling(),
+		waitQueue:             newWaitQueue(&settings),
+		metrics:               newMetrics(settings.LogLinesDropped),
+		random:                random,
+		adaptiveAppendTimeout: retry.AdaptiveTimeout{Minimum: appendTimeoutMin, Maximum: appendTimeout, Factor: appendFactor},
+		store:                 storeContact{last: now},
+		freshnessProof:        newFreshnessProof(now),
+		started:               now,
+		strippedFields:        fieldsToStrip(adapter.Names),
+		failed:                make(chan error, 4),
+		nodeListKnown:         make(chan struct{}),
 	}
-	node.replicas.forget = node.pool.Forget
+	node.replicas.forget = node.pool.RemoveTarget
 	node.ctx, node.cancel = context.WithCancel(context.Background())
 	coreRandom := rand.New(rand.NewPCG(seed+1, uint64(now.UnixNano())))
 	core, err := coordinator.New(now, coreConfig(settings, node.self, coreRandom))
@@ -175,51 +176,51 @@
 	node.control = newControl(node, core)
 	node.clients = ingress.NewServer(ingress.Config{
 		Handler: node.handle, Limits: node.limits, MaxConnections: maximumConnections(settings),
-		Panicked: func(value any) { logger.Error().Any("panic", value).Msg("edge: a request's handler panicked") },
+		OnPanic: func(value any) { logger.Error().Any("panic", value).Msg("edge: request handler panicked") },
 	})
 	return node, nil
 }
 
-// The clients' connections get half of the memory at most.
+// The clients' connections may take up to half of the memory.
 const (
-	connectionBytes       = 48 << 10
-	connectionsOfMemory   = 2
-	connectionsWhenUnsure = 2048
+	connectionBytes           = 48 << 10
+	connectionMemoryDivisor   = 2
+	defaultMaximumConnections = 2048
 )
 
 func maximumConnections(settings Settings) int {
 	if settings.MemoryBytes == 0 {
-		return connectionsWhenUnsure
+		return defaultMaximumConnections
 	}
-	return int(settings.MemoryBytes / connectionsOfMemory / connectionBytes)
+	return int(settings.MemoryBytes / connectionMemoryDivisor / connectionBytes)
 }
 
-// Programs may use a part of their budgets before the log knows of them, so that
-// they can begin and end while the store takes no records.
+// Programs may use a part of their budgets before the log has a record of them, so that
+// they can begin and end while the store accepts no records.
 const (
 	unrecordedShare = 1.0 / 3
-	// againShare is what is left where an owner follows a lost one, of budgets from
-	// againBudget on: ten turns of the users' deployments at their most. Two losses in
-	// a row leave five twelfths of such a budget.
-	againShare    = 1.0 / 4
-	againBudget   = 6000
-	unrecordedFor = 8 * time.Second
+	// afterFailureShare is the share that remains if the previous owner failed, for budgets
+	// of at least afterFailureMinBudget tokens: the maximum of ten turns in the users'
+	// deployments. Two failures in a row leave five twelfths of such a budget.
+	afterFailureShare     = 1.0 / 4
+	afterFailureMinBudget = 6000
+	ownershipProofTTL     = 8 * time.Second
 )
 
-// coreConfig returns the core's settings, within what the store takes.
+// coreConfig returns the configuration of the coordinator, within the limits of the store.
 func coreConfig(settings Settings, self machine.Machine, random *rand.Rand) coordinator.Config {
 	config := coordinator.DefaultConfig(self, settings.Partitions, random)
 	if settings.uses(BeginUnrecorded) {
 		config.Ledger.UnrecordedShare = unrecordedShare
-		config.Ledger.OwnershipProofTTL = unrecordedFor
-		if settings.uses(BeginAgain) {
-			config.Ledger.AfterFailureShare, config.Ledger.AfterFailureMinBudget = againShare, againBudget
+		config.Ledger.OwnershipProofTTL = ownershipProofTTL
+		if settings.uses(BeginAfterFailure) {
+			config.Ledger.AfterFailureShare, config.Ledger.AfterFailureMinBudget = afterFailureShare, afterFailureMinBudget
 		}
 	}
 	if !settings.uses(MarkAhead) {
 		config.Ledger.MarkAheadShare, config.Ledger.MarkAheadTurns = 0, 0
 	}
-	config.Ledger.ExtraTurnAfterFailure = settings.uses(GrantTurnAfterLoss)
+	config.Ledger.ExtraTurnAfterFailure = settings.uses(GrantTurnAfterFailure)
 	config.SkipHandover = !settings.uses(HandOver)
 	if settings.Quota.Window > 0 {
 		config.Tenants = settings.Quota
@@ -227,11 +228,11 @@
 	if settings.ColdReplicas.Window > 0 {
 		config.ColdReplicas = settings.ColdReplicas
 	}
-	config.Tenants.ArrivalOrder = !settings.uses(FinishPrograms)
-	config.Tenants.RetriesAsNew = !settings.uses(RankPrograms)
-	config.CountLocally = !settings.uses(CountTogether)
+	config.Tenants.ArrivalOrder = !settings.uses(PreferStartedPrograms)
+	config.Tenants.RetriesAsNew = !settings.uses(RankRetriesLast)
+	config.CountLocally = !settings.uses(CountCentrally)
 	config.IgnoreRedirects = !settings.uses(RedirectCharges)
-	config.DisableGathering = !settings.uses(GatherLoads) || !settings.uses(CountPeers)
+	config.DisableGathering = !settings.uses(GatherLoads) || !settings.uses(CountPeerLoads)
 	if settings.RecordBytes > 0 {
 		config.Ledger.RecordBytes = min(config.Ledger.RecordBytes, settings.RecordBytes/2)
 	}
@@ -241,8 +242,7 @@
 	return config
 }
 
-// limits returns the limits in force, or those used before any configuration
-// is known.
+// limits returns the limits in force, or defaults before any configuration is known.
 func (n *Node) limits() routing.Limits {
 	if table := n.routes.Current(); table != nil {
 		return table.Limits
@@ -250,7 +250,7 @@
 	return routing.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 }
 
-// draw returns a uniform number from 0 to 1.
+// draw returns a uniformly distributed random number in [0, 1).
 func (n *Node) draw() float64 {
 	n.randomMutex.Lock()
 	defer n.randomMutex.Unlock()
@@ -289,7 +289,7 @@
 	return nil
 }
 
-// serve runs a server until its listener closes.
+// serve runs a server until its listener is closed.
 func (n *Node) serve(name string, serve func() error) {
 	go func() {
 		if err := serve(); err != nil && !n.stopping.Load() {
@@ -298,43 +298,43 @@
 	}()
 }
 
-// run starts a goroutine that ends with the node.
+// run starts a goroutine whose context ends with the node.
 func (n *Node) run(loop func(ctx context.Context)) {
 	go loop(n.ctx)
 }
 
-// Failed yields the error of a server that ended by itself.
+// Failed returns a channel that yields the error of a server that ended unexpectedly.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// The steps of a planned stop, from its beginning.
+// The steps of a planned stop, measured from its beginning.
 const (
-	// unlistedAfter is when the platform has noticed that the node is not
-	// ready any more and sends no new connections.
-	unlistedAfter = 3 * time.Second
-	// killSlack is how long before the kill the process ends.
-	killSlack = 700 * time.Millisecond
+	// readinessPropagation is how long the platform takes to notice that the node is not
+	// ready and to stop sending new connections.
+	readinessPropagation = 3 * time.Second
+	// exitMargin is how long before the kill the process exits.
+	exitMargin = 700 * time.Millisecond
 )
 
-// Stop ends the node: it is no longer ready, gives its partitions up, closes
-// connections as their answers end, and waits for those under way.
+// Stop ends the node: it reports that it is not ready, releases its partitions, closes
+// connections as their answers end, and waits for the requests in progress.
 func (n *Node) Stop() {
-	begun := time.Now()
+	start := time.Now()
 	if n.stopping.Swap(true) {
 		return
 	}
 	n.logger.Info().Int("active", n.clients.Active()).Msg("edge: stopping")
 	n.control.post(coordinator.Leave{})
 	n.clients.Drain()
-	end := begun.Add(max(n.settings.Grace-killSlack, 0))
-	wait.Until(n.ctx, minTime(begun.Add(unlistedAfter), end))
+	end := start.Add(max(n.settings.Grace-exitMargin, 0))
+	wait.Until(n.ctx, minTime(start.Add(readinessPropagation), end))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	err := n.clients.Shutdown(ctx)
 	n.cancel()
-	n.logger.Info().Bool("cut", err != nil).Dur("took", time.Since(begun)).Msg("edge: stopped")
+	n.logger.Info().Bool("cut", err != nil).Dur("took", time.Since(start)).Msg("edge: stopped")
 }
 
-// Kill ends the node at once, as the loss of its process does.
+// Kill ends the node at once, like a crash of its process.
 func (n *Node) Kill() {
 	n.stopping.Store(true)
 	n.cancel()
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -12,106 +12,106 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// noteListed notes how old the list of replicas is.
-func (n *Node) noteListed(age time.Duration) {
-	n.listedAt.Store(int64(time.Since(n.started) - age))
+// setListAge records the age of the list of replicas.
+func (n *Node) setListAge(age time.Duration) {
+	n.replicasAsOf.Store(int64(time.Since(n.started) - age))
 }
 
-// listAge returns how long ago the list of replicas was that of the store.
+// listAge returns how long ago the list of replicas was equal to that of the store.
 func (n *Node) listAge() time.Duration {
-	return time.Since(n.started) - time.Duration(n.listedAt.Load())
+	return time.Since(n.started) - time.Duration(n.replicasAsOf.Load())
 }
 
-// relay is where a node stands that follows a reader.
-type relay struct {
-	reader machine.Machine
-	turn   int
-	// life and next are where it stands at the reader, with its part of the list; life 0
-	// asks for the whole of that.
-	life, next uint64
-	part       bool
-	group      replica.Group
-	// unsure says that the reader still read, and that what this node holds may differ
-	// from the whole list.
-	unsure bool
-	// failures counts the questions in a row without an answer.
+// readerCursor is the position of a node that follows readers.
+type readerCursor struct {
+	reader      machine.Machine
+	readerIndex int
+	// incarnation and next are the position in the reader's changes, for this node's part
+	// of the list; incarnation 0 requests the whole part.
+	incarnation, next uint64
+	part              bool
+	group             replica.Group
+	// uncertain says that the reader was still reading, and that what this node holds may
+	// differ from the whole list.
+	uncertain bool
+	// failures counts the consecutive requests without an answer.
 	failures int
-	// servedAt is when a reader answered last.
+	// servedAt is when a reader last answered.
 	servedAt time.Time
 }
 
-// leave has the next question go to the next reader.
-func (r *relay) leave() {
-	r.turn++
-	r.life, r.next = 0, 0
+// nextReader directs the next request to the next reader.
+func (r *readerCursor) nextReader() {
+	r.readerIndex++
+	r.incarnation, r.next = 0, 0
 }
 
-// followReaders follows the replicas through readers for as long as that is the
-// way of this node and one of them serves.
+// followReaders follows the replicas through readers, for as long as this node's role
+// requires it and a reader answers.
 func (n *Node) followReaders(ctx context.Context) {
 	defer n.following.Store(false)
-	at := relay{servedAt: time.Now()}
-	backoff := n.backoffOf(readerPauseFirst, readerPauseMost)
+	cursor := readerCursor{servedAt: time.Now()}
+	backoff := n.backoffOf(readerMinimumBackoff, readerMaximumBackoff)
 	for ctx.Err() == nil {
 		readers := n.readersToFollow()
-		if len(readers) == 0 || n.stranded(&at, len(readers)) {
+		if len(readers) == 0 || n.readsStoreItself(&cursor, len(readers)) {
 			return
 		}
-		at.reader = readers[at.turn%len(readers)]
-		at.hold(n.role() == roleFollower, n.ownGroup())
-		question := n.relayQuestion(&at)
-		asked := time.Now()
-		answer, err := n.askReader(ctx, at.reader, question)
+		cursor.reader = readers[cursor.readerIndex%len(readers)]
+		cursor.setGroup(n.role() == roleFollower, n.ownGroup())
+		request := n.relayRequest(&cursor)
+		requestedAt := time.Now()
+		answer, err := n.queryReader(ctx, cursor.reader, request)
 		if err != nil {
-			n.logger.Warn().Str("reader", string(at.reader.ID)).Int("failures", at.failures).Err(err).Msg("replicas: reader not followed")
-			at.failures++
-			at.leave()
-			if at.failures%len(readers) == 0 {
+			n.logger.Warn().Str("reader", string(cursor.reader.ID)).Int("failures", cursor.failures).Err(err).Msg("replicas: reader not followed")
+			cursor.failures++
+			cursor.nextReader()
+			if cursor.failures%len(readers) == 0 {
 				wait.For(ctx, backoff.Next())
 			}
 			continue
 		}
 		backoff.Reset()
-		at.failures, at.servedAt = 0, time.Now()
-		n.relayedAt.Store(int64(time.Since(n.started)))
-		at.note(&answer, n.replicas.count() > 0)
-		n.takeRelay(at.reader, asked, question.part, &answer)
-		n.noteFollowing(at.reader)
-		if !answer.Partial && answer.age() > relayAge && n.fresherReader(ctx, &at, readers, answer.age()) {
-			at.life, at.next = 0, 0
+		cursor.failures, cursor.servedAt = 0, time.Now()
+		n.readerAnsweredAt.Store(int64(time.Since(n.started)))
+		cursor.advance(&answer, n.replicas.count() > 0)
+		n.applyRelay(cursor.reader, requestedAt, request.part, &answer)
+		n.logFollowing(cursor.reader)
+		if !answer.Partial && answer.age() > maximumListAge && n.switchToFresherReader(ctx, &cursor, readers, answer.age()) {
+			cursor.incarnation, cursor.next = 0, 0
 		}
 	}
 }
 
-// hold has the next question be about a part of the list, or all of it. Where that changes,
-// the numbers that were heard mean nothing.
-func (r *relay) hold(part bool, group replica.Group) {
+// setGroup sets whether the next request is for a group's part of the list or for all of
+// it. A change invalidates the position.
+func (r *readerCursor) setGroup(part bool, group replica.Group) {
 	if part != r.part || (part && group != r.group) {
-		r.life, r.next = 0, 0
+		r.incarnation, r.next = 0, 0
 	}
 	r.part, r.group = part, group
 }
 
-// note takes in where an answer leaves the follower, which held replicas before it or not.
-// Once a reader has read all that still read, the whole list is asked for again: by a node
-// that may hold replicas which are not in it, and by one that passes the whole list on
-// itself and has to know that it holds all.
-func (r *relay) note(answer *relayAnswer, held bool) {
-	r.life, r.next = answer.Life, answer.Next
+// advance updates the position after an answer; held says whether this node held replicas
+// before it. After a reader has completed its list, the whole list is requested again by a
+// node that may hold replicas that are not in it, and by one that serves the whole list
+// itself and therefore has to know that it holds all.
+func (r *readerCursor) advance(answer *relayAnswer, held bool) {
+	r.incarnation, r.next = answer.ReaderIncarnation, answer.Next
 	switch {
 	case answer.Partial:
-		r.unsure = r.unsure || !r.part || (answer.Whole && held)
+		r.uncertain = r.uncertain || !r.part || (answer.Whole && held)
 	case answer.Whole:
-		r.unsure = false
-	case r.unsure:
-		r.life, r.next = 0, 0
+		r.uncertain = false
+	case r.uncertain:
+		r.incarnation, r.next = 0, 0
 	}
 }
 
-// learnTotal asks the readers of this zone, and the sources, how many replicas there are, by
-// which a node that starts knows whether it is to follow them or to read the store. Of a
-// small fleet that has just started nobody knows.
-func (n *Node) learnTotal(ctx context.Context) {
+// fetchTotal queries the readers of this zone, and the sources, for the number of replicas.
+// A starting node needs it to decide whether to follow them or to read the store. In a
+// small fleet that has just started, no node knows it.
+func (n *Node) fetchTotal(ctx context.Context) {
 	roles := n.roles.Load()
 	if roles == nil || !n.settings.uses(FollowReaders) {
 		return
@@ -123,54 +123,54 @@
 		if reader.ID == n.self.ID {
 			continue
 		}
-		answer, err := n.askReader(ctx, reader, relayQuestion{ageOnly: true})
+		answer, err := n.queryReader(ctx, reader, relayRequest{ageOnly: true})
 		if err == nil {
 			n.replicas.setTotal(answer.Total)
 		}
 	}
 }
 
-// stranded reports whether no reader has served for so long that this node is to read
-// the store itself. Followers, of which there are many, wait longer for one than readers,
-// and each a little longer or shorter than the others.
-func (n *Node) stranded(at *relay, readers int) bool {
-	if at.failures <= readers {
+// readsStoreItself reports whether no reader has answered for so long that this node should
+// read the store itself. Followers, of which there are many, wait longer than readers, and
+// for a randomly varied time.
+func (n *Node) readsStoreItself(cursor *readerCursor, readers int) bool {
+	if cursor.failures <= readers {
 		return false
 	}
-	patience := strandedAfter
+	delay := followerFallbackDelay
 	if n.role() == roleReader {
-		patience = readerStrandedAfter
+		delay = readerFallbackDelay
 	}
-	return time.Since(at.servedAt) > patience+time.Duration(n.draw()*float64(patience))
+	return time.Since(cursor.servedAt) > delay+time.Duration(n.draw()*float64(delay))
 }
 
-// fresherReader looks for a reader whose list is younger, and turns to it: the next one, or
-// one of the others. While the store is down for all there is none, and the follower stays
-// where it is.
-func (n *Node) fresherReader(ctx context.Context, at *relay, readers []machine.Machine, age time.Duration) bool {
+// switchToFresherReader tries two other readers, the next one and a random one, and
+// switches to one with a newer list. While the store is down for all nodes there is none,
+// and the follower stays with its reader.
+func (n *Node) switchToFresherReader(ctx context.Context, cursor *readerCursor, readers []machine.Machine, age time.Duration) bool {
 	for _, offset := range []int{1, 1 + int(n.draw()*float64(len(readers)-1))} {
-		other := readers[(at.turn+offset)%len(readers)]
-		answer, err := n.askReader(ctx, other, relayQuestion{ageOnly: true})
-		if err == nil && answer.age() < age-relayAge/2 {
-			n.logger.Info().Str("reader", string(at.reader.ID)).Dur("age", age).Str("next", string(other.ID)).
+		other := readers[(cursor.readerIndex+offset)%len(readers)]
+		answer, err := n.queryReader(ctx, other, relayRequest{ageOnly: true})
+		if err == nil && answer.age() < age-maximumListAge/2 {
+			n.logger.Info().Str("reader", string(cursor.reader.ID)).Dur("age", age).Str("next", string(other.ID)).
 				Dur("its", answer.age()).Msg("replicas: reader's list is old")
-			at.turn += offset
+			cursor.readerIndex += offset
 			return true
 		}
 	}
-	wait.For(ctx, readerPauseMost)
+	wait.For(ctx, readerMaximumBackoff)
 	return false
 }
 
-// relayQuestion returns the next question to a reader.
-func (n *Node) relayQuestion(at *relay) relayQuestion {
-	question := relayQuestion{life: at.life, since: at.next, evacuations: n.evacuations.version(), version: n.configVersion()}
-	question.wait = sourceWait
-	if at.part {
-		question.wait = relayWait
-		question.part, question.group = true, at.group
+// relayRequest returns the next request to a reader.
+func (n *Node) relayRequest(cursor *readerCursor) relayRequest {
+	request := relayRequest{incarnation: cursor.incarnation, since: cursor.next, evacuations: n.evacuations.version(), version: n.configVersion()}
+	request.wait = sourceWait
+	if cursor.part {
+		request.wait = relayWait
+		request.part, request.group = true, cursor.group
 	}
-	return question
+	return request
 }
 
 func (n *Node) configVersion() uint64 {
@@ -180,64 +180,65 @@
 	return 0
 }
 
-// noteFollowing writes when this node begins to follow a reader.
-func (n *Node) noteFollowing(reader machine.Machine) {
+// logFollowing logs when this node begins to follow a reader.
+func (n *Node) logFollowing(reader machine.Machine) {
 	if !n.following.Swap(true) {
 		n.logger.Info().Str("reader", string(reader.ID)).Int("replicas", n.replicas.count()).Int("listed", n.replicas.total()).
 			Msg("replicas: following a reader")
 	}
 }
 
-// FollowsReader reports whether the node follows the replicas through another.
+// FollowsReader reports whether this node gets the replicas from another node.
 func (n *Node) FollowsReader() bool { return n.following.Load() }
 
-// Replicas returns how many replicas the node holds: all, or its part of them.
+// Replicas returns the number of replicas that the node holds: all, or its part of them.
 func (n *Node) Replicas() int { return n.replicas.count() }
 
-// askedReader is a reader whose first answer this node waits for, and what ends that.
-type askedReader struct {
-	id  machine.ID
-	end context.CancelFunc
+// pendingReader is a reader whose first answer this node awaits, and the function that
+// cancels the request.
+type pendingReader struct {
+	id   machine.ID
+	stop context.CancelFunc
 }
 
-// askReader asks a reader for what has changed. A first answer is waited for long, since it
-// would be sent in vain if it were given up and asked for again, but no longer than the
-// reader lives.
-func (n *Node) askReader(ctx context.Context, reader machine.Machine, question relayQuestion) (relayAnswer, error) {
-	first := question.life == 0 && !question.ageOnly
-	patience := question.wait + relaySlack
+// queryReader requests the changes from a reader. The first answer has a long timeout,
+// since it would be sent in vain if the request were given up and repeated, but the request
+// is cancelled if the reader fails.
+func (n *Node) queryReader(ctx context.Context, reader machine.Machine, request relayRequest) (relayAnswer, error) {
+	first := request.incarnation == 0 && !request.ageOnly
+	timeout := request.wait + relaySlack
 	if first {
-		patience = firstPatience
+		timeout = firstAnswerTimeout
 	}
-	callCtx, cancel := context.WithTimeout(ctx, patience)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if first {
-		n.askedReader.Store(&askedReader{id: reader.ID, end: cancel})
-		defer n.askedReader.Store(nil)
+		n.pendingReader.Store(&pendingReader{id: reader.ID, stop: cancel})
+		defer n.pendingReader.Store(nil)
 	}
 	var answer relayAnswer
-	err := n.peers.client(reader.Address).Do(callCtx, fasthttp.MethodGet, question.path(), nil, &answer)
+	err := n.peers.client(reader.Address).Do(callCtx, fasthttp.MethodGet, request.path(), nil, &answer)
 	return answer, err
 }
 
-// manyChanges is from how many changes in one answer on a line is written for all of them
-// and not for each.
-const manyChanges = 16
+// bulkLogThreshold is the number of changes in one answer from which on they are logged in
+// one line rather than one line each.
+const bulkLogThreshold = 16
 
-// takeRelay takes over a reader's answer about all replicas, or a part.
-func (n *Node) takeRelay(reader machine.Machine, asked time.Time, part bool, answer *relayAnswer) {
-	n.takeRelayedConfiguration(reader, asked, answer)
+// applyRelay applies a reader's answer about all replicas, or a part of them.
+func (n *Node) applyRelay(reader machine.Machine, requestedAt time.Time, part bool, answer *relayAnswer) {
+	n.applyRelayedConfiguration(reader, requestedAt, answer)
 	n.replicas.setTotal(answer.Total)
-	if answer.Whole || len(answer.Changes) >= manyChanges {
-		n.takeList(reader, part, answer)
+	if answer.Whole || len(answer.Changes) >= bulkLogThreshold {
+		n.applyList(reader, part, answer)
 	} else {
-		n.takeChanges(answer.Changes)
+		n.applyChanges(answer.Changes)
 	}
-	n.noteListed(answer.age())
+	n.setListAge(answer.age())
 }
 
-// takeChanges takes a few changes over.
-func (n *Node) takeChanges(changes []replica.Change) {
+// applyChanges applies a small number of changes.
+func (n *Node) applyChanges(changes []replica.Change) {
 	for _, change := range changes {
 		if change.Entry == nil {
 			n.removeReplica(change.Gone, "gone from the reader's list")
@@ -247,8 +248,8 @@
 	}
 }
 
-// takeList takes many changes over, or a whole list.
-func (n *Node) takeList(reader machine.Machine, part bool, answer *relayAnswer) {
+// applyList applies a large number of changes, or a whole list.
+func (n *Node) applyList(reader machine.Machine, part bool, answer *relayAnswer) {
 	listed := make(map[replica.ID]bool, len(answer.Changes))
 	changed, removed := 0, 0
 	for _, change := range answer.Changes {
@@ -264,7 +265,7 @@
 		}
 	}
 	if answer.Whole {
-		n.holdsAll.Store(!part && !answer.Partial)
+		n.holdsAllReplicas.Store(!part && !answer.Partial)
 		if !answer.Partial {
 			removed += n.dropUnlisted(listed, n.removeQuietly)
 		}
@@ -273,11 +274,11 @@
 	n.logList("reader "+string(reader.ID), len(listed), changed, removed)
 }
 
-// takeRelayedConfiguration takes over a reader's configuration, its proof that this is the
-// newest, and its word of evacuated zones.
-func (n *Node) takeRelayedConfiguration(reader machine.Machine, asked time.Time, answer *relayAnswer) {
+// applyRelayedConfiguration applies a reader's configuration, its freshness proof, and its
+// evacuated zones.
+func (n *Node) applyRelayedConfiguration(reader machine.Machine, requestedAt time.Time, answer *relayAnswer) {
 	if answer.Evacuations != nil {
-		n.adoptEvacuations(reader, asked, *answer.Evacuations)
+		n.adoptEvacuations(reader, requestedAt, *answer.Evacuations)
 	}
 	if raw := answer.Configuration; raw != nil {
 		n.applyConfiguration(raw.Key, raw.Value, "reader "+string(reader.ID))
@@ -287,6 +288,6 @@
 	}
 	n.syncedConfiguration.Store(true)
 	if answer.Proven {
-		n.noteProof(asked.Add(-time.Duration(answer.ProofAgeMS) * time.Millisecond))
+		n.recordProof(requestedAt.Add(-time.Duration(answer.ProofAgeMS) * time.Millisecond))
 	}
 }
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -13,62 +13,63 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// replicas guards a replica.Set for the goroutines of traffic.
+// replicas makes a replica.Set safe for concurrent use.
 type replicas struct {
 	mutex sync.Mutex
 	set   *replica.Set
 	feed  replica.Feed
-	// views are the parts of the list that followers have asked for lately.
+	// views are the parts of the list that followers have requested recently.
 	views map[replica.Group]*view
-	// firstOfView is the first number of the newest view.
-	firstOfView uint64
-	// forget is told what to keep no connections to; nil in tests of the list alone.
+	// newestViewBase is the first change number of the newest view.
+	newestViewBase uint64
+	// forget closes the idle connections to a target; nil in tests of the list alone.
 	forget func(upstream.Target)
-	// listed is how many replicas the store lists, as a reader told; 0 where this
-	// node holds all itself.
-	listed int
+	// totalListed is the number of replicas in the store, as reported by a reader; 0 if
+	// this node holds all itself.
+	totalListed int
 	// changed is closed and replaced at each change of the list.
 	changed chan struct{}
-	// keyed are the replicas by the keys that messages about loads name them by.
-	keyed map[gather.Key]replica.ID
+	// byKey are the replicas by the keys that refer to them in messages about loads.
+	byKey map[gather.Key]replica.ID
 }
 
-// view is a part of the list with when it was asked for, and chosen, last.
+// view is a part of the list, with the times of its last request and its last refresh.
 type view struct {
 	*replica.View
-	askedAt  time.Time
-	chosenAt time.Time
+	requestedAt time.Time
+	refreshedAt time.Time
 }
 
-// numbersOfView is how many changes a view may number: more than it ever sees.
-const numbersOfView = 1 << 32
+// viewNumberRange is the size of the range of change numbers that each view has to itself,
+// which it never exhausts.
+const viewNumberRange = 1 << 32
 
-// viewLifetime is for how long a part is kept up to date that nobody asks for.
+// viewLifetime is how long a part is kept up to date after its last request.
 const viewLifetime = 10 * time.Second
 
 func newReplicas(settings *Settings) *replicas {
 	config := replica.DefaultConfig(settings.Zone)
 	config.Regions, config.LeaveWithin = settings.Regions, settings.LeaveWithin
-	config.Disabled = partsWithout(settings)
+	config.Disabled = disabledFactors(settings)
 	return &replicas{set: replica.NewSet(config), views: make(map[replica.Group]*view), changed: make(chan struct{}),
-		keyed: make(map[gather.Key]replica.ID)}
+		byKey: make(map[gather.Key]replica.ID)}
 }
 
-// partsWithout returns the parts of the choice that are switched off.
-func partsWithout(settings *Settings) replica.SelectionFactors {
+// disabledFactors returns the selection factors that are switched off.
+func disabledFactors(settings *Settings) replica.SelectionFactors {
 	return replica.SelectionFactors{
-		CachedPrompts: !settings.uses(FollowPrompts),
-		SharedParts:   !settings.uses(AssumeShared),
-		LastReplica:   !settings.uses(FollowLines),
-		PeerLoads:     !settings.uses(CountPeers),
+		CachedPrompts: !settings.uses(TrackCachedPrompts),
+		SharedParts:   !settings.uses(EstimateSharedPrompts),
+		LastReplica:   !settings.uses(KeepSessions),
+		PeerLoads:     !settings.uses(CountPeerLoads),
 		Estimates:     !settings.uses(EstimateLoads),
 		Zones:         !settings.uses(PreferZone),
 		Regions:       !settings.uses(PreferRegion),
 		Connections:   !settings.uses(PreferConnections),
-		Faults:        !settings.uses(RememberFaults),
-		Suspicion:     !settings.uses(SuspectSilent),
-		Cold:          !settings.uses(LimitCold),
-		TokenTimes:    !settings.uses(WeighPace),
+		Faults:        !settings.uses(AvoidFaultyReplicas),
+		Suspicion:     !settings.uses(AvoidUnresponsiveReplicas),
+		Cold:          !settings.uses(LimitColdReplicas),
+		TokenTimes:    !settings.uses(WeighTokenTimes),
 		Slack:         !settings.uses(WeighSlack),
 	}
 }
@@ -94,8 +95,8 @@
 	r.set.Ended(time.Now(), id, result)
 }
 
-// observe takes in what a turn measured of its replica, and returns how fast the replicas
-// of its service are, as far as that is known.
+// observe records a turn's measurements of its replica, and returns the range of token
+// times of the replicas of its service, if known.
 func (r *replicas) observe(entry replica.Entry, sample replica.Sample) (replica.TokenTimeRange, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -103,21 +104,21 @@
 	return r.set.TokenTimeRange(entry.Service)
 }
 
-func (r *replicas) pressure(request *replica.Request) float64 {
+func (r *replicas) minUtilisation(request *replica.Request) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.MinUtilisation(time.Now(), request)
 }
 
-// setEvacuated tells which zones are to get no requests, and since when.
+// setEvacuated sets the evacuated zones, with the time since when each is.
 func (r *replicas) setEvacuated(zones map[zone.Name]time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.SetEvacuated(zones)
 }
 
-// put takes over a replica's entry. No connections are kept to a former process of the
-// replica, or to its former address.
+// put applies a replica's entry. Connections to an earlier process or address of the
+// replica are closed.
 func (r *replicas) put(entry replica.Entry) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -131,27 +132,29 @@
 	if known && r.forget != nil && (after.Incarnation != before.Incarnation || after.Address != before.Address) {
 		r.forget(targetOf(before))
 	}
-	r.tell(replica.Change{Entry: &entry})
+	r.publish(replica.Change{Entry: &entry})
 	return true
 }
 
-// tell has those that follow this node's list hear of a change. The mutex is
-// held.
-func (r *replicas) tell(change replica.Change) {
+// publish passes a change on to the nodes that follow this node's list. The caller must
+// hold the mutex.
+func (r *replicas) publish(change replica.Change) {
 	r.feed.Add(change)
-	for _, one := range r.views {
-		one.Apply(change)
+	for _, view := range r.views {
+		view.Apply(change)
 	}
 	r.wakeFollowers()
 }
 
-// wakeFollowers has the followers that wait look for news. The mutex is held.
+// wakeFollowers makes the waiting requests of followers check for changes. The caller must
+// hold the mutex.
 func (r *replicas) wakeFollowers() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// wake has the followers that wait look for news other than replicas.
+// wake makes the waiting requests of followers check for changes other than those of
+// replicas.
 func (r *replicas) wake() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -159,74 +162,74 @@
 }
 
 // await waits for changes of the list, or until the time is up. It reports whether there
-// are some for the follower.
-func (r *replicas) await(ctx context.Context, question *relayQuestion, wait time.Duration) (news bool) {
+// already were changes for the follower.
+func (r *replicas) await(ctx context.Context, request *relayRequest, wait time.Duration) (available bool) {
 	r.mutex.Lock()
-	news = r.nextOf(question) != question.since
+	available = r.nextOf(request) != request.since
 	changed := r.changed
 	r.mutex.Unlock()
-	if news {
+	if available {
 		return true
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-changed:
-		pause.For(ctx, min(wait, gatherChanges))
+		pause.For(ctx, min(wait, changeBatchWindow))
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// nextOf returns the number of the next change of what a follower holds. The mutex is
-// held.
-func (r *replicas) nextOf(question *relayQuestion) uint64 {
-	if !question.part {
+// nextOf returns the number of the next change of the list or part that a follower holds.
+// The caller must hold the mutex.
+func (r *replicas) nextOf(request *relayRequest) uint64 {
+	if !request.part {
 		return r.feed.Next()
 	}
-	return r.viewOf(question.group).Next()
+	return r.viewOf(request.group).Next()
 }
 
-// viewOf returns the part of a group, chosen anew where replicas came or went. The mutex
-// is held.
+// viewOf returns the part of a group, refreshed if replicas were added or removed. The
+// caller must hold the mutex.
 func (r *replicas) viewOf(group replica.Group) *view {
 	now := time.Now()
 	found := r.views[group]
 	if found == nil {
-		r.firstOfView += numbersOfView
-		found = &view{View: replica.NewView(r.set, group, r.firstOfView), chosenAt: now}
+		r.newestViewBase += viewNumberRange
+		found = &view{View: replica.NewView(r.set, group, r.newestViewBase), refreshedAt: now}
 		r.views[group] = found
 	}
-	found.askedAt = now
-	if now.Sub(found.chosenAt) >= gatherChanges {
-		found.chosenAt = now
+	found.requestedAt = now
+	if now.Sub(found.refreshedAt) >= changeBatchWindow {
+		found.refreshedAt = now
 		found.Refresh(now, r.set)
 	}
-	for other, one := range r.views {
-		if now.Sub(one.askedAt) > viewLifetime {
+	for other, existing := range r.views {
+		if now.Sub(existing.requestedAt) > viewLifetime {
 			delete(r.views, other)
 		}
 	}
 	return found
 }
 
-// since returns what changed for a follower since it asked last, or all that it is to
-// hold where that is not known, and the number to ask for next.
-func (r *replicas) since(question *relayQuestion, known bool) (changes []replica.Change, next uint64, whole bool) {
+// since returns the changes since a follower's last request, or its whole list if they are
+// not known, and the number for its next request.
+func (r *replicas) since(request *relayRequest, known bool) (changes []replica.Change, next uint64, whole bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
-	if question.part {
-		changes, next, whole = r.viewOf(question.group).Since(now, r.set, question.since, known)
+	if request.part {
+		changes, next, whole = r.viewOf(request.group).Since(now, r.set, request.since, known)
 		if !whole {
 			changes = r.renewCold(changes)
 		}
 		return changes, next, whole
 	}
 	if known {
-		if kept, found := r.feed.Since(question.since); found {
-			return r.renewCold(kept), r.feed.Next(), false
+		if recent, found := r.feed.Since(request.since); found {
+			return r.renewCold(recent), r.feed.Next(), false
 		}
 	}
 	for _, entry := range r.set.Entries(now) {
@@ -235,35 +238,36 @@
 	return changes, r.feed.Next(), true
 }
 
-// setTotal notes how many replicas the store lists, as a reader told.
+// setTotal sets the number of replicas in the store, as reported by a reader.
 func (r *replicas) setTotal(total int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.listed = total
+	r.totalListed = total
 }
 
-// total returns how many replicas the store lists, as far as this node knows.
+// total returns the number of replicas in the store, as far as this node knows.
 func (r *replicas) total() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return max(r.listed, r.set.Count())
+	return max(r.totalListed, r.set.Count())
 }
 
-// doubt keeps a replica that is not listed for a while, if it may live.
-func (r *replicas) doubt(id replica.ID, until time.Time) bool {
+// deferRemoval keeps an unlisted replica until a deadline, unless it is draining or
+// unknown. It reports whether the replica is kept.
+func (r *replicas) deferRemoval(id replica.ID, until time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.DeferRemoval(id, until)
 }
 
-// doubted returns the replicas whose doubt is over.
-func (r *replicas) doubted() []replica.ID {
+// dueRemovals returns the replicas whose deferred removal is due.
+func (r *replicas) dueRemovals() []replica.ID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set.DueRemovals(time.Now())
 }
 
-// count returns how many replicas are listed.
+// count returns the number of replicas held.
 func (r *replicas) count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -275,13 +279,13 @@
 	defer r.mutex.Unlock()
 	entry, known := r.set.Remove(id)
 	if known {
-		delete(r.keyed, gather.KeyOf(id))
-		r.tell(replica.Change{Gone: id})
+		delete(r.byKey, gather.KeyOf(id))
+		r.publish(replica.Change{Gone: id})
 	}
 	return entry, known
 }
 
-// ids returns the ids of all replicas, in no order.
+// ids returns the ids of all replicas, in no particular order.
 func (r *replicas) ids() []replica.ID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -294,7 +298,7 @@
 	return r.set.Entries(time.Now())
 }
 
-func (r *replicas) setPeer(peer string, counts map[string]int) {
+func (r *replicas) setPeerLoads(peer string, counts map[string]int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	loads := make(map[replica.ID]int, len(counts))
@@ -304,15 +308,15 @@
 	r.set.SetPeer(time.Now(), peer, loads)
 }
 
-// setNodes tells how many nodes are live.
+// setNodes sets the number of live nodes.
 func (r *replicas) setNodes(nodes int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.set.SetNodes(nodes)
 }
 
-// own returns this node's requests under way, by replica.
-func (r *replicas) own() map[string]int {
+// ownRequests returns this node's requests in progress, by replica.
+func (r *replicas) ownRequests() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts := make(map[string]int)
@@ -322,7 +326,7 @@
 	return counts
 }
 
-// configure takes in what a configuration says of engines.
+// configure applies the engine settings of a configuration.
 func (r *replicas) configure(table *routing.Table) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/edge/run.go
+++ b/edge/run.go
@@ -17,7 +17,7 @@
 	"birchwood.example/birchwood/upstream"
 )
 
-// turnRun is the run of one admitted turn, over as many replicas as it takes.
+// turnRun is the run of one admitted turn, on as many replicas as it takes.
 type turnRun struct {
 	node    *Node
 	request *requestState
@@ -25,25 +25,25 @@
 	grant   grant
 
 	splitter eventstream.Splitter
-	// lastEvent is the id of the last event that the client has.
+	// lastEvent is the id of the last event that was sent to the client or held for it.
 	lastEvent    int64
 	hasLastEvent bool
-	// output is what the next turn's engine reads of the answer.
+	// output is the part of the answer that the engine reads before the next turn.
 	output []byte
 	// runs counts the runs that may have begun.
 	runs int
-	// kept says that the owner has kept, and so settled, the turn.
-	kept bool
-	// times follows when events came, and readAt is when the last piece was read.
-	times  streamTimes
-	readAt time.Time
-	// held is the answer so far, where nothing of it goes out until the turn is kept, and
-	// released says that it goes out.
-	held     []byte
-	released bool
+	// stored says that the owner has stored, and thereby settled, the turn.
+	stored bool
+	// times records when events arrived, and lastReadAt when the stream was last read.
+	times      streamTimes
+	lastReadAt time.Time
+	// heldOutput is the answer so far if nothing of it may be sent until the turn is
+	// stored, and released says that it may now be sent.
+	heldOutput []byte
+	released   bool
 }
 
-// pieceBytes is the most that is read of a stream at once.
+// pieceBytes is the size of the buffer for reads of a stream.
 const pieceBytes = 4096
 
 // maximumRuns bounds the runs of one turn.
@@ -53,10 +53,10 @@
 func (t *turnRun) perform(ctx context.Context) {
 	r := t.request
 	defer t.settle()
-	for offer := 0; ; offer++ {
+	for attempts := 0; ; attempts++ {
 		entry, err := t.node.chooseReplica(r, t.table)
-		if err != nil || offer >= maximumOffers || r.left() <= 0 {
-			t.node.refuse(r, err, t.runs)
+		if err != nil || attempts >= maximumAttempts || r.timeLeft() <= 0 {
+			t.node.failWithoutReplica(r, err, t.runs)
 			return
 		}
 		if t.attempt(ctx, entry) {
@@ -65,44 +65,44 @@
 	}
 }
 
-// settle tells the owner how the turn ended, unless it knows.
+// settle reports the end of the turn to the owner, unless storing it has done so.
 func (t *turnRun) settle() {
 	if t.runs > 0 {
-		t.request.noteRun()
+		t.request.markRun()
 	}
-	if t.holdsBack() && !t.released {
+	if t.holdsOutput() && !t.released {
 		t.request.tokens = 0
 	}
-	if t.request.needsOwner() && !t.kept {
+	if t.request.needsOwner() && !t.stored {
 		t.node.settle(t.request)
 	}
 }
 
-// attempt sends the turn to one replica. It reports whether the request was
-// answered; if not, another attempt may follow.
+// attempt sends the turn to one replica. It reports whether the request was answered; if
+// not, another attempt may follow.
 func (t *turnRun) attempt(ctx context.Context, entry replica.Entry) (over bool) {
 	r, n := t.request, t.node
 	r.urgency = n.urgency(r, t.table)
-	response, err := n.pool.Send(targetOf(entry), n.outgoing(r, entry, t.body(), t.resumeFrom()), r.exchange.Cancel)
+	response, err := n.pool.Send(targetOf(entry), n.replicaRequest(r, entry, t.body(), t.resumeFrom()), r.exchange.Cancel)
 	if upstream.NotSent(err) {
-		if n.abandoned(r, entry) {
+		if n.endIfAbandoned(r, entry) {
 			return true
 		}
-		n.reject(r, entry, replica.ResultFailed)
+		n.attemptRejected(r, entry, replica.ResultFailed)
 		return false
 	}
 	if err != nil {
 		t.runs++
 		return t.afterFailure(entry, err)
 	}
-	n.hearCold(entry.ID, response)
+	n.observeColdStatus(entry.ID, response)
 	if n.notExecuted(response) {
 		_, _ = response.ReadAll()
-		n.reject(r, entry, replica.ResultRejected)
+		n.attemptRejected(r, entry, replica.ResultRejected)
 		return false
 	}
 	t.runs++
-	if response.Status() != fasthttp.StatusOK || !n.sound(response) {
+	if response.Status() != fasthttp.StatusOK || !n.mayRelay(response) {
 		return t.relayFailure(entry, response)
 	}
 	if err := t.relay(ctx, response); err != nil {
@@ -114,8 +114,8 @@
 	return true
 }
 
-// body returns what the replica gets: on routes whose turns are kept, the
-// chain goes before the new input.
+// body returns the request body for the replica. On routes that store turns, it is the
+// chain followed by the new input.
 func (t *turnRun) body() []byte {
 	if len(t.grant.chain) == 0 {
 		return t.request.exchange.Body
@@ -125,7 +125,7 @@
 	return append(body, t.request.exchange.Body...)
 }
 
-// resumeFrom returns the last event that the client has, or "".
+// resumeFrom returns the id of the last event that was relayed or held, or "".
 func (t *turnRun) resumeFrom() string {
 	if !t.hasLastEvent {
 		return ""
@@ -133,17 +133,17 @@
 	return strconv.FormatInt(t.lastEvent, 10)
 }
 
-// relayFailure passes on a replica's answer that is no stream.
+// relayFailure relays a replica's answer that is not a stream.
 func (t *turnRun) relayFailure(entry replica.Entry, response *upstream.Response) bool {
 	r, n := t.request, t.node
 	body, err := response.ReadAll()
-	if err != nil || !n.sound(response) {
+	if err != nil || !n.mayRelay(response) {
 		return t.afterFailure(entry, err)
 	}
-	n.replicas.ended(entry.ID, resultOf(response.Status()))
+	n.replicas.ended(entry.ID, resultForStatus(response.Status()))
 	r.status = response.Status()
-	if r.exchange.Begun() {
-		r.giveUp("the replica that was to continue answered " + strconv.Itoa(response.Status()))
+	if r.exchange.HeadWritten() {
+		r.abort("the replica that was to continue answered " + strconv.Itoa(response.Status()))
 		return true
 	}
 	r.reason = "answered"
@@ -151,23 +151,23 @@
 	return true
 }
 
-// errDisorder says that a continued stream does not go on where the first run
-// broke off.
-var errDisorder = errors.New("the stream does not go on where it broke off")
+// errEventOrder says that a continued stream does not resume where the previous run broke
+// off.
+var errEventOrder = errors.New("the stream does not go on where it broke off")
 
-// clientError marks a failure to write to the client.
+// clientError is a failure to write to the client.
 type clientError struct{ cause error }
 
 // Error describes the failure.
 func (e *clientError) Error() string { return "client: " + e.cause.Error() }
 
-// relay passes the stream on, event by event, and completes the answer.
+// relay relays the stream event by event and completes the answer.
 func (t *turnRun) relay(ctx context.Context, response *upstream.Response) error {
 	t.splitter = eventstream.Splitter{}
 	piece := make([]byte, pieceBytes)
 	for {
 		read, err := response.Read(piece)
-		t.readAt = time.Now()
+		t.lastReadAt = time.Now()
 		t.splitter.Write(piece[:read])
 		if relayErr := t.relayEvents(ctx, response); relayErr != nil {
 			return relayErr
@@ -181,7 +181,7 @@
 	}
 }
 
-// relayEvents passes on the whole events that have come.
+// relayEvents relays the complete events that have been read.
 func (t *turnRun) relayEvents(ctx context.Context, response *upstream.Response) error {
 	for {
 		event, whole := t.splitter.Next()
@@ -192,7 +192,7 @@
 			continue
 		}
 		if event.HasID && t.hasLastEvent && event.ID != t.lastEvent+1 && t.runs > 1 {
-			return errDisorder
+			return errEventOrder
 		}
 		if err := t.relayEvent(ctx, response, event); err != nil {
 			return err
@@ -202,14 +202,14 @@
 
 func (t *turnRun) relayEvent(ctx context.Context, response *upstream.Response, event eventstream.Event) error {
 	r := t.request
-	if !r.exchange.Begun() && !t.holdsBack() {
-		if err := t.begin(ctx, response); err != nil {
+	if !r.exchange.HeadWritten() && !t.holdsOutput() {
+		if err := t.beginResponse(ctx, response); err != nil {
 			return err
 		}
 	}
 	if event.HasData {
 		r.tokens += t.tokensPerEvent()
-		t.times.note(t.readAt, r.tokens)
+		t.times.note(t.lastReadAt, r.tokens)
 		if r.route.Retain {
 			t.output = append(append(t.output, event.Data...), '\n')
 		}
@@ -217,20 +217,21 @@
 	if event.HasID {
 		t.lastEvent, t.hasLastEvent = event.ID, true
 	}
-	return t.send(event.Raw)
+	return t.writeOrHold(event.Raw)
 }
 
-// holdsBack reports whether the answer waits until the turn is kept: where that was not to
-// be had when the turn was admitted, its tokens would be handed out for nothing if it comes
-// too late, and the budget would lack them when the client asks again.
-func (t *turnRun) holdsBack() bool {
-	return t.grant.stalled && t.request.route.Retain && t.node.settings.uses(HoldBack)
+// holdsOutput reports whether the answer is held until the turn is stored. It is if the log
+// accepted no records when the turn was admitted: a turn that could not be stored in time
+// would otherwise have used its tokens in vain, and they would be missing from the budget
+// when the client repeats the request.
+func (t *turnRun) holdsOutput() bool {
+	return t.grant.stalled && t.request.route.Retain && t.node.settings.uses(HoldUntilStored)
 }
 
-// send passes a part of the answer on, or holds it back.
-func (t *turnRun) send(part []byte) error {
-	if t.holdsBack() {
-		t.held = append(t.held, part...)
+// writeOrHold sends a part of the answer to the client, or holds it.
+func (t *turnRun) writeOrHold(part []byte) error {
+	if t.holdsOutput() {
+		t.heldOutput = append(t.heldOutput, part...)
 		return nil
 	}
 	if err := t.request.exchange.Write(part); err != nil {
@@ -239,8 +240,8 @@
 	return nil
 }
 
-// begin sends the head, once the turn's tokens are durably counted.
-func (t *turnRun) begin(ctx context.Context, response *upstream.Response) error {
+// beginResponse sends the response header, once the turn's tokens are durably counted.
+func (t *turnRun) beginResponse(ctx context.Context, response *upstream.Response) error {
 	r := t.request
 	if t.grant.recorded != nil {
 		select {
@@ -254,7 +255,7 @@
 		}
 		t.times.heldUntil = time.Now()
 	}
-	r.firstAfter = time.Since(r.exchange.Arrived)
+	r.timeToFirstEvent = time.Since(r.exchange.Arrived)
 	r.status = response.Status()
 	if err := r.exchange.BeginStream(&response.Header); err != nil {
 		return &clientError{cause: err}
@@ -262,16 +263,16 @@
 	return nil
 }
 
-// release sends an answer that was held back, now that the turn is kept.
+// release sends a held answer, now that the turn is stored.
 func (t *turnRun) release(ctx context.Context, response *upstream.Response) error {
-	if !t.holdsBack() {
+	if !t.holdsOutput() {
 		return nil
 	}
-	if err := t.begin(ctx, response); err != nil {
+	if err := t.beginResponse(ctx, response); err != nil {
 		return err
 	}
 	t.released = true
-	if err := t.request.exchange.Write(t.held); err != nil {
+	if err := t.request.exchange.Write(t.heldOutput); err != nil {
 		return &clientError{cause: err}
 	}
 	return nil
@@ -281,24 +282,24 @@
 	return max(1, t.table.Services[t.request.service].TokensPerEvent)
 }
 
-// complete ends an answer that came whole. On routes whose turns are kept, the
-// turn is durable before the client can have the end.
+// complete ends an answer that was received whole. On routes that store turns, the turn is
+// durable before the client gets the end of the answer.
 func (t *turnRun) complete(ctx context.Context, response *upstream.Response) error {
 	r := t.request
 	response.Finish()
-	if !r.exchange.Begun() && !t.holdsBack() {
-		if err := t.begin(ctx, response); err != nil {
+	if !r.exchange.HeadWritten() && !t.holdsOutput() {
+		if err := t.beginResponse(ctx, response); err != nil {
 			return err
 		}
 	}
 	if rest := t.splitter.Rest(); len(rest) > 0 {
-		if err := t.send(rest); err != nil {
+		if err := t.writeOrHold(rest); err != nil {
 			return err
 		}
 	}
 	if r.route.Retain {
 		r.status = response.Status()
-		if err := t.keep(ctx); err != nil {
+		if err := t.store(ctx); err != nil {
 			return err
 		}
 	}
@@ -312,45 +313,44 @@
 	return nil
 }
 
-// keptTurn returns the turn as its owner is to keep it, without its base.
-func (t *turnRun) keptTurn() ledger.StoredTurn {
+// storedTurn returns the turn as the owner stores it, without its base.
+func (t *turnRun) storedTurn() ledger.StoredTurn {
 	r := t.request
-	kept := ledger.StoredTurn{
+	stored := ledger.StoredTurn{
 		ID: r.turnID(), Program: r.programID(), Previous: r.previousID(), Input: r.exchange.Body, Output: t.output, Retain: r.route.RetainFor,
 	}
-	if t.node.settings.uses(RememberReplicas) {
-		kept.Replica = string(r.choice.Entry.ID)
+	if t.node.settings.uses(RecordReplica) {
+		stored.Replica = string(r.choice.Entry.ID)
 	}
-	return kept
+	return stored
 }
 
-// chain returns what an engine has to read before a turn that goes on from this
-// one.
+// chain returns the input that an engine has to read before a turn that continues this one.
 func (t *turnRun) chain() []byte {
 	return slices.Concat(t.grant.chain, t.request.exchange.Body, t.output)
 }
 
-// notKeptError says that a turn came whole but could not be kept in time.
-type notKeptError struct{}
+// notStoredError says that a turn was received whole but could not be stored in time.
+type notStoredError struct{}
 
 // Error describes the failure.
-func (*notKeptError) Error() string { return "the turn could not be kept in time" }
+func (*notStoredError) Error() string { return "the turn could not be kept in time" }
 
-// afterFailure decides what follows a run that broke off: another run that
-// continues it, or the end of the answer.
+// afterFailure handles a run that broke off: another run may continue the answer, or it
+// ends.
 func (t *turnRun) afterFailure(entry replica.Entry, err error) (over bool) {
 	r, n := t.request, t.node
 	var client *clientError
 	if errors.As(err, &client) {
 		n.replicas.ended(entry.ID, replica.ResultCancelled)
-		r.giveUp(err.Error())
+		r.abort(err.Error())
 		return true
 	}
-	if n.abandoned(r, entry) {
+	if n.endIfAbandoned(r, entry) {
 		return true
 	}
-	var notKept *notKeptError
-	if errors.As(err, &notKept) || errors.Is(err, errNotCounted) {
+	var notStored *notStoredError
+	if errors.As(err, &notStored) || errors.Is(err, errNotCounted) {
 		n.replicas.ended(entry.ID, replica.ResultCancelled)
 		r.fail(fasthttp.StatusBadGateway, err.Error(), 0)
 		return true
@@ -360,6 +360,6 @@
 		r.fail(fasthttp.StatusBadGateway, failureReason(err), 0)
 		return true
 	}
-	r.again(entry, t.runs)
+	r.retry(entry, t.runs)
 	return false
 }
--- a/edge/space.go
+++ b/edge/space.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// trimBytes is how much is appended to a partition before its owner drops what
-	// newer records of the same keys replaced, and trimPeriod the least time between
-	// two such calls: each costs two calls to the store.
+	// trimBytes is how much is appended to a partition before its owner drops superseded
+	// records, and trimPeriod the minimum time between two trims, since each takes two
+	// calls to the store.
 	trimBytes  = 2 << 20
 	trimPeriod = 10 * time.Second
-	// trimPeriodFull is that time while the store is full.
+	// trimPeriodFull is the same period while the store is full.
 	trimPeriodFull = 2 * time.Second
-	// fullPause is the wait before an append is repeated that a full store refused:
-	// space comes back as records expire, within seconds.
+	// fullPause is the pause before an append is repeated that a full store refused: space
+	// becomes free within seconds as records expire.
 	fullPause = 500 * time.Millisecond
-	// fullLogPeriod is the least time between two lines of the log about that.
+	// fullLogPeriod is the minimum time between two log lines about a full store.
 	fullLogPeriod = 5 * time.Second
 )
 
-// space is what this node knows of the space that its partitions take in the store. It
-// is safe for concurrent use.
+// space tracks the space that this node's partitions take in the store. It is safe for
+// concurrent use.
 type space struct {
 	mutex      sync.Mutex
 	partitions map[int]*partitionSpace
 	loggedFull time.Time
 }
 
-// partitionSpace is what was appended to a partition since it was trimmed.
+// partitionSpace is what was appended to a partition since its last trim.
 type partitionSpace struct {
 	appended  int
 	trimmedAt time.Time
@@ -42,22 +42,22 @@
 
 func newSpace() *space { return &space{partitions: make(map[int]*partitionSpace)} }
 
-// appended counts what was appended to a partition, and reports whether it is to be
-// trimmed now.
+// appended counts bytes appended to a partition, and reports whether it should be trimmed
+// now.
 func (s *space) appended(now time.Time, partition, bytes int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one := s.of(now, partition)
-	one.appended += bytes
-	if one.appended < trimBytes || now.Sub(one.trimmedAt) < trimPeriod {
+	usage := s.entry(now, partition)
+	usage.appended += bytes
+	if usage.appended < trimBytes || now.Sub(usage.trimmedAt) < trimPeriod {
 		return false
 	}
-	one.appended, one.trimmedAt = 0, now
+	usage.appended, usage.trimmedAt = 0, now
 	return true
 }
 
-// full reports whether a partition is to be trimmed now, and whether it is to be logged
-// that the store is full.
+// full reports whether a partition should be trimmed now because the store is full, and
+// whether to log that it is full.
 func (s *space) full(now time.Time, partition int) (trim, logged bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,22 +65,22 @@
 		s.loggedFull = now
 		logged = true
 	}
-	one := s.of(now, partition)
-	if now.Sub(one.trimmedAt) < trimPeriodFull {
+	usage := s.entry(now, partition)
+	if now.Sub(usage.trimmedAt) < trimPeriodFull {
 		return false, logged
 	}
-	one.appended, one.trimmedAt = 0, now
+	usage.appended, usage.trimmedAt = 0, now
 	return true, logged
 }
 
-// of returns a partition's entry. The mutex is held.
-func (s *space) of(now time.Time, partition int) *partitionSpace {
-	one := s.partitions[partition]
-	if one == nil {
-		one = &partitionSpace{trimmedAt: now}
-		s.partitions[partition] = one
+// entry returns the entry of a partition. The caller must hold the mutex.
+func (s *space) entry(now time.Time, partition int) *partitionSpace {
+	usage := s.partitions[partition]
+	if usage == nil {
+		usage = &partitionSpace{trimmedAt: now}
+		s.partitions[partition] = usage
 	}
-	return one
+	return usage
 }
 
 // isFull reports whether the store refused a call because it is full.
@@ -89,8 +89,8 @@
 	return errors.As(err, &refused) && refused.Full()
 }
 
-// appendedTo counts an append, and has the partition trimmed now and then.
-func (n *Node) appendedTo(partition int, records []recordstore.Record) {
+// recordAppend counts an append, and trims the partition from time to time.
+func (n *Node) recordAppend(partition int, records []recordstore.Record) {
 	bytes := 0
 	for _, record := range records {
 		bytes += len(record.Key) + len(record.Value)
@@ -100,7 +100,7 @@
 	}
 }
 
-// trim drops the records of a partition that newer ones of the same keys replaced.
+// trim drops the superseded records of a partition.
 func (n *Node) trim(ctx context.Context, partition int) {
 	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -109,14 +109,14 @@
 	if err == nil {
 		err = n.adapter.Store.Trim(callCtx, stream, end)
 	}
-	n.noteStore(err)
+	n.recordStoreCall(err)
 	n.metrics.trimmed(err)
 	if err != nil {
 		n.logger.Warn().Int("partition", partition).Uint64("end", end).Err(err).Msg("ledger: not trimmed")
 	}
 }
 
-// makeSpace takes in that the store was too full for an append.
+// makeSpace handles an append that the store refused because it is full.
 func (n *Node) makeSpace(ctx context.Context, partition int, epoch ownership.Epoch) {
 	n.metrics.storeFull()
 	trim, logged := n.space.full(time.Now(), partition)
--- a/edge/storewatch_test.go
+++ b/edge/storewatch_test.go
@@ -11,37 +11,38 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// silentStore answers no read of a tail, whatever becomes of the caller.
+// silentStore answers no read of a tail, even if the caller's context ends.
 type silentStore struct {
 	recordstore.Store
-	asked chan time.Duration
-	over  chan struct{}
+	waits chan time.Duration
+	done  chan struct{}
 }
 
 func (s *silentStore) Tail(_ context.Context, _ recordstore.Stream, _ uint64, wait time.Duration) (recordstore.Tail, error) {
-	s.asked <- wait
-	<-s.over
+	s.waits <- wait
+	<-s.done
 	return recordstore.Tail{}, nil
 }
 
-// TestNewHeirLooksAtOnce has a node that may have to take a partition over from now on end
-// the long read by which it trusted in the store, and look again for a short time.
+// TestNewHeirLooksAtOnce checks that a node that newly may have to take a partition over
+// cancels its long read, during which the store counts as reached, and reads again with a
+// short long-poll time.
 func TestNewHeirLooksAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
-	store := &silentStore{asked: make(chan time.Duration, 2), over: make(chan struct{})}
-	defer close(store.over)
+	store := &silentStore{waits: make(chan time.Duration, 2), done: make(chan struct{})}
+	defer close(store.done)
 	node.adapter.Store = store
 	ended := make(chan error, 1)
-	look := func() {
+	watch := func() {
 		_, err := node.watchTail(node.ctx, recordstore.Stream{Name: recordstore.StreamNodes}, 0)
 		ended <- err
 	}
-	go look()
-	g.Expect(<-store.asked).To(Equal(watchWait))
-	node.control.noteRoles(coordinator.Roles{MayOwnPartition: true})
+	go watch()
+	g.Expect(<-store.waits).To(Equal(watchWait))
+	node.control.setRoles(coordinator.Roles{MayOwnPartition: true})
 	g.Expect(<-ended).To(MatchError(context.Canceled))
-	go look()
-	g.Expect(<-store.asked).To(Equal(heirWait))
+	go watch()
+	g.Expect(<-store.waits).To(Equal(ownerWatchWait))
 }
--- a/gather/core.go
+++ b/gather/core.go
@@ -10,119 +10,128 @@
 )
 
 const (
-	// periodLeast is the least time between two reports of a node: less than the turns
-	// and calls take whose loads are told.
-	periodLeast = 100 * time.Millisecond
-	// periodPerNode times the nodes of a zone is that time in a large zone, so that a
-	// collector answers 250 reports a second at most.
-	periodPerNode = 4 * time.Millisecond
-	// periodPerZone times the zones is the least time between two sums of a collector.
-	periodPerZone = 20 * time.Millisecond
-	// silentReports is how many reports in a row go unanswered before a node takes the
-	// next collector, and shunFor how long it leaves the silent one alone. That doubles
-	// with each time in a row, maximumDoublings times.
-	silentReports    = 3
-	shunFor          = 2 * time.Second
-	maximumDoublings = 4
-	// lapsePeriods is how many periods a word counts: as long as its node waits for a
-	// silent collector, so that no word counts at two for longer than one period.
-	lapsePeriods = silentReports + 1
-	// idlePeriods is how many periods lie between the reports of a node without
-	// requests, which only keep what it hears recent.
+	// minimumReportPeriod is the minimum time between two reports of a node. It is
+	// shorter than the turns and calls whose load is reported.
+	minimumReportPeriod = 100 * time.Millisecond
+	// reportPeriodPerNode, multiplied by the number of nodes in the zone, is the report
+	// period in a large zone. It limits a collector to 250 reports a second.
+	reportPeriodPerNode = 4 * time.Millisecond
+	// sumPeriodPerZone, multiplied by the number of zones, is the minimum time between
+	// two sums of a collector.
+	sumPeriodPerZone = 20 * time.Millisecond
+	// maximumUnansweredReports is the number of consecutive unanswered reports after
+	// which a node switches to the next collector. It avoids the unresponsive one for
+	// initialBackoff, which doubles with each consecutive failure, up to
+	// maximumBackoffDoublings times.
+	maximumUnansweredReports = 3
+	initialBackoff           = 2 * time.Second
+	maximumBackoffDoublings  = 4
+	// expiryPeriods is the number of report periods for which a contribution counts. A
+	// node waits as long for an unresponsive collector, so that two collectors count the
+	// same report for one period at most.
+	expiryPeriods = maximumUnansweredReports + 1
+	// idlePeriods is the number of report periods between two reports of a node without
+	// requests. Such reports only serve to receive recent totals.
 	idlePeriods = 4
-	// pacePeriod is the time between two reports with paces, which change slowly.
-	pacePeriod = time.Second
-	// maximumNodes bounds the nodes whose words a collector keeps.
+	// tokenTimePeriod is the time between two reports with token times, which change
+	// slowly.
+	tokenTimePeriod = time.Second
+	// maximumNodes limits the number of nodes whose contributions a collector stores.
 	maximumNodes = 1 << 10
-	// maximumAge bounds how old counts are believed to be.
+	// maximumAge limits the age that a message may claim for its counts.
 	maximumAge = 10 * time.Second
 )
 
-// Fleet is what a node knows of the others.
+// Fleet is a node's current view of the fleet.
 type Fleet struct {
 	Self machine.Machine
-	// Off says that the fleet is so small that its nodes hear each other anyway.
-	Off bool
-	// Near is how many nodes there are in this node's zone, itself included.
+	// Disabled is set in a fleet so small that the failure detector's messages carry
+	// every node's load often enough.
+	Disabled bool
+	// Near is the number of nodes in this node's zone, itself included.
 	Near int
-	// Collectors rank the collectors of this node's zone, and Remote are the first ones
-	// of the other zones.
-	Collectors []machine.Machine
-	Remote     []machine.Machine
+	// Collectors are the candidate collectors of this node's zone, in ranking order.
+	// PeerCollectors are the first-ranked ones of the other zones.
+	Collectors     []machine.Machine
+	PeerCollectors []machine.Machine
 }
 
-// on reports whether nodes exchange anything.
-func (f *Fleet) on() bool { return !f.Off && len(f.Collectors) > 0 }
+// enabled reports whether nodes exchange loads at all.
+func (f *Fleet) enabled() bool { return !f.Disabled && len(f.Collectors) > 0 }
 
-// period returns the time between two reports.
-func (f *Fleet) period() time.Duration {
-	return max(periodLeast, time.Duration(f.Near)*periodPerNode)
+// reportPeriod returns the time between two reports.
+func (f *Fleet) reportPeriod() time.Duration {
+	return max(minimumReportPeriod, time.Duration(f.Near)*reportPeriodPerNode)
 }
 
-// sumPeriod returns the time between two sums: half of that between reports, as sums are
-// few.
+// sumPeriod returns the time between two sums. It is half the report period, as there are
+// few sums.
 func (f *Fleet) sumPeriod() time.Duration {
-	return max(f.period()/2, time.Duration(len(f.Remote)+1)*periodPerZone)
+	return max(f.reportPeriod()/2, time.Duration(len(f.PeerCollectors)+1)*sumPeriodPerZone)
 }
 
-// Totals are what all others have, as far as they were heard.
+// Totals is the known load of all other nodes.
 type Totals struct {
-	// Nodes is how many others they are of.
+	// Nodes is the number of other nodes that the totals cover.
 	Nodes int
-	// At is when the counts were true in the mean.
+	// At is the mean time at which the counts were current.
 	At     time.Time
 	Counts map[Key]int
-	// Partial says that there are replicas with requests besides those named.
+	// Partial is set if replicas with requests are missing from Counts.
 	Partial bool
-	// Paces are those of the fleet; nil where none were told.
-	Paces map[Key]Pace
+	// TokenTimes are the median token times over the fleet, or nil if none were received.
+	TokenTimes map[Key]TokenTimeEstimate
 }
 
-// Change is a collector that this node takes, or lost (Silent).
+// Change names a collector that this node starts to report to, or one that stopped
+// answering (Unresponsive). The other field is empty.
 type Change struct {
-	Collector machine.ID
-	Silent    machine.ID
+	Collector    machine.ID
+	Unresponsive machine.ID
 }
 
-// Ready is what accumulated since the last call.
+// Ready holds what has accumulated since the last call of Core.Ready.
 type Ready struct {
 	Messages []Outbound
-	// Totals are the newest, or nil.
+	// Totals are the latest totals, or nil if there are no new ones.
 	Totals  *Totals
 	Changes []Change
 }
 
 // Core is one node's part in the exchange. It is not safe for concurrent use.
 type Core struct {
-	fleet    Fleet
-	own      word
-	asking   asking
-	collects collecting
-	ready    Ready
+	fleet     Fleet
+	own       contribution
+	reporter  reporter
+	aggregate collectorState
+	ready     Ready
 }
 
-// asking is what this node asks of its collector.
-type asking struct {
-	collector machine.Machine
-	number    uint64
-	askedAt   time.Time
-	pacesAt   time.Time
-	answered  bool
-	silent    int
-	// list is the collector's, as heard last.
-	list heardList
-	// idle says that the last report named no requests.
+// reporter is the state of this node's reports to its collector.
+type reporter struct {
+	collector        machine.Machine
+	number           uint64
+	reportedAt       time.Time
+	tokenTimesSentAt time.Time
+	// answered is set once the last report has been answered, and unresponsive counts
+	// consecutive reports without an answer.
+	answered     bool
+	unresponsive int
+	// list is the replica list last received from the collector.
+	list receivedList
+	// idle is set if the last report contained no requests.
 	idle bool
-	// shunned are collectors that did not answer, until when.
-	shunned map[machine.ID]time.Time
-	// failed counts how often in a row one did not answer.
-	failed map[machine.ID]int
+	// avoided maps each collector that did not answer to the time until which it is not
+	// used.
+	avoided map[machine.ID]time.Time
+	// failures counts the consecutive failures of each collector.
+	failures map[machine.ID]int
 }
 
-// New returns a core. First is the number of the first report, which must not repeat
-// those of a former process.
+// New returns a core. The first report is numbered first + 1. The numbers must be higher
+// than those of an earlier process of this node.
 func New(first uint64) *Core {
-	return &Core{asking: asking{number: first, answered: true, shunned: make(map[machine.ID]time.Time), failed: make(map[machine.ID]int)}, collects: newCollecting(first)}
+	return &Core{reporter: reporter{number: first, answered: true, avoided: make(map[machine.ID]time.Time), failures: make(map[machine.ID]int)}, aggregate: newCollectorState(first)}
 }
 
 // Ready returns what has accumulated since the last call.
@@ -132,144 +141,146 @@
 	return ready
 }
 
-// Tick takes in what this node has under way, and performs what is due.
+// Tick updates this node's own load and performs what is due.
 func (c *Core) Tick(now time.Time, fleet Fleet, own map[replica.ID]replica.Report) {
-	was := c.fleet.on()
+	wasEnabled := c.fleet.enabled()
 	c.fleet = fleet
-	if !fleet.on() {
-		if was {
-			c.collects = newCollecting(c.collects.number)
+	if !fleet.enabled() {
+		if wasEnabled {
+			c.aggregate = newCollectorState(c.aggregate.sumNumber)
 		}
 		return
 	}
-	c.own = wordOf(now, own)
-	c.collects.expire(now, &c.fleet)
-	c.choose(now)
+	c.own = ownContribution(now, own)
+	c.aggregate.expire(now, &c.fleet)
+	c.chooseCollector(now)
 	c.collectOwn(now)
-	c.collects.fit(now)
-	c.report(now)
-	c.tellSums(now)
+	c.aggregate.updateList(now)
+	c.sendReport(now)
+	c.sendSums(now)
 }
 
-// choose takes the first collector in the ranking that is not shunned.
-func (c *Core) choose(now time.Time) {
-	for id, until := range c.asking.shunned {
+// chooseCollector selects the first collector in the ranking that is not avoided, or the
+// first one if all are.
+func (c *Core) chooseCollector(now time.Time) {
+	for id, until := range c.reporter.avoided {
 		if !now.Before(until) {
-			delete(c.asking.shunned, id)
+			delete(c.reporter.avoided, id)
 		}
 	}
-	maps.DeleteFunc(c.asking.failed, func(id machine.ID, _ int) bool {
+	maps.DeleteFunc(c.reporter.failures, func(id machine.ID, _ int) bool {
 		return !slices.ContainsFunc(c.fleet.Collectors, func(node machine.Machine) bool { return node.ID == id })
 	})
 	chosen := c.fleet.Collectors[0]
 	for _, candidate := range c.fleet.Collectors {
-		if _, shunned := c.asking.shunned[candidate.ID]; !shunned {
+		if _, avoided := c.reporter.avoided[candidate.ID]; !avoided {
 			chosen = candidate
 			break
 		}
 	}
-	before := c.asking.collector
-	if chosen.ID == before.ID {
-		c.asking.collector = chosen
+	previous := c.reporter.collector
+	if chosen.ID == previous.ID {
+		c.reporter.collector = chosen
 		return
 	}
-	if before.ID != "" && before.ID != c.fleet.Self.ID {
-		c.asking.number++
-		c.send(before, Message{Kind: KindLeave, Number: c.asking.number})
+	if previous.ID != "" && previous.ID != c.fleet.Self.ID {
+		c.reporter.number++
+		c.send(previous, Message{Kind: KindLeave, Number: c.reporter.number})
 	}
-	c.collects.near.drop(c.fleet.Self.ID)
-	c.asking.collector, c.asking.answered, c.asking.silent = chosen, true, 0
+	c.aggregate.local.remove(c.fleet.Self.ID)
+	c.reporter.collector, c.reporter.answered, c.reporter.unresponsive = chosen, true, 0
 	c.ready.Changes = append(c.ready.Changes, Change{Collector: chosen.ID})
 }
 
-// report tells the collector what this node has, if that is due.
-func (c *Core) report(now time.Time) {
-	asked := &c.asking
-	due := c.fleet.period()
+// sendReport reports this node's load to its collector, if a report is due.
+func (c *Core) sendReport(now time.Time) {
+	state := &c.reporter
+	due := c.fleet.reportPeriod()
 	idle := len(c.own.counts) == 0
-	if idle && asked.idle && asked.answered {
+	if idle && state.idle && state.answered {
 		due *= idlePeriods
 	}
-	if asked.collector.ID == c.fleet.Self.ID || now.Sub(asked.askedAt) < due {
+	if state.collector.ID == c.fleet.Self.ID || now.Sub(state.reportedAt) < due {
 		return
 	}
-	if !asked.answered {
-		asked.silent++
+	if !state.answered {
+		state.unresponsive++
 	}
-	if asked.silent >= silentReports {
-		c.shun(now)
-		if asked.collector.ID == c.fleet.Self.ID {
+	if state.unresponsive >= maximumUnansweredReports {
+		c.avoidCollector(now)
+		if state.collector.ID == c.fleet.Self.ID {
 			return
 		}
 	}
-	asked.number++
-	asked.askedAt, asked.answered, asked.idle = now, false, idle
-	message := Message{Kind: KindReport, Number: asked.number, Nodes: 1, List: asked.list.hash}
+	state.number++
+	state.reportedAt, state.answered, state.idle = now, false, idle
+	message := Message{Kind: KindReport, Number: state.number, Nodes: 1, ListHash: state.list.hash}
 	message.Counts, message.Partial = packCounts(c.own.counts)
-	if now.Sub(asked.pacesAt) >= pacePeriod {
-		asked.pacesAt = now
-		message.HasPaces, message.Paces = true, packPaces(c.own.paces)
+	if now.Sub(state.tokenTimesSentAt) >= tokenTimePeriod {
+		state.tokenTimesSentAt = now
+		message.HasTokenTimes, message.TokenTimes = true, packTokenTimes(c.own.tokenTimes)
 	}
-	c.send(asked.collector, message)
+	c.send(state.collector, message)
 }
 
-// shun leaves the silent collector for the next one.
-func (c *Core) shun(now time.Time) {
-	silent := c.asking.collector.ID
-	c.asking.shunned[silent] = now.Add(shunFor << min(c.asking.failed[silent], maximumDoublings))
-	c.asking.failed[silent]++
-	c.ready.Changes = append(c.ready.Changes, Change{Silent: silent})
-	c.asking.silent = 0
-	c.choose(now)
+// avoidCollector leaves the unresponsive collector for the next one.
+func (c *Core) avoidCollector(now time.Time) {
+	unresponsive := c.reporter.collector.ID
+	c.reporter.avoided[unresponsive] = now.Add(initialBackoff << min(c.reporter.failures[unresponsive], maximumBackoffDoublings))
+	c.reporter.failures[unresponsive]++
+	c.ready.Changes = append(c.ready.Changes, Change{Unresponsive: unresponsive})
+	c.reporter.unresponsive = 0
+	c.chooseCollector(now)
 	c.collectOwn(now)
 }
 
-// Receive takes in a message of another node.
+// Receive processes a message from another node.
 func (c *Core) Receive(now time.Time, from machine.Machine, message Message) error {
-	if !c.fleet.on() {
+	if !c.fleet.enabled() {
 		return nil
 	}
 	switch message.Kind {
 	case KindReport:
 		err := c.answer(now, from, message)
-		c.tellSums(now)
+		c.sendSums(now)
 		return err
 	case KindLeave:
-		c.collects.leave(from.ID, message.Number)
+		c.aggregate.withdraw(from.ID, message.Number)
 	case KindSum:
-		return c.takeSum(now, from, message)
+		return c.receiveSum(now, from, message)
 	case KindTotals:
-		return c.takeTotals(now, from.ID, message)
+		return c.receiveTotals(now, from.ID, message)
 	}
 	return nil
 }
 
-// takeTotals takes the answer to the newest report in.
-func (c *Core) takeTotals(now time.Time, from machine.ID, message Message) error {
-	asked := &c.asking
-	if from != asked.collector.ID || message.Number != asked.number || asked.answered {
+// receiveTotals processes the answer to the latest report.
+func (c *Core) receiveTotals(now time.Time, from machine.ID, message Message) error {
+	state := &c.reporter
+	if from != state.collector.ID || message.Number != state.number || state.answered {
 		return nil
 	}
-	held, err := asked.list.take(&message)
+	current, err := state.list.update(&message)
 	if err != nil {
 		return err
 	}
-	asked.answered, asked.silent = true, 0
-	delete(asked.failed, from)
-	if !held {
+	state.answered, state.unresponsive = true, 0
+	delete(state.failures, from)
+	if !current {
 		return nil
 	}
-	counts, err := asked.list.unpack(message.Counts, maximumRequests*maximumNodes)
+	counts, err := state.list.unpack(message.Counts, maximumRequests*maximumNodes)
 	if err != nil {
 		return err
 	}
 	totals := &Totals{
 		Nodes: max(0, message.Nodes), Counts: counts, Partial: message.Partial,
-		// How long the answer was on its way is not known: not before the question.
-		At: asked.askedAt.Add(-min(max(0, message.Age), maximumAge)),
+		// The transit time of the answer is unknown, but the collector can't have
+		// computed it before the report was sent.
+		At: state.reportedAt.Add(-min(max(0, message.Age), maximumAge)),
 	}
-	if message.HasPaces {
-		if totals.Paces, err = unpackPaces(message.Paces); err != nil {
+	if message.HasTokenTimes {
+		if totals.TokenTimes, err = unpackTokenTimes(message.TokenTimes); err != nil {
 			return err
 		}
 	}
--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -17,8 +17,8 @@
 	"birchwood.example/birchwood/httpclient"
 )
 
-// server answers each request by the handler; a handler that reports false
-// closes the connection after the request was read.
+// server answers each request with the handler. If the handler returns false, the
+// server closes the connection after reading the request.
 type server struct {
 	listener net.Listener
 	requests atomic.Int64
@@ -59,14 +59,14 @@
 	}
 }
 
-// client returns a client of the server.
+// client returns a client for the server.
 func (s *server) client() *httpclient.Client {
-	made := httpclient.New(httpclient.Options{Address: s.listener.Addr().String(), Timeout: time.Minute})
-	DeferCleanup(made.Close)
-	return made
+	created := httpclient.New(httpclient.Options{Address: s.listener.Addr().String(), Timeout: time.Minute})
+	DeferCleanup(created.Close)
+	return created
 }
 
-// reply writes a whole answer.
+// reply writes an answer, or the beginning of one.
 func reply(connection net.Conn, text string) bool {
 	_, err := io.WriteString(connection, text)
 	return err == nil
@@ -133,13 +133,13 @@
 			return false
 		})
 		client := s.client()
-		hurried, cancel := context.WithCancel(ctx)
+		cancellable, cancel := context.WithCancel(ctx)
 		time.AfterFunc(10*time.Millisecond, cancel)
-		Expect(client.Do(hurried, "GET", "/", nil, nil)).To(MatchError(context.Canceled))
+		Expect(client.Do(cancellable, "GET", "/", nil, nil)).To(MatchError(context.Canceled))
 		close(release)
 		Expect(s.listener.Close()).To(Succeed())
 		client.Close()
-		// The library's cleaner of idle connections sleeps a little longer.
+		// fasthttp's goroutine that closes idle connections ends a little later.
 		cleaner := gleak.IgnoringInBacktrace("fasthttp.(*HostClient).connsCleaner")
 		Eventually(gleak.Goroutines).WithTimeout(5 * time.Second).ShouldNot(gleak.HaveLeaked(before, cleaner))
 	})
@@ -147,11 +147,11 @@
 
 var _ = Describe("Lines", func() {
 	It("gives each line as it comes, and closes the connection when the context ends", func(ctx SpecContext) {
-		hungUp := make(chan struct{})
+		disconnected := make(chan struct{})
 		s := serve(func(connection net.Conn) bool {
 			reply(connection, streamHead+"6\r\n{\"a\"}\n\r\n1\r\n\n\r\n")
 			_, _ = connection.Read(make([]byte, 1))
-			close(hungUp)
+			close(disconnected)
 			return false
 		})
 		reading, cancel := context.WithCancel(ctx)
@@ -163,6 +163,6 @@
 		})
 		Expect(err).To(MatchError(context.Canceled))
 		Expect(lines).To(Equal([]string{`{"a"}`}))
-		Eventually(hungUp).WithTimeout(5 * time.Second).Should(BeClosed())
+		Eventually(disconnected).WithTimeout(5 * time.Second).Should(BeClosed())
 	}, SpecTimeout(10*time.Second))
 })
--- a/httpclient/stream.go
+++ b/httpclient/stream.go
@@ -13,41 +13,42 @@
 	"github.com/valyala/fasthttp"
 )
 
-// lineBufferSize is the first size of the buffer that lines are read into,
-// and maximumLine the longest line that is taken, in bytes.
+// lineBufferSize is the initial size of the buffer for lines, and maxLineBytes
+// the length of the longest line that is accepted, in bytes.
 const (
 	lineBufferSize = 4 << 10
-	maximumLine    = 8 << 20
+	maxLineBytes   = 8 << 20
 )
 
-// ErrSilent says that the server has sent nothing for longer than
-// Options.Silence, as one does whose zone was cut off. The request may have
-// taken effect.
-var ErrSilent = errors.New("the server has fallen silent")
+// ErrUnresponsive reports that the server has sent nothing for longer than
+// Options.Silence, for example because of a network partition. The request may
+// have taken effect.
+var ErrUnresponsive = errors.New("the server has fallen silent")
 
-// lineBuffers holds buffers for reuse: most streams need no larger one.
+// lineBuffers holds reusable buffers. Most streams need no larger one.
 var lineBuffers = sync.Pool{New: func() any { return new([lineBufferSize]byte) }}
 
 // Lines sends message as JSON and calls receive for each line of the answer,
-// without the line break. Empty lines, which keep the connection alive, are
-// skipped. The line is valid during the call only. Lines returns nil at the
-// end of the answer, receive's error, or the error that cut the answer; the
-// end of the context, and a silent server, close the connection.
+// without the line break. It skips empty lines, which servers send as keep-alives.
+// The line is valid only during the call. Lines returns nil at the end of the
+// answer, receive's error, or the error that interrupted the answer. It closes the
+// connection when the context ends or the server is unresponsive.
 func (c *Client) Lines(ctx context.Context, path string, message any, receive func(line []byte) error) error {
-	watched, cancel := context.WithCancelCause(ctx)
+	watchedContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(c.options.Silence, func() { cancel(ErrSilent) })
-	defer silence.Stop()
-	heard := func() { silence.Reset(c.options.Silence) }
-	err := c.readLines(watched, path, message, heard, receive)
-	if errors.Is(context.Cause(watched), ErrSilent) && errors.Is(err, context.Canceled) {
-		return fmt.Errorf("%s: %w for %s", path, ErrSilent, c.options.Silence)
+	silenceTimer := time.AfterFunc(c.options.Silence, func() { cancel(ErrUnresponsive) })
+	defer silenceTimer.Stop()
+	onLine := func() { silenceTimer.Reset(c.options.Silence) }
+	err := c.readLines(watchedContext, path, message, onLine, receive)
+	if errors.Is(context.Cause(watchedContext), ErrUnresponsive) && errors.Is(err, context.Canceled) {
+		return fmt.Errorf("%s: %w for %s", path, ErrUnresponsive, c.options.Silence)
 	}
 	return err
 }
 
-// readLines is Lines with a function that is told of each line.
-func (c *Client) readLines(ctx context.Context, path string, message any, heard func(), receive func(line []byte) error) error {
+// readLines implements Lines. It also calls onLine for each line, empty ones
+// included.
+func (c *Client) readLines(ctx context.Context, path string, message any, onLine func(), receive func(line []byte) error) error {
 	response, err := c.roundTrip(ctx, fasthttp.MethodPost, path, message, true)
 	if err != nil {
 		return err
@@ -59,7 +60,7 @@
 		return fmt.Errorf("%s: no answer to read", path)
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(body, maximumLine))
+		text, _ := io.ReadAll(io.LimitReader(body, maxLineBytes))
 		return &StatusError{Status: response.StatusCode(), Body: string(text)}
 	}
 	interrupted := make(chan struct{})
@@ -67,7 +68,7 @@
 		defer close(interrupted)
 		_ = body.CloseWithError(ctx.Err())
 	})
-	err = scanLines(body, heard, receive)
+	err = scanLines(body, onLine, receive)
 	if !stop() {
 		<-interrupted
 		return ctx.Err()
@@ -75,14 +76,15 @@
 	return err
 }
 
-// scanLines calls receive for each line that is not empty.
-func scanLines(reader io.Reader, heard func(), receive func(line []byte) error) error {
+// scanLines calls onLine for each line and receive for each line that is not
+// empty.
+func scanLines(reader io.Reader, onLine func(), receive func(line []byte) error) error {
 	buffer := lineBuffers.Get().(*[lineBufferSize]byte)
 	defer lineBuffers.Put(buffer)
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(buffer[:0], maximumLine)
+	scanner.Buffer(buffer[:0], maxLineBytes)
 	for scanner.Scan() {
-		heard()
+		onLine()
 		line := bytes.TrimSpace(scanner.Bytes())
 		if len(line) == 0 {
 			continue
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -17,10 +17,11 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// limits are those of most tests; the times are far away.
+// limits are used by most tests; their timeouts are too long to expire in a test.
 var limits = routing.Limits{HeaderBytes: 1024, BodyBytes: 64, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 
-// startServer serves with a handler and returns a dialler.
+// startServer starts a server with the handler and returns it with a function
+// that connects to it.
 func startServer(limits routing.Limits, handler ingress.Handler) (*ingress.Server, func() net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -41,7 +42,7 @@
 	}
 }
 
-// echo answers with the request's body.
+// echo responds with the request's body.
 func echo(exchange *ingress.Exchange) {
 	head := &fasthttp.ResponseHeader{}
 	head.SetStatusCode(fasthttp.StatusOK)
@@ -50,7 +51,7 @@
 	exchange.Relay(head, exchange.Body)
 }
 
-// exchange writes raw bytes and reads one answer.
+// exchangeRaw writes raw bytes and reads one response.
 func exchangeRaw(socket net.Conn, reader *bufio.Reader, raw string) *http.Response {
 	_, err := io.WriteString(socket, raw)
 	Expect(err).NotTo(HaveOccurred())
@@ -167,7 +168,8 @@
 			Expect(err).NotTo(HaveOccurred())
 			return socket
 		}
-		// The server stands still until the first client has hung up.
+		// Both clients connect before the server accepts, so that the first has
+		// disconnected before its request is read.
 		Expect(send("/left").Close()).To(Succeed())
 		staying := send("/stays")
 		DeferCleanup(func() { _ = staying.Close() })
@@ -189,7 +191,7 @@
 			head.SetStatusCode(fasthttp.StatusOK)
 			Expect(exchange.BeginStream(head)).To(Succeed())
 			Expect(exchange.Write([]byte("half"))).To(Succeed())
-			exchange.Break()
+			exchange.Abort()
 		})
 		socket := dial()
 		answer := exchangeRaw(socket, bufio.NewReader(socket), "GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -204,7 +206,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		server := ingress.NewServer(ingress.Config{
 			Limits:         func() routing.Limits { return limits },
-			Panicked:       func(value any) { panicked <- value },
+			OnPanic:        func(value any) { panicked <- value },
 			MaxConnections: 1,
 			Handler: func(exchange *ingress.Exchange) {
 				if exchange.Path() == "/bad" {
@@ -275,8 +277,8 @@
 			<-release
 			echo(exchange)
 		})
-		idle, busy := dial(), dial()
-		_, err := io.WriteString(busy, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\none")
+		idle, active := dial(), dial()
+		_, err := io.WriteString(active, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\none")
 		Expect(err).NotTo(HaveOccurred())
 		<-begun
 		stopped := make(chan error, 1)
@@ -284,7 +286,7 @@
 		_, err = idle.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 		close(release)
-		answer, err := http.ReadResponse(bufio.NewReader(busy), nil)
+		answer, err := http.ReadResponse(bufio.NewReader(active), nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bodyOf(answer)).To(Equal("one"))
 		Expect(answer.Close).To(BeTrue())
--- a/link/linkhttp/handler.go
+++ b/link/linkhttp/handler.go
@@ -16,11 +16,11 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// bearer is the authorization scheme, with its blank.
-const bearer = "Bearer "
+// bearerPrefix is the authorization scheme with the space after it.
+const bearerPrefix = "Bearer "
 
-// Handler returns the handler of Path. It calls receive for each message from
-// the server's goroutines; receive must not block for long.
+// Handler returns the handler of Path. It calls receive for each message on the
+// server's goroutines; receive must not block for long.
 func (t *Transport) Handler(receive func(link.Message)) fasthttp.RequestHandler {
 	return func(request *fasthttp.RequestCtx) {
 		messages, refusal := t.accept(request)
@@ -41,17 +41,18 @@
 // Authorized reports whether the request carries the peer token.
 func (t *Transport) Authorized(request *fasthttp.RequestCtx) bool {
 	header := request.Request.Header.Peek(fasthttp.HeaderAuthorization)
-	token, ok := bytes.CutPrefix(header, []byte(bearer))
+	token, ok := bytes.CutPrefix(header, []byte(bearerPrefix))
 	if !ok {
 		return false
 	}
-	// The hashes have one length, so that the time tells nothing of it.
+	// Hashing gives both values the same length, so that the comparison time
+	// does not reveal the token's length.
 	given := sha256.Sum256(token)
 	wanted := sha256.Sum256([]byte(t.config.Token))
 	return subtle.ConstantTimeCompare(given[:], wanted[:]) == 1
 }
 
-// refusal is why a request is not taken in.
+// refusal is the status and reason with which a request is refused.
 type refusal struct {
 	status int
 	reason string
@@ -80,9 +81,9 @@
 	return messages, nil
 }
 
-// decode reads a batch. Either all of it is good or none is taken. Fields and
-// kinds of message that a newer version has added are passed over, so that the
-// nodes of a deployment can be replaced one by one.
+// decode decodes a batch. If any message is invalid, it rejects the whole batch.
+// It ignores fields and kinds of message that a newer version has added, so that
+// the nodes of a deployment can be upgraded one by one.
 func decode(body []byte, self machine.ID) ([]link.Message, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	var messages []link.Message
@@ -94,31 +95,31 @@
 	}
 	known := messages[:0]
 	for i, message := range messages {
-		if err := check(message, self); err != nil {
+		if err := validateMessage(message, self); err != nil {
 			return nil, fmt.Errorf("$[%d]: %w", i, err)
 		}
-		if kinds(message) > 0 {
+		if countKinds(message) > 0 {
 			known = append(known, message)
 		}
 	}
 	return known, nil
 }
 
-func check(message link.Message, self machine.ID) error {
+func validateMessage(message link.Message, self machine.ID) error {
 	if message.From == "" {
 		return errors.New("no sender")
 	}
 	if message.To != self {
 		return fmt.Errorf("meant for %q, this is %q", message.To, self)
 	}
-	if count := kinds(message); count > 1 {
+	if count := countKinds(message); count > 1 {
 		return fmt.Errorf("%d kinds of message, want 1", count)
 	}
 	return nil
 }
 
-// kinds counts the parts of the union that are set.
-func kinds(message link.Message) int {
+// countKinds returns how many members of the message's union are set.
+func countKinds(message link.Message) int {
 	count := 0
 	for _, set := range []bool{
 		message.Membership != nil,
--- a/link/linkhttp/transport_test.go
+++ b/link/linkhttp/transport_test.go
@@ -135,10 +135,10 @@
 		Eventually(func() error { return first.Send(gone, probe(1)) }).Should(MatchError(ErrBreakerOpen))
 
 		second := newEndpoint(DefaultConfig("gone", "zone-b", token))
-		reborn := second.Machine
-		first.Keep([]machine.Machine{reborn})
+		restarted := second.Machine
+		first.Retain([]machine.Machine{restarted})
 		Eventually(func() bool {
-			_ = first.Send(reborn, probe(2))
+			_ = first.Send(restarted, probe(2))
 			return len(second.received) > 0
 		}).Should(BeTrue())
 	})
@@ -152,10 +152,10 @@
 		config = DefaultConfig("second", "zone-b", token)
 		config.Permits = permits
 		second := newEndpoint(config)
-		unaware := newEndpoint(DefaultConfig("third", "zone-a", token))
+		unrestricted := newEndpoint(DefaultConfig("third", "zone-a", token))
 		cut.Store(true)
 		Expect(first.Send(second.Machine, probe(1))).To(Succeed())
-		Expect(unaware.Send(second.Machine, probe(2))).To(Succeed())
+		Expect(unrestricted.Send(second.Machine, probe(2))).To(Succeed())
 		Expect(second.Send(first.Machine, probe(3))).To(Succeed())
 		Eventually(first.received).Should(Receive())
 		Eventually(func() int64 { return second.Counters().Refused }).Should(Equal(int64(1)))
--- a/machine/probe.go
+++ b/machine/probe.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// probe is one question to a peer that waits for its ack.
+// probe is an outstanding probe of a peer.
 type probe struct {
 	target   ID
 	started  time.Time
 	deadline time.Time
-	// indirect is set once other peers were asked to probe the target.
+	// indirect is set once other peers have been asked to probe the target.
 	indirect bool
 }
 
-// relay is a probe sent on behalf of the peer that asked for it.
+// relay is a probe sent on behalf of the peer that requested it.
 type relay struct {
 	requester ID
 	sequence  uint64
@@ -23,27 +23,28 @@
 	deadline  time.Time
 }
 
-// directTimeouts is how many probe time-outs an indirect probe gets.
-const directTimeouts = 2
+// indirectTimeoutFactor is the time-out of an indirect probe, in probe
+// time-outs.
+const indirectTimeoutFactor = 2
 
-// minimumPeers is the number of other nodes from which on silence of all of
-// them is blamed on this node, whatever the machine list says.
-const minimumPeers = 3
+// minimumSelfBlamePeers is the number of peers from which on a node that gets
+// no answer from any of them blames itself, whatever the machine list shows.
+const minimumSelfBlamePeers = 3
 
-// Step takes in a message of another node.
+// Step processes a message from another node.
 func (m *Membership) Step(now time.Time, from ID, message Message) {
 	m.advance(now)
 	if known, ok := m.records[from]; ok {
-		known.lastHeard = now
+		known.lastReceived = now
 	}
-	m.hearRevision(from, message.Revision)
+	m.recordPeerRevision(from, message.Revision)
 	for _, update := range message.Updates {
 		m.applyUpdate(now, update)
 	}
 	switch message.Kind {
 	case MessageProbe:
 		m.send(from, Message{Kind: MessageAck, Sequence: message.Sequence, Reliable: message.Reliable})
-		m.probeReturning(now, from)
+		m.probeDeadSender(now, from)
 	case MessageProbeFor:
 		m.relayProbe(now, from, message)
 	case MessageAck:
@@ -60,25 +61,25 @@
 		requester: from,
 		sequence:  message.Sequence,
 		target:    message.Target,
-		deadline:  now.Add(directTimeouts * m.config.ProbeTimeout),
+		deadline:  now.Add(indirectTimeoutFactor * m.config.ProbeTimeout),
 	}
 	m.send(message.Target, Message{Kind: MessageProbe, Sequence: m.sequence, Reliable: true})
 }
 
 func (m *Membership) stepAck(now time.Time, from ID, message Message) {
-	if asked, ok := m.relays[message.Sequence]; ok && asked.target == from {
+	if forwarded, ok := m.relays[message.Sequence]; ok && forwarded.target == from {
 		delete(m.relays, message.Sequence)
-		m.send(asked.requester, Message{Kind: MessageAck, Sequence: asked.sequence, Target: asked.target, Reliable: true})
+		m.send(forwarded.requester, Message{Kind: MessageAck, Sequence: forwarded.sequence, Target: forwarded.target, Reliable: true})
 		return
 	}
-	waiting, ok := m.probes[message.Sequence]
+	outstanding, ok := m.probes[message.Sequence]
 	relayed := message.Target != ""
-	if !ok || (relayed && message.Target != waiting.target) || (!relayed && from != waiting.target) {
+	if !ok || (relayed && message.Target != outstanding.target) || (!relayed && from != outstanding.target) {
 		return
 	}
 	delete(m.probes, message.Sequence)
 	m.health.improve(now)
-	known, ok := m.records[waiting.target]
+	known, ok := m.records[outstanding.target]
 	if !ok {
 		return
 	}
@@ -86,8 +87,8 @@
 	m.clearSuspicion(known)
 }
 
-// clearSuspicion follows an answer of the suspect itself. A death is taken
-// back only by a higher incarnation, which the answer carries.
+// clearSuspicion ends a suspicion after the suspect's own answer. A death is
+// revoked only by a higher incarnation, which the answer carries.
 func (m *Membership) clearSuspicion(known *record) {
 	if known.status != StatusSuspect {
 		return
@@ -97,23 +98,23 @@
 	m.rumours.remove(known.listed.ID)
 }
 
-// probeReturning probes a node that counts as dead and has sent a probe, so
-// that it learns of it and can refute.
-func (m *Membership) probeReturning(now time.Time, from ID) {
+// probeDeadSender probes a node that counts as dead but has sent a probe, so
+// that it learns of its state and can refute it.
+func (m *Membership) probeDeadSender(now time.Time, from ID) {
 	known, ok := m.records[from]
 	if ok && known.status == StatusDead {
 		m.startProbe(now, from)
 	}
 }
 
-// probeNext probes the next peers of the shuffled rotation. While nodes of a
-// zone are suspect, every second round goes to that zone alone: the nodes of a
+// probeNext probes the next peers of the rotation. While nodes of a zone are
+// suspect, every second round probes that zone only, because the nodes of a
 // zone often fail together.
 func (m *Membership) probeNext(now time.Time) {
-	m.round++
+	m.probeRound++
 	for range m.config.ProbesPerPeriod {
-		target, ok := m.troubled()
-		if !ok || m.round%2 == 0 {
+		target, ok := m.peerInSuspectZone()
+		if !ok || m.probeRound%2 == 0 {
 			target, ok = m.rotation.next(m.config.Random, m.notDead)
 		}
 		if ok {
@@ -127,8 +128,8 @@
 	return ok && known.status != StatusDead
 }
 
-// troubled returns a random live node in the zone of a random suspect.
-func (m *Membership) troubled() (ID, bool) {
+// peerInSuspectZone returns a random live node in the zone of a random suspect.
+func (m *Membership) peerInSuspectZone() (ID, bool) {
 	if len(m.suspects) == 0 {
 		return "", false
 	}
@@ -147,7 +148,8 @@
 	return neighbours[m.config.Random.IntN(len(neighbours))], true
 }
 
-// probeDead probes one listed dead peer, which may have come back.
+// probeDead probes one dead peer that is still listed, in case it has
+// recovered.
 func (m *Membership) probeDead(now time.Time) {
 	dead := func(id ID) bool {
 		known, ok := m.records[id]
@@ -158,7 +160,8 @@
 	}
 }
 
-// startProbe sends a probe unless the target was probed a moment ago.
+// startProbe sends a probe unless the target was probed less than ProbePeriod
+// ago.
 func (m *Membership) startProbe(now time.Time, target ID) {
 	known := m.records[target]
 	if !known.lastProbe.IsZero() && now.Sub(known.lastProbe) < m.config.ProbePeriod {
@@ -174,37 +177,37 @@
 	m.send(target, Message{Kind: MessageProbe, Sequence: m.sequence})
 }
 
-// askOthers sends indirect probes through random live peers.
-func (m *Membership) askOthers(now time.Time, sequence uint64) {
-	waiting := m.probes[sequence]
-	waiting.indirect = true
-	waiting.deadline = now.Add(m.health.scale(directTimeouts * m.config.ProbeTimeout))
-	for _, helper := range m.randomPeers(m.config.IndirectProbes, waiting.target) {
-		m.send(helper, Message{Kind: MessageProbeFor, Sequence: sequence, Target: waiting.target, Reliable: true})
+// sendIndirectProbes sends indirect probes through random live peers.
+func (m *Membership) sendIndirectProbes(now time.Time, sequence uint64) {
+	outstanding := m.probes[sequence]
+	outstanding.indirect = true
+	outstanding.deadline = now.Add(m.health.scale(indirectTimeoutFactor * m.config.ProbeTimeout))
+	for _, helper := range m.randomPeers(m.config.IndirectProbes, outstanding.target) {
+		m.send(helper, Message{Kind: MessageProbeFor, Sequence: sequence, Target: outstanding.target, Reliable: true})
 	}
 }
 
 func (m *Membership) expireProbes(now time.Time) {
 	for _, sequence := range slices.Sorted(maps.Keys(m.probes)) {
-		waiting := m.probes[sequence]
-		if now.Before(waiting.deadline) {
+		outstanding := m.probes[sequence]
+		if now.Before(outstanding.deadline) {
 			continue
 		}
-		if !waiting.indirect {
-			m.askOthers(now, sequence)
+		if !outstanding.indirect {
+			m.sendIndirectProbes(now, sequence)
 			continue
 		}
 		delete(m.probes, sequence)
-		m.probeFailed(now, waiting)
+		m.probeFailed(now, outstanding)
 	}
-	for sequence, asked := range m.relays {
-		if !now.Before(asked.deadline) {
+	for sequence, forwarded := range m.relays {
+		if !now.Before(forwarded.deadline) {
 			delete(m.relays, sequence)
 		}
 	}
 }
 
-// probeFailed follows a probe that neither the target nor a relay answered.
+// probeFailed handles a probe that neither the target nor a relay answered.
 func (m *Membership) probeFailed(now time.Time, failed *probe) {
 	if !m.health.answeredSince(failed.started) {
 		m.health.worsen(1)
@@ -214,27 +217,27 @@
 		return
 	}
 	known.unreachable = true
-	if known.lastHeard.After(failed.started) {
+	if known.lastReceived.After(failed.started) {
 		return
 	}
 	if known.status == StatusLive {
 		m.suspect(now, known)
 		known.suspectedHere = true
-		m.spread(known.update())
+		m.disseminate(known.update())
 	}
-	m.checkSelf(now)
+	m.probeLastResponsive(now)
 }
 
-// checkSelf probes the peer that was heard last. Its ack shows that the fault
-// is not on this side.
-func (m *Membership) checkSelf(now time.Time) {
+// probeLastResponsive probes the peer with the most recent message. An ack
+// shows that the fault is not on this node's side.
+func (m *Membership) probeLastResponsive(now time.Time) {
 	var latest *record
 	for _, known := range m.records {
 		if known.listed.Kind != KindNode || known.status != StatusLive || known.unreachable {
 			continue
 		}
-		if latest == nil || known.lastHeard.After(latest.lastHeard) ||
-			(known.lastHeard.Equal(latest.lastHeard) && known.listed.ID < latest.listed.ID) {
+		if latest == nil || known.lastReceived.After(latest.lastReceived) ||
+			(known.lastReceived.Equal(latest.lastReceived) && known.listed.ID < latest.listed.ID) {
 			latest = known
 		}
 	}
@@ -247,43 +250,44 @@
 	known.status = StatusSuspect
 	known.suspectedHere = false
 	m.suspects[known.listed.ID] = known
-	m.extendSuspicion(now, known)
+	m.restartSuspicion(now, known)
 }
 
-// extendSuspicion gives the suspect the whole time-out from now on.
-func (m *Membership) extendSuspicion(now time.Time, known *record) {
+// restartSuspicion restarts the suspect's full time-out.
+func (m *Membership) restartSuspicion(now time.Time, known *record) {
 	known.suspectSince = now
 	known.suspectUntil = now.Add(m.health.scale(m.config.SuspectTimeout))
 }
 
-// expireSuspects declares dead the suspects that did not refute in time.
+// expireSuspects declares the suspects dead that did not refute in time.
 func (m *Membership) expireSuspects(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(m.suspects)) {
 		known := m.suspects[id]
 		if now.Before(known.suspectUntil) {
 			continue
 		}
-		if !m.mayDeclare(now, known) {
+		if !m.mayDeclareDead(now, known) {
 			// Wait for one more time-out, in which a peer may answer.
-			m.extendSuspicion(now, known)
+			m.restartSuspicion(now, known)
 			continue
 		}
 		m.declareDead(known)
 		if known.suspectedHere {
-			// Whoever heard of the suspicion comes to the same end alone.
-			m.spread(known.update())
+			// Only the origin of the suspicion disseminates the death. Other
+			// nodes that received the suspicion declare it themselves.
+			m.disseminate(known.update())
 		}
 	}
 }
 
-// mayDeclare reports whether this node has proof that it is not itself the
-// one that is cut off.
-func (m *Membership) mayDeclare(now time.Time, known *record) bool {
+// mayDeclareDead reports whether this node has evidence that it is not itself
+// cut off from the network.
+func (m *Membership) mayDeclareDead(now time.Time, known *record) bool {
 	if m.health.answeredSince(known.suspectSince) {
 		return true
 	}
 	fresh := now.Sub(m.lastObserved) < m.config.ListTimeout
-	return fresh && m.peerCount() < minimumPeers
+	return fresh && m.peerCount() < minimumSelfBlamePeers
 }
 
 func (m *Membership) peerCount() int {
--- a/partition/claim.go
+++ b/partition/claim.go
@@ -8,24 +8,27 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// claim follows this node on its way to ownership.
+// claim is the progress of this node towards ownership.
 type claim struct {
 	backoff retry.Backoff
-	// notBefore delays the next look at the stream, or the next question.
+	// notBefore is the earliest time of the next read of the stream's tail, or
+	// of the next handover request.
 	notBefore time.Time
-	// peeking is set while the end of the stream is being read.
-	peeking bool
-	// asked is the live node that is asked to hand over, and askedEpoch the
-	// epoch it won. heardAt is when it was first asked, or answered last.
-	asked      machine.ID
-	askedEpoch uint64
-	heardAt    time.Time
-	// free is the newest epoch that its winner has given up.
-	free uint64
-	// claimed is set once the claim was handed to the journal.
-	claimed bool
-	// previous is the machine that won the epoch before the claim.
-	previous machine.ID
+	// readingTail is set while the end of the stream is being read.
+	readingTail bool
+	// requestedFrom is the live node that was sent a handover request, and
+	// requestedEpoch the epoch that it won. respondedAt is the time of its last
+	// answer, or of the first request.
+	requestedFrom  machine.ID
+	requestedEpoch uint64
+	respondedAt    time.Time
+	// releasedEpoch is the newest epoch whose winner no longer prevents a
+	// claim.
+	releasedEpoch uint64
+	// submitted is set once the claim was passed to the journal.
+	submitted bool
+	// previousOwner is the machine that won the epoch before the claim.
+	previousOwner machine.ID
 }
 
 func newClaim(config Config) claim {
@@ -36,22 +39,22 @@
 	}}
 }
 
-// postpone starts over after a wait.
+// postpone restarts the claim after a backoff.
 func (c *claim) postpone(now time.Time) {
 	c.notBefore = now.Add(c.backoff.Next())
-	c.restart()
+	c.reset()
 }
 
-// restart forgets what was learnt of the stream and its owner.
-func (c *claim) restart() {
-	c.peeking = false
-	c.claimed = false
-	c.asked = ""
-	c.askedEpoch = 0
+// reset discards what was read about the stream and its owner.
+func (c *claim) reset() {
+	c.readingTail = false
+	c.submitted = false
+	c.requestedFrom = ""
+	c.requestedEpoch = 0
 }
 
-// SetView tells the replica which nodes are live. Nodes that come and go
-// within the dwell times change nothing.
+// SetView updates this node's view of the machine list. Changes that revert
+// within the dwell times have no effect.
 func (r *Replica) SetView(now time.Time, view View) {
 	r.now = now
 	r.view = view
@@ -60,11 +63,12 @@
 		r.desired = desired
 		r.desiredSince = now
 	}
-	r.mirrorsChanged()
+	r.scheduleMirrorReview()
 	r.advance()
 }
 
-// candidates are the nodes that may own: not this one while it stops.
+// candidates returns the nodes that may own the partition. It excludes this
+// node while it is stopping.
 func (r *Replica) candidates() []machine.Machine {
 	if !r.view.Stopping {
 		return r.view.Nodes
@@ -78,10 +82,10 @@
 	return others
 }
 
-// present reports whether the node is believed to run. It may be leaving, or
-// in a zone that the placement does not permit (any more): then it owns and
-// mirrors nothing new, but can still hand over and answer for what it holds.
-func (r *Replica) present(id machine.ID) bool {
+// running reports whether the node is believed to run. It may be leaving, or in
+// a zone that is not permitted: then it takes no new partitions or mirror
+// roles, but can still hand over and answer for what it holds.
+func (r *Replica) running(id machine.ID) bool {
 	for _, node := range r.view.Nodes {
 		if node.ID == id && node.Status != machine.StatusDead {
 			return true
@@ -100,25 +104,27 @@
 	return false
 }
 
-// dwelled reports whether the desired owner has been the same for the time.
-func (r *Replica) dwelled(dwell time.Duration) bool {
+// desiredFor reports whether the desired owner has been the same for at least
+// dwell.
+func (r *Replica) desiredFor(dwell time.Duration) bool {
 	return !r.desiredSince.IsZero() && !r.now.Before(r.desiredSince.Add(dwell))
 }
 
-// advanceFollowing looks at the stream once this node is to own it, and asks
-// a live owner to hand over.
+// advanceFollowing reads the tail of the stream once this node has been the
+// desired owner for ClaimDwell. Depending on the tail it claims the partition
+// or asks the live owner to hand over.
 func (r *Replica) advanceFollowing() {
-	if r.desired != r.config.Self || !r.dwelled(r.config.ClaimDwell) {
-		r.claim.restart()
+	if r.desired != r.config.Self || !r.desiredFor(r.config.ClaimDwell) {
+		r.claim.reset()
 		return
 	}
-	if r.claim.asked != "" {
-		r.askAgain()
+	if r.claim.requestedFrom != "" {
+		r.repeatHandoverRequest()
 		return
 	}
-	if !r.claim.peeking {
+	if !r.claim.readingTail {
 		if !r.now.Before(r.claim.notBefore) {
-			r.claim.peeking = true
+			r.claim.readingTail = true
 			r.journal.Peek(r.now)
 		}
 		return
@@ -127,21 +133,20 @@
 	if !known {
 		return
 	}
-	r.claim.peeking = false
+	r.claim.readingTail = false
 	released := tail.Last.Kind == recordlog.KindMirrors && tail.Last.Mirrors.Released
 	if tail.End == 0 || released || r.claimable(tail.Last.Writer, tail.Last.Epoch) {
 		r.startClaiming()
 		return
 	}
-	r.ask(recordlog.WriterMachine(tail.Last.Writer), tail.Last.Epoch)
+	r.requestHandover(recordlog.WriterMachine(tail.Last.Writer), tail.Last.Epoch)
 }
 
-// claimable reports whether nothing speaks against a claim after the epoch:
-// its winner is not live, gave the epoch up, or is an earlier process of this
-// node.
+// claimable reports whether the node may claim after the epoch: its winner is
+// not live, has released the epoch, or is an earlier process of this node.
 func (r *Replica) claimable(writer string, epoch uint64) bool {
 	winner := recordlog.WriterMachine(writer)
-	return epoch <= r.claim.free || winner == r.config.Self || !r.present(winner)
+	return epoch <= r.claim.releasedEpoch || winner == r.config.Self || !r.running(winner)
 }
 
 func (r *Replica) startClaiming() {
@@ -149,82 +154,82 @@
 	r.journal.CatchUp(r.now)
 }
 
-// ask asks the live winner of the epoch to hand over.
-func (r *Replica) ask(owner machine.ID, epoch uint64) {
-	r.claim.asked = owner
-	r.claim.askedEpoch = epoch
-	r.claim.heardAt = r.now
-	r.sendAsk()
+// requestHandover asks the live winner of the epoch to hand over.
+func (r *Replica) requestHandover(owner machine.ID, epoch uint64) {
+	r.claim.requestedFrom = owner
+	r.claim.requestedEpoch = epoch
+	r.claim.respondedAt = r.now
+	r.sendHandoverRequest()
 }
 
-func (r *Replica) sendAsk() {
+func (r *Replica) sendHandoverRequest() {
 	r.claim.notBefore = r.now.Add(r.claim.backoff.Next())
-	r.send(r.claim.asked, Message{Ask: &HandoverAsk{Epoch: r.claim.askedEpoch}})
+	r.send(r.claim.requestedFrom, Message{RequestHandover: &HandoverRequest{Epoch: r.claim.requestedEpoch}})
 }
 
-// askAgain repeats the question until the owner hands over, leaves the view
-// or has been silent for too long.
-func (r *Replica) askAgain() {
-	silent := !r.now.Before(r.claim.heardAt.Add(r.config.OwnerPatience))
-	if silent || !r.present(r.claim.asked) {
-		r.freed(r.claim.askedEpoch)
+// repeatHandoverRequest repeats the request until the owner hands over, leaves
+// the view or has been silent for OwnerPatience.
+func (r *Replica) repeatHandoverRequest() {
+	silent := !r.now.Before(r.claim.respondedAt.Add(r.config.OwnerPatience))
+	if silent || !r.running(r.claim.requestedFrom) {
+		r.ownerReleased(r.claim.requestedEpoch)
 		return
 	}
 	if !r.now.Before(r.claim.notBefore) {
-		r.sendAsk()
+		r.sendHandoverRequest()
 	}
 }
 
-// freed notes that the winner of the epoch does not stand against a claim,
-// and looks at the stream again.
-func (r *Replica) freed(epoch uint64) {
-	r.holder = ""
-	r.claim.free = max(r.claim.free, epoch)
-	r.claim.restart()
+// ownerReleased records that the winner of the epoch no longer prevents a
+// claim, and reads the tail of the stream again.
+func (r *Replica) ownerReleased(epoch uint64) {
+	r.reportedOwner = ""
+	r.claim.releasedEpoch = max(r.claim.releasedEpoch, epoch)
+	r.claim.reset()
 	r.claim.notBefore = r.now
 	r.claim.backoff.Reset()
 	r.advanceFollowing()
 }
 
 // advanceClaiming appends the claim once the stream is read to its end. A
-// claim that was sent is seen through whatever the view says meanwhile: it may
-// stand in the log already.
+// submitted claim is completed even if the view changes meanwhile, because the
+// log may already hold it.
 func (r *Replica) advanceClaiming() {
-	if r.journal.Open() {
+	if r.journal.IsOpen() {
 		r.startRecovering()
 		return
 	}
-	if r.claim.claimed || !r.journal.CaughtUp() {
+	if r.claim.submitted || !r.journal.CaughtUp() {
 		return
 	}
 	fold := r.journal.Fold()
-	free := fold.Mirrors.Released || r.claimable(fold.Writer, fold.Epoch)
+	mayClaim := fold.Mirrors.Released || r.claimable(fold.Writer, fold.Epoch)
 	if r.desired != r.config.Self {
 		r.lose()
 		return
 	}
-	if !free {
+	if !mayClaim {
 		r.lose()
-		r.ask(recordlog.WriterMachine(fold.Writer), fold.Epoch)
+		r.requestHandover(recordlog.WriterMachine(fold.Writer), fold.Epoch)
 		return
 	}
-	r.claim.claimed = true
-	r.claim.previous = recordlog.WriterMachine(fold.Writer)
+	r.claim.submitted = true
+	r.claim.previousOwner = recordlog.WriterMachine(fold.Writer)
 	r.journal.Claim(r.now, r.config.Self)
 }
 
-// AnswerUnowned answers a message about a partition for which a node keeps no
-// Replica; false when the message needs no answer. Messages for mirrors go to
-// the MirrorStore.
-func AnswerUnowned(message Message) (Message, bool) {
-	if message.Ask == nil {
+// AnswerWithoutReplica answers a message about a partition for which a node has
+// no Replica. It returns false when the message needs no answer. Messages for
+// mirrors go to the MirrorStore instead.
+func AnswerWithoutReplica(message Message) (Message, bool) {
+	if message.RequestHandover == nil {
 		return Message{}, false
 	}
-	offer := &HandoverOffer{Epoch: message.Ask.Epoch}
+	offer := &HandoverOffer{Epoch: message.RequestHandover.Epoch}
 	return Message{Partition: message.Partition, Handover: offer}, true
 }
 
-// StepMessage takes a message from another replica or a mirror.
+// StepMessage processes a message from another replica or a mirror.
 func (r *Replica) StepMessage(now time.Time, from machine.ID, message Message) {
 	r.now = now
 	r.handle(from, message)
@@ -233,48 +238,48 @@
 
 func (r *Replica) handle(from machine.ID, message Message) {
 	switch {
-	case message.Ask != nil:
-		r.checkSuperseded(message.Ask.Epoch)
-		r.answerAsk(from, *message.Ask)
+	case message.RequestHandover != nil:
+		r.checkSuperseded(message.RequestHandover.Epoch)
+		r.answerHandoverRequest(from, *message.RequestHandover)
 	case message.Handover != nil:
 		r.checkSuperseded(message.Handover.Epoch)
-		if r.state == StateFollowing && r.claim.asked == from && message.Handover.Epoch == r.claim.askedEpoch {
-			r.freed(message.Handover.Epoch)
+		if r.state == StateFollowing && r.claim.requestedFrom == from && message.Handover.Epoch == r.claim.requestedEpoch {
+			r.ownerReleased(message.Handover.Epoch)
 		}
-	case message.Keep != nil:
-		if r.claim.asked == from {
-			r.claim.heardAt = r.now
-			r.holder = from
+	case message.DeferHandover != nil:
+		if r.claim.requestedFrom == from {
+			r.claim.respondedAt = r.now
+			r.reportedOwner = from
 		}
 	case message.Claimed != nil:
 		r.checkSuperseded(message.Claimed.Epoch)
 	case message.Mirrored != nil:
-		r.stepMirrored(from, *message.Mirrored)
+		r.stepMirrorAck(from, *message.Mirrored)
 	case message.Answer != nil:
 		r.stepMirrorAnswer(from, *message.Answer)
 	}
 }
 
-// checkSuperseded reads the stream on when another node knows of a later epoch
-// than the one that this node owns.
+// checkSuperseded reads on in the stream when another node reports a later
+// epoch than the one that this node owns.
 func (r *Replica) checkSuperseded(epoch uint64) {
 	if epoch > r.journal.Epoch() {
 		r.journal.CheckSuperseded(r.now)
 	}
 }
 
-// answerAsk keeps the partition while this node owns the epoch or is about
-// to, and gives the epoch up otherwise.
-func (r *Replica) answerAsk(from machine.ID, ask HandoverAsk) {
-	if r.state != StateFollowing && r.journal.Epoch() >= ask.Epoch {
-		r.send(from, Message{Keep: &HandoverKeep{Epoch: ask.Epoch}})
+// answerHandoverRequest defers the handover while this node owns the epoch or
+// is about to, and otherwise offers the epoch.
+func (r *Replica) answerHandoverRequest(from machine.ID, request HandoverRequest) {
+	if r.state != StateFollowing && r.journal.Epoch() >= request.Epoch {
+		r.send(from, Message{DeferHandover: &HandoverDeferral{Epoch: request.Epoch}})
 		return
 	}
-	r.send(from, Message{Handover: &HandoverOffer{Epoch: ask.Epoch}})
+	r.send(from, Message{Handover: &HandoverOffer{Epoch: request.Epoch}})
 }
 
-// NextWake returns when Tick is due, or the zero time. The replica has acted
-// on every timer up to the last event.
+// NextWake returns when Tick is due, or the zero time for never. Timers up to
+// the time of the last event have already been processed.
 func (r *Replica) NextWake() time.Time {
 	wake := r.journal.NextWake()
 	for _, at := range r.timers() {
@@ -285,7 +290,8 @@
 	return wake
 }
 
-// timers are the times at which the present state may change by itself.
+// timers returns the times at which the current state may change without an
+// event.
 func (r *Replica) timers() []time.Time {
 	switch r.state {
 	case StateFollowing:
@@ -303,14 +309,14 @@
 	if r.desired != r.config.Self {
 		return nil
 	}
-	if !r.dwelled(r.config.ClaimDwell) {
+	if !r.desiredFor(r.config.ClaimDwell) {
 		return []time.Time{r.desiredSince.Add(r.config.ClaimDwell)}
 	}
-	if r.claim.peeking {
+	if r.claim.readingTail {
 		return nil
 	}
-	if r.claim.asked == "" {
+	if r.claim.requestedFrom == "" {
 		return []time.Time{r.claim.notBefore}
 	}
-	return []time.Time{r.claim.notBefore, r.claim.heardAt.Add(r.config.OwnerPatience)}
+	return []time.Time{r.claim.notBefore, r.claim.respondedAt.Add(r.config.OwnerPatience)}
 }
