--- a/partition/cluster_test.go
+++ b/partition/cluster_test.go
@@ -13,13 +13,14 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The delays of the simulated cluster.
+// Delays of the simulated cluster: logDelay is the time of a whole request to
+// the log, linkDelay that of a message between nodes.
 const (
 	logDelay  = 5 * time.Millisecond
 	linkDelay = 2 * time.Millisecond
 )
 
-// simulatedEvent is something that happens at a virtual time.
+// simulatedEvent is an event at a virtual time.
 type simulatedEvent struct {
 	at    time.Time
 	order int
@@ -44,8 +45,8 @@
 	return last
 }
 
-// simulatedNode is one node: its replica, its mirror store, and what a state
-// machine on it would hold.
+// simulatedNode is one node: its replica, its mirror store, and the state that
+// a state machine on it would hold.
 type simulatedNode struct {
 	id       machine.ID
 	zone     zone.Name
@@ -54,7 +55,7 @@
 	starts   uint64
 	alive    bool
 	paused   bool
-	held     []func() // events that wait for the pause to end
+	deferred []func() // events to run after the pause
 	wake     time.Time
 	state    []string // payloads of records, in order
 	owning   bool
@@ -65,29 +66,29 @@
 
 // cluster runs the replicas of one partition in virtual time.
 type cluster struct {
-	now      time.Time
-	events   eventQueue
-	order    int
-	random   *rand.Rand
-	id       ID
-	place    zone.Placement
-	log      *simulatedLog
-	nodes    []*simulatedNode
-	cut      map[[2]machine.ID]bool
-	hidden   map[machine.ID]bool // not in the machine list
-	stopping map[machine.ID]bool
-	holding  map[machine.ID]bool
-	adjust   func(*Config)
-	mirrored int
+	now                 time.Time
+	events              eventQueue
+	order               int
+	random              *rand.Rand
+	id                  ID
+	placement           zone.Placement
+	log                 *simulatedLog
+	nodes               []*simulatedNode
+	blocked             map[[2]machine.ID]bool
+	hidden              map[machine.ID]bool // missing from the machine list
+	stopping            map[machine.ID]bool
+	deferring           map[machine.ID]bool
+	adjust              func(*Config)
+	mirrorConfirmations int
 	// confirmed lists the values that were confirmed to a caller, in order of
 	// confirmation.
 	confirmed []string
-	// proposer tells under which epoch a value was proposed.
-	proposer map[string]uint64
-	failures []string
-	// unchecked turns the account of values off, for benchmarks, which count
+	// proposedEpoch maps each value to the epoch in which it was proposed.
+	proposedEpoch map[string]uint64
+	failures      []string
+	// skipChecks disables the checks of values for benchmarks, which count
 	// confirmations and the bytes sent to mirrors instead.
-	unchecked     bool
+	skipChecks    bool
 	confirmations int
 	mirrorBytes   int
 	nextValue     int
@@ -95,17 +96,17 @@
 
 func newCluster(seed uint64, zones []zone.Name, adjust func(*Config)) *cluster {
 	c := &cluster{
-		now:      time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		random:   rand.New(rand.NewPCG(seed, seed)),
-		id:       ID{Group: "koudeketting~triage", Index: 0},
-		place:    zone.NewPlacement(zones...),
-		log:      &simulatedLog{},
-		cut:      map[[2]machine.ID]bool{},
-		hidden:   map[machine.ID]bool{},
-		stopping: map[machine.ID]bool{},
-		holding:  map[machine.ID]bool{},
-		adjust:   adjust,
-		proposer: map[string]uint64{},
+		now:           time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		random:        rand.New(rand.NewPCG(seed, seed)),
+		id:            ID{Group: "koudeketting~triage", Index: 0},
+		placement:     zone.NewPlacement(zones...),
+		log:           &simulatedLog{},
+		blocked:       map[[2]machine.ID]bool{},
+		hidden:        map[machine.ID]bool{},
+		stopping:      map[machine.ID]bool{},
+		deferring:     map[machine.ID]bool{},
+		adjust:        adjust,
+		proposedEpoch: map[string]uint64{},
 	}
 	for index, name := range zones {
 		node := &simulatedNode{id: machine.ID(fmt.Sprintf("node-%d", index)), zone: name}
@@ -116,7 +117,7 @@
 	return c
 }
 
-// start begins a new process on the node, with empty memory.
+// start starts a new process on the node, with empty memory.
 func (c *cluster) start(node *simulatedNode) {
 	node.starts++
 	writer := recordlog.WriterName(node.id, node.starts)
@@ -149,8 +150,8 @@
 	heap.Push(&c.events, simulatedEvent{at: c.now.Add(delay), order: c.order, run: run})
 }
 
-// deliver runs an event on a node's present process, later if it is paused,
-// and never if the process died meanwhile.
+// deliver runs an event on the node's current process after the delay: later if
+// the process is paused, and never if it has died.
 func (c *cluster) deliver(node *simulatedNode, delay time.Duration, run func()) {
 	process := node.starts
 	c.after(delay, func() {
@@ -163,7 +164,7 @@
 		return
 	}
 	if node.paused {
-		node.held = append(node.held, func() { c.runOn(node, process, run) })
+		node.deferred = append(node.deferred, func() { c.runOn(node, process, run) })
 		return
 	}
 	run()
@@ -196,7 +197,7 @@
 	return true
 }
 
-// settle performs what a node's replica wants done.
+// settle performs all pending output of a node's replica.
 func (c *cluster) settle(node *simulatedNode) {
 	for node.replica.HasReady() {
 		c.perform(node, node.replica.Ready())
@@ -267,10 +268,10 @@
 	return value
 }
 
-// confirm notes that a caller was told that its record is durable.
+// confirm records that a caller was told that its record is durable.
 func (c *cluster) confirm(node *simulatedNode, confirmed Confirmed) {
 	c.confirmations++
-	if c.unchecked {
+	if c.skipChecks {
 		return
 	}
 	value, known := node.proposed[confirmed.Token]
@@ -279,7 +280,7 @@
 		return
 	}
 	if confirmed.Offset == NoOffset {
-		c.mirrored++
+		c.mirrorConfirmations++
 	} else {
 		delete(node.proposed, confirmed.Token)
 	}
@@ -288,7 +289,7 @@
 	}
 	c.confirmed = append(c.confirmed, value)
 	for _, later := range c.nodes {
-		if later.owning && later.replica.Epoch() > c.proposer[value] && !slices.Contains(later.state, value) {
+		if later.owning && later.replica.Epoch() > c.proposedEpoch[value] && !slices.Contains(later.state, value) {
 			c.fail("%s confirmed %s after %s had opened a later epoch without it", node.id, value, later.id)
 		}
 	}
@@ -298,27 +299,27 @@
 	c.failures = append(c.failures, fmt.Sprintf(format, values...))
 }
 
-// checkRecovered holds a new owner's state against what was confirmed before:
-// every record once, those of one epoch in their order.
+// checkRecovered compares a new owner's state with the values confirmed before:
+// it must have every confirmed value once, and those of one epoch in order.
 func (c *cluster) checkRecovered(node *simulatedNode) {
-	if c.unchecked {
+	if c.skipChecks {
 		return
 	}
-	place := map[string]int{}
+	position := map[string]int{}
 	for index, value := range node.state {
-		if _, repeated := place[value]; repeated {
+		if _, repeated := position[value]; repeated {
 			c.fail("%s: %s recovered twice", node.id, value)
 		}
-		place[value] = index
+		position[value] = index
 	}
 	last := map[uint64]int{}
 	for _, value := range c.confirmed {
-		index, found := place[value]
+		index, found := position[value]
 		if !found {
 			c.fail("%s: confirmed %s is not recovered", node.id, value)
 			continue
 		}
-		epoch := c.proposer[value]
+		epoch := c.proposedEpoch[value]
 		if index < last[epoch] {
 			c.fail("%s: confirmed %s is out of order", node.id, value)
 		}
@@ -328,10 +329,10 @@
 
 func (c *cluster) send(from *simulatedNode, outbound Outbound) {
 	to := c.node(outbound.To)
-	if to == nil || c.cut[[2]machine.ID{from.id, to.id}] {
+	if to == nil || c.blocked[[2]machine.ID{from.id, to.id}] {
 		return
 	}
-	if c.unchecked && outbound.Message.Mirror != nil {
+	if c.skipChecks && outbound.Message.Mirror != nil {
 		encoded, _ := json.Marshal(outbound.Message)
 		c.mirrorBytes += len(encoded)
 	}
@@ -344,7 +345,7 @@
 	})
 }
 
-// receive hands a message to the replica or the mirror store.
+// receive passes a message to the replica or the mirror store.
 func (c *cluster) receive(node *simulatedNode, from machine.ID, message Message) {
 	if !message.ForMirror() {
 		node.replica.StepMessage(c.now, from, message)
@@ -364,7 +365,7 @@
 	return nil
 }
 
-// viewChanged tells every live node the machine list.
+// viewChanged sends the machine list to every node.
 func (c *cluster) viewChanged() {
 	var nodes []machine.Machine
 	for _, node := range c.nodes {
@@ -377,7 +378,7 @@
 		}
 	}
 	for _, node := range c.nodes {
-		view := View{Placement: c.place, Nodes: nodes, Stopping: c.stopping[node.id], Hold: c.holding[node.id], Excluded: !c.place.Contains(node.zone)}
+		view := View{Placement: c.placement, Nodes: nodes, Stopping: c.stopping[node.id], DeferHandover: c.deferring[node.id], Excluded: !c.placement.Contains(node.zone)}
 		c.deliver(node, linkDelay, func() { node.replica.SetView(c.now, view) })
 	}
 }
@@ -401,15 +402,15 @@
 
 func (c *cluster) resume(node *simulatedNode) {
 	node.paused = false
-	held := node.held
-	node.held = nil
-	for _, run := range held {
+	deferred := node.deferred
+	node.deferred = nil
+	for _, run := range deferred {
 		run()
 	}
 	c.viewChanged()
 }
 
-// owner returns the newest node that may propose.
+// owner returns the node with the newest epoch that may propose.
 func (c *cluster) owner() *simulatedNode {
 	var newest *simulatedNode
 	for _, node := range c.nodes {
@@ -436,7 +437,7 @@
 		return "", err
 	}
 	node.proposed[token] = value
-	c.proposer[value] = node.replica.Epoch()
+	c.proposedEpoch[value] = node.replica.Epoch()
 	node.state = append(node.state, value)
 	c.settle(node)
 	return value, nil
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -9,61 +9,66 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// recovery follows this node from its claim to the opening of its epoch: it
-// reads a quorum of the mirrors that an earlier epoch may have left records
-// with, appends those records again and names its own mirrors.
+// recovery is the progress of this node from its claim to the opening of its
+// epoch. It reads a quorum of the mirrors that may hold records of an earlier
+// epoch, appends those records again and names its own mirrors.
 type recovery struct {
-	// debt is what must be read; nil when no mirror can hold anything.
+	// debt describes the epoch whose mirrors must be read; nil when no mirror
+	// can hold records that the log lacks.
 	debt    *recordlog.Debt
 	sources []*recoverySource
-	// suffix is what the mirrors hold after the log's last sequence of the
-	// epoch, without gaps.
-	suffix []recordlog.Entry
-	since  time.Time
-	// accepted is set when the operator or the policy gave the rest up.
-	accepted bool
-	// opening is the sequence of the entry that opens the epoch, once it was
-	// proposed.
-	opening uint64
+	// suffix holds the entries that the mirrors have after the log's last
+	// sequence of the epoch, without gaps.
+	suffix    []recordlog.Entry
+	startedAt time.Time
+	// lossAccepted is set when an operator or AcceptLossAfter gave up the
+	// records that were not read.
+	lossAccepted bool
+	// openingSequence is the sequence of the entry that opens the epoch; zero
+	// until it is proposed.
+	openingSequence uint64
 }
 
-// recoverySource is one mirror that is read.
+// recoverySource is one process that is read during recovery.
 type recoverySource struct {
 	mirror recordlog.Mirror
-	// owner marks the process that owned the epoch. It is no mirror, and counts
-	// only once it has lost the epoch, but then for all of them.
+	// owner is set for the process that owned the epoch. It is not a mirror. It
+	// counts only once it has lost the epoch, but its answer then replaces
+	// those of all mirrors.
 	owner bool
-	// answered is set by the first answer of the process that enlisted; from
-	// then on last is all that it will ever hold of the epoch.
-	answered  bool
-	restarted bool
-	last      uint64
-	deadline  time.Time
-	backoff   retry.Backoff
+	// answered is set by the first answer of the process that agreed to be a
+	// mirror. From then on that process accepts no more entries of the epoch,
+	// and lastSequence is final.
+	answered     bool
+	restarted    bool
+	lastSequence uint64
+	deadline     time.Time
+	backoff      retry.Backoff
 }
 
-// Stall says why a recovery waits for mirrors.
+// Stall describes why a recovery waits for mirrors.
 type Stall struct {
 	// Epoch is the epoch whose mirrors may hold records that the log lacks.
 	Epoch uint64 `json:"epoch"`
-	// Needed is how many mirrors must be read; Read how many were.
+	// Needed is the number of mirrors that must be read, and Read the number
+	// that were.
 	Needed int `json:"needed"`
 	Read   int `json:"read"`
-	// Silent mirrors have not answered. Restarted ones have lost what they
-	// held: once fewer than Needed others are left, waiting cannot help.
+	// Silent mirrors have not answered. Restarted mirrors have lost the entries
+	// they held: if fewer than Needed others are left, waiting cannot help.
 	Silent    []machine.ID `json:"silent,omitempty"`
 	Restarted []machine.ID `json:"restarted,omitempty"`
 	Since     time.Time    `json:"since"`
 }
 
-// startRecovering begins what is left to do after the claim won.
+// startRecovering begins the recovery after the claim won.
 func (r *Replica) startRecovering() {
 	r.claim.backoff.Reset()
 	r.state = StateRecovering
 	fold := r.journal.Fold()
-	r.recover = recovery{debt: fold.Debt, since: r.now}
-	if previous := r.claim.previous; previous != "" {
-		r.send(previous, Message{Claimed: &Claimed{Epoch: fold.Epoch}})
+	r.recover = recovery{debt: fold.Debt, startedAt: r.now}
+	if previousOwner := r.claim.previousOwner; previousOwner != "" {
+		r.send(previousOwner, Message{Claimed: &Claimed{Epoch: fold.Epoch}})
 	}
 	r.addSources()
 	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, r.config.MirrorCount)
@@ -73,8 +78,8 @@
 	r.advanceRecovering()
 }
 
-// addSources lists whom to read: the mirrors of the epoch in debt, and the
-// process that owned it, in case it lives.
+// addSources lists the processes to read: the mirrors of the epoch in debt, and
+// the process that owned it, which may still run.
 func (r *Replica) addSources() {
 	debt := r.recover.debt
 	if debt == nil {
@@ -89,11 +94,11 @@
 	r.recover.sources = append(r.recover.sources, source)
 }
 
-// advanceRecovering opens the epoch once the debt is read and the mirrors
-// agreed or had their time.
+// advanceRecovering opens the epoch once the debt is recovered and all nodes
+// that were asked to be mirrors have agreed or MirrorTimeout has passed.
 func (r *Replica) advanceRecovering() {
-	if r.recover.opening > 0 {
-		if r.journal.Fold().Sequence >= r.recover.opening {
+	if r.recover.openingSequence > 0 {
+		if r.journal.Fold().Sequence >= r.recover.openingSequence {
 			r.acquire()
 		}
 		return
@@ -104,24 +109,24 @@
 	}
 	r.querySources()
 	enlisted := !r.mirrors.enlistment.active() || r.mirrors.enlistment.complete(r.now)
-	if !r.debtRead() || !enlisted {
+	if !r.debtRecovered() || !enlisted {
 		return
 	}
 	r.open()
 }
 
-// querySources asks the mirrors for what was not read yet.
+// querySources queries the sources that have not been read to the end.
 func (r *Replica) querySources() {
 	for _, source := range r.recover.sources {
-		if r.recover.done(source) || r.now.Before(source.deadline) {
+		if r.recover.exhausted(source) || r.now.Before(source.deadline) {
 			continue
 		}
 		source.deadline = r.now.Add(r.config.MirrorTimeout + source.backoff.Next())
 		query := &MirrorQuery{
-			Epoch:    r.recover.debt.Epoch,
-			Instance: source.mirror.Instance,
-			Sequence: r.recover.suffixEnd(),
-			Reader:   r.journal.Epoch(),
+			Epoch:       r.recover.debt.Epoch,
+			Instance:    source.mirror.Instance,
+			Sequence:    r.recover.suffixEnd(),
+			ReaderEpoch: r.journal.Epoch(),
 		}
 		if source.owner {
 			r.send(source.mirror.ID, Message{Claimed: &Claimed{Epoch: r.journal.Epoch()}})
@@ -130,12 +135,13 @@
 	}
 }
 
-// done reports whether nothing more is to be had from the mirror.
-func (c *recovery) done(source *recoverySource) bool {
-	return source.restarted || source.answered && source.last <= c.suffixEnd()
+// exhausted reports whether the source can add no more entries.
+func (c *recovery) exhausted(source *recoverySource) bool {
+	return source.restarted || source.answered && source.lastSequence <= c.suffixEnd()
 }
 
-// suffixEnd is the sequence up to which the debt's epoch is known.
+// suffixEnd returns the sequence up to which the entries of the epoch in debt
+// are known.
 func (c *recovery) suffixEnd() uint64 {
 	if len(c.suffix) > 0 {
 		return c.suffix[len(c.suffix)-1].Sequence
@@ -143,11 +149,11 @@
 	return c.debt.Sequence
 }
 
-// stepMirrorAnswer takes what a mirror holds.
+// stepMirrorAnswer processes a mirror's answer to a query.
 func (r *Replica) stepMirrorAnswer(from machine.ID, answer MirrorAnswer) {
 	debt := r.recover.debt
-	relevant := r.state == StateRecovering && debt != nil && r.recover.opening == 0 &&
-		answer.Reader == r.journal.Epoch() && answer.Epoch == debt.Epoch
+	relevant := r.state == StateRecovering && debt != nil && r.recover.openingSequence == 0 &&
+		answer.ReaderEpoch == r.journal.Epoch() && answer.Epoch == debt.Epoch
 	if !relevant {
 		return
 	}
@@ -172,198 +178,201 @@
 	}
 	known := r.recover.suffixEnd()
 	source.answered = true
-	source.last = answer.Last
+	source.lastSequence = answer.LastSequence
 	for _, entry := range answer.Entries {
 		if entry.Sequence == r.recover.suffixEnd()+1 {
 			r.recover.suffix = append(r.recover.suffix, entry)
 		}
 	}
 	if r.recover.suffixEnd() > known {
-		// The next part may be asked for at once.
+		// The next part may be requested at once.
 		source.deadline = time.Time{}
 		source.backoff.Reset()
 	}
 }
 
-// debtRead reports whether a read quorum of the mirrors was read to the end.
-func (r *Replica) debtRead() bool {
-	if r.recover.debt == nil || r.recover.accepted {
+// debtRecovered reports whether recovery may stop reading: a read quorum of the
+// mirrors was read to the end, or the loss of the rest was accepted.
+func (r *Replica) debtRecovered() bool {
+	if r.recover.debt == nil || r.recover.lossAccepted {
 		return true
 	}
 	stall, stalled := r.Stall()
 	if !stalled {
 		return true
 	}
-	patience := r.config.AcceptLossAfter
-	if patience > 0 && r.hopeless(stall) && !r.now.Before(stall.Since.Add(patience)) {
-		r.recover.accepted = true
+	limit := r.config.AcceptLossAfter
+	if limit > 0 && r.quorumUnreachable(stall) && !r.now.Before(stall.Since.Add(limit)) {
+		r.recover.lossAccepted = true
 	}
-	return r.recover.accepted
+	return r.recover.lossAccepted
 }
 
-// hopeless reports whether the mirrors that may still answer are too few, and
-// the epoch's owner is gone too, as far as this node's view goes.
-func (r *Replica) hopeless(stall Stall) bool {
+// quorumUnreachable reports whether, by this node's view, too few mirrors can
+// still answer for a read quorum and the epoch's owner does not run either.
+func (r *Replica) quorumUnreachable(stall Stall) bool {
 	for _, source := range r.recover.sources {
-		if source.owner && !source.restarted && r.present(source.mirror.ID) {
+		if source.owner && !source.restarted && r.running(source.mirror.ID) {
 			return false
 		}
 	}
 	reachable := stall.Read
 	for _, mirror := range stall.Silent {
-		if r.present(mirror) {
+		if r.running(mirror) {
 			reachable++
 		}
 	}
 	return reachable < stall.Needed
 }
 
-// Stall tells what a recovery waits for, false when it does not wait for
+// Stall returns what a recovery waits for, or false when it does not wait for
 // mirrors.
 func (r *Replica) Stall() (Stall, bool) {
 	debt := r.recover.debt
-	if r.state != StateRecovering || debt == nil || r.recover.opening > 0 {
+	if r.state != StateRecovering || debt == nil || r.recover.openingSequence > 0 {
 		return Stall{}, false
 	}
-	stall := Stall{Epoch: debt.Epoch, Needed: recordlog.ReadQuorum(len(debt.Mirrors)), Since: r.recover.since}
+	stall := Stall{Epoch: debt.Epoch, Needed: recordlog.ReadQuorum(len(debt.Mirrors)), Since: r.recover.startedAt}
 	for _, source := range r.recover.sources {
 		switch {
-		case source.owner && source.answered && r.recover.done(source):
+		case source.owner && source.answered && r.recover.exhausted(source):
 			return Stall{}, false
 		case source.owner:
-			// Nothing is missing if it stays silent.
+			// The owner is not a mirror: the quorum does not need its answer.
 		case source.restarted:
 			stall.Restarted = append(stall.Restarted, source.mirror.ID)
 		case !source.answered:
 			stall.Silent = append(stall.Silent, source.mirror.ID)
-		case r.recover.done(source):
+		case r.recover.exhausted(source):
 			stall.Read++
 		}
 	}
 	return stall, stall.Read < stall.Needed
 }
 
-// AcceptLoss lets a stalled recovery go on with the mirrors that answered.
-// Records that only the others hold are lost, which the log notes. It is an
-// operator's decision; Config.AcceptLossAfter makes it a policy.
+// AcceptLoss lets a stalled recovery continue with the mirrors that answered.
+// Records that only the others held are lost, and the log records this. An
+// operator decides this per case; Config.AcceptLossAfter does it automatically.
 func (r *Replica) AcceptLoss(now time.Time) {
 	r.now = now
 	if _, stalled := r.Stall(); stalled {
-		r.recover.accepted = true
+		r.recover.lossAccepted = true
 	}
 	r.advance()
 }
 
-// open appends the records that only mirrors hold, and behind them the entry
-// that settles the debt and names the mirrors of this epoch. Nothing is
-// written when there is nothing to settle and nobody to name.
+// open appends the records that only mirrors hold, followed by the entry that
+// settles the debt and names the mirrors of this epoch. It writes nothing when
+// there is no debt and no mirror.
 func (r *Replica) open() {
 	for _, entry := range r.recover.suffix {
 		if entry.Kind == recordlog.KindRecord {
-			r.journal.Repeat(r.now, entry)
+			r.journal.Repropose(r.now, entry)
 		}
 	}
 	set := recordlog.MirrorSet{Members: r.mirrors.enlistment.agreed}
 	r.mirrors.enlistment = enlistment{}
-	if r.recover.accepted {
-		set.Unread = r.recover.debt.Epoch
+	if r.recover.lossAccepted {
+		set.AbandonedEpoch = r.recover.debt.Epoch
 	}
 	if r.recover.debt == nil && len(set.Members) == 0 {
 		r.acquire()
 		return
 	}
 	r.proposeMirrors(set)
-	r.recover.opening = r.mirrors.nextSequence
+	r.recover.openingSequence = r.mirrors.nextSequence
 }
 
-// acquire opens the partition for proposals.
+// acquire completes the recovery: from now on the replica accepts proposals.
 func (r *Replica) acquire() {
 	if r.recover.debt != nil {
-		r.settled = newSettlement(*r.recover.debt, r.journal.Epoch(), r.mirrorBackoff())
+		r.pendingTrim = newTrimNotice(*r.recover.debt, r.journal.Epoch(), r.mirrorBackoff())
 	}
 	if r.config.Mirrors != nil {
-		r.config.Mirrors.settle(r.config.ID, r.journal.Epoch())
+		r.config.Mirrors.epochOpened(r.config.ID, r.journal.Epoch())
 	}
 	r.recover = recovery{}
 	r.state = StateOwning
 	r.ready.Acquired = true
 	r.adoptMirrors()
-	r.mirrorsChanged()
+	r.scheduleMirrorReview()
 	r.advanceOwning()
 }
 
 func (r *Replica) recoveringTimers() []time.Time {
 	var timers []time.Time
-	if r.recover.opening > 0 {
+	if r.recover.openingSequence > 0 {
 		return nil
 	}
 	if r.mirrors.enlistment.active() && !r.mirrors.enlistment.complete(r.now) {
 		timers = append(timers, r.mirrors.enlistment.deadline)
 	}
 	for _, source := range r.recover.sources {
-		if !r.recover.done(source) {
+		if !r.recover.exhausted(source) {
 			timers = append(timers, source.deadline)
 		}
 	}
 	if _, stalled := r.Stall(); stalled && r.config.AcceptLossAfter > 0 {
-		timers = append(timers, r.recover.since.Add(r.config.AcceptLossAfter))
+		timers = append(timers, r.recover.startedAt.Add(r.config.AcceptLossAfter))
 	}
 	return timers
 }
 
-// settlement tells the mirrors of an earlier epoch that the log has
-// everything, until each of them has answered or is gone.
-type settlement struct {
-	trim  MirrorTrim
-	links []*settlementLink
+// trimNotice notifies the mirrors and the owner of an earlier epoch that the
+// log has all its entries. It is repeated until each of them has answered or is
+// gone.
+type trimNotice struct {
+	trim       MirrorTrim
+	recipients []*trimRecipient
 }
 
-type settlementLink struct {
+type trimRecipient struct {
 	mirror   machine.ID
 	attempts int
 	deadline time.Time
 	backoff  retry.Backoff
 }
 
-// settlementAttempts is how often a mirror that has left the view is told.
-const settlementAttempts = 20
+// trimAttempts is the number of attempts after which a recipient that has left
+// the view is dropped.
+const trimAttempts = 20
 
-func newSettlement(debt recordlog.Debt, epoch uint64, backoff retry.Backoff) settlement {
-	// The trim is of this epoch: it forgets all earlier ones.
-	settled := settlement{trim: MirrorTrim{Epoch: epoch}}
+func newTrimNotice(debt recordlog.Debt, epoch uint64, backoff retry.Backoff) trimNotice {
+	// A trim of the new epoch drops all earlier epochs.
+	notice := trimNotice{trim: MirrorTrim{Epoch: epoch}}
 	for _, mirror := range debt.Mirrors {
-		settled.links = append(settled.links, &settlementLink{mirror: mirror.ID, backoff: backoff})
+		notice.recipients = append(notice.recipients, &trimRecipient{mirror: mirror.ID, backoff: backoff})
 	}
 	owner := recordlog.WriterMachine(debt.Writer)
-	settled.links = append(settled.links, &settlementLink{mirror: owner, backoff: backoff})
-	return settled
+	notice.recipients = append(notice.recipients, &trimRecipient{mirror: owner, backoff: backoff})
+	return notice
 }
 
-// advanceSettlement repeats the trim to those that have not answered.
-func (r *Replica) advanceSettlement() {
-	r.settled.links = slices.DeleteFunc(r.settled.links, func(link *settlementLink) bool {
-		return link.attempts >= settlementAttempts && !r.present(link.mirror)
+// sendTrims repeats the trim to the recipients that have not answered.
+func (r *Replica) sendTrims() {
+	r.pendingTrim.recipients = slices.DeleteFunc(r.pendingTrim.recipients, func(recipient *trimRecipient) bool {
+		return recipient.attempts >= trimAttempts && !r.running(recipient.mirror)
 	})
-	for _, link := range r.settled.links {
-		if r.now.Before(link.deadline) {
+	for _, recipient := range r.pendingTrim.recipients {
+		if r.now.Before(recipient.deadline) {
 			continue
 		}
-		link.attempts++
-		link.deadline = r.now.Add(link.backoff.Next())
-		trim := r.settled.trim
-		r.send(link.mirror, Message{Trim: &trim})
+		recipient.attempts++
+		recipient.deadline = r.now.Add(recipient.backoff.Next())
+		trim := r.pendingTrim.trim
+		r.send(recipient.mirror, Message{Trim: &trim})
 	}
 }
 
-// acknowledge notes that a mirror of an earlier epoch has forgotten it.
-func (s *settlement) acknowledge(from machine.ID) {
-	s.links = slices.DeleteFunc(s.links, func(link *settlementLink) bool { return link.mirror == from })
+// acknowledge removes a recipient that has answered.
+func (n *trimNotice) acknowledge(from machine.ID) {
+	n.recipients = slices.DeleteFunc(n.recipients, func(recipient *trimRecipient) bool { return recipient.mirror == from })
 }
 
-func (s *settlement) timers() []time.Time {
+func (n *trimNotice) timers() []time.Time {
 	var timers []time.Time
-	for _, link := range s.links {
-		timers = append(timers, link.deadline)
+	for _, recipient := range n.recipients {
+		timers = append(timers, recipient.deadline)
 	}
 	return timers
 }
--- a/program/describe.go
+++ b/program/describe.go
@@ -7,17 +7,17 @@
 	"birchwood.example/birchwood/api"
 )
 
-// Live reports whether the store holds the program and something of it can
-// still happen: it has not ended, or its last calls have not.
+// Live reports whether the program is in the store and can still change: it has
+// not ended, or some of its calls or sub-agents have not.
 func (s *Store) Live(id api.ProgramID) bool {
 	p, ok := s.programs[id]
 	return ok && !p.finished()
 }
 
-// Count returns the number of programs held, ended ones included.
+// Count returns the number of programs in the store, ended ones included.
 func (s *Store) Count() int { return len(s.programs) }
 
-// Describe returns a program as callers see it.
+// Describe returns the API representation of a program.
 func (s *Store) Describe(id api.ProgramID) (api.Program, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -26,9 +26,10 @@
 	return p.describe(), true
 }
 
-// Call returns a call by its place, or by its key when the place is zero.
-// The texts, the usage and the error of a call that has ended are there only
-// while the log does not hold its records: History tells where they stand.
+// Call returns a call by its sequence number, or by its key if the sequence
+// number is zero. The texts, usage and error of a call that has ended are
+// included only while its records are not in the log; after that, History
+// returns the offsets at which to read them.
 func (s *Store) Call(id api.ProgramID, sequence uint64, key string) (api.Call, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -47,8 +48,8 @@
 	return call, true
 }
 
-// List returns up to limit programs of the branch and of the branches below
-// it, sorted by id. The empty branch stands for all of them.
+// List returns up to limit programs of the branch and of the branches below it,
+// sorted by id. An empty branch matches all programs.
 func (s *Store) List(branch string, limit int) []api.Program {
 	var ids []api.ProgramID
 	for id, p := range s.programs {
@@ -67,7 +68,7 @@
 	return programs
 }
 
-// Terms returns the terms that bind the program's next dispatch.
+// Terms returns the terms that apply to the program's next dispatch.
 func (s *Store) Terms(id api.ProgramID) (Terms, bool) {
 	p, ok := s.programs[id]
 	if !ok {
@@ -76,7 +77,7 @@
 	return *p.terms, true
 }
 
-func (p *heldProgram) describe() api.Program {
+func (p *programState) describe() api.Program {
 	return api.Program{
 		ID:             p.id,
 		Branch:         p.branch,
@@ -92,10 +93,10 @@
 	}
 }
 
-// describeCall returns what memory holds of a call.
-func (p *heldProgram) describeCall(sequence uint64) api.Call {
+// describeCall returns the parts of a call that are in memory.
+func (p *programState) describeCall(sequence uint64) api.Call {
 	if live := p.liveCall(sequence); live != nil {
-		call := p.callOf(sequence, live.call, nil)
+		call := p.apiCall(sequence, live.call, nil)
 		call.Attempt = live.attempt
 		call.Backend = string(live.backend)
 		if live.phase == phaseSent || live.phase == phaseLookup {
@@ -105,22 +106,22 @@
 	}
 	entry := p.calls[sequence-1]
 	call := api.Call{Program: p.id, Sequence: sequence, Kind: entry.kind.kind(), Status: statusNames[entry.status]}
-	held, ok := p.unlocated[sequence]
+	records, ok := p.pending[sequence]
 	if !ok {
 		return call
 	}
-	if held.Accepted != nil {
-		call.Key = held.Accepted.Call.Key
-		call.Input = held.Accepted.Call.Input
+	if records.Accepted != nil {
+		call.Key = records.Accepted.Call.Key
+		call.Input = records.Accepted.Call.Input
 	}
-	if held.Ended != nil {
-		fillEnded(&call, held.Ended)
+	if records.Ended != nil {
+		setOutcome(&call, records.Ended)
 	}
 	return call
 }
 
-// callOf joins the request and, if it has one, the outcome of a call.
-func (p *heldProgram) callOf(sequence uint64, request api.SubmitCall, ended *CallEnded) api.Call {
+// apiCall builds a call from its request and, unless ended is nil, its outcome.
+func (p *programState) apiCall(sequence uint64, request api.SubmitCall, ended *CallEnded) api.Call {
 	call := api.Call{
 		Program:  p.id,
 		Sequence: sequence,
@@ -130,12 +131,12 @@
 		Input:    request.Input,
 	}
 	if ended != nil {
-		fillEnded(&call, ended)
+		setOutcome(&call, ended)
 	}
 	return call
 }
 
-func fillEnded(call *api.Call, ended *CallEnded) {
+func setOutcome(call *api.Call, ended *CallEnded) {
 	call.Status = ended.Status
 	call.Output = ended.Output
 	call.Usage = ended.Usage
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -14,7 +14,7 @@
 	return program.Command{Program: id, End: &program.End{Reason: "done"}}
 }
 
-// childCommand starts a sub-agent with a budget of its own.
+// childCommand returns the command that creates a sub-agent with this budget.
 func childCommand(child, parent api.ProgramID, tokens int64) program.Command {
 	command := createCommand(child)
 	command.Create.Parent = parent
@@ -40,7 +40,8 @@
 	It("is reserved at acceptance, refused when it does not fit, and settled by the outcome", func() {
 		d.submit("p", modelCall("a")) // 10 bytes of input are 3 tokens
 		Expect(d.describe("p").ReservedTokens).To(BeEquivalentTo(103))
-		// After a's input and output of at most 100 tokens: 103 + 103 of 250 - 103.
+		// b may cost 103 tokens of history, from a's input and at most 100 tokens
+		// of its output, plus 103 of its own; 250 - 103 are free.
 		refusal := d.refused(submitCommand("p", modelCall("b")))
 		Expect(refusal.Code).To(Equal(api.CodeBudgetExhausted))
 		Expect(refusal.Ran).To(Equal(api.RanNotRun))
@@ -62,8 +63,8 @@
 		d.succeed("p", 1, "12345678")
 		Expect(d.describe("p").SpentTokens).To(BeEquivalentTo(15))
 		Expect(d.describe("p").ReservedTokens).To(BeEquivalentTo(3 + 2 + 3 + 20))
-		Expect(d.effect(program.EffectStart, ref("p", 2)).PromptTokens).To(Equal(8))
-		Expect(d.effect(program.EffectStart, ref("p", 2)).Attained).To(BeEquivalentTo(15))
+		Expect(d.effect(program.EffectSchedule, ref("p", 2)).PromptTokens).To(Equal(8))
+		Expect(d.effect(program.EffectSchedule, ref("p", 2)).AttainedTokens).To(BeEquivalentTo(15))
 	})
 
 	It("stays reserved for a call whose cost nobody knows", func() {
@@ -112,7 +113,7 @@
 		d.submit("p", modelCall("a"))
 		lower := terms()
 		lower.Revision, lower.BudgetTokens = 2, 50
-		d.step(program.Command{Program: "p", Retarget: &lower})
+		d.step(program.Command{Program: "p", UpdateTerms: &lower})
 		Expect(d.describe("p").BudgetTokens).To(BeEquivalentTo(103))
 		Expect(d.refused(submitCommand("p", modelCall("b"))).Code).To(Equal(api.CodeBudgetExhausted))
 	})
@@ -272,37 +273,38 @@
 		d.submit("p", modelCall("a"))
 	})
 
-	retarget := func(change func(*program.Terms)) {
+	updateTerms := func(change func(*program.Terms)) {
 		revised := terms()
 		revised.Revision = 2
 		change(&revised)
-		d.step(program.Command{Program: "p", Retarget: &revised})
+		d.step(program.Command{Program: "p", UpdateTerms: &revised})
 	}
 
 	It("binds the next dispatch of a call that waits in the scheduler", func() {
-		retarget(func(t *program.Terms) { t.Placement = "isando" })
-		// The older start may still wait for the log: a stop follows it too.
+		updateTerms(func(t *program.Terms) { t.Placement = "isando" })
+		// The first EffectSchedule may still be waiting for the log, so a second
+		// stop has to follow it.
 		kinds := []program.EffectKind{}
 		for _, effect := range d.effects[len(d.effects)-3:] {
 			kinds = append(kinds, effect.Kind)
 		}
-		Expect(kinds).To(Equal([]program.EffectKind{program.EffectStop, program.EffectStop, program.EffectStart}))
+		Expect(kinds).To(Equal([]program.EffectKind{program.EffectStop, program.EffectStop, program.EffectSchedule}))
 		Expect(d.effects[len(d.effects)-1].Terms.Placement).To(BeEquivalentTo("isando"))
 		d.crash(len(d.log))
-		Expect(d.effect(program.EffectStart, ref("p", 1)).Terms.Placement).To(BeEquivalentTo("isando"))
+		Expect(d.effect(program.EffectSchedule, ref("p", 1)).Terms.Placement).To(BeEquivalentTo("isando"))
 	})
 
 	It("ends a call that it no longer permits, and never reverts", func() {
-		retarget(func(t *program.Terms) { t.Models = nil })
+		updateTerms(func(t *program.Terms) { t.Models = nil })
 		Expect(d.effect(program.EffectAnswer, ref("p", 1)).Answer.Error.Code).To(Equal(api.CodeUnknownModel))
 		old := terms()
-		d.step(program.Command{Program: "p", Retarget: &old})
+		d.step(program.Command{Program: "p", UpdateTerms: &old})
 		Expect(d.refused(submitCommand("p", modelCall("b"))).Code).To(Equal(api.CodeUnknownModel))
 	})
 
 	It("writes no record when nothing but the revision changed", func() {
 		before := len(d.log)
-		retarget(func(*program.Terms) {})
+		updateTerms(func(*program.Terms) {})
 		Expect(d.log).To(HaveLen(before))
 	})
 })
--- a/program/recover.go
+++ b/program/recover.go
@@ -8,23 +8,22 @@
 	"birchwood.example/birchwood/api"
 )
 
-// Recover folds one record of the journal. The offset locates it; NoOffset
-// stands for a record that mirrors hold and the log does not have yet.
+// Recover replays one record. The offset is its position in the log, or NoOffset
+// for a record that mirrors have and the log does not have yet.
 func (s *Store) Recover(offset uint64, record Record) error {
 	if err := record.validate(); err != nil {
 		return err
 	}
-	if err := s.validatePlace(record); err != nil {
+	if err := s.validateSequence(record); err != nil {
 		return err
 	}
 	s.apply(offset, record)
 	return nil
 }
 
-// Resume starts what the recovered records leave to do, once they are all
-// folded: calls that wait are handed to the scheduler, repeatable ones that
-// were sent are sent again, and those that may not be repeated are looked up.
-// The epoch is the new owner's.
+// Resume continues the programs once all records are replayed: waiting calls are
+// handed to the scheduler, repeatable calls that were sent are scheduled again,
+// and other calls that were sent are looked up. The epoch is the new owner's.
 func (s *Store) Resume(now time.Time, epoch uint64) Output {
 	s.epoch = epoch
 	t := newTransition(s, now)
@@ -38,7 +37,7 @@
 			continue
 		}
 		t.resume(p)
-		t.touch(p)
+		t.markTimer(p)
 		t.setTimers()
 	}
 	s.sortFinished()
@@ -49,8 +48,8 @@
 	return slices.Sorted(maps.Keys(s.programs))
 }
 
-func (t *transition) resume(p *heldProgram) {
-	t.returnOrphans(p)
+func (t *transition) resume(p *programState) {
+	t.refundOrphans(p)
 	if parent, ok := t.store.programs[p.parent]; ok && parent.closed {
 		t.closeTree(p, ReasonParent)
 	}
@@ -61,20 +60,21 @@
 	t.resumeEnd(p)
 }
 
-// returnOrphans takes back what was carved for a sub-agent whose creation was
-// lost with the old owner.
-func (t *transition) returnOrphans(p *heldProgram) {
+// refundOrphans refunds budget allocated to sub-agents whose Created record was
+// lost with the previous owner.
+func (t *transition) refundOrphans(p *programState) {
 	for _, id := range p.sortedChildren() {
 		if _, ok := t.store.programs[id]; !ok {
-			t.returnCarved(p, id, p.children[id])
+			t.refundBudget(p, id, p.children[id])
 		}
 	}
 }
 
-// prepareCalls notes what an older epoch may have done with the calls. It may
-// have sent the repeatable call whose turn it was without a durable record:
-// that one never ends as not run any more.
-func (p *heldProgram) prepareCalls() {
+// prepareCalls sets the state of the calls that is not durable, according to what
+// an earlier epoch may have done with them. It may have sent the head call
+// without a durable record if that is repeatable, so that call can no longer end
+// as not run.
+func (p *programState) prepareCalls() {
 	for _, live := range p.live {
 		switch {
 		case live.attempt > 0:
@@ -85,37 +85,38 @@
 	}
 }
 
-// resumeCall continues a call that an older epoch has left.
-func (t *transition) resumeCall(p *heldProgram, live *liveCall) {
+// resumeCall continues a call of an earlier epoch.
+func (t *transition) resumeCall(p *programState, live *liveCall) {
 	switch {
 	case live.phase == phaseQueued && p.closed:
-		t.endUnsent(p, live, programEnded(p.closedReason))
+		t.endWaiting(p, live, programEnded(p.closedReason))
 	case live.phase != phaseSent:
 		return
 	case !live.repeatable():
 		t.startLookup(p, live)
 	case p.closed:
-		t.endGivenUp(p, live, programEnded(p.closedReason))
+		t.endMayHaveRun(p, live, programEnded(p.closedReason))
 	case live.expired(t.now):
-		t.endGivenUp(p, live, failed(api.CodeTimeout, api.RanFailed, "the call ran out of time"))
+		t.endMayHaveRun(p, live, callError(api.CodeTimeout, api.RanFailed, "the call ran out of time"))
 	default:
 		t.immediate(p.callEffect(EffectStop, live))
-		t.restart(p, live)
+		t.reschedule(p, live)
 	}
 }
 
-// resumeEnd completes the end of a program. One that was complete before is
-// left alone: what engines may still hold of it, their sweep finds.
-func (t *transition) resumeEnd(p *heldProgram) {
-	if p.released || !p.finished() {
+// resumeEnd handles a program that has ended. If its parent has not been refunded,
+// it completes the end. Otherwise the end was complete before, and EffectRelease
+// is not repeated: the periodic sweep of the engines frees memory that is left.
+func (t *transition) resumeEnd(p *programState) {
+	if p.endCompleted || !p.finished() {
 		return
 	}
 	if parent, ok := t.store.programs[p.parent]; ok {
 		if _, open := parent.children[p.id]; open {
-			t.settle(p)
+			t.completeEnd(p)
 			return
 		}
 	}
-	p.released = true
+	p.endCompleted = true
 	t.store.finished = append(t.store.finished, p.id)
 }
--- a/program/recover_test.go
+++ b/program/recover_test.go
@@ -51,8 +51,8 @@
 		call, _ := restored.Call("p", 0, "a")
 		Expect(call.Input).To(Equal("input of a"))
 		Expect(call.Output).To(Equal("hello"))
-		restored.Located("p", output.Records[0], 7)
-		restored.Located("p", ended.Records[0], 9)
+		restored.SetRecordOffset("p", output.Records[0], 7)
+		restored.SetRecordOffset("p", ended.Records[0], 9)
 		history, _ := restored.History("p", 1, 1)
 		Expect(history[0]).To(Equal(program.CallLocation{
 			Sequence: 1, Kind: api.CallModel, Status: api.StatusSucceeded, AcceptedOffset: 7, EndedOffset: 9,
@@ -84,8 +84,8 @@
 		d.submit("p", sealCall("b"))
 		d.refused(submitCommand("p", api.SubmitCall{Key: "c"}))
 		d.crash(len(d.log))
-		Expect(d.store.Gauges().LiveCalls).To(Equal(1))
-		Expect(d.store.Reservations()).To(Equal(program.Reservations{BudgetTokens: 10_000, SpentTokens: 15, ReservedTokens: 500}))
+		Expect(d.store.Stats().LiveCalls).To(Equal(1))
+		Expect(d.store.BudgetTotals()).To(Equal(program.BudgetTotals{BudgetTokens: 10_000, SpentTokens: 15, ReservedTokens: 500}))
 		Expect(d.store.List("koudeketting", 10)).To(HaveLen(2))
 		Expect(d.store.List("koude", 10)).To(BeEmpty())
 		Expect(d.store.List("", 1)).To(HaveLen(1))
--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -7,19 +7,21 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// appender follows the one append in flight.
+// appender tracks the append in flight. There is at most one.
 type appender struct {
 	backoff retry.Backoff
-	// request is the append in flight, zero if none, and entries its content.
+	// request identifies the append in flight, zero if there is none. entries
+	// is its content.
 	request  uint64
 	entries  []Entry
 	deadline time.Time
-	// retryAt is when the next append may start after a failed one.
+	// retryAt is the earliest time of the next append after a failed one.
 	retryAt time.Time
-	// unansweredSince is since when the oldest unconfirmed entry waits, or when
-	// the log answered last; zero when nothing waits.
+	// unansweredSince is when the oldest unconfirmed entry was queued, or when
+	// the log last answered, if that is later. It is zero if the queue is
+	// empty.
 	unansweredSince time.Time
-	// failing is set from a failed append to the next answered one.
+	// failing is true from a failed append until the log answers again.
 	failing bool
 }
 
@@ -27,30 +29,30 @@
 	return a.request != 0 && !now.Before(a.deadline)
 }
 
-func (a *appender) nextWake(now time.Time, waiting bool) time.Time {
+func (a *appender) nextWake(now time.Time, hasQueued bool) time.Time {
 	if a.request != 0 {
 		return a.deadline
 	}
-	if waiting && a.retryAt.After(now) {
+	if hasQueued && a.retryAt.After(now) {
 		return a.retryAt
 	}
 	return time.Time{}
 }
 
-// canAppend reports whether the next batch may start: one append is in flight
-// at a time, and none while a gap is being read.
+// canAppend reports whether the next append may start. There is one append in
+// flight at a time, and none while a read is pending.
 func (j *Journal) canAppend() bool {
 	return (j.phase == phaseOpen || j.phase == phaseClaiming) &&
 		j.appender.request == 0 && !j.reader.busy() &&
-		(len(j.queue) > 0 || len(j.parts) > 0) && !j.now.Before(j.appender.retryAt)
+		(len(j.queue) > 0 || len(j.snapshotParts) > 0) && !j.now.Before(j.appender.retryAt)
 }
 
-// startAppend sends the oldest unconfirmed entries in one request.
+// startAppend requests an append of the oldest unconfirmed entries.
 func (j *Journal) startAppend() {
 	if !j.canAppend() {
 		return
 	}
-	if len(j.parts) > 0 && (len(j.queue) == 0 || !j.appender.failing) {
+	if len(j.snapshotParts) > 0 && (len(j.queue) == 0 || !j.appender.failing) {
 		j.enqueuePart()
 	}
 	entries := j.nextBatch()
@@ -60,27 +62,27 @@
 	j.ready.Appends = append(j.ready.Appends, Append{Request: j.appender.request, Entries: entries})
 }
 
-// nextBatch copies the head of the queue, at least one entry, within the
-// bounds of a batch.
+// nextBatch returns a copy of the head of the queue, within the bounds of a
+// batch but at least one entry.
 func (j *Journal) nextBatch() []Entry {
 	count := min(len(j.queue), j.config.MaximumBatchRecords)
 	entries := make([]Entry, 0, count)
 	bytes := 0
-	for _, waiting := range j.queue[:count] {
-		bytes += waiting.entry.Size()
+	for _, queued := range j.queue[:count] {
+		bytes += queued.entry.Size()
 		if len(entries) > 0 && bytes > j.config.MaximumBatchBytes {
 			break
 		}
-		entries = append(entries, waiting.entry)
+		entries = append(entries, queued.entry)
 	}
 	return entries
 }
 
-// Appended takes the answer to an Append.
+// Appended handles the answer to an Append.
 func (j *Journal) Appended(now time.Time, answer Appended) {
 	j.now = now
 	if answer.Request != j.appender.request || j.appender.request == 0 {
-		j.lateAnswer(answer)
+		j.handleLateAnswer(answer)
 		return
 	}
 	if answer.Err != nil {
@@ -92,26 +94,26 @@
 	j.appender.entries = nil
 	j.appender.backoff.Reset()
 	j.appender.retryAt = time.Time{}
-	j.placed(answer.FirstOffset, entries)
+	j.applyAppended(answer.FirstOffset, entries)
 }
 
-// placed learns that entries of this writer stand at the offset. Directly
-// after the last folded entry nothing can precede them; otherwise the gap is
-// read first, and the entries with it.
-func (j *Journal) placed(offset uint64, entries []Entry) {
-	if offset != j.fold.Next {
+// applyAppended handles entries of this writer that were appended at offset. If
+// they directly follow the last applied entry, no other entry can precede them.
+// Otherwise the gap is read first, together with the entries.
+func (j *Journal) applyAppended(offset uint64, entries []Entry) {
+	if offset != j.fold.NextOffset {
 		j.readUpTo(offset + uint64(len(entries)))
 		return
 	}
 	for _, entry := range entries {
-		j.foldEntry(entry)
+		j.applyEntry(entry)
 	}
-	j.answered()
+	j.recordLogAnswer()
 }
 
-// answered notes that the log works: what is still unconfirmed waits from now
-// on.
-func (j *Journal) answered() {
+// recordLogAnswer records that the log answered: for entries that are still
+// unconfirmed, the wait starts anew.
+func (j *Journal) recordLogAnswer() {
 	j.appender.failing = false
 	j.appender.unansweredSince = time.Time{}
 	if len(j.queue) > 0 {
@@ -119,16 +121,16 @@
 	}
 }
 
-// lateAnswer takes the answer to an append that was given up and repeated. It
-// proves that the entries stand somewhere, so reading finds them.
-func (j *Journal) lateAnswer(answer Appended) {
+// handleLateAnswer handles the answer to an append that had timed out. Success
+// proves that the entries are in the log, so reading finds them.
+func (j *Journal) handleLateAnswer(answer Appended) {
 	writing := j.phase == phaseOpen || j.phase == phaseClaiming
-	if answer.Err == nil && writing && answer.FirstOffset >= j.fold.Next {
+	if answer.Err == nil && writing && answer.FirstOffset >= j.fold.NextOffset {
 		j.readUpTo(answer.FirstOffset + 1)
 	}
 }
 
-// appendFailed gives the append in flight up and schedules its repeat.
+// appendFailed abandons the append in flight and schedules the retry.
 func (j *Journal) appendFailed() {
 	j.appender.failing = true
 	j.appender.request = 0
@@ -136,27 +138,28 @@
 	j.appender.retryAt = j.now.Add(j.appender.backoff.Next())
 }
 
-// UnansweredSince returns since when the oldest unconfirmed entry waits for an
-// answer of the log, or the zero time when nothing waits.
+// UnansweredSince returns since when unconfirmed entries have been waiting
+// without any answer from the log, or the zero time if there are none.
 func (j *Journal) UnansweredSince() time.Time {
 	return j.appender.unansweredSince
 }
 
-// UnconfirmedBytes is the size of what the log has not confirmed.
+// UnconfirmedBytes returns the size of the proposed records that the log has
+// not confirmed.
 func (j *Journal) UnconfirmedBytes() int {
 	return j.queueBytes
 }
 
-// Unconfirmed returns the entries that the log has not confirmed, after the
-// sequence, oldest first, as many as fit in maximumBytes but at least one.
-// Parts of snapshots come without their payload, which holds nothing that the
-// log does not have.
+// Unconfirmed returns the entries after a sequence that the log has not
+// confirmed, oldest first: as many as fit in maximumBytes, but at least one.
+// Snapshot parts are returned without their payload, which holds nothing that
+// the records before it do not.
 func (j *Journal) Unconfirmed(after uint64, maximumBytes int) []Entry {
 	first := j.unconfirmedIndex(after)
 	var entries []Entry
 	bytes := 0
-	for _, waiting := range j.queue[min(first, len(j.queue)):] {
-		entry := waiting.entry
+	for _, queued := range j.queue[min(first, len(j.queue)):] {
+		entry := queued.entry
 		if entry.Kind == KindSnapshot {
 			entry.Payload = nil
 		}
@@ -169,8 +172,8 @@
 	return entries
 }
 
-// unconfirmedIndex is the place in the queue of the entry after a sequence.
-// The queue has no gaps.
+// unconfirmedIndex returns the index in the queue of the entry after a
+// sequence. The queue has no gaps.
 func (j *Journal) unconfirmedIndex(after uint64) int {
 	if len(j.queue) == 0 || after < j.queue[0].entry.Sequence {
 		return 0
@@ -178,7 +181,7 @@
 	return int(after - j.queue[0].entry.Sequence + 1)
 }
 
-// LastSequence is the sequence of the newest proposed entry of the epoch.
+// LastSequence returns the sequence of the newest proposed entry of the epoch.
 func (j *Journal) LastSequence() uint64 {
 	if j.nextSequence == 0 {
 		return 0
@@ -186,47 +189,50 @@
 	return j.nextSequence - 1
 }
 
-// Rest is what a writer leaves behind when it loses its epoch: everything that
-// it proposed and that the log had not confirmed.
-type Rest struct {
+// Unlogged holds the entries of a writer's epoch that it proposed and that the
+// log has not confirmed. When the writer loses its epoch, they remain unlogged.
+type Unlogged struct {
 	Epoch uint64
-	// Logged is the sequence up to which the log has the epoch.
-	Logged  uint64
-	Entries []Entry
+	// LoggedSequence is the last sequence of the epoch that the log has
+	// confirmed.
+	LoggedSequence uint64
+	Entries        []Entry
 }
 
-// Rest returns what this writer would leave behind, or left behind when it was
-// superseded.
-func (j *Journal) Rest() Rest {
+// Unlogged returns this writer's unlogged entries; after it was superseded,
+// those of the time when that happened.
+func (j *Journal) Unlogged() Unlogged {
 	if j.phase == phaseSuperseded {
-		return j.rest
+		return j.unlogged
 	}
-	rest := Rest{Epoch: j.epoch, Logged: j.LastSequence()}
+	unlogged := Unlogged{Epoch: j.epoch, LoggedSequence: j.LastSequence()}
 	if len(j.queue) > 0 {
-		rest.Logged = j.queue[0].entry.Sequence - 1
-		rest.Entries = j.Unconfirmed(rest.Logged, math.MaxInt)
+		unlogged.LoggedSequence = j.queue[0].entry.Sequence - 1
+		unlogged.Entries = j.Unconfirmed(unlogged.LoggedSequence, math.MaxInt)
 	}
-	return rest
+	return unlogged
 }
 
-// MarkMirrored confirms every proposal up to the sequence, which a quorum of
-// the mirrors holds. They are confirmed again once the log has them.
+// MarkMirrored confirms every proposal up to the sequence, because a quorum of
+// the mirrors holds them. Each is confirmed again once the log has it.
 func (j *Journal) MarkMirrored(sequence uint64) {
-	first := min(j.unconfirmedIndex(j.mirrored), len(j.queue))
-	for _, waiting := range j.queue[first:] {
-		if waiting.entry.Sequence > sequence {
+	first := min(j.unconfirmedIndex(j.mirroredSequence), len(j.queue))
+	for _, queued := range j.queue[first:] {
+		if queued.entry.Sequence > sequence {
 			break
 		}
-		if waiting.token != 0 {
-			j.ready.Confirmed = append(j.ready.Confirmed, Confirmed{Token: waiting.token, Offset: NoOffset})
+		if queued.token != 0 {
+			j.ready.Confirmed = append(j.ready.Confirmed, Confirmed{Token: queued.token, Offset: NoOffset})
 		}
 	}
-	j.mirrored = max(j.mirrored, sequence)
+	j.mirroredSequence = max(j.mirroredSequence, sequence)
 }
 
-// foldEntry folds the next entry of the stream and reports what it means.
-func (j *Journal) foldEntry(entry Entry) {
-	offset := j.fold.Next
+// applyEntry applies the next entry of the stream. If the entry is valid, it
+// confirms a proposal of this writer, ends this writer's epoch, or is delivered
+// as recovered.
+func (j *Journal) applyEntry(entry Entry) {
+	offset := j.fold.NextOffset
 	verdict := j.fold.Add(entry)
 	if verdict != VerdictValid {
 		return
@@ -236,16 +242,16 @@
 		return
 	}
 	if j.epoch != 0 && j.fold.Epoch >= j.epoch {
-		j.superseded()
+		j.supersede()
 		return
 	}
 	j.recover(offset, entry)
 }
 
-// confirm takes the head of the queue out: the log has it.
+// confirm removes the head of the queue, which the log now has.
 func (j *Journal) confirm(offset uint64, entry Entry) {
 	head := j.queue[0]
-	j.queue[0] = pending{}
+	j.queue[0] = queuedEntry{}
 	j.queue = j.queue[1:]
 	if head.token != 0 {
 		j.queueBytes -= head.entry.Size()
@@ -262,32 +268,32 @@
 	}
 }
 
-// recover delivers an entry of another writer, or of an earlier epoch. Records
-// that stand between the parts of the snapshot come after its last part.
+// recover delivers an entry of another writer or of an earlier epoch. Records
+// between the parts of the snapshot are delivered after its last part.
 func (j *Journal) recover(offset uint64, entry Entry) {
 	recovered := Recovered{Offset: offset, Snapshot: entry.Kind == KindSnapshot, Payload: entry.Payload}
 	switch {
 	case entry.Kind == KindRecord && j.replaying:
-		j.replayLater = append(j.replayLater, recovered)
+		j.deferredRecords = append(j.deferredRecords, recovered)
 	case entry.Kind == KindRecord:
 		j.ready.Recovered = append(j.ready.Recovered, recovered)
 	case entry.Kind == KindSnapshot && j.replaying:
 		j.ready.Recovered = append(j.ready.Recovered, recovered)
 		if entry.Part.Index == entry.Part.Count-1 {
-			j.ready.Recovered = append(j.ready.Recovered, j.replayLater...)
-			j.replayLater = nil
+			j.ready.Recovered = append(j.ready.Recovered, j.deferredRecords...)
+			j.deferredRecords = nil
 			j.replaying = false
 		}
 	}
 }
 
-// superseded ends the epoch of this writer: another claim holds. What was
-// found until then stands.
-func (j *Journal) superseded() {
-	found := j.TakeFound()
-	rest := j.Rest()
+// supersede ends the epoch of this writer, because another claim won. Results
+// that were obtained before remain valid and are kept.
+func (j *Journal) supersede() {
+	results := j.TakeResults()
+	unlogged := j.Unlogged()
 	j.Reset()
-	j.rest = rest
-	j.ready = found
+	j.unlogged = unlogged
+	j.ready = results
 	j.phase = phaseSuperseded
 }
--- a/recordlog/fold_test.go
+++ b/recordlog/fold_test.go
@@ -32,7 +32,7 @@
 				verdicts = append(verdicts, fold.Add(entry))
 			}
 			Expect(verdicts).To(Equal(want))
-			Expect(fold.Next).To(Equal(uint64(len(entries))))
+			Expect(fold.NextOffset).To(Equal(uint64(len(entries))))
 		},
 		ginkgo.Entry(nil, []Entry{claimBy(a, 1), recordBy(a, 1, 1)}, VerdictValid, VerdictValid),
 		ginkgo.Entry("the first claim of an epoch wins", []Entry{claimBy(a, 1), claimBy(b, 1), recordBy(b, 1, 1)},
@@ -79,8 +79,9 @@
 	})
 })
 
-// TestFoldStartsAnywhere holds a fold that starts at a snapshot to the one
-// that read everything: the same verdicts follow, whatever the writers do.
+// TestFoldStartsAnywhere checks that a Fold that starts at any valid snapshot
+// returns the same verdicts as one that processed all entries, for arbitrary
+// entries.
 func TestFoldStartsAnywhere(t *testing.T) {
 	if err := flag.Set("rapid.seed", "7"); err != nil {
 		t.Fatal(err)
@@ -93,12 +94,12 @@
 			if verdict != VerdictValid || !IsSnapshotStart(entry) {
 				continue
 			}
-			rest := whole
-			var late Fold
-			late.StartAt(uint64(index))
-			late.Add(entry)
+			fromStart := whole
+			var fromSnapshot Fold
+			fromSnapshot.StartAt(uint64(index))
+			fromSnapshot.Add(entry)
 			for _, following := range entries[index+1:] {
-				if one, other := rest.Add(following), late.Add(following); one != other {
+				if one, other := fromStart.Add(following), fromSnapshot.Add(following); one != other {
 					t.Fatalf("%+v: %s for a reader from the start, %s for one from the snapshot at %d", following, one, other, index)
 				}
 			}
--- a/recordlog/read.go
+++ b/recordlog/read.go
@@ -6,28 +6,29 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// reader follows the one read in flight and what is to be read next.
+// reader tracks the read in flight, at most one, and the next read.
 type reader struct {
 	backoff retry.Backoff
-	// pending is set while wanted has not been sent, or must be repeated.
+	// pending is true while next has not been sent, or must be retried.
 	pending  bool
-	wanted   Read
+	next     Read
 	request  uint64
 	deadline time.Time
 	retryAt  time.Time
-	// target is the offset up to which a writer must read before it goes on,
-	// and gap is set while it does: the log has answered an append.
-	target uint64
-	gap    bool
+	// target is the offset up to which a writer must read before it appends
+	// again. fillingGap is true while it reads up to there, after the log has
+	// answered an append.
+	target     uint64
+	fillingGap bool
 }
 
-func (r *reader) want(read Read) {
-	r.wanted = read
+func (r *reader) schedule(read Read) {
+	r.next = read
 	r.pending = true
 	r.request = 0
 }
 
-// busy reports whether a read is wanted or in flight.
+// busy reports whether a read is pending or in flight.
 func (r *reader) busy() bool {
 	return r.pending || r.request != 0
 }
@@ -54,9 +55,9 @@
 	if !j.reader.due(j.now) {
 		return
 	}
-	read := j.reader.wanted
+	read := j.reader.next
 	if j.phase != phasePeeking {
-		read.From = j.fold.Next
+		read.From = j.fold.NextOffset
 	}
 	read.Request = j.nextRequest()
 	j.reader.pending = false
@@ -65,38 +66,38 @@
 	j.ready.Reads = append(j.ready.Reads, read)
 }
 
-// readFailed schedules the repeat of the read in flight.
+// readFailed schedules the retry of the read in flight.
 func (j *Journal) readFailed() {
 	j.reader.request = 0
 	j.reader.pending = true
 	j.reader.retryAt = j.now.Add(j.reader.backoff.Next())
 }
 
-// requestBody asks for the entries from the fold's next offset on.
-func (j *Journal) requestBody() {
-	j.reader.want(Read{From: j.fold.Next, Maximum: j.config.ReadBatch})
+// readNext schedules a read from the fold's next offset.
+func (j *Journal) readNext() {
+	j.reader.schedule(Read{From: j.fold.NextOffset, Maximum: j.config.ReadBatch})
 }
 
-// readUpTo makes a writer read and fold up to the offset before it appends
-// again.
+// readUpTo makes a writer read and apply all entries before the target offset
+// before it appends again.
 func (j *Journal) readUpTo(target uint64) {
 	j.reader.target = max(j.reader.target, target)
-	j.reader.gap = true
-	if j.fold.Next < j.reader.target && !j.reader.busy() {
-		j.requestBody()
+	j.reader.fillingGap = true
+	if j.fold.NextOffset < j.reader.target && !j.reader.busy() {
+		j.readNext()
 	}
 }
 
-// CheckSuperseded makes a writer read on to the end of the stream: another
-// node said that it claimed a later epoch.
+// CheckSuperseded makes a writer read to the end of the stream, to find out
+// whether another node has claimed a later epoch.
 func (j *Journal) CheckSuperseded(now time.Time) {
 	j.now = now
 	if j.phase == phaseOpen && !j.reader.busy() {
-		j.requestBody()
+		j.readNext()
 	}
 }
 
-// ReadDone takes the answer to a Read.
+// ReadDone handles the answer to a Read.
 func (j *Journal) ReadDone(now time.Time, answer ReadDone) {
 	j.now = now
 	if answer.Request != j.reader.request || j.reader.request == 0 {
@@ -108,20 +109,20 @@
 	}
 	j.reader.request = 0
 	if j.phase == phasePeeking {
-		j.peekAnswered(answer)
+		j.handlePeekAnswer(answer)
 		return
 	}
-	j.bodyAnswered(answer)
+	j.handleReadAnswer(answer)
 }
 
-// peekAnswered takes the end of the stream, or asks for the last entry if the
-// answer does not hold it. Of an answer to that question any entry will do: it
-// was the last one a moment ago.
-func (j *Journal) peekAnswered(answer ReadDone) {
+// handlePeekAnswer records the end of the stream, or schedules a read of the
+// last entry if the answer does not contain it. The answer to that second read
+// is accepted even if the stream has grown: its entry was recently the last.
+func (j *Journal) handlePeekAnswer(answer ReadDone) {
 	end := answer.FirstOffset + uint64(len(answer.Entries))
-	holdsLast := len(answer.Entries) > 0 && (end >= answer.End || !j.reader.wanted.Tail)
+	holdsLast := len(answer.Entries) > 0 && (end >= answer.End || !j.reader.next.Tail)
 	if answer.End > 0 && !holdsLast {
-		j.reader.want(Read{From: answer.End - 1, Maximum: 1})
+		j.reader.schedule(Read{From: answer.End - 1, Maximum: 1})
 		return
 	}
 	j.reader.backoff.Reset()
@@ -133,36 +134,37 @@
 	j.phase = phaseIdle
 }
 
-func (j *Journal) bodyAnswered(answer ReadDone) {
-	if answer.FirstOffset > j.fold.Next {
+func (j *Journal) handleReadAnswer(answer ReadDone) {
+	if answer.FirstOffset > j.fold.NextOffset {
 		j.readFailed()
 		return
 	}
-	// An append that was confirmed meanwhile may have folded them all.
-	skip := min(j.fold.Next-answer.FirstOffset, uint64(len(answer.Entries)))
+	// An append that was confirmed in the meantime may have applied some or
+	// all of the entries.
+	skip := min(j.fold.NextOffset-answer.FirstOffset, uint64(len(answer.Entries)))
 	entries := answer.Entries[skip:]
-	if j.fold.adopt && len(entries) > 0 && !IsSnapshotStart(entries[0]) {
+	if j.fold.atSnapshotStart && len(entries) > 0 && !IsSnapshotStart(entries[0]) {
 		j.fold = Fold{}
 		j.replaying = false
-		j.requestBody()
+		j.readNext()
 		return
 	}
 	phase := j.phase
 	for _, entry := range entries {
-		j.foldEntry(entry)
+		j.applyEntry(entry)
 		if j.phase == phaseSuperseded {
 			return
 		}
 	}
-	j.readOn(answer.End, len(entries) > 0, phase)
+	j.continueReading(answer.End, len(entries) > 0, phase)
 }
 
-// readOn decides whether the stream must be read further: up to its end, and
-// for a writer at least up to the target, which a lagging end may not show.
-func (j *Journal) readOn(end uint64, progress bool, phase phase) {
+// continueReading decides whether to read further: up to the stream's end, and
+// for a writer at least up to the target, because the reported end may lag.
+func (j *Journal) continueReading(end uint64, progress bool, phase phase) {
 	target := max(j.reader.target, end)
-	if j.fold.Next < target {
-		j.requestBody()
+	if j.fold.NextOffset < target {
+		j.readNext()
 		if !progress {
 			j.readFailed()
 		}
@@ -175,8 +177,8 @@
 		j.mirrors = j.fold.Mirrors
 		return
 	}
-	if j.reader.gap {
-		j.reader.gap = false
-		j.answered()
+	if j.reader.fillingGap {
+		j.reader.fillingGap = false
+		j.recordLogAnswer()
 	}
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// way is a direction through a proxy.
-type way int
+// direction is a direction of traffic through a proxy.
+type direction int
 
 const (
-	// onward is from who connects to the target, and back the other one.
-	onward way = iota
-	back
+	// toTarget is from the connecting side to the target; toClient is the reverse.
+	toTarget direction = iota
+	toClient
 )
 
-// proxyBytes is how much one read of a proxy takes.
-const proxyBytes = 32 << 10
+// proxyBufferBytes is the size of the read buffer per direction of a connection.
+const proxyBufferBytes = 32 << 10
 
-// proxyDial bounds how long a proxy waits for its target.
-const proxyDial = time.Second
+// proxyDialTimeout bounds connecting to the target.
+const proxyDialTimeout = time.Second
 
-// proxy passes connections on to a target, until it is told to hold, mute or reset them.
-// What it holds passes once it is told so, as on a link that was cut and mended. A
-// connection that was muted passes nothing any more, and stays open.
+// proxy forwards connections to a target. It can hold, mute, delay or reset them. Held data
+// passes on release, as on a link that was interrupted and repaired. A muted connection
+// stays open but never passes data again.
 type proxy struct {
 	listener net.Listener
 
-	mutex  sync.Mutex
-	target string
-	held   [2]int
-	// muted counts what mutes the proxy; connections are muted for good meanwhile.
-	muted int
-	delay time.Duration
-	// conns are both ends of the connections, and whether they are muted.
+	mutex      sync.Mutex
+	target     string
+	holdCounts [2]int
+	// muteCount counts the faults that mute the proxy. While it is above 0, all connections are
+	// muted, permanently.
+	muteCount int
+	delay     time.Duration
+	// conns holds both ends of each connection, and whether it is muted.
 	conns map[net.Conn]bool
-	// changed is closed and replaced when held changes, and at the end.
+	// changed is closed and replaced when holdCounts changes, and when the proxy is closed.
 	changed chan struct{}
 	closed  bool
 }
@@ -47,9 +48,9 @@
 	if err != nil {
 		return nil, err
 	}
-	made := &proxy{listener: listener, target: target, conns: make(map[net.Conn]bool), changed: make(chan struct{})}
-	go made.accept()
-	return made, nil
+	p := &proxy{listener: listener, target: target, conns: make(map[net.Conn]bool), changed: make(chan struct{})}
+	go p.accept()
+	return p, nil
 }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
@@ -60,17 +61,17 @@
 		if err != nil {
 			return
 		}
-		go p.pass(from)
+		go p.forward(from)
 	}
 }
 
-// pass carries one connection both ways.
-func (p *proxy) pass(from net.Conn) {
-	if !p.await(onward) {
+// forward copies data in both directions between a connection and the target.
+func (p *proxy) forward(from net.Conn) {
+	if !p.awaitRelease(toTarget) {
 		_ = from.Close()
 		return
 	}
-	to, err := net.DialTimeout("tcp", p.target, proxyDial)
+	to, err := net.DialTimeout("tcp", p.target, proxyDialTimeout)
 	if err != nil {
 		reset(from)
 		return
@@ -78,10 +79,10 @@
 	if !p.add(from, to) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(to, from, onward) })
-	both.Go(func() { p.copy(from, to, back) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copy(to, from, toTarget) })
+	copies.Go(func() { p.copy(from, to, toClient) })
+	copies.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.conns, from)
@@ -89,7 +90,7 @@
 	_, _ = from.Close(), to.Close()
 }
 
-// add remembers both ends of a connection, or ends them where the proxy has ended.
+// add registers both ends of a connection, or closes them if the proxy is closed.
 func (p *proxy) add(ends ...net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -98,20 +99,20 @@
 			_ = end.Close()
 			continue
 		}
-		p.conns[end] = p.muted > 0
+		p.conns[end] = p.muteCount > 0
 	}
 	return !p.closed
 }
 
-func (p *proxy) copy(to, from net.Conn, in way) {
-	buffer := make([]byte, proxyBytes)
+func (p *proxy) copy(to, from net.Conn, in direction) {
+	buffer := make([]byte, proxyBufferBytes)
 	for {
 		size, err := from.Read(buffer)
-		if !p.await(in) {
+		if !p.awaitRelease(in) {
 			return
 		}
 		if size > 0 && !p.isMuted(from) {
-			if _, wrong := to.Write(buffer[:size]); wrong != nil {
+			if _, writeErr := to.Write(buffer[:size]); writeErr != nil {
 				reset(from)
 				return
 			}
@@ -129,12 +130,12 @@
 	}
 }
 
-// await holds what passes one way as long as it is to be held. It returns false once
-// the proxy has ended.
-func (p *proxy) await(in way) bool {
+// awaitRelease blocks while a direction is held, then for the delay of the proxy. It returns
+// false if the proxy is closed.
+func (p *proxy) awaitRelease(in direction) bool {
 	p.mutex.Lock()
 	delay := p.delay
-	for p.held[in] > 0 && !p.closed {
+	for p.holdCounts[in] > 0 && !p.closed {
 		changed := p.changed
 		p.mutex.Unlock()
 		<-changed
@@ -148,25 +149,26 @@
 	return open
 }
 
-// hold holds what passes some ways, until it is released as often.
-func (p *proxy) hold(by int, ways ...way) {
+// hold adds delta to the hold counts of the directions. A direction passes data while its
+// count is 0.
+func (p *proxy) hold(delta int, directions ...direction) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range ways {
-		p.held[one] += by
+	for _, dir := range directions {
+		p.holdCounts[dir] += delta
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// mute ends what passes over all connections, and over new ones until it is taken back as
-// often.
-func (p *proxy) mute(by int) {
+// mute adds delta to the mute count. While it is above 0, open and new connections are
+// muted; they stay so when it returns to 0.
+func (p *proxy) mute(delta int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.muted += by
+	p.muteCount += delta
 	for conn := range p.conns {
-		p.conns[conn] = p.conns[conn] || p.muted > 0
+		p.conns[conn] = p.conns[conn] || p.muteCount > 0
 	}
 }
 
@@ -182,7 +184,6 @@
 	p.delay = delay
 }
 
-// resetAll resets all connections.
 func (p *proxy) resetAll() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -201,7 +202,7 @@
 	p.resetAll()
 }
 
-// reset ends a connection without the end of its stream.
+// reset closes a connection with a TCP reset instead of an orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/soak/system.go
+++ b/soak/system.go
@@ -20,17 +20,17 @@
 	"birchwood.example/birchwood/tenant"
 )
 
-// zones and their regions; nodes and replicas are dealt to them in turn.
+// zones and their regions. Nodes and replicas are assigned to zones round-robin.
 var (
 	zones   = []string{"north-a", "north-b", "south-a"}
 	regions = map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}
 )
 
-// What the system under test is like.
+// Parameters of the system under test.
 const (
-	models         = 6
-	plains         = 3
-	replicaCount   = models + plains
+	modelReplicas  = 6
+	plainReplicas  = 3
+	replicaCount   = modelReplicas + plainReplicas
 	partitions     = 24
 	eventsOfAnswer = 4
 	eventStep      = 10 * time.Millisecond
@@ -38,11 +38,11 @@
 	nodeGrace      = 8 * time.Second
 )
 
-// bounds are what the nodes are held to: those of the users' deployments, and for what
-// these do not name what a machine of one node can bear.
+// bounds are the limits that the nodes must keep: those of the users' deployments, and for
+// what these leave open, what a machine with one node can sustain.
 var bounds = promise.Config{
 	TokensPerEvent: standin.TokensPerEvent,
-	Contact:        4 * time.Second,
+	FaultFree:      4 * time.Second,
 	Recovery:       8 * time.Second,
 	Settle:         time.Second,
 	Retention:      60 * time.Second,
@@ -52,74 +52,75 @@
 	Limits:      map[string]promise.Limit{limitedTenant: {Rate: limitedRate, Burst: limitedBurst}},
 	QuotaWindow: 5 * time.Second, QuotaOverrun: 0.1, QuotaSlack: 20,
 	ColdOverrun: 1.5, ColdSlack: 5,
-	Regions:     regions,
+	ZoneRegions: regions,
 	MemoryBytes: nodeMemory, Descriptors: 1000,
 }
 
-// Options set up a run.
+// Options configures a run.
 type Options struct {
 	Scenario
-	// Without lists the nodes' mechanisms that are switched off.
-	Without string
-	// Known are promises that are known to be broken: they are reported, and do not
-	// decide the verdict.
-	Known []string
-	// Binary is the program of a node.
+	// Disabled lists the mechanisms of the nodes to switch off, separated by commas.
+	Disabled string
+	// KnownBroken lists promises that are known to be broken. Breaches of them are reported but
+	// do not affect the verdict.
+	KnownBroken []string
+	// Binary is the path of the node executable.
 	Binary string
-	// Output takes the report.
+	// Output receives the report.
 	Output io.Writer
-	// Logs is the folder that the nodes' logs stay in; "" keeps none.
+	// Logs is the directory for the nodes' logs. If it is empty, the logs are deleted at the
+	// end of the run.
 	Logs string
 }
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	options   Options
-	begun     time.Time
+	startedAt time.Time
 	folder    string
 	host      string
 	system    *standin.System
 	processes []*process
 	starter   starter
 
-	// seeing guards the checker and the report.
-	seeing  sync.Mutex
-	checker *promise.Checker
+	// checkerMutex guards checker and the output of the report.
+	checkerMutex sync.Mutex
+	checker      *promise.Checker
 
-	// swapping guards the replacement of replicas.
-	swapping sync.Mutex
+	// replaceMutex serialises the replacement of replicas.
+	replaceMutex sync.Mutex
 
 	mutex sync.Mutex
-	// random draws what the load does; it is not what the faults are drawn from.
+	// random drives the load. The faults are drawn from a separate generator.
 	random   *rand.Rand
-	ids      int
+	lastID   int
 	ready    map[*process]bool
 	replicas []*standin.Replica
 	proxies  map[string]*proxy
-	// lasting counts the store's faults of a kind that go on.
-	lasting map[Kind]int
-	kept    []keptTurn
-	stopped []stoppedProgram
-	keys    keys
+	// activeFaults counts the active faults of the store by kind.
+	activeFaults map[Kind]int
+	storedTurns  []storedTurn
+	exhausted    []exhaustedProgram
+	keys         keys
 }
 
-// see hands an event to the checker, and reports the promises that it shows broken.
-func (s *soak) see(event promise.Event) {
-	s.seeing.Lock()
-	defer s.seeing.Unlock()
-	for _, broken := range s.checker.Add(time.Now(), event) {
-		s.report(broken)
+// record passes an event to the checker, and reports the breaches that it reveals.
+func (s *soak) record(event promise.Event) {
+	s.checkerMutex.Lock()
+	defer s.checkerMutex.Unlock()
+	for _, breach := range s.checker.Add(time.Now(), event) {
+		s.report(breach)
 	}
 }
 
-// linesShown is how many lines of one node's logs a broken promise shows.
-const linesShown = 4
+// maxLogLines bounds the log lines of one node in the report of a breach.
+const maxLogLines = 4
 
-func (s *soak) report(broken promise.Breach) {
-	text := fmt.Sprintf("%6.1fs BROKEN: %s\n        request %q at node %q: %s", broken.At.Sub(s.begun).Seconds(), broken.Promise, broken.Request, broken.Node, broken.Detail)
-	if broken.Request != "" {
-		for _, one := range s.processes {
-			for _, line := range one.linesOf(broken.Request, linesShown) {
+func (s *soak) report(breach promise.Breach) {
+	text := fmt.Sprintf("%6.1fs BROKEN: %s\n        request %q at node %q: %s", breach.At.Sub(s.startedAt).Seconds(), breach.Promise, breach.Request, breach.Node, breach.Detail)
+	if breach.Request != "" {
+		for _, node := range s.processes {
+			for _, line := range node.logLines(breach.Request, maxLogLines) {
 				text += "\n        " + line
 			}
 		}
@@ -127,68 +128,69 @@
 	s.print(text)
 }
 
-// print writes a line of the report; one that cannot be written has no other place.
+// print writes a line of the report. Write errors are ignored, as there is no other output.
 func (s *soak) print(text string) { _, _ = fmt.Fprintln(s.options.Output, text) }
 
-// open starts the stand-ins, the proxies and the processes.
+// open starts the stand-ins, the proxies and the node processes.
 func (s *soak) open() error {
 	system, err := standin.StartSystem(standin.Options{
-		Models: models, Plain: plains, Events: eventsOfAnswer, Step: eventStep, Zones: zones, Prepare: s.prepare,
+		Models: modelReplicas, Plain: plainReplicas, Events: eventsOfAnswer, Step: eventStep, Zones: zones, Prepare: s.prepare,
 		Tenants: s.keys.tenants(),
 	})
 	if err != nil {
 		return err
 	}
 	s.system = system
-	system.Store.SetDelay(storeAnswer)
+	system.Store.SetDelay(storeDelay)
 	s.replicas = append(append(s.replicas, system.Models...), system.Plain...)
 	for _, key := range s.keys.valid() {
-		s.see(promise.KeyAdded{Key: key})
+		s.record(promise.KeyAdded{Key: key})
 	}
 	for index := range s.options.Nodes {
-		one, err := s.newProcess(index)
+		node, err := s.newProcess(index)
 		if err != nil {
 			return err
 		}
-		s.processes = append(s.processes, one)
+		s.processes = append(s.processes, node)
 	}
-	for _, one := range s.processes {
-		if err := one.start(); err != nil {
+	for _, node := range s.processes {
+		if err := node.start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// prepare puts a proxy before a replica.
+// prepare puts a proxy in front of a replica.
 func (s *soak) prepare(replica *standin.Replica) error {
-	between, err := newProxy(replica.Address())
+	replicaProxy, err := newProxy(replica.Address())
 	if err != nil {
 		return err
 	}
-	replica.Listed, replica.Echo, replica.Ran = between.address(), true, s.ran
+	replica.AdvertisedAddress, replica.Echo, replica.OnRun = replicaProxy.address(), true, s.recordRun
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.proxies[replica.ID] = between
+	s.proxies[replica.ID] = replicaProxy
 	return nil
 }
 
-// ran tells of what a replica runs.
-func (s *soak) ran(replica *standin.Replica, run standin.Run) {
+// recordRun records that a replica runs a request, and which of its header fields are forged.
+func (s *soak) recordRun(replica *standin.Replica, run standin.Run) {
 	names := platform.Names()
-	seen := promise.Ran{
+	event := promise.Ran{
 		ID: run.ID, Replica: replica.ID, Zone: replica.Zone, Tenant: run.Header.Get(names.Tenant),
 		Body: run.Body,
 	}
-	for _, name := range append([]string{names.Key}, names.Reserved...) {
+	for _, name := range append([]string{names.APIKey}, names.Reserved...) {
 		if run.Header.Get(name) != "" {
-			seen.Forged = append(seen.Forged, name)
+			event.Forged = append(event.Forged, name)
 		}
 	}
-	s.see(seen)
+	s.record(event)
 }
 
-// refusedNodes is how many nodes share the store's other address: one in so many.
+// refusedNodes is the interval between the indexes of nodes that use the store's second
+// address.
 const refusedNodes = 3
 
 func (s *soak) newProcess(index int) (*process, error) {
@@ -205,27 +207,28 @@
 	if err != nil {
 		return nil, errors.Join(err, store.listener.Close())
 	}
-	zone := index % len(zones)
+	zoneIndex := index % len(zones)
 	return &process{
 		settings: edge.Settings{
-			Node: fmt.Sprintf("edge-%d", index), Zone: zones[zone],
+			Node: fmt.Sprintf("edge-%d", index), Zone: zones[zoneIndex],
 			Clients: addresses[0], Readiness: addresses[1], Peers: addresses[2], Store: store.address(),
 			Partitions: partitions, MemoryBytes: nodeMemory, Cores: 1, Grace: nodeGrace, KeyLease: bounds.RevokeBound,
 			Quota: tenant.Config{Window: bounds.QuotaWindow, Overrun: bounds.QuotaOverrun, Slack: bounds.QuotaSlack},
 		},
-		zone: zone, store: store, clients: clients, binary: s.options.Binary, without: s.options.Without,
-		folder: s.folder, starter: s.starter, ended: func(exit promise.Exited) { s.see(exit) },
+		zoneIndex: zoneIndex, store: store, clients: clients, binary: s.options.Binary, disabled: s.options.Disabled,
+		folder: s.folder, starter: s.starter, onExit: func(exit promise.Exited) { s.record(exit) },
 	}, nil
 }
 
-// close ends all that the run started, and removes its folder.
+// close ends everything that the run started, and removes its directory unless the logs are
+// kept.
 func (s *soak) close() error {
 	var ending sync.WaitGroup
 	for _, one := range s.processes {
 		ending.Go(func() {
 			one.signal(syscall.SIGKILL)
-			if gone := one.awaitGone(); gone != nil {
-				<-gone
+			if exited := one.exitChannel(); exited != nil {
+				<-exited
 			}
 		})
 	}
@@ -253,85 +256,85 @@
 	return errors.Join(found...)
 }
 
-// Times of the watch over processes.
+// Timing of the process monitor.
 const (
 	watchPeriod = 500 * time.Millisecond
-	// samplePeriods is after how many looks memory and descriptors are read.
-	samplePeriods = 2
-	// startPatience bounds how long the nodes may take to be ready at first.
-	startPatience = 60 * time.Second
+	// sampleEvery is the number of rounds between two samples of memory and descriptors.
+	sampleEvery = 2
+	// startTimeout bounds how long the nodes may take to become ready at the start.
+	startTimeout = 60 * time.Second
 )
 
-// watch asks the nodes whether they are ready, and reads what they take.
-func (s *soak) watch(ctx context.Context) {
-	asker := &http.Client{Timeout: watchPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
-	for look := 0; ; look++ {
-		var asking sync.WaitGroup
-		for _, one := range s.processes {
-			asking.Go(func() { s.lookAt(asker, one, look%samplePeriods == 0) })
+// monitor periodically probes the nodes' readiness and samples their resource usage.
+func (s *soak) monitor(ctx context.Context) {
+	client := &http.Client{Timeout: watchPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
+	for round := 0; ; round++ {
+		var probes sync.WaitGroup
+		for _, node := range s.processes {
+			probes.Go(func() { s.probe(client, node, round%sampleEvery == 0) })
 		}
-		asking.Wait()
-		if !pause(ctx, watchPeriod) {
+		probes.Wait()
+		if !sleep(ctx, watchPeriod) {
 			return
 		}
 	}
 }
 
-func (s *soak) lookAt(asker *http.Client, one *process, sampled bool) {
-	response, err := asker.Get("http://" + one.settings.Readiness + platform.ReadyPath)
+func (s *soak) probe(client *http.Client, node *process, sampled bool) {
+	response, err := client.Get("http://" + node.settings.Readiness + platform.ReadyPath)
 	ready := err == nil && response.StatusCode == http.StatusOK
 	if err == nil {
 		_ = response.Body.Close()
 	}
 	s.mutex.Lock()
-	s.ready[one] = ready
+	s.ready[node] = ready
 	s.mutex.Unlock()
 	if !sampled {
 		return
 	}
-	if sample, there := one.sample(); there {
-		s.see(sample)
+	if sample, there := node.sample(); there {
+		s.record(sample)
 	}
 }
 
-// awaitReady waits until all nodes are ready.
+// awaitReady waits up to startTimeout for all nodes to be ready.
 func (s *soak) awaitReady(ctx context.Context) error {
-	for range int(startPatience / watchPeriod) {
-		if len(s.in()) == len(s.processes) {
+	for range int(startTimeout / watchPeriod) {
+		if len(s.readyNodes()) == len(s.processes) {
 			return nil
 		}
-		if !pause(ctx, watchPeriod) {
+		if !sleep(ctx, watchPeriod) {
 			return ctx.Err()
 		}
 	}
 	var missing []string
-	for _, one := range s.processes {
-		if !s.isReady(one) {
-			missing = append(missing, one.settings.Node)
+	for _, node := range s.processes {
+		if !s.isReady(node) {
+			missing = append(missing, node.settings.Node)
 		}
 	}
-	return fmt.Errorf("not ready after %s: %s", startPatience, strings.Join(missing, ", "))
+	return fmt.Errorf("not ready after %s: %s", startTimeout, strings.Join(missing, ", "))
 }
 
-func (s *soak) isReady(one *process) bool {
+func (s *soak) isReady(node *process) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.ready[one]
+	return s.ready[node]
 }
 
-// in returns the nodes that get new connections.
-func (s *soak) in() []*process {
+// readyNodes returns the nodes that receive new client connections.
+func (s *soak) readyNodes() []*process {
 	var found []*process
-	for _, one := range s.processes {
-		if s.isReady(one) {
-			found = append(found, one)
+	for _, node := range s.processes {
+		if s.isReady(node) {
+			found = append(found, node)
 		}
 	}
 	return found
 }
 
-// pause waits, and returns false if the run ends meanwhile.
-func pause(ctx context.Context, span time.Duration) bool {
+// sleep waits for span. It returns false if ctx ends first.
+func sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -13,29 +13,29 @@
 	"birchwood.example/birchwood/header"
 )
 
-// Response is the answer to a request whose head was read. Exactly one of
-// ReadAll, Abort or Finish ends it.
+// Response is an answer whose head has been read. Exactly one of ReadAll, Abort
+// or Finish must end it.
 type Response struct {
-	// Header is the head; its framing fields are as the replica sent them.
+	// Header is the head, with the framing fields as the replica sent them.
 	Header fasthttp.ResponseHeader
 
-	pool    *Pool
-	to      Target
-	conn    *conn
-	cancel  *Cancel
-	writing <-chan error
-	// surplus says that an answer of another request came first.
-	surplus bool
-	body    io.Reader
-	// whole is set once the body was read up to a certain end.
-	whole bool
+	pool        *Pool
+	to          Target
+	conn        *conn
+	cancel      *Cancel
+	writeResult <-chan error
+	// skippedAnswers is set if answers to other requests preceded this one.
+	skippedAnswers bool
+	body           io.Reader
+	// complete is set once the body was read up to an unambiguous end.
+	complete bool
 }
 
 // Status returns the status code.
 func (r *Response) Status() int { return r.Header.StatusCode() }
 
-// length returns the length of the body: -1 for chunks, -2 where it ends with
-// the connection.
+// length returns the length of the body: -1 if it is chunked, -2 if it ends
+// when the connection closes.
 func (r *Response) length() int {
 	if r.bodiless() {
 		return 0
@@ -48,11 +48,11 @@
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// ErrTooLarge says that a body was longer than this process holds.
+// ErrTooLarge means that a body exceeds Config.BodyBytes.
 var ErrTooLarge = errors.New("the answer is too large")
 
-// ReadAll reads the whole body and ends the exchange. An error is an
-// *UnknownError: the body was cut off, or too large.
+// ReadAll reads the complete body and ends the exchange. Its errors are of type
+// *UnknownError: the body was truncated or too large.
 func (r *Response) ReadAll() ([]byte, error) {
 	limit := r.pool.config.BodyBytes
 	body, err := io.ReadAll(io.LimitReader(r.reader(), int64(limit)+1))
@@ -61,16 +61,17 @@
 	}
 	if err != nil {
 		r.Abort()
-		return nil, &UnknownError{Stage: "read body", Cause: causeOr(r.cancel, err)}
+		return nil, &UnknownError{Stage: "read body", Cause: cancelCauseOr(r.cancel, err)}
 	}
 	r.Finish()
 	return body, nil
 }
 
-// Read yields the body as it comes, and io.EOF only after a certain end.
+// Read implements io.Reader. It yields the body as it arrives, and io.EOF only
+// after an unambiguous end.
 func (r *Response) Read(into []byte) (int, error) { return r.reader().Read(into) }
 
-// reader returns the body without its framing.
+// reader returns a reader of the body without its framing.
 func (r *Response) reader() io.Reader {
 	if r.body == nil {
 		r.body = r.newReader()
@@ -83,39 +84,40 @@
 	case length == -1:
 		return &chunkedBody{response: r, chunks: httputil.NewChunkedReader(r.conn.reader)}
 	case length < 0:
-		return &closedBody{response: r}
+		return &untilCloseBody{response: r}
 	default:
-		return &sizedBody{response: r, rest: length}
+		return &sizedBody{response: r, remaining: length}
 	}
 }
 
-// sizedBody is a body of a known length.
+// sizedBody reads a body of a known length.
 type sizedBody struct {
-	response *Response
-	rest     int
+	response  *Response
+	remaining int
 }
 
 // Read implements io.Reader.
 func (b *sizedBody) Read(into []byte) (int, error) {
-	if b.rest == 0 {
-		b.response.whole = true
+	if b.remaining == 0 {
+		b.response.complete = true
 		return 0, io.EOF
 	}
-	read, err := b.response.conn.reader.Read(into[:min(len(into), b.rest)])
-	b.rest -= read
+	read, err := b.response.conn.reader.Read(into[:min(len(into), b.remaining)])
+	b.remaining -= read
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return read, err
 }
 
-// closedBody ends with its connection; a reset is no end.
-type closedBody struct{ response *Response }
+// untilCloseBody reads a body that ends when the connection closes. A reset is
+// an error, not an end.
+type untilCloseBody struct{ response *Response }
 
 // Read implements io.Reader.
-func (b *closedBody) Read(into []byte) (int, error) { return b.response.conn.reader.Read(into) }
+func (b *untilCloseBody) Read(into []byte) (int, error) { return b.response.conn.reader.Read(into) }
 
-// chunkedBody is a body in chunks, with its last chunk and trailer.
+// chunkedBody reads a chunked body, including its last chunk and trailer.
 type chunkedBody struct {
 	response *Response
 	chunks   io.Reader
@@ -123,7 +125,7 @@
 
 // Read implements io.Reader.
 func (b *chunkedBody) Read(into []byte) (int, error) {
-	if b.response.whole {
+	if b.response.complete {
 		return 0, io.EOF
 	}
 	read, err := b.chunks.Read(into)
@@ -133,12 +135,14 @@
 	if err := header.SkipTrailer(b.response.conn.reader); err != nil {
 		return read, err
 	}
-	b.response.whole = true
+	b.response.complete = true
 	return read, io.EOF
 }
 
-// Finish ends an exchange whose body was read to its end. The connection is
-// kept if nothing speaks against it.
+// Finish ends an exchange. The connection returns to the pool if the request
+// was fully written, the body was read to its end, no answer was skipped, the
+// answer does not ask to close the connection and the exchange was not
+// cancelled; otherwise Finish closes it.
 func (r *Response) Finish() {
 	if r.conn == nil {
 		return
@@ -146,7 +150,7 @@
 	connection := r.conn
 	r.conn = nil
 	_ = r.cancel.bind(nil, time.Time{})
-	if !r.whole || !r.written() || r.surplus || r.Header.ConnectionClose() || r.cancel.Cause() != nil {
+	if !r.complete || !r.requestWritten() || r.skippedAnswers || r.Header.ConnectionClose() || r.cancel.Cause() != nil {
 		_ = connection.Close()
 		return
 	}
@@ -155,21 +159,21 @@
 	r.pool.put(r.to, connection)
 }
 
-// written reports whether the whole request was written.
-func (r *Response) written() bool {
-	if r.writing == nil {
+// requestWritten reports whether the complete request was written.
+func (r *Response) requestWritten() bool {
+	if r.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-r.writing:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// Abort ends the exchange wherever it stands and closes the connection, which
-// tells the replica to stop.
+// Abort ends the exchange at any point. It closes the connection, which makes the
+// replica stop working on the request.
 func (r *Response) Abort() {
 	if r.conn == nil {
 		return
@@ -180,12 +184,13 @@
 	_ = connection.Close()
 }
 
-// idleSlack is taken off the time for which a replica promises to keep a
-// connection: a request that is sent at the last moment may be lost.
+// idleSlack is subtracted from a replica's Keep-Alive timeout, since a request
+// that is sent just before the timeout may be lost.
 const idleSlack = 300 * time.Millisecond
 
-// keepAliveLimit reads a Keep-Alive field such as "timeout=5".
-func keepAliveLimit(value []byte, otherwise time.Duration) time.Duration {
+// keepAliveLimit parses a Keep-Alive field such as "timeout=5" and returns the
+// timeout less idleSlack, or fallback if the field has none.
+func keepAliveLimit(value []byte, fallback time.Duration) time.Duration {
 	for parameter := range strings.SplitSeq(string(value), ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -196,5 +201,5 @@
 			return max(0, time.Duration(seconds)*time.Second-idleSlack)
 		}
 	}
-	return otherwise
+	return fallback
 }
