--- a/history/backends.go
+++ b/history/backends.go
@@ -6,9 +6,10 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// checkMemory: an engine lists nothing of a program whose end was
-// acknowledged longer ago than the bound, counted from the end of the last
-// fault anywhere: the sweep needs the owner, the engine and its attendant.
+// checkMemory verifies that an engine caches nothing of a program whose end
+// was acknowledged longer ago than the bound. The bound is counted from the
+// end of the last fault on any machine, since the sweep needs the program's
+// owner, the engine and the engine's manager.
 func (c *checker) checkMemory() {
 	for _, held := range c.held {
 		for _, id := range held.Held.Programs {
@@ -26,8 +27,9 @@
 	}
 }
 
-// checkLeaving: a leaving back end is given nothing after the bound. Time in
-// which nodes could not learn of it, or slept, does not count.
+// checkLeaving verifies that no call starts at a leaving back end after the
+// bound. Time in which faults kept nodes from receiving the machine list, or
+// suspended them, does not count.
 func (c *checker) checkLeaving() {
 	left := map[machine.ID]*record{}
 	for _, r := range c.leaving {
@@ -49,14 +51,15 @@
 	}
 }
 
-// stopping is the time in which a machine was stopping as planned.
+// stopping is the interval of a machine's planned stop.
 type stopping struct {
 	from, to time.Time
 	begin    *record
 }
 
-// checkPlannedStops: no connection of a caller is lost, and no attempt is
-// cut, at a machine that stops as planned and was not killed meanwhile.
+// checkPlannedStops verifies that no caller's connection is lost and no
+// attempt is interrupted at a machine during its planned stop, unless a fault
+// affects the machine meanwhile.
 func (c *checker) checkPlannedStops() {
 	intervals := c.stopIntervals()
 	for _, exchange := range c.exchanges {
@@ -84,7 +87,7 @@
 	}
 }
 
-// stopIntervals returns when each machine was stopping.
+// stopIntervals returns the intervals of the planned stops by machine.
 func (c *checker) stopIntervals() map[machine.ID][]stopping {
 	intervals := map[machine.ID][]stopping{}
 	for _, r := range c.stops {
@@ -100,8 +103,9 @@
 	return intervals
 }
 
-// within returns the record that began a planned stop of the machine that was
-// under way then, unless a fault touched the machine during it.
+// within returns the record that began the machine's planned stop in progress
+// at the given time. It returns nil if there is none or if a fault affected
+// the machine since that stop began.
 func (c *checker) within(intervals map[machine.ID][]stopping, id machine.ID, at time.Time) *record {
 	for _, interval := range intervals[id] {
 		if at.Before(interval.from) || at.After(interval.to) {
@@ -114,24 +118,25 @@
 	return nil
 }
 
-// anyFault, hidesList and touches choose the faults that excuse a delay.
+// anyFault selects all faults.
 func anyFault(*Fault) bool { return true }
 
-// hidesList chooses what keeps a node from learning that a machine leaves.
+// hidesList selects the faults that can keep a node from noticing that the
+// machine is leaving.
 func hidesList(id machine.ID) func(*Fault) bool {
 	return func(fault *Fault) bool {
 		return fault.Machine == id || fault.Kind == FaultStore || fault.Kind == FaultList || fault.Kind == FaultPause
 	}
 }
 
-// touches chooses the faults of one machine, and of the platform.
+// touches selects the faults of one machine and of the platform.
 func touches(id machine.ID) func(*Fault) bool {
 	return func(fault *Fault) bool {
 		return fault.Machine == id || fault.Machine == "" && fault.Kind != FaultList
 	}
 }
 
-// disturbed reports whether one of the chosen faults held at any time of the
+// disturbed reports whether a selected fault was active at any time in the
 // interval.
 func (c *checker) disturbed(from, to time.Time, chosen func(*Fault) bool) bool {
 	begun := 0
@@ -151,8 +156,9 @@
 	return begun > 0
 }
 
-// quietTime returns how much of the interval passed after the last of the
-// chosen faults: what a bound is measured on.
+// quietTime returns the part of the interval after the end of the last
+// selected fault, or zero if a selected fault is active at its end. Bounds are
+// compared with this time.
 func (c *checker) quietTime(from, to time.Time, chosen func(*Fault) bool) time.Duration {
 	begun := 0
 	quietSince := from
--- a/history/calls.go
+++ b/history/calls.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// checkCalls verifies what must hold for each call: order, at most once, true
-// refusals and whole answers.
+// checkCalls verifies the invariants of calls: order, at-most-once, not-run and
+// answer.
 func (c *checker) checkCalls() {
 	for _, program := range c.programs {
 		c.checkOrder(program)
@@ -22,8 +22,9 @@
 	c.checkAnswered()
 }
 
-// checkOrder: a call starts only after every earlier call that started is
-// over. It is enough to compare neighbours among the calls that started.
+// checkOrder verifies that a call starts only after every earlier call of the
+// program has ended. It is enough to compare each started call with the
+// started call before it.
 func (c *checker) checkOrder(program *programFacts) {
 	var previous *call
 	for _, each := range program.calls {
@@ -43,8 +44,8 @@
 	}
 }
 
-// checkAtMostOnce: a call that may not be repeated starts at most once, at
-// whichever back end.
+// checkAtMostOnce verifies that a call that may not be repeated starts at most
+// once, over all back ends.
 func (c *checker) checkAtMostOnce(each *call) {
 	if len(each.started) < 2 {
 		return
@@ -57,8 +58,8 @@
 		each.ref.sequence, each.ref.program, len(each.started))
 }
 
-// repeatable reports whether the call may run twice: as those who submitted it
-// said, who know it, else as a back end was told.
+// repeatable reports whether the call may run more than once. The submit
+// requests decide; without any recorded, the attempts' own flag does.
 func (c *call) repeatable() bool {
 	asked := false
 	for _, exchange := range c.exchanges {
@@ -77,8 +78,8 @@
 	})
 }
 
-// checkNotRun: a back end's start of a call needs a request, sent before it,
-// that was not answered as not run.
+// checkNotRun verifies that before each start of a call at a back end, a
+// request was sent that was not refused as not run.
 func (c *checker) checkNotRun(each *call) {
 	if len(each.exchanges) == 0 {
 		return
@@ -104,8 +105,9 @@
 	}
 }
 
-// checkAnswers: a successful answer is, from its offset on, the whole output
-// of an attempt at this very call; every caller of the call gets the same.
+// checkAnswers verifies that a successful answer is, from its offset on, the
+// complete output of an attempt at this call, and that every caller of the
+// call gets the same output.
 func (c *checker) checkAnswers(each *call) {
 	var first *record
 	for _, exchange := range each.exchanges {
@@ -129,8 +131,9 @@
 	}
 }
 
-// produced reports whether a back end's attempt at the call ended with the
-// answer. A back end whose end was not seen proves nothing.
+// produced reports whether a successful attempt at the call has the answer as
+// its output. It also returns true if no successful attempt was recorded, as
+// the end of an attempt may go unrecorded.
 func (c *call) produced(got *Got) bool {
 	complete := 0
 	for _, r := range c.finished {
@@ -146,8 +149,9 @@
 	return complete == 0
 }
 
-// checkAnswered: in a settled run every request has an answer, unless its
-// connection was lost and a later request asked for the same again.
+// checkAnswered verifies that in a settled run every request has an answer,
+// unless the caller hung up, or its connection was lost and an identical
+// request was answered after that.
 func (c *checker) checkAnswered() {
 	if !c.settled {
 		return
--- a/history/check.go
+++ b/history/check.go
@@ -16,9 +16,9 @@
 	undecided int
 }
 
-// Check reads a history and verifies every invariant. The error says that the
-// history could not be read; a broken promise is a Finding, not an error.
-// A last line that was cut short, as a killed process leaves it, is skipped.
+// Check reads a history and verifies every invariant. It returns an error only
+// if the history cannot be read; a violated invariant is a Finding. An
+// incomplete last line, as a killed process leaves it, is skipped.
 func Check(readers ...io.Reader) (Report, error) {
 	var records []record
 	line := 0
@@ -32,7 +32,7 @@
 	return check(records), nil
 }
 
-// CheckEvents verifies events that are in memory.
+// CheckEvents verifies every invariant of a history in memory.
 func CheckEvents(events []Event) Report {
 	records := make([]record, len(events))
 	for i, event := range events {
@@ -41,7 +41,7 @@
 	return check(records)
 }
 
-// readRecords decodes the lines of one file. Line numbers go on from line.
+// readRecords decodes the lines of one file and numbers them from *line+1.
 func readRecords(reader io.Reader, line *int) ([]record, error) {
 	var records []record
 	buffered := bufio.NewReader(reader)
@@ -92,7 +92,7 @@
 	}
 }
 
-// report adds a finding that the given records show.
+// report adds a finding with the given records as evidence.
 func (c *checker) report(invariant Invariant, shown []*record, format string, arguments ...any) {
 	finding := Finding{Invariant: invariant, Message: fmt.Sprintf(format, arguments...), Seed: c.run.Seed}
 	for _, r := range shown {
@@ -103,7 +103,7 @@
 	c.findings = append(c.findings, finding)
 }
 
-// outcomes counts answers by status or error code.
+// outcomes counts requests by the status or error code of their answer.
 func (c *checker) outcomes() map[string]int {
 	counts := map[string]int{}
 	for _, each := range c.exchanges {
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -14,7 +14,8 @@
 	"birchwood.example/birchwood/history"
 )
 
-// clone copies a history, so that a mutation touches nothing else.
+// clone returns a deep copy of a history, so that a mutation does not change
+// the original.
 func clone(events []history.Event) []history.Event {
 	text, err := json.Marshal(events)
 	Expect(err).NotTo(HaveOccurred())
@@ -23,7 +24,7 @@
 	return copied
 }
 
-// find returns the event that the condition holds for.
+// find returns the first event that satisfies the condition.
 func find(events []history.Event, condition func(history.Event) bool) *history.Event {
 	i := slices.IndexFunc(events, condition)
 	Expect(i).To(BeNumerically(">=", 0), "no such event")
@@ -45,7 +46,7 @@
 	return append(events, event)
 }
 
-// broken is a good history with one promise broken, and the one that is.
+// broken is a mutation that makes a valid history violate one invariant.
 type broken struct {
 	invariant history.Invariant
 	mutate    func(events []history.Event) []history.Event
--- a/history/event.go
+++ b/history/event.go
@@ -8,7 +8,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Event is one fact that an observer recorded: exactly one pointer is set.
+// Event is one fact that an observer recorded. Exactly one pointer is set.
 type Event struct {
 	At       time.Time  `json:"at"`
 	Run      *Run       `json:"run,omitempty"`
@@ -34,31 +34,33 @@
 	RunEnded *RunEnded  `json:"run_ended,omitempty"`
 }
 
-// Run opens a history: what ran, and the bounds that its promises have.
+// Run is the first event of a history. It identifies the run and sets the
+// bounds of its invariants.
 type Run struct {
 	Name string `json:"name"`
 	Seed uint64 `json:"seed"`
-	// Replay is the command that runs it again.
+	// Replay is the command that repeats the run.
 	Replay string `json:"replay,omitempty"`
-	// The bounds; zero takes the default. MoveBound is how long the records of
-	// a branch may be used outside of its zones after these were narrowed.
+	// The bounds of the invariants; zero means the default. MoveBound is how
+	// long the records of a branch may still be used in a zone that its
+	// placement no longer permits.
 	LeavingBound  time.Duration `json:"leaving_bound,omitempty"`
 	SettingsBound time.Duration `json:"settings_bound,omitempty"`
 	MoveBound     time.Duration `json:"move_bound,omitempty"`
 	MemoryBound   time.Duration `json:"memory_bound,omitempty"`
 }
 
-// RunEnded closes a history.
+// RunEnded is the last event of a history.
 type RunEnded struct {
-	// Settled says that every fault was healed and that the run waited long
-	// enough for every request to be answered and every sweep to pass.
+	// Settled is set when every fault had ended and the run then waited long
+	// enough for every request to be answered and every sweep to complete.
 	Settled bool `json:"settled"`
 }
 
-// Operation names what a caller asks for.
+// Operation is the kind of a caller's request.
 type Operation string
 
-// The operations that a history tells apart.
+// The operations that appear in a history.
 const (
 	OperationCreate   Operation = "create"
 	OperationSubmit   Operation = "submit"
@@ -70,7 +72,8 @@
 
 // Sent is a request as its caller sent it.
 type Sent struct {
-	// Request is unique within the history; Got and Lost repeat it.
+	// Request is the request's ID, unique within the history. Got and Lost
+	// refer to it.
 	Request   string    `json:"request"`
 	Caller    string    `json:"caller,omitempty"`
 	Operation Operation `json:"operation"`
@@ -81,10 +84,11 @@
 	Key      string        `json:"key,omitempty"`
 	Sequence uint64        `json:"sequence,omitempty"`
 	Kind     api.CallKind  `json:"kind,omitempty"`
-	// Repeatable is set for model calls and for tool calls that may run twice.
+	// Repeatable is set for model calls and for tool calls that may run more
+	// than once.
 	Repeatable bool   `json:"repeatable,omitempty"`
 	Input      string `json:"input,omitempty"`
-	// OutputCap is the largest answer that was asked for, in tokens.
+	// OutputCap is the requested maximum output length in tokens.
 	OutputCap int `json:"output_cap,omitempty"`
 }
 
@@ -95,35 +99,36 @@
 	Sequence uint64         `json:"sequence,omitempty"`
 	Status   api.CallStatus `json:"status,omitempty"`
 	Output   string         `json:"output,omitempty"`
-	// Offset is where Output begins, for a caller that re-attached.
+	// Offset is the byte offset at which Output begins, for a caller that
+	// re-attached to the call.
 	Offset int       `json:"offset,omitempty"`
 	Usage  api.Usage `json:"usage"`
-	// Code and Ran are set when the request has no successful answer.
+	// Code and Ran are set when the request did not succeed.
 	Code api.Code `json:"code,omitempty"`
 	Ran  api.Ran  `json:"ran,omitempty"`
-	// SpentTokens and BudgetTokens are what a describe answered.
+	// SpentTokens and BudgetTokens are set in answers to OperationDescribe.
 	SpentTokens  int64 `json:"spent_tokens,omitempty"`
 	BudgetTokens int64 `json:"budget_tokens,omitempty"`
 }
 
-// Lost says that a request's connection ended without an answer.
+// Lost records that a request's connection ended without an answer.
 type Lost struct {
 	Request string `json:"request"`
 	// HungUp is set when the caller itself closed the connection.
 	HungUp bool `json:"hung_up,omitempty"`
-	// NotSent is set when no connection was had, so that nothing was sent.
+	// NotSent is set when no connection could be opened, so nothing was sent.
 	NotSent bool `json:"not_sent,omitempty"`
 }
 
-// Read is a program's whole history as a caller read it.
+// Read is a program's complete history as a caller read it.
 type Read struct {
 	Program api.ProgramID `json:"program"`
-	// SentAt is when the caller asked for it.
+	// SentAt is when the caller sent the first request of the read.
 	SentAt time.Time  `json:"sent_at"`
 	Calls  []ReadCall `json:"calls"`
 }
 
-// ReadCall is one call of a history that was read.
+// ReadCall is one call in a Read.
 type ReadCall struct {
 	Sequence uint64         `json:"sequence"`
 	Key      string         `json:"key"`
@@ -132,8 +137,8 @@
 	Output   string         `json:"output"`
 }
 
-// Started says that a back end began to run an attempt. For an attempt that
-// resumes the stream of the same attempt, nothing is recorded.
+// AttemptStarted records that a back end began to run an attempt. Resuming
+// the stream of an attempt that already runs is not recorded.
 type Started struct {
 	Backend    machine.ID    `json:"backend"`
 	Zone       zone.Name     `json:"zone,omitempty"`
@@ -142,7 +147,7 @@
 	Attempt    int           `json:"attempt"`
 	Kind       api.CallKind  `json:"kind"`
 	Repeatable bool          `json:"repeatable,omitempty"`
-	// PromptHash is HashText of the whole prompt; zero when it is not known.
+	// PromptHash is HashText of the complete prompt; zero means unknown.
 	PromptHash uint64 `json:"prompt_hash,omitempty"`
 }
 
@@ -154,11 +159,11 @@
 	OutcomeSucceeded Outcome = "succeeded"
 	OutcomeFailed    Outcome = "failed"
 	OutcomeCancelled Outcome = "cancelled"
-	// OutcomeCut: the back end stopped while it ran.
+	// OutcomeInterrupted means that the back end stopped during the attempt.
 	OutcomeCut Outcome = "cut"
 )
 
-// Finished says that a back end ended an attempt.
+// AttemptFinished records that an attempt ended at its back end.
 type Finished struct {
 	Backend  machine.ID    `json:"backend"`
 	Program  api.ProgramID `json:"program"`
@@ -169,8 +174,9 @@
 	Usage    api.Usage     `json:"usage"`
 }
 
-// Ended says that a node announced a call's end, which was durable then: a
-// call may end without its back end's word, by a time-out or a look-up.
+// CallEnded records that a node announced the end of a call, after the end had
+// become durable. A call can end without an AttemptFinished, by a time-out or
+// by a query of the back end for the call's outcome.
 type Ended struct {
 	Node     machine.ID     `json:"node"`
 	Program  api.ProgramID  `json:"program"`
@@ -178,13 +184,13 @@
 	Status   api.CallStatus `json:"status"`
 }
 
-// Held lists the programs whose prefixes an engine keeps.
+// EngineCache lists the programs that have prefixes in an engine's cache.
 type Held struct {
 	Backend  machine.ID      `json:"backend"`
 	Programs []api.ProgramID `json:"programs"`
 }
 
-// Opened says that a program exists.
+// ProgramCreated records that a program exists.
 type Opened struct {
 	Program      api.ProgramID `json:"program"`
 	Branch       string        `json:"branch"`
@@ -192,20 +198,20 @@
 	BudgetTokens int64         `json:"budget_tokens"`
 }
 
-// Closed says that a program's end was acknowledged.
+// ProgramEnded records that a program's end was acknowledged.
 type Closed struct {
 	Program api.ProgramID `json:"program"`
 }
 
-// Placed says where the data of a branch is permitted from Since on.
+// PlacementSet records the placement of a branch's data from Since on.
 type Placed struct {
 	Branch    string         `json:"branch"`
 	Placement zone.Placement `json:"placement"`
 	Since     time.Time      `json:"since"`
 }
 
-// StreamUse says that a machine read or wrote the stream of a partition, which
-// holds programs of one branch.
+// StreamUse records that a machine read or wrote the stream of a partition. A
+// partition holds programs of one branch.
 type StreamUse struct {
 	Machine machine.ID `json:"machine"`
 	Zone    zone.Name  `json:"zone"`
@@ -213,8 +219,9 @@
 	Branch  string     `json:"branch"`
 }
 
-// Change is a change of the settings as its operator sent it, with the
-// verdict that the operator got. Sent and At bound when it took effect.
+// SettingsChange is a change of the settings as an operator sent it, with the
+// verdict that the operator received. The change took effect between SentAt
+// and the event's At.
 type Change struct {
 	ID       string    `json:"id"`
 	SentAt   time.Time `json:"sent_at"`
@@ -224,7 +231,7 @@
 	Revision uint64    `json:"revision,omitempty"`
 }
 
-// Verdict is what a node decided about a change.
+// Verdict is a node's decision on a change of the settings.
 type Verdict struct {
 	Node     machine.ID `json:"node"`
 	ID       string     `json:"id"`
@@ -232,38 +239,40 @@
 	Revision uint64     `json:"revision,omitempty"`
 }
 
-// InForce says that a node works with a revision from now on.
+// InForce records that a node put a revision of the settings in force.
 type InForce struct {
 	Node        machine.ID `json:"node"`
 	Incarnation uint64     `json:"incarnation,omitempty"`
 	Revision    uint64     `json:"revision"`
 }
 
-// FaultKind names a disturbance.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The disturbances that excuse a delay.
+// The kinds of faults. A fault excuses delays of what it affects.
 const (
-	FaultDown  FaultKind = "down"  // the machine's process is dead
-	FaultPause FaultKind = "pause" // the machine's process does not run
-	FaultCut   FaultKind = "cut"   // the machine's links are cut
-	FaultStore FaultKind = "store" // the platform is down or slow, for all
-	FaultList  FaultKind = "list"  // the machine list shows less than there is
+	FaultDown  FaultKind = "down"  // the machine's process is not running
+	FaultPause FaultKind = "pause" // the machine's process is suspended
+	FaultCut   FaultKind = "cut"   // the machine's network links are blocked
+	FaultStore FaultKind = "store" // the platform is down or slow for all machines
+	FaultList  FaultKind = "list"  // the machine list is incomplete
 )
 
-// Fault begins or ends a disturbance. Machine is empty when it touches all.
+// Fault records the start or the end of a fault. Machine is empty for a fault
+// that affects all machines.
 type Fault struct {
 	Kind    FaultKind  `json:"kind"`
 	Machine machine.ID `json:"machine,omitempty"`
 	Begin   bool       `json:"begin"`
 }
 
-// Leaving says that a back end was marked as leaving in the machine list.
+// Leaving records that a back end was marked as leaving in the machine list.
 type Leaving struct {
 	Backend machine.ID `json:"backend"`
 }
 
-// Stop begins a planned stop of a node or a back end, or ends it.
+// PlannedStop records the start of a planned stop of a node or a back end, or
+// its end when Done is set.
 type Stop struct {
 	Machine machine.ID `json:"machine"`
 	Done    bool       `json:"done,omitempty"`
--- a/history/example_test.go
+++ b/history/example_test.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// A tool service saw one seal-break notice twice.
+// A call that may not be repeated started at two tool services.
 func ExampleCheck() {
 	var file bytes.Buffer
 	recorder := history.NewRecorder(&file)
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -21,12 +21,13 @@
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// at is a moment of the history, in seconds from its beginning.
+// at returns the time at the given offset in seconds from the start of the
+// history.
 func at(seconds float64) time.Time {
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// builder writes a history in which every promise is kept.
+// builder creates a history that satisfies every invariant.
 type builder struct {
 	events  []history.Event
 	prompts map[api.ProgramID]string
@@ -38,7 +39,8 @@
 	b.events = append(b.events, event)
 }
 
-// open creates a program: the first answer is lost and the key asked again.
+// open creates a program. The first answer is lost, and a second request with
+// the same key is answered.
 func (b *builder) open(seconds float64, id, parent api.ProgramID, budget int64) {
 	name := fmt.Sprintf("create-%s", id)
 	create := history.Sent{Request: name + "-1", Operation: history.OperationCreate, Node: "node-1", Branch: "cold", Key: name}
@@ -53,7 +55,7 @@
 	}})
 }
 
-// run performs one call within a second, on an engine or a tool service.
+// run performs one call on an engine or a tool service within one second.
 func (b *builder) run(seconds float64, id api.ProgramID, sequence uint64, kind api.CallKind, repeatable bool) {
 	name := fmt.Sprintf("%s-%d", id, sequence)
 	input, output := "in "+name+".", "out "+name+"."
@@ -84,7 +86,8 @@
 	})
 }
 
-// refuse answers a request as not run, and lets the same key succeed later.
+// refuse adds a request that is refused as not run. A later request with the
+// same key may succeed.
 func (b *builder) refuse(seconds float64, id api.ProgramID, sequence uint64) {
 	name := fmt.Sprintf("%s-%d", id, sequence)
 	b.add(seconds, history.Event{Sent: &history.Sent{
@@ -103,7 +106,8 @@
 	b.add(seconds+0.1, history.Event{Got: &history.Got{Request: name, Program: id, SpentTokens: spent}})
 }
 
-// change records an accepted change and its arrival at both nodes.
+// change adds an accepted change, with the verdicts of both nodes and its
+// activation on them.
 func (b *builder) change(seconds float64, id string, based, revision uint64, path string) {
 	b.add(seconds+0.2, history.Event{Change: &history.Change{
 		ID: id, SentAt: at(seconds), Based: based, Paths: []string{path}, Accepted: true, Revision: revision,
@@ -115,7 +119,7 @@
 	}
 }
 
-// good is a history that keeps every promise.
+// good returns a history that satisfies every invariant.
 func good() []history.Event {
 	b := &builder{prompts: map[api.ProgramID]string{}, reads: map[api.ProgramID][]history.ReadCall{}}
 	b.add(0, history.Event{Run: &history.Run{Name: "good", Seed: seed}})
--- a/history/index.go
+++ b/history/index.go
@@ -8,26 +8,26 @@
 	"birchwood.example/birchwood/api"
 )
 
-// record is an event with its place in the files.
+// record is an event with its line number over all files.
 type record struct {
 	Event
 	line int
 }
 
-// exchange is a request with what became of it.
+// exchange is a request with its answer or its lost connection, if recorded.
 type exchange struct {
 	sent *record
 	got  *record
 	lost *record
 }
 
-// callRef names a call within a history.
+// callRef identifies a call within a history.
 type callRef struct {
 	program  api.ProgramID
 	sequence uint64
 }
 
-// call is what is known of one call of one program.
+// call holds the records about one call of a program.
 type call struct {
 	ref       callRef
 	exchanges []*exchange
@@ -36,17 +36,17 @@
 	ended     []*record
 }
 
-// programFacts is what is known of one program.
+// programFacts holds the records about one program.
 type programFacts struct {
 	id     api.ProgramID
 	opened []*record
 	closed *record
 	reads  []*record
-	// calls are in the order of their sequence.
+	// calls are sorted by sequence number.
 	calls []*call
 }
 
-// index arranges a history for the checks.
+// index groups the records of a history for the checks.
 type index struct {
 	run       Run
 	records   []record
@@ -58,7 +58,7 @@
 	byCall    map[callRef]*call
 	held      []*record
 	streams   []*record
-	// placed are the placements of each branch, in order.
+	// placed holds the placements of each branch in order of time.
 	placed   map[string][]*record
 	changes  []*record
 	verdicts []*record
@@ -69,7 +69,7 @@
 	gaps     []*record
 }
 
-// The default bounds of the promises.
+// The default bounds of the invariants.
 const (
 	defaultLeavingBound  = 3 * time.Second
 	defaultSettingsBound = 17 * time.Second
@@ -77,7 +77,7 @@
 	defaultMoveBound     = 60 * time.Second
 )
 
-// newIndex sorts the records by time and arranges them.
+// newIndex sorts the records by time and groups them.
 func newIndex(records []record) *index {
 	slices.SortStableFunc(records, func(a, b record) int { return a.At.Compare(b.At) })
 	x := &index{
@@ -101,7 +101,7 @@
 	return x
 }
 
-// add files one record.
+// add indexes one record.
 func (x *index) add(r *record, requests map[string]*exchange) {
 	x.end = r.At
 	switch {
@@ -126,7 +126,7 @@
 	}
 }
 
-// addObserved files what others than callers saw.
+// addObserved indexes a record about the state of a program or a call.
 func (x *index) addObserved(r *record) {
 	switch {
 	case r.Read != nil:
@@ -154,7 +154,7 @@
 	}
 }
 
-// addSurroundings files what concerns machines and settings.
+// addSurroundings indexes a record about machines, placements or settings.
 func (x *index) addSurroundings(r *record) {
 	switch {
 	case r.Held != nil:
@@ -180,9 +180,9 @@
 	}
 }
 
-// placeExchanges files each request about a call with its call: by the
-// sequence that it named or was answered, else by the sequence that another
-// request of the same key has.
+// placeExchanges assigns each submit and attach request to its call: by the
+// sequence number in the answer or the request, or else by the sequence number
+// of another request with the same key.
 func (x *index) placeExchanges() {
 	type keyRef struct {
 		program api.ProgramID
@@ -210,7 +210,8 @@
 	}
 }
 
-// sequence is the place in the program's order that the request got or named.
+// sequence returns the call's sequence number from the answer or, if that has
+// none, from the request.
 func (e *exchange) sequence() uint64 {
 	if e.got != nil && e.got.Got.Sequence != 0 {
 		return e.got.Got.Sequence
@@ -226,12 +227,12 @@
 	return e.got.Got.Ran == api.RanNotRun || e.got.Got.Status == api.StatusNotRun
 }
 
-// succeeded reports whether the request has a successful answer.
+// succeeded reports whether the request was answered with success.
 func (e *exchange) succeeded() bool {
 	return e.got != nil && e.got.Got.Status == api.StatusSucceeded
 }
 
-// program returns the facts of a program, new ones at first.
+// program returns the entry of a program and creates it if necessary.
 func (x *index) program(id api.ProgramID) *programFacts {
 	facts, found := x.byProgram[id]
 	if !found {
@@ -242,7 +243,7 @@
 	return facts
 }
 
-// call returns the facts of a call, new ones at first.
+// call returns the entry of a call and creates it if necessary.
 func (x *index) call(ref callRef) *call {
 	facts, found := x.byCall[ref]
 	if !found {
@@ -254,8 +255,8 @@
 	return facts
 }
 
-// over returns the record that first shows the call's end, as a back end, a
-// node or a caller saw it.
+// over returns the earliest record that shows the end of the call, from a back
+// end, a node or a caller. It returns nil if there is none.
 func (c *call) over() *record {
 	var first *record
 	earlier := func(r *record) {
--- a/history/linearizable.go
+++ b/history/linearizable.go
@@ -12,14 +12,14 @@
 	"birchwood.example/birchwood/api"
 )
 
-// linearizeTimeout bounds the search for one object. A history that needs
+// linearizeTimeout limits the search for one object. A search that takes
 // longer is counted as undecided.
 const linearizeTimeout = 10 * time.Second
 
-// checkLinearizable verifies that requests take effect at one moment between
-// their sending and their answer: create-by-key and submit-by-key are
-// registers that are written once, a program's spent budget is a counter, and
-// the settings are registers changed by compare-and-set.
+// checkLinearizable verifies that each request takes effect atomically between
+// its sending and its answer. Create-by-key and submit-by-key are modelled as
+// write-once registers, a program's spent budget as a counter, and the
+// settings as registers with compare-and-set.
 func (c *checker) checkLinearizable() {
 	c.checkKeys(OperationCreate)
 	c.checkKeys(OperationSubmit)
@@ -27,7 +27,8 @@
 	c.checkCompareAndSet()
 }
 
-// linearizable searches for an order of the operations that the model allows.
+// linearizable reports whether the operations have an order that the model
+// allows. It returns true if the search timed out.
 func (c *checker) linearizable(model porcupine.Model, operations []porcupine.Operation) bool {
 	result := porcupine.CheckOperationsTimeout(model, operations, linearizeTimeout)
 	if result == porcupine.Unknown {
@@ -36,25 +37,25 @@
 	return result != porcupine.Illegal
 }
 
-// keyState is the register behind one idempotency key.
+// keyState is the register of one idempotency key.
 type keyState struct {
 	written bool
 	body    string
 	name    string
 }
 
-// keyAnswer is what a request by key was told.
+// keyAnswer is the answer to a request with an idempotency key.
 type keyAnswer struct {
-	// known is false when the caller got no answer that says what happened.
+	// known is false when the caller got no answer that shows the outcome.
 	known   bool
 	refused bool
 	reused  bool
 	name    string
 }
 
-// keyModel: the first request writes the register, every later one with the
-// same body is told the same name, and one with another body that the key is
-// taken. A refusal leaves the register as it is.
+// keyModel is a write-once register. The first request writes it. A later
+// request with the same body gets the same name, and one with a different body
+// is refused because the key is in use. A refusal does not change the register.
 var keyModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{keyState{}} },
 	Step: func(state, input, output any) []any {
@@ -75,7 +76,9 @@
 	},
 }).ToModel()
 
-// afterUnknown: the request took effect, under a name nobody was told, or not.
+// afterUnknown returns the possible states after a request without a known
+// outcome: it had no effect, or it took effect under a name that no caller
+// received.
 func afterUnknown(current keyState, body string) []any {
 	if current.written {
 		return []any{current}
@@ -83,7 +86,7 @@
 	return []any{current, keyState{written: true, body: body}}
 }
 
-// keep returns the state when the step is allowed.
+// keep returns the state if the step is allowed, and no state otherwise.
 func keep(state keyState, allowed bool) []any {
 	if !allowed {
 		return nil
@@ -91,7 +94,7 @@
 	return []any{state}
 }
 
-// checkKeys checks one register for each key of an operation.
+// checkKeys checks the register of each key of an operation.
 func (c *checker) checkKeys(operation Operation) {
 	type register struct {
 		scope string
@@ -117,13 +120,13 @@
 		group := groups[key]
 		if len(group) > 1 && !c.linearizable(keyModel, c.keyOperations(group)) {
 			c.report(InvariantHistory, sentRecords(group),
-				"%s requests with key %q of %s were answered as if they were different ones",
+				"%s requests with key %q of %s got answers that do not refer to one program or call",
 				operation, key.key, key.scope)
 		}
 	}
 }
 
-// keyOperations translates requests for the key model.
+// keyOperations converts requests with one key to operations of keyModel.
 func (c *checker) keyOperations(group []*exchange) []porcupine.Operation {
 	operations := make([]porcupine.Operation, len(group))
 	for i, each := range group {
@@ -140,7 +143,8 @@
 	return operations
 }
 
-// name is what the answer says that the key names.
+// name returns the program or the call that the answer assigns to the key, or
+// an empty string.
 func (e *exchange) name() string {
 	got := e.got.Got
 	if e.sent.Sent.Operation == OperationCreate {
@@ -152,13 +156,14 @@
 	return strconv.FormatUint(got.Sequence, 10)
 }
 
-// bodyOf is what makes two requests of one key the same.
+// bodyOf returns the content of a request that must be equal in all requests
+// with one key.
 func bodyOf(sent *Sent) string {
 	return strings.Join([]string{string(sent.Kind), sent.Input}, "\x00")
 }
 
-// operation gives a request its interval: one without an answer may take
-// effect until the end of the history.
+// operation converts a request to an operation with its interval. A request
+// without an answer may take effect until the end of the history.
 func (c *checker) operation(client int, each *exchange, input, output any) porcupine.Operation {
 	end := c.end.Add(time.Nanosecond)
 	if each.got != nil {
@@ -170,7 +175,7 @@
 	}
 }
 
-// sentRecords are the sendings of the requests.
+// sentRecords returns the records of the sent requests.
 func sentRecords(group []*exchange) []*record {
 	records := make([]*record, len(group))
 	for i, each := range group {
@@ -179,13 +184,13 @@
 	return records
 }
 
-// spentStep adds to a program's spent tokens, or reads them.
+// spentStep adds to a program's spent tokens or reads them.
 type spentStep struct {
 	read   bool
 	tokens int64
 }
 
-// spentModel is a counter.
+// spentModel is a counter of spent tokens.
 var spentModel = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -197,9 +202,9 @@
 	},
 }
 
-// checkSpent: what describes a program's spent budget is the sum of the calls
-// that had ended then. Programs with a call whose cost no caller was told, or
-// with sub-agents, are left out.
+// checkSpent verifies that a program's spent budget, as describe requests
+// return it, is the sum of the costs of the calls that had ended by then.
+// Programs with sub-agents or with a call of unknown cost are skipped.
 func (c *checker) checkSpent() {
 	describes := map[api.ProgramID][]*exchange{}
 	for _, each := range c.exchanges {
@@ -228,13 +233,13 @@
 		}
 		if !c.linearizable(spentModel, operations) {
 			c.report(InvariantBudget, sentRecords(group),
-				"program %s was described with a spent budget that its calls do not add up to", program.id)
+				"reported spent budget of program %s is not the sum of the costs of its calls", program.id)
 		}
 	}
 }
 
-// spentOperations are the additions of a program's calls; known is false when
-// the cost of a call is not.
+// spentOperations returns the additions by a program's calls. It returns false
+// if the cost of a call is unknown.
 func (c *checker) spentOperations(program *programFacts) ([]porcupine.Operation, bool) {
 	var operations []porcupine.Operation
 	for _, each := range program.calls {
@@ -256,9 +261,9 @@
 	return operations, true
 }
 
-// checkCompareAndSet: the accepted changes of the settings, in the order of
-// their revisions, respect real time, and none overwrites a change of a
-// related path that it was not based on.
+// checkCompareAndSet verifies that the order of the accepted settings changes
+// by revision is consistent with real time, and that no change overwrites a
+// change of a related path that is newer than its base revision.
 func (c *checker) checkCompareAndSet() {
 	accepted := slices.DeleteFunc(slices.Clone(c.changes), func(r *record) bool { return !r.Change.Accepted })
 	slices.SortFunc(accepted, func(a, b *record) int {
@@ -275,12 +280,13 @@
 	}
 	if !c.linearizable(settingsModel(accepted), operations) {
 		c.report(InvariantSettings, accepted,
-			"the accepted changes of the settings cannot have been compare-and-set in the order of their revisions")
+			"accepted settings changes are not linearizable as compare-and-set in the order of their revisions")
 	}
 }
 
-// settingsModel steps from one revision to the next in the given order. The
-// state is how many changes were applied, so the search has one way to go.
+// settingsModel applies the changes in the given order. The state is the
+// number of applied changes, so each state has only one possible next step and
+// the search does not branch.
 func settingsModel(accepted []*record) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return 0 },
@@ -312,7 +318,7 @@
 	return false
 }
 
-// covers reports whether the branch is the path or stands below it.
+// covers reports whether the branch is the path or a descendant of it.
 func covers(path, branch string) bool {
 	return path == "" || path == branch || strings.HasPrefix(branch, path+"/")
 }
--- a/history/outage.go
+++ b/history/outage.go
@@ -11,24 +11,25 @@
 	"birchwood.example/birchwood/api"
 )
 
-// Gap says that a program's owner left an observer without an answer from
-// Since on until the event.
+// Gap records that an observer got no answer from a program's owner between
+// Since and the event's At.
 type Gap struct {
 	Program api.ProgramID `json:"program"`
 	Since   time.Time     `json:"since"`
 }
 
-// The causes of gaps that are no FaultKind.
+// The causes of gaps besides the values of FaultKind.
 const (
 	causeStop = "planned stop"
 	causeNone = "no disturbance"
 )
 
-// gapAttribution is how long after a gap began its cause may have begun: an
-// observer asks, and the disturbance comes while it waits.
+// gapAttribution is the maximum delay from the start of a gap to the start of
+// its cause. A gap begins when the observer sends its request, and the fault
+// may begin while the observer waits for the answer.
 const gapAttribution = time.Second
 
-// Outage sums up the gaps that one kind of disturbance caused.
+// Outage summarizes the lengths of the gaps with one cause.
 type Outage struct {
 	Gaps int           `json:"gaps"`
 	P50  time.Duration `json:"p50"`
@@ -36,7 +37,7 @@
 	Max  time.Duration `json:"max"`
 }
 
-// outages sorts the gaps by the newest disturbance that had begun.
+// outages summarizes the gaps by cause.
 func (x *index) outages() map[string]Outage {
 	lengths := map[string][]time.Duration{}
 	for _, r := range x.gaps {
@@ -53,8 +54,8 @@
 	return outages
 }
 
-// causeOf names the newest disturbance that began before the gap or soon after
-// its beginning.
+// causeOf returns the cause of a gap: the latest fault or planned stop that
+// began before the gap, or during it within gapAttribution of its start.
 func (x *index) causeOf(gap *record) string {
 	latest := gap.Gap.Since.Add(gapAttribution)
 	if gap.At.Before(latest) {
@@ -79,13 +80,13 @@
 	return cause
 }
 
-// quantile returns the percentile of sorted values by nearest rank.
+// quantile returns the percentile of the sorted values by nearest rank.
 func quantile(sorted []time.Duration, percent int) time.Duration {
 	rank := (len(sorted)*percent + 99) / 100
 	return sorted[max(rank, 1)-1]
 }
 
-// outageLines gives the outages as text, one a line.
+// outageLines formats the outages, one per line.
 func outageLines(outages map[string]Outage) string {
 	var text strings.Builder
 	for _, cause := range slices.SortedFunc(maps.Keys(outages), cmp.Compare[string]) {
--- a/history/placement.go
+++ b/history/placement.go
@@ -7,8 +7,9 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// checkPlacement: calls run, and records are used, only where the placement of
-// their branch permits it, or did until the bound.
+// checkPlacement verifies that calls run and records are used only in zones
+// that the placement of their branch permits, or permitted within the bound
+// before.
 func (c *checker) checkPlacement() {
 	for _, program := range c.programs {
 		if len(program.opened) == 0 {
@@ -29,8 +30,9 @@
 	c.checkStreams()
 }
 
-// checkStreams: the records of a branch are used in its zones. A former owner
-// outside gets the bound, without the time of faults, to hand them over.
+// checkStreams verifies that the records of a branch are used only in its
+// zones. A previous owner in another zone has the bound to hand the records
+// over, not counting the time of faults.
 func (c *checker) checkStreams() {
 	for _, r := range c.streams {
 		placed := c.placed[r.Stream.Branch]
@@ -47,9 +49,9 @@
 	}
 }
 
-// permitted reports whether a placement that held at the time, or did until at
-// most the bound before it, permits the zone. Without any placement nothing is
-// known.
+// permitted reports whether the zone is permitted by the placement in effect
+// at the given time or by one that was replaced at most the bound before. It
+// returns true if no placement was recorded.
 func permitted(placed []*record, name zone.Name, at time.Time, bound time.Duration) bool {
 	for i, r := range placed {
 		replaced := i+1 < len(placed) && at.Sub(placed[i+1].Placed.Since) > bound
@@ -60,12 +62,12 @@
 	return len(placed) == 0
 }
 
-// everPermitted reports whether any placement permitted the zone.
+// everPermitted reports whether any recorded placement permits the zone.
 func everPermitted(placed []*record, name zone.Name) bool {
 	return slices.ContainsFunc(placed, func(r *record) bool { return r.Placed.Placement.Contains(name) })
 }
 
-// lastBefore returns the placement that held at the time.
+// lastBefore returns the placement in effect at the given time.
 func lastBefore(placed []*record, at time.Time) *record {
 	var last *record
 	for _, r := range placed {
--- a/history/programs.go
+++ b/history/programs.go
@@ -6,8 +6,7 @@
 	"birchwood.example/birchwood/api"
 )
 
-// checkPrograms verifies what must hold for each program: its history and its
-// budget.
+// checkPrograms verifies the invariants of programs: history and budget.
 func (c *checker) checkPrograms() {
 	for _, program := range c.programs {
 		c.checkReads(program)
@@ -16,9 +15,9 @@
 	c.checkBudgets()
 }
 
-// checkReads: a history that was read holds every call that was acknowledged
-// before the read was sent, in order, each with its own texts; and two reads
-// agree about every call that both show as ended.
+// checkReads verifies that each read of a history contains every call that was
+// acknowledged before the read was sent, in order and with the call's own
+// input and output, and that an ended call is the same in all later reads.
 func (c *checker) checkReads(program *programFacts) {
 	known := map[uint64]ReadCall{}
 	for _, read := range program.reads {
@@ -42,7 +41,8 @@
 	}
 }
 
-// checkReadAgainstCalls compares one read with what callers were told.
+// checkReadAgainstCalls compares one read with the answers that callers had
+// received before it.
 func (c *checker) checkReadAgainstCalls(program *programFacts, read *record, shown map[uint64]ReadCall) {
 	for _, each := range program.calls {
 		for _, exchange := range each.exchanges {
@@ -58,24 +58,24 @@
 					"history of program %s lost call %d", program.id, each.ref.sequence)
 			case held.Key != sent.Key || held.Input != sent.Input || held.Output != fullOutput(exchange, held):
 				c.report(InvariantHistory, evidence,
-					"history of program %s holds other texts at call %d than its caller sent and got",
+					"history of program %s has a different key, input or output at call %d than its caller sent and received",
 					program.id, each.ref.sequence)
 			}
 		}
 	}
 }
 
-// fullOutput completes an answer that a caller took from an offset on with
-// the beginning that the history shows.
+// fullOutput completes an answer that begins at an offset with the preceding
+// part of the output in the history.
 func fullOutput(exchange *exchange, held ReadCall) string {
 	got := exchange.got.Got
 	beginning := min(got.Offset, len(held.Output))
 	return held.Output[:beginning] + got.Output
 }
 
-// checkPrompts: an engine's prompt is the inputs and outputs of the program's
-// earlier calls that succeeded, in order, and the new input. A call whose end
-// no caller knows ends the comparison.
+// checkPrompts verifies that an engine's prompt consists of the inputs and
+// outputs of the program's earlier successful calls, in order, and the new
+// input. The comparison stops at a call whose outcome no caller received.
 func (c *checker) checkPrompts(program *programFacts) {
 	digest := xxhash.New()
 	for _, each := range program.calls {
@@ -107,8 +107,8 @@
 	}
 }
 
-// neverRan reports whether every request for the call was refused, so that the
-// call left nothing in the program's history.
+// neverRan reports whether the call never started and every request for it was
+// refused, so that it added nothing to the program's history.
 func (c *call) neverRan() bool {
 	for _, exchange := range c.exchanges {
 		if !exchange.refused() {
@@ -118,8 +118,8 @@
 	return len(c.started) == 0
 }
 
-// texts returns the request that carries the call's input, the output that its
-// callers got, and the terminal status that they were told, if any was.
+// texts returns the request that carries the call's input, and the output and
+// the terminal status that its callers received, if any.
 func (c *call) texts() (sent *record, output string, status api.CallStatus) {
 	for _, exchange := range c.exchanges {
 		if exchange.sent.Sent.Operation != OperationSubmit || exchange.refused() {
@@ -139,8 +139,9 @@
 	return sent, "", status
 }
 
-// checkBudgets: what a program and its sub-agents used at engines is within
-// its budget. Of several attempts at a call the costliest counts.
+// checkBudgets verifies that the tokens that a program and its sub-agents used
+// at engines are within the program's budget. Of several attempts at a call,
+// only the most expensive one counts.
 func (c *checker) checkBudgets() {
 	used := map[api.ProgramID]int64{}
 	parents := map[api.ProgramID]api.ProgramID{}
@@ -165,7 +166,7 @@
 	c.checkCaps()
 }
 
-// checkCaps: an answer is no longer than its caller asked for.
+// checkCaps verifies that no answer exceeds the output cap of its request.
 func (c *checker) checkCaps() {
 	for _, exchange := range c.exchanges {
 		if exchange.got == nil || exchange.sent.Sent.OutputCap == 0 {
@@ -179,7 +180,7 @@
 	}
 }
 
-// cost sums what the program's calls used.
+// cost returns the tokens that the program's calls used.
 func (p *programFacts) cost() int64 {
 	total := int64(0)
 	for _, each := range p.calls {
@@ -192,7 +193,8 @@
 	return total
 }
 
-// budget returns the largest budget that the program ever had.
+// budget returns the largest recorded budget of the program and the record
+// that shows it. The record is nil if none was recorded.
 func (p *programFacts) budget() (int64, *record) {
 	largest, shown := int64(-1), (*record)(nil)
 	for _, r := range p.opened {
--- a/history/recorder.go
+++ b/history/recorder.go
@@ -9,11 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recorderBuffer is how many bytes a Recorder collects before it writes.
+// recorderBuffer is the size of a Recorder's write buffer, in bytes.
 const recorderBuffer = 1 << 16
 
-// Recorder writes events as JSON lines. It is safe for concurrent use, and a
-// nil Recorder records nothing, so that callers need no condition.
+// Recorder writes events as JSON lines. It is safe for concurrent use. A nil
+// Recorder discards all events, so callers need no nil check.
 type Recorder struct {
 	mutex   sync.Mutex
 	buffer  *bufio.Writer
@@ -21,15 +21,15 @@
 	err     error
 }
 
-// NewRecorder returns a Recorder that writes to the writer. Flush it at the
-// end.
+// NewRecorder returns a Recorder that writes to the writer. The caller must
+// call Flush after the last event.
 func NewRecorder(writer io.Writer) *Recorder {
 	buffer := bufio.NewWriterSize(writer, recorderBuffer)
 	return &Recorder{buffer: buffer, encoder: json.NewEncoder(buffer)}
 }
 
-// Record writes one event. The first error is kept for Flush; events after it
-// are dropped.
+// Record writes one event. After the first error it drops all events; Flush
+// returns that error.
 func (r *Recorder) Record(event Event) {
 	if r == nil {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// Flush writes what is buffered and returns the first error so far.
+// Flush writes the buffered events and returns the first error so far.
 func (r *Recorder) Flush() error {
 	if r == nil {
 		return nil
@@ -54,8 +54,8 @@
 	return r.err
 }
 
-// HashText is the hash of the parts joined together, for Started.PromptHash.
-// It is never zero.
+// HashText returns the hash of the concatenated parts, as used in
+// AttemptStarted.PromptHash. It is never zero.
 func HashText(parts ...string) uint64 {
 	digest := xxhash.New()
 	for _, part := range parts {
--- a/history/repeatable_test.go
+++ b/history/repeatable_test.go
@@ -11,8 +11,8 @@
 )
 
 var _ = Describe("A tool call that started twice", func() {
-	// started twice at back ends that were told the one, for a caller that
-	// said the other.
+	// report checks a history in which one call started twice. The submit
+	// request has Repeatable set to asked, the attempts have it set to told.
 	report := func(asked, told bool) []history.Finding {
 		at := func(seconds int64) time.Time { return time.Unix(seconds, 0) }
 		started := &history.Started{Backend: "t", Program: "a", Sequence: 1, Kind: api.CallTool, Repeatable: told}
--- a/history/report.go
+++ b/history/report.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Invariant names one promise.
+// Invariant names a property that must hold in every history.
 type Invariant string
 
-// The promises that Check verifies.
+// The invariants that Check verifies. The package comment describes them.
 const (
 	InvariantOrder       Invariant = "order"
 	InvariantHistory     Invariant = "history"
@@ -25,7 +25,7 @@
 	InvariantPlacement   Invariant = "placement"
 )
 
-// Invariants lists all of them, in the order in which reports show them.
+// Invariants returns all invariants in the order in which reports show them.
 func Invariants() []Invariant {
 	return []Invariant{
 		InvariantOrder, InvariantHistory, InvariantBudget, InvariantMemory,
@@ -34,39 +34,40 @@
 	}
 }
 
-// Finding is one broken promise.
+// Finding is one violation of an invariant.
 type Finding struct {
 	Invariant Invariant `json:"invariant"`
 	Message   string    `json:"message"`
-	// Lines are the events that show it, as line numbers from 1 in the order
-	// of the files that were read.
+	// Lines are the line numbers of the events that show the violation,
+	// counted from 1 over all files in the order in which they were read.
 	Lines []int  `json:"lines"`
 	Seed  uint64 `json:"seed"`
 }
 
-// String describes the finding on one line.
+// String formats the finding on one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s (lines %v, seed %d)", f.Invariant, f.Message, f.Lines, f.Seed)
 }
 
-// Report is what Check found.
+// Report is the result of Check.
 type Report struct {
 	Run      Run       `json:"run"`
 	Events   int       `json:"events"`
 	Programs int       `json:"programs"`
 	Calls    int       `json:"calls"`
 	Findings []Finding `json:"findings"`
-	// Undecided counts linearizability checks that ran out of time; they
-	// neither passed nor failed.
+	// Undecided counts linearizability checks that timed out. They neither
+	// passed nor failed.
 	Undecided int `json:"undecided"`
-	// Outcomes counts the answers by status or error code.
+	// Outcomes counts the requests by the status or error code of their
+	// answer.
 	Outcomes map[string]int `json:"outcomes"`
-	// Outages sums up, by the disturbance that caused them, how long programs
-	// left their observers without an answer.
+	// Outages summarizes the gaps in which programs did not answer, by the
+	// fault or planned stop that caused them.
 	Outages map[string]Outage `json:"outages,omitempty"`
 }
 
-// Broken returns the distinct invariants of the findings.
+// Broken returns the invariants that have findings, without repetition.
 func (r Report) Broken() []Invariant {
 	var broken []Invariant
 	for _, invariant := range Invariants() {
@@ -77,7 +78,7 @@
 	return broken
 }
 
-// String gives the report as text, one finding a line.
+// String formats the report as text, one finding per line.
 func (r Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d events, %d programs, %d calls, %d findings, %d undecided\n",
@@ -89,7 +90,7 @@
 	return text.String()
 }
 
-// sortFindings orders findings by invariant, then by the first event.
+// sortFindings sorts findings by invariant, then by their line numbers.
 func sortFindings(findings []Finding) {
 	rank := map[Invariant]int{}
 	for i, invariant := range Invariants() {
--- a/history/settings.go
+++ b/history/settings.go
@@ -6,15 +6,17 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// checkSettings verifies that nodes agree on every change, that an accepted
-// one is in force everywhere within the bound, and that no node goes back.
+// checkSettings verifies that the nodes agree on every change, that an
+// accepted change is in force on every node within the bound, and that no node
+// reverts to an older revision.
 func (c *checker) checkSettings() {
 	c.checkVerdicts()
 	c.checkReverts()
 	c.checkSpread()
 }
 
-// checkVerdicts: every node and the operator reach the same verdict.
+// checkVerdicts verifies that every node reaches the verdict that the operator
+// received.
 func (c *checker) checkVerdicts() {
 	type decision struct {
 		accepted bool
@@ -42,9 +44,9 @@
 	}
 }
 
-// checkReverts: a node's revision never goes down within an incarnation, and
-// across incarnations a node never works with a revision that was replaced
-// longer ago than the bound.
+// checkReverts verifies that a node's revision never decreases within an
+// incarnation, and that no incarnation puts a revision in force that was
+// replaced longer ago than the bound.
 func (c *checker) checkReverts() {
 	type incarnation struct {
 		node   machine.ID
@@ -56,7 +58,7 @@
 		before, found := highest[key]
 		if found && r.InForce.Revision < before.InForce.Revision {
 			c.report(InvariantSettings, []*record{before, r},
-				"node %s went back from revision %d to %d",
+				"node %s reverted from revision %d to %d",
 				key.node, before.InForce.Revision, r.InForce.Revision)
 			continue
 		}
@@ -69,8 +71,8 @@
 	}
 }
 
-// replacedBefore returns an accepted change newer than the revision whose
-// operator had its verdict before the time.
+// replacedBefore returns an accepted change that is newer than the revision
+// and whose verdict the operator received before the given time.
 func (c *checker) replacedBefore(revision uint64, before time.Time) *record {
 	for _, r := range c.changes {
 		if r.Change.Accepted && r.Change.Revision > revision && r.At.Before(before) {
@@ -80,8 +82,8 @@
 	return nil
 }
 
-// checkSpread: a node that no fault touched puts an accepted change in force
-// within the bound.
+// checkSpread verifies that a node that no fault affects puts an accepted
+// change in force within the bound.
 func (c *checker) checkSpread() {
 	nodes := map[machine.ID][]*record{}
 	var order []machine.ID
@@ -112,7 +114,8 @@
 	}
 }
 
-// reached reports whether the node had at least the revision by the time.
+// reached reports whether the node put the revision or a newer one in force by
+// the given time.
 func reached(inForce []*record, revision uint64, by time.Time) bool {
 	for _, r := range inForce {
 		if r.InForce.Revision >= revision && !r.At.After(by) {
@@ -122,7 +125,8 @@
 	return false
 }
 
-// stopped reports whether a planned stop of the machine began before then.
+// stopped reports whether a planned stop of the machine began by the given
+// time.
 func (c *checker) stopped(id machine.ID, by time.Time) bool {
 	for _, r := range c.stops {
 		if r.Stop.Machine == id && !r.At.After(by) {
