--- a/load/agent.go
+++ b/load/agent.go
@@ -15,32 +15,36 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// agent runs one program.
+// agent runs one program as its caller.
 type agent struct {
 	*caller
 	program *workload.Program
 	id      api.ProgramID
-	// transcript is the history as the caller knows it; known is false once a
-	// call ended in a way that leaves its part open.
+	// transcript is the program's history as the caller knows it. known is
+	// false after a refused call, as it is then uncertain whether the call is
+	// part of the history.
 	transcript strings.Builder
 	known      bool
 	sequence   uint64
-	// calls are the calls that succeeded, to compare with the history.
+	// calls are the successful calls, to be compared with the history.
 	calls []api.Call
-	// cachedTokens is how much of the history engines have computed.
+	// cachedTokens is the length of the part of the history that engines have
+	// computed, in tokens.
 	cachedTokens int
-	// output is the length of the last answer, handed to a parent.
+	// output is the length of the last answer in tokens. A parent adds it to
+	// its next input.
 	output int
 	paused time.Duration
 	hungUp bool
-	// stopBy is when no further step is made; stopped is set when it came.
+	// stopBy is the time from which no further step is made, or zero. stopped
+	// is set when the program ended for this reason.
 	stopBy  time.Time
 	stopped bool
 	fork    func() *caller
 }
 
-// run performs the program's steps and its end. The error says that something
-// was never answered.
+// run creates the program, performs its steps and ends it. It returns an error
+// if a request remained unanswered.
 func (a *agent) run(ctx context.Context, parent api.ProgramID, budget int64) error {
 	branch := a.program.Branch
 	if a.config.Branch != "" {
@@ -61,7 +65,7 @@
 	return a.finish(ctx)
 }
 
-// steps performs one step after another.
+// steps performs the program's steps in order.
 func (a *agent) steps(ctx context.Context) error {
 	step, more := a.program.Next(workload.Result{})
 	for more {
@@ -78,7 +82,7 @@
 	return nil
 }
 
-// perform does one step.
+// perform performs one step.
 func (a *agent) perform(ctx context.Context, step workload.Step) (workload.Result, error) {
 	switch step.Kind {
 	case workload.StepModel, workload.StepTool:
@@ -91,7 +95,7 @@
 	return workload.Result{}, fmt.Errorf("unknown step %q", step.Kind)
 }
 
-// pause waits as people do.
+// pause waits for the duration of a user's pause, divided by Speed.
 func (a *agent) pause(ctx context.Context, length time.Duration) error {
 	length = time.Duration(float64(length) / a.config.Speed)
 	a.paused += length
@@ -137,9 +141,9 @@
 	return outcome, nil
 }
 
-// request is the call of a step. The stand-ins draw an answer's length evenly
-// from the upper three quarters of its cap, so the cap is chosen to give the
-// step's length on average.
+// request returns the call of a step. The stand-ins draw the length of an
+// answer uniformly from the upper three quarters of its cap, so a cap of 8/5 of
+// the step's output length gives this length on average.
 func (a *agent) request(step workload.Step) api.SubmitCall {
 	request := api.SubmitCall{
 		Key:        fmt.Sprintf("call-%d", a.sequence+1),
@@ -160,13 +164,14 @@
 	return request
 }
 
-// minimumCap is the shortest answer that holds its whole hash, in tokens.
+// minimumCap is the smallest output cap, in tokens. A shorter answer may not
+// contain the complete hash.
 const minimumCap = 8
 
-// bytesPerToken is how the nodes count the tokens of a text.
+// bytesPerToken is the text length that nodes count as one token.
 const bytesPerToken = 4
 
-// inputText is a text of the given length that no other call has.
+// inputText returns a text of the given length that is unique to the call.
 func inputText(program string, sequence uint64, tokens int) string {
 	head := fmt.Sprintf("[%s#%d] ", program, sequence)
 	length := max(len(head), tokens*bytesPerToken)
@@ -174,7 +179,7 @@
 	return head + filler[:length-len(head)]
 }
 
-// account checks an answer and counts what it cost.
+// account checks a call's answer and adds its usage to the totals.
 func (a *agent) account(request api.SubmitCall, result answered) {
 	call := result.call
 	a.totals.callEnded(call)
@@ -194,19 +199,19 @@
 	a.output = call.Usage.OutputTokens
 }
 
-// countCache counts the tokens that an engine computed again although one had
-// computed them for this program before.
+// countCache counts the prompt tokens that were computed again although an
+// engine had already computed them for this program.
 func (a *agent) countCache(usage api.Usage) {
 	recomputed := min(a.cachedTokens, usage.PromptTokens) - usage.CachedTokens
 	a.totals.prompt(usage, max(0, recomputed))
 	a.cachedTokens = usage.PromptTokens + usage.OutputTokens
 }
 
-// childBudget is the part of its free budget that a parent gives each
-// sub-agent: one part in this many.
+// childBudget is the divisor of the budget for sub-agents: each gets 1/8 of the
+// parent's unused budget.
 const childBudget = 8
 
-// spawn runs sub-agents side by side and waits for all.
+// spawn runs sub-agents concurrently and waits for all of them.
 func (a *agent) spawn(ctx context.Context, step workload.Step) (workload.Result, error) {
 	described, err := a.describe(ctx, a.id)
 	if err != nil {
@@ -234,7 +239,8 @@
 	return result, errors.Join(failures...)
 }
 
-// finish reads the history back, compares it, and ends the program.
+// finish compares the program's history with the calls made, then ends the
+// program.
 func (a *agent) finish(ctx context.Context) error {
 	calls, err := a.readHistory(ctx, a.id)
 	if err != nil {
@@ -251,8 +257,8 @@
 	return nil
 }
 
-// unlessRefused counts a request that was never answered. A refusal is an
-// answer.
+// unlessRefused returns nil for a refusal, since a refusal is an answer. It
+// counts any other error as an unanswered request and returns it.
 func (a *agent) unlessRefused(operation string, err error) error {
 	var refusal *api.Error
 	if errors.As(err, &refusal) {
@@ -262,7 +268,8 @@
 	return err
 }
 
-// sameCalls reports the first call that the history lacks or shows otherwise.
+// sameCalls returns an error for the first expected call that the history that
+// was read lacks or contains with a different key, input or output.
 func sameCalls(expected, read []api.Call) error {
 	shown := map[uint64]api.Call{}
 	for _, call := range read {
@@ -271,10 +278,10 @@
 	for _, call := range expected {
 		held, found := shown[call.Sequence]
 		if !found {
-			return fmt.Errorf("its history lost call %d", call.Sequence)
+			return fmt.Errorf("call %d is missing from the history", call.Sequence)
 		}
 		if held.Key != call.Key || held.Input != call.Input || held.Output != call.Output {
-			return fmt.Errorf("its history shows other texts at call %d", call.Sequence)
+			return fmt.Errorf("call %d has a different key, input or output in the history", call.Sequence)
 		}
 	}
 	return nil
--- a/load/answer.go
+++ b/load/answer.go
@@ -9,11 +9,11 @@
 	"birchwood.example/birchwood/api"
 )
 
-// hashDigits is how many digits the stand-ins' hashes have.
+// hashDigits is the number of hexadecimal digits in the stand-ins' hashes.
 const hashDigits = 16
 
-// belongs reports whether the output is the stand-ins' answer to this very
-// request after this very history.
+// belongs reports whether the output is the stand-ins' answer to this request
+// with this history.
 func belongs(request api.SubmitCall, transcript, output string) bool {
 	if request.Kind == api.CallTool {
 		return strings.Contains(output, fmt.Sprintf(`"input":"%016x"`, xxhash.Sum64String(request.Input)))
--- a/load/backends.go
+++ b/load/backends.go
@@ -16,13 +16,13 @@
 	"birchwood.example/birchwood/program"
 )
 
-// How long the engines' memory is looked at after a run, and how often.
+// The time limit and the interval for polling the engines' caches after a run.
 const (
 	releaseBound = 60 * time.Second
 	releasePoll  = 2 * time.Second
 )
 
-// toolRuns is what a stand-in tool service answers about its runs.
+// toolRuns is a stand-in tool service's list of the calls that it ran.
 type toolRuns struct {
 	Runs []struct {
 		Key   string `json:"key"`
@@ -30,13 +30,13 @@
 	} `json:"runs"`
 }
 
-// prefixes is what a stand-in engine answers about its cache.
+// prefixes is a stand-in engine's list of its cached prefixes.
 type prefixes struct {
 	Prefixes []engine.Prefix `json:"prefixes"`
 }
 
-// readToolRuns counts the calls of this load that may not be repeated and that
-// tool services ran twice.
+// readToolRuns reads from the tool services how often each call ran, and
+// counts the non-repeatable calls of this run that ran more than once.
 func (r *runner) readToolRuns(ctx context.Context) error {
 	var failures []error
 	for _, address := range r.config.ToolServices {
@@ -56,8 +56,8 @@
 	return errors.Join(failures...)
 }
 
-// callOf reads the key under which nodes call tools: the program, the call's
-// place and the caller's key.
+// callOf parses the idempotency key with which nodes call tools: the program,
+// the call's sequence number and the caller's key.
 func callOf(key string) (program.CallRef, bool) {
 	parts := strings.SplitN(key, "/", 3)
 	if len(parts) != 3 {
@@ -67,8 +67,9 @@
 	return program.CallRef{Program: api.ProgramID(parts[0]), Sequence: sequence}, err == nil
 }
 
-// awaitRelease looks at the engines until they hold nothing of the programs
-// that ended, and returns how long that took; it gives up at the bound.
+// awaitRelease polls the engines until they cache no prefixes of ended
+// programs, or until releaseBound has passed. It returns the time taken and
+// the number of prefixes left.
 func (r *runner) awaitRelease(ctx context.Context) (time.Duration, int) {
 	begin := time.Now()
 	for {
@@ -84,8 +85,8 @@
 	}
 }
 
-// readHeld records what each engine holds and returns how many prefixes are of
-// programs that this load has ended.
+// readHeld records the programs in each engine's cache and returns the number
+// of cached prefixes of programs that this run has ended.
 func (r *runner) readHeld(ctx context.Context) int {
 	gone := 0
 	for _, address := range r.config.Engines {
--- a/load/caller.go
+++ b/load/caller.go
@@ -17,36 +17,37 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// The backoff between two requests for the same call.
+// The range of the exponential backoff between two requests for the same
+// operation.
 const (
 	firstBackoff   = 50 * time.Millisecond
 	longestBackoff = 2 * time.Second
 )
 
-// errBroken says that an answer ended before it was whole.
-var errBroken = errors.New("the answer broke off")
+// errBroken is the error for an answer that is incomplete or inconsistent.
+var errBroken = errors.New("answer is incomplete or inconsistent")
 
-// caller sends the requests of one program. One goroutine uses it.
+// caller sends the requests of one program. It is not safe for concurrent use.
 type caller struct {
 	config  *Config
 	targets []*httpclient.Client
-	// names are the targets' addresses; at is the target in use.
+	// names are the targets' addresses. at is the index of the current target.
 	names  []string
 	at     int
 	totals *totals
 	ids    *atomic.Uint64
 }
 
-// question is one thing that a caller wants to know, however many requests it
-// takes.
+// question is one operation of a caller. It may take several requests.
 type question struct {
+	// sent is the recorded request, without its ID and node.
 	sent history.Sent
-	// ask sends one request, and returns the answer for the history.
+	// ask sends one request and returns the answer for the history.
 	ask func(ctx context.Context, client *httpclient.Client) (history.Got, error)
 }
 
-// resolve asks until there is an answer or the time is over. The returned
-// error is a *api.Error when the answer is a refusal.
+// resolve sends requests until one gets a final answer or CallTimeout has
+// passed. The error is an *api.Error if the answer is a refusal.
 func (c *caller) resolve(ctx context.Context, asked question) (history.Got, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
 	defer cancel()
@@ -72,8 +73,8 @@
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
-			// Not wrapped: a refusal that invites a retry is no final answer.
-			return got, fmt.Errorf("no answer in time: %v", err)
+			// Not wrapped, as a refusal that permits a retry is not a final answer.
+			return got, fmt.Errorf("no final answer before the call timed out: %v", err)
 		}
 	}
 }
@@ -105,8 +106,8 @@
 	return got, err
 }
 
-// refusalOf turns an answer with an error status into the refusal that it
-// carries.
+// refusalOf returns the *api.Error in the body of an HTTP error status, or the
+// error itself if there is none.
 func refusalOf(err error) error {
 	var status *httpclient.StatusError
 	if !errors.As(err, &status) {
@@ -118,7 +119,7 @@
 	return err
 }
 
-// create opens a program, or a sub-agent when parent is set.
+// create creates a program, or a sub-agent if parent is set.
 func (c *caller) create(ctx context.Context, request api.CreateProgram, parent api.ProgramID) (api.Program, error) {
 	path := "/v1/programs"
 	if parent != "" {
@@ -135,7 +136,7 @@
 	return program, err
 }
 
-// end closes a program.
+// end ends a program.
 func (c *caller) end(ctx context.Context, id api.ProgramID) error {
 	_, err := c.resolve(ctx, question{
 		sent: history.Sent{Operation: history.OperationEnd, Program: id},
@@ -188,13 +189,13 @@
 	return calls, nil
 }
 
-// answered is what a call gave its caller.
+// answered is a finished call and the time to its first text.
 type answered struct {
 	call      api.Call
 	firstText time.Duration
 }
 
-// submit makes a call and follows its stream to the end.
+// submit makes a call and reads its event stream to the end.
 func (c *caller) submit(ctx context.Context, id api.ProgramID, request api.SubmitCall) (answered, error) {
 	request.Stream = true
 	begin := time.Now()
@@ -226,7 +227,7 @@
 	return result, err
 }
 
-// gotOf is a call's answer as the history records it.
+// gotOf converts a finished call to the answer that the history records.
 func gotOf(call api.Call) history.Got {
 	got := history.Got{
 		Program: call.Program, Sequence: call.Sequence, Status: call.Status, Output: call.Output, Usage: call.Usage,
@@ -237,7 +238,7 @@
 	return got
 }
 
-// streamFollower reads the lines of an answer's stream of events.
+// streamFollower parses the event stream of an answer.
 type streamFollower struct {
 	firstText func()
 	kind      string
@@ -252,8 +253,8 @@
 	Text   string `json:"text"`
 }
 
-// line takes one line. The error is the refusal that ended the stream, or says
-// that the stream does not fit together.
+// line processes one line. It returns the refusal that ended the stream, or
+// another error if the stream is inconsistent.
 func (f *streamFollower) line(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte(": "))
 	switch string(name) {
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// data takes the data of an event.
+// data processes the data of an event.
 func (f *streamFollower) data(value []byte) error {
 	switch f.kind {
 	case "accepted":
@@ -289,7 +290,8 @@
 	return nil
 }
 
-// addText appends the text of an event, which must join what came before.
+// addText appends the text of an event. Its offset must be the length of the
+// text received so far.
 func (f *streamFollower) addText(value []byte) error {
 	var event textEvent
 	if err := json.Unmarshal(value, &event); err != nil {
@@ -303,7 +305,7 @@
 	return nil
 }
 
-// end takes the finished call. The text that was streamed must be its output.
+// end stores the finished call. The streamed text must be the call's output.
 func (f *streamFollower) end(value []byte) error {
 	var call api.Call
 	if err := json.Unmarshal(value, &call); err != nil {
@@ -314,7 +316,7 @@
 			call.Output = string(f.text)
 		}
 		if call.Output != string(f.text) {
-			return fmt.Errorf("the streamed text is not the call's output: %w", errBroken)
+			return fmt.Errorf("streamed text differs from the call's output: %w", errBroken)
 		}
 	}
 	f.final = &call
--- a/load/config.go
+++ b/load/config.go
@@ -15,44 +15,49 @@
 
 // Config describes one run.
 type Config struct {
-	// Targets are the gateways, "ip:port". Programs are spread over them.
+	// Targets are the addresses of the gateways, "ip:port". Programs are
+	// distributed over them.
 	Targets    []string
 	Deployment workload.Deployment
 	Programs   int
 	Seed       uint64
-	// Rate is the programs that start in a second. Zero means defaultRate.
+	// Rate is the mean number of programs that start per second. Zero means
+	// defaultRate.
 	Rate float64
-	// Speed divides the pauses of people and the waits before they hang up.
+	// Speed divides the pauses of users and the delays before they hang up.
 	// Zero means 1.
 	Speed float64
-	// Tokens are the callers' bearer tokens by branch. A program uses the one
-	// of its nearest branch; the empty path stands for every branch.
+	// Tokens are the callers' bearer tokens by branch. A program uses the token
+	// of the nearest branch that has one; the empty path is the root.
 	Tokens map[contract.Path]string
-	// Branch and Model replace those of every program, for nodes with other
-	// settings than the deployment's.
+	// Branch and Model, if set, replace those of every program, for nodes whose
+	// settings differ from the deployment's.
 	Branch contract.Path
 	Model  string
-	// CallTimeout bounds how long a call is asked for, retries included.
+	// CallTimeout limits the time for an operation, retries included.
 	CallTimeout time.Duration
-	// StopAfter is when programs make no further step, counted from the
-	// beginning of the run; they are then read back and ended, and their
-	// latency does not count. Zero means never. It bounds runaway programs.
+	// StopAfter is the time from the start of the run after which programs make
+	// no further step, to limit runaway programs. Their histories are then read
+	// back and they are ended, and their latencies do not count. Zero means no
+	// limit.
 	StopAfter time.Duration
-	// Operators are the operators' addresses of nodes, whose control traffic
-	// is read from /metrics before and after the run.
+	// Operators are the addresses of the nodes' operator API. The nodes'
+	// control traffic is read from /metrics before and after the run.
 	Operators []string
-	// ToolServices and Engines are the addresses of stand-ins. After the run
-	// the first tell what they ran, and the second what they still hold.
+	// ToolServices and Engines are the addresses of stand-ins. After the run,
+	// the tool services are queried for the calls that they ran and the engines
+	// for their cached prefixes.
 	ToolServices []string
 	Engines      []string
-	// Probes are programs that only stand by; how long their owners leave them
-	// unanswered is measured.
+	// Probes is the number of idle programs that are polled during the run to
+	// measure how long their owners do not answer.
 	Probes int
-	// AnyAnswer accepts answers that do not carry the stand-ins' hashes.
+	// SkipAnswerCheck accepts answers without the stand-ins' hashes.
 	AnyAnswer bool
-	// Recorder gets the history; nil records nothing.
+	// Recorder records the history. Nil records nothing.
 	Recorder *history.Recorder
-	// Progress is told after each program; nil tells nobody.
+	// Progress, if not nil, is called after each program with the number of
+	// programs done so far.
 	Progress func(done int)
 }
 
@@ -62,7 +67,7 @@
 	defaultCallTimeout = 3 * time.Minute
 )
 
-// withDefaults fills the zero fields.
+// withDefaults returns the configuration with defaults for zero fields.
 func (c Config) withDefaults() Config {
 	c.Rate = cmp.Or(c.Rate, defaultRate)
 	c.Speed = cmp.Or(c.Speed, 1)
@@ -70,7 +75,7 @@
 	return c
 }
 
-// validate reports everything that is wrong.
+// validate returns an error that lists all invalid fields.
 func (c Config) validate() error {
 	found := findings.Of("load config")
 	found.Require(len(c.Targets) > 0, "target", "want at least one address")
@@ -88,7 +93,8 @@
 	return found.Err()
 }
 
-// token returns the token of the nearest branch that has one.
+// token returns the token of the branch or its nearest ancestor that has one.
+// It returns an empty string if there is none.
 func (c *Config) token(branch contract.Path) string {
 	for path := string(branch); ; {
 		if token, found := c.Tokens[contract.Path(path)]; found || path == "" {
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,20 +1,20 @@
 // Package load runs a deployment's agent programs against real nodes, over the
-// callers' HTTP API, and measures what callers feel.
+// callers' HTTP API, and measures latencies and errors as callers see them.
 //
-// Run starts each program at its intended time whether or not earlier ones
-// have ended (open loop), so that a slow system is not spared the load that it
-// delays. A program's latency counts from its intended start to its end, less
-// the time in which its people paused.
+// Run starts each program at its intended time, whether or not earlier
+// programs have ended (open loop), so that a slow system does not reduce its
+// own load. A program's latency counts from its intended start to its end,
+// without the pauses of its users.
 //
-// A call whose connection is lost, or that is refused for now, is asked again
-// with the same key, at the next target, after the time that the refusal names
-// or a growing backoff, until the call's own bound. What is left without an
-// answer then is unanswered, and makes the run fail.
+// A call whose connection is lost, or whose refusal permits a retry, is sent
+// again with the same key to the next target. The delay is at least the retry
+// time in the refusal and a growing backoff. Retries end when the call times
+// out; the call then counts as unanswered, and the run has failed.
 //
 // Every answer is checked. The stand-in engines begin an answer with the hash
-// of the model and the prompt, so an answer that belongs to another call or
-// another history shows; tools answer with the hash of their input. Before a
-// program ends, its history is read back and compared with what its caller
-// sent and got. With a recorder, all of this is written as a history for
-// package history to check.
+// of the model and the prompt, and tools answer with the hash of their input,
+// so an answer that belongs to another call or another history is detected.
+// Before a program ends, its history is read back and compared with the inputs
+// that its caller sent and the outputs that it received. With a recorder, the
+// run is also written as a history that package history can check.
 package load
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -24,17 +24,17 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// gateway is a scripted gateway: answer makes the output of each call from
-// the times that its key was asked, or refuses it.
+// gateway is a fake gateway. answer returns the output of a call or a refusal,
+// given the number of requests with the call's key so far.
 type gateway struct {
 	mutex  sync.Mutex
 	asked  map[string]int
 	calls  []api.Call
 	answer func(request api.SubmitCall, asked int) (string, *api.Error)
-	// forgets makes the history that is read back lack its last call.
+	// forgets omits the last call from the history.
 	forgets bool
-	// ownerless is how many looks at a program are refused, described how many
-	// came, and probes how many programs look.
+	// ownerless is the number of describe requests to refuse, described the
+	// number received, and probes the number of probe programs.
 	ownerless, described, probes int
 }
 
@@ -87,7 +87,8 @@
 	_, _ = ctx.Write(text)
 }
 
-// oneProgram is a deployment of one kind of program that makes one model call.
+// oneProgram returns a deployment with one kind of program, which makes one
+// model call.
 func oneProgram() workload.Deployment {
 	return workload.Deployment{Name: "test", Profiles: []workload.Profile{{
 		Kind: "short", Branches: []contract.Path{"demo"}, Models: []string{config.DevModel}, Share: 1,
@@ -96,7 +97,7 @@
 	}}}
 }
 
-// runAgainst runs one program against a scripted gateway.
+// runAgainst runs one program against a fake gateway.
 func runAgainst(scripted *gateway) load.Result {
 	scripted.asked = map[string]int{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,7 +115,7 @@
 	return result
 }
 
-// ownAnswer is what a stand-in engine would answer to a program's first call.
+// ownAnswer returns the answer of a stand-in engine to a program's first call.
 func ownAnswer(request api.SubmitCall) string {
 	return fmt.Sprintf("%016x and so on", history.HashText(request.Model, "\x00", request.Input))
 }
@@ -155,7 +156,7 @@
 	It("measures how long a program that stands by is without an owner", func() {
 		scripted := &gateway{probes: 1, ownerless: 20}
 		scripted.answer = func(request api.SubmitCall, _ int) (string, *api.Error) {
-			if scripted.described <= scripted.ownerless+1 { // The look that ended the gap is over.
+			if scripted.described <= scripted.ownerless+1 { // Until the poll that ends the gap has completed.
 				return "", api.Refuse(api.CodeOverloaded, "not now").After(1)
 			}
 			return ownAnswer(request), nil
--- a/load/metrics.go
+++ b/load/metrics.go
@@ -9,15 +9,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// controlBytesPrefix begins the names of the metrics that count the bytes of
-// control messages, sent and received.
+// controlBytesPrefix is the common prefix of the names of the metrics that
+// count the bytes of control messages sent and received.
 const controlBytesPrefix = "birchwood_control_bytes"
 
-// metricsTimeout bounds one look at a node's metrics.
+// metricsTimeout limits one request for a node's metrics.
 const metricsTimeout = 5 * time.Second
 
-// controlBytes reads how many bytes of control messages each node has sent
-// and received. A node that does not answer is left out.
+// controlBytes reads the number of bytes of control messages that each node
+// has sent and received. A node that does not answer is omitted.
 func (r *runner) controlBytes() map[string]float64 {
 	totals := map[string]float64{}
 	for _, address := range r.config.Operators {
@@ -28,7 +28,7 @@
 	return totals
 }
 
-// readControlBytes sums the control traffic in one node's metrics.
+// readControlBytes returns the sum of the control bytes in a node's metrics.
 func readControlBytes(address string) (float64, error) {
 	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", metricsTimeout)
 	if err != nil {
@@ -44,7 +44,8 @@
 	return total, nil
 }
 
-// controlBytesOf reads one line of the Prometheus text form.
+// controlBytesOf returns the control bytes in one line of the Prometheus text
+// format, or zero for a line of another metric.
 func controlBytesOf(line string) float64 {
 	if !strings.HasPrefix(line, controlBytesPrefix) {
 		return 0
@@ -56,12 +57,12 @@
 	return value
 }
 
-// ratesBetween turns two readings into bytes a second.
+// ratesBetween converts two readings to bytes per second.
 func ratesBetween(before, after map[string]float64, seconds float64) map[string]float64 {
 	rates := map[string]float64{}
 	for address, total := range after {
 		if earlier, found := before[address]; found && seconds > 0 {
-			if total < earlier { // The node has started again and counts from zero.
+			if total < earlier { // The node restarted, and its counters began at zero.
 				earlier = 0
 			}
 			rates[address] = (total - earlier) / seconds
--- a/load/probe.go
+++ b/load/probe.go
@@ -12,9 +12,9 @@
 	"birchwood.example/birchwood/history"
 )
 
-// How the programs that stand by are asked: one look after another, each
-// attempt at the next gateway. A look that takes longer than gapThreshold is a
-// gap.
+// The timing of probes. Each probe polls its idle program every probePause.
+// After a failed attempt it tries the next gateway. A poll that takes longer
+// than gapThreshold is recorded as a gap.
 const (
 	probePause     = 100 * time.Millisecond
 	probeTimeout   = time.Second
@@ -23,9 +23,9 @@
 	probeCallLimit = 30 * time.Second
 )
 
-// startProbes starts programs that only stand by, spread over the branches,
-// and asks for them until the returned function is called: what their owners
-// leave unanswered shows how long a program is without an owner.
+// startProbes creates idle programs, distributed over the branches, and polls
+// them until the returned function is called. The gaps in the answers show how
+// long a program has no owner.
 func (r *runner) startProbes(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -55,7 +55,7 @@
 	return func() { cancel(); group.Wait() }
 }
 
-// watch asks for one program until the context ends, and records each gap.
+// watch polls one program until the context ends and records each gap.
 func (r *runner) watch(ctx context.Context, each *caller, id api.ProgramID) {
 	for ctx.Err() == nil {
 		begin := time.Now()
@@ -71,9 +71,10 @@
 	}
 }
 
-// look asks for a program until a gateway describes it, and reports whether
-// that was a gap. One gateway that does not answer at all, while the next one
-// answers at once, is no gap: the program had its owner.
+// look requests a program's description until a gateway returns it, and
+// reports whether the wait was a gap. It is no gap if only the first gateway
+// failed and the second attempt succeeded within gapThreshold: the program had
+// an owner.
 func (c *caller) look(ctx context.Context, id api.ProgramID) bool {
 	begin := time.Now()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
@@ -91,7 +92,7 @@
 	return false
 }
 
-// describeOnce asks one gateway.
+// describeOnce requests a program's description from the current gateway.
 func (c *caller) describeOnce(ctx context.Context, id api.ProgramID) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -99,7 +100,7 @@
 	return c.targets[c.at].Do(ctx, http.MethodGet, "/v1/programs/"+string(id), nil, &program)
 }
 
-// probed counts a gap, or a probe that could not be started.
+// probed records a gap, or the error of a probe that could not be started.
 func (t *totals) probed(gap time.Duration, err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/load/result.go
+++ b/load/result.go
@@ -15,58 +15,58 @@
 	P99   float64 `json:"p99"`
 }
 
-// Result is what a run measured.
+// Result is the result of a run.
 type Result struct {
 	Deployment string  `json:"deployment"`
 	Seed       uint64  `json:"seed"`
 	Seconds    float64 `json:"seconds"`
-	// Programs counts the programs that ran to their end, sub-agents left out;
-	// Calls the calls that ended.
+	// Programs counts the programs that ran to their end, without sub-agents.
+	// Calls counts the calls that ended.
 	Programs int `json:"programs"`
 	Calls    int `json:"calls"`
-	// ProgramLatency counts from the intended start, less people's pauses.
+	// ProgramLatency counts from the intended start, without users' pauses.
 	ProgramLatency Latency            `json:"program_latency_ms"`
 	Kinds          map[string]Latency `json:"program_latency_by_kind_ms"`
 	FirstToken     Latency            `json:"first_token_ms"`
-	// Absence is how long programs that stood by were left without an answer
-	// by every gateway that was asked.
+	// Unavailability is how long idle programs were unavailable at every
+	// gateway that was tried.
 	Absence Latency `json:"absence_ms"`
-	// Interruption is how long the requests that had to be asked again went
-	// without an answer, from their first sending.
+	// Interruption is the time from the first request to the final answer of
+	// operations that needed a retry.
 	Interruption Latency `json:"interruption_ms"`
 	PromptTokens int64   `json:"prompt_tokens"`
 	CachedTokens int64   `json:"cached_tokens"`
 	OutputTokens int64   `json:"output_tokens"`
-	// RecomputedTokens is wasted cache: prompt tokens that an engine had
-	// computed for the program before and that were computed again.
+	// RecomputedTokens counts prompt tokens that were computed again although
+	// an engine had already computed them for the program.
 	RecomputedTokens int64          `json:"recomputed_tokens"`
 	Statuses         map[string]int `json:"statuses"`
-	// Refusals counts answers with an error, by code; the same call may be
-	// refused several times before it runs.
+	// Refusals counts refusals by code. One call may be refused several times
+	// before it runs.
 	Refusals        map[string]int `json:"refusals"`
 	Unknown         int            `json:"unknown"`
 	LostConnections int            `json:"lost_connections"`
 	HungUp          int            `json:"hung_up"`
 	WrongAnswers    int            `json:"wrong_answers"`
 	Unanswered      int            `json:"unanswered"`
-	// Duplicates counts the calls that may not be repeated and ran twice, as
-	// the tool services tell.
+	// Duplicates counts the non-repeatable calls that ran more than once,
+	// according to the tool services.
 	Duplicates int `json:"duplicates"`
-	// ReleaseSeconds is how long after the run engines still held prefixes of
-	// programs that had ended; HeldAfter are those left at the bound.
+	// ReleaseSeconds is how long after the run engines still cached prefixes of
+	// ended programs. PrefixesLeft counts those left when polling stopped.
 	ReleaseSeconds float64  `json:"release_s"`
 	HeldAfter      int      `json:"held_after"`
 	Errors         []string `json:"errors,omitempty"`
-	// ControlBytes is the control traffic of each node with an operator's
-	// address, in bytes a second, sent and received.
+	// ControlBytes is the control traffic of each node in Config.Operators,
+	// sent and received, in bytes per second.
 	ControlBytes map[string]float64 `json:"control_bytes_per_s,omitempty"`
 }
 
-// Failed reports whether anything was left unanswered, answered wrongly or run
-// twice.
+// Failed reports whether a request remained unanswered, an answer was wrong or
+// a non-repeatable call ran more than once.
 func (r Result) Failed() bool { return r.Unanswered > 0 || r.WrongAnswers > 0 || r.Duplicates > 0 }
 
-// String gives the result as text.
+// String formats the result as text.
 func (r Result) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s, seed %d: %d programs and %d calls in %.1f s\n",
@@ -99,7 +99,7 @@
 	return text.String()
 }
 
-// counts writes a map in a fixed order.
+// counts formats a map sorted by key.
 func counts(values map[string]int) string {
 	parts := make([]string, 0, len(values))
 	for _, name := range slices.Sorted(maps.Keys(values)) {
--- a/load/run.go
+++ b/load/run.go
@@ -13,7 +13,7 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// runner holds what the agents of one run share.
+// runner is the state that the agents of one run share.
 type runner struct {
 	config  Config
 	totals  *totals
@@ -23,14 +23,15 @@
 	done    int
 }
 
-// clientKey names a client: one for each target and token.
+// clientKey identifies a client. There is one for each target and token.
 type clientKey struct {
 	address string
 	token   string
 }
 
-// Run performs the run. The error says that the configuration is wrong or the
-// context ended; what went wrong with calls is in the Result.
+// Run performs one load run. It returns an error if the configuration is
+// invalid, the context ended or a tool service could not be queried. Failures
+// of calls are in the Result.
 func Run(ctx context.Context, config Config) (Result, error) {
 	if err := config.validate(); err != nil {
 		return Result{}, err
@@ -60,8 +61,8 @@
 	return result, errors.Join(ctx.Err(), toolErr)
 }
 
-// recordPlacements tells the history where each branch's data may be, which
-// holds as long as nobody changes the deployment's settings.
+// recordPlacements records the placement of each branch. The records are valid
+// as long as the deployment's settings do not change during the run.
 func (r *runner) recordPlacements() {
 	if r.config.Branch != "" {
 		return
@@ -74,7 +75,8 @@
 	}
 }
 
-// start starts each program at its time and waits until all have ended.
+// start starts each program at its intended time and waits until all started
+// programs have ended.
 func (r *runner) start(ctx context.Context, begin time.Time) {
 	generator := r.config.Deployment.Generate(workload.Options{
 		Seed: r.config.Seed, ProgramsPerSecond: r.config.Rate,
@@ -97,7 +99,7 @@
 	}
 }
 
-// runProgram runs one program and measures it.
+// runProgram runs one program and records its latency.
 func (r *runner) runProgram(ctx context.Context, each *agent, intended time.Time, number int) {
 	each.fork = func() *caller { return r.caller(each.program.Branch, number) }
 	each.caller = each.fork()
@@ -113,7 +115,8 @@
 	}
 }
 
-// caller returns the caller of a program, which starts at its own target.
+// caller returns the caller of a program. The program's number selects the
+// first target.
 func (r *runner) caller(branch contract.Path, number int) *caller {
 	token := r.config.token(branch)
 	each := &caller{config: &r.config, names: r.config.Targets, totals: r.totals, ids: &r.ids}
@@ -124,8 +127,8 @@
 	return each
 }
 
-// client returns the client of a target, which all callers with the token
-// share.
+// client returns the client for a target and token. Callers with the same
+// target and token share it.
 func (r *runner) client(address, token string) *httpclient.Client {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -138,7 +141,7 @@
 	return r.clients[key]
 }
 
-// close closes the idle connections.
+// close closes all clients.
 func (r *runner) close() {
 	for _, client := range r.clients {
 		client.Close()
--- a/load/totals.go
+++ b/load/totals.go
@@ -18,10 +18,11 @@
 	significantDigits   = 3
 )
 
-// keptErrors is how many unanswered or wrong answers are described.
+// keptErrors is the maximum number of errors whose texts are kept.
 const keptErrors = 20
 
-// totals collects what the agents measure. It is safe for concurrent use.
+// totals collects the measurements of all agents. It is safe for concurrent
+// use.
 type totals struct {
 	mutex     sync.Mutex
 	latencies map[workload.Kind]*hdrhistogram.Histogram
@@ -30,13 +31,13 @@
 	gaps      *hdrhistogram.Histogram
 	absences  *hdrhistogram.Histogram
 	result    Result
-	// tools are the tool calls that were made, ended the programs whose end
-	// was acknowledged.
+	// tools are the tool calls that were made. ended contains the programs
+	// whose end was acknowledged.
 	tools map[program.CallRef]*toolCall
 	ended map[api.ProgramID]bool
 }
 
-// toolCall is a tool call that was made.
+// toolCall is a tool call with the number of its runs.
 type toolCall struct {
 	repeatable bool
 	runs       int
@@ -78,8 +79,9 @@
 	t.result.LostConnections++
 }
 
-// interrupted counts a request that had to be asked again: from its first
-// sending that failed until now, when it has its answer.
+// interrupted records the time from the first failed request of an operation
+// until now, when its final answer was received. A zero time means that no
+// request failed.
 func (t *totals) interrupted(since time.Time) {
 	if since.IsZero() {
 		return
@@ -111,15 +113,15 @@
 	record(t.first, after)
 }
 
-// toolCalled notes that a tool call is made.
+// toolCalled records a tool call.
 func (t *totals) toolCalled(call program.CallRef, repeatable bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tools[call] = &toolCall{repeatable: repeatable}
 }
 
-// ran counts the runs of a tool call that a service tells, and with them the
-// calls of this load that may not be repeated and ran twice.
+// ran adds the runs of a tool call that a service reports. A non-repeatable
+// call of this run is counted as a duplicate when its runs exceed one.
 func (t *totals) ran(ref program.CallRef, runs int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// programEnded notes that a program's end was acknowledged.
+// programEnded records that a program's end was acknowledged.
 func (t *totals) programEnded(id api.ProgramID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -162,14 +164,15 @@
 	t.keep(err)
 }
 
-// keep describes an error while there is room. The mutex is held.
+// keep stores the text of an error, up to keptErrors. The caller must hold the
+// mutex.
 func (t *totals) keep(err error) {
 	if len(t.result.Errors) < keptErrors {
 		t.result.Errors = append(t.result.Errors, err.Error())
 	}
 }
 
-// finished counts a program that ran to its end.
+// finished records a program that ran to its end.
 func (t *totals) finished(kind workload.Kind, latency time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -181,13 +184,13 @@
 	record(t.all, latency)
 }
 
-// record adds a time, cut to the histogram's range.
+// record adds a value, clamped to the histogram's range.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	microseconds := min(max(value.Microseconds(), lowestMicroseconds), highestMicroseconds)
 	_ = histogram.RecordValue(microseconds)
 }
 
-// summary returns the result so far.
+// summary returns the result of the measurements so far.
 func (t *totals) summary() Result {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -202,7 +205,7 @@
 	return result
 }
 
-// latencyOf reads the quantiles of a histogram.
+// latencyOf returns the quantiles of a histogram.
 func latencyOf(histogram *hdrhistogram.Histogram) Latency {
 	milliseconds := func(quantile float64) float64 {
 		return float64(histogram.ValueAtQuantile(quantile)) / 1000
