--- a/workload/deployment.go
+++ b/workload/deployment.go
@@ -9,21 +9,21 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Deployment is one installation: its places, services, branches and the
-// programs that its callers run.
+// Deployment is one installation: its zones, services, branches and the kinds
+// of program that its callers run.
 type Deployment struct {
 	Name  string
 	Zones []zone.Zone
-	// ZoneDelay is the one-way delay between two zones of one region, and
-	// RegionDelay the one between regions. LocalDelay is within a zone.
+	// LocalDelay is the one-way delay within a zone, ZoneDelay between two zones
+	// of one region and RegionDelay between regions.
 	LocalDelay  time.Duration
 	ZoneDelay   time.Duration
 	RegionDelay time.Duration
 	// ClientDelay is the one-way delay between a caller and a zone.
 	ClientDelay time.Duration
-	// NodesPerZone is how many of the system's own machines each zone has.
+	// NodesPerZone is the number of birchwood nodes in each zone.
 	NodesPerZone int
-	// Replicas are the model engines, Tools the tool services.
+	// Replicas are the model engines. Tools are the tool services.
 	Replicas []machine.Machine
 	Tools    []machine.Machine
 	Models   []string
@@ -34,16 +34,16 @@
 // Branch is one branch of the settings tree that callers start programs on.
 type Branch struct {
 	Path contract.Path
-	// Zones are the places that data of the branch may visit. Empty means
-	// every zone of the deployment.
+	// Zones are the zones in which the branch's data is permitted. Empty means
+	// all zones of the deployment.
 	Zones    []zone.Name
 	Priority int
-	// BudgetTokens bounds each program of the branch.
+	// BudgetTokens is the token budget of each program of the branch.
 	BudgetTokens int64
 	MaxTurns     int
 }
 
-// ByName returns the deployment called koudeketting, qasr or letter.
+// ByName returns the deployment with the name koudeketting, qasr or letter.
 func ByName(name string) (Deployment, error) {
 	switch name {
 	case "koudeketting":
@@ -56,7 +56,7 @@
 	return Deployment{}, fmt.Errorf("deployment %q: want koudeketting, qasr or letter", name)
 }
 
-// Names lists the deployments that ByName knows.
+// Names returns the names that ByName accepts.
 func Names() []string { return []string{"koudeketting", "qasr", "letter"} }
 
 // Branch returns the branch at the path.
@@ -69,7 +69,7 @@
 	return Branch{}, false
 }
 
-// Placement returns the zones that a branch's data may visit.
+// Placement returns the zones in which a branch's data is permitted.
 func (d *Deployment) Placement(path contract.Path) zone.Placement {
 	branch, found := d.Branch(path)
 	if found && len(branch.Zones) > 0 {
@@ -93,7 +93,7 @@
 	return d.RegionDelay
 }
 
-// region returns the region of a zone; an unknown zone has none.
+// region returns the region of a zone, or an empty string for an unknown zone.
 func (d *Deployment) region(name zone.Name) zone.Region {
 	for _, each := range d.Zones {
 		if each.Name == name {
--- a/workload/deployments.go
+++ b/workload/deployments.go
@@ -10,14 +10,14 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The shape of an engine, the same in every deployment.
+// The capacity of an engine in all deployments.
 const (
 	engineSlots       = 16
 	engineCacheTokens = 120_000
 )
 
-// Koudeketting is the cold chain in Gauteng: three zones close to one
-// another, with clients about as close.
+// Koudeketting is a cold-chain operator in Gauteng. It has three zones with
+// low delays between them, and similar delays to the clients.
 func Koudeketting() Deployment {
 	zones := sameRegion("gauteng", "midrand-a", "midrand-b", "isando")
 	models := []string{"veld-8b", "veld-70b"}
@@ -47,8 +47,8 @@
 	}
 }
 
-// Qasr is the collections desk in Amman: four zones very close to one
-// another, with clients several times farther away.
+// Qasr is a collections desk in Amman. It has four zones with very low delays
+// between them, and delays to the clients that are several times higher.
 func Qasr() Deployment {
 	zones := sameRegion("amman", "abdali", "sweileh", "marka", "khalda")
 	models := []string{"dinar-8b", "dinar-32b"}
@@ -77,7 +77,7 @@
 	}
 }
 
-// The design size: what birchwood is built towards.
+// The design size, the largest deployment that birchwood is built for.
 const (
 	letterReplicas     = 600
 	letterTenants      = 600
@@ -88,8 +88,8 @@
 	letterToolServices = 30
 )
 
-// Letter is the design size: 99,000 programs under way, 600 replicas, 600
-// tenants, 29 models, 10 zones of 3 regions and 390 nodes.
+// Letter is a deployment of the design size: 99,000 started programs, 600
+// replicas, 600 tenants, 29 models, 10 zones in 3 regions and 390 nodes.
 func Letter() Deployment {
 	zones := make([]zone.Zone, letterZones)
 	for i := range zones {
@@ -120,7 +120,8 @@
 	}
 }
 
-// letterBranches gives each tenant the zones of one region, its home.
+// letterBranches returns one branch for each tenant, with the zones of one
+// region, the tenant's home region.
 func letterBranches(zones []zone.Zone) []Branch {
 	branches := make([]Branch, letterTenants)
 	for i := range branches {
@@ -142,7 +143,7 @@
 	return branches
 }
 
-// sameRegion returns zones of one region.
+// sameRegion returns zones in one region.
 func sameRegion(region zone.Region, names ...zone.Name) []zone.Zone {
 	zones := make([]zone.Zone, len(names))
 	for i, name := range names {
@@ -151,8 +152,9 @@
 	return zones
 }
 
-// replicas spreads engines over the zones. Each loads modelsEach models; the
-// models shift from zone to zone, so that each zone serves as many as it can.
+// replicas distributes engines over the zones. Each engine loads modelsEach
+// models. The first model shifts with the zone and with each engine in a zone,
+// so that each zone serves as many models as possible.
 func replicas(count int, zones []zone.Zone, models []string, modelsEach int) []machine.Machine {
 	machines := make([]machine.Machine, count)
 	for i := range machines {
@@ -173,7 +175,7 @@
 	return machines
 }
 
-// tools spreads tool services over the zones; each answers every name.
+// tools distributes tool services over the zones. Each serves all named tools.
 func tools(count int, prefix string, zones []zone.Zone, names ...string) []machine.Machine {
 	machines := make([]machine.Machine, count)
 	for i := range machines {
@@ -188,12 +190,12 @@
 	return machines
 }
 
-// depotTools are the tools that a depot event service answers.
+// depotTools returns the tools of a depot event service.
 func depotTools() []string {
 	return []string{toolRecordSealBreak, toolAcknowledgeAlarm, toolReadLogger}
 }
 
-// collectionsTools are the tools that a collections back end answers.
+// collectionsTools returns the tools of a collections back end.
 func collectionsTools() []string {
 	return []string{toolPlanReceipt, toolSendLetter, toolReadAccount}
 }
--- a/workload/generator.go
+++ b/workload/generator.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Options choose a stream of programs.
+// Options are the parameters of a Generator.
 type Options struct {
 	Seed uint64
-	// ProgramsPerSecond is the mean rate of arrivals, bursts included.
+	// ProgramsPerSecond is the mean rate of program starts, bursts included.
 	ProgramsPerSecond float64
-	// BurstProbability is the chance that an arrival is a burst of BurstSize
-	// programs of one kind within BurstSpread, as when one cold room fails or
-	// a bill run goes out. Zero takes the defaults; a negative one means none.
+	// BurstProbability is the probability that an arrival is a burst of
+	// BurstSize programs of one kind within BurstSpread, for example when a
+	// cold room fails or a billing run is sent out. Zero values mean the
+	// defaults; a negative BurstProbability means no bursts.
 	BurstProbability float64
 	BurstSize        int
 	BurstSpread      time.Duration
 }
 
-// The defaults of Options: one arrival in fifty is a burst of eight.
+// The defaults of Options: one arrival in 50 is a burst of 8 programs.
 const (
 	defaultBurstProbability = 0.02
 	defaultBurstSize        = 8
@@ -33,12 +34,12 @@
 	random     *rand.Rand
 	clock      time.Duration
 	count      int
-	// burst holds programs whose start is not reached yet, sorted by it.
+	// burst contains the remaining programs of bursts, sorted by start.
 	burst []*Program
 	next  *Program
 }
 
-// Generate starts a stream of programs.
+// Generate returns a new Generator of the deployment's programs.
 func (d *Deployment) Generate(options Options) *Generator {
 	if options.BurstProbability == 0 {
 		options.BurstProbability = defaultBurstProbability
@@ -80,8 +81,8 @@
 	return programs
 }
 
-// arrive draws the next Poisson arrival, and the rest of its burst if it is
-// the first of one.
+// arrive draws the next Poisson arrival. If the arrival is a burst, it also
+// draws the burst's other programs.
 func (g *Generator) arrive() *Program {
 	gap := g.random.ExpFloat64() / g.arrivalRate()
 	g.clock += time.Duration(gap * float64(time.Second))
@@ -93,14 +94,14 @@
 	return first
 }
 
-// arrivalRate is the rate of arrivals that, with their bursts, gives the
-// wanted rate of programs.
+// arrivalRate returns the rate of arrivals that results in ProgramsPerSecond
+// when bursts are included.
 func (g *Generator) arrivalRate() float64 {
 	extra := max(0, g.options.BurstProbability) * float64(g.options.BurstSize-1)
 	return g.options.ProgramsPerSecond / (1 + extra)
 }
 
-// drawBurst adds the programs that follow the first of a burst.
+// drawBurst draws the programs of a burst after the first.
 func (g *Generator) drawBurst(profile *Profile) {
 	for range g.options.BurstSize - 1 {
 		delay := time.Duration(g.random.Float64() * float64(g.options.BurstSpread))
@@ -115,7 +116,7 @@
 	}
 }
 
-// draw makes one program that starts at the given time.
+// draw draws one program that starts at the given time.
 func (g *Generator) draw(profile *Profile, start time.Duration) *Program {
 	g.count++
 	id := fmt.Sprintf("%s-%d-%d", g.deployment.Name, g.options.Seed, g.count)
@@ -125,7 +126,7 @@
 	return program
 }
 
-// pick draws a profile by its share.
+// pick draws a profile with probability proportional to its share.
 func (g *Generator) pick() *Profile {
 	total := 0.0
 	for i := range g.deployment.Profiles {
--- a/workload/profile.go
+++ b/workload/profile.go
@@ -8,9 +8,9 @@
 	"birchwood.example/birchwood/contract"
 )
 
-// Lognormal is a distribution of positive numbers by its median and its
-// spread: Sigma is the standard deviation of the logarithm. Draws are cut at
-// Maximum when that is set. A zero Median always gives zero.
+// Lognormal is a log-normal distribution. Sigma is the standard deviation of
+// the logarithm. Draws are limited to Maximum unless it is zero. With a zero
+// Median every draw is zero.
 type Lognormal struct {
 	Median  float64
 	Sigma   float64
@@ -29,27 +29,27 @@
 	return value
 }
 
-// tokens draws a whole number of tokens, at least one.
+// tokens draws a number of tokens, at least one.
 func (l Lognormal) tokens(random *rand.Rand) int {
 	return max(1, int(math.Round(l.Draw(random))))
 }
 
-// duration draws a time; the distribution is in seconds.
+// duration draws a duration; the distribution is in seconds.
 func (l Lognormal) duration(random *rand.Rand) time.Duration {
 	return time.Duration(l.Draw(random) * float64(time.Second))
 }
 
-// ToolUse says how a kind of program calls one tool.
+// ToolUse describes how a kind of program calls one tool.
 type ToolUse struct {
 	Tool string
-	// Repeatable tools may run twice without harm.
+	// Repeatable is set if the tool may run more than once for a call.
 	Repeatable bool
-	// Probability is the chance of a call after each turn.
+	// Probability is the probability of a call after each turn.
 	Probability float64
-	// LastTurnOnly holds the call back until the last turn: a notice or a
-	// receipt goes out once, when the decision is made.
+	// LastTurnOnly limits the call to the last turn, for actions that happen
+	// once after the program's decision, such as a notice or a receipt.
 	LastTurnOnly bool
-	// Seconds is how long the tool runs; Tokens what it returns.
+	// Seconds is the tool's running time. Tokens is the length of its result.
 	Seconds Lognormal
 	Tokens  Lognormal
 }
@@ -58,37 +58,38 @@
 // after each it may call tools, start sub-agents and pause.
 type Profile struct {
 	Kind Kind
-	// Branches are where programs of this kind start, drawn evenly.
+	// Branches are the branches of the programs, drawn uniformly.
 	Branches []contract.Path
 	// Share is the weight of the kind among the arrivals.
 	Share    float64
 	Priority int
 	Deadline time.Duration
-	// Models are the models that a program of the kind may use, drawn once
-	// for each program.
+	// Models are the models of the kind. One is drawn for each program.
 	Models []string
-	// Turns is the number of model calls; zero Median means tool calls alone.
+	// Turns is the number of model calls, at least one.
 	Turns Lognormal
-	// Context is the input of the first call, Input that of each later one.
+	// Context is the length of the first model call's input, Input that of
+	// each later one, in tokens.
 	Context Lognormal
 	Input   Lognormal
-	// Output is the length of an answer, cut at OutputCap.
+	// Output is the length of an answer in tokens, at most OutputCap.
 	Output    Lognormal
 	OutputCap int
 	Tools     []ToolUse
-	// PauseSeconds is how long a person takes, with PauseProbability after a
-	// turn.
+	// PauseProbability is the probability of a user's pause after a turn that
+	// is not the last. PauseSeconds is the length of the pause.
 	PauseProbability float64
 	PauseSeconds     Lognormal
-	// SubAgents are started with SubAgentProbability after a turn, 1 to
-	// MaximumSubAgents of them, by the profile SubAgent.
+	// SubAgentProbability is the probability that a turn starts sub-agents: 1
+	// to MaximumSubAgents programs with the profile SubAgent.
 	SubAgentProbability float64
 	MaximumSubAgents    int
 	SubAgent            *Profile
-	// RunawayProbability is the chance that a program loops without end.
+	// RunawayProbability is the probability that a program never ends by
+	// itself.
 	RunawayProbability float64
-	// HangUpProbability is the chance, for each turn, that the caller drops
-	// the connection after HangUpSeconds.
+	// HangUpProbability is the probability, for each turn, that the caller
+	// closes the connection after HangUpSeconds.
 	HangUpProbability float64
 	HangUpSeconds     Lognormal
 }
--- a/workload/profiles.go
+++ b/workload/profiles.go
@@ -33,7 +33,7 @@
 	KindBilling      Kind = "billing-desk"
 )
 
-// lookup is a short, repeatable question to a back office.
+// lookup returns the use of a tool for short, repeatable queries.
 func lookup(tool string, probability float64) ToolUse {
 	return ToolUse{
 		Tool:        tool,
@@ -44,7 +44,8 @@
 	}
 }
 
-// once is an action that must not happen twice, taken on the last turn.
+// once returns the use of a tool for an action that must not run more than
+// once. The program calls it in its last turn.
 func once(tool string) ToolUse {
 	return ToolUse{
 		Tool:         tool,
@@ -55,7 +56,8 @@
 	}
 }
 
-// auditSection is the sub-agent that writes one section of an audit pack.
+// auditSection returns the profile of the sub-agent that writes one section of
+// an audit report.
 func auditSection(large []string) Profile {
 	return Profile{
 		Kind: KindAuditSection, Branches: []contract.Path{"koudeketting/audit"}, Models: large, Priority: 4,
@@ -67,8 +69,8 @@
 	}
 }
 
-// koudekettingProfiles are the programs of the cold chain. The small model
-// answers people who wait, the large one writes.
+// koudekettingProfiles returns the profiles of Koudeketting. The small model
+// serves programs whose users wait for an answer; the large one writes texts.
 func koudekettingProfiles(models []string) []Profile {
 	small, large := models[:1], models[1:]
 	section := auditSection(large)
@@ -130,7 +132,7 @@
 	}
 }
 
-// qasrProfiles are the programs of the collections desk.
+// qasrProfiles returns the profiles of Qasr.
 func qasrProfiles(models []string) []Profile {
 	small, large := models[:1], models[1:]
 	return []Profile{
@@ -178,8 +180,8 @@
 	}
 }
 
-// letterProfiles mixes the programs of both deployments over the tenants and
-// models of the design size.
+// letterProfiles returns the profiles of both other deployments, with the
+// tenants and models of the design size.
 func letterProfiles(models []string, branches []Branch) []Profile {
 	paths := make([]contract.Path, len(branches))
 	for i, branch := range branches {
--- a/workload/script.go
+++ b/workload/script.go
@@ -7,21 +7,21 @@
 	"birchwood.example/birchwood/api"
 )
 
-// script draws the steps of one program. Each turn is a model call, then the
-// turn's tool calls, sub-agents and pause, in this order.
+// script draws the steps of one program. Each turn is a model call, followed
+// by the turn's tool calls, sub-agents and pause, in this order.
 type script struct {
 	profile *Profile
 	random  *rand.Rand
 	model   string
-	turns   int // model calls in all
-	turn    int // model calls drawn so far
+	turns   int // total number of model calls
+	turn    int // number of model calls drawn so far
 	pending []Step
-	carried int // tokens that sub-agents handed back, for the next input
+	carried int // output tokens of sub-agents to add to the next input
 	spawned int
 	over    bool
 }
 
-// newProgram draws the shape of a program that nothing is known of yet.
+// newProgram draws a program with its model, branch and number of turns.
 func newProgram(id string, profile *Profile, random *rand.Rand) *Program {
 	script := &script{
 		profile: profile,
@@ -40,7 +40,8 @@
 	}
 }
 
-// next gives the step after the result of the one before.
+// next returns the next step, given the result of the previous one. It returns
+// false if there are no more steps.
 func (s *script) next(program *Program, result Result) (Step, bool) {
 	s.carried += result.ChildOutputTokens
 	if s.over || result.HungUp || stops(result) {
@@ -58,8 +59,9 @@
 	return s.pop(), true
 }
 
-// stops reports whether the caller gives up after the result. A failed or
-// unknown tool call does not stop it: the agent goes on and says so.
+// stops reports whether the program ends after the result. A failed call or
+// one with an unknown outcome does not end it, unless the budget is exhausted
+// or the program has already ended.
 func stops(result Result) bool {
 	switch result.Status {
 	case "", api.StatusSucceeded, api.StatusFailed, api.StatusOutcomeUnknown:
@@ -68,14 +70,14 @@
 	return true
 }
 
-// pop takes the first pending step.
+// pop removes and returns the first pending step.
 func (s *script) pop() Step {
 	step := s.pending[0]
 	s.pending = s.pending[1:]
 	return step
 }
 
-// drawTurn draws one model call and what follows it.
+// drawTurn draws the steps of one turn.
 func (s *script) drawTurn(program *Program) {
 	s.turn++
 	last := s.turn == s.turns
@@ -134,7 +136,7 @@
 	}
 }
 
-// spawnStep draws sub-agents, which are programs on the parent's branch.
+// spawnStep draws sub-agents, with the parent's branch and model.
 func (s *script) spawnStep(parent *Program) Step {
 	count := 1 + s.random.IntN(s.profile.MaximumSubAgents)
 	children := make([]*Program, count)
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -13,8 +13,9 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// run plays the programs in turn, one step of each at a time when interleaved,
-// and returns what every program did.
+// run executes the programs and returns the steps of each program as text.
+// Interleaved programs take turns after each step; others run one after
+// another.
 func run(programs []*workload.Program, interleaved bool) map[string]string {
 	traces := map[string]*strings.Builder{}
 	live := programs
