--- a/history/backends.go
+++ b/history/backends.go
@@ -18,7 +18,7 @@
 				continue
 			}
 			closed := program.closed.At
-			if c.quietTime(closed, held.At, anyFault) > c.run.MemoryBound {
+			if c.faultFreeTime(closed, held.At, anyFault) > c.run.MemoryBound {
 				c.report(InvariantMemory, []*record{program.closed, held},
 					"engine %s holds memory of program %s, which ended %s ago",
 					held.Held.Backend, id, held.At.Sub(closed))
@@ -41,7 +41,7 @@
 		for _, each := range program.calls {
 			for _, start := range each.started {
 				since, found := left[start.Started.Backend]
-				if found && c.quietTime(since.At, start.At, hidesList(start.Started.Backend)) > c.run.LeavingBound {
+				if found && c.faultFreeTime(since.At, start.At, hidesLeaving(start.Started.Backend)) > c.run.LeavingBound {
 					c.report(InvariantLeaving, []*record{since, start},
 						"back end %s was given call %d of program %s %s after it began to leave",
 						start.Started.Backend, each.ref.sequence, program.id, start.At.Sub(since.At))
@@ -51,8 +51,8 @@
 	}
 }
 
-// stopping is the interval of a machine's planned stop.
-type stopping struct {
+// stopInterval is the interval of a machine's planned stop.
+type stopInterval struct {
 	from, to time.Time
 	begin    *record
 }
@@ -66,7 +66,7 @@
 		if exchange.lost == nil || exchange.lost.Lost.HungUp || exchange.lost.Lost.NotSent {
 			continue
 		}
-		if stop := c.within(intervals, exchange.sent.Sent.Node, exchange.lost.At); stop != nil {
+		if stop := c.plannedStopAt(intervals, exchange.sent.Sent.Node, exchange.lost.At); stop != nil {
 			c.report(InvariantPlannedStop, []*record{stop, exchange.sent, exchange.lost},
 				"the planned stop of %s cut request %s", exchange.sent.Sent.Node, exchange.sent.Sent.Request)
 		}
@@ -77,7 +77,7 @@
 				if r.Finished.Outcome != OutcomeCut {
 					continue
 				}
-				if stop := c.within(intervals, r.Finished.Backend, r.At); stop != nil {
+				if stop := c.plannedStopAt(intervals, r.Finished.Backend, r.At); stop != nil {
 					c.report(InvariantPlannedStop, []*record{stop, r},
 						"the planned stop of %s cut call %d of program %s",
 						r.Finished.Backend, each.ref.sequence, program.id)
@@ -88,12 +88,12 @@
 }
 
 // stopIntervals returns the intervals of the planned stops by machine.
-func (c *checker) stopIntervals() map[machine.ID][]stopping {
-	intervals := map[machine.ID][]stopping{}
+func (c *checker) stopIntervals() map[machine.ID][]stopInterval {
+	intervals := map[machine.ID][]stopInterval{}
 	for _, r := range c.stops {
 		id := r.Stop.Machine
 		if !r.Stop.Done {
-			intervals[id] = append(intervals[id], stopping{from: r.At, to: c.end, begin: r})
+			intervals[id] = append(intervals[id], stopInterval{from: r.At, to: c.end, begin: r})
 			continue
 		}
 		if count := len(intervals[id]); count > 0 {
@@ -103,15 +103,15 @@
 	return intervals
 }
 
-// within returns the record that began the machine's planned stop in progress
+// plannedStopAt returns the record that began the machine's planned stop in progress
 // at the given time. It returns nil if there is none or if a fault affected
 // the machine since that stop began.
-func (c *checker) within(intervals map[machine.ID][]stopping, id machine.ID, at time.Time) *record {
+func (c *checker) plannedStopAt(intervals map[machine.ID][]stopInterval, id machine.ID, at time.Time) *record {
 	for _, interval := range intervals[id] {
 		if at.Before(interval.from) || at.After(interval.to) {
 			continue
 		}
-		if !c.disturbed(interval.from, at, touches(id)) {
+		if !c.faultActive(interval.from, at, affects(id)) {
 			return interval.begin
 		}
 	}
@@ -121,62 +121,62 @@
 // anyFault selects all faults.
 func anyFault(*Fault) bool { return true }
 
-// hidesList selects the faults that can keep a node from noticing that the
+// hidesLeaving selects the faults that can keep a node from noticing that the
 // machine is leaving.
-func hidesList(id machine.ID) func(*Fault) bool {
+func hidesLeaving(id machine.ID) func(*Fault) bool {
 	return func(fault *Fault) bool {
 		return fault.Machine == id || fault.Kind == FaultStore || fault.Kind == FaultList || fault.Kind == FaultPause
 	}
 }
 
-// touches selects the faults of one machine and of the platform.
-func touches(id machine.ID) func(*Fault) bool {
+// affects selects the faults of one machine and of the platform.
+func affects(id machine.ID) func(*Fault) bool {
 	return func(fault *Fault) bool {
 		return fault.Machine == id || fault.Machine == "" && fault.Kind != FaultList
 	}
 }
 
-// disturbed reports whether a selected fault was active at any time in the
+// faultActive reports whether a selected fault was active at any time in the
 // interval.
-func (c *checker) disturbed(from, to time.Time, chosen func(*Fault) bool) bool {
-	begun := 0
+func (c *checker) faultActive(from, to time.Time, selected func(*Fault) bool) bool {
+	active := 0
 	for _, r := range c.faults {
-		if !chosen(r.Fault) || r.At.After(to) {
+		if !selected(r.Fault) || r.At.After(to) {
 			continue
 		}
 		if !r.Fault.Begin {
-			begun--
+			active--
 			continue
 		}
-		begun++
+		active++
 		if !r.At.Before(from) {
 			return true
 		}
 	}
-	return begun > 0
+	return active > 0
 }
 
-// quietTime returns the part of the interval after the end of the last
+// faultFreeTime returns the part of the interval after the end of the last
 // selected fault, or zero if a selected fault is active at its end. Bounds are
 // compared with this time.
-func (c *checker) quietTime(from, to time.Time, chosen func(*Fault) bool) time.Duration {
-	begun := 0
-	quietSince := from
+func (c *checker) faultFreeTime(from, to time.Time, selected func(*Fault) bool) time.Duration {
+	active := 0
+	faultFreeSince := from
 	for _, r := range c.faults {
-		if !chosen(r.Fault) || r.At.After(to) {
+		if !selected(r.Fault) || r.At.After(to) {
 			continue
 		}
 		if r.Fault.Begin {
-			begun++
+			active++
 			continue
 		}
-		begun--
-		if r.At.After(quietSince) {
-			quietSince = r.At
+		active--
+		if r.At.After(faultFreeSince) {
+			faultFreeSince = r.At
 		}
 	}
-	if begun > 0 {
+	if active > 0 {
 		return 0
 	}
-	return to.Sub(quietSince)
+	return to.Sub(faultFreeSince)
 }
--- a/history/calls.go
+++ b/history/calls.go
@@ -25,17 +25,17 @@
 // checkOrder verifies that a call starts only after every earlier call of the
 // program has ended. It is enough to compare each started call with the
 // started call before it.
-func (c *checker) checkOrder(program *programFacts) {
+func (c *checker) checkOrder(program *programRecords) {
 	var previous *call
 	for _, each := range program.calls {
 		if len(each.started) == 0 {
 			continue
 		}
 		if previous != nil {
-			over := previous.over()
+			endRecord := previous.endRecord()
 			start := each.started[0]
-			if over == nil || start.At.Before(over.At) {
-				c.report(InvariantOrder, []*record{start, previous.started[0], over},
+			if endRecord == nil || start.At.Before(endRecord.At) {
+				c.report(InvariantOrder, []*record{start, previous.started[0], endRecord},
 					"call %d of program %s started before call %d was over",
 					each.ref.sequence, program.id, previous.ref.sequence)
 			}
@@ -61,16 +61,16 @@
 // repeatable reports whether the call may run more than once. The submit
 // requests decide; without any recorded, the attempts' own flag does.
 func (c *call) repeatable() bool {
-	asked := false
+	submitted := false
 	for _, exchange := range c.exchanges {
 		if sent := exchange.sent.Sent; sent.Operation == OperationSubmit {
 			if !sent.Repeatable && sent.Kind != api.CallModel {
 				return false
 			}
-			asked = true
+			submitted = true
 		}
 	}
-	if asked {
+	if submitted {
 		return true
 	}
 	return slices.ContainsFunc(c.started, func(r *record) bool {
@@ -86,18 +86,18 @@
 	}
 	for _, start := range each.started {
 		var refusals []*record
-		licensed := false
+		allowed := false
 		for _, exchange := range each.exchanges {
 			if exchange.sent.Sent.Operation != OperationSubmit || exchange.sent.At.After(start.At) {
 				continue
 			}
 			if !exchange.refused() {
-				licensed = true
+				allowed = true
 				break
 			}
 			refusals = append(refusals, exchange.got)
 		}
-		if !licensed && len(refusals) > 0 {
+		if !allowed && len(refusals) > 0 {
 			c.report(InvariantNotRun, append(refusals, start),
 				"call %d of program %s was refused as not run, and started at %s",
 				each.ref.sequence, each.ref.program, start.Started.Backend)
@@ -156,27 +156,27 @@
 	if !c.settled {
 		return
 	}
-	type question struct {
+	type operationKey struct {
 		operation Operation
 		program   api.ProgramID
 		branch    string
 		key       string
 	}
-	answered := map[question]time.Time{}
-	about := func(each *exchange) question {
+	answered := map[operationKey]time.Time{}
+	keyOf := func(each *exchange) operationKey {
 		sent := each.sent.Sent
-		return question{sent.Operation, sent.Program, sent.Branch, sent.Key}
+		return operationKey{sent.Operation, sent.Program, sent.Branch, sent.Key}
 	}
 	for _, each := range c.exchanges {
 		if each.got != nil {
-			answered[about(each)] = each.got.At
+			answered[keyOf(each)] = each.got.At
 		}
 	}
 	for _, each := range c.exchanges {
 		if each.got != nil || each.lost != nil && each.lost.Lost.HungUp {
 			continue
 		}
-		if at, found := answered[about(each)]; found && each.lost != nil && at.After(each.lost.At) {
+		if at, found := answered[keyOf(each)]; found && each.lost != nil && at.After(each.lost.At) {
 			continue
 		}
 		c.report(InvariantAnswer, []*record{each.sent, each.lost},
--- a/history/check.go
+++ b/history/check.go
@@ -93,9 +93,9 @@
 }
 
 // report adds a finding with the given records as evidence.
-func (c *checker) report(invariant Invariant, shown []*record, format string, arguments ...any) {
+func (c *checker) report(invariant Invariant, evidence []*record, format string, arguments ...any) {
 	finding := Finding{Invariant: invariant, Message: fmt.Sprintf(format, arguments...), Seed: c.run.Seed}
-	for _, r := range shown {
+	for _, r := range evidence {
 		if r != nil {
 			finding.Lines = append(finding.Lines, r.line)
 		}
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -16,7 +16,7 @@
 	placement = zone.Placement("isando_midrand-a")
 	chat      = api.ProgramID("cold.0.000000000000000a")
 	farm      = api.ProgramID("cold.1.000000000000000b")
-	helper    = api.ProgramID("cold.0.000000000000000c")
+	subAgent  = api.ProgramID("cold.0.000000000000000c")
 )
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -119,8 +119,8 @@
 	}
 }
 
-// good returns a history that satisfies every invariant.
-func good() []history.Event {
+// validHistory returns a history that satisfies every invariant.
+func validHistory() []history.Event {
 	b := &builder{prompts: map[api.ProgramID]string{}, reads: map[api.ProgramID][]history.ReadCall{}}
 	b.add(0, history.Event{Run: &history.Run{Name: "good", Seed: seed}})
 	b.add(0, history.Event{Placed: &history.Placed{Branch: "cold", Placement: placement, Since: at(0)}})
@@ -136,13 +136,13 @@
 	b.run(3, chat, 2, api.CallTool, false)
 	b.refuse(4, chat, 3)
 	b.run(5, chat, 3, api.CallModel, true)
-	b.open(6, helper, chat, 100)
-	b.run(7, helper, 1, api.CallModel, true)
+	b.open(6, subAgent, chat, 100)
+	b.run(7, subAgent, 1, api.CallModel, true)
 	b.run(8, farm, 2, api.CallModel, true)
 	b.describe(9, farm, 80)
 	b.add(9, history.Event{Stream: &history.StreamUse{Machine: "node-1", Zone: "isando", Stream: "cold.0", Branch: "cold"}})
 	b.add(10, history.Event{Held: &history.Held{Backend: "engine-1", Programs: []api.ProgramID{chat, farm}}})
-	for _, id := range []api.ProgramID{chat, farm, helper} {
+	for _, id := range []api.ProgramID{chat, farm, subAgent} {
 		b.add(11, history.Event{Read: &history.Read{Program: id, SentAt: at(10.5), Calls: b.reads[id]}})
 	}
 	b.add(12, history.Event{Closed: &history.Closed{Program: chat}})
--- a/history/index.go
+++ b/history/index.go
@@ -36,8 +36,8 @@
 	ended     []*record
 }
 
-// programFacts holds the records about one program.
-type programFacts struct {
+// programRecords holds the records about one program.
+type programRecords struct {
 	id     api.ProgramID
 	opened []*record
 	closed *record
@@ -53,20 +53,20 @@
 	end       time.Time
 	settled   bool
 	exchanges []*exchange
-	programs  []*programFacts
-	byProgram map[api.ProgramID]*programFacts
+	programs  []*programRecords
+	byProgram map[api.ProgramID]*programRecords
 	byCall    map[callRef]*call
 	held      []*record
 	streams   []*record
-	// placed holds the placements of each branch in order of time.
-	placed   map[string][]*record
-	changes  []*record
-	verdicts []*record
-	inForce  []*record
-	faults   []*record
-	leaving  []*record
-	stops    []*record
-	gaps     []*record
+	// placements holds the placements of each branch in order of time.
+	placements map[string][]*record
+	changes    []*record
+	verdicts   []*record
+	inForce    []*record
+	faults     []*record
+	leaving    []*record
+	stops      []*record
+	gaps       []*record
 }
 
 // The default bounds of the invariants.
@@ -81,16 +81,16 @@
 func newIndex(records []record) *index {
 	slices.SortStableFunc(records, func(a, b record) int { return a.At.Compare(b.At) })
 	x := &index{
-		records:   records,
-		byProgram: map[api.ProgramID]*programFacts{},
-		byCall:    map[callRef]*call{},
-		placed:    map[string][]*record{},
+		records:    records,
+		byProgram:  map[api.ProgramID]*programRecords{},
+		byCall:     map[callRef]*call{},
+		placements: map[string][]*record{},
 	}
 	requests := map[string]*exchange{}
 	for i := range records {
 		x.add(&records[i], requests)
 	}
-	x.placeExchanges()
+	x.assignExchanges()
 	for _, program := range x.programs {
 		slices.SortFunc(program.calls, func(a, b *call) int { return cmp.Compare(a.ref.sequence, b.ref.sequence) })
 	}
@@ -122,12 +122,12 @@
 			each.lost = r
 		}
 	default:
-		x.addObserved(r)
+		x.addProgramRecord(r)
 	}
 }
 
-// addObserved indexes a record about the state of a program or a call.
-func (x *index) addObserved(r *record) {
+// addProgramRecord indexes a record about the state of a program or a call.
+func (x *index) addProgramRecord(r *record) {
 	switch {
 	case r.Read != nil:
 		program := x.program(r.Read.Program)
@@ -150,17 +150,17 @@
 			program.closed = r
 		}
 	default:
-		x.addSurroundings(r)
+		x.addEnvironmentRecord(r)
 	}
 }
 
-// addSurroundings indexes a record about machines, placements or settings.
-func (x *index) addSurroundings(r *record) {
+// addEnvironmentRecord indexes a record about machines, placements or settings.
+func (x *index) addEnvironmentRecord(r *record) {
 	switch {
 	case r.Held != nil:
 		x.held = append(x.held, r)
 	case r.Placed != nil:
-		x.placed[r.Placed.Branch] = append(x.placed[r.Placed.Branch], r)
+		x.placements[r.Placed.Branch] = append(x.placements[r.Placed.Branch], r)
 	case r.Stream != nil:
 		x.streams = append(x.streams, r)
 	case r.Change != nil:
@@ -180,10 +180,10 @@
 	}
 }
 
-// placeExchanges assigns each submit and attach request to its call: by the
+// assignExchanges assigns each submit and attach request to its call: by the
 // sequence number in the answer or the request, or else by the sequence number
 // of another request with the same key.
-func (x *index) placeExchanges() {
+func (x *index) assignExchanges() {
 	type keyRef struct {
 		program api.ProgramID
 		key     string
@@ -204,8 +204,8 @@
 			sequence = byKey[keyRef{sent.Program, sent.Key}]
 		}
 		if sequence != 0 {
-			placed := x.call(callRef{sent.Program, sequence})
-			placed.exchanges = append(placed.exchanges, each)
+			target := x.call(callRef{sent.Program, sequence})
+			target.exchanges = append(target.exchanges, each)
 		}
 	}
 }
@@ -233,46 +233,46 @@
 }
 
 // program returns the entry of a program and creates it if necessary.
-func (x *index) program(id api.ProgramID) *programFacts {
-	facts, found := x.byProgram[id]
+func (x *index) program(id api.ProgramID) *programRecords {
+	entry, found := x.byProgram[id]
 	if !found {
-		facts = &programFacts{id: id}
-		x.byProgram[id] = facts
-		x.programs = append(x.programs, facts)
+		entry = &programRecords{id: id}
+		x.byProgram[id] = entry
+		x.programs = append(x.programs, entry)
 	}
-	return facts
+	return entry
 }
 
 // call returns the entry of a call and creates it if necessary.
 func (x *index) call(ref callRef) *call {
-	facts, found := x.byCall[ref]
+	entry, found := x.byCall[ref]
 	if !found {
-		facts = &call{ref: ref}
-		x.byCall[ref] = facts
+		entry = &call{ref: ref}
+		x.byCall[ref] = entry
 		program := x.program(ref.program)
-		program.calls = append(program.calls, facts)
+		program.calls = append(program.calls, entry)
 	}
-	return facts
+	return entry
 }
 
-// over returns the earliest record that shows the end of the call, from a back
+// endRecord returns the earliest record that shows the end of the call, from a back
 // end, a node or a caller. It returns nil if there is none.
-func (c *call) over() *record {
+func (c *call) endRecord() *record {
 	var first *record
-	earlier := func(r *record) {
+	consider := func(r *record) {
 		if first == nil || r.At.Before(first.At) {
 			first = r
 		}
 	}
 	for _, r := range c.finished {
-		earlier(r)
+		consider(r)
 	}
 	for _, r := range c.ended {
-		earlier(r)
+		consider(r)
 	}
 	for _, each := range c.exchanges {
 		if each.got != nil && each.got.Got.Status.Terminal() && each.got.Got.Status != "" {
-			earlier(each.got)
+			consider(each.got)
 		}
 	}
 	return first
--- a/history/linearizable.go
+++ b/history/linearizable.go
@@ -64,7 +64,7 @@
 		case answer.refused && !answer.reused:
 			return []any{current}
 		case answer.reused:
-			return keep(current, current.written && current.body != body)
+			return statesIf(current, current.written && current.body != body)
 		case !answer.known:
 			return afterUnknown(current, body)
 		case !current.written:
@@ -72,7 +72,7 @@
 		}
 		same := current.body == body && (current.name == answer.name || current.name == "")
 		current.name = answer.name
-		return keep(current, same)
+		return statesIf(current, same)
 	},
 }).ToModel()
 
@@ -86,8 +86,8 @@
 	return []any{current, keyState{written: true, body: body}}
 }
 
-// keep returns the state if the step is allowed, and no state otherwise.
-func keep(state keyState, allowed bool) []any {
+// statesIf returns the state if the step is allowed, and no state otherwise.
+func statesIf(state keyState, allowed bool) []any {
 	if !allowed {
 		return nil
 	}
@@ -240,7 +240,7 @@
 
 // spentOperations returns the additions by a program's calls. It returns false
 // if the cost of a call is unknown.
-func (c *checker) spentOperations(program *programFacts) ([]porcupine.Operation, bool) {
+func (c *checker) spentOperations(program *programRecords) ([]porcupine.Operation, bool) {
 	var operations []porcupine.Operation
 	for _, each := range program.calls {
 		var answered *exchange
--- a/history/outage.go
+++ b/history/outage.go
@@ -24,10 +24,10 @@
 	causeNone = "no disturbance"
 )
 
-// gapAttribution is the maximum delay from the start of a gap to the start of
+// maxCauseDelay is the maximum delay from the start of a gap to the start of
 // its cause. A gap begins when the observer sends its request, and the fault
 // may begin while the observer waits for the answer.
-const gapAttribution = time.Second
+const maxCauseDelay = time.Second
 
 // Outage summarizes the lengths of the gaps with one cause.
 type Outage struct {
@@ -55,16 +55,16 @@
 }
 
 // causeOf returns the cause of a gap: the latest fault or planned stop that
-// began before the gap, or during it within gapAttribution of its start.
+// began before the gap, or during it within maxCauseDelay of its start.
 func (x *index) causeOf(gap *record) string {
-	latest := gap.Gap.Since.Add(gapAttribution)
+	latest := gap.Gap.Since.Add(maxCauseDelay)
 	if gap.At.Before(latest) {
 		latest = gap.At
 	}
-	cause, begun := causeNone, time.Time{}
+	cause, beganAt := causeNone, time.Time{}
 	consider := func(r *record, name string) {
-		if !r.At.After(latest) && !r.At.Before(begun) {
-			cause, begun = name, r.At
+		if !r.At.After(latest) && !r.At.Before(beganAt) {
+			cause, beganAt = name, r.At
 		}
 	}
 	for _, r := range x.faults {
@@ -86,8 +86,8 @@
 	return sorted[max(rank, 1)-1]
 }
 
-// outageLines formats the outages, one per line.
-func outageLines(outages map[string]Outage) string {
+// formatOutages formats the outages, one per line.
+func formatOutages(outages map[string]Outage) string {
 	var text strings.Builder
 	for _, cause := range slices.SortedFunc(maps.Keys(outages), cmp.Compare[string]) {
 		each := outages[cause]
--- a/history/placement.go
+++ b/history/placement.go
@@ -15,13 +15,13 @@
 		if len(program.opened) == 0 {
 			continue
 		}
-		placed := c.placed[program.opened[0].Opened.Branch]
+		placements := c.placements[program.opened[0].Opened.Branch]
 		for _, each := range program.calls {
 			for _, start := range each.started {
-				if start.Started.Zone == "" || permitted(placed, start.Started.Zone, start.At, c.run.SettingsBound) {
+				if start.Started.Zone == "" || permitted(placements, start.Started.Zone, start.At, c.run.SettingsBound) {
 					continue
 				}
-				c.report(InvariantPlacement, []*record{lastBefore(placed, start.At), start},
+				c.report(InvariantPlacement, []*record{lastBefore(placements, start.At), start},
 					"call %d of program %s ran in zone %s, which its placement does not permit",
 					each.ref.sequence, program.id, start.Started.Zone)
 			}
@@ -35,13 +35,13 @@
 // over, not counting the time of faults.
 func (c *checker) checkStreams() {
 	for _, r := range c.streams {
-		placed := c.placed[r.Stream.Branch]
-		if permitted(placed, r.Stream.Zone, r.At, c.run.MoveBound) {
+		placements := c.placements[r.Stream.Branch]
+		if permitted(placements, r.Stream.Zone, r.At, c.run.MoveBound) {
 			continue
 		}
-		last := lastBefore(placed, r.At)
-		disturbed := last != nil && c.quietTime(last.Placed.Since, r.At, anyFault) <= c.run.MoveBound
-		if disturbed && everPermitted(placed, r.Stream.Zone) {
+		last := lastBefore(placements, r.At)
+		withinBound := last != nil && c.faultFreeTime(last.Placed.Since, r.At, anyFault) <= c.run.MoveBound
+		if withinBound && everPermitted(placements, r.Stream.Zone) {
 			continue
 		}
 		c.report(InvariantPlacement, []*record{last, r},
@@ -52,25 +52,25 @@
 // permitted reports whether the zone is permitted by the placement in effect
 // at the given time or by one that was replaced at most the bound before. It
 // returns true if no placement was recorded.
-func permitted(placed []*record, name zone.Name, at time.Time, bound time.Duration) bool {
-	for i, r := range placed {
-		replaced := i+1 < len(placed) && at.Sub(placed[i+1].Placed.Since) > bound
+func permitted(placements []*record, name zone.Name, at time.Time, bound time.Duration) bool {
+	for i, r := range placements {
+		replaced := i+1 < len(placements) && at.Sub(placements[i+1].Placed.Since) > bound
 		if !replaced && r.Placed.Placement.Contains(name) {
 			return true
 		}
 	}
-	return len(placed) == 0
+	return len(placements) == 0
 }
 
 // everPermitted reports whether any recorded placement permits the zone.
-func everPermitted(placed []*record, name zone.Name) bool {
-	return slices.ContainsFunc(placed, func(r *record) bool { return r.Placed.Placement.Contains(name) })
+func everPermitted(placements []*record, name zone.Name) bool {
+	return slices.ContainsFunc(placements, func(r *record) bool { return r.Placed.Placement.Contains(name) })
 }
 
 // lastBefore returns the placement in effect at the given time.
-func lastBefore(placed []*record, at time.Time) *record {
+func lastBefore(placements []*record, at time.Time) *record {
 	var last *record
-	for _, r := range placed {
+	for _, r := range placements {
 		if !r.Placed.Since.After(at) {
 			last = r
 		}
--- a/history/programs.go
+++ b/history/programs.go
@@ -18,10 +18,10 @@
 // checkReads verifies that each read of a history contains every call that was
 // acknowledged before the read was sent, in order and with the call's own
 // input and output, and that an ended call is the same in all later reads.
-func (c *checker) checkReads(program *programFacts) {
-	known := map[uint64]ReadCall{}
+func (c *checker) checkReads(program *programRecords) {
+	latest := map[uint64]ReadCall{}
 	for _, read := range program.reads {
-		shown := map[uint64]ReadCall{}
+		readCalls := map[uint64]ReadCall{}
 		last := uint64(0)
 		for _, each := range read.Read.Calls {
 			if each.Sequence <= last {
@@ -29,34 +29,34 @@
 					"history of program %s shows call %d after call %d", program.id, each.Sequence, last)
 			}
 			last = each.Sequence
-			shown[each.Sequence] = each
-			before, found := known[each.Sequence]
+			readCalls[each.Sequence] = each
+			before, found := latest[each.Sequence]
 			if found && before.Status.Terminal() && before != each {
 				c.report(InvariantHistory, []*record{read},
 					"history of program %s changed at call %d", program.id, each.Sequence)
 			}
-			known[each.Sequence] = each
+			latest[each.Sequence] = each
 		}
-		c.checkReadAgainstCalls(program, read, shown)
+		c.checkReadAgainstCalls(program, read, readCalls)
 	}
 }
 
 // checkReadAgainstCalls compares one read with the answers that callers had
 // received before it.
-func (c *checker) checkReadAgainstCalls(program *programFacts, read *record, shown map[uint64]ReadCall) {
+func (c *checker) checkReadAgainstCalls(program *programRecords, read *record, readCalls map[uint64]ReadCall) {
 	for _, each := range program.calls {
 		for _, exchange := range each.exchanges {
 			sent := exchange.sent.Sent
 			if sent.Operation != OperationSubmit || !exchange.succeeded() || exchange.got.At.After(read.Read.SentAt) {
 				continue
 			}
-			held, found := shown[each.ref.sequence]
+			readCall, found := readCalls[each.ref.sequence]
 			evidence := []*record{read, exchange.sent, exchange.got}
 			switch {
 			case !found:
 				c.report(InvariantHistory, evidence,
 					"history of program %s lost call %d", program.id, each.ref.sequence)
-			case held.Key != sent.Key || held.Input != sent.Input || held.Output != fullOutput(exchange, held):
+			case readCall.Key != sent.Key || readCall.Input != sent.Input || readCall.Output != fullOutput(exchange, readCall):
 				c.report(InvariantHistory, evidence,
 					"history of program %s has a different key, input or output at call %d than its caller sent and received",
 					program.id, each.ref.sequence)
@@ -67,16 +67,16 @@
 
 // fullOutput completes an answer that begins at an offset with the preceding
 // part of the output in the history.
-func fullOutput(exchange *exchange, held ReadCall) string {
+func fullOutput(exchange *exchange, readCall ReadCall) string {
 	got := exchange.got.Got
-	beginning := min(got.Offset, len(held.Output))
-	return held.Output[:beginning] + got.Output
+	beginning := min(got.Offset, len(readCall.Output))
+	return readCall.Output[:beginning] + got.Output
 }
 
 // checkPrompts verifies that an engine's prompt consists of the inputs and
 // outputs of the program's earlier successful calls, in order, and the new
 // input. The comparison stops at a call whose outcome no caller received.
-func (c *checker) checkPrompts(program *programFacts) {
+func (c *checker) checkPrompts(program *programRecords) {
 	digest := xxhash.New()
 	for _, each := range program.calls {
 		if each.neverRan() {
@@ -132,8 +132,8 @@
 		if exchange.succeeded() && exchange.got.Got.Offset == 0 {
 			return sent, exchange.got.Got.Output, api.StatusSucceeded
 		}
-		if told := exchange.got.Got.Status; told != "" && told.Terminal() && told != api.StatusSucceeded {
-			status = told
+		if terminal := exchange.got.Got.Status; terminal != "" && terminal.Terminal() && terminal != api.StatusSucceeded {
+			status = terminal
 		}
 	}
 	return sent, "", status
@@ -163,11 +163,11 @@
 				"program %s has a budget of %d tokens and used %d", program.id, budget, used[program.id])
 		}
 	}
-	c.checkCaps()
+	c.checkOutputCaps()
 }
 
-// checkCaps verifies that no answer exceeds the output cap of its request.
-func (c *checker) checkCaps() {
+// checkOutputCaps verifies that no answer exceeds the output cap of its request.
+func (c *checker) checkOutputCaps() {
 	for _, exchange := range c.exchanges {
 		if exchange.got == nil || exchange.sent.Sent.OutputCap == 0 {
 			continue
@@ -181,7 +181,7 @@
 }
 
 // cost returns the tokens that the program's calls used.
-func (p *programFacts) cost() int64 {
+func (p *programRecords) cost() int64 {
 	total := int64(0)
 	for _, each := range p.calls {
 		costliest := 0
@@ -195,12 +195,12 @@
 
 // budget returns the largest recorded budget of the program and the record
 // that shows it. The record is nil if none was recorded.
-func (p *programFacts) budget() (int64, *record) {
-	largest, shown := int64(-1), (*record)(nil)
+func (p *programRecords) budget() (int64, *record) {
+	largest, largestRecord := int64(-1), (*record)(nil)
 	for _, r := range p.opened {
 		if r.Opened.BudgetTokens > largest {
-			largest, shown = r.Opened.BudgetTokens, r
+			largest, largestRecord = r.Opened.BudgetTokens, r
 		}
 	}
-	return largest, shown
+	return largest, largestRecord
 }
--- a/history/repeatable_test.go
+++ b/history/repeatable_test.go
@@ -11,14 +11,14 @@
 )
 
 var _ = Describe("A tool call that started twice", func() {
-	// report checks a history in which one call started twice. The submit
-	// request has Repeatable set to asked, the attempts have it set to told.
-	report := func(asked, told bool) []history.Finding {
+	// report checks a history in which one call started twice. The arguments
+	// are Repeatable in the submit request and in the attempts.
+	report := func(submitted, attempted bool) []history.Finding {
 		at := func(seconds int64) time.Time { return time.Unix(seconds, 0) }
-		started := &history.Started{Backend: "t", Program: "a", Sequence: 1, Kind: api.CallTool, Repeatable: told}
+		started := &history.Started{Backend: "t", Program: "a", Sequence: 1, Kind: api.CallTool, Repeatable: attempted}
 		return history.CheckEvents([]history.Event{
 			{At: at(1), Sent: &history.Sent{
-				Request: "1", Operation: history.OperationSubmit, Program: "a", Key: "k", Sequence: 1, Kind: api.CallTool, Repeatable: asked,
+				Request: "1", Operation: history.OperationSubmit, Program: "a", Key: "k", Sequence: 1, Kind: api.CallTool, Repeatable: submitted,
 			}},
 			{At: at(2), Started: started},
 			{At: at(3), Started: started},
@@ -26,8 +26,8 @@
 	}
 
 	DescribeTable("counts as its caller asked for it, whatever the back end was told",
-		func(asked, told bool, findings int) {
-			Expect(report(asked, told)).To(HaveLen(findings))
+		func(submitted, attempted bool, findings int) {
+			Expect(report(submitted, attempted)).To(HaveLen(findings))
 		},
 		Entry("repeatable", true, false, 0),
 		Entry("not repeatable", false, true, 1),
--- a/history/report.go
+++ b/history/report.go
@@ -83,7 +83,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d events, %d programs, %d calls, %d findings, %d undecided\n",
 		r.Events, r.Programs, r.Calls, len(r.Findings), r.Undecided)
-	text.WriteString(outageLines(r.Outages))
+	text.WriteString(formatOutages(r.Outages))
 	for _, finding := range r.Findings {
 		fmt.Fprintln(&text, finding)
 	}
--- a/history/settings.go
+++ b/history/settings.go
@@ -12,7 +12,7 @@
 func (c *checker) checkSettings() {
 	c.checkVerdicts()
 	c.checkReverts()
-	c.checkSpread()
+	c.checkPropagation()
 }
 
 // checkVerdicts verifies that every node reaches the verdict that the operator
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// checkSpread verifies that a node that no fault affects puts an accepted
+// checkPropagation verifies that a node that no fault affects puts an accepted
 // change in force within the bound.
-func (c *checker) checkSpread() {
+func (c *checker) checkPropagation() {
 	nodes := map[machine.ID][]*record{}
 	var order []machine.ID
 	for _, r := range c.inForce {
@@ -102,10 +102,10 @@
 			if nodes[node][0].At.After(change.At) || c.stopped(node, due) {
 				continue
 			}
-			if c.quietTime(change.At, due, touches(node)) < c.run.SettingsBound {
+			if c.faultFreeTime(change.At, due, affects(node)) < c.run.SettingsBound {
 				continue
 			}
-			if !reached(nodes[node], change.Change.Revision, due) {
+			if !reachedRevision(nodes[node], change.Change.Revision, due) {
 				c.report(InvariantSettings, []*record{change},
 					"node %s did not put revision %d in force within %s",
 					node, change.Change.Revision, c.run.SettingsBound)
@@ -114,9 +114,9 @@
 	}
 }
 
-// reached reports whether the node put the revision or a newer one in force by
+// reachedRevision reports whether the node put the revision or a newer one in force by
 // the given time.
-func reached(inForce []*record, revision uint64, by time.Time) bool {
+func reachedRevision(inForce []*record, revision uint64, by time.Time) bool {
 	for _, r := range inForce {
 		if r.InForce.Revision >= revision && !r.At.After(by) {
 			return true
