--- a/load/agent.go
+++ b/load/agent.go
@@ -20,12 +20,12 @@
 	*caller
 	program *workload.Program
 	id      api.ProgramID
-	// transcript is the program's history as the caller knows it. known is
-	// false after a refused call, as it is then uncertain whether the call is
-	// part of the history.
-	transcript strings.Builder
-	known      bool
-	sequence   uint64
+	// transcript is the program's history as the caller knows it.
+	// transcriptKnown is false after a refused call, as it is then uncertain
+	// whether the call is part of the history.
+	transcript      strings.Builder
+	transcriptKnown bool
+	sequence        uint64
 	// calls are the successful calls, to be compared with the history.
 	calls []api.Call
 	// cachedTokens is the length of the part of the history that engines have
@@ -38,9 +38,9 @@
 	hungUp bool
 	// stopBy is the time from which no further step is made, or zero. stopped
 	// is set when the program ended for this reason.
-	stopBy  time.Time
-	stopped bool
-	fork    func() *caller
+	stopBy    time.Time
+	stopped   bool
+	newCaller func() *caller
 }
 
 // run creates the program, performs its steps and ends it. It returns an error
@@ -53,7 +53,7 @@
 	request := api.CreateProgram{Branch: string(branch), Key: a.program.ID, BudgetTokens: budget}
 	created, err := a.create(ctx, request, parent)
 	if err != nil {
-		return a.unlessRefused("create", err)
+		return a.ignoreRefusal("create", err)
 	}
 	a.id = created.ID
 	a.config.Recorder.Record(history.Event{At: time.Now(), Opened: &history.Opened{
@@ -129,11 +129,11 @@
 		return workload.Result{}, err
 	}
 	if refusal != nil {
-		a.known = false
+		a.transcriptKnown = false
 		return workload.Result{Status: api.StatusNotRun, Code: refusal.Code}, nil
 	}
 	a.sequence = result.call.Sequence
-	a.account(request, result)
+	a.recordAnswer(request, result)
 	outcome := workload.Result{Status: result.call.Status}
 	if result.call.Error != nil {
 		outcome.Code = result.call.Error.Code
@@ -159,14 +159,14 @@
 		if a.config.Model != "" {
 			request.Model = a.config.Model
 		}
-		request.MaxOutputTokens = max(minimumCap, step.OutputTokens*8/5)
+		request.MaxOutputTokens = max(minimumOutputCap, step.OutputTokens*8/5)
 	}
 	return request
 }
 
-// minimumCap is the smallest output cap, in tokens. A shorter answer may not
+// minimumOutputCap is the smallest output cap, in tokens. A shorter answer may not
 // contain the complete hash.
-const minimumCap = 8
+const minimumOutputCap = 8
 
 // bytesPerToken is the text length that nodes count as one token.
 const bytesPerToken = 4
@@ -179,8 +179,8 @@
 	return head + filler[:length-len(head)]
 }
 
-// account checks a call's answer and adds its usage to the totals.
-func (a *agent) account(request api.SubmitCall, result answered) {
+// recordAnswer checks a call's answer and adds its usage to the totals.
+func (a *agent) recordAnswer(request api.SubmitCall, result answered) {
 	call := result.call
 	a.totals.callEnded(call)
 	if call.Status != api.StatusSucceeded {
@@ -191,8 +191,8 @@
 		a.totals.firstText(a.program.Kind, result.firstText)
 		a.countCache(call.Usage)
 	}
-	if a.known && !a.config.AnyAnswer && !belongs(request, a.transcript.String(), call.Output) {
-		a.totals.wrong(fmt.Errorf("program %s, call %d: the answer belongs to another call or history", a.id, call.Sequence))
+	if a.transcriptKnown && !a.config.AnyAnswer && !answerMatches(request, a.transcript.String(), call.Output) {
+		a.totals.wrongAnswer(fmt.Errorf("program %s, call %d: the answer belongs to another call or history", a.id, call.Sequence))
 	}
 	a.transcript.WriteString(request.Input)
 	a.transcript.WriteString(call.Output)
@@ -207,17 +207,17 @@
 	a.cachedTokens = usage.PromptTokens + usage.OutputTokens
 }
 
-// childBudget is the divisor of the budget for sub-agents: each gets 1/8 of the
+// childBudgetDivisor is the divisor of the budget for sub-agents: each gets 1/8 of the
 // parent's unused budget.
-const childBudget = 8
+const childBudgetDivisor = 8
 
 // spawn runs sub-agents concurrently and waits for all of them.
 func (a *agent) spawn(ctx context.Context, step workload.Step) (workload.Result, error) {
 	described, err := a.describe(ctx, a.id)
 	if err != nil {
-		return workload.Result{}, a.unlessRefused("describe", err)
+		return workload.Result{}, a.ignoreRefusal("describe", err)
 	}
-	share := (described.BudgetTokens - described.SpentTokens - described.ReservedTokens) / childBudget
+	share := (described.BudgetTokens - described.SpentTokens - described.ReservedTokens) / childBudgetDivisor
 	if share <= 0 {
 		return workload.Result{}, nil
 	}
@@ -226,7 +226,7 @@
 	var group sync.WaitGroup
 	for i, child := range step.Children {
 		group.Go(func() {
-			each := &agent{caller: a.fork(), program: child, known: true, fork: a.fork, stopBy: a.stopBy}
+			each := &agent{caller: a.newCaller(), program: child, transcriptKnown: true, newCaller: a.newCaller, stopBy: a.stopBy}
 			failures[i] = each.run(ctx, a.id, share)
 			outputs[i] = each.output
 		})
@@ -244,22 +244,22 @@
 func (a *agent) finish(ctx context.Context) error {
 	calls, err := a.readHistory(ctx, a.id)
 	if err != nil {
-		return a.unlessRefused("history", err)
+		return a.ignoreRefusal("history", err)
 	}
-	if err := sameCalls(a.calls, calls); err != nil {
-		a.totals.wrong(fmt.Errorf("program %s: %w", a.id, err))
+	if err := compareCalls(a.calls, calls); err != nil {
+		a.totals.wrongAnswer(fmt.Errorf("program %s: %w", a.id, err))
 	}
 	if err := a.end(ctx, a.id); err != nil {
-		return a.unlessRefused("end", err)
+		return a.ignoreRefusal("end", err)
 	}
 	a.totals.programEnded(a.id)
 	a.config.Recorder.Record(history.Event{At: time.Now(), Closed: &history.Closed{Program: a.id}})
 	return nil
 }
 
-// unlessRefused returns nil for a refusal, since a refusal is an answer. It
+// ignoreRefusal returns nil for a refusal, since a refusal is an answer. It
 // counts any other error as an unanswered request and returns it.
-func (a *agent) unlessRefused(operation string, err error) error {
+func (a *agent) ignoreRefusal(operation string, err error) error {
 	var refusal *api.Error
 	if errors.As(err, &refusal) {
 		return nil
@@ -268,19 +268,19 @@
 	return err
 }
 
-// sameCalls returns an error for the first expected call that the history that
+// compareCalls returns an error for the first expected call that the history that
 // was read lacks or contains with a different key, input or output.
-func sameCalls(expected, read []api.Call) error {
-	shown := map[uint64]api.Call{}
+func compareCalls(expected, read []api.Call) error {
+	bySequence := map[uint64]api.Call{}
 	for _, call := range read {
-		shown[call.Sequence] = call
+		bySequence[call.Sequence] = call
 	}
 	for _, call := range expected {
-		held, found := shown[call.Sequence]
+		actual, found := bySequence[call.Sequence]
 		if !found {
 			return fmt.Errorf("call %d is missing from the history", call.Sequence)
 		}
-		if held.Key != call.Key || held.Input != call.Input || held.Output != call.Output {
+		if actual.Key != call.Key || actual.Input != call.Input || actual.Output != call.Output {
 			return fmt.Errorf("call %d has a different key, input or output in the history", call.Sequence)
 		}
 	}
--- a/load/answer.go
+++ b/load/answer.go
@@ -12,9 +12,9 @@
 // hashDigits is the number of hexadecimal digits in the stand-ins' hashes.
 const hashDigits = 16
 
-// belongs reports whether the output is the stand-ins' answer to this request
+// answerMatches reports whether the output is the stand-ins' answer to this request
 // with this history.
-func belongs(request api.SubmitCall, transcript, output string) bool {
+func answerMatches(request api.SubmitCall, transcript, output string) bool {
 	if request.Kind == api.CallTool {
 		return strings.Contains(output, fmt.Sprintf(`"input":"%016x"`, xxhash.Sum64String(request.Input)))
 	}
--- a/load/backends.go
+++ b/load/backends.go
@@ -18,8 +18,8 @@
 
 // The time limit and the interval for polling the engines' caches after a run.
 const (
-	releaseBound = 60 * time.Second
-	releasePoll  = 2 * time.Second
+	releaseTimeout      = 60 * time.Second
+	releasePollInterval = 2 * time.Second
 )
 
 // toolRuns is a stand-in tool service's list of the calls that it ran.
@@ -48,7 +48,7 @@
 		}
 		for _, run := range answer.Runs {
 			if call, found := callOf(run.Key); found {
-				r.totals.ran(call, run.Count)
+				r.totals.addToolRuns(call, run.Count)
 			}
 		}
 		client.Close()
@@ -68,27 +68,27 @@
 }
 
 // awaitRelease polls the engines until they cache no prefixes of ended
-// programs, or until releaseBound has passed. It returns the time taken and
+// programs, or until releaseTimeout has passed. It returns the time taken and
 // the number of prefixes left.
 func (r *runner) awaitRelease(ctx context.Context) (time.Duration, int) {
 	begin := time.Now()
 	for {
-		held := r.readHeld(ctx)
-		if held == 0 || time.Since(begin) > releaseBound {
-			return time.Since(begin), held
+		left := r.readCachedPrefixes(ctx)
+		if left == 0 || time.Since(begin) > releaseTimeout {
+			return time.Since(begin), left
 		}
 		select {
-		case <-time.After(releasePoll):
+		case <-time.After(releasePollInterval):
 		case <-ctx.Done():
-			return time.Since(begin), held
+			return time.Since(begin), left
 		}
 	}
 }
 
-// readHeld records the programs in each engine's cache and returns the number
+// readCachedPrefixes records the programs in each engine's cache and returns the number
 // of cached prefixes of programs that this run has ended.
-func (r *runner) readHeld(ctx context.Context) int {
-	gone := 0
+func (r *runner) readCachedPrefixes(ctx context.Context) int {
+	left := 0
 	for _, address := range r.config.Engines {
 		client := httpclient.New(httpclient.Options{Address: address})
 		var answer prefixes
@@ -101,10 +101,10 @@
 		for _, prefix := range answer.Prefixes {
 			held.Programs = append(held.Programs, prefix.Owner)
 			if r.totals.hasEnded(prefix.Owner) {
-				gone++
+				left++
 			}
 		}
 		r.config.Recorder.Record(history.Event{At: time.Now(), Held: held})
 	}
-	return gone
+	return left
 }
--- a/load/caller.go
+++ b/load/caller.go
@@ -24,38 +24,38 @@
 	longestBackoff = 2 * time.Second
 )
 
-// errBroken is the error for an answer that is incomplete or inconsistent.
-var errBroken = errors.New("answer is incomplete or inconsistent")
+// errIncomplete is the error for an answer that is incomplete or inconsistent.
+var errIncomplete = errors.New("answer is incomplete or inconsistent")
 
 // caller sends the requests of one program. It is not safe for concurrent use.
 type caller struct {
 	config  *Config
 	targets []*httpclient.Client
-	// names are the targets' addresses. at is the index of the current target.
-	names  []string
-	at     int
-	totals *totals
-	ids    *atomic.Uint64
+	// addresses are the targets' addresses. targetIndex selects the current one.
+	addresses     []string
+	targetIndex   int
+	totals        *totals
+	lastRequestID *atomic.Uint64
 }
 
-// question is one operation of a caller. It may take several requests.
-type question struct {
+// operation is what a caller wants done. It may take several requests.
+type operation struct {
 	// sent is the recorded request, without its ID and node.
 	sent history.Sent
-	// ask sends one request and returns the answer for the history.
-	ask func(ctx context.Context, client *httpclient.Client) (history.Got, error)
+	// send performs one request and returns the answer for the history.
+	send func(ctx context.Context, client *httpclient.Client) (history.Got, error)
 }
 
 // resolve sends requests until one gets a final answer or CallTimeout has
 // passed. The error is an *api.Error if the answer is a refusal.
-func (c *caller) resolve(ctx context.Context, asked question) (history.Got, error) {
+func (c *caller) resolve(ctx context.Context, op operation) (history.Got, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
 	defer cancel()
 	backoff := firstBackoff
 	var failedAt time.Time
 	for {
 		sentAt := time.Now()
-		got, err := c.once(ctx, asked)
+		got, err := c.once(ctx, op)
 		var refusal *api.Error
 		if err == nil || errors.As(err, &refusal) && !refusal.Retry && refusal.Ran != api.RanOutcomeUnknown {
 			c.totals.interrupted(failedAt)
@@ -69,7 +69,7 @@
 			wait = max(wait, time.Duration(refusal.RetryAfterMilliseconds)*time.Millisecond)
 		}
 		backoff = min(2*backoff, longestBackoff)
-		c.at = (c.at + 1) % len(c.targets)
+		c.targetIndex = (c.targetIndex + 1) % len(c.targets)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -80,12 +80,12 @@
 }
 
 // once sends one request and records it.
-func (c *caller) once(ctx context.Context, asked question) (history.Got, error) {
-	sent := asked.sent
-	sent.Request = strconv.FormatUint(c.ids.Add(1), 10)
-	sent.Node = machine.ID(c.names[c.at])
+func (c *caller) once(ctx context.Context, op operation) (history.Got, error) {
+	sent := op.sent
+	sent.Request = strconv.FormatUint(c.lastRequestID.Add(1), 10)
+	sent.Node = machine.ID(c.addresses[c.targetIndex])
 	c.config.Recorder.Record(history.Event{At: time.Now(), Sent: &sent})
-	got, err := asked.ask(ctx, c.targets[c.at])
+	got, err := op.send(ctx, c.targets[c.targetIndex])
 	err = refusalOf(err)
 	got.Request = sent.Request
 	var refusal *api.Error
@@ -126,9 +126,9 @@
 		path = "/v1/programs/" + string(parent) + "/agents"
 	}
 	var program api.Program
-	_, err := c.resolve(ctx, question{
+	_, err := c.resolve(ctx, operation{
 		sent: history.Sent{Operation: history.OperationCreate, Branch: request.Branch, Key: request.Key},
-		ask: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
+		send: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
 			err := client.Do(ctx, http.MethodPost, path, request, &program)
 			return history.Got{Program: program.ID}, err
 		},
@@ -138,9 +138,9 @@
 
 // end ends a program.
 func (c *caller) end(ctx context.Context, id api.ProgramID) error {
-	_, err := c.resolve(ctx, question{
+	_, err := c.resolve(ctx, operation{
 		sent: history.Sent{Operation: history.OperationEnd, Program: id},
-		ask: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
+		send: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
 			return history.Got{Program: id}, client.Do(ctx, http.MethodPost, "/v1/programs/"+string(id)+"/end", nil, nil)
 		},
 	})
@@ -150,9 +150,9 @@
 // describe reads a program's budget.
 func (c *caller) describe(ctx context.Context, id api.ProgramID) (api.Program, error) {
 	var program api.Program
-	_, err := c.resolve(ctx, question{
+	_, err := c.resolve(ctx, operation{
 		sent: history.Sent{Operation: history.OperationDescribe, Program: id},
-		ask: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
+		send: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
 			err := client.Do(ctx, http.MethodGet, "/v1/programs/"+string(id), nil, &program)
 			return history.Got{Program: id, SpentTokens: program.SpentTokens, BudgetTokens: program.BudgetTokens}, err
 		},
@@ -167,9 +167,9 @@
 	for from := uint64(1); from != 0; {
 		var part api.History
 		path := fmt.Sprintf("/v1/programs/%s/history?from=%d", id, from)
-		_, err := c.resolve(ctx, question{
+		_, err := c.resolve(ctx, operation{
 			sent: history.Sent{Operation: history.OperationAttach, Program: id},
-			ask: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
+			send: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
 				return history.Got{Program: id}, client.Do(ctx, http.MethodGet, path, nil, &part)
 			},
 		})
@@ -200,35 +200,35 @@
 	request.Stream = true
 	begin := time.Now()
 	result := answered{}
-	_, err := c.resolve(ctx, question{
+	_, err := c.resolve(ctx, operation{
 		sent: history.Sent{
 			Operation: history.OperationSubmit, Program: id, Key: request.Key, Sequence: request.Sequence,
 			Kind: request.Kind, Repeatable: request.Repeatable || request.Kind == api.CallModel,
 			Input: request.Input, OutputCap: request.MaxOutputTokens,
 		},
-		ask: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
-			follower := streamFollower{firstText: func() {
+		send: func(ctx context.Context, client *httpclient.Client) (history.Got, error) {
+			reader := streamReader{firstText: func() {
 				if result.firstText == 0 {
 					result.firstText = time.Since(begin)
 				}
 			}}
 			path := "/v1/programs/" + string(id) + "/calls"
-			err := client.Lines(ctx, path, request, follower.line)
-			if err == nil && follower.final == nil {
-				err = errBroken
+			err := client.Lines(ctx, path, request, reader.line)
+			if err == nil && reader.final == nil {
+				err = errIncomplete
 			}
 			if err != nil {
-				return history.Got{Program: id, Sequence: follower.sequence}, err
+				return history.Got{Program: id, Sequence: reader.sequence}, err
 			}
-			result.call = *follower.final
-			return gotOf(result.call), nil
+			result.call = *reader.final
+			return recordedAnswer(result.call), nil
 		},
 	})
 	return result, err
 }
 
-// gotOf converts a finished call to the answer that the history records.
-func gotOf(call api.Call) history.Got {
+// recordedAnswer converts a finished call to the answer that the history records.
+func recordedAnswer(call api.Call) history.Got {
 	got := history.Got{
 		Program: call.Program, Sequence: call.Sequence, Status: call.Status, Output: call.Output, Usage: call.Usage,
 	}
@@ -238,10 +238,10 @@
 	return got
 }
 
-// streamFollower parses the event stream of an answer.
-type streamFollower struct {
+// streamReader parses the event stream of an answer.
+type streamReader struct {
 	firstText func()
-	kind      string
+	event     string
 	sequence  uint64
 	text      []byte
 	final     *api.Call
@@ -255,11 +255,11 @@
 
 // line processes one line. It returns the refusal that ended the stream, or
 // another error if the stream is inconsistent.
-func (f *streamFollower) line(line []byte) error {
+func (f *streamReader) line(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte(": "))
 	switch string(name) {
 	case "event":
-		f.kind = string(value)
+		f.event = string(value)
 	case "data":
 		return f.data(value)
 	}
@@ -267,8 +267,8 @@
 }
 
 // data processes the data of an event.
-func (f *streamFollower) data(value []byte) error {
-	switch f.kind {
+func (f *streamReader) data(value []byte) error {
+	switch f.event {
 	case "accepted":
 		var call api.Call
 		if err := json.Unmarshal(value, &call); err != nil {
@@ -283,7 +283,7 @@
 		if refusal := api.ErrorIn(value); refusal != nil {
 			return refusal
 		}
-		return errBroken
+		return errIncomplete
 	case "end":
 		return f.end(value)
 	}
@@ -292,13 +292,13 @@
 
 // addText appends the text of an event. Its offset must be the length of the
 // text received so far.
-func (f *streamFollower) addText(value []byte) error {
+func (f *streamReader) addText(value []byte) error {
 	var event textEvent
 	if err := json.Unmarshal(value, &event); err != nil {
 		return err
 	}
 	if event.Offset != len(f.text) {
-		return fmt.Errorf("text at offset %d after %d bytes: %w", event.Offset, len(f.text), errBroken)
+		return fmt.Errorf("text at offset %d after %d bytes: %w", event.Offset, len(f.text), errIncomplete)
 	}
 	f.text = append(f.text, event.Text...)
 	f.firstText()
@@ -306,7 +306,7 @@
 }
 
 // end stores the finished call. The streamed text must be the call's output.
-func (f *streamFollower) end(value []byte) error {
+func (f *streamReader) end(value []byte) error {
 	var call api.Call
 	if err := json.Unmarshal(value, &call); err != nil {
 		return err
@@ -316,7 +316,7 @@
 			call.Output = string(f.text)
 		}
 		if call.Output != string(f.text) {
-			return fmt.Errorf("streamed text differs from the call's output: %w", errBroken)
+			return fmt.Errorf("streamed text differs from the call's output: %w", errIncomplete)
 		}
 	}
 	f.final = &call
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -27,15 +27,15 @@
 // gateway is a fake gateway. answer returns the output of a call or a refusal,
 // given the number of requests with the call's key so far.
 type gateway struct {
-	mutex  sync.Mutex
-	asked  map[string]int
-	calls  []api.Call
-	answer func(request api.SubmitCall, asked int) (string, *api.Error)
-	// forgets omits the last call from the history.
-	forgets bool
-	// ownerless is the number of describe requests to refuse, described the
+	mutex    sync.Mutex
+	attempts map[string]int
+	calls    []api.Call
+	answer   func(request api.SubmitCall, attempts int) (string, *api.Error)
+	// omitsLastCall omits the last call from the history.
+	omitsLastCall bool
+	// describesRefused is the number of describe requests to refuse, described the
 	// number received, and probes the number of probe programs.
-	ownerless, described, probes int
+	describesRefused, described, probes int
 }
 
 func (g *gateway) serve(ctx *fasthttp.RequestCtx) {
@@ -48,7 +48,7 @@
 		g.call(ctx)
 	case strings.HasSuffix(path, "/history"):
 		calls := g.calls
-		if g.forgets {
+		if g.omitsLastCall {
 			calls = calls[:len(calls)-1]
 		}
 		reply(ctx, api.History{Calls: calls})
@@ -56,7 +56,7 @@
 		reply(ctx, api.Program{})
 	default:
 		g.described++
-		if g.described <= g.ownerless {
+		if g.described <= g.describesRefused {
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		}
 		reply(ctx, api.Program{})
@@ -66,8 +66,8 @@
 func (g *gateway) call(ctx *fasthttp.RequestCtx) {
 	var request api.SubmitCall
 	Expect(json.Unmarshal(ctx.PostBody(), &request)).To(Succeed())
-	g.asked[request.Key]++
-	output, refusal := g.answer(request, g.asked[request.Key])
+	g.attempts[request.Key]++
+	output, refusal := g.answer(request, g.attempts[request.Key])
 	if refusal != nil {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		reply(ctx, map[string]any{"error": refusal})
@@ -98,16 +98,16 @@
 }
 
 // runAgainst runs one program against a fake gateway.
-func runAgainst(scripted *gateway) load.Result {
-	scripted.asked = map[string]int{}
+func runAgainst(fake *gateway) load.Result {
+	fake.attempts = map[string]int{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	server := &fasthttp.Server{Handler: scripted.serve}
+	server := &fasthttp.Server{Handler: fake.serve}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	result, err := load.Run(context.Background(), load.Config{
 		Targets: []string{listener.Addr().String()}, Deployment: oneProgram(), Programs: 1, Seed: 1, Rate: 1000,
-		CallTimeout: 3 * time.Second, Branch: "demo", Probes: scripted.probes,
+		CallTimeout: 3 * time.Second, Branch: "demo", Probes: fake.probes,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	Expect(server.Shutdown()).To(Succeed())
@@ -154,21 +154,21 @@
 	})
 
 	It("measures how long a program that stands by is without an owner", func() {
-		scripted := &gateway{probes: 1, ownerless: 20}
-		scripted.answer = func(request api.SubmitCall, _ int) (string, *api.Error) {
-			if scripted.described <= scripted.ownerless+1 { // Until the poll that ends the gap has completed.
+		fake := &gateway{probes: 1, describesRefused: 20}
+		fake.answer = func(request api.SubmitCall, _ int) (string, *api.Error) {
+			if fake.described <= fake.describesRefused+1 { // Until the poll that ends the gap has completed.
 				return "", api.Refuse(api.CodeOverloaded, "not now").After(1)
 			}
 			return ownAnswer(request), nil
 		}
-		result := runAgainst(scripted)
+		result := runAgainst(fake)
 		Expect(result.Absence.Count).To(Equal(int64(1)))
 		Expect(result.Absence.P50).To(BeNumerically(">=", 20*20), "20 refusals, 20 ms apart, in ms")
 	})
 
 	It("asks again by key after a refusal, and counts it", func() {
-		result := runAgainst(&gateway{answer: func(request api.SubmitCall, asked int) (string, *api.Error) {
-			if asked < 3 {
+		result := runAgainst(&gateway{answer: func(request api.SubmitCall, attempts int) (string, *api.Error) {
+			if attempts < 3 {
 				return "", api.Refuse(api.CodeOverloaded, "not now").After(1)
 			}
 			return ownAnswer(request), nil
@@ -179,8 +179,8 @@
 	})
 
 	DescribeTable("fails on an answer that is missing or wrong",
-		func(scripted *gateway, unanswered, wrong int) {
-			result := runAgainst(scripted)
+		func(fake *gateway, unanswered, wrong int) {
+			result := runAgainst(fake)
 			Expect(result.Failed()).To(BeTrue())
 			Expect(result.Unanswered).To(Equal(unanswered), result.String())
 			Expect(result.WrongAnswers).To(Equal(wrong), result.String())
@@ -192,7 +192,7 @@
 			request.Input += "!"
 			return ownAnswer(request), nil
 		}}, 0, 1),
-		Entry("the history read back lacks a call", &gateway{forgets: true, answer: func(request api.SubmitCall, _ int) (string, *api.Error) {
+		Entry("the history read back lacks a call", &gateway{omitsLastCall: true, answer: func(request api.SubmitCall, _ int) (string, *api.Error) {
 			return ownAnswer(request), nil
 		}}, 0, 1),
 	)
--- a/load/probe.go
+++ b/load/probe.go
@@ -12,15 +12,15 @@
 	"birchwood.example/birchwood/history"
 )
 
-// The timing of probes. Each probe polls its idle program every probePause.
+// The timing of probes. Each probe polls its idle program every probeInterval.
 // After a failed attempt it tries the next gateway. A poll that takes longer
 // than gapThreshold is recorded as a gap.
 const (
-	probePause     = 100 * time.Millisecond
-	probeTimeout   = time.Second
-	probeRetry     = 20 * time.Millisecond
-	gapThreshold   = 250 * time.Millisecond
-	probeCallLimit = 30 * time.Second
+	probeInterval      = 100 * time.Millisecond
+	probeTimeout       = time.Second
+	probeRetryDelay    = 20 * time.Millisecond
+	gapThreshold       = 250 * time.Millisecond
+	probeCreateTimeout = 30 * time.Second
 )
 
 // startProbes creates idle programs, distributed over the branches, and polls
@@ -39,53 +39,53 @@
 	for i := range r.config.Probes {
 		group.Go(func() {
 			branch := branches[i%len(branches)]
-			each := r.caller(branch, i)
-			quiet := *each.config
-			quiet.Recorder, quiet.CallTimeout = nil, probeCallLimit
-			each.config, each.totals = &quiet, newTotals()
+			prober := r.caller(branch, i)
+			proberConfig := *prober.config
+			proberConfig.Recorder, proberConfig.CallTimeout = nil, probeCreateTimeout
+			prober.config, prober.totals = &proberConfig, newTotals()
 			request := api.CreateProgram{Branch: string(branch), Key: fmt.Sprintf("probe-%d-%d", r.config.Seed, i)}
-			created, err := each.create(ctx, request, "")
+			created, err := prober.create(ctx, request, "")
 			if err != nil {
-				r.totals.probed(0, fmt.Errorf("probe %d: %w", i, err))
+				r.totals.probeResult(0, fmt.Errorf("probe %d: %w", i, err))
 				return
 			}
-			r.watch(ctx, each, created.ID)
+			r.watch(ctx, prober, created.ID)
 		})
 	}
 	return func() { cancel(); group.Wait() }
 }
 
 // watch polls one program until the context ends and records each gap.
-func (r *runner) watch(ctx context.Context, each *caller, id api.ProgramID) {
+func (r *runner) watch(ctx context.Context, prober *caller, id api.ProgramID) {
 	for ctx.Err() == nil {
 		begin := time.Now()
-		if each.look(ctx, id) {
+		if prober.poll(ctx, id) {
 			now := time.Now()
-			r.totals.probed(now.Sub(begin), nil)
+			r.totals.probeResult(now.Sub(begin), nil)
 			r.config.Recorder.Record(history.Event{At: now, Gap: &history.Gap{Program: id, Since: begin}})
 		}
 		select {
-		case <-time.After(probePause):
+		case <-time.After(probeInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// look requests a program's description until a gateway returns it, and
+// poll requests a program's description until a gateway returns it, and
 // reports whether the wait was a gap. It is no gap if only the first gateway
 // failed and the second attempt succeeded within gapThreshold: the program had
 // an owner.
-func (c *caller) look(ctx context.Context, id api.ProgramID) bool {
+func (c *caller) poll(ctx context.Context, id api.ProgramID) bool {
 	begin := time.Now()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		asked := time.Now()
+		attemptedAt := time.Now()
 		if c.describeOnce(ctx, id) == nil {
-			quick := time.Since(asked) < gapThreshold
-			return time.Since(begin) >= gapThreshold && (attempt != 2 || !quick)
+			answeredQuickly := time.Since(attemptedAt) < gapThreshold
+			return time.Since(begin) >= gapThreshold && (attempt != 2 || !answeredQuickly)
 		}
-		c.at = (c.at + 1) % len(c.targets)
+		c.targetIndex = (c.targetIndex + 1) % len(c.targets)
 		select {
-		case <-time.After(probeRetry):
+		case <-time.After(probeRetryDelay):
 		case <-ctx.Done():
 		}
 	}
@@ -97,16 +97,16 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var program api.Program
-	return c.targets[c.at].Do(ctx, http.MethodGet, "/v1/programs/"+string(id), nil, &program)
+	return c.targets[c.targetIndex].Do(ctx, http.MethodGet, "/v1/programs/"+string(id), nil, &program)
 }
 
-// probed records a gap, or the error of a probe that could not be started.
-func (t *totals) probed(gap time.Duration, err error) {
+// probeResult records a gap, or the error of a probe that could not be started.
+func (t *totals) probeResult(gap time.Duration, err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if err != nil {
-		t.keep(err)
+		t.addError(err)
 		return
 	}
-	record(t.absences, gap)
+	record(t.unavailability, gap)
 }
--- a/load/run.go
+++ b/load/run.go
@@ -15,12 +15,12 @@
 
 // runner is the state that the agents of one run share.
 type runner struct {
-	config  Config
-	totals  *totals
-	ids     atomic.Uint64
-	mutex   sync.Mutex
-	clients map[clientKey]*httpclient.Client
-	done    int
+	config        Config
+	totals        *totals
+	lastRequestID atomic.Uint64
+	mutex         sync.Mutex
+	clients       map[clientKey]*httpclient.Client
+	done          int
 }
 
 // clientKey identifies a client. There is one for each target and token.
@@ -50,14 +50,14 @@
 	seconds := time.Since(begin).Seconds()
 	controlBytes := ratesBetween(before, r.controlBytes(), seconds)
 	toolErr := r.readToolRuns(ctx)
-	release, held := r.awaitRelease(ctx)
+	release, left := r.awaitRelease(ctx)
 	r.config.Recorder.Record(history.Event{At: time.Now(), RunEnded: &history.RunEnded{Settled: ctx.Err() == nil}})
 	result := r.totals.summary()
 	result.Deployment = config.Deployment.Name
 	result.Seed = config.Seed
 	result.Seconds = seconds
 	result.ControlBytes = controlBytes
-	result.ReleaseSeconds, result.HeldAfter = release.Seconds(), held
+	result.ReleaseSeconds, result.HeldAfter = release.Seconds(), left
 	return result, errors.Join(ctx.Err(), toolErr)
 }
 
@@ -91,21 +91,21 @@
 		case <-ctx.Done():
 			return
 		}
-		each := &agent{program: program, known: true}
+		started := &agent{program: program, transcriptKnown: true}
 		if r.config.StopAfter > 0 {
-			each.stopBy = begin.Add(r.config.StopAfter)
+			started.stopBy = begin.Add(r.config.StopAfter)
 		}
-		group.Go(func() { r.runProgram(ctx, each, intended, i) })
+		group.Go(func() { r.runProgram(ctx, started, intended, i) })
 	}
 }
 
 // runProgram runs one program and records its latency.
-func (r *runner) runProgram(ctx context.Context, each *agent, intended time.Time, number int) {
-	each.fork = func() *caller { return r.caller(each.program.Branch, number) }
-	each.caller = each.fork()
-	err := each.run(ctx, "", 0)
-	if err == nil && !each.hungUp && !each.stopped {
-		r.totals.finished(each.program.Kind, time.Since(intended)-each.paused)
+func (r *runner) runProgram(ctx context.Context, running *agent, intended time.Time, number int) {
+	running.newCaller = func() *caller { return r.caller(running.program.Branch, number) }
+	running.caller = running.newCaller()
+	err := running.run(ctx, "", 0)
+	if err == nil && !running.hungUp && !running.stopped {
+		r.totals.finished(running.program.Kind, time.Since(intended)-running.paused)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -119,12 +119,12 @@
 // first target.
 func (r *runner) caller(branch contract.Path, number int) *caller {
 	token := r.config.token(branch)
-	each := &caller{config: &r.config, names: r.config.Targets, totals: r.totals, ids: &r.ids}
-	each.at = number % len(r.config.Targets)
+	created := &caller{config: &r.config, addresses: r.config.Targets, totals: r.totals, lastRequestID: &r.lastRequestID}
+	created.targetIndex = number % len(r.config.Targets)
 	for _, address := range r.config.Targets {
-		each.targets = append(each.targets, r.client(address, token))
+		created.targets = append(created.targets, r.client(address, token))
 	}
-	return each
+	return created
 }
 
 // client returns the client for a target and token. Callers with the same
--- a/load/totals.go
+++ b/load/totals.go
@@ -18,19 +18,19 @@
 	significantDigits   = 3
 )
 
-// keptErrors is the maximum number of errors whose texts are kept.
-const keptErrors = 20
+// maxErrors is the maximum number of errors whose texts are kept.
+const maxErrors = 20
 
 // totals collects the measurements of all agents. It is safe for concurrent
 // use.
 type totals struct {
-	mutex     sync.Mutex
-	latencies map[workload.Kind]*hdrhistogram.Histogram
-	all       *hdrhistogram.Histogram
-	first     *hdrhistogram.Histogram
-	gaps      *hdrhistogram.Histogram
-	absences  *hdrhistogram.Histogram
-	result    Result
+	mutex          sync.Mutex
+	latencyByKind  map[workload.Kind]*hdrhistogram.Histogram
+	programLatency *hdrhistogram.Histogram
+	firstTokens    *hdrhistogram.Histogram
+	interruptions  *hdrhistogram.Histogram
+	unavailability *hdrhistogram.Histogram
+	result         Result
 	// tools are the tool calls that were made. ended contains the programs
 	// whose end was acknowledged.
 	tools map[program.CallRef]*toolCall
@@ -45,14 +45,14 @@
 
 func newTotals() *totals {
 	return &totals{
-		latencies: map[workload.Kind]*hdrhistogram.Histogram{},
-		all:       newHistogram(),
-		first:     newHistogram(),
-		gaps:      newHistogram(),
-		absences:  newHistogram(),
-		tools:     map[program.CallRef]*toolCall{},
-		ended:     map[api.ProgramID]bool{},
-		result:    Result{Refusals: map[string]int{}, Statuses: map[string]int{}, Kinds: map[string]Latency{}},
+		latencyByKind:  map[workload.Kind]*hdrhistogram.Histogram{},
+		programLatency: newHistogram(),
+		firstTokens:    newHistogram(),
+		interruptions:  newHistogram(),
+		unavailability: newHistogram(),
+		tools:          map[program.CallRef]*toolCall{},
+		ended:          map[api.ProgramID]bool{},
+		result:         Result{Refusals: map[string]int{}, Statuses: map[string]int{}, Kinds: map[string]Latency{}},
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	record(t.gaps, time.Since(since))
+	record(t.interruptions, time.Since(since))
 }
 
 func (t *totals) callEnded(call api.Call) {
@@ -110,7 +110,7 @@
 func (t *totals) firstText(_ workload.Kind, after time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	record(t.first, after)
+	record(t.firstTokens, after)
 }
 
 // toolCalled records a tool call.
@@ -120,9 +120,9 @@
 	t.tools[call] = &toolCall{repeatable: repeatable}
 }
 
-// ran adds the runs of a tool call that a service reports. A non-repeatable
+// addToolRuns adds the runs of a tool call that a service reports. A non-repeatable
 // call of this run is counted as a duplicate when its runs exceed one.
-func (t *totals) ran(ref program.CallRef, runs int) {
+func (t *totals) addToolRuns(ref program.CallRef, runs int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	call, found := t.tools[ref]
@@ -154,20 +154,20 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.result.Unanswered++
-	t.keep(err)
+	t.addError(err)
 }
 
-func (t *totals) wrong(err error) {
+func (t *totals) wrongAnswer(err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.result.WrongAnswers++
-	t.keep(err)
+	t.addError(err)
 }
 
-// keep stores the text of an error, up to keptErrors. The caller must hold the
+// addError stores the text of an error, up to maxErrors. The caller must hold the
 // mutex.
-func (t *totals) keep(err error) {
-	if len(t.result.Errors) < keptErrors {
+func (t *totals) addError(err error) {
+	if len(t.result.Errors) < maxErrors {
 		t.result.Errors = append(t.result.Errors, err.Error())
 	}
 }
@@ -177,11 +177,11 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.result.Programs++
-	if t.latencies[kind] == nil {
-		t.latencies[kind] = newHistogram()
+	if t.latencyByKind[kind] == nil {
+		t.latencyByKind[kind] = newHistogram()
 	}
-	record(t.latencies[kind], latency)
-	record(t.all, latency)
+	record(t.latencyByKind[kind], latency)
+	record(t.programLatency, latency)
 }
 
 // record adds a value, clamped to the histogram's range.
@@ -195,11 +195,11 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	result := t.result
-	result.ProgramLatency = latencyOf(t.all)
-	result.FirstToken = latencyOf(t.first)
-	result.Absence = latencyOf(t.absences)
-	result.Interruption = latencyOf(t.gaps)
-	for kind, histogram := range t.latencies {
+	result.ProgramLatency = latencyOf(t.programLatency)
+	result.FirstToken = latencyOf(t.firstTokens)
+	result.Absence = latencyOf(t.unavailability)
+	result.Interruption = latencyOf(t.interruptions)
+	for kind, histogram := range t.latencyByKind {
 		result.Kinds[string(kind)] = latencyOf(histogram)
 	}
 	return result
