--- a/workload/deployment.go
+++ b/workload/deployment.go
@@ -51,7 +51,7 @@
 	case "qasr":
 		return Qasr(), nil
 	case "letter":
-		return Letter(), nil
+		return DesignSize(), nil
 	}
 	return Deployment{}, fmt.Errorf("deployment %q: want koudeketting, qasr or letter", name)
 }
--- a/workload/deployments.go
+++ b/workload/deployments.go
@@ -79,31 +79,31 @@
 
 // The design size, the largest deployment that birchwood is built for.
 const (
-	letterReplicas     = 600
-	letterTenants      = 600
-	letterModels       = 29
-	letterZones        = 10
-	letterRegions      = 3
-	letterNodesPerZone = 39
-	letterToolServices = 30
+	designReplicas     = 600
+	designTenants      = 600
+	designModels       = 29
+	designZones        = 10
+	designRegions      = 3
+	designNodesPerZone = 39
+	designToolServices = 30
 )
 
-// Letter is a deployment of the design size: 99,000 started programs, 600
+// DesignSize is the deployment of the design size: 99,000 started programs, 600
 // replicas, 600 tenants, 29 models, 10 zones in 3 regions and 390 nodes.
-func Letter() Deployment {
-	zones := make([]zone.Zone, letterZones)
+func DesignSize() Deployment {
+	zones := make([]zone.Zone, designZones)
 	for i := range zones {
-		region := i % letterRegions
+		region := i % designRegions
 		zones[i] = zone.Zone{
-			Name:   zone.Name(fmt.Sprintf("r%d-z%d", region+1, i/letterRegions+1)),
+			Name:   zone.Name(fmt.Sprintf("r%d-z%d", region+1, i/designRegions+1)),
 			Region: zone.Region(fmt.Sprintf("region-%d", region+1)),
 		}
 	}
-	models := make([]string, letterModels)
+	models := make([]string, designModels)
 	for i := range models {
 		models[i] = fmt.Sprintf("model-%02d", i+1)
 	}
-	branches := letterBranches(zones)
+	branches := designBranches(zones)
 	return Deployment{
 		Name:         "letter",
 		Zones:        zones,
@@ -111,21 +111,21 @@
 		ZoneDelay:    800 * time.Microsecond,
 		RegionDelay:  20 * time.Millisecond,
 		ClientDelay:  3 * time.Millisecond,
-		NodesPerZone: letterNodesPerZone,
+		NodesPerZone: designNodesPerZone,
 		Models:       models,
-		Replicas:     replicas(letterReplicas, zones, models, 2),
-		Tools:        tools(letterToolServices, "tools", zones, slices.Concat(depotTools(), collectionsTools())...),
+		Replicas:     replicas(designReplicas, zones, models, 2),
+		Tools:        tools(designToolServices, "tools", zones, slices.Concat(depotTools(), collectionsTools())...),
 		Branches:     branches,
-		Profiles:     letterProfiles(models, branches),
+		Profiles:     designProfiles(models, branches),
 	}
 }
 
-// letterBranches returns one branch for each tenant, with the zones of one
+// designBranches returns one branch for each tenant, with the zones of one
 // region, the tenant's home region.
-func letterBranches(zones []zone.Zone) []Branch {
-	branches := make([]Branch, letterTenants)
+func designBranches(zones []zone.Zone) []Branch {
+	branches := make([]Branch, designTenants)
 	for i := range branches {
-		home := zones[i%letterRegions].Region
+		home := zones[i%designRegions].Region
 		var permitted []zone.Name
 		for _, each := range zones {
 			if each.Region == home {
@@ -152,13 +152,13 @@
 	return zones
 }
 
-// replicas distributes engines over the zones. Each engine loads modelsEach
+// replicas distributes engines over the zones. Each engine loads modelsPerEngine
 // models. The first model shifts with the zone and with each engine in a zone,
 // so that each zone serves as many models as possible.
-func replicas(count int, zones []zone.Zone, models []string, modelsEach int) []machine.Machine {
+func replicas(count int, zones []zone.Zone, models []string, modelsPerEngine int) []machine.Machine {
 	machines := make([]machine.Machine, count)
 	for i := range machines {
-		loaded := make([]string, modelsEach)
+		loaded := make([]string, modelsPerEngine)
 		for k := range loaded {
 			loaded[k] = models[(i/len(zones)+i%len(zones)+k)%len(models)]
 		}
--- a/workload/generator.go
+++ b/workload/generator.go
@@ -34,9 +34,9 @@
 	random     *rand.Rand
 	clock      time.Duration
 	count      int
-	// burst contains the remaining programs of bursts, sorted by start.
-	burst []*Program
-	next  *Program
+	// burstPrograms contains the remaining programs of bursts, sorted by start.
+	burstPrograms []*Program
+	next          *Program
 }
 
 // Generate returns a new Generator of the deployment's programs.
@@ -60,11 +60,11 @@
 // Next returns the program with the next intended start.
 func (g *Generator) Next() *Program {
 	if g.next == nil {
-		g.next = g.arrive()
+		g.next = g.drawArrival()
 	}
-	if len(g.burst) > 0 && g.burst[0].Start <= g.next.Start {
-		program := g.burst[0]
-		g.burst = g.burst[1:]
+	if len(g.burstPrograms) > 0 && g.burstPrograms[0].Start <= g.next.Start {
+		program := g.burstPrograms[0]
+		g.burstPrograms = g.burstPrograms[1:]
 		return program
 	}
 	program := g.next
@@ -81,13 +81,13 @@
 	return programs
 }
 
-// arrive draws the next Poisson arrival. If the arrival is a burst, it also
+// drawArrival draws the next Poisson arrival. If the arrival is a burst, it also
 // draws the burst's other programs.
-func (g *Generator) arrive() *Program {
+func (g *Generator) drawArrival() *Program {
 	gap := g.random.ExpFloat64() / g.arrivalRate()
 	g.clock += time.Duration(gap * float64(time.Second))
-	profile := g.pick()
-	first := g.draw(profile, g.clock)
+	profile := g.drawProfile()
+	first := g.drawProgram(profile, g.clock)
 	if g.random.Float64() < g.options.BurstProbability {
 		g.drawBurst(profile)
 	}
@@ -105,19 +105,19 @@
 func (g *Generator) drawBurst(profile *Profile) {
 	for range g.options.BurstSize - 1 {
 		delay := time.Duration(g.random.Float64() * float64(g.options.BurstSpread))
-		program := g.draw(profile, g.clock+delay)
-		at := len(g.burst)
-		for at > 0 && g.burst[at-1].Start > program.Start {
+		program := g.drawProgram(profile, g.clock+delay)
+		at := len(g.burstPrograms)
+		for at > 0 && g.burstPrograms[at-1].Start > program.Start {
 			at--
 		}
-		g.burst = append(g.burst, nil)
-		copy(g.burst[at+1:], g.burst[at:])
-		g.burst[at] = program
+		g.burstPrograms = append(g.burstPrograms, nil)
+		copy(g.burstPrograms[at+1:], g.burstPrograms[at:])
+		g.burstPrograms[at] = program
 	}
 }
 
-// draw draws one program that starts at the given time.
-func (g *Generator) draw(profile *Profile, start time.Duration) *Program {
+// drawProgram draws one program that starts at the given time.
+func (g *Generator) drawProgram(profile *Profile, start time.Duration) *Program {
 	g.count++
 	id := fmt.Sprintf("%s-%d-%d", g.deployment.Name, g.options.Seed, g.count)
 	source := rand.New(rand.NewPCG(g.random.Uint64(), g.random.Uint64()))
@@ -126,16 +126,16 @@
 	return program
 }
 
-// pick draws a profile with probability proportional to its share.
-func (g *Generator) pick() *Profile {
+// drawProfile draws a profile with probability proportional to its share.
+func (g *Generator) drawProfile() *Profile {
 	total := 0.0
 	for i := range g.deployment.Profiles {
 		total += g.deployment.Profiles[i].Share
 	}
-	rest := g.random.Float64() * total
+	remaining := g.random.Float64() * total
 	for i := range g.deployment.Profiles {
-		rest -= g.deployment.Profiles[i].Share
-		if rest < 0 {
+		remaining -= g.deployment.Profiles[i].Share
+		if remaining < 0 {
 			return &g.deployment.Profiles[i]
 		}
 	}
--- a/workload/profiles.go
+++ b/workload/profiles.go
@@ -180,9 +180,9 @@
 	}
 }
 
-// letterProfiles returns the profiles of both other deployments, with the
+// designProfiles returns the profiles of both other deployments, with the
 // tenants and models of the design size.
-func letterProfiles(models []string, branches []Branch) []Profile {
+func designProfiles(models []string, branches []Branch) []Profile {
 	paths := make([]contract.Path, len(branches))
 	for i, branch := range branches {
 		paths[i] = branch.Path
--- a/workload/script.go
+++ b/workload/script.go
@@ -10,15 +10,15 @@
 // script draws the steps of one program. Each turn is a model call, followed
 // by the turn's tool calls, sub-agents and pause, in this order.
 type script struct {
-	profile *Profile
-	random  *rand.Rand
-	model   string
-	turns   int // total number of model calls
-	turn    int // number of model calls drawn so far
-	pending []Step
-	carried int // output tokens of sub-agents to add to the next input
-	spawned int
-	over    bool
+	profile     *Profile
+	random      *rand.Rand
+	model       string
+	turns       int // total number of model calls
+	turn        int // number of model calls drawn so far
+	pending     []Step
+	childTokens int // output tokens of sub-agents to add to the next input
+	spawned     int
+	ended       bool
 }
 
 // newProgram draws a program with its model, branch and number of turns.
@@ -43,26 +43,26 @@
 // next returns the next step, given the result of the previous one. It returns
 // false if there are no more steps.
 func (s *script) next(program *Program, result Result) (Step, bool) {
-	s.carried += result.ChildOutputTokens
-	if s.over || result.HungUp || stops(result) {
-		s.over = true
+	s.childTokens += result.ChildOutputTokens
+	if s.ended || result.HungUp || endsProgram(result) {
+		s.ended = true
 		return Step{}, false
 	}
 	if len(s.pending) > 0 {
 		return s.pop(), true
 	}
 	if s.turn >= s.turns && !program.Runaway {
-		s.over = true
+		s.ended = true
 		return Step{}, false
 	}
 	s.drawTurn(program)
 	return s.pop(), true
 }
 
-// stops reports whether the program ends after the result. A failed call or
+// endsProgram reports whether the program ends after the result. A failed call or
 // one with an unknown outcome does not end it, unless the budget is exhausted
 // or the program has already ended.
-func stops(result Result) bool {
+func endsProgram(result Result) bool {
 	switch result.Status {
 	case "", api.StatusSucceeded, api.StatusFailed, api.StatusOutcomeUnknown:
 		return result.Code == api.CodeBudgetExhausted || result.Code == api.CodeProgramEnded
@@ -109,12 +109,12 @@
 	step := Step{
 		Kind:         StepModel,
 		Model:        s.model,
-		InputTokens:  input.tokens(s.random) + s.carried,
+		InputTokens:  input.tokens(s.random) + s.childTokens,
 		OutputTokens: min(s.profile.Output.tokens(s.random), s.profile.OutputCap),
 		OutputCap:    s.profile.OutputCap,
 		Repeatable:   true,
 	}
-	s.carried = 0
+	s.childTokens = 0
 	if s.random.Float64() < s.profile.HangUpProbability {
 		step.HangUpAfter = s.profile.HangUpSeconds.duration(s.random)
 	}
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -22,12 +22,12 @@
 	for _, program := range programs {
 		traces[program.ID] = &strings.Builder{}
 	}
-	const stepsAtMost = 300
-	for range stepsAtMost {
+	const maxSteps = 300
+	for range maxSteps {
 		for i, program := range live {
 			steps := 1
 			if !interleaved {
-				steps = stepsAtMost
+				steps = maxSteps
 			}
 			for range steps {
 				step, more := program.Next(workload.Result{Status: api.StatusSucceeded})
