--- a/history/backends.go
+++ b/history/backends.go
@@ -103,9 +103,9 @@
 	return intervals
 }
 
-// plannedStopAt returns the record that began the machine's planned stop in progress
-// at the given time. It returns nil if there is none or if a fault affected
-// the machine since that stop began.
+// plannedStopAt returns the record that began the machine's planned stop in
+// progress at the given time. It returns nil if there is none or if a fault
+// affected the machine since that stop began.
 func (c *checker) plannedStopAt(intervals map[machine.ID][]stopInterval, id machine.ID, at time.Time) *record {
 	for _, interval := range intervals[id] {
 		if at.Before(interval.from) || at.After(interval.to) {
--- a/history/index.go
+++ b/history/index.go
@@ -255,8 +255,8 @@
 	return entry
 }
 
-// endRecord returns the earliest record that shows the end of the call, from a back
-// end, a node or a caller. It returns nil if there is none.
+// endRecord returns the earliest record that shows the end of the call, from a
+// back end, a node or a caller. It returns nil if there is none.
 func (c *call) endRecord() *record {
 	var first *record
 	consider := func(r *record) {
--- a/history/settings.go
+++ b/history/settings.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// reachedRevision reports whether the node put the revision or a newer one in force by
-// the given time.
+// reachedRevision reports whether the node put the revision or a newer one in
+// force by the given time.
 func reachedRevision(inForce []*record, revision uint64, by time.Time) bool {
 	for _, r := range inForce {
 		if r.InForce.Revision >= revision && !r.At.After(by) {
--- a/load/agent.go
+++ b/load/agent.go
@@ -164,8 +164,8 @@
 	return request
 }
 
-// minimumOutputCap is the smallest output cap, in tokens. A shorter answer may not
-// contain the complete hash.
+// minimumOutputCap is the smallest output cap, in tokens. A shorter answer may
+// not contain the complete hash.
 const minimumOutputCap = 8
 
 // bytesPerToken is the text length that nodes count as one token.
@@ -207,8 +207,8 @@
 	a.cachedTokens = usage.PromptTokens + usage.OutputTokens
 }
 
-// childBudgetDivisor is the divisor of the budget for sub-agents: each gets 1/8 of the
-// parent's unused budget.
+// childBudgetDivisor determines the budget of a sub-agent: the parent's unused
+// budget divided by this number.
 const childBudgetDivisor = 8
 
 // spawn runs sub-agents concurrently and waits for all of them.
--- a/load/answer.go
+++ b/load/answer.go
@@ -12,8 +12,8 @@
 // hashDigits is the number of hexadecimal digits in the stand-ins' hashes.
 const hashDigits = 16
 
-// answerMatches reports whether the output is the stand-ins' answer to this request
-// with this history.
+// answerMatches reports whether the output is the stand-ins' answer to this
+// request with this history.
 func answerMatches(request api.SubmitCall, transcript, output string) bool {
 	if request.Kind == api.CallTool {
 		return strings.Contains(output, fmt.Sprintf(`"input":"%016x"`, xxhash.Sum64String(request.Input)))
--- a/load/backends.go
+++ b/load/backends.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// readCachedPrefixes records the programs in each engine's cache and returns the number
-// of cached prefixes of programs that this run has ended.
+// readCachedPrefixes records the programs in each engine's cache and returns
+// the number of cached prefixes of programs that this run has ended.
 func (r *runner) readCachedPrefixes(ctx context.Context) int {
 	left := 0
 	for _, address := range r.config.Engines {
--- a/load/result.go
+++ b/load/result.go
@@ -31,8 +31,8 @@
 	// Unavailability is how long idle programs were unavailable at every
 	// gateway that was tried.
 	Absence Latency `json:"absence_ms"`
-	// Interruption is the time from the first request to the final answer of
-	// operations that needed a retry.
+	// Interruption is the time from the first failed request of an operation
+	// to its final answer, for operations that needed a retry.
 	Interruption Latency `json:"interruption_ms"`
 	PromptTokens int64   `json:"prompt_tokens"`
 	CachedTokens int64   `json:"cached_tokens"`
--- a/load/totals.go
+++ b/load/totals.go
@@ -120,8 +120,9 @@
 	t.tools[call] = &toolCall{repeatable: repeatable}
 }
 
-// addToolRuns adds the runs of a tool call that a service reports. A non-repeatable
-// call of this run is counted as a duplicate when its runs exceed one.
+// addToolRuns adds the runs of a tool call that a service reports. A
+// non-repeatable call of this run is counted as a duplicate when its runs
+// exceed one.
 func (t *totals) addToolRuns(ref program.CallRef, runs int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/workload/deployments.go
+++ b/workload/deployments.go
@@ -152,9 +152,9 @@
 	return zones
 }
 
-// replicas distributes engines over the zones. Each engine loads modelsPerEngine
-// models. The first model shifts with the zone and with each engine in a zone,
-// so that each zone serves as many models as possible.
+// replicas distributes engines over the zones. Each engine loads
+// modelsPerEngine models. The first model shifts with the zone and with each
+// engine in a zone, so that each zone serves as many models as possible.
 func replicas(count int, zones []zone.Zone, models []string, modelsPerEngine int) []machine.Machine {
 	machines := make([]machine.Machine, count)
 	for i := range machines {
--- a/workload/generator.go
+++ b/workload/generator.go
@@ -81,8 +81,8 @@
 	return programs
 }
 
-// drawArrival draws the next Poisson arrival. If the arrival is a burst, it also
-// draws the burst's other programs.
+// drawArrival draws the next Poisson arrival. If the arrival is a burst, it
+// also draws the burst's other programs.
 func (g *Generator) drawArrival() *Program {
 	gap := g.random.ExpFloat64() / g.arrivalRate()
 	g.clock += time.Duration(gap * float64(time.Second))
--- a/workload/script.go
+++ b/workload/script.go
@@ -59,9 +59,9 @@
 	return s.pop(), true
 }
 
-// endsProgram reports whether the program ends after the result. A failed call or
-// one with an unknown outcome does not end it, unless the budget is exhausted
-// or the program has already ended.
+// endsProgram reports whether the program ends after the result. A failed call
+// or one with an unknown outcome does not end it, unless the budget is
+// exhausted or the program has already ended.
 func endsProgram(result Result) bool {
 	switch result.Status {
 	case "", api.StatusSucceeded, api.StatusFailed, api.StatusOutcomeUnknown:
