--- a/history/backends.go
+++ b/history/backends.go
@@ -14,14 +14,14 @@
 	for _, held := range c.held {
 		for _, id := range held.Held.Programs {
 			program, found := c.byProgram[id]
-			if !found || program.closed == nil {
+			if !found || program.acknowledgedEnd == nil {
 				continue
 			}
-			closed := program.closed.At
-			if c.faultFreeTime(closed, held.At, anyFault) > c.run.MemoryBound {
-				c.report(InvariantMemory, []*record{program.closed, held},
+			acknowledgedEnd := program.acknowledgedEnd.At
+			if c.faultFreeTime(acknowledgedEnd, held.At, anyFault) > c.run.MemoryBound {
+				c.report(InvariantMemory, []*record{program.acknowledgedEnd, held},
 					"engine %s holds memory of program %s, which ended %s ago",
-					held.Held.Backend, id, held.At.Sub(closed))
+					held.Held.Backend, id, held.At.Sub(acknowledgedEnd))
 			}
 		}
 	}
@@ -90,7 +90,7 @@
 // stopIntervals returns the intervals of the planned stops by machine.
 func (c *checker) stopIntervals() map[machine.ID][]stopInterval {
 	intervals := map[machine.ID][]stopInterval{}
-	for _, r := range c.stops {
+	for _, r := range c.plannedStops {
 		id := r.Stop.Machine
 		if !r.Stop.Done {
 			intervals[id] = append(intervals[id], stopInterval{from: r.At, to: c.end, begin: r})
--- a/history/index.go
+++ b/history/index.go
@@ -38,10 +38,10 @@
 
 // programRecords holds the records about one program.
 type programRecords struct {
-	id     api.ProgramID
-	opened []*record
-	closed *record
-	reads  []*record
+	id              api.ProgramID
+	created         []*record
+	acknowledgedEnd *record
+	reads           []*record
 	// calls are sorted by sequence number.
 	calls []*call
 }
@@ -59,14 +59,14 @@
 	held      []*record
 	streams   []*record
 	// placements holds the placements of each branch in order of time.
-	placements map[string][]*record
-	changes    []*record
-	verdicts   []*record
-	inForce    []*record
-	faults     []*record
-	leaving    []*record
-	stops      []*record
-	gaps       []*record
+	placements   map[string][]*record
+	changes      []*record
+	verdicts     []*record
+	inForce      []*record
+	faults       []*record
+	leaving      []*record
+	plannedStops []*record
+	gaps         []*record
 }
 
 // The default bounds of the invariants.
@@ -143,11 +143,11 @@
 		each.ended = append(each.ended, r)
 	case r.Opened != nil:
 		program := x.program(r.Opened.Program)
-		program.opened = append(program.opened, r)
+		program.created = append(program.created, r)
 	case r.Closed != nil:
 		program := x.program(r.Closed.Program)
-		if program.closed == nil {
-			program.closed = r
+		if program.acknowledgedEnd == nil {
+			program.acknowledgedEnd = r
 		}
 	default:
 		x.addEnvironmentRecord(r)
@@ -174,7 +174,7 @@
 	case r.Leaving != nil:
 		x.leaving = append(x.leaving, r)
 	case r.Stop != nil:
-		x.stops = append(x.stops, r)
+		x.plannedStops = append(x.plannedStops, r)
 	case r.Gap != nil:
 		x.gaps = append(x.gaps, r)
 	}
--- a/history/linearizable.go
+++ b/history/linearizable.go
@@ -214,7 +214,7 @@
 	}
 	parents := map[api.ProgramID]bool{}
 	for _, program := range c.programs {
-		for _, r := range program.opened {
+		for _, r := range program.created {
 			parents[r.Opened.Parent] = true
 		}
 	}
--- a/history/outage.go
+++ b/history/outage.go
@@ -72,7 +72,7 @@
 			consider(r, string(r.Fault.Kind))
 		}
 	}
-	for _, r := range x.stops {
+	for _, r := range x.plannedStops {
 		if !r.Stop.Done {
 			consider(r, causeStop)
 		}
--- a/history/placement.go
+++ b/history/placement.go
@@ -12,10 +12,10 @@
 // before.
 func (c *checker) checkPlacement() {
 	for _, program := range c.programs {
-		if len(program.opened) == 0 {
+		if len(program.created) == 0 {
 			continue
 		}
-		placements := c.placements[program.opened[0].Opened.Branch]
+		placements := c.placements[program.created[0].Opened.Branch]
 		for _, each := range program.calls {
 			for _, start := range each.started {
 				if start.Started.Zone == "" || permitted(placements, start.Started.Zone, start.At, c.run.SettingsBound) {
--- a/history/programs.go
+++ b/history/programs.go
@@ -146,7 +146,7 @@
 	used := map[api.ProgramID]int64{}
 	parents := map[api.ProgramID]api.ProgramID{}
 	for _, program := range c.programs {
-		for _, r := range program.opened {
+		for _, r := range program.created {
 			parents[program.id] = r.Opened.Parent
 		}
 	}
@@ -157,9 +157,9 @@
 		}
 	}
 	for _, program := range c.programs {
-		budget, opened := program.budget()
-		if opened != nil && used[program.id] > budget {
-			c.report(InvariantBudget, []*record{opened},
+		budget, created := program.budget()
+		if created != nil && used[program.id] > budget {
+			c.report(InvariantBudget, []*record{created},
 				"program %s has a budget of %d tokens and used %d", program.id, budget, used[program.id])
 		}
 	}
@@ -197,7 +197,7 @@
 // that shows it. The record is nil if none was recorded.
 func (p *programRecords) budget() (int64, *record) {
 	largest, largestRecord := int64(-1), (*record)(nil)
-	for _, r := range p.opened {
+	for _, r := range p.created {
 		if r.Opened.BudgetTokens > largest {
 			largest, largestRecord = r.Opened.BudgetTokens, r
 		}
--- a/history/settings.go
+++ b/history/settings.go
@@ -128,7 +128,7 @@
 // stopped reports whether a planned stop of the machine began by the given
 // time.
 func (c *checker) stopped(id machine.ID, by time.Time) bool {
-	for _, r := range c.stops {
+	for _, r := range c.plannedStops {
 		if r.Stop.Machine == id && !r.At.After(by) {
 			return true
 		}
