--- a/history/good_test.go
+++ b/history/good_test.go
@@ -16,17 +16,18 @@
 	placement = zone.Placement("isando_midrand-a")
 	chat      = api.ProgramID("cold.0.000000000000000a")
 	farm      = api.ProgramID("cold.1.000000000000000b")
-	helper    = api.ProgramID("cold.0.000000000000000c")
+	subAgent  = api.ProgramID("cold.0.000000000000000c")
 )
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// at is a moment of the history, in seconds from its beginning.
+// at returns the time at the given offset in seconds from the start of the
+// history.
 func at(seconds float64) time.Time {
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// builder writes a history in which every promise is kept.
+// builder creates a history that satisfies every invariant.
 type builder struct {
 	events  []history.Event
 	prompts map[api.ProgramID]string
@@ -38,7 +39,8 @@
 	b.events = append(b.events, event)
 }
 
-// open creates a program: the first answer is lost and the key asked again.
+// open creates a program. The first answer is lost, and a second request with
+// the same key is answered.
 func (b *builder) open(seconds float64, id, parent api.ProgramID, budget int64) {
 	name := fmt.Sprintf("create-%s", id)
 	create := history.Sent{Request: name + "-1", Operation: history.OperationCreate, Node: "node-1", Branch: "cold", Key: name}
@@ -53,7 +55,7 @@
 	}})
 }
 
-// run performs one call within a second, on an engine or a tool service.
+// run performs one call on an engine or a tool service within one second.
 func (b *builder) run(seconds float64, id api.ProgramID, sequence uint64, kind api.CallKind, repeatable bool) {
 	name := fmt.Sprintf("%s-%d", id, sequence)
 	input, output := "in "+name+".", "out "+name+"."
@@ -84,7 +86,8 @@
 	})
 }
 
-// refuse answers a request as not run, and lets the same key succeed later.
+// refuse adds a request that is refused as not run. A later request with the
+// same key may succeed.
 func (b *builder) refuse(seconds float64, id api.ProgramID, sequence uint64) {
 	name := fmt.Sprintf("%s-%d", id, sequence)
 	b.add(seconds, history.Event{Sent: &history.Sent{
@@ -103,7 +106,8 @@
 	b.add(seconds+0.1, history.Event{Got: &history.Got{Request: name, Program: id, SpentTokens: spent}})
 }
 
-// change records an accepted change and its arrival at both nodes.
+// change adds an accepted change, with the verdicts of both nodes and its
+// activation on them.
 func (b *builder) change(seconds float64, id string, based, revision uint64, path string) {
 	b.add(seconds+0.2, history.Event{Change: &history.Change{
 		ID: id, SentAt: at(seconds), Based: based, Paths: []string{path}, Accepted: true, Revision: revision,
@@ -115,8 +119,8 @@
 	}
 }
 
-// good is a history that keeps every promise.
-func good() []history.Event {
+// validHistory returns a history that satisfies every invariant.
+func validHistory() []history.Event {
 	b := &builder{prompts: map[api.ProgramID]string{}, reads: map[api.ProgramID][]history.ReadCall{}}
 	b.add(0, history.Event{Run: &history.Run{Name: "good", Seed: seed}})
 	b.add(0, history.Event{Placed: &history.Placed{Branch: "cold", Placement: placement, Since: at(0)}})
@@ -132,13 +136,13 @@
 	b.run(3, chat, 2, api.CallTool, false)
 	b.refuse(4, chat, 3)
 	b.run(5, chat, 3, api.CallModel, true)
-	b.open(6, helper, chat, 100)
-	b.run(7, helper, 1, api.CallModel, true)
+	b.open(6, subAgent, chat, 100)
+	b.run(7, subAgent, 1, api.CallModel, true)
 	b.run(8, farm, 2, api.CallModel, true)
 	b.describe(9, farm, 80)
 	b.add(9, history.Event{Stream: &history.StreamUse{Machine: "node-1", Zone: "isando", Stream: "cold.0", Branch: "cold"}})
 	b.add(10, history.Event{Held: &history.Held{Backend: "engine-1", Programs: []api.ProgramID{chat, farm}}})
-	for _, id := range []api.ProgramID{chat, farm, helper} {
+	for _, id := range []api.ProgramID{chat, farm, subAgent} {
 		b.add(11, history.Event{Read: &history.Read{Program: id, SentAt: at(10.5), Calls: b.reads[id]}})
 	}
 	b.add(12, history.Event{Closed: &history.Closed{Program: chat}})
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -24,18 +24,18 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// gateway is a scripted gateway: answer makes the output of each call from
-// the times that its key was asked, or refuses it.
+// gateway is a fake gateway. answer returns the output of a call or a refusal,
+// given the number of requests with the call's key so far.
 type gateway struct {
-	mutex  sync.Mutex
-	asked  map[string]int
-	calls  []api.Call
-	answer func(request api.SubmitCall, asked int) (string, *api.Error)
-	// forgets makes the history that is read back lack its last call.
-	forgets bool
-	// ownerless is how many looks at a program are refused, described how many
-	// came, and probes how many programs look.
-	ownerless, described, probes int
+	mutex    sync.Mutex
+	attempts map[string]int
+	calls    []api.Call
+	answer   func(request api.SubmitCall, attempts int) (string, *api.Error)
+	// omitsLastCall omits the last call from the history.
+	omitsLastCall bool
+	// describesRefused is the number of describe requests to refuse, described the
+	// number received, and probes the number of probe programs.
+	describesRefused, described, probes int
 }
 
 func (g *gateway) serve(ctx *fasthttp.RequestCtx) {
@@ -48,7 +48,7 @@
 		g.call(ctx)
 	case strings.HasSuffix(path, "/history"):
 		calls := g.calls
-		if g.forgets {
+		if g.omitsLastCall {
 			calls = calls[:len(calls)-1]
 		}
 		reply(ctx, api.History{Calls: calls})
@@ -56,7 +56,7 @@
 		reply(ctx, api.Program{})
 	default:
 		g.described++
-		if g.described <= g.ownerless {
+		if g.described <= g.describesRefused {
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		}
 		reply(ctx, api.Program{})
@@ -66,8 +66,8 @@
 func (g *gateway) call(ctx *fasthttp.RequestCtx) {
 	var request api.SubmitCall
 	Expect(json.Unmarshal(ctx.PostBody(), &request)).To(Succeed())
-	g.asked[request.Key]++
-	output, refusal := g.answer(request, g.asked[request.Key])
+	g.attempts[request.Key]++
+	output, refusal := g.answer(request, g.attempts[request.Key])
 	if refusal != nil {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		reply(ctx, map[string]any{"error": refusal})
@@ -87,7 +87,8 @@
 	_, _ = ctx.Write(text)
 }
 
-// oneProgram is a deployment of one kind of program that makes one model call.
+// oneProgram returns a deployment with one kind of program, which makes one
+// model call.
 func oneProgram() workload.Deployment {
 	return workload.Deployment{Name: "test", Profiles: []workload.Profile{{
 		Kind: "short", Branches: []contract.Path{"demo"}, Models: []string{config.DevModel}, Share: 1,
@@ -96,17 +97,17 @@
 	}}}
 }
 
-// runAgainst runs one program against a scripted gateway.
-func runAgainst(scripted *gateway) load.Result {
-	scripted.asked = map[string]int{}
+// runAgainst runs one program against a fake gateway.
+func runAgainst(fake *gateway) load.Result {
+	fake.attempts = map[string]int{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	server := &fasthttp.Server{Handler: scripted.serve}
+	server := &fasthttp.Server{Handler: fake.serve}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	result, err := load.Run(context.Background(), load.Config{
 		Targets: []string{listener.Addr().String()}, Deployment: oneProgram(), Programs: 1, Seed: 1, Rate: 1000,
-		CallTimeout: 3 * time.Second, Branch: "demo", Probes: scripted.probes,
+		CallTimeout: 3 * time.Second, Branch: "demo", Probes: fake.probes,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	Expect(server.Shutdown()).To(Succeed())
@@ -114,7 +115,7 @@
 	return result
 }
 
-// ownAnswer is what a stand-in engine would answer to a program's first call.
+// ownAnswer returns the answer of a stand-in engine to a program's first call.
 func ownAnswer(request api.SubmitCall) string {
 	return fmt.Sprintf("%016x and so on", history.HashText(request.Model, "\x00", request.Input))
 }
@@ -153,21 +154,21 @@
 	})
 
 	It("measures how long a program that stands by is without an owner", func() {
-		scripted := &gateway{probes: 1, ownerless: 20}
-		scripted.answer = func(request api.SubmitCall, _ int) (string, *api.Error) {
-			if scripted.described <= scripted.ownerless+1 { // The look that ended the gap is over.
+		fake := &gateway{probes: 1, describesRefused: 20}
+		fake.answer = func(request api.SubmitCall, _ int) (string, *api.Error) {
+			if fake.described <= fake.describesRefused+1 { // Until the poll that ends the gap has completed.
 				return "", api.Refuse(api.CodeOverloaded, "not now").After(1)
 			}
 			return ownAnswer(request), nil
 		}
-		result := runAgainst(scripted)
+		result := runAgainst(fake)
 		Expect(result.Absence.Count).To(Equal(int64(1)))
 		Expect(result.Absence.P50).To(BeNumerically(">=", 20*20), "20 refusals, 20 ms apart, in ms")
 	})
 
 	It("asks again by key after a refusal, and counts it", func() {
-		result := runAgainst(&gateway{answer: func(request api.SubmitCall, asked int) (string, *api.Error) {
-			if asked < 3 {
+		result := runAgainst(&gateway{answer: func(request api.SubmitCall, attempts int) (string, *api.Error) {
+			if attempts < 3 {
 				return "", api.Refuse(api.CodeOverloaded, "not now").After(1)
 			}
 			return ownAnswer(request), nil
@@ -178,8 +179,8 @@
 	})
 
 	DescribeTable("fails on an answer that is missing or wrong",
-		func(scripted *gateway, unanswered, wrong int) {
-			result := runAgainst(scripted)
+		func(fake *gateway, unanswered, wrong int) {
+			result := runAgainst(fake)
 			Expect(result.Failed()).To(BeTrue())
 			Expect(result.Unanswered).To(Equal(unanswered), result.String())
 			Expect(result.WrongAnswers).To(Equal(wrong), result.String())
@@ -191,7 +192,7 @@
 			request.Input += "!"
 			return ownAnswer(request), nil
 		}}, 0, 1),
-		Entry("the history read back lacks a call", &gateway{forgets: true, answer: func(request api.SubmitCall, _ int) (string, *api.Error) {
+		Entry("the history read back lacks a call", &gateway{omitsLastCall: true, answer: func(request api.SubmitCall, _ int) (string, *api.Error) {
 			return ownAnswer(request), nil
 		}}, 0, 1),
 	)
--- a/load/probe.go
+++ b/load/probe.go
@@ -12,20 +12,20 @@
 	"birchwood.example/birchwood/history"
 )
 
-// How the programs that stand by are asked: one look after another, each
-// attempt at the next gateway. A look that takes longer than gapThreshold is a
-// gap.
+// The timing of probes. Each probe polls its idle program every probeInterval.
+// After a failed attempt it tries the next gateway. A poll that takes longer
+// than gapThreshold is recorded as a gap.
 const (
-	probePause     = 100 * time.Millisecond
-	probeTimeout   = time.Second
-	probeRetry     = 20 * time.Millisecond
-	gapThreshold   = 250 * time.Millisecond
-	probeCallLimit = 30 * time.Second
+	probeInterval      = 100 * time.Millisecond
+	probeTimeout       = time.Second
+	probeRetryDelay    = 20 * time.Millisecond
+	gapThreshold       = 250 * time.Millisecond
+	probeCreateTimeout = 30 * time.Second
 )
 
-// startProbes starts programs that only stand by, spread over the branches,
-// and asks for them until the returned function is called: what their owners
-// leave unanswered shows how long a program is without an owner.
+// startProbes creates idle programs, distributed over the branches, and polls
+// them until the returned function is called. The gaps in the answers show how
+// long a program has no owner.
 func (r *runner) startProbes(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -39,73 +39,74 @@
 	for i := range r.config.Probes {
 		group.Go(func() {
 			branch := branches[i%len(branches)]
-			each := r.caller(branch, i)
-			quiet := *each.config
-			quiet.Recorder, quiet.CallTimeout = nil, probeCallLimit
-			each.config, each.totals = &quiet, newTotals()
+			prober := r.caller(branch, i)
+			proberConfig := *prober.config
+			proberConfig.Recorder, proberConfig.CallTimeout = nil, probeCreateTimeout
+			prober.config, prober.totals = &proberConfig, newTotals()
 			request := api.CreateProgram{Branch: string(branch), Key: fmt.Sprintf("probe-%d-%d", r.config.Seed, i)}
-			created, err := each.create(ctx, request, "")
+			created, err := prober.create(ctx, request, "")
 			if err != nil {
-				r.totals.probed(0, fmt.Errorf("probe %d: %w", i, err))
+				r.totals.probeResult(0, fmt.Errorf("probe %d: %w", i, err))
 				return
 			}
-			r.watch(ctx, each, created.ID)
+			r.watch(ctx, prober, created.ID)
 		})
 	}
 	return func() { cancel(); group.Wait() }
 }
 
-// watch asks for one program until the context ends, and records each gap.
-func (r *runner) watch(ctx context.Context, each *caller, id api.ProgramID) {
+// watch polls one program until the context ends and records each gap.
+func (r *runner) watch(ctx context.Context, prober *caller, id api.ProgramID) {
 	for ctx.Err() == nil {
 		begin := time.Now()
-		if each.look(ctx, id) {
+		if prober.poll(ctx, id) {
 			now := time.Now()
-			r.totals.probed(now.Sub(begin), nil)
+			r.totals.probeResult(now.Sub(begin), nil)
 			r.config.Recorder.Record(history.Event{At: now, Gap: &history.Gap{Program: id, Since: begin}})
 		}
 		select {
-		case <-time.After(probePause):
+		case <-time.After(probeInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// look asks for a program until a gateway describes it, and reports whether
-// that was a gap. One gateway that does not answer at all, while the next one
-// answers at once, is no gap: the program had its owner.
-func (c *caller) look(ctx context.Context, id api.ProgramID) bool {
+// poll requests a program's description until a gateway returns it, and
+// reports whether the wait was a gap. It is no gap if only the first gateway
+// failed and the second attempt succeeded within gapThreshold: the program had
+// an owner.
+func (c *caller) poll(ctx context.Context, id api.ProgramID) bool {
 	begin := time.Now()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		asked := time.Now()
+		attemptedAt := time.Now()
 		if c.describeOnce(ctx, id) == nil {
-			quick := time.Since(asked) < gapThreshold
-			return time.Since(begin) >= gapThreshold && (attempt != 2 || !quick)
+			answeredQuickly := time.Since(attemptedAt) < gapThreshold
+			return time.Since(begin) >= gapThreshold && (attempt != 2 || !answeredQuickly)
 		}
-		c.at = (c.at + 1) % len(c.targets)
+		c.targetIndex = (c.targetIndex + 1) % len(c.targets)
 		select {
-		case <-time.After(probeRetry):
+		case <-time.After(probeRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 	return false
 }
 
-// describeOnce asks one gateway.
+// describeOnce requests a program's description from the current gateway.
 func (c *caller) describeOnce(ctx context.Context, id api.ProgramID) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var program api.Program
-	return c.targets[c.at].Do(ctx, http.MethodGet, "/v1/programs/"+string(id), nil, &program)
+	return c.targets[c.targetIndex].Do(ctx, http.MethodGet, "/v1/programs/"+string(id), nil, &program)
 }
 
-// probed counts a gap, or a probe that could not be started.
-func (t *totals) probed(gap time.Duration, err error) {
+// probeResult records a gap, or the error of a probe that could not be started.
+func (t *totals) probeResult(gap time.Duration, err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if err != nil {
-		t.keep(err)
+		t.addError(err)
 		return
 	}
-	record(t.absences, gap)
+	record(t.unavailability, gap)
 }
