--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -76,7 +76,7 @@
 	if !c.operators.recorded[change.ID] {
 		c.operators.recorded[change.ID] = true
 		recorded := &history.Change{
-			ID: change.ID, SentAt: sentAt, Based: uint64(change.Based), Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
+			ID: change.ID, SentAt: sentAt, BaseRevision: uint64(change.Based), Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
 		}
 		for _, edit := range change.Edits {
 			recorded.Paths = append(recorded.Paths, string(edit.Path))
--- a/history/event.go
+++ b/history/event.go
@@ -223,12 +223,12 @@
 // verdict that the operator received. The change took effect between SentAt
 // and the event's At.
 type Change struct {
-	ID       string    `json:"id"`
-	SentAt   time.Time `json:"sent_at"`
-	Based    uint64    `json:"based"`
-	Paths    []string  `json:"paths"`
-	Accepted bool      `json:"accepted"`
-	Revision uint64    `json:"revision,omitempty"`
+	ID           string    `json:"id"`
+	SentAt       time.Time `json:"sent_at"`
+	BaseRevision uint64    `json:"based"`
+	Paths        []string  `json:"paths"`
+	Accepted     bool      `json:"accepted"`
+	Revision     uint64    `json:"revision,omitempty"`
 }
 
 // Verdict is a node's decision on a change of the settings.
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -110,7 +110,7 @@
 // activation on them.
 func (b *builder) change(seconds float64, id string, based, revision uint64, path string) {
 	b.add(seconds+0.2, history.Event{Change: &history.Change{
-		ID: id, SentAt: at(seconds), Based: based, Paths: []string{path}, Accepted: true, Revision: revision,
+		ID: id, SentAt: at(seconds), BaseRevision: based, Paths: []string{path}, Accepted: true, Revision: revision,
 	}})
 	for i, node := range []machine.ID{"node-1", "node-2"} {
 		delay := 1 + float64(i)
--- a/history/linearizable.go
+++ b/history/linearizable.go
@@ -296,7 +296,7 @@
 				return false, state
 			}
 			for _, earlier := range accepted[:applied] {
-				if earlier.Change.Revision > change.Based && related(earlier.Change.Paths, change.Paths) {
+				if earlier.Change.Revision > change.BaseRevision && related(earlier.Change.Paths, change.Paths) {
 					return false, state
 				}
 			}
