--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -146,7 +146,7 @@
 	begun.resident = promptTokens + begun.usage.OutputTokens
 	e.streams[stream] = begun
 	e.running++
-	c.record(history.Event{Started: sent.started(e.machine, history.HashText(prompt))})
+	c.record(history.Event{AttemptStarted: sent.started(e.machine, history.HashText(prompt))})
 	c.after(c.jitter(meanGeneration), func() {
 		if begun.finished {
 			return
@@ -215,7 +215,7 @@
 	c := t.cluster
 	key := sent.action.Key
 	begun := &run{output: fmt.Sprintf("<tool %016x>", history.HashText(key, sent.action.Call.Input))}
-	c.record(history.Event{Started: sent.started(t.machine, 0)})
+	c.record(history.Event{AttemptStarted: sent.started(t.machine, 0)})
 	t.outputs[key] = begun.output
 	if t.hanging {
 		return begun
--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -41,8 +41,8 @@
 func starts(events []history.Event) []*history.Started {
 	var all []*history.Started
 	for _, event := range events {
-		if event.Started != nil {
-			all = append(all, event.Started)
+		if event.AttemptStarted != nil {
+			all = append(all, event.AttemptStarted)
 		}
 	}
 	return all
@@ -121,8 +121,8 @@
 		narrowed := running.Now()
 		after := map[zone.Name]int{}
 		for _, event := range settled(running) {
-			if event.Started != nil && event.At.After(narrowed) {
-				after[event.Started.Zone]++
+			if event.AttemptStarted != nil && event.At.After(narrowed) {
+				after[event.AttemptStarted.Zone]++
 			}
 		}
 		Expect(after).To(HaveLen(1))
@@ -151,8 +151,8 @@
 		running.LeaveEngine(0)
 		left := running.Now()
 		for _, event := range settled(running) {
-			if event.Started != nil && event.At.Sub(left) > 3*time.Second {
-				Expect(event.Started.Backend).NotTo(Equal(machine.ID("engine-1")))
+			if event.AttemptStarted != nil && event.At.Sub(left) > 3*time.Second {
+				Expect(event.AttemptStarted.Backend).NotTo(Equal(machine.ID("engine-1")))
 			}
 		}
 	})
--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -148,11 +148,11 @@
 			before, elsewhere := 0, 0
 			for _, event := range settled(running) {
 				switch {
-				case event.Started == nil:
-				case event.Started.Backend == leaving && event.At.Before(left):
+				case event.AttemptStarted == nil:
+				case event.AttemptStarted.Backend == leaving && event.At.Before(left):
 					before++
 				case event.At.Sub(left) > 3*time.Second:
-					Expect(event.Started.Backend).NotTo(Equal(leaving), "%s after it began to leave", event.At.Sub(left))
+					Expect(event.AttemptStarted.Backend).NotTo(Equal(leaving), "%s after it began to leave", event.At.Sub(left))
 					elsewhere++
 				}
 			}
--- a/emulator/cluster/loss.go
+++ b/emulator/cluster/loss.go
@@ -87,8 +87,8 @@
 		return requests[event.Lost.Request]
 	case event.Read != nil:
 		return concerns(event.Read.Program)
-	case event.Started != nil:
-		return concerns(event.Started.Program)
+	case event.AttemptStarted != nil:
+		return concerns(event.AttemptStarted.Program)
 	case event.Finished != nil:
 		return concerns(event.Finished.Program)
 	case event.Opened != nil:
--- a/history/backends.go
+++ b/history/backends.go
@@ -40,11 +40,11 @@
 	for _, program := range c.programs {
 		for _, each := range program.calls {
 			for _, start := range each.started {
-				since, found := left[start.Started.Backend]
-				if found && c.faultFreeTime(since.At, start.At, hidesLeaving(start.Started.Backend)) > c.run.LeavingBound {
+				since, found := left[start.AttemptStarted.Backend]
+				if found && c.faultFreeTime(since.At, start.At, hidesLeaving(start.AttemptStarted.Backend)) > c.run.LeavingBound {
 					c.report(InvariantLeaving, []*record{since, start},
 						"back end %s was given call %d of program %s %s after it began to leave",
-						start.Started.Backend, each.ref.sequence, program.id, start.At.Sub(since.At))
+						start.AttemptStarted.Backend, each.ref.sequence, program.id, start.At.Sub(since.At))
 				}
 			}
 		}
--- a/history/calls.go
+++ b/history/calls.go
@@ -74,7 +74,7 @@
 		return true
 	}
 	return slices.ContainsFunc(c.started, func(r *record) bool {
-		return r.Started.Repeatable || r.Started.Kind == api.CallModel
+		return r.AttemptStarted.Repeatable || r.AttemptStarted.Kind == api.CallModel
 	})
 }
 
@@ -100,7 +100,7 @@
 		if !allowed && len(refusals) > 0 {
 			c.report(InvariantNotRun, append(refusals, start),
 				"call %d of program %s was refused as not run, and started at %s",
-				each.ref.sequence, each.ref.program, start.Started.Backend)
+				each.ref.sequence, each.ref.program, start.AttemptStarted.Backend)
 		}
 	}
 }
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -33,7 +33,7 @@
 
 func startOf(events []history.Event, id api.ProgramID, sequence uint64) *history.Event {
 	return find(events, func(e history.Event) bool {
-		return e.Started != nil && e.Started.Program == id && e.Started.Sequence == sequence
+		return e.AttemptStarted != nil && e.AttemptStarted.Program == id && e.AttemptStarted.Sequence == sequence
 	})
 }
 
@@ -85,7 +85,7 @@
 			return events
 		}}),
 		Entry("history: an engine's prompt holds another program's turns", violation{history.InvariantHistory, func(events []history.Event) []history.Event {
-			startOf(events, chat, 3).Started.PromptHash = startOf(events, farm, 2).Started.PromptHash
+			startOf(events, chat, 3).AttemptStarted.PromptHash = startOf(events, farm, 2).AttemptStarted.PromptHash
 			return events
 		}}),
 		Entry("history: one key opens two programs", violation{history.InvariantHistory, func(events []history.Event) []history.Event {
@@ -130,9 +130,9 @@
 			return events
 		}}),
 		Entry("at-most-once: a notice goes out twice", violation{history.InvariantAtMostOnce, func(events []history.Event) []history.Event {
-			again := *startOf(events, chat, 2).Started
+			again := *startOf(events, chat, 2).AttemptStarted
 			again.Backend, again.Attempt = "tool-2", 2
-			return insert(events, 3.7, history.Event{Started: &again})
+			return insert(events, 3.7, history.Event{AttemptStarted: &again})
 		}}),
 		Entry("leaving: a leaving engine gets a call", violation{history.InvariantLeaving, func(events []history.Event) []history.Event {
 			find(events, func(e history.Event) bool { return e.Leaving != nil }).At = at(10)
@@ -173,7 +173,7 @@
 			return events
 		}}),
 		Entry("placement: a call runs in a zone that is not permitted", violation{history.InvariantPlacement, func(events []history.Event) []history.Event {
-			startOf(events, farm, 2).Started.Zone = "midrand-b"
+			startOf(events, farm, 2).AttemptStarted.Zone = "midrand-b"
 			return events
 		}}),
 		Entry("placement: zones are narrowed, and calls go on in the old ones", violation{history.InvariantPlacement, func(events []history.Event) []history.Event {
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -73,7 +73,7 @@
 		started.Backend, started.PromptHash, usage = "tool-1", 0, api.Usage{}
 	}
 	b.prompts[id] += output
-	b.add(seconds+0.2, history.Event{Started: &started})
+	b.add(seconds+0.2, history.Event{AttemptStarted: &started})
 	b.add(seconds+0.6, history.Event{Finished: &history.Finished{
 		Backend: started.Backend, Program: id, Sequence: sequence, Attempt: 1,
 		Outcome: history.OutcomeSucceeded, Output: output, Usage: usage,
--- a/history/index.go
+++ b/history/index.go
@@ -132,8 +132,8 @@
 	case r.Read != nil:
 		program := x.program(r.Read.Program)
 		program.reads = append(program.reads, r)
-	case r.Started != nil:
-		each := x.call(callRef{r.Started.Program, r.Started.Sequence})
+	case r.AttemptStarted != nil:
+		each := x.call(callRef{r.AttemptStarted.Program, r.AttemptStarted.Sequence})
 		each.started = append(each.started, r)
 	case r.Finished != nil:
 		each := x.call(callRef{r.Finished.Program, r.Finished.Sequence})
--- a/history/placement.go
+++ b/history/placement.go
@@ -18,12 +18,12 @@
 		placements := c.placements[program.created[0].Opened.Branch]
 		for _, each := range program.calls {
 			for _, start := range each.started {
-				if start.Started.Zone == "" || permitted(placements, start.Started.Zone, start.At, c.run.SettingsBound) {
+				if start.AttemptStarted.Zone == "" || permitted(placements, start.AttemptStarted.Zone, start.At, c.run.SettingsBound) {
 					continue
 				}
 				c.report(InvariantPlacement, []*record{lastBefore(placements, start.At), start},
 					"call %d of program %s ran in zone %s, which its placement does not permit",
-					each.ref.sequence, program.id, start.Started.Zone)
+					each.ref.sequence, program.id, start.AttemptStarted.Zone)
 			}
 		}
 	}
--- a/history/programs.go
+++ b/history/programs.go
@@ -90,10 +90,10 @@
 		_, _ = digest.WriteString(sent.Sent.Input)
 		expected := max(1, digest.Sum64())
 		for _, start := range each.started {
-			if start.Started.PromptHash != 0 && start.Started.PromptHash != expected {
+			if start.AttemptStarted.PromptHash != 0 && start.AttemptStarted.PromptHash != expected {
 				c.report(InvariantHistory, []*record{start, sent},
 					"engine %s got a prompt for call %d of program %s that is not the program's history",
-					start.Started.Backend, each.ref.sequence, program.id)
+					start.AttemptStarted.Backend, each.ref.sequence, program.id)
 			}
 		}
 		switch {
--- a/history/repeatable_test.go
+++ b/history/repeatable_test.go
@@ -20,8 +20,8 @@
 			{At: at(1), Sent: &history.Sent{
 				Request: "1", Operation: history.OperationSubmit, Program: "a", Key: "k", Sequence: 1, Kind: api.CallTool, Repeatable: submitted,
 			}},
-			{At: at(2), Started: started},
-			{At: at(3), Started: started},
+			{At: at(2), AttemptStarted: started},
+			{At: at(3), AttemptStarted: started},
 		}).Findings
 	}
 
