--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -153,7 +153,7 @@
 		}
 		e.running--
 		e.prefixes[owner] = begun.resident
-		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, begun)})
+		c.record(history.Event{AttemptFinished: sent.finished(history.OutcomeSucceeded, begun)})
 		begun.end(true)
 	})
 	return begun
@@ -168,7 +168,7 @@
 	}
 	e.running--
 	e.prefixes[sent.action.Attempt.Program] = begun.usage.PromptTokens
-	e.cluster.record(history.Event{Finished: sent.finished(history.OutcomeCancelled, &run{usage: api.Usage{}})})
+	e.cluster.record(history.Event{AttemptFinished: sent.finished(history.OutcomeCancelled, &run{usage: api.Usage{}})})
 	begun.finished = true
 	delete(e.streams, sent.stream())
 }
@@ -225,7 +225,7 @@
 			begun.end(false)
 			return
 		}
-		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, begun)})
+		c.record(history.Event{AttemptFinished: sent.finished(history.OutcomeSucceeded, begun)})
 		begun.end(true)
 	})
 	return begun
--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -99,8 +99,8 @@
 		input := func(number string) string { return "[program-1 " + number + "]" }
 		outputs := map[uint64]string{}
 		for _, event := range events {
-			if event.Finished != nil {
-				outputs[event.Finished.Sequence] = event.Finished.Output
+			if event.AttemptFinished != nil {
+				outputs[event.AttemptFinished.Sequence] = event.AttemptFinished.Output
 			}
 		}
 		begun := starts(events)
--- a/emulator/cluster/loss.go
+++ b/emulator/cluster/loss.go
@@ -89,8 +89,8 @@
 		return concerns(event.Read.Program)
 	case event.AttemptStarted != nil:
 		return concerns(event.AttemptStarted.Program)
-	case event.Finished != nil:
-		return concerns(event.Finished.Program)
+	case event.AttemptFinished != nil:
+		return concerns(event.AttemptFinished.Program)
 	case event.Opened != nil:
 		return concerns(event.Opened.Program)
 	case event.Closed != nil:
--- a/history/backends.go
+++ b/history/backends.go
@@ -74,13 +74,13 @@
 	for _, program := range c.programs {
 		for _, each := range program.calls {
 			for _, r := range each.finished {
-				if r.Finished.Outcome != OutcomeCut {
+				if r.AttemptFinished.Outcome != OutcomeCut {
 					continue
 				}
-				if stop := c.plannedStopAt(intervals, r.Finished.Backend, r.At); stop != nil {
+				if stop := c.plannedStopAt(intervals, r.AttemptFinished.Backend, r.At); stop != nil {
 					c.report(InvariantPlannedStop, []*record{stop, r},
 						"the planned stop of %s cut call %d of program %s",
-						r.Finished.Backend, each.ref.sequence, program.id)
+						r.AttemptFinished.Backend, each.ref.sequence, program.id)
 				}
 			}
 		}
--- a/history/calls.go
+++ b/history/calls.go
@@ -137,11 +137,11 @@
 func (c *call) produced(got *Got) bool {
 	complete := 0
 	for _, r := range c.finished {
-		if r.Finished.Outcome != OutcomeSucceeded {
+		if r.AttemptFinished.Outcome != OutcomeSucceeded {
 			continue
 		}
 		complete++
-		output := r.Finished.Output
+		output := r.AttemptFinished.Output
 		if got.Offset <= len(output) && output[got.Offset:] == got.Output {
 			return true
 		}
--- a/history/event.go
+++ b/history/event.go
@@ -10,28 +10,28 @@
 
 // Event is one fact that an observer recorded. Exactly one pointer is set.
 type Event struct {
-	At             time.Time  `json:"at"`
-	Run            *Run       `json:"run,omitempty"`
-	Sent           *Sent      `json:"sent,omitempty"`
-	Got            *Got       `json:"got,omitempty"`
-	Lost           *Lost      `json:"lost,omitempty"`
-	Read           *Read      `json:"read,omitempty"`
-	AttemptStarted *Started   `json:"started,omitempty"`
-	Finished       *Finished  `json:"finished,omitempty"`
-	Ended          *Ended     `json:"ended,omitempty"`
-	Held           *Held      `json:"held,omitempty"`
-	Opened         *Opened    `json:"opened,omitempty"`
-	Closed         *Closed    `json:"closed,omitempty"`
-	Placed         *Placed    `json:"placed,omitempty"`
-	Stream         *StreamUse `json:"stream,omitempty"`
-	Change         *Change    `json:"change,omitempty"`
-	Verdict        *Verdict   `json:"verdict,omitempty"`
-	InForce        *InForce   `json:"in_force,omitempty"`
-	Fault          *Fault     `json:"fault,omitempty"`
-	Leaving        *Leaving   `json:"leaving,omitempty"`
-	Gap            *Gap       `json:"gap,omitempty"`
-	Stop           *Stop      `json:"stop,omitempty"`
-	RunEnded       *RunEnded  `json:"run_ended,omitempty"`
+	At              time.Time  `json:"at"`
+	Run             *Run       `json:"run,omitempty"`
+	Sent            *Sent      `json:"sent,omitempty"`
+	Got             *Got       `json:"got,omitempty"`
+	Lost            *Lost      `json:"lost,omitempty"`
+	Read            *Read      `json:"read,omitempty"`
+	AttemptStarted  *Started   `json:"started,omitempty"`
+	AttemptFinished *Finished  `json:"finished,omitempty"`
+	Ended           *Ended     `json:"ended,omitempty"`
+	Held            *Held      `json:"held,omitempty"`
+	Opened          *Opened    `json:"opened,omitempty"`
+	Closed          *Closed    `json:"closed,omitempty"`
+	Placed          *Placed    `json:"placed,omitempty"`
+	Stream          *StreamUse `json:"stream,omitempty"`
+	Change          *Change    `json:"change,omitempty"`
+	Verdict         *Verdict   `json:"verdict,omitempty"`
+	InForce         *InForce   `json:"in_force,omitempty"`
+	Fault           *Fault     `json:"fault,omitempty"`
+	Leaving         *Leaving   `json:"leaving,omitempty"`
+	Gap             *Gap       `json:"gap,omitempty"`
+	Stop            *Stop      `json:"stop,omitempty"`
+	RunEnded        *RunEnded  `json:"run_ended,omitempty"`
 }
 
 // Run is the first event of a history. It identifies the run and sets the
--- a/history/index.go
+++ b/history/index.go
@@ -135,8 +135,8 @@
 	case r.AttemptStarted != nil:
 		each := x.call(callRef{r.AttemptStarted.Program, r.AttemptStarted.Sequence})
 		each.started = append(each.started, r)
-	case r.Finished != nil:
-		each := x.call(callRef{r.Finished.Program, r.Finished.Sequence})
+	case r.AttemptFinished != nil:
+		each := x.call(callRef{r.AttemptFinished.Program, r.AttemptFinished.Sequence})
 		each.finished = append(each.finished, r)
 	case r.Ended != nil:
 		each := x.call(callRef{r.Ended.Program, r.Ended.Sequence})
--- a/history/programs.go
+++ b/history/programs.go
@@ -186,7 +186,7 @@
 	for _, each := range p.calls {
 		costliest := 0
 		for _, r := range each.finished {
-			costliest = max(costliest, r.Finished.Usage.PromptTokens+r.Finished.Usage.OutputTokens)
+			costliest = max(costliest, r.AttemptFinished.Usage.PromptTokens+r.AttemptFinished.Usage.OutputTokens)
 		}
 		total += int64(costliest)
 	}
