--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -77,7 +77,7 @@
 	It("answers every call once though nodes die and the store loses answers", func() {
 		finished := 0
 		for _, event := range rough(5) {
-			if event.Ended != nil && event.Ended.Status == api.StatusSucceeded {
+			if event.CallEnded != nil && event.CallEnded.Status == api.StatusSucceeded {
 				finished++
 			}
 		}
--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -214,7 +214,7 @@
 				events := settled(running)
 				succeeded := 0
 				for _, event := range events {
-					if event.Ended != nil && event.Ended.Status == api.StatusSucceeded {
+					if event.CallEnded != nil && event.CallEnded.Status == api.StatusSucceeded {
 						succeeded++
 					}
 				}
--- a/emulator/cluster/stop_test.go
+++ b/emulator/cluster/stop_test.go
@@ -47,8 +47,8 @@
 			events := settled(running)
 			ended := map[api.CallStatus]int{}
 			for _, event := range events {
-				if event.Ended != nil {
-					ended[event.Ended.Status]++
+				if event.CallEnded != nil {
+					ended[event.CallEnded.Status]++
 				}
 				Expect(event.Lost == nil || event.Lost.NotSent).To(BeTrue(), "a connection was cut")
 			}
--- a/history/event.go
+++ b/history/event.go
@@ -18,7 +18,7 @@
 	Read            *Read      `json:"read,omitempty"`
 	AttemptStarted  *Started   `json:"started,omitempty"`
 	AttemptFinished *Finished  `json:"finished,omitempty"`
-	Ended           *Ended     `json:"ended,omitempty"`
+	CallEnded       *Ended     `json:"ended,omitempty"`
 	Held            *Held      `json:"held,omitempty"`
 	Opened          *Opened    `json:"opened,omitempty"`
 	Closed          *Closed    `json:"closed,omitempty"`
--- a/history/index.go
+++ b/history/index.go
@@ -138,8 +138,8 @@
 	case r.AttemptFinished != nil:
 		each := x.call(callRef{r.AttemptFinished.Program, r.AttemptFinished.Sequence})
 		each.finished = append(each.finished, r)
-	case r.Ended != nil:
-		each := x.call(callRef{r.Ended.Program, r.Ended.Sequence})
+	case r.CallEnded != nil:
+		each := x.call(callRef{r.CallEnded.Program, r.CallEnded.Sequence})
 		each.ended = append(each.ended, r)
 	case r.Opened != nil:
 		program := x.program(r.Opened.Program)
