--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -200,7 +200,7 @@
 		listed = append(listed, engine.Prefix{Owner: owner, Tokens: e.prefixes[owner]})
 		held.Programs = append(held.Programs, owner)
 	}
-	e.cluster.record(history.Event{Held: held})
+	e.cluster.record(history.Event{EngineCache: held})
 	return listed
 }
 
--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -35,11 +35,11 @@
 		if event.Closed != nil {
 			closed[event.Closed.Program] = true
 		}
-		if event.Held == nil {
+		if event.EngineCache == nil {
 			continue
 		}
-		last[event.Held.Backend] = event.Held.Programs
-		for _, id := range event.Held.Programs {
+		last[event.EngineCache.Backend] = event.EngineCache.Programs
+		for _, id := range event.EngineCache.Programs {
 			seen[id] = seen[id] || closed[id]
 		}
 	}
--- a/history/backends.go
+++ b/history/backends.go
@@ -12,7 +12,7 @@
 // owner, the engine and the engine's manager.
 func (c *checker) checkMemory() {
 	for _, held := range c.held {
-		for _, id := range held.Held.Programs {
+		for _, id := range held.EngineCache.Programs {
 			program, found := c.byProgram[id]
 			if !found || program.acknowledgedEnd == nil {
 				continue
@@ -21,7 +21,7 @@
 			if c.faultFreeTime(acknowledgedEnd, held.At, anyFault) > c.run.MemoryBound {
 				c.report(InvariantMemory, []*record{program.acknowledgedEnd, held},
 					"engine %s holds memory of program %s, which ended %s ago",
-					held.Held.Backend, id, held.At.Sub(acknowledgedEnd))
+					held.EngineCache.Backend, id, held.At.Sub(acknowledgedEnd))
 			}
 		}
 	}
--- a/history/event.go
+++ b/history/event.go
@@ -19,7 +19,7 @@
 	AttemptStarted  *Started   `json:"started,omitempty"`
 	AttemptFinished *Finished  `json:"finished,omitempty"`
 	CallEnded       *Ended     `json:"ended,omitempty"`
-	Held            *Held      `json:"held,omitempty"`
+	EngineCache     *Held      `json:"held,omitempty"`
 	Opened          *Opened    `json:"opened,omitempty"`
 	Closed          *Closed    `json:"closed,omitempty"`
 	Placed          *Placed    `json:"placed,omitempty"`
--- a/history/index.go
+++ b/history/index.go
@@ -157,7 +157,7 @@
 // addEnvironmentRecord indexes a record about machines, placements or settings.
 func (x *index) addEnvironmentRecord(r *record) {
 	switch {
-	case r.Held != nil:
+	case r.EngineCache != nil:
 		x.held = append(x.held, r)
 	case r.Placed != nil:
 		x.placements[r.Placed.Branch] = append(x.placements[r.Placed.Branch], r)
--- a/load/backends.go
+++ b/load/backends.go
@@ -104,7 +104,7 @@
 				left++
 			}
 		}
-		r.config.Recorder.Record(history.Event{At: time.Now(), Held: held})
+		r.config.Recorder.Record(history.Event{At: time.Now(), EngineCache: held})
 	}
 	return left
 }
