--- a/emulator/cluster/loss.go
+++ b/emulator/cluster/loss.go
@@ -91,8 +91,8 @@
 		return concerns(event.AttemptStarted.Program)
 	case event.AttemptFinished != nil:
 		return concerns(event.AttemptFinished.Program)
-	case event.Opened != nil:
-		return concerns(event.Opened.Program)
+	case event.ProgramCreated != nil:
+		return concerns(event.ProgramCreated.Program)
 	case event.Closed != nil:
 		return concerns(event.Closed.Program)
 	}
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -94,7 +94,7 @@
 			return insert(events, 1.5, history.Event{Got: &history.Got{Request: "third", Program: "cold.0.00000000000000ff"}})
 		}}),
 		Entry("budget: a program and its sub-agent use more than its budget", violation{history.InvariantBudget, func(events []history.Event) []history.Event {
-			find(events, func(e history.Event) bool { return e.Opened != nil && e.Opened.Program == chat }).Opened.BudgetTokens = 119
+			find(events, func(e history.Event) bool { return e.ProgramCreated != nil && e.ProgramCreated.Program == chat }).ProgramCreated.BudgetTokens = 119
 			return events
 		}}),
 		Entry("budget: an answer is longer than its cap", violation{history.InvariantBudget, func(events []history.Event) []history.Event {
--- a/history/event.go
+++ b/history/event.go
@@ -20,7 +20,7 @@
 	AttemptFinished *Finished  `json:"finished,omitempty"`
 	CallEnded       *Ended     `json:"ended,omitempty"`
 	EngineCache     *Held      `json:"held,omitempty"`
-	Opened          *Opened    `json:"opened,omitempty"`
+	ProgramCreated  *Opened    `json:"opened,omitempty"`
 	Closed          *Closed    `json:"closed,omitempty"`
 	Placed          *Placed    `json:"placed,omitempty"`
 	Stream          *StreamUse `json:"stream,omitempty"`
--- a/history/index.go
+++ b/history/index.go
@@ -141,8 +141,8 @@
 	case r.CallEnded != nil:
 		each := x.call(callRef{r.CallEnded.Program, r.CallEnded.Sequence})
 		each.ended = append(each.ended, r)
-	case r.Opened != nil:
-		program := x.program(r.Opened.Program)
+	case r.ProgramCreated != nil:
+		program := x.program(r.ProgramCreated.Program)
 		program.created = append(program.created, r)
 	case r.Closed != nil:
 		program := x.program(r.Closed.Program)
--- a/history/linearizable.go
+++ b/history/linearizable.go
@@ -215,7 +215,7 @@
 	parents := map[api.ProgramID]bool{}
 	for _, program := range c.programs {
 		for _, r := range program.created {
-			parents[r.Opened.Parent] = true
+			parents[r.ProgramCreated.Parent] = true
 		}
 	}
 	for _, program := range c.programs {
--- a/history/placement.go
+++ b/history/placement.go
@@ -15,7 +15,7 @@
 		if len(program.created) == 0 {
 			continue
 		}
-		placements := c.placements[program.created[0].Opened.Branch]
+		placements := c.placements[program.created[0].ProgramCreated.Branch]
 		for _, each := range program.calls {
 			for _, start := range each.started {
 				if start.AttemptStarted.Zone == "" || permitted(placements, start.AttemptStarted.Zone, start.At, c.run.SettingsBound) {
--- a/history/programs.go
+++ b/history/programs.go
@@ -147,7 +147,7 @@
 	parents := map[api.ProgramID]api.ProgramID{}
 	for _, program := range c.programs {
 		for _, r := range program.created {
-			parents[program.id] = r.Opened.Parent
+			parents[program.id] = r.ProgramCreated.Parent
 		}
 	}
 	for _, program := range c.programs {
@@ -198,8 +198,8 @@
 func (p *programRecords) budget() (int64, *record) {
 	largest, largestRecord := int64(-1), (*record)(nil)
 	for _, r := range p.created {
-		if r.Opened.BudgetTokens > largest {
-			largest, largestRecord = r.Opened.BudgetTokens, r
+		if r.ProgramCreated.BudgetTokens > largest {
+			largest, largestRecord = r.ProgramCreated.BudgetTokens, r
 		}
 	}
 	return largest, largestRecord
