--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -32,8 +32,8 @@
 	last := map[machine.ID][]api.ProgramID{}
 	seen, left = map[api.ProgramID]bool{}, map[api.ProgramID]bool{}
 	for _, event := range events {
-		if event.Closed != nil {
-			closed[event.Closed.Program] = true
+		if event.ProgramEnded != nil {
+			closed[event.ProgramEnded.Program] = true
 		}
 		if event.EngineCache == nil {
 			continue
@@ -60,7 +60,7 @@
 func closings(events []history.Event) int {
 	count := 0
 	for _, event := range events {
-		if event.Closed != nil {
+		if event.ProgramEnded != nil {
 			count++
 		}
 	}
--- a/emulator/cluster/loss.go
+++ b/emulator/cluster/loss.go
@@ -93,8 +93,8 @@
 		return concerns(event.AttemptFinished.Program)
 	case event.ProgramCreated != nil:
 		return concerns(event.ProgramCreated.Program)
-	case event.Closed != nil:
-		return concerns(event.Closed.Program)
+	case event.ProgramEnded != nil:
+		return concerns(event.ProgramEnded.Program)
 	}
 	return false
 }
--- a/history/event.go
+++ b/history/event.go
@@ -21,7 +21,7 @@
 	CallEnded       *Ended     `json:"ended,omitempty"`
 	EngineCache     *Held      `json:"held,omitempty"`
 	ProgramCreated  *Opened    `json:"opened,omitempty"`
-	Closed          *Closed    `json:"closed,omitempty"`
+	ProgramEnded    *Closed    `json:"closed,omitempty"`
 	Placed          *Placed    `json:"placed,omitempty"`
 	Stream          *StreamUse `json:"stream,omitempty"`
 	Change          *Change    `json:"change,omitempty"`
--- a/history/index.go
+++ b/history/index.go
@@ -144,8 +144,8 @@
 	case r.ProgramCreated != nil:
 		program := x.program(r.ProgramCreated.Program)
 		program.created = append(program.created, r)
-	case r.Closed != nil:
-		program := x.program(r.Closed.Program)
+	case r.ProgramEnded != nil:
+		program := x.program(r.ProgramEnded.Program)
 		if program.acknowledgedEnd == nil {
 			program.acknowledgedEnd = r
 		}
