--- a/history/event.go
+++ b/history/event.go
@@ -22,7 +22,7 @@
 	EngineCache     *Held      `json:"held,omitempty"`
 	ProgramCreated  *Opened    `json:"opened,omitempty"`
 	ProgramEnded    *Closed    `json:"closed,omitempty"`
-	Placed          *Placed    `json:"placed,omitempty"`
+	PlacementSet    *Placed    `json:"placed,omitempty"`
 	Stream          *StreamUse `json:"stream,omitempty"`
 	Change          *Change    `json:"change,omitempty"`
 	Verdict         *Verdict   `json:"verdict,omitempty"`
--- a/history/index.go
+++ b/history/index.go
@@ -159,8 +159,8 @@
 	switch {
 	case r.EngineCache != nil:
 		x.held = append(x.held, r)
-	case r.Placed != nil:
-		x.placements[r.Placed.Branch] = append(x.placements[r.Placed.Branch], r)
+	case r.PlacementSet != nil:
+		x.placements[r.PlacementSet.Branch] = append(x.placements[r.PlacementSet.Branch], r)
 	case r.Stream != nil:
 		x.streams = append(x.streams, r)
 	case r.Change != nil:
--- a/history/placement.go
+++ b/history/placement.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		last := lastBefore(placements, r.At)
-		withinBound := last != nil && c.faultFreeTime(last.Placed.Since, r.At, anyFault) <= c.run.MoveBound
+		withinBound := last != nil && c.faultFreeTime(last.PlacementSet.Since, r.At, anyFault) <= c.run.MoveBound
 		if withinBound && everPermitted(placements, r.Stream.Zone) {
 			continue
 		}
@@ -54,8 +54,8 @@
 // returns true if no placement was recorded.
 func permitted(placements []*record, name zone.Name, at time.Time, bound time.Duration) bool {
 	for i, r := range placements {
-		replaced := i+1 < len(placements) && at.Sub(placements[i+1].Placed.Since) > bound
-		if !replaced && r.Placed.Placement.Contains(name) {
+		replaced := i+1 < len(placements) && at.Sub(placements[i+1].PlacementSet.Since) > bound
+		if !replaced && r.PlacementSet.Placement.Contains(name) {
 			return true
 		}
 	}
@@ -64,14 +64,14 @@
 
 // everPermitted reports whether any recorded placement permits the zone.
 func everPermitted(placements []*record, name zone.Name) bool {
-	return slices.ContainsFunc(placements, func(r *record) bool { return r.Placed.Placement.Contains(name) })
+	return slices.ContainsFunc(placements, func(r *record) bool { return r.PlacementSet.Placement.Contains(name) })
 }
 
 // lastBefore returns the placement in effect at the given time.
 func lastBefore(placements []*record, at time.Time) *record {
 	var last *record
 	for _, r := range placements {
-		if !r.Placed.Since.After(at) {
+		if !r.PlacementSet.Since.After(at) {
 			last = r
 		}
 	}
