--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -81,7 +81,7 @@
 		for _, edit := range change.Edits {
 			recorded.Paths = append(recorded.Paths, string(edit.Path))
 		}
-		c.record(history.Event{Change: recorded})
+		c.record(history.Event{SettingsChange: recorded})
 	}
 	c.notePlacements()
 	return revision
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -169,7 +169,7 @@
 			return events
 		}}),
 		Entry("settings: a racing operator overwrites what it did not know", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
-			find(events, func(e history.Event) bool { return e.Change != nil && e.Change.ID == "second" }).Change.BaseRevision = 1
+			find(events, func(e history.Event) bool { return e.SettingsChange != nil && e.SettingsChange.ID == "second" }).SettingsChange.BaseRevision = 1
 			return events
 		}}),
 		Entry("placement: a call runs in a zone that is not permitted", violation{history.InvariantPlacement, func(events []history.Event) []history.Event {
--- a/history/event.go
+++ b/history/event.go
@@ -24,7 +24,7 @@
 	ProgramEnded    *Closed    `json:"closed,omitempty"`
 	PlacementSet    *Placed    `json:"placed,omitempty"`
 	Stream          *StreamUse `json:"stream,omitempty"`
-	Change          *Change    `json:"change,omitempty"`
+	SettingsChange  *Change    `json:"change,omitempty"`
 	Verdict         *Verdict   `json:"verdict,omitempty"`
 	InForce         *InForce   `json:"in_force,omitempty"`
 	Fault           *Fault     `json:"fault,omitempty"`
--- a/history/index.go
+++ b/history/index.go
@@ -163,7 +163,7 @@
 		x.placements[r.PlacementSet.Branch] = append(x.placements[r.PlacementSet.Branch], r)
 	case r.Stream != nil:
 		x.streams = append(x.streams, r)
-	case r.Change != nil:
+	case r.SettingsChange != nil:
 		x.changes = append(x.changes, r)
 	case r.Verdict != nil:
 		x.verdicts = append(x.verdicts, r)
--- a/history/linearizable.go
+++ b/history/linearizable.go
@@ -265,9 +265,9 @@
 // by revision is consistent with real time, and that no change overwrites a
 // change of a related path that is newer than its base revision.
 func (c *checker) checkCompareAndSet() {
-	accepted := slices.DeleteFunc(slices.Clone(c.changes), func(r *record) bool { return !r.Change.Accepted })
+	accepted := slices.DeleteFunc(slices.Clone(c.changes), func(r *record) bool { return !r.SettingsChange.Accepted })
 	slices.SortFunc(accepted, func(a, b *record) int {
-		return cmp.Compare(a.Change.Revision, b.Change.Revision)
+		return cmp.Compare(a.SettingsChange.Revision, b.SettingsChange.Revision)
 	})
 	if len(accepted) == 0 {
 		return
@@ -275,7 +275,7 @@
 	operations := make([]porcupine.Operation, len(accepted))
 	for i, r := range accepted {
 		operations[i] = porcupine.Operation{
-			ClientId: i, Input: r.Change, Call: r.Change.SentAt.UnixNano(), Return: r.At.UnixNano(),
+			ClientId: i, Input: r.SettingsChange, Call: r.SettingsChange.SentAt.UnixNano(), Return: r.At.UnixNano(),
 		}
 	}
 	if !c.linearizable(settingsModel(accepted), operations) {
@@ -292,11 +292,11 @@
 		Init: func() any { return 0 },
 		Step: func(state, input, _ any) (bool, any) {
 			applied, change := state.(int), input.(*Change)
-			if applied >= len(accepted) || accepted[applied].Change != change {
+			if applied >= len(accepted) || accepted[applied].SettingsChange != change {
 				return false, state
 			}
 			for _, earlier := range accepted[:applied] {
-				if earlier.Change.Revision > change.BaseRevision && related(earlier.Change.Paths, change.Paths) {
+				if earlier.SettingsChange.Revision > change.BaseRevision && related(earlier.SettingsChange.Paths, change.Paths) {
 					return false, state
 				}
 			}
--- a/history/settings.go
+++ b/history/settings.go
@@ -40,7 +40,7 @@
 		compare(r.Verdict.ID, r, decision{r.Verdict.Accepted, r.Verdict.Revision})
 	}
 	for _, r := range c.changes {
-		compare(r.Change.ID, r, decision{r.Change.Accepted, r.Change.Revision})
+		compare(r.SettingsChange.ID, r, decision{r.SettingsChange.Accepted, r.SettingsChange.Revision})
 	}
 }
 
@@ -66,7 +66,7 @@
 		if newer := c.replacedBefore(r.InForce.Revision, r.At.Add(-c.run.SettingsBound)); newer != nil {
 			c.report(InvariantSettings, []*record{newer, r},
 				"node %s put revision %d in force %s after revision %d was accepted",
-				key.node, r.InForce.Revision, r.At.Sub(newer.At), newer.Change.Revision)
+				key.node, r.InForce.Revision, r.At.Sub(newer.At), newer.SettingsChange.Revision)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // and whose verdict the operator received before the given time.
 func (c *checker) replacedBefore(revision uint64, before time.Time) *record {
 	for _, r := range c.changes {
-		if r.Change.Accepted && r.Change.Revision > revision && r.At.Before(before) {
+		if r.SettingsChange.Accepted && r.SettingsChange.Revision > revision && r.At.Before(before) {
 			return r
 		}
 	}
@@ -95,7 +95,7 @@
 	}
 	for _, change := range c.changes {
 		due := change.At.Add(c.run.SettingsBound)
-		if !change.Change.Accepted || due.After(c.end) {
+		if !change.SettingsChange.Accepted || due.After(c.end) {
 			continue
 		}
 		for _, node := range order {
@@ -105,10 +105,10 @@
 			if c.faultFreeTime(change.At, due, affects(node)) < c.run.SettingsBound {
 				continue
 			}
-			if !reachedRevision(nodes[node], change.Change.Revision, due) {
+			if !reachedRevision(nodes[node], change.SettingsChange.Revision, due) {
 				c.report(InvariantSettings, []*record{change},
 					"node %s did not put revision %d in force within %s",
-					node, change.Change.Revision, c.run.SettingsBound)
+					node, change.SettingsChange.Revision, c.run.SettingsBound)
 			}
 		}
 	}
