--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -167,7 +167,7 @@
 		running.Advance(time.Minute)
 		stopped := 0
 		for _, event := range settled(running) {
-			if event.Stop != nil && event.Stop.Done {
+			if event.PlannedStop != nil && event.PlannedStop.Done {
 				stopped++
 			}
 			Expect(event.Lost == nil || event.Lost.NotSent).To(BeTrue(), "a connection was cut")
--- a/history/backends.go
+++ b/history/backends.go
@@ -91,8 +91,8 @@
 func (c *checker) stopIntervals() map[machine.ID][]stopInterval {
 	intervals := map[machine.ID][]stopInterval{}
 	for _, r := range c.plannedStops {
-		id := r.Stop.Machine
-		if !r.Stop.Done {
+		id := r.PlannedStop.Machine
+		if !r.PlannedStop.Done {
 			intervals[id] = append(intervals[id], stopInterval{from: r.At, to: c.end, begin: r})
 			continue
 		}
--- a/history/event.go
+++ b/history/event.go
@@ -30,7 +30,7 @@
 	Fault           *Fault     `json:"fault,omitempty"`
 	Leaving         *Leaving   `json:"leaving,omitempty"`
 	Gap             *Gap       `json:"gap,omitempty"`
-	Stop            *Stop      `json:"stop,omitempty"`
+	PlannedStop     *Stop      `json:"stop,omitempty"`
 	RunEnded        *RunEnded  `json:"run_ended,omitempty"`
 }
 
--- a/history/index.go
+++ b/history/index.go
@@ -173,7 +173,7 @@
 		x.faults = append(x.faults, r)
 	case r.Leaving != nil:
 		x.leaving = append(x.leaving, r)
-	case r.Stop != nil:
+	case r.PlannedStop != nil:
 		x.plannedStops = append(x.plannedStops, r)
 	case r.Gap != nil:
 		x.gaps = append(x.gaps, r)
--- a/history/outage.go
+++ b/history/outage.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, r := range x.plannedStops {
-		if !r.Stop.Done {
+		if !r.PlannedStop.Done {
 			consider(r, causeStop)
 		}
 	}
--- a/history/settings.go
+++ b/history/settings.go
@@ -129,7 +129,7 @@
 // time.
 func (c *checker) stopped(id machine.ID, by time.Time) bool {
 	for _, r := range c.plannedStops {
-		if r.Stop.Machine == id && !r.At.After(by) {
+		if r.PlannedStop.Machine == id && !r.At.After(by) {
 			return true
 		}
 	}
