--- a/command/load.go
+++ b/command/load.go
@@ -154,7 +154,7 @@
 	return load.Config{
 		Targets: f.targets, Operators: f.operators, ToolServices: f.tools, Engines: f.engines, Deployment: deployment,
 		Programs: f.programs, Seed: f.seed, Rate: f.rate, Speed: f.speed, Tokens: tokens,
-		Branch: contract.Path(f.branch), Model: f.model, CallTimeout: f.callTimeout, StopAfter: f.stopAfter, AnyAnswer: f.anyAnswer,
+		Branch: contract.Path(f.branch), Model: f.model, CallTimeout: f.callTimeout, StopAfter: f.stopAfter, SkipAnswerCheck: f.anyAnswer,
 		Probes: f.probes,
 	}, nil
 }
--- a/load/agent.go
+++ b/load/agent.go
@@ -191,7 +191,7 @@
 		a.totals.firstText(a.program.Kind, result.firstText)
 		a.countCache(call.Usage)
 	}
-	if a.transcriptKnown && !a.config.AnyAnswer && !answerMatches(request, a.transcript.String(), call.Output) {
+	if a.transcriptKnown && !a.config.SkipAnswerCheck && !answerMatches(request, a.transcript.String(), call.Output) {
 		a.totals.wrongAnswer(fmt.Errorf("program %s, call %d: the answer belongs to another call or history", a.id, call.Sequence))
 	}
 	a.transcript.WriteString(request.Input)
--- a/load/config.go
+++ b/load/config.go
@@ -53,7 +53,7 @@
 	// measure how long their owners do not answer.
 	Probes int
 	// SkipAnswerCheck accepts answers without the stand-ins' hashes.
-	AnyAnswer bool
+	SkipAnswerCheck bool
 	// Recorder records the history. Nil records nothing.
 	Recorder *history.Recorder
 	// Progress, if not nil, is called after each program with the number of
