--- a/load/load_test.go
+++ b/load/load_test.go
@@ -162,8 +162,8 @@
 			return ownAnswer(request), nil
 		}
 		result := runAgainst(fake)
-		Expect(result.Absence.Count).To(Equal(int64(1)))
-		Expect(result.Absence.P50).To(BeNumerically(">=", 20*20), "20 refusals, 20 ms apart, in ms")
+		Expect(result.Unavailability.Count).To(Equal(int64(1)))
+		Expect(result.Unavailability.P50).To(BeNumerically(">=", 20*20), "20 refusals, 20 ms apart, in ms")
 	})
 
 	It("asks again by key after a refusal, and counts it", func() {
--- a/load/result.go
+++ b/load/result.go
@@ -30,7 +30,7 @@
 	FirstToken     Latency            `json:"first_token_ms"`
 	// Unavailability is how long idle programs were unavailable at every
 	// gateway that was tried.
-	Absence Latency `json:"absence_ms"`
+	Unavailability Latency `json:"absence_ms"`
 	// Interruption is the time from the first failed request of an operation
 	// to its final answer, for operations that needed a retry.
 	Interruption Latency `json:"interruption_ms"`
@@ -80,7 +80,7 @@
 		row("  "+kind, r.Kinds[kind])
 	}
 	row("first token", r.FirstToken)
-	row("program without an owner", r.Absence)
+	row("program without an owner", r.Unavailability)
 	row("asked again until answered", r.Interruption)
 	fmt.Fprintf(&text, "prompt tokens %d, from cache %d, recomputed although cached before %d; output tokens %d\n",
 		r.PromptTokens, r.CachedTokens, r.RecomputedTokens, r.OutputTokens)
--- a/load/totals.go
+++ b/load/totals.go
@@ -198,7 +198,7 @@
 	result := t.result
 	result.ProgramLatency = latencyOf(t.programLatency)
 	result.FirstToken = latencyOf(t.firstTokens)
-	result.Absence = latencyOf(t.unavailability)
+	result.Unavailability = latencyOf(t.unavailability)
 	result.Interruption = latencyOf(t.interruptions)
 	for kind, histogram := range t.latencyByKind {
 		result.Kinds[string(kind)] = latencyOf(histogram)
