--- a/load/result.go
+++ b/load/result.go
@@ -55,7 +55,7 @@
 	// ReleaseSeconds is how long after the run engines still cached prefixes of
 	// ended programs. PrefixesLeft counts those left when polling stopped.
 	ReleaseSeconds float64  `json:"release_s"`
-	HeldAfter      int      `json:"held_after"`
+	PrefixesLeft   int      `json:"held_after"`
 	Errors         []string `json:"errors,omitempty"`
 	// ControlBytes is the control traffic of each node in Config.Operators,
 	// sent and received, in bytes per second.
@@ -89,7 +89,7 @@
 	fmt.Fprintf(&text, "unknown %d, connections lost %d, callers that hung up %d, wrong answers %d, unanswered %d\n",
 		r.Unknown, r.LostConnections, r.HungUp, r.WrongAnswers, r.Unanswered)
 	fmt.Fprintf(&text, "calls that ran twice and may not: %d; engines held prefixes of ended programs for %.1f s, %d left\n",
-		r.Duplicates, r.ReleaseSeconds, r.HeldAfter)
+		r.Duplicates, r.ReleaseSeconds, r.PrefixesLeft)
 	for _, node := range slices.Sorted(maps.Keys(r.ControlBytes)) {
 		fmt.Fprintf(&text, "control bytes of %s: %.0f a second\n", node, r.ControlBytes[node])
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -57,7 +57,7 @@
 	result.Seed = config.Seed
 	result.Seconds = seconds
 	result.ControlBytes = controlBytes
-	result.ReleaseSeconds, result.HeldAfter = release.Seconds(), left
+	result.ReleaseSeconds, result.PrefixesLeft = release.Seconds(), left
 	return result, errors.Join(ctx.Err(), toolErr)
 }
 
