--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -185,9 +185,9 @@
 }
 
 // started and finished are the attempt as its back end sees it.
-func (a *attempt) started(backend machine.Machine, promptHash uint64) *history.Started {
+func (a *attempt) started(backend machine.Machine, promptHash uint64) *history.AttemptStarted {
 	of := a.action.Attempt
-	return &history.Started{
+	return &history.AttemptStarted{
 		Backend: backend.ID, Zone: backend.Zone, Program: of.Program, Sequence: of.Sequence, Attempt: of.Attempt,
 		Kind: a.action.Call.Kind, Repeatable: a.action.Call.Kind == api.CallModel || a.action.Call.Repeatable,
 		PromptHash: promptHash,
--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -38,8 +38,8 @@
 }
 
 // starts returns the attempts that back ends began.
-func starts(events []history.Event) []*history.Started {
-	var all []*history.Started
+func starts(events []history.Event) []*history.AttemptStarted {
+	var all []*history.AttemptStarted
 	for _, event := range events {
 		if event.AttemptStarted != nil {
 			all = append(all, event.AttemptStarted)
--- a/emulator/standin/record.go
+++ b/emulator/standin/record.go
@@ -37,7 +37,7 @@
 	if !found || r.recorder == nil {
 		return
 	}
-	r.recorder.Record(history.Event{At: time.Now(), AttemptStarted: &history.Started{
+	r.recorder.Record(history.Event{At: time.Now(), AttemptStarted: &history.AttemptStarted{
 		Backend: r.config.ID, Zone: r.config.Zone, Program: program, Sequence: sequence, Attempt: attempt,
 		Kind: api.CallModel, Repeatable: true, PromptHash: history.HashText(request.Prompt),
 	}})
@@ -66,7 +66,7 @@
 	if !found || t.recorder == nil {
 		return
 	}
-	t.recorder.Record(history.Event{At: time.Now(), AttemptStarted: &history.Started{
+	t.recorder.Record(history.Event{At: time.Now(), AttemptStarted: &history.AttemptStarted{
 		Backend: t.config.ID, Zone: t.config.Zone, Program: program, Sequence: sequence, Kind: api.CallTool,
 	}})
 }
--- a/history/example_test.go
+++ b/history/example_test.go
@@ -26,7 +26,7 @@
 		Key: "notice", Sequence: 1, Kind: api.CallTool, Input: "seal 17 broken",
 	}})
 	for _, backend := range []machine.ID{"depot-1", "depot-2"} {
-		record(history.Event{AttemptStarted: &history.Started{
+		record(history.Event{AttemptStarted: &history.AttemptStarted{
 			Backend: backend, Program: "seals.0.00000000000000aa", Sequence: 1, Kind: api.CallTool,
 		}})
 	}
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -66,7 +66,7 @@
 	b.add(seconds, history.Event{Sent: &sent})
 	backend := machine.ID("engine-1")
 	usage := api.Usage{PromptTokens: 30, OutputTokens: 10}
-	started := history.Started{Backend: backend, Zone: "isando", Program: id, Sequence: sequence, Attempt: 1, Kind: kind, Repeatable: repeatable}
+	started := history.AttemptStarted{Backend: backend, Zone: "isando", Program: id, Sequence: sequence, Attempt: 1, Kind: kind, Repeatable: repeatable}
 	b.prompts[id] += input
 	started.PromptHash = history.HashText(b.prompts[id])
 	if kind == api.CallTool {
--- a/history/repeatable_test.go
+++ b/history/repeatable_test.go
@@ -15,7 +15,7 @@
 	// are Repeatable in the submit request and in the attempts.
 	report := func(submitted, attempted bool) []history.Finding {
 		at := func(seconds int64) time.Time { return time.Unix(seconds, 0) }
-		started := &history.Started{Backend: "t", Program: "a", Sequence: 1, Kind: api.CallTool, Repeatable: attempted}
+		started := &history.AttemptStarted{Backend: "t", Program: "a", Sequence: 1, Kind: api.CallTool, Repeatable: attempted}
 		return history.CheckEvents([]history.Event{
 			{At: at(1), Sent: &history.Sent{
 				Request: "1", Operation: history.OperationSubmit, Program: "a", Key: "k", Sequence: 1, Kind: api.CallTool, Repeatable: submitted,
