--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -194,9 +194,9 @@
 	}
 }
 
-func (a *attempt) finished(outcome history.Outcome, ended *run) *history.Finished {
+func (a *attempt) finished(outcome history.Outcome, ended *run) *history.AttemptFinished {
 	of := a.action.Attempt
-	return &history.Finished{
+	return &history.AttemptFinished{
 		Backend: a.action.Backend.ID, Program: of.Program, Sequence: of.Sequence, Attempt: of.Attempt,
 		Outcome: outcome, Output: ended.output, Usage: ended.usage,
 	}
--- a/emulator/standin/record.go
+++ b/emulator/standin/record.go
@@ -54,7 +54,7 @@
 	if ended.Cancelled {
 		outcome = history.OutcomeCancelled
 	}
-	r.recorder.Record(history.Event{At: time.Now(), AttemptFinished: &history.Finished{
+	r.recorder.Record(history.Event{At: time.Now(), AttemptFinished: &history.AttemptFinished{
 		Backend: r.config.ID, Program: program, Sequence: sequence, Attempt: attempt, Outcome: outcome,
 		Output: r.answers[ended.Stream].text.slice(0, ended.Usage.OutputTokens), Usage: ended.Usage,
 	}})
@@ -77,7 +77,7 @@
 	if !found || t.recorder == nil {
 		return
 	}
-	t.recorder.Record(history.Event{At: time.Now(), AttemptFinished: &history.Finished{
+	t.recorder.Record(history.Event{At: time.Now(), AttemptFinished: &history.AttemptFinished{
 		Backend: t.config.ID, Program: program, Sequence: sequence, Outcome: history.OutcomeSucceeded, Output: output,
 	}})
 }
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -148,7 +148,7 @@
 		}}),
 		Entry("planned-stop: a leaving engine cuts an attempt", violation{history.InvariantPlannedStop, func(events []history.Event) []history.Event {
 			events = insert(events, 13.1, history.Event{PlannedStop: &history.Stop{Machine: "engine-1"}})
-			return insert(events, 13.4, history.Event{AttemptFinished: &history.Finished{
+			return insert(events, 13.4, history.Event{AttemptFinished: &history.AttemptFinished{
 				Backend: "engine-1", Program: farm, Sequence: 3, Attempt: 1, Outcome: history.OutcomeCut,
 			}})
 		}}),
--- a/history/event.go
+++ b/history/event.go
@@ -10,28 +10,28 @@
 
 // Event is one fact that an observer recorded. Exactly one pointer is set.
 type Event struct {
-	At              time.Time       `json:"at"`
-	Run             *Run            `json:"run,omitempty"`
-	Sent            *Sent           `json:"sent,omitempty"`
-	Got             *Got            `json:"got,omitempty"`
-	Lost            *Lost           `json:"lost,omitempty"`
-	Read            *Read           `json:"read,omitempty"`
-	AttemptStarted  *AttemptStarted `json:"started,omitempty"`
-	AttemptFinished *Finished       `json:"finished,omitempty"`
-	CallEnded       *Ended          `json:"ended,omitempty"`
-	EngineCache     *Held           `json:"held,omitempty"`
-	ProgramCreated  *Opened         `json:"opened,omitempty"`
-	ProgramEnded    *Closed         `json:"closed,omitempty"`
-	PlacementSet    *Placed         `json:"placed,omitempty"`
-	Stream          *StreamUse      `json:"stream,omitempty"`
-	SettingsChange  *Change         `json:"change,omitempty"`
-	Verdict         *Verdict        `json:"verdict,omitempty"`
-	InForce         *InForce        `json:"in_force,omitempty"`
-	Fault           *Fault          `json:"fault,omitempty"`
-	Leaving         *Leaving        `json:"leaving,omitempty"`
-	Gap             *Gap            `json:"gap,omitempty"`
-	PlannedStop     *Stop           `json:"stop,omitempty"`
-	RunEnded        *RunEnded       `json:"run_ended,omitempty"`
+	At              time.Time        `json:"at"`
+	Run             *Run             `json:"run,omitempty"`
+	Sent            *Sent            `json:"sent,omitempty"`
+	Got             *Got             `json:"got,omitempty"`
+	Lost            *Lost            `json:"lost,omitempty"`
+	Read            *Read            `json:"read,omitempty"`
+	AttemptStarted  *AttemptStarted  `json:"started,omitempty"`
+	AttemptFinished *AttemptFinished `json:"finished,omitempty"`
+	CallEnded       *Ended           `json:"ended,omitempty"`
+	EngineCache     *Held            `json:"held,omitempty"`
+	ProgramCreated  *Opened          `json:"opened,omitempty"`
+	ProgramEnded    *Closed          `json:"closed,omitempty"`
+	PlacementSet    *Placed          `json:"placed,omitempty"`
+	Stream          *StreamUse       `json:"stream,omitempty"`
+	SettingsChange  *Change          `json:"change,omitempty"`
+	Verdict         *Verdict         `json:"verdict,omitempty"`
+	InForce         *InForce         `json:"in_force,omitempty"`
+	Fault           *Fault           `json:"fault,omitempty"`
+	Leaving         *Leaving         `json:"leaving,omitempty"`
+	Gap             *Gap             `json:"gap,omitempty"`
+	PlannedStop     *Stop            `json:"stop,omitempty"`
+	RunEnded        *RunEnded        `json:"run_ended,omitempty"`
 }
 
 // Run is the first event of a history. It identifies the run and sets the
@@ -164,7 +164,7 @@
 )
 
 // AttemptFinished records that an attempt ended at its back end.
-type Finished struct {
+type AttemptFinished struct {
 	Backend  machine.ID    `json:"backend"`
 	Program  api.ProgramID `json:"program"`
 	Sequence uint64        `json:"sequence"`
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -74,7 +74,7 @@
 	}
 	b.prompts[id] += output
 	b.add(seconds+0.2, history.Event{AttemptStarted: &started})
-	b.add(seconds+0.6, history.Event{AttemptFinished: &history.Finished{
+	b.add(seconds+0.6, history.Event{AttemptFinished: &history.AttemptFinished{
 		Backend: started.Backend, Program: id, Sequence: sequence, Attempt: 1,
 		Outcome: history.OutcomeSucceeded, Output: output, Usage: usage,
 	}})
