--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -202,7 +202,7 @@
 		n.noteVerdict(action.Verdict)
 	case control.CallFinished:
 		n.noteText(action.Call)
-		n.cluster.record(history.Event{CallEnded: &history.Ended{
+		n.cluster.record(history.Event{CallEnded: &history.CallEnded{
 			Node: n.self.ID, Program: action.Call.Program, Sequence: action.Call.Sequence, Status: action.Call.Status,
 		}})
 	case control.ProgramFinished:
--- a/history/event.go
+++ b/history/event.go
@@ -18,7 +18,7 @@
 	Read            *Read            `json:"read,omitempty"`
 	AttemptStarted  *AttemptStarted  `json:"started,omitempty"`
 	AttemptFinished *AttemptFinished `json:"finished,omitempty"`
-	CallEnded       *Ended           `json:"ended,omitempty"`
+	CallEnded       *CallEnded       `json:"ended,omitempty"`
 	EngineCache     *Held            `json:"held,omitempty"`
 	ProgramCreated  *Opened          `json:"opened,omitempty"`
 	ProgramEnded    *Closed          `json:"closed,omitempty"`
@@ -177,7 +177,7 @@
 // CallEnded records that a node announced the end of a call, after the end had
 // become durable. A call can end without an AttemptFinished, by a time-out or
 // by a query of the back end for the call's outcome.
-type Ended struct {
+type CallEnded struct {
 	Node     machine.ID     `json:"node"`
 	Program  api.ProgramID  `json:"program"`
 	Sequence uint64         `json:"sequence"`
