--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -195,7 +195,7 @@
 // list returns the cached prefixes, and records them.
 func (e *emulatedEngine) list() []engine.Prefix {
 	var listed []engine.Prefix
-	held := &history.Held{Backend: e.machine.ID}
+	held := &history.EngineCache{Backend: e.machine.ID}
 	for _, owner := range sortedKeys(e.prefixes) {
 		listed = append(listed, engine.Prefix{Owner: owner, Tokens: e.prefixes[owner]})
 		held.Programs = append(held.Programs, owner)
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -108,7 +108,7 @@
 			return events
 		}}),
 		Entry("engine-memory: a prefix outlives its program", violation{history.InvariantMemory, func(events []history.Event) []history.Event {
-			return insert(events, 120, history.Event{EngineCache: &history.Held{Backend: "engine-1", Programs: []api.ProgramID{chat}}})
+			return insert(events, 120, history.Event{EngineCache: &history.EngineCache{Backend: "engine-1", Programs: []api.ProgramID{chat}}})
 		}}),
 		Entry("answer: two answers are crossed", violation{history.InvariantAnswer, func(events []history.Event) []history.Event {
 			answerOf(events, string(farm)+"-3").Got.Output = "out " + string(chat) + "-3."
--- a/history/event.go
+++ b/history/event.go
@@ -19,7 +19,7 @@
 	AttemptStarted  *AttemptStarted  `json:"started,omitempty"`
 	AttemptFinished *AttemptFinished `json:"finished,omitempty"`
 	CallEnded       *CallEnded       `json:"ended,omitempty"`
-	EngineCache     *Held            `json:"held,omitempty"`
+	EngineCache     *EngineCache     `json:"held,omitempty"`
 	ProgramCreated  *Opened          `json:"opened,omitempty"`
 	ProgramEnded    *Closed          `json:"closed,omitempty"`
 	PlacementSet    *Placed          `json:"placed,omitempty"`
@@ -185,7 +185,7 @@
 }
 
 // EngineCache lists the programs that have prefixes in an engine's cache.
-type Held struct {
+type EngineCache struct {
 	Backend  machine.ID      `json:"backend"`
 	Programs []api.ProgramID `json:"programs"`
 }
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -141,7 +141,7 @@
 	b.run(8, farm, 2, api.CallModel, true)
 	b.describe(9, farm, 80)
 	b.add(9, history.Event{Stream: &history.StreamUse{Machine: "node-1", Zone: "isando", Stream: "cold.0", Branch: "cold"}})
-	b.add(10, history.Event{EngineCache: &history.Held{Backend: "engine-1", Programs: []api.ProgramID{chat, farm}}})
+	b.add(10, history.Event{EngineCache: &history.EngineCache{Backend: "engine-1", Programs: []api.ProgramID{chat, farm}}})
 	for _, id := range []api.ProgramID{chat, farm, subAgent} {
 		b.add(11, history.Event{Read: &history.Read{Program: id, SentAt: at(10.5), Calls: b.reads[id]}})
 	}
@@ -150,8 +150,8 @@
 	b.run(13, farm, 3, api.CallModel, true)
 	b.add(14, history.Event{PlannedStop: &history.Stop{Machine: "node-1"}})
 	b.add(20, history.Event{PlannedStop: &history.Stop{Machine: "node-1", Done: true}})
-	b.add(60, history.Event{EngineCache: &history.Held{Backend: "engine-1", Programs: []api.ProgramID{chat, farm}}})
-	b.add(120, history.Event{EngineCache: &history.Held{Backend: "engine-1", Programs: []api.ProgramID{farm}}})
+	b.add(60, history.Event{EngineCache: &history.EngineCache{Backend: "engine-1", Programs: []api.ProgramID{chat, farm}}})
+	b.add(120, history.Event{EngineCache: &history.EngineCache{Backend: "engine-1", Programs: []api.ProgramID{farm}}})
 	b.add(121, history.Event{RunEnded: &history.RunEnded{Settled: true}})
 	slices.SortStableFunc(b.events, func(a, b history.Event) int { return a.At.Compare(b.At) })
 	return b.events
--- a/load/backends.go
+++ b/load/backends.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			continue
 		}
-		held := &history.Held{Backend: machine.ID(address)}
+		held := &history.EngineCache{Backend: machine.ID(address)}
 		for _, prefix := range answer.Prefixes {
 			held.Programs = append(held.Programs, prefix.Owner)
 			if r.totals.hasEnded(prefix.Owner) {
