--- a/emulator/cluster/agent.go
+++ b/emulator/cluster/agent.go
@@ -172,7 +172,7 @@
 			return
 		}
 		a.id = reply.Program.ID
-		a.cluster.record(history.Event{ProgramCreated: &history.Opened{
+		a.cluster.record(history.Event{ProgramCreated: &history.ProgramCreated{
 			Program: a.id, Branch: string(branch), Parent: a.parent, BudgetTokens: reply.Program.BudgetTokens,
 		}})
 		a.makeCalls()
--- a/history/event.go
+++ b/history/event.go
@@ -20,7 +20,7 @@
 	AttemptFinished *AttemptFinished `json:"finished,omitempty"`
 	CallEnded       *CallEnded       `json:"ended,omitempty"`
 	EngineCache     *EngineCache     `json:"held,omitempty"`
-	ProgramCreated  *Opened          `json:"opened,omitempty"`
+	ProgramCreated  *ProgramCreated  `json:"opened,omitempty"`
 	ProgramEnded    *Closed          `json:"closed,omitempty"`
 	PlacementSet    *Placed          `json:"placed,omitempty"`
 	Stream          *StreamUse       `json:"stream,omitempty"`
@@ -191,7 +191,7 @@
 }
 
 // ProgramCreated records that a program exists.
-type Opened struct {
+type ProgramCreated struct {
 	Program      api.ProgramID `json:"program"`
 	Branch       string        `json:"branch"`
 	Parent       api.ProgramID `json:"parent,omitempty"`
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -50,7 +50,7 @@
 	again.Request = name + "-2"
 	b.add(seconds+0.2, history.Event{Sent: &again})
 	b.add(seconds+0.3, history.Event{Got: &history.Got{Request: name + "-2", Program: id}})
-	b.add(seconds+0.3, history.Event{ProgramCreated: &history.Opened{
+	b.add(seconds+0.3, history.Event{ProgramCreated: &history.ProgramCreated{
 		Program: id, Branch: "cold", Parent: parent, BudgetTokens: budget,
 	}})
 }
--- a/load/agent.go
+++ b/load/agent.go
@@ -56,7 +56,7 @@
 		return a.ignoreRefusal("create", err)
 	}
 	a.id = created.ID
-	a.config.Recorder.Record(history.Event{At: time.Now(), ProgramCreated: &history.Opened{
+	a.config.Recorder.Record(history.Event{At: time.Now(), ProgramCreated: &history.ProgramCreated{
 		Program: created.ID, Branch: created.Branch, Parent: parent, BudgetTokens: created.BudgetTokens,
 	}})
 	if err := a.steps(ctx); err != nil || a.hungUp {
