--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -206,7 +206,7 @@
 			Node: n.self.ID, Program: action.Call.Program, Sequence: action.Call.Sequence, Status: action.Call.Status,
 		}})
 	case control.ProgramFinished:
-		n.cluster.record(history.Event{ProgramEnded: &history.Closed{Program: action.Program.ID}})
+		n.cluster.record(history.Event{ProgramEnded: &history.ProgramEnded{Program: action.Program.ID}})
 	case control.StopComplete:
 		n.handedOver = true
 	}
--- a/history/event.go
+++ b/history/event.go
@@ -21,7 +21,7 @@
 	CallEnded       *CallEnded       `json:"ended,omitempty"`
 	EngineCache     *EngineCache     `json:"held,omitempty"`
 	ProgramCreated  *ProgramCreated  `json:"opened,omitempty"`
-	ProgramEnded    *Closed          `json:"closed,omitempty"`
+	ProgramEnded    *ProgramEnded    `json:"closed,omitempty"`
 	PlacementSet    *Placed          `json:"placed,omitempty"`
 	Stream          *StreamUse       `json:"stream,omitempty"`
 	SettingsChange  *Change          `json:"change,omitempty"`
@@ -199,7 +199,7 @@
 }
 
 // ProgramEnded records that a program's end was acknowledged.
-type Closed struct {
+type ProgramEnded struct {
 	Program api.ProgramID `json:"program"`
 }
 
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -145,7 +145,7 @@
 	for _, id := range []api.ProgramID{chat, farm, subAgent} {
 		b.add(11, history.Event{Read: &history.Read{Program: id, SentAt: at(10.5), Calls: b.reads[id]}})
 	}
-	b.add(12, history.Event{ProgramEnded: &history.Closed{Program: chat}})
+	b.add(12, history.Event{ProgramEnded: &history.ProgramEnded{Program: chat}})
 	b.add(12, history.Event{Leaving: &history.Leaving{Backend: "engine-1"}})
 	b.run(13, farm, 3, api.CallModel, true)
 	b.add(14, history.Event{PlannedStop: &history.Stop{Machine: "node-1"}})
--- a/load/agent.go
+++ b/load/agent.go
@@ -253,7 +253,7 @@
 		return a.ignoreRefusal("end", err)
 	}
 	a.totals.programEnded(a.id)
-	a.config.Recorder.Record(history.Event{At: time.Now(), ProgramEnded: &history.Closed{Program: a.id}})
+	a.config.Recorder.Record(history.Event{At: time.Now(), ProgramEnded: &history.ProgramEnded{Program: a.id}})
 	return nil
 }
 
