--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		c.operators.placements[path] = resolved.Placement
-		c.record(history.Event{PlacementSet: &history.Placed{
+		c.record(history.Event{PlacementSet: &history.PlacementSet{
 			Branch: string(path), Placement: resolved.Placement, Since: c.now,
 		}})
 	}
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -178,7 +178,7 @@
 		}}),
 		Entry("placement: zones are narrowed, and calls go on in the old ones", violation{history.InvariantPlacement, func(events []history.Event) []history.Event {
 			since := at(13).Add(-18 * time.Second)
-			return insert(events, 0, history.Event{PlacementSet: &history.Placed{Branch: "cold", Placement: "midrand-a", Since: since}})
+			return insert(events, 0, history.Event{PlacementSet: &history.PlacementSet{Branch: "cold", Placement: "midrand-a", Since: since}})
 		}}),
 		Entry("placement: a node outside reads the records", violation{history.InvariantPlacement, func(events []history.Event) []history.Event {
 			return insert(events, 16, history.Event{Stream: &history.StreamUse{Machine: "node-3", Zone: "midrand-b", Stream: "cold.0", Branch: "cold"}})
--- a/history/event.go
+++ b/history/event.go
@@ -22,7 +22,7 @@
 	EngineCache     *EngineCache     `json:"held,omitempty"`
 	ProgramCreated  *ProgramCreated  `json:"opened,omitempty"`
 	ProgramEnded    *ProgramEnded    `json:"closed,omitempty"`
-	PlacementSet    *Placed          `json:"placed,omitempty"`
+	PlacementSet    *PlacementSet    `json:"placed,omitempty"`
 	Stream          *StreamUse       `json:"stream,omitempty"`
 	SettingsChange  *Change          `json:"change,omitempty"`
 	Verdict         *Verdict         `json:"verdict,omitempty"`
@@ -204,7 +204,7 @@
 }
 
 // PlacementSet records the placement of a branch's data from Since on.
-type Placed struct {
+type PlacementSet struct {
 	Branch    string         `json:"branch"`
 	Placement zone.Placement `json:"placement"`
 	Since     time.Time      `json:"since"`
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -123,7 +123,7 @@
 func validHistory() []history.Event {
 	b := &builder{prompts: map[api.ProgramID]string{}, reads: map[api.ProgramID][]history.ReadCall{}}
 	b.add(0, history.Event{Run: &history.Run{Name: "good", Seed: seed}})
-	b.add(0, history.Event{PlacementSet: &history.Placed{Branch: "cold", Placement: placement, Since: at(0)}})
+	b.add(0, history.Event{PlacementSet: &history.PlacementSet{Branch: "cold", Placement: placement, Since: at(0)}})
 	b.add(0, history.Event{InForce: &history.InForce{Node: "node-1", Incarnation: 1, Revision: 1}})
 	b.add(0, history.Event{InForce: &history.InForce{Node: "node-2", Incarnation: 1, Revision: 1}})
 	b.change(1, "first", 1, 2, "cold")
--- a/load/run.go
+++ b/load/run.go
@@ -69,7 +69,7 @@
 	}
 	for _, branch := range r.config.Deployment.Branches {
 		now := time.Now()
-		r.config.Recorder.Record(history.Event{At: now, PlacementSet: &history.Placed{
+		r.config.Recorder.Record(history.Event{At: now, PlacementSet: &history.PlacementSet{
 			Branch: string(branch.Path), Placement: r.config.Deployment.Placement(branch.Path), Since: now,
 		}})
 	}
