--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -75,7 +75,7 @@
 	verdict := c.operators.tree.ApplyBytes(contract.Revision(revision), text)
 	if !c.operators.recorded[change.ID] {
 		c.operators.recorded[change.ID] = true
-		recorded := &history.Change{
+		recorded := &history.SettingsChange{
 			ID: change.ID, SentAt: sentAt, BaseRevision: uint64(change.Based), Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
 		}
 		for _, edit := range change.Edits {
--- a/history/event.go
+++ b/history/event.go
@@ -24,7 +24,7 @@
 	ProgramEnded    *ProgramEnded    `json:"closed,omitempty"`
 	PlacementSet    *PlacementSet    `json:"placed,omitempty"`
 	Stream          *StreamUse       `json:"stream,omitempty"`
-	SettingsChange  *Change          `json:"change,omitempty"`
+	SettingsChange  *SettingsChange  `json:"change,omitempty"`
 	Verdict         *Verdict         `json:"verdict,omitempty"`
 	InForce         *InForce         `json:"in_force,omitempty"`
 	Fault           *Fault           `json:"fault,omitempty"`
@@ -222,7 +222,7 @@
 // SettingsChange is a change of the settings as an operator sent it, with the
 // verdict that the operator received. The change took effect between SentAt
 // and the event's At.
-type Change struct {
+type SettingsChange struct {
 	ID           string    `json:"id"`
 	SentAt       time.Time `json:"sent_at"`
 	BaseRevision uint64    `json:"based"`
--- a/history/good_test.go
+++ b/history/good_test.go
@@ -109,7 +109,7 @@
 // change adds an accepted change, with the verdicts of both nodes and its
 // activation on them.
 func (b *builder) change(seconds float64, id string, based, revision uint64, path string) {
-	b.add(seconds+0.2, history.Event{SettingsChange: &history.Change{
+	b.add(seconds+0.2, history.Event{SettingsChange: &history.SettingsChange{
 		ID: id, SentAt: at(seconds), BaseRevision: based, Paths: []string{path}, Accepted: true, Revision: revision,
 	}})
 	for i, node := range []machine.ID{"node-1", "node-2"} {
--- a/history/linearizable.go
+++ b/history/linearizable.go
@@ -291,7 +291,7 @@
 	return porcupine.Model{
 		Init: func() any { return 0 },
 		Step: func(state, input, _ any) (bool, any) {
-			applied, change := state.(int), input.(*Change)
+			applied, change := state.(int), input.(*SettingsChange)
 			if applied >= len(accepted) || accepted[applied].SettingsChange != change {
 				return false, state
 			}
