--- a/emulator/cluster/fault.go
+++ b/emulator/cluster/fault.go
@@ -70,7 +70,7 @@
 		return
 	}
 	n.leaving = true
-	c.record(history.Event{PlannedStop: &history.Stop{Machine: n.self.ID}})
+	c.record(history.Event{PlannedStop: &history.PlannedStop{Machine: n.self.ID}})
 	n.post(control.StopRequested{})
 }
 
--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -256,7 +256,7 @@
 		return
 	}
 	c := n.cluster
-	c.record(history.Event{PlannedStop: &history.Stop{Machine: n.self.ID, Done: true}})
+	c.record(history.Event{PlannedStop: &history.PlannedStop{Machine: n.self.ID, Done: true}})
 	c.record(history.Event{Fault: &history.Fault{Kind: history.FaultDown, Machine: n.self.ID, Begin: true}})
 	n.crash()
 }
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -147,7 +147,7 @@
 			return insert(events, 14.8, history.Event{Got: &history.Got{Request: "asked-again"}})
 		}}),
 		Entry("planned-stop: a leaving engine cuts an attempt", violation{history.InvariantPlannedStop, func(events []history.Event) []history.Event {
-			events = insert(events, 13.1, history.Event{PlannedStop: &history.Stop{Machine: "engine-1"}})
+			events = insert(events, 13.1, history.Event{PlannedStop: &history.PlannedStop{Machine: "engine-1"}})
 			return insert(events, 13.4, history.Event{AttemptFinished: &history.AttemptFinished{
 				Backend: "engine-1", Program: farm, Sequence: 3, Attempt: 1, Outcome: history.OutcomeCut,
 			}})
--- a/history/event.go
+++ b/history/event.go
@@ -30,7 +30,7 @@
 	Fault           *Fault           `json:"fault,omitempty"`
 	Leaving         *Leaving         `json:"leaving,omitempty"`
 	Gap             *Gap             `json:"gap,omitempty"`
-	PlannedStop     *Stop            `json:"stop,omitempty"`
+	PlannedStop     *PlannedStop     `json:"stop,omitempty"`
 	RunEnded        *RunEnded        `json:"run_ended,omitempty"`
 }
 
@@ -273,7 +273,7 @@
 
 // PlannedStop records the start of a planned stop of a node or a back end, or
 // its end when Done is set.
-type Stop struct {
+type PlannedStop struct {
 	Machine machine.ID `json:"machine"`
 	Done    bool       `json:"done,omitempty"`
 }
--- a/history/outage_test.go
+++ b/history/outage_test.go
@@ -23,7 +23,7 @@
 			{At: at(10), Fault: &history.Fault{Kind: history.FaultDown, Machine: "n", Begin: true}},
 			gap(9.9, 12), gap(11, 16), gap(10, 13),
 			{At: at(14), Fault: &history.Fault{Kind: history.FaultDown, Machine: "n"}},
-			{At: at(20), PlannedStop: &history.Stop{Machine: "n"}},
+			{At: at(20), PlannedStop: &history.PlannedStop{Machine: "n"}},
 			gap(18, 19), gap(21, 21.5),
 		}
 		Expect(history.CheckEvents(events).Outages).To(Equal(map[string]history.Outage{
