--- a/history/backends.go
+++ b/history/backends.go
@@ -74,7 +74,7 @@
 	for _, program := range c.programs {
 		for _, each := range program.calls {
 			for _, r := range each.finished {
-				if r.AttemptFinished.Outcome != OutcomeCut {
+				if r.AttemptFinished.Outcome != OutcomeInterrupted {
 					continue
 				}
 				if stop := c.plannedStopAt(intervals, r.AttemptFinished.Backend, r.At); stop != nil {
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -149,7 +149,7 @@
 		Entry("planned-stop: a leaving engine cuts an attempt", violation{history.InvariantPlannedStop, func(events []history.Event) []history.Event {
 			events = insert(events, 13.1, history.Event{PlannedStop: &history.PlannedStop{Machine: "engine-1"}})
 			return insert(events, 13.4, history.Event{AttemptFinished: &history.AttemptFinished{
-				Backend: "engine-1", Program: farm, Sequence: 3, Attempt: 1, Outcome: history.OutcomeCut,
+				Backend: "engine-1", Program: farm, Sequence: 3, Attempt: 1, Outcome: history.OutcomeInterrupted,
 			}})
 		}}),
 		Entry("settings: a node goes back", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
--- a/history/event.go
+++ b/history/event.go
@@ -160,7 +160,7 @@
 	OutcomeFailed    Outcome = "failed"
 	OutcomeCancelled Outcome = "cancelled"
 	// OutcomeInterrupted means that the back end stopped during the attempt.
-	OutcomeCut Outcome = "cut"
+	OutcomeInterrupted Outcome = "cut"
 )
 
 // AttemptFinished records that an attempt ended at its back end.
