--- a/emulator/cluster/fault.go
+++ b/emulator/cluster/fault.go
@@ -103,12 +103,12 @@
 func (c *Cluster) faultZones(way zonePair, begin bool) {
 	for _, n := range c.nodes {
 		if n.self.Zone == way.from || n.self.Zone == way.to {
-			c.fault(history.FaultCut, n.self.ID, begin)
+			c.fault(history.FaultNetworkPartition, n.self.ID, begin)
 		}
 	}
 	for _, e := range c.engines {
 		if e.machine.Zone == way.from || e.machine.Zone == way.to {
-			c.fault(history.FaultCut, e.machine.ID, begin)
+			c.fault(history.FaultNetworkPartition, e.machine.ID, begin)
 		}
 	}
 }
--- a/history/event.go
+++ b/history/event.go
@@ -251,11 +251,11 @@
 
 // The kinds of faults. A fault excuses delays of what it affects.
 const (
-	FaultDown  FaultKind = "down"  // the machine's process is not running
-	FaultPause FaultKind = "pause" // the machine's process is suspended
-	FaultCut   FaultKind = "cut"   // the machine's network links are blocked
-	FaultStore FaultKind = "store" // the platform is down or slow for all machines
-	FaultList  FaultKind = "list"  // the machine list is incomplete
+	FaultDown             FaultKind = "down"  // the machine's process is not running
+	FaultPause            FaultKind = "pause" // the machine's process is suspended
+	FaultNetworkPartition FaultKind = "cut"   // the machine's network links are blocked
+	FaultStore            FaultKind = "store" // the platform is down or slow for all machines
+	FaultList             FaultKind = "list"  // the machine list is incomplete
 )
 
 // Fault records the start or the end of a fault. Machine is empty for a fault
