--- a/emulator/cluster/fault.go
+++ b/emulator/cluster/fault.go
@@ -140,7 +140,7 @@
 func (c *Cluster) Flap(on bool) {
 	if on != c.flapping {
 		c.flapping = on
-		c.fault(history.FaultList, "", on)
+		c.fault(history.FaultIncompleteList, "", on)
 	}
 }
 
--- a/history/backends.go
+++ b/history/backends.go
@@ -125,14 +125,14 @@
 // machine is leaving.
 func hidesLeaving(id machine.ID) func(*Fault) bool {
 	return func(fault *Fault) bool {
-		return fault.Machine == id || fault.Kind == FaultStore || fault.Kind == FaultList || fault.Kind == FaultPause
+		return fault.Machine == id || fault.Kind == FaultStore || fault.Kind == FaultIncompleteList || fault.Kind == FaultPause
 	}
 }
 
 // affects selects the faults of one machine and of the platform.
 func affects(id machine.ID) func(*Fault) bool {
 	return func(fault *Fault) bool {
-		return fault.Machine == id || fault.Machine == "" && fault.Kind != FaultList
+		return fault.Machine == id || fault.Machine == "" && fault.Kind != FaultIncompleteList
 	}
 }
 
--- a/history/event.go
+++ b/history/event.go
@@ -255,7 +255,7 @@
 	FaultPause            FaultKind = "pause" // the machine's process is suspended
 	FaultNetworkPartition FaultKind = "cut"   // the machine's network links are blocked
 	FaultStore            FaultKind = "store" // the platform is down or slow for all machines
-	FaultList             FaultKind = "list"  // the machine list is incomplete
+	FaultIncompleteList   FaultKind = "list"  // the machine list is incomplete
 )
 
 // Fault records the start or the end of a fault. Machine is empty for a fault
