--- a/config/decode.go
+++ b/config/decode.go
@@ -30,7 +30,7 @@
 func (d *decoder) decode(data []byte, target any) {
 	parsed, err := parser.ParseBytes(data, 0)
 	if err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return
 	}
 	if len(parsed.Docs) != 1 || parsed.Docs[0].Body == nil {
@@ -38,11 +38,11 @@
 		return
 	}
 	d.source.positions[rootPath] = position{source: d.source.name, line: 1, column: 1}
-	d.value(parsed.Docs[0].Body, reflect.ValueOf(target).Elem(), rootPath)
+	d.decodeValue(parsed.Docs[0].Body, reflect.ValueOf(target).Elem(), rootPath)
 }
 
-// syntax reports text that is no YAML.
-func (d *decoder) syntax(err error) {
+// addSyntaxError reports text that is no YAML.
+func (d *decoder) addSyntaxError(err error) {
 	found := Finding{File: d.source.name, Path: rootPath, Message: err.Error()}
 	var located yaml.Error
 	if errors.As(err, &located) {
@@ -54,33 +54,33 @@
 	d.findings = append(d.findings, found)
 }
 
-func (d *decoder) find(path, format string, arguments ...any) {
+func (d *decoder) addFinding(path, format string, arguments ...any) {
 	d.findings = append(d.findings, d.source.finding(path, format, arguments...))
 }
 
-// value decodes one node of the document.
-func (d *decoder) value(node ast.Node, target reflect.Value, path string) {
-	d.locate(node, path)
+// decodeValue decodes one node of the document.
+func (d *decoder) decodeValue(node ast.Node, target reflect.Value, path string) {
+	d.recordPosition(node, path)
 	switch typed := node.(type) {
 	case *ast.NullNode:
 		return // the default stays
 	case *ast.AliasNode, *ast.AnchorNode, *ast.TagNode, *ast.MergeKeyNode:
-		d.find(path, "aliases, anchors and tags are not used here: write the value out")
+		d.addFinding(path, "aliases, anchors and tags are not used here: write the value out")
 		return
 	case *ast.MappingValueNode:
-		d.mapping([]*ast.MappingValueNode{typed}, target, path)
+		d.decodeMapping([]*ast.MappingValueNode{typed}, target, path)
 		return
 	case *ast.MappingNode:
-		d.mapping(typed.Values, target, path)
+		d.decodeMapping(typed.Values, target, path)
 		return
 	case *ast.SequenceNode:
-		d.sequence(typed, target, path)
+		d.decodeSequence(typed, target, path)
 		return
 	}
-	d.scalar(node, target, path)
+	d.decodeScalar(node, target, path)
 }
 
-func (d *decoder) locate(node ast.Node, path string) {
+func (d *decoder) recordPosition(node ast.Node, path string) {
 	if token := node.GetToken(); token != nil {
 		if _, known := d.source.positions[path]; !known {
 			d.source.positions[path] = position{source: d.source.name, line: token.Position.Line, column: token.Position.Column}
@@ -88,33 +88,33 @@
 	}
 }
 
-func (d *decoder) mapping(entries []*ast.MappingValueNode, target reflect.Value, path string) {
+func (d *decoder) decodeMapping(entries []*ast.MappingValueNode, target reflect.Value, path string) {
 	if target.Kind() == reflect.Pointer {
 		if target.IsNil() {
-			target.Set(newValue(target.Type().Elem()))
+			target.Set(newWithDefaults(target.Type().Elem()))
 		}
 		target = target.Elem()
 	}
 	if target.Kind() != reflect.Struct {
-		d.find(path, "a mapping stands here: want %s", kindName(target.Type()))
+		d.addFinding(path, "a mapping stands here: want %s", kindName(target.Type()))
 		return
 	}
-	fields := fieldsByName(target.Type())
+	fields := fieldIndexes(target.Type())
 	for _, entry := range entries {
 		name := entry.Key.GetToken().Value
 		entryPath := path + "." + name
-		d.locate(entry.Key, entryPath)
+		d.recordPosition(entry.Key, entryPath)
 		index, known := fields[name]
 		if !known {
-			d.find(entryPath, "unknown key")
+			d.addFinding(entryPath, "unknown key")
 			continue
 		}
-		d.value(entry.Value, target.Field(index), entryPath)
+		d.decodeValue(entry.Value, target.Field(index), entryPath)
 	}
 }
 
-// newValue returns a pointer to a value that has its section's defaults.
-func newValue(created reflect.Type) reflect.Value {
+// newWithDefaults returns a pointer to a value that has its section's defaults.
+func newWithDefaults(created reflect.Type) reflect.Value {
 	pointer := reflect.New(created)
 	if section, hasDefaults := pointer.Interface().(defaulter); hasDefaults {
 		section.setDefaults()
@@ -122,8 +122,8 @@
 	return pointer
 }
 
-// fieldsByName returns the indexes of a struct's fields by their YAML names.
-func fieldsByName(structure reflect.Type) map[string]int {
+// fieldIndexes returns the indexes of a struct's fields by their YAML names.
+func fieldIndexes(structure reflect.Type) map[string]int {
 	fields := make(map[string]int, structure.NumField())
 	for index := range structure.NumField() {
 		if name := yamlName(structure.Field(index)); name != "" {
@@ -143,15 +143,15 @@
 	return name
 }
 
-func (d *decoder) sequence(node *ast.SequenceNode, target reflect.Value, path string) {
+func (d *decoder) decodeSequence(node *ast.SequenceNode, target reflect.Value, path string) {
 	if target.Kind() != reflect.Slice {
-		d.find(path, "a list stands here: want %s", kindName(target.Type()))
+		d.addFinding(path, "a list stands here: want %s", kindName(target.Type()))
 		return
 	}
 	items := reflect.MakeSlice(target.Type(), 0, len(node.Values))
 	for index, item := range node.Values {
-		element := newValue(target.Type().Elem()).Elem()
-		d.value(item, element, fmt.Sprintf("%s[%d]", path, index))
+		element := newWithDefaults(target.Type().Elem()).Elem()
+		d.decodeValue(item, element, fmt.Sprintf("%s[%d]", path, index))
 		items = reflect.Append(items, element)
 	}
 	target.Set(items)
@@ -159,14 +159,14 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// scalar decodes text, a number or a truth value.
-func (d *decoder) scalar(node ast.Node, target reflect.Value, path string) {
+// decodeScalar decodes text, a number or a truth value.
+func (d *decoder) decodeScalar(node ast.Node, target reflect.Value, path string) {
 	if target.Kind() == reflect.Pointer {
 		target.Set(reflect.New(target.Type().Elem()))
 		target = target.Elem()
 	}
 	if err := assignScalar(node, target); err != nil {
-		d.find(path, "%v", err)
+		d.addFinding(path, "%v", err)
 	}
 }
 
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -4,9 +4,9 @@
 
 // Defaults of one engine and one tool service.
 const (
-	defaultSlots       = 16
-	defaultCacheTokens = 64 << 10
-	defaultToolDelay   = 20 * time.Millisecond
+	defaultEngineSlots       = 16
+	defaultEngineCacheTokens = 64 << 10
+	defaultToolDelay         = 20 * time.Millisecond
 )
 
 // Defaults returns the values that a file may leave out. The sections of a
--- a/config/dev.go
+++ b/config/dev.go
@@ -37,9 +37,9 @@
 	Changes []contract.Change
 }
 
-// devSpeed makes the engines of the development configuration fast enough
+// devEngineSpeed makes the engines of the development configuration fast enough
 // that a first call answers at once.
-const devSpeed = 10
+const devEngineSpeed = 10
 
 // Dev returns the configuration of `birchwood dev`: three zones, four nodes,
 // six engines and two kinds of tool service.
@@ -80,7 +80,7 @@
 		engine.Zone = zones[index%len(zones)].Name
 		engine.Address = AnyPort
 		engine.Models = []string{DevModel, DevLargeModel}
-		engine.Speed = devSpeed
+		engine.Speed = devEngineSpeed
 		standin.Engines = append(standin.Engines, engine)
 	}
 	for index, kind := range []string{"depot-events", "collections"} {
--- a/config/load.go
+++ b/config/load.go
@@ -43,22 +43,22 @@
 	for _, override := range overrides {
 		findings = append(findings, file.Override(override)...)
 	}
-	if len(findings) > 0 && decoder.unreadable() {
+	if len(findings) > 0 && decoder.documentUnreadable() {
 		return nil, findings
 	}
 	findings = append(findings, file.Validate()...)
 	if len(findings) > 0 {
 		return nil, findings
 	}
-	if err := file.locateSettings(filepath.Dir(name)); err != nil {
+	if err := file.resolveSettingsPath(filepath.Dir(name)); err != nil {
 		return nil, []Finding{file.source.finding("$.standin.settings", "%v", err)}
 	}
 	return file, nil
 }
 
-// locateSettings makes the path of the initial settings absolute; a relative
+// resolveSettingsPath makes the path of the initial settings absolute; a relative
 // one starts at folder.
-func (f *File) locateSettings(folder string) error {
+func (f *File) resolveSettingsPath(folder string) error {
 	if f.Standin == nil || f.Standin.Settings == "" || filepath.IsAbs(f.Standin.Settings) {
 		return nil
 	}
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// unreadable reports whether the document as a whole could not be read, so
+// documentUnreadable reports whether the document as a whole could not be read, so
 // that checks of its values would only repeat that.
-func (d *decoder) unreadable() bool {
+func (d *decoder) documentUnreadable() bool {
 	for _, found := range d.findings {
 		if found.Path == rootPath {
 			return true
@@ -93,14 +93,14 @@
 	for _, name := range strings.Split(override.Path, ".") {
 		if target.Kind() == reflect.Pointer {
 			if target.IsNil() {
-				target.Set(newValue(target.Type().Elem()))
+				target.Set(newWithDefaults(target.Type().Elem()))
 			}
 			target = target.Elem()
 		}
 		if target.Kind() != reflect.Struct {
 			return []Finding{decoder.source.finding(path, "unknown key")}
 		}
-		index, known := fieldsByName(target.Type())[name]
+		index, known := fieldIndexes(target.Type())[name]
 		if !known {
 			return []Finding{decoder.source.finding(path, "unknown key")}
 		}
@@ -121,8 +121,8 @@
 func (d *decoder) override(text string, target reflect.Value, path string) {
 	parsed, err := parser.ParseBytes([]byte(text), 0)
 	if err != nil || len(parsed.Docs) != 1 || parsed.Docs[0].Body == nil {
-		d.find(path, "%s", fmt.Sprintf("%q: want %s", text, kindName(target.Type())))
+		d.addFinding(path, "%s", fmt.Sprintf("%q: want %s", text, kindName(target.Type())))
 		return
 	}
-	d.value(parsed.Docs[0].Body, target, path)
+	d.decodeValue(parsed.Docs[0].Body, target, path)
 }
--- a/config/reference.go
+++ b/config/reference.go
@@ -23,11 +23,11 @@
 
 // Reference returns every key of a process's settings file, in its order.
 func Reference() []Setting {
-	return describe(reflect.ValueOf(Defaults()).Elem(), "")
+	return describeSection(reflect.ValueOf(Defaults()).Elem(), "")
 }
 
-// describe lists the keys of one section.
-func describe(section reflect.Value, prefix string) []Setting {
+// describeSection lists the keys of one section.
+func describeSection(section reflect.Value, prefix string) []Setting {
 	var settings []Setting
 	for index := range section.NumField() {
 		field := section.Type().Field(index)
@@ -36,10 +36,10 @@
 			continue
 		}
 		value := section.Field(index)
-		setting := Setting{Path: prefix + name, Kind: kindName(field.Type), Range: rangeOf(field), Help: field.Tag.Get("help")}
+		setting := Setting{Path: prefix + name, Kind: kindName(field.Type), Range: acceptedRange(field), Help: field.Tag.Get("help")}
 		if nested, path, isNested := nestedSection(value, setting.Path); isNested {
 			settings = append(settings, setting)
-			settings = append(settings, describe(nested, path)...)
+			settings = append(settings, describeSection(nested, path)...)
 			continue
 		}
 		if !value.IsZero() {
@@ -58,16 +58,16 @@
 	case kind.Kind() == reflect.Struct:
 		return value, path + ".", true
 	case kind.Kind() == reflect.Pointer && kind.Elem().Kind() == reflect.Struct:
-		return newValue(kind.Elem()).Elem(), path + ".", true
+		return newWithDefaults(kind.Elem()).Elem(), path + ".", true
 	case kind.Kind() == reflect.Slice && kind.Elem().Kind() == reflect.Struct:
-		return newValue(kind.Elem()).Elem(), path + "[].", true
+		return newWithDefaults(kind.Elem()).Elem(), path + "[].", true
 	default:
 		return reflect.Value{}, "", false
 	}
 }
 
-// rangeOf tells in words what the validator's rules accept.
-func rangeOf(field reflect.StructField) string {
+// acceptedRange tells in words what the validator's rules accept.
+func acceptedRange(field reflect.StructField) string {
 	var words []string
 	rules, _, _ := strings.Cut(field.Tag.Get("validate"), ",dive")
 	for rule := range strings.SplitSeq(rules, ",") {
@@ -80,9 +80,9 @@
 		case "zone", "machine":
 			words = append(words, "lower-case letters, digits, inner hyphens")
 		case "min":
-			words = append(words, "at least "+bound(field.Type, parameter))
+			words = append(words, "at least "+boundWithUnit(field.Type, parameter))
 		case "max":
-			words = append(words, "at most "+bound(field.Type, parameter))
+			words = append(words, "at most "+boundWithUnit(field.Type, parameter))
 		case "gt":
 			words = append(words, "more than "+parameter)
 		case "oneof":
@@ -92,8 +92,8 @@
 	return strings.Join(words, "; ")
 }
 
-// bound adds the unit of a bound.
-func bound(of reflect.Type, parameter string) string {
+// boundWithUnit adds the unit of a boundWithUnit.
+func boundWithUnit(of reflect.Type, parameter string) string {
 	switch of.Kind() {
 	case reflect.Slice:
 		return parameter + " items"
--- a/config/settings.go
+++ b/config/settings.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return []Finding{{File: path, Path: rootPath, Message: err.Error()}}
 	}
-	if holdsEdits(data) {
+	if hasEdits(data) {
 		_, findings := ParseSettings(path, data)
 		return findings
 	}
@@ -65,7 +65,7 @@
 	return findings
 }
 
-func holdsEdits(data []byte) bool {
+func hasEdits(data []byte) bool {
 	for line := range strings.Lines(string(data)) {
 		if strings.HasPrefix(line, "edits:") {
 			return true
--- a/config/standin.go
+++ b/config/standin.go
@@ -34,7 +34,7 @@
 }
 
 func (e *Engine) setDefaults() {
-	*e = Engine{Slots: defaultSlots, CacheTokens: defaultCacheTokens, Speed: 1}
+	*e = Engine{Slots: defaultEngineSlots, CacheTokens: defaultEngineCacheTokens, Speed: 1}
 }
 
 // ToolService is one stand-in of a tool service.
--- a/config/validate.go
+++ b/config/validate.go
@@ -12,19 +12,19 @@
 	"birchwood.example/birchwood/zone"
 )
 
-var validMachine = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
+var machineIDPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
 
-// checks holds the validator with this package's own rules. It caches what
+// fileValidator holds the validator with this package's own rules. It caches what
 // it learns about types and is safe for concurrent use.
-var checks = newChecks()
+var fileValidator = newFileValidator()
 
-func newChecks() *validator.Validate {
+func newFileValidator() *validator.Validate {
 	created := validator.New(validator.WithRequiredStructEnabled())
 	created.RegisterTagNameFunc(yamlName)
 	rules := map[string]func(string) bool{
 		"address": func(text string) bool { return checkAddress(text) == nil },
 		"zone":    func(text string) bool { return zone.Name(text).Validate() == nil },
-		"machine": validMachine.MatchString,
+		"machine": machineIDPattern.MatchString,
 	}
 	for name, accept := range rules {
 		err := created.RegisterValidation(name, func(field validator.FieldLevel) bool { return accept(field.Field().String()) })
@@ -50,10 +50,10 @@
 // Validate returns everything that is wrong with the values.
 func (f *File) Validate() []Finding {
 	var findings []Finding
-	if err := checks.Struct(f); err != nil {
+	if err := fileValidator.Struct(f); err != nil {
 		for _, wrong := range err.(validator.ValidationErrors) {
 			path := rootPath + strings.TrimPrefix(wrong.Namespace(), "File")
-			findings = append(findings, f.source.finding(path, "%s", explainRule(wrong)))
+			findings = append(findings, f.source.finding(path, "%s", ruleMessage(wrong)))
 		}
 	}
 	findings = append(findings, f.checkSections()...)
@@ -63,8 +63,8 @@
 	return findings
 }
 
-// explainRule tells what a rule of the validator wanted.
-func explainRule(wrong validator.FieldError) string {
+// ruleMessage tells what a rule of the validator wanted.
+func ruleMessage(wrong validator.FieldError) string {
 	switch wrong.Tag() {
 	case "required":
 		return "missing"
@@ -80,7 +80,7 @@
 	case "oneof":
 		return fmt.Sprintf("%q: want one of %s", wrong.Value(), wrong.Param())
 	case "min", "max":
-		return explainBound(wrong)
+		return boundMessage(wrong)
 	case "gt":
 		return fmt.Sprintf("%v: want more than %s", wrong.Value(), wrong.Param())
 	case "nefield":
@@ -90,7 +90,7 @@
 	}
 }
 
-func explainBound(wrong validator.FieldError) string {
+func boundMessage(wrong validator.FieldError) string {
 	bound := map[string]string{"min": "at least", "max": "at most"}[wrong.Tag()]
 	switch wrong.Kind() {
 	case reflect.String:
@@ -155,16 +155,16 @@
 // checkAddresses finds two listeners on one address.
 func (f *File) checkAddresses() []Finding {
 	var findings []Finding
-	users := map[string]string{}
+	pathByAddress := map[string]string{}
 	listen := func(address, path string) {
 		if address == "" {
 			return
 		}
-		if earlier, used := users[address]; used {
+		if earlier, used := pathByAddress[address]; used {
 			findings = append(findings, f.source.finding(path, "address %s is also that of %s", address, earlier))
 			return
 		}
-		users[address] = path
+		pathByAddress[address] = path
 	}
 	if f.Node != nil {
 		listen(f.Node.Listen, "$.node.listen")
--- a/internal/guarantees/guarantees_test.go
+++ b/internal/guarantees/guarantees_test.go
@@ -22,15 +22,15 @@
 )
 
 var (
-	// heldBy is a line that names a test: "- `package`: `name of the test`".
-	heldBy = regexp.MustCompile("(?m)^- `([a-z/]+)`: `([^`]+)`")
-	// brokenBy is a row of the checkers' tables, with the entry of the test.
-	brokenBy = regexp.MustCompile("(?m)^\\| `([a-z -]+)` \\| `([^`]+)` \\|$")
+	// testReference is a line that names a test: "- `package`: `name of the test`".
+	testReference = regexp.MustCompile("(?m)^- `([a-z/]+)`: `([^`]+)`")
+	// brokenHistoryRow is a row of the checkers' tables, with the entry of the test.
+	brokenHistoryRow = regexp.MustCompile("(?m)^\\| `([a-z -]+)` \\| `([^`]+)` \\|$")
 )
 
-// containers are the functions of ginkgo whose first argument names tests. A
+// testDeclarations are the functions of ginkgo whose first argument names tests. A
 // pending or focused form is none of them.
-var containers = map[string]bool{"It": true, "Entry": true, "DescribeTable": true, "Describe": true, "Context": true}
+var testDeclarations = map[string]bool{"It": true, "Entry": true, "DescribeTable": true, "Describe": true, "Context": true}
 
 func readPage(t *testing.T) string {
 	t.Helper()
@@ -41,8 +41,8 @@
 	return string(text)
 }
 
-// namesIn returns the names of all tests in a package's test files.
-func namesIn(t *testing.T, folder string) map[string]bool {
+// testNamesIn returns the names of all tests in a package's test files.
+func testNamesIn(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(root, folder, "*_test.go"))
 	if err != nil || len(files) == 0 {
@@ -77,7 +77,7 @@
 			function = selector.Sel
 		}
 		called, ok := function.(*ast.Ident)
-		if !ok || !containers[called.Name] || len(node.Args) == 0 {
+		if !ok || !testDeclarations[called.Name] || len(node.Args) == 0 {
 			return "", false
 		}
 		literal, ok := node.Args[0].(*ast.BasicLit)
@@ -93,11 +93,11 @@
 func TestEveryNamedTestExists(t *testing.T) {
 	text := readPage(t)
 	known := map[string]map[string]bool{}
-	named := heldBy.FindAllStringSubmatch(text, -1)
+	named := testReference.FindAllStringSubmatch(text, -1)
 	for _, match := range named {
 		folder, name := match[1], match[2]
 		if known[folder] == nil {
-			known[folder] = namesIn(t, folder)
+			known[folder] = testNamesIn(t, folder)
 		}
 		if !known[folder][name] {
 			t.Errorf("%s: package %s has no test %q", page, folder, name)
@@ -124,7 +124,7 @@
 				t.Errorf("%s: %q has no part %q", page, title, strings.TrimSpace(part))
 			}
 		}
-		if !heldBy.MatchString(body) {
+		if !testReference.MatchString(body) {
 			t.Errorf("%s: %q names no test", page, title)
 		}
 	}
@@ -133,10 +133,10 @@
 // TestEveryInvariantHasABrokenHistory: the page's table is the checker's own.
 func TestEveryInvariantHasABrokenHistory(t *testing.T) {
 	shown := map[string][]string{}
-	for _, match := range brokenBy.FindAllStringSubmatch(readPage(t), -1) {
+	for _, match := range brokenHistoryRow.FindAllStringSubmatch(readPage(t), -1) {
 		shown[match[1]] = append(shown[match[1]], match[2])
 	}
-	names := namesIn(t, "history")
+	names := testNamesIn(t, "history")
 	onPage := map[string]bool{}
 	for _, invariant := range history.Invariants() {
 		if len(shown[string(invariant)]) == 0 {
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -68,7 +68,7 @@
 	imports []string
 }
 
-func load(t *testing.T) ([]file, *token.FileSet) {
+func loadFiles(t *testing.T) ([]file, *token.FileSet) {
 	t.Helper()
 	positions := token.NewFileSet()
 	var files []file
@@ -139,7 +139,7 @@
 }
 
 func TestImportsPointToEarlierLayers(t *testing.T) {
-	files, _ := load(t)
+	files, _ := loadFiles(t)
 	for _, source := range files {
 		if source.isTest {
 			continue
@@ -169,7 +169,7 @@
 )
 
 func TestStateMachinesArePure(t *testing.T) {
-	files, positions := load(t)
+	files, positions := loadFiles(t)
 	for _, source := range files {
 		if source.isTest || !contains(pure, source.folder) {
 			continue
@@ -202,7 +202,7 @@
 }
 
 func TestEmbeddablePackagesNeedNoDaemon(t *testing.T) {
-	files, _ := load(t)
+	files, _ := loadFiles(t)
 	imports := make(map[string][]string)
 	for _, source := range files {
 		if !source.isTest {
@@ -211,12 +211,12 @@
 	}
 	for _, name := range embeddable {
 		seen := make(map[string]bool)
-		visit(t, name, name, imports, seen)
+		checkReachableImports(t, name, name, imports, seen)
 	}
 }
 
-// visit follows the project's own imports and reports HTTP and wiring.
-func visit(t *testing.T, start, folder string, imports map[string][]string, seen map[string]bool) {
+// checkReachableImports follows the project's own imports and reports HTTP and wiring.
+func checkReachableImports(t *testing.T, start, folder string, imports map[string][]string, seen map[string]bool) {
 	if seen[folder] {
 		return
 	}
@@ -226,13 +226,13 @@
 			t.Errorf("%s reaches %s through %s", start, name, folder)
 		}
 		if target, ours := strings.CutPrefix(name, module); ours {
-			visit(t, start, target, imports, seen)
+			checkReachableImports(t, start, target, imports, seen)
 		}
 	}
 }
 
 func TestFilesAndFunctionsAreShort(t *testing.T) {
-	files, positions := load(t)
+	files, positions := loadFiles(t)
 	for _, source := range files {
 		if source.lines > maximumFileLines {
 			t.Errorf("%s has %d lines: want at most %d", source.path, source.lines, maximumFileLines)
@@ -261,7 +261,7 @@
 }
 
 func TestOnlyTheAdapterKnowsThePlatformsNames(t *testing.T) {
-	files, positions := load(t)
+	files, positions := loadFiles(t)
 	for _, source := range files {
 		if source.folder == "platform" || strings.HasPrefix(source.folder, "platform/") || source.folder == "internal/layout" {
 			continue
--- a/internal/layout/links_test.go
+++ b/internal/layout/links_test.go
@@ -30,8 +30,8 @@
 	"golang.org/x/sys",
 }
 
-// notOnNodes are packages of this module that a node has no use for.
-var notOnNodes = []string{"schedule", "control", "node", "emulator", "gateway", "operator", "workload", "history", "platform/standin", "command"}
+// forbiddenOnNodes are packages of this module that a node has no use for.
+var forbiddenOnNodes = []string{"schedule", "control", "node", "emulator", "gateway", "operator", "workload", "history", "platform/standin", "command"}
 
 func TestNodeLinksWhatItUses(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.Module.Path}} {{.ImportPath}}{{end}}", "./cmd/birchwood-edge")
@@ -49,7 +49,7 @@
 		if !slices.Contains(modules, name) {
 			modules = append(modules, name)
 		}
-		if own, isOwn := strings.CutPrefix(path, module); isOwn && slices.Contains(notOnNodes, own) {
+		if own, isOwn := strings.CutPrefix(path, module); isOwn && slices.Contains(forbiddenOnNodes, own) {
 			t.Errorf("the program of a node links %s", path)
 		}
 	}
--- a/internal/settingsdoc/render.go
+++ b/internal/settingsdoc/render.go
@@ -47,36 +47,36 @@
 	var page bytes.Buffer
 	page.WriteString(introduction)
 	page.WriteString("\n## Settings of a process\n\n")
-	table(&page, "Key", "Type", "Accepted", "Default", "Meaning")
+	writeRow(&page, "Key", "Type", "Accepted", "Default", "Meaning")
 	for _, setting := range config.Reference() {
-		table(&page, code(setting.Path), setting.Kind, setting.Range, code(setting.Default), setting.Help)
+		writeRow(&page, codeSpan(setting.Path), setting.Kind, setting.Range, codeSpan(setting.Default), setting.Help)
 	}
 	descriptions, err := contract.Descriptions()
 	if err != nil {
 		return nil, err
 	}
 	page.WriteString(treeIntroduction)
-	table(&page, "Name", "Type", "Default", "Inherited", "Meaning")
+	writeRow(&page, "Name", "Type", "Default", "Inherited", "Meaning")
 	for _, value := range descriptions {
 		inherited := "yes"
 		if !value.Inherited {
 			inherited = "no"
 		}
-		table(&page, code(value.Name), value.Kind, code(value.Default), inherited, value.Description)
+		writeRow(&page, codeSpan(value.Name), value.Kind, codeSpan(value.Default), inherited, value.Description)
 	}
 	return page.Bytes(), nil
 }
 
-// table writes one row; the row that holds the titles gets its rule.
-func table(page *bytes.Buffer, cells ...string) {
+// writeRow writes one row; the row that holds the titles gets its rule.
+func writeRow(page *bytes.Buffer, cells ...string) {
 	fmt.Fprintf(page, "| %s |\n", strings.Join(cells, " | "))
 	if cells[len(cells)-1] == "Meaning" {
 		fmt.Fprintf(page, "|%s\n", strings.Repeat(" --- |", len(cells)))
 	}
 }
 
-// code sets text as code; empty text stays empty.
-func code(text string) string {
+// codeSpan sets text as codeSpan; empty text stays empty.
+func codeSpan(text string) string {
 	if text == "" {
 		return ""
 	}
