--- a/command/dev.go
+++ b/command/dev.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// devCall is a first program and call, ready to paste.
-const devCall = `
+// devExample is a first program and call, ready to paste.
+const devExample = `
 A first program and its first call:
 
   PROGRAM=$(curl -s -H 'Authorization: Bearer %[2]s' \
@@ -67,11 +67,11 @@
 	fmt.Fprintln(output, "birchwood dev is ready")
 	for _, started := range system.Nodes {
 		fmt.Fprintf(output, "  %-8s %-6s callers http://%s  operators http://%s\n",
-			started.File.Node.ID, started.File.Node.Zone, started.Callers(), started.Operator())
+			started.File.Node.ID, started.File.Node.Zone, started.Callers(), started.OperatorAddress())
 	}
 	addresses := system.Standins.Addresses()
 	fmt.Fprintf(output, "  platform http://%s  faults http://%s\n", addresses.Platform, addresses.Control)
 	fmt.Fprintf(output, "  caller token %s on branch %s, operator token %s\n",
 		config.DevCallerToken, config.DevBranch, config.DevOperatorToken)
-	fmt.Fprintf(output, devCall, system.Nodes[0].Callers(), config.DevCallerToken, config.DevBranch, config.DevModel)
+	fmt.Fprintf(output, devExample, system.Nodes[0].Callers(), config.DevCallerToken, config.DevBranch, config.DevModel)
 }
--- a/development/control_bench_test.go
+++ b/development/control_bench_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// designRate is the calls a second that each node is sized for.
-	designRate = 8.5
-	// controlWindow is how long control time is measured.
-	controlWindow = 10 * time.Second
-	// callsAProgram is how many calls each program makes.
-	callsAProgram = 20
+	// designCallsPerSecond is the calls a second that each node is sized for.
+	designCallsPerSecond = 8.5
+	// measureDuration is how long control time is measured.
+	measureDuration = 10 * time.Second
+	// callsPerProgram is how many calls each program makes.
+	callsPerProgram = 20
 )
 
 // BenchmarkControl reports the share of one core that the control goroutine of
@@ -27,7 +27,7 @@
 // share is elapsed time: on a machine with other work it counts the waits for
 // a core too, and is an upper bound.
 func BenchmarkControl(b *testing.B) {
-	for name, rate := range map[string]float64{"idle": 0, "design-rate": designRate} {
+	for name, rate := range map[string]float64{"idle": 0, "design-rate": designCallsPerSecond} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
 				measureControl(b, rate)
@@ -42,12 +42,12 @@
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	if rate > 0 {
-		group.Go(func() { callSteadily(b, system, rate*nodes, stop) })
+		group.Go(func() { callAtRate(b, system, rate*nodes, stop) })
 		time.Sleep(time.Second)
 	}
 	secondsBefore, eventsBefore := controlTime(b, system)
 	started := time.Now()
-	time.Sleep(controlWindow)
+	time.Sleep(measureDuration)
 	seconds, events := controlTime(b, system)
 	elapsed := time.Since(started).Seconds()
 	close(stop)
@@ -57,9 +57,9 @@
 	b.ReportMetric(1e6*(seconds-secondsBefore)/(events-eventsBefore), "µs/event")
 }
 
-// callSteadily makes calls at the rate, through each node in turn, without
+// callAtRate makes calls at the rate, through each node in turn, without
 // waiting for the answers.
-func callSteadily(b *testing.B, system *development.System, rate float64, stop <-chan struct{}) {
+func callAtRate(b *testing.B, system *development.System, rate float64, stop <-chan struct{}) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer ticker.Stop()
 	var group sync.WaitGroup
@@ -72,7 +72,7 @@
 		}
 		caller := newClient(system, number%len(system.Nodes))
 		group.Go(func() {
-			id, err := caller.create(fmt.Sprintf("steady-%v-%d", rate, number/callsAProgram))
+			id, err := caller.create(fmt.Sprintf("steady-%v-%d", rate, number/callsPerProgram))
 			if err == nil {
 				_, _, err = caller.stream(id, fmt.Sprintf("call-%d", number))
 			}
@@ -87,22 +87,22 @@
 func controlTime(b *testing.B, system *development.System) (seconds, events float64) {
 	b.Helper()
 	for _, node := range system.Nodes {
-		response, err := http.Get("http://" + node.Operator() + "/metrics")
+		response, err := http.Get("http://" + node.OperatorAddress() + "/metrics")
 		if err != nil {
 			b.Fatal(err)
 		}
 		lines := bufio.NewScanner(response.Body)
 		for lines.Scan() {
-			seconds += sample(lines.Text(), "birchwood_control_step_seconds_sum ")
-			events += sample(lines.Text(), "birchwood_control_step_seconds_count ")
+			seconds += metricValue(lines.Text(), "birchwood_control_step_seconds_sum ")
+			events += metricValue(lines.Text(), "birchwood_control_step_seconds_count ")
 		}
 		_ = response.Body.Close()
 	}
 	return seconds, events
 }
 
-// sample returns the value on a line of the metric, else zero.
-func sample(line, metric string) float64 {
+// metricValue returns the value on a line of the metric, else zero.
+func metricValue(line, metric string) float64 {
 	text, found := strings.CutPrefix(line, metric)
 	if !found {
 		return 0
--- a/development/development.go
+++ b/development/development.go
@@ -32,8 +32,8 @@
 // Callers returns the address of the callers' API.
 func (n *Node) Callers() string { return n.callers.Addr().String() }
 
-// Operator returns the address of the operators' API.
-func (n *Node) Operator() string { return n.operator.Addr().String() }
+// OperatorAddress returns the address of the operators' API.
+func (n *Node) OperatorAddress() string { return n.operator.Addr().String() }
 
 // Stop stops the node without cutting a request.
 func (n *Node) Stop() error {
--- a/development/path_bench_test.go
+++ b/development/path_bench_test.go
@@ -24,18 +24,18 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// fastEngines makes the engines' own time small beside the path's.
-const fastEngines = 5000
+// benchmarkEngineSpeed makes the engines' own time small beside the path's.
+const benchmarkEngineSpeed = 5000
 
 func startForBenchmark(b *testing.B) *development.System {
 	b.Helper()
 	settings := config.Dev()
 	for i := range settings.Standin.Standin.Engines {
-		settings.Standin.Standin.Engines[i].Speed = fastEngines
+		settings.Standin.Standin.Engines[i].Speed = benchmarkEngineSpeed
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 	defer cancel()
-	system, err := development.Start(ctx, settings, silent)
+	system, err := development.Start(ctx, settings, discardLogs)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -115,8 +115,8 @@
 	return first, 0, fmt.Errorf("the stream of call %s ended without an answer: %w", key, lines.Err())
 }
 
-// report gives the median and the 99th percentile as metrics.
-func report(b *testing.B, name string, samples []time.Duration) {
+// reportPercentiles gives the median and the 99th percentile as metrics.
+func reportPercentiles(b *testing.B, name string, samples []time.Duration) {
 	slices.Sort(samples)
 	b.ReportMetric(float64(samples[len(samples)/2].Microseconds()), name+"-p50-µs")
 	b.ReportMetric(float64(samples[len(samples)*99/100].Microseconds()), name+"-p99-µs")
@@ -130,14 +130,14 @@
 	for _, held := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprintf("programs=%d", held), func(b *testing.B) {
 			system := startForBenchmark(b)
-			hold(b, system, held)
+			createIdlePrograms(b, system, held)
 			measureFirstToken(b, system)
 		})
 	}
 }
 
-// hold creates programs that stay idle.
-func hold(b *testing.B, system *development.System, count int) {
+// createIdlePrograms creates programs that stay idle.
+func createIdlePrograms(b *testing.B, system *development.System, count int) {
 	b.Helper()
 	const workers = 64
 	var group sync.WaitGroup
@@ -157,39 +157,39 @@
 
 func measureFirstToken(b *testing.B, system *development.System) {
 	addresses := system.Standins.Addresses()
-	direct := enginehttp.NewDialer(httpclient.Options{Zone: "north", Timeout: patience}).
+	direct := enginehttp.NewDialer(httpclient.Options{Zone: "north", Timeout: ioTimeout}).
 		Engine(machine.Machine{ID: "engine-1", Address: addresses.Engines["engine-1"]})
-	logService := infrahttp.New(httpclient.Options{Address: addresses.Platform, Timeout: patience})
+	logService := infrahttp.New(httpclient.Options{Address: addresses.Platform, Timeout: ioTimeout})
 	caller := newClient(system, 0)
 	id, err := caller.create(fmt.Sprintf("measured-%d", b.N))
 	if err != nil {
 		b.Fatal(err)
 	}
-	var straight, through, appends []time.Duration
+	var directTimes, birchwoodTimes, appendTimes []time.Duration
 	for i := range b.N {
-		straight = append(straight, firstOfEngine(b, direct, i))
+		directTimes = append(directTimes, engineTimeToFirstToken(b, direct, i))
 		first, _, err := caller.stream(id, fmt.Sprintf("call-%d", i))
 		if err != nil {
 			b.Fatal(err)
 		}
-		through = append(through, first)
+		birchwoodTimes = append(birchwoodTimes, first)
 		started := time.Now()
 		if _, err := logService.Append(context.Background(), "bench", [][]byte{[]byte(`{}`)}); err != nil {
 			b.Fatal(err)
 		}
-		appends = append(appends, time.Since(started))
+		appendTimes = append(appendTimes, time.Since(started))
 		if i%50 == 49 {
 			if id, err = caller.create(fmt.Sprintf("measured-%d-%d", b.N, i)); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
-	report(b, "direct", straight)
-	report(b, "birchwood", through)
-	report(b, "append", appends)
+	reportPercentiles(b, "direct", directTimes)
+	reportPercentiles(b, "birchwood", birchwoodTimes)
+	reportPercentiles(b, "append", appendTimes)
 }
 
-func firstOfEngine(b *testing.B, direct engine.Client, i int) time.Duration {
+func engineTimeToFirstToken(b *testing.B, direct engine.Client, i int) time.Duration {
 	b.Helper()
 	started := time.Now()
 	var first time.Duration
--- a/development/system_test.go
+++ b/development/system_test.go
@@ -22,9 +22,9 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// patience bounds a wait for real I/O. Nothing is asserted about how long
+// ioTimeout bounds a wait for real I/O. Nothing is asserted about how long
 // anything takes within it.
-const patience = 60 * time.Second
+const ioTimeout = 60 * time.Second
 
 // caller is a client of the callers' API at one node.
 type caller struct{ address string }
@@ -47,7 +47,7 @@
 
 func (c caller) send(request *http.Request, result any) int {
 	request.Header.Set("Authorization", "Bearer "+config.DevCallerToken)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 	defer cancel()
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	Expect(err).NotTo(HaveOccurred())
@@ -79,8 +79,8 @@
 	return api.SubmitCall{Key: key, Kind: api.CallTool, Tool: tool, Input: input}
 }
 
-// silent is a logger that writes nothing.
-func silent(string) *log.Logger { return &log.Logger{Level: log.PanicLevel} }
+// discardLogs is a logger that writes nothing.
+func discardLogs(string) *log.Logger { return &log.Logger{Level: log.PanicLevel} }
 
 // zoneOf returns the zone of an engine of the development system.
 func zoneOf(system *development.System, backend string) zone.Name {
@@ -100,9 +100,9 @@
 	at := func(index int) caller { return caller{address: system.Nodes[index].Callers()} }
 
 	BeforeAll(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 		defer cancel()
-		started, err := development.Start(ctx, config.Dev(), silent)
+		started, err := development.Start(ctx, config.Dev(), discardLogs)
 		Expect(err).NotTo(HaveOccurred())
 		system = started
 		DeferCleanup(func() { Expect(system.Stop()).To(Succeed()) })
@@ -165,7 +165,7 @@
 			g.Expect(at(3).get(fmt.Sprintf("/v1/programs/%s/history", program), &history)).To(Equal(http.StatusOK))
 			g.Expect(history.Calls).To(HaveLen(3))
 			g.Expect(history.Calls[1].Output).To(Equal(during.Output))
-		}).WithTimeout(patience).Should(Succeed())
+		}).WithTimeout(ioTimeout).Should(Succeed())
 	})
 
 	It("gives a node that starts while the log service is down the settings from a peer", func() {
@@ -174,11 +174,11 @@
 		DeferCleanup(func() { system.Standins.Faults().Remove("outage") })
 		late := config.Dev().Nodes[0]
 		late.Node.ID = "node-late"
-		Expect(system.Add(late, silent("node-late"))).To(Succeed())
+		Expect(system.Add(late, discardLogs("node-late"))).To(Succeed())
 		started := system.Nodes[len(system.Nodes)-1]
-		Eventually(func() any { return started.Process.Node.Settings().Revision() }).WithTimeout(patience).Should(Equal(held))
+		Eventually(func() any { return started.Process.Node.Settings().Revision() }).WithTimeout(ioTimeout).Should(Equal(held))
 		system.Standins.Faults().Remove("outage")
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 		defer cancel()
 		Expect(started.Process.Node.AwaitReady(ctx)).To(Succeed())
 	})
@@ -198,7 +198,7 @@
 		Expect(verdict.Accepted).To(BeTrue(), "%+v", verdict)
 
 		for _, started := range system.Nodes {
-			Eventually(started.Process.Node.Settings().Revision).WithTimeout(patience).Should(BeNumerically(">=", verdict.Revision))
+			Eventually(started.Process.Node.Settings().Revision).WithTimeout(ioTimeout).Should(BeNumerically(">=", verdict.Revision))
 		}
 		second := at(1).call(program, modelCall("second", "second. "))
 		Expect(second.Status).To(Equal(api.StatusSucceeded), "%+v", second.Error)
@@ -216,7 +216,7 @@
 			var history api.History
 			g.Expect(at(2).get(fmt.Sprintf("/v1/programs/%s/history", program), &history)).To(Equal(http.StatusOK))
 			g.Expect(history.Calls).To(HaveLen(2))
-		}).WithTimeout(patience).Should(Succeed())
+		}).WithTimeout(ioTimeout).Should(Succeed())
 	})
 
 	It("sends nothing new to a back end that an operator drains", func() {
@@ -224,7 +224,7 @@
 		revision := system.Nodes[0].Process.Node.Settings().Revision()
 		Expect(system.Nodes[0].Process.Node.DrainBackend(context.Background(), drained)).To(Succeed())
 		for _, started := range system.Nodes {
-			Eventually(started.Process.Node.Settings().Revision).WithTimeout(patience).Should(BeNumerically(">", revision))
+			Eventually(started.Process.Node.Settings().Revision).WithTimeout(ioTimeout).Should(BeNumerically(">", revision))
 		}
 		for i := range 12 {
 			program := at(i%len(system.Nodes)).create("demo", fmt.Sprintf("drained-%d", i))
