--- a/command/backend.go
+++ b/command/backend.go
@@ -21,26 +21,26 @@
 }
 
 func newBackendListCommand(flags *operatorFlags) *cobra.Command {
-	return verb[[]operator.BackendState]{
+	return operatorCommand[[]operator.BackendState]{
 		use:       "list",
 		short:     "List the back ends that the asked node knows",
 		arguments: cobra.NoArgs,
-		ask:       getting[[]operator.BackendState](fixed("/backends")),
-		text:      printBackends,
+		fetch:     fetchPath[[]operator.BackendState](constantPath("/backends")),
+		printText: printBackends,
 	}.command(flags)
 }
 
 func printBackends(writer io.Writer, backends []operator.BackendState) {
-	row(writer, "ID", "KIND", "ZONE", "ADDRESS", "STATUS", "SERVES", "SLOTS", "CACHE TOKENS")
+	printRow(writer, "ID", "KIND", "ZONE", "ADDRESS", "STATUS", "SERVES", "SLOTS", "CACHE TOKENS")
 	for _, backend := range backends {
 		serves := strings.Join(append(backend.Models, backend.Tools...), ",")
-		row(writer, backend.ID, backend.Kind, backend.Zone, backend.Address, statusOf(backend), orDash(serves),
+		printRow(writer, backend.ID, backend.Kind, backend.Zone, backend.Address, displayStatus(backend), orDash(serves),
 			backend.Slots, backend.CacheTokens)
 	}
 }
 
-// statusOf tells whether a back end gets new work.
-func statusOf(backend operator.BackendState) machine.Status {
+// displayStatus tells whether a back end gets new work.
+func displayStatus(backend operator.BackendState) machine.Status {
 	if backend.Drained {
 		return "drained"
 	}
--- a/command/bench.go
+++ b/command/bench.go
@@ -85,11 +85,11 @@
 	if err := printBench(command.OutOrStdout(), result, flags.output); err != nil {
 		return &ExitError{Code: ExitUsage, Cause: err}
 	}
-	return violationsOf(result)
+	return violationError(result)
 }
 
-// violationsOf returns an error when a run broke an invariant.
-func violationsOf(result emulator.BenchResult) error {
+// violationError returns an error when a run broke an invariant.
+func violationError(result emulator.BenchResult) error {
 	for _, policy := range result.Policies {
 		if policy.Violations > 0 {
 			return &ExitError{Code: ExitFailure, Cause: errViolations}
@@ -169,7 +169,7 @@
 	fmt.Fprintln(table, "policy\tp50 s\tp95 s\tp99 s\twaiting p95 s\trecomputed tok\tidle KV tok-s\tgoodput/s\toffered/s\trefused\tmoves\tviolations\t")
 	for _, policy := range result.Policies {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.0f\t%.3f\t%.3f\t%d\t%d\t%d\t\n",
-			policy.Policy, secondsOf(policy.Latency), fmt.Sprintf("%.2f", policy.Waiting.P95/millisecondsPerSecond),
+			policy.Policy, latencyCells(policy.Latency), fmt.Sprintf("%.2f", policy.Waiting.P95/millisecondsPerSecond),
 			policy.Wasted.RecomputedTokens, policy.Wasted.IdleTokenSeconds, policy.Goodput, policy.Offered,
 			policy.Refused, policy.Moves, policy.Violations)
 	}
@@ -182,7 +182,7 @@
 	for _, policy := range result.Policies {
 		for _, kind := range policy.Kinds {
 			fmt.Fprintf(kinds, "%s\t%s\t%d\t%d\t%d\t%d\t%s\t\n", policy.Policy, kind.Kind, kind.Programs,
-				kind.Completed, kind.InTime, kind.Refused, secondsOf(kind.Latency))
+				kind.Completed, kind.InTime, kind.Refused, latencyCells(kind.Latency))
 		}
 	}
 	if err := kinds.Flush(); err != nil {
@@ -199,8 +199,8 @@
 // millisecondsPerSecond converts the latencies for the tables.
 const millisecondsPerSecond = 1000
 
-// secondsOf returns the percentiles as three cells of a table.
-func secondsOf(latency emulator.Percentiles) string {
+// latencyCells returns the percentiles as three cells of a table.
+func latencyCells(latency emulator.Percentiles) string {
 	return fmt.Sprintf("%.2f\t%.2f\t%.2f", latency.P50/millisecondsPerSecond,
 		latency.P95/millisecondsPerSecond, latency.P99/millisecondsPerSecond)
 }
--- a/command/bench_test.go
+++ b/command/bench_test.go
@@ -24,8 +24,8 @@
 	return printed.String(), err
 }
 
-// written writes a file and returns its name.
-func written(content string) string {
+// writeFaultsFile writes a file and returns its name.
+func writeFaultsFile(content string) string {
 	name := filepath.Join(GinkgoT().TempDir(), "faults.yaml")
 	Expect(os.WriteFile(name, []byte(content), 0o600)).To(Succeed())
 	return name
@@ -55,14 +55,14 @@
 	})
 
 	It("runs the faults of a file, and refuses unknown keys in it", func() {
-		faults := written("faults:\n  - at: 2s\n    kind: crash\n    target: engine-001\n")
+		faults := writeFaultsFile("faults:\n  - at: 2s\n    kind: crash\n    target: engine-001\n")
 		arguments := append(small, "--policy", "sticky", "--output", "json")
-		calm, err := run(arguments...)
+		withoutFaults, err := run(arguments...)
 		Expect(err).NotTo(HaveOccurred())
-		struck, err := run(append(arguments, "--faults", faults)...)
+		withFaults, err := run(append(arguments, "--faults", faults)...)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(struck).NotTo(Equal(calm))
-		_, err = run(append(arguments, "--faults", written("faults:\n  - when: 2s\n"))...)
+		Expect(withFaults).NotTo(Equal(withoutFaults))
+		_, err = run(append(arguments, "--faults", writeFaultsFile("faults:\n  - when: 2s\n"))...)
 		var exit *command.ExitError
 		Expect(errors.As(err, &exit)).To(BeTrue())
 		Expect(exit.Code).To(Equal(command.ExitUsage))
--- a/command/dev_platform.go
+++ b/command/dev_platform.go
@@ -11,23 +11,23 @@
 
 // The size of the development system on the users' platform.
 const (
-	devNodes  = 3
-	devModels = 2
-	devPlain  = 2
-	devEvents = 8
+	devNodes           = 3
+	devModelReplicas   = 2
+	devPlainReplicas   = 2
+	devEventsPerAnswer = 8
 )
 
-// devStep is how long an event takes, so that a stream is seen to come.
-const devStep = 60 * time.Millisecond
+// devEventInterval is how long an event takes, so that a stream is seen to come.
+const devEventInterval = 60 * time.Millisecond
 
-// devReadyPause is the time between two looks at whether the nodes are ready.
-const devReadyPause = 50 * time.Millisecond
+// devReadyPollInterval is the time between two looks at whether the nodes are ready.
+const devReadyPollInterval = 50 * time.Millisecond
 
 // runDevPlatform runs nodes on stand-ins of the users' platform until the
 // context ends.
 func runDevPlatform(ctx context.Context, output io.Writer, level string, tenants bool) error {
 	options := standin.Options{
-		Nodes: devNodes, Models: devModels, Plain: devPlain, Events: devEvents, Step: devStep, Logger: newLogger(level, ""),
+		Nodes: devNodes, Models: devModelReplicas, Plain: devPlainReplicas, Events: devEventsPerAnswer, Step: devEventInterval, Logger: newLogger(level, ""),
 	}
 	if tenants {
 		options.Tenants = standin.FirstTenants
@@ -50,7 +50,7 @@
 // awaitReady waits until every node is ready, and reports false if the context
 // ended first.
 func awaitReady(ctx context.Context, system *standin.System) bool {
-	ticker := time.NewTicker(devReadyPause)
+	ticker := time.NewTicker(devReadyPollInterval)
 	defer ticker.Stop()
 	for _, node := range system.Nodes {
 		for !node.Ready() {
--- a/command/edgecommand/decisions.go
+++ b/command/edgecommand/decisions.go
@@ -10,7 +10,7 @@
 
 // Bounds of the decision log: lines that cannot be written at once wait in a
 // queue of this length, and are dropped beyond it.
-const decisionQueue = 2048
+const decisionQueueLines = 2048
 
 // decisionWriter queues the lines of the decision log and counts those that
 // are dropped because the queue is full.
@@ -33,7 +33,7 @@
 // that wait.
 func newDecisionLogger(node string, lines *decisionWriter) (logger *log.Logger, flush func()) {
 	lines.queue = log.AsyncWriter{
-		ChannelSize: decisionQueue, DiscardOnFull: true, DisableWritev: true, Writer: &log.IOWriter{Writer: os.Stdout},
+		ChannelSize: decisionQueueLines, DiscardOnFull: true, DisableWritev: true, Writer: &log.IOWriter{Writer: os.Stdout},
 	}
 	logger = &log.Logger{
 		Level:      log.InfoLevel,
--- a/command/edgecommand/decisions_test.go
+++ b/command/edgecommand/decisions_test.go
@@ -20,11 +20,11 @@
 		logger, _ := newDecisionLogger("n", lines)
 		blocked := blockedWriter{released: make(chan struct{})}
 		lines.queue.Writer = &log.IOWriter{Writer: blocked}
-		const written = 3 * decisionQueue
+		const written = 3 * decisionQueueLines
 		for range written {
 			logger.Info().Msg("x")
 		}
-		Expect(lines.dropped.Load()).To(BeNumerically(">=", written-decisionQueue-2))
+		Expect(lines.dropped.Load()).To(BeNumerically(">=", written-decisionQueueLines-2))
 		Expect(lines.dropped.Load()).To(BeNumerically("<", written))
 		close(blocked.released)
 	})
--- a/command/edgecommand/edge.go
+++ b/command/edgecommand/edge.go
@@ -48,7 +48,7 @@
 func runEdge(parent context.Context, path string, without []edge.Mechanism) error {
 	// Signals may come at any time from the process's start on; one that is not asked
 	// for ends it.
-	signals := make(chan os.Signal, signalsWaiting)
+	signals := make(chan os.Signal, signalQueueLength)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// signalsWaiting bounds the signals that wait to be handled.
-const signalsWaiting = 8
+// signalQueueLength bounds the signals that wait to be handled.
+const signalQueueLength = 8
 
 // reloadEdge reads the settings file again and logs what it found.
 func reloadEdge(node *edge.Node, path string, logger *log.Logger) {
--- a/command/explain.go
+++ b/command/explain.go
@@ -14,7 +14,7 @@
 
 // newExplainCommand returns the verb that leads from a request to its cause.
 func newExplainCommand() *cobra.Command {
-	span := explainSpan
+	span := defaultExplainSpan
 	command := &cobra.Command{
 		Use:   "explain REQUEST-ID",
 		Short: "Show what decided a request's end, from nodes' logs on standard input",
@@ -27,11 +27,11 @@
 	return command
 }
 
-// explainSpan is how far back causes are looked for.
-const explainSpan = 10 * time.Second
+// defaultExplainSpan is how far back causes are looked for.
+const defaultExplainSpan = 10 * time.Second
 
-// maximumLogLine bounds one line of a log.
-const maximumLogLine = 1 << 20
+// maxLogLineBytes bounds one line of a log.
+const maxLogLineBytes = 1 << 20
 
 // logLine is one line of a node's log. Fields that it does not have are empty.
 type logLine struct {
@@ -69,7 +69,7 @@
 	last := own[len(own)-1]
 	for _, line := range lines {
 		recent := !line.Time.After(last.Time) && (last.Time.Sub(line.Time) <= span || line.Evacuated != "")
-		if line.Request == request || (recent && line.Request == "" && concerns(line, own)) {
+		if line.Request == request || (recent && line.Request == "" && affectsRequest(line, own)) {
 			if _, err := fmt.Fprintf(output, "%s\n", line.raw); err != nil {
 				return err
 			}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// concerns reports whether a line tells of something that a request rested on.
-func concerns(line logLine, own []logLine) bool {
+// affectsRequest reports whether a line tells of something that a request rested on.
+func affectsRequest(line logLine, own []logLine) bool {
 	for _, about := range own {
 		switch {
 		case line.Partition != nil:
@@ -102,7 +102,7 @@
 func readLog(input io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(make([]byte, 0, maximumLogLine/16), maximumLogLine)
+	scanner.Buffer(make([]byte, 0, maxLogLineBytes/16), maxLogLineBytes)
 	for scanner.Scan() {
 		begin := bytes.IndexByte(scanner.Bytes(), '{')
 		if begin < 0 {
--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -13,8 +13,8 @@
 // errFuzzFailed makes fuzz exit with a failure after it has printed it.
 var errFuzzFailed = errors.New("a run broke a promise")
 
-// progressEvery is after how many runs fuzz says how far it is.
-const progressEvery = 100
+// progressIntervalRuns is after how many runs fuzz says how far it is.
+const progressIntervalRuns = 100
 
 // newFuzzCommand returns the command that looks for broken promises in
 // emulated clusters.
@@ -46,7 +46,7 @@
 func runFuzz(command *cobra.Command, config cluster.FuzzConfig) error {
 	begin := time.Now()
 	config.Progress = func(runs int) {
-		if runs%progressEvery == 0 {
+		if runs%progressIntervalRuns == 0 {
 			_, _ = fmt.Fprintf(command.ErrOrStderr(), "%d runs in %s\n", runs, time.Since(begin).Round(time.Second))
 		}
 	}
--- a/command/load.go
+++ b/command/load.go
@@ -19,11 +19,11 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// tokenVariable is the environment variable that holds the caller's token.
-const tokenVariable = "BIRCHWOOD_TOKEN"
+// tokenEnvironmentVariable is the environment variable that holds the caller's token.
+const tokenEnvironmentVariable = "BIRCHWOOD_TOKEN"
 
-// errUnanswered makes load exit with a failure after it has printed its result.
-var errUnanswered = errors.New("calls were left unanswered, answered wrongly or run twice")
+// errFailedCalls makes load exit with a failure after it has printed its result.
+var errFailedCalls = errors.New("calls were left unanswered, answered wrongly or run twice")
 
 // loadFlags are the flags of the load command.
 type loadFlags struct {
@@ -54,7 +54,7 @@
 		Use:   "load --target ADDRESS --deployment NAME --programs N --seed S",
 		Short: "Run a deployment's agent programs against real nodes",
 		Long: "Starts agent programs at their intended times, whether or not earlier ones have ended, and\n" +
-			"measures what their callers feel. The caller's token is taken from --token, else from " + tokenVariable + ",\n" +
+			"measures what their callers feel. The caller's token is taken from --token, else from " + tokenEnvironmentVariable + ",\n" +
 			"else it is the example token of the deployment's settings. Exits with 1 when a call was left\n" +
 			"unanswered or got a wrong answer.",
 		Args: cobra.NoArgs,
@@ -108,7 +108,7 @@
 		return &ExitError{Code: ExitFailure, Cause: err}
 	}
 	if result.Failed() {
-		return &ExitError{Code: ExitFailure, Cause: errUnanswered}
+		return &ExitError{Code: ExitFailure, Cause: errFailedCalls}
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 // defaultToken is the environment's token, else the example token that the
 // settings in config/ give the deployment.
 func (f loadFlags) defaultToken() string {
-	if token := os.Getenv(tokenVariable); token != "" {
+	if token := os.Getenv(tokenEnvironmentVariable); token != "" {
 		return token
 	}
 	return f.deployment + "-example-token"
--- a/command/node.go
+++ b/command/node.go
@@ -21,43 +21,43 @@
 }
 
 func newNodeListCommand(flags *operatorFlags) *cobra.Command {
-	return verb[[]operator.NodeState]{
+	return operatorCommand[[]operator.NodeState]{
 		use:       "list",
 		short:     "List the nodes that the asked node knows",
 		arguments: cobra.NoArgs,
-		ask:       getting[[]operator.NodeState](fixed("/nodes")),
-		text: func(writer io.Writer, nodes []operator.NodeState) {
-			row(writer, "ID", "ZONE", "ADDRESS", "STATUS", "OWNS")
+		fetch:     fetchPath[[]operator.NodeState](constantPath("/nodes")),
+		printText: func(writer io.Writer, nodes []operator.NodeState) {
+			printRow(writer, "ID", "ZONE", "ADDRESS", "STATUS", "OWNS")
 			for _, node := range nodes {
-				row(writer, node.ID, node.Zone, node.Address, node.Status, orUnknown(node.OwnedPartitions))
+				printRow(writer, node.ID, node.Zone, node.Address, node.Status, ownedPartitionsText(node.OwnedPartitions))
 			}
 		},
 	}.command(flags)
 }
 
-// orUnknown shows what a node owns; only the asked node tells it.
-func orUnknown(partitions int) any {
+// ownedPartitionsText shows what a node owns; only the asked node tells it.
+func ownedPartitionsText(partitions int) any {
 	if partitions == 0 {
 		return "-"
 	}
 	return partitions
 }
 
-// draining is the answer to a request to drain a machine.
-type draining struct {
+// drainResponse is the answer to a request to drain a machine.
+type drainResponse struct {
 	Draining string `json:"draining"`
 }
 
 // newDrainCommand returns the verb that takes a machine out of use.
 func newDrainCommand(flags *operatorFlags, kind, short string) *cobra.Command {
-	return verb[draining]{
+	return operatorCommand[drainResponse]{
 		use:       "drain ID",
 		short:     short,
 		arguments: cobra.ExactArgs(1),
-		ask: func(ctx context.Context, client *operatorClient, arguments []string) (answer draining, err error) {
+		fetch: func(ctx context.Context, client *operatorClient, arguments []string) (answer drainResponse, err error) {
 			err = client.post(ctx, "/"+kind+"/"+url.PathEscape(arguments[0])+"/drain", nil, &answer)
 			return answer, err
 		},
-		text: func(writer io.Writer, answer draining) { row(writer, "draining", answer.Draining) },
+		printText: func(writer io.Writer, answer drainResponse) { printRow(writer, "draining", answer.Draining) },
 	}.command(flags)
 }
--- a/command/operator_ask.go
+++ b/command/operator_ask.go
@@ -7,20 +7,20 @@
 	"github.com/spf13/cobra"
 )
 
-// verb describes a verb that asks a node for one value and prints it.
-type verb[T any] struct {
+// operatorCommand describes a operatorCommand that asks a node for one value and prints it.
+type operatorCommand[T any] struct {
 	use       string
 	short     string
 	long      string
 	arguments cobra.PositionalArgs
-	// ask gets the value.
-	ask func(ctx context.Context, client *operatorClient, arguments []string) (T, error)
-	// text writes the value for people.
-	text func(writer io.Writer, value T)
+	// fetch gets the value.
+	fetch func(ctx context.Context, client *operatorClient, arguments []string) (T, error)
+	// printText writes the value for people.
+	printText func(writer io.Writer, value T)
 }
 
 // command returns the verb as a command.
-func (v verb[T]) command(flags *operatorFlags) *cobra.Command {
+func (v operatorCommand[T]) command(flags *operatorFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   v.use,
 		Short: v.short,
@@ -31,24 +31,24 @@
 			if err != nil {
 				return err
 			}
-			value, err := v.ask(command.Context(), client, arguments)
+			value, err := v.fetch(command.Context(), client, arguments)
 			if err != nil {
 				return err
 			}
-			return client.print(value, func(writer io.Writer) { v.text(writer, value) })
+			return client.print(value, func(writer io.Writer) { v.printText(writer, value) })
 		},
 	}
 }
 
-// getting returns an ask that gets the path of the arguments.
-func getting[T any](path func(arguments []string) string) func(context.Context, *operatorClient, []string) (T, error) {
+// fetchPath returns an ask that gets the path of the arguments.
+func fetchPath[T any](path func(arguments []string) string) func(context.Context, *operatorClient, []string) (T, error) {
 	return func(ctx context.Context, client *operatorClient, arguments []string) (value T, err error) {
 		err = client.get(ctx, path(arguments), &value)
 		return value, err
 	}
 }
 
-// fixed returns the same path for all arguments.
-func fixed(path string) func([]string) string {
+// constantPath returns the same path for all arguments.
+func constantPath(path string) func([]string) string {
 	return func([]string) string { return path }
 }
--- a/command/operator_client.go
+++ b/command/operator_client.go
@@ -64,35 +64,35 @@
 // open checks the flags and returns a client.
 func (f *operatorFlags) open(command *cobra.Command) (*operatorClient, error) {
 	if f.output != outputText && f.output != outputJSON {
-		return nil, usage("output %q: want %s or %s", f.output, outputText, outputJSON)
+		return nil, usageError("output %q: want %s or %s", f.output, outputText, outputJSON)
 	}
 	if f.address == "" {
-		return nil, usage("which node? Give --address or set %s", operatorAddressVariable)
+		return nil, usageError("which node? Give --address or set %s", operatorAddressVariable)
 	}
 	token := f.token
 	if token == "" {
 		token = os.Getenv(operatorTokenVariable)
 	}
 	if token == "" {
-		return nil, usage("an operator's token is needed: give --token or set %s", operatorTokenVariable)
+		return nil, usageError("an operator's token is needed: give --token or set %s", operatorTokenVariable)
 	}
 	client := httpclient.New(httpclient.Options{Address: f.address, Token: token, Timeout: f.timeout})
 	return &operatorClient{client: client, output: f.output, writer: command.OutOrStdout()}, nil
 }
 
-// usage returns the error of wrong arguments.
-func usage(format string, arguments ...any) error {
+// usageError returns the error of wrong arguments.
+func usageError(format string, arguments ...any) error {
 	return &ExitError{Code: ExitUsage, Cause: fmt.Errorf(format, arguments...)}
 }
 
 // get asks the path and decodes the answer.
 func (c *operatorClient) get(ctx context.Context, path string, answer any) error {
-	return exitError(c.client.Do(ctx, http.MethodGet, operatorPrefix+path, nil, answer))
+	return withExitCode(c.client.Do(ctx, http.MethodGet, operatorPrefix+path, nil, answer))
 }
 
 // post sends the body to the path and decodes the answer.
 func (c *operatorClient) post(ctx context.Context, path string, body, answer any) error {
-	return exitError(c.client.Do(ctx, http.MethodPost, operatorPrefix+path, body, answer))
+	return withExitCode(c.client.Do(ctx, http.MethodPost, operatorPrefix+path, body, answer))
 }
 
 // refusalOf returns the error in an answer with an error status.
@@ -105,8 +105,8 @@
 	return refusal, refusal != nil
 }
 
-// exitError gives the failure of a request its exit code and words.
-func exitError(err error) error {
+// withExitCode gives the failure of a request its exit code and words.
+func withExitCode(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -150,8 +150,8 @@
 	return table.Flush()
 }
 
-// row writes one line of a table.
-func row(writer io.Writer, cells ...any) {
+// printRow writes one line of a table.
+func printRow(writer io.Writer, cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
 			_, _ = fmt.Fprint(writer, "\t")
--- a/command/page_test.go
+++ b/command/page_test.go
@@ -11,12 +11,12 @@
 	"birchwood.example/birchwood/command"
 )
 
-// leaves returns the paths of the verbs that do something.
-func leaves(parent *cobra.Command) []string {
+// leafPaths returns the paths of the verbs that do something.
+func leafPaths(parent *cobra.Command) []string {
 	var paths []string
 	for _, child := range parent.Commands() {
 		if child.HasSubCommands() {
-			paths = append(paths, leaves(child)...)
+			paths = append(paths, leafPaths(child)...)
 			continue
 		}
 		paths = append(paths, child.CommandPath())
@@ -32,6 +32,6 @@
 		for _, match := range regexp.MustCompile("(?m)^\\| `(birchwood [a-z -]+)` \\|").FindAllStringSubmatch(string(page), -1) {
 			listed = append(listed, match[1])
 		}
-		Expect(listed).To(ConsistOf(leaves(command.Root())))
+		Expect(listed).To(ConsistOf(leafPaths(command.Root())))
 	})
 })
--- a/command/partition.go
+++ b/command/partition.go
@@ -21,23 +21,23 @@
 }
 
 func newPartitionListCommand(flags *operatorFlags) *cobra.Command {
-	return verb[[]control.PartitionStatus]{
+	return operatorCommand[[]control.PartitionStatus]{
 		use:       "list",
 		short:     "List the partitions that the asked node owns or is taking over",
 		arguments: cobra.NoArgs,
-		ask:       getting[[]control.PartitionStatus](fixed("/partitions")),
-		text: func(writer io.Writer, owned []control.PartitionStatus) {
-			row(writer, "PARTITION", "STATE", "EPOCH", "PROGRAMS", "RUNNING", "UNCONFIRMED", "WAITS FOR MIRRORS")
+		fetch:     fetchPath[[]control.PartitionStatus](constantPath("/partitions")),
+		printText: func(writer io.Writer, owned []control.PartitionStatus) {
+			printRow(writer, "PARTITION", "STATE", "EPOCH", "PROGRAMS", "RUNNING", "UNCONFIRMED", "WAITS FOR MIRRORS")
 			for _, status := range owned {
-				row(writer, status.Partition, status.State, status.Epoch, status.Programs, status.Running,
-					status.Unconfirmed, waitsFor(status.Stall))
+				printRow(writer, status.Partition, status.State, status.Epoch, status.Programs, status.Running,
+					status.Unconfirmed, stallText(status.Stall))
 			}
 		},
 	}.command(flags)
 }
 
-// waitsFor tells which mirrors a stalled recovery waits for.
-func waitsFor(stall *partition.Stall) string {
+// stallText tells which mirrors a stalled recovery waits for.
+func stallText(stall *partition.Stall) string {
 	if stall == nil {
 		return "-"
 	}
@@ -51,22 +51,22 @@
 	return text + "since " + stall.Since.Format("15:04:05")
 }
 
-// acceptedLoss is the answer to a request to accept a loss.
-type acceptedLoss struct {
+// acceptLossResponse is the answer to a request to accept a loss.
+type acceptLossResponse struct {
 	Accepted partition.ID `json:"accepted"`
 }
 
 func newAcceptLossCommand(flags *operatorFlags) *cobra.Command {
-	return verb[acceptedLoss]{
+	return operatorCommand[acceptLossResponse]{
 		use:   "accept-loss PARTITION",
 		short: "Let a stalled recovery go on without the mirrors that have lost what they held",
 		long: "Let a stalled recovery of the asked node go on. Records that only the missing mirrors held, " +
 			"which were confirmed while the log service was down, are lost; the log notes that this was accepted.",
 		arguments: cobra.ExactArgs(1),
-		ask: func(ctx context.Context, client *operatorClient, arguments []string) (answer acceptedLoss, err error) {
+		fetch: func(ctx context.Context, client *operatorClient, arguments []string) (answer acceptLossResponse, err error) {
 			err = client.post(ctx, "/partitions/"+url.PathEscape(arguments[0])+"/accept-loss", nil, &answer)
 			return answer, err
 		},
-		text: func(writer io.Writer, answer acceptedLoss) { row(writer, "accepted", answer.Accepted) },
+		printText: func(writer io.Writer, answer acceptLossResponse) { printRow(writer, "accepted", answer.Accepted) },
 	}.command(flags)
 }
--- a/command/program_list.go
+++ b/command/program_list.go
@@ -14,39 +14,39 @@
 
 func newProgramListCommand(flags *operatorFlags) *cobra.Command {
 	branch := ""
-	command := verb[gateway.ProgramList]{
+	command := operatorCommand[gateway.ProgramList]{
 		use:       "list [--branch PATH]",
 		short:     "List the programs of a branch",
 		arguments: cobra.NoArgs,
-		ask: getting[gateway.ProgramList](func([]string) string {
+		fetch: fetchPath[gateway.ProgramList](func([]string) string {
 			if branch == "" {
 				return "/programs"
 			}
 			query := url.Values{"branch": {strings.Trim(branch, "/")}}
 			return "/programs?" + query.Encode()
 		}),
-		text: printPrograms,
+		printText: printPrograms,
 	}.command(flags)
 	command.Flags().StringVar(&branch, "branch", "", "the branch; left out, the token's")
 	return command
 }
 
 func printPrograms(writer io.Writer, list gateway.ProgramList) {
-	row(writer, "ID", "BRANCH", "KEY", "STATE", "CALLS", "SPENT", "RESERVED", "BUDGET", "CREATED")
+	printRow(writer, "ID", "BRANCH", "KEY", "STATE", "CALLS", "SPENT", "RESERVED", "BUDGET", "CREATED")
 	for _, program := range list.Programs {
-		row(writer, program.ID, program.Branch, program.Key, stateOf(program), program.Calls, program.SpentTokens,
+		printRow(writer, program.ID, program.Branch, program.Key, programState(program), program.Calls, program.SpentTokens,
 			program.ReservedTokens, program.BudgetTokens, program.CreatedAt.Format(time.RFC3339))
 	}
 	if list.Truncated {
-		row(writer, "There are more: name a narrower branch.")
+		printRow(writer, "There are more: name a narrower branch.")
 	}
 	for _, node := range list.Incomplete {
-		row(writer, "Node "+node+" did not answer: its programs are missing here.")
+		printRow(writer, "Node "+node+" did not answer: its programs are missing here.")
 	}
 }
 
-// stateOf tells whether a program runs, or why it ended.
-func stateOf(program api.Program) string {
+// programState tells whether a program runs, or why it ended.
+func programState(program api.Program) string {
 	if !program.Ended {
 		return "running"
 	}
--- a/command/program_show.go
+++ b/command/program_show.go
@@ -11,28 +11,28 @@
 )
 
 func newProgramShowCommand(flags *operatorFlags) *cobra.Command {
-	return verb[api.Program]{
+	return operatorCommand[api.Program]{
 		use:       "show ID",
 		short:     "Show one program",
 		arguments: cobra.ExactArgs(1),
-		ask: getting[api.Program](func(arguments []string) string {
+		fetch: fetchPath[api.Program](func(arguments []string) string {
 			return "/programs/" + url.PathEscape(arguments[0])
 		}),
-		text: printProgram,
+		printText: printProgram,
 	}.command(flags)
 }
 
 func printProgram(writer io.Writer, program api.Program) {
-	row(writer, "id", program.ID)
-	row(writer, "branch", program.Branch)
-	row(writer, "key", program.Key)
+	printRow(writer, "id", program.ID)
+	printRow(writer, "branch", program.Branch)
+	printRow(writer, "key", program.Key)
 	if program.Parent != "" {
-		row(writer, "parent", program.Parent)
+		printRow(writer, "parent", program.Parent)
 	}
-	row(writer, "state", stateOf(program))
-	row(writer, "calls", program.Calls)
-	row(writer, "budget tokens", program.BudgetTokens)
-	row(writer, "spent tokens", program.SpentTokens)
-	row(writer, "reserved tokens", program.ReservedTokens)
-	row(writer, "created", program.CreatedAt.Format(time.RFC3339))
+	printRow(writer, "state", programState(program))
+	printRow(writer, "calls", program.Calls)
+	printRow(writer, "budget tokens", program.BudgetTokens)
+	printRow(writer, "spent tokens", program.SpentTokens)
+	printRow(writer, "reserved tokens", program.ReservedTokens)
+	printRow(writer, "created", program.CreatedAt.Format(time.RFC3339))
 }
--- a/command/program_trace.go
+++ b/command/program_trace.go
@@ -25,7 +25,7 @@
 }
 
 func newProgramTraceCommand(flags *operatorFlags) *cobra.Command {
-	return verb[programTrace]{
+	return operatorCommand[programTrace]{
 		use:   "trace ID",
 		short: "Show a program's life: each call, where it ran, why there, what it waited for, what it cost",
 		long: "Shows a program's calls in their order. WAITED is the time from a call's acceptance to the\n" +
@@ -33,10 +33,10 @@
 			"choice: the predicted queueing, prefill, transfer, decode and link times, and how many back\n" +
 			"ends were feasible. Attempts made before the program's last change of owner are not kept.",
 		arguments: cobra.ExactArgs(1),
-		ask: func(ctx context.Context, client *operatorClient, arguments []string) (programTrace, error) {
+		fetch: func(ctx context.Context, client *operatorClient, arguments []string) (programTrace, error) {
 			return readTrace(ctx, client, arguments[0])
 		},
-		text: printTrace,
+		printText: printTrace,
 	}.command(flags)
 }
 
@@ -65,8 +65,8 @@
 
 func printTrace(writer io.Writer, trace programTrace) {
 	printProgram(writer, trace.Program)
-	row(writer)
-	row(writer, "SEQ", "KEY", "KIND", "STATUS", "TRY", "BACKEND", "WAITED", "RAN", "PROMPT", "CACHED", "OUTPUT", "WHY")
+	printRow(writer)
+	printRow(writer, "SEQ", "KEY", "KIND", "STATUS", "TRY", "BACKEND", "WAITED", "RAN", "PROMPT", "CACHED", "OUTPUT", "WHY")
 	attempts := make(map[uint64][]control.CallTrace)
 	for _, attempt := range trace.Attempts {
 		attempts[attempt.Sequence] = append(attempts[attempt.Sequence], attempt)
@@ -81,8 +81,8 @@
 				printAttempt(writer, call, attempt)
 				continue
 			}
-			row(writer, call.Sequence, call.Key, call.Kind, "retried", attempt.Attempt, attempt.Backend,
-				span(attempt.Accepted, attempt.Placed), span(attempt.Placed, attempt.Ended), "", "", "", why(attempt.Terms))
+			printRow(writer, call.Sequence, call.Key, call.Kind, "retried", attempt.Attempt, attempt.Backend,
+				elapsedText(attempt.Accepted, attempt.Placed), elapsedText(attempt.Placed, attempt.Ended), "", "", "", choiceText(attempt.Terms))
 		}
 	}
 }
@@ -93,25 +93,25 @@
 	if backend == "" {
 		backend = string(attempt.Backend)
 	}
-	reason := why(attempt.Terms)
+	reason := choiceText(attempt.Terms)
 	if call.Error != nil {
 		reason = strings.TrimSpace(fmt.Sprintf("%s: %s %s", call.Error.Code, call.Error.Message, reason))
 	}
-	row(writer, call.Sequence, call.Key, call.Kind, call.Status, attempt.Attempt, orDash(backend),
-		span(attempt.Accepted, attempt.Placed), span(attempt.Placed, attempt.Ended),
+	printRow(writer, call.Sequence, call.Key, call.Kind, call.Status, attempt.Attempt, orDash(backend),
+		elapsedText(attempt.Accepted, attempt.Placed), elapsedText(attempt.Placed, attempt.Ended),
 		call.Usage.PromptTokens, call.Usage.CachedTokens, call.Usage.OutputTokens, reason)
 }
 
-// span writes the time between two moments, where both are known.
-func span(from, to time.Time) string {
+// elapsedText writes the time between two moments, where both are known.
+func elapsedText(from, to time.Time) string {
 	if from.IsZero() || to.IsZero() {
 		return "-"
 	}
 	return to.Sub(from).Round(time.Millisecond).String()
 }
 
-// why describes the terms of a choice.
-func why(terms schedule.Terms) string {
+// choiceText describes the terms of a choice.
+func choiceText(terms schedule.Terms) string {
 	if terms.Feasible == 0 {
 		return terms.Reason
 	}
--- a/command/root.go
+++ b/command/root.go
@@ -27,7 +27,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(verbs()...)
+	root.AddCommand(subcommands()...)
 	return root
 }
 
--- a/command/settings.go
+++ b/command/settings.go
@@ -39,8 +39,8 @@
 	return query
 }
 
-// originOf tells where a value comes from.
-func originOf(value contract.Explanation) string {
+// originText tells where a value comes from.
+func originText(value contract.Explanation) string {
 	switch {
 	case value.Default:
 		return "default"
--- a/command/settings_diff.go
+++ b/command/settings_diff.go
@@ -10,18 +10,18 @@
 
 func newSettingsDiffCommand(flags *operatorFlags) *cobra.Command {
 	var from, to string
-	command := verb[[]contract.Difference]{
+	command := operatorCommand[[]contract.Difference]{
 		use:       "diff [PATH] [--from REVISION] [--to REVISION]",
 		short:     "Show how a branch's settings differ between two revisions",
 		arguments: cobra.MaximumNArgs(1),
-		ask: getting[[]contract.Difference](func(arguments []string) string {
+		fetch: fetchPath[[]contract.Difference](func(arguments []string) string {
 			query := pathQuery(arguments)
 			query.Set("from", from)
 			query.Set("to", to)
 			return "/settings/diff?" + query.Encode()
 		}),
-		text: func(writer io.Writer, differences []contract.Difference) {
-			row(writer, "NAME", "BEFORE", "AFTER", "FROM")
+		printText: func(writer io.Writer, differences []contract.Difference) {
+			printRow(writer, "NAME", "BEFORE", "AFTER", "FROM")
 			printDifferences(writer, differences)
 		},
 	}.command(flags)
@@ -33,7 +33,7 @@
 // printDifferences writes one line for each value.
 func printDifferences(writer io.Writer, differences []contract.Difference) {
 	for _, difference := range differences {
-		row(writer, difference.Name, orDash(string(difference.Before)), orDash(string(difference.After)), difference.From)
+		printRow(writer, difference.Name, orDash(string(difference.Before)), orDash(string(difference.After)), difference.From)
 	}
 }
 
--- a/command/settings_history.go
+++ b/command/settings_history.go
@@ -14,19 +14,19 @@
 
 func newSettingsHistoryCommand(flags *operatorFlags) *cobra.Command {
 	limit := 20
-	command := verb[[]contract.HistoryEntry]{
+	command := operatorCommand[[]contract.HistoryEntry]{
 		use:       "history [PATH]",
 		short:     "Show the accepted changes that concern a branch, newest first",
 		arguments: cobra.MaximumNArgs(1),
-		ask: getting[[]contract.HistoryEntry](func(arguments []string) string {
+		fetch: fetchPath[[]contract.HistoryEntry](func(arguments []string) string {
 			query := pathQuery(arguments)
 			query.Set("limit", strconv.Itoa(limit))
 			return "/settings/history?" + query.Encode()
 		}),
-		text: func(writer io.Writer, entries []contract.HistoryEntry) {
-			row(writer, "REVISION", "AT", "ACTOR", "CHANGE", "EDITS")
+		printText: func(writer io.Writer, entries []contract.HistoryEntry) {
+			printRow(writer, "REVISION", "AT", "ACTOR", "CHANGE", "EDITS")
 			for _, entry := range entries {
-				row(writer, entry.Revision, entry.At.Format(time.RFC3339), entry.Actor, entry.ChangeID, editsText(entry.Edits))
+				printRow(writer, entry.Revision, entry.At.Format(time.RFC3339), entry.Actor, entry.ChangeID, editsText(entry.Edits))
 			}
 		},
 	}.command(flags)
--- a/command/settings_set.go
+++ b/command/settings_set.go
@@ -26,14 +26,14 @@
 
 // setFlags are the flags of settings set.
 type setFlags struct {
-	unset  []string
-	remove bool
-	file   string
-	based  uint64
-	id     string
-	actor  string
-	yes    bool
-	dryRun bool
+	unset        []string
+	remove       bool
+	file         string
+	baseRevision uint64
+	id           string
+	actor        string
+	yes          bool
+	dryRun       bool
 }
 
 func newSettingsSetCommand(flags *operatorFlags) *cobra.Command {
@@ -59,7 +59,7 @@
 	local.StringSliceVar(&set.unset, "unset", nil, "names that become inherited again")
 	local.BoolVar(&set.remove, "remove", false, "remove the branch and everything below it")
 	local.StringVar(&set.file, "file", "", "read the change from this file")
-	local.Uint64Var(&set.based, "based", 0, "the revision that the change was made on; left out, the present one")
+	local.Uint64Var(&set.baseRevision, "based", 0, "the revision that the change was made on; left out, the present one")
 	local.StringVar(&set.id, "id", "", "the change's id, to send the same change again")
 	local.StringVar(&set.actor, "actor", os.Getenv("USER"), "your name, for the history")
 	local.BoolVar(&set.yes, "yes", false, "send without asking")
@@ -89,9 +89,9 @@
 		printPreview(client.writer, result.Preview)
 	}
 	if flags.dryRun || len(result.Preview.Findings) > 0 {
-		return finishSet(client, result)
+		return reportResult(client, result)
 	}
-	if !flags.yes && !confirmed(command) {
+	if !flags.yes && !confirmSend(command) {
 		return &ExitError{Code: ExitFailure, Cause: errors.New("not sent")}
 	}
 	verdict, err := sendChange(ctx, client, change)
@@ -99,7 +99,7 @@
 		return err
 	}
 	result.Verdict = &verdict
-	return finishSet(client, result)
+	return reportResult(client, result)
 }
 
 // change builds the change from the arguments, or reads it from the file.
@@ -108,10 +108,10 @@
 	if f.file != "" {
 		content, err := os.ReadFile(f.file)
 		if err != nil {
-			return change, usage("%v", err)
+			return change, usageError("%v", err)
 		}
 		if findings := api.Decode(content, &change); len(findings) > 0 {
-			return change, usage("%s: %v", f.file, findings.Error())
+			return change, usageError("%s: %v", f.file, findings.Error())
 		}
 	} else {
 		edit, err := f.edit(arguments)
@@ -126,8 +126,8 @@
 	if change.ID == "" {
 		change.ID = uuid.NewString()
 	}
-	if f.based > 0 {
-		change.Based = contract.Revision(f.based)
+	if f.baseRevision > 0 {
+		change.Based = contract.Revision(f.baseRevision)
 	}
 	change.Actor = f.actor
 	change.At = time.Now().UTC()
@@ -143,34 +143,34 @@
 // edit reads PATH NAME=VALUE...
 func (f *setFlags) edit(arguments []string) (contract.Edit, error) {
 	if len(arguments) == 0 {
-		return contract.Edit{}, usage("which branch? Give a PATH, / for the root")
+		return contract.Edit{}, usageError("which branch? Give a PATH, / for the root")
 	}
 	edit := contract.Edit{Path: contract.Path(strings.Trim(arguments[0], "/")), Unset: f.unset, Remove: f.remove}
 	values := make(map[string]json.RawMessage)
 	for _, argument := range arguments[1:] {
 		name, text, found := strings.Cut(argument, "=")
 		if !found {
-			return edit, usage("%q: want NAME=VALUE", argument)
+			return edit, usageError("%q: want NAME=VALUE", argument)
 		}
-		value, err := valueOf(name, text)
+		value, err := encodeValue(name, text)
 		if err != nil {
-			return edit, usage("%s: %v", name, err)
+			return edit, usageError("%s: %v", name, err)
 		}
 		values[name] = value
 	}
 	encoded, err := json.Marshal(values)
 	if err != nil {
-		return edit, usage("%v", err)
+		return edit, usageError("%v", err)
 	}
 	if err := json.Unmarshal(encoded, &edit.Values); err != nil {
-		return edit, usage("%v", err)
+		return edit, usageError("%v", err)
 	}
 	return edit, nil
 }
 
-// valueOf finds the JSON form in which the setting takes the text: a number,
+// encodeValue finds the JSON form in which the setting takes the text: a number,
 // a list, or text such as a duration.
-func valueOf(name, text string) (json.RawMessage, error) {
+func encodeValue(name, text string) (json.RawMessage, error) {
 	parts := []string{}
 	if text != "" {
 		parts = strings.Split(text, ",")
@@ -202,12 +202,12 @@
 // printPreview shows what the change would do.
 func printPreview(writer io.Writer, preview operator.Preview) {
 	for _, finding := range preview.Findings {
-		row(writer, "wrong: "+finding.Place+": "+finding.Message)
+		printRow(writer, "wrong: "+finding.Place+": "+finding.Message)
 	}
 	if len(preview.Findings) > 0 {
 		return
 	}
-	row(writer, fmt.Sprintf("The change, on revision %d, affects %d branches.", preview.Revision, preview.Total))
+	printRow(writer, fmt.Sprintf("The change, on revision %d, affects %d branches.", preview.Revision, preview.Total))
 	for _, effect := range preview.Effects {
 		state := ""
 		if effect.Created {
@@ -216,15 +216,15 @@
 		if effect.Removed {
 			state = " (removed)"
 		}
-		row(writer, effect.Path.String()+state)
+		printRow(writer, effect.Path.String()+state)
 		for _, difference := range effect.Differences {
-			row(writer, fmt.Sprintf("  %s: %s -> %s", difference.Name, orDash(string(difference.Before)), orDash(string(difference.After))))
+			printRow(writer, fmt.Sprintf("  %s: %s -> %s", difference.Name, orDash(string(difference.Before)), orDash(string(difference.After))))
 		}
 	}
 }
 
-// confirmed asks on the terminal.
-func confirmed(command *cobra.Command) bool {
+// confirmSend asks on the terminal.
+func confirmSend(command *cobra.Command) bool {
 	_, _ = fmt.Fprint(command.ErrOrStderr(), "Send this change? [y/N] ")
 	answer, _ := bufio.NewReader(command.InOrStdin()).ReadString('\n')
 	answer = strings.ToLower(strings.TrimSpace(answer))
@@ -249,8 +249,8 @@
 	return verdict, fmt.Errorf("the verdict is not known; send the same change again with --id %s --based %d: %w", change.ID, change.Based, err)
 }
 
-// finishSet prints the result and fails when the change was not accepted.
-func finishSet(client *operatorClient, result setResult) error {
+// reportResult prints the result and fails when the change was not accepted.
+func reportResult(client *operatorClient, result setResult) error {
 	if client.output == outputJSON {
 		if err := client.print(result, nil); err != nil {
 			return err
@@ -264,7 +264,7 @@
 	case !result.Verdict.Accepted:
 		return &ExitError{Code: ExitFailure, Cause: errors.New(verdictText(*result.Verdict))}
 	case client.output == outputText:
-		row(client.writer, verdictText(*result.Verdict))
+		printRow(client.writer, verdictText(*result.Verdict))
 	}
 	return nil
 }
--- a/command/settings_status.go
+++ b/command/settings_status.go
@@ -10,16 +10,16 @@
 )
 
 func newSettingsStatusCommand(flags *operatorFlags) *cobra.Command {
-	return verb[operator.SettingsStatus]{
+	return operatorCommand[operator.SettingsStatus]{
 		use:       "status",
 		short:     "Show which nodes hold which revision, and which are behind",
 		arguments: cobra.NoArgs,
-		ask:       getting[operator.SettingsStatus](fixed("/settings/status")),
-		text: func(writer io.Writer, status operator.SettingsStatus) {
-			row(writer, "this node is", string(status.Freshness.State)+": "+status.Freshness.Reason)
-			row(writer, "NODE", "REVISION", "BEHIND", "HEARD")
+		fetch:     fetchPath[operator.SettingsStatus](constantPath("/settings/status")),
+		printText: func(writer io.Writer, status operator.SettingsStatus) {
+			printRow(writer, "this node is", string(status.Freshness.State)+": "+status.Freshness.Reason)
+			printRow(writer, "NODE", "REVISION", "BEHIND", "HEARD")
 			for _, node := range status.Nodes {
-				row(writer, node.Node, node.Revision, yesNo(node.Behind), node.HeardAgo.Round(time.Millisecond).String()+" ago")
+				printRow(writer, node.Node, node.Revision, yesNo(node.Behind), node.HeardAgo.Round(time.Millisecond).String()+" ago")
 			}
 		},
 	}.command(flags)
--- a/command/soak.go
+++ b/command/soak.go
@@ -18,17 +18,17 @@
 
 // The run of soak where no flag says otherwise.
 const (
-	soakNodes    = 12
-	soakDuration = 90 * time.Second
+	defaultSoakNodes    = 12
+	defaultSoakDuration = 90 * time.Second
 )
 
-// nodeProgram is the program of a node, which lies beside this one.
-const nodeProgram = "birchwood-edge"
+// nodeBinary is the program of a node, which lies beside this one.
+const nodeBinary = "birchwood-edge"
 
 // newSoakCommand returns the command that holds real processes to their promises.
 func newSoakCommand() *cobra.Command {
-	options := soak.Options{Scenario: soak.Scenario{Nodes: soakNodes}}
-	duration := soakDuration
+	options := soak.Options{Scenario: soak.Scenario{Nodes: defaultSoakNodes}}
+	duration := defaultSoakDuration
 	var replay string
 	command := &cobra.Command{
 		Use:   "soak [--seed N] [--duration D] [--nodes N] [--without MECHANISM,...] [--replay FILE]",
@@ -59,7 +59,7 @@
 	flags.StringArrayVar(&options.Known, "known", nil, "a promise that is known to be broken, in the report's words: reported, but no reason to fail; may be given again")
 	flags.StringVar(&replay, "replay", "", "a file with a run to make again, in place of --seed, --duration and --nodes")
 	flags.StringVar(&options.Logs, "logs", "", "a folder that the nodes' logs stay in; without it they go")
-	flags.StringVar(&options.Binary, "binary", "", "the program of a node; by default "+nodeProgram+" beside this program")
+	flags.StringVar(&options.Binary, "binary", "", "the program of a node; by default "+nodeBinary+" beside this program")
 	return command
 }
 
@@ -73,7 +73,7 @@
 		if err != nil {
 			return &ExitError{Code: ExitFailure, Cause: err}
 		}
-		options.Binary = filepath.Join(filepath.Dir(own), nodeProgram)
+		options.Binary = filepath.Join(filepath.Dir(own), nodeBinary)
 	}
 	if _, err := os.Stat(options.Binary); err != nil {
 		return &ExitError{Code: ExitUsage, Cause: fmt.Errorf("the program of a node (see --binary): %w", err)}
--- a/command/verbs.go
+++ b/command/verbs.go
@@ -6,8 +6,8 @@
 	"birchwood.example/birchwood/command/edgecommand"
 )
 
-// verbs returns the commands in the order of the help page.
-func verbs() []*cobra.Command {
+// subcommands returns the commands in the order of the help page.
+func subcommands() []*cobra.Command {
 	return []*cobra.Command{
 		newDevCommand(),
 		newServeCommand(),
--- a/command/version.go
+++ b/command/version.go
@@ -26,7 +26,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if output != outputText && output != outputJSON {
-				return usage("output %q: want %s or %s", output, outputText, outputJSON)
+				return usageError("output %q: want %s or %s", output, outputText, outputJSON)
 			}
 			client := operatorClient{output: output, writer: command.OutOrStdout()}
 			built := builtVersion()
