--- a/config/decode.go
+++ b/config/decode.go
@@ -13,20 +13,21 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// rootPath is the YAML path of a whole document.
+// rootPath is the YAML path of the document root.
 const rootPath = "$"
 
-// defaulter is a section that has default values of its own.
+// defaulter is implemented by sections with default values of their own.
 type defaulter interface{ setDefaults() }
 
-// decoder writes a YAML document into typed values. Unlike the library's
-// decoder it goes on after a finding, and it remembers where values stand.
+// decoder decodes a YAML document into typed values. Unlike the library's
+// decoder it continues after a finding, and it records the position of each
+// value.
 type decoder struct {
 	source   source
 	findings []Finding
 }
 
-// decode reads the document into target, a pointer to a struct or slice.
+// decode decodes the document into target, a pointer to a struct or slice.
 func (d *decoder) decode(data []byte, target any) {
 	parsed, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -41,7 +42,7 @@
 	d.decodeValue(parsed.Docs[0].Body, reflect.ValueOf(target).Elem(), rootPath)
 }
 
-// addSyntaxError reports text that is no YAML.
+// addSyntaxError reports a document that is not valid YAML.
 func (d *decoder) addSyntaxError(err error) {
 	found := Finding{File: d.source.name, Path: rootPath, Message: err.Error()}
 	var located yaml.Error
@@ -63,9 +64,9 @@
 	d.recordPosition(node, path)
 	switch typed := node.(type) {
 	case *ast.NullNode:
-		return // the default stays
+		return // keeps the default
 	case *ast.AliasNode, *ast.AnchorNode, *ast.TagNode, *ast.MergeKeyNode:
-		d.addFinding(path, "aliases, anchors and tags are not used here: write the value out")
+		d.addFinding(path, "YAML aliases, anchors and tags are not supported: write the value out")
 		return
 	case *ast.MappingValueNode:
 		d.decodeMapping([]*ast.MappingValueNode{typed}, target, path)
@@ -113,7 +114,7 @@
 	}
 }
 
-// newWithDefaults returns a pointer to a value that has its section's defaults.
+// newWithDefaults returns a pointer to a new value with its section's defaults.
 func newWithDefaults(created reflect.Type) reflect.Value {
 	pointer := reflect.New(created)
 	if section, hasDefaults := pointer.Interface().(defaulter); hasDefaults {
@@ -122,7 +123,7 @@
 	return pointer
 }
 
-// fieldIndexes returns the indexes of a struct's fields by their YAML names.
+// fieldIndexes returns the indexes of a struct's fields, keyed by YAML name.
 func fieldIndexes(structure reflect.Type) map[string]int {
 	fields := make(map[string]int, structure.NumField())
 	for index := range structure.NumField() {
@@ -133,7 +134,7 @@
 	return fields
 }
 
-// yamlName returns a field's key in YAML; empty for a field that has none.
+// yamlName returns a field's YAML key, or "" if the field has none.
 func yamlName(field reflect.StructField) string {
 	tag := field.Tag.Get("yaml")
 	if tag == "" {
@@ -159,7 +160,7 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// decodeScalar decodes text, a number or a truth value.
+// decodeScalar decodes a string, a number or a boolean.
 func (d *decoder) decodeScalar(node ast.Node, target reflect.Value, path string) {
 	if target.Kind() == reflect.Pointer {
 		target.Set(reflect.New(target.Type().Elem()))
@@ -205,7 +206,8 @@
 	return nil
 }
 
-// kindName names a type for people.
+// kindName describes a type in the words that findings and the reference page
+// use.
 func kindName(of reflect.Type) string {
 	if of == durationType {
 		return "a duration"
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Defaults of one engine and one tool service.
+// Defaults of a stand-in engine and a stand-in tool service.
 const (
 	defaultEngineSlots       = 16
 	defaultEngineCacheTokens = 64 << 10
 	defaultToolDelay         = 20 * time.Millisecond
 )
 
-// Defaults returns the values that a file may leave out. The sections of a
-// node, of the platform and of the stand-ins are empty.
+// Defaults returns a file with the default values. The sections node, platform
+// and standin are nil.
 func Defaults() *File {
 	return &File{
 		Links: Links{
--- a/config/deployments_test.go
+++ b/config/deployments_test.go
@@ -58,8 +58,8 @@
 	Entry("Qasr has 14 model replicas and 4 collections services", "qasr", 14, 4, 8),
 )
 
-// expectContracts holds the settings to the branches that the emulated load
-// of the same deployment uses.
+// expectContracts checks that the settings agree with the branches that the
+// emulated load of the same deployment uses.
 func expectContracts(tree *contract.Tree, deployment *workload.Deployment) {
 	for _, branch := range deployment.Branches {
 		resolved, err := tree.Resolve(branch.Path)
--- a/config/dev.go
+++ b/config/dev.go
@@ -9,36 +9,37 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// AnyPort is the address of a listener whose port the system chooses.
+// AnyPort is a loopback address whose port the operating system chooses.
 const AnyPort = "127.0.0.1:0"
 
-// The tokens and names of the development configuration. They are public:
-// nothing that listens beyond loopback may use them.
+// The tokens and names of the development configuration. The tokens are
+// public: a process that listens beyond loopback must not use them.
 const (
 	DevPeerToken     = "development-peer-token"
 	DevCallerToken   = "dev-caller-token"
 	DevOperatorToken = "dev-operator-token"
-	// DevBranch is where the caller's token counts.
+	// DevBranch is the branch that lists DevCallerToken.
 	DevBranch contract.Path = "demo"
-	// DevModel and DevLargeModel are what the engines have loaded.
+	// DevModel and DevLargeModel are the models that the engines have loaded.
 	DevModel      = "birch-8b"
 	DevLargeModel = "birch-70b"
 )
 
-// Development is all that one process needs to run the whole system in memory.
+// Development is the configuration of a whole system that runs in one process.
 type Development struct {
-	// Nodes are the settings of each node. Their listeners use AnyPort and
-	// their platform addresses are empty: the caller fills in what the
-	// system chose.
+	// Nodes holds the settings of each node. Their listeners use AnyPort and
+	// their platform addresses are empty: the caller fills in the addresses
+	// that the operating system chose.
 	Nodes []*File
-	// Standin holds the stand-ins; its listeners use AnyPort too.
+	// Standin holds the settings of the stand-ins, whose listeners also use
+	// AnyPort.
 	Standin *File
-	// Changes are the initial settings, in the order of the stream.
+	// Changes are the initial edits of the settings tree, in stream order.
 	Changes []contract.Change
 }
 
-// devEngineSpeed makes the engines of the development configuration fast enough
-// that a first call answers at once.
+// devEngineSpeed is the speed of the development engines, as a multiple of the
+// default rates. It is high enough that a first call answers at once.
 const devEngineSpeed = 10
 
 // Dev returns the configuration of `birchwood dev`: three zones, four nodes,
@@ -92,7 +93,7 @@
 	return file
 }
 
-// devTools are the tools that the two kinds of stand-in answer.
+// devTools are the tools of the two kinds of stand-in tool service.
 var devTools = []string{
 	"record_seal_break", "acknowledge_alarm", "read_logger",
 	"issue_plan_receipt", "send_letter", "read_account",
--- a/config/file.go
+++ b/config/file.go
@@ -7,14 +7,14 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// File is the settings file of one process. The tag "help" is the text of
-// docs/SETTINGS.md; the tag "validate" is checked by the validator library.
+// File is the settings file of one process. The tag "help" holds the text for
+// docs/SETTINGS.md, the tag "validate" the rules for the validator library.
 type File struct {
 	Node      *Node     `yaml:"node" help:"This node. Required for serve."`
 	Zones     []Zone    `yaml:"zones" validate:"required,min=1,max=64,unique=Name,dive" help:"Every zone of the deployment. All processes must agree on the list."`
 	Platform  *Platform `yaml:"platform" help:"Where the platform answers. Required for serve."`
 	PeerToken string    `yaml:"peer_token" validate:"omitempty,min=16,max=256,printascii" help:"The secret by which nodes know each other, at least 16 characters. Required for serve."`
-	// BootstrapToken is the way in while the settings tree lists no operator.
+	// BootstrapToken gives access while the settings tree lists no operator.
 	BootstrapToken string   `yaml:"bootstrap_token" validate:"omitempty,min=16,max=256,printascii" help:"An operator's bearer token that acts on the whole settings tree, for the time until the tree lists operators. Left out: there is none."`
 	Links          Links    `yaml:"links" help:"One-way delays of the network, with which the scheduler predicts."`
 	Timings        Timings  `yaml:"timings" help:"Periods and time-outs of a node."`
@@ -25,7 +25,7 @@
 	source source
 }
 
-// Node is this node's name, place and addresses.
+// Node is the identity, zone and addresses of the node.
 type Node struct {
 	ID        machine.ID `yaml:"id" validate:"required,machine" help:"The node's name, unique in the deployment."`
 	Zone      zone.Name  `yaml:"zone" validate:"required,zone" help:"The zone that the node runs in."`
@@ -40,14 +40,14 @@
 	Region zone.Region `yaml:"region" validate:"required,zone" help:"The region that the zone belongs to."`
 }
 
-// Platform is where the platform's services answer.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	Log      string `yaml:"log" validate:"required,address" help:"The log service."`
 	Machines string `yaml:"machines" validate:"required,address" help:"The machine list."`
 	Weights  string `yaml:"weights" validate:"required,address" help:"The weight store."`
 }
 
-// Links are one-way delays.
+// Links holds the one-way network delays.
 type Links struct {
 	SameZone     time.Duration `yaml:"same_zone" validate:"min=0,max=10s" help:"Between two machines of one zone."`
 	BetweenZones time.Duration `yaml:"between_zones" validate:"min=0,max=10s" help:"Between machines of two zones, unless a pair says otherwise."`
@@ -55,14 +55,14 @@
 	Pairs        []LinkPair    `yaml:"pairs" validate:"max=2016,dive" help:"Pairs of zones whose delay differs, in both directions."`
 }
 
-// LinkPair is the delay between two zones, in both directions.
+// LinkPair is the one-way delay between two zones, equal in both directions.
 type LinkPair struct {
 	From  zone.Name     `yaml:"from" validate:"required,zone" help:"One zone."`
 	To    zone.Name     `yaml:"to" validate:"required,zone,nefield=From" help:"The other zone."`
 	Delay time.Duration `yaml:"delay" validate:"min=0,max=10s" help:"The delay between them, one way."`
 }
 
-// Timings are the periods and time-outs of a node.
+// Timings holds the periods and time-outs of a node.
 type Timings struct {
 	ProbePeriod       time.Duration `yaml:"probe_period" validate:"min=50ms,max=1m" help:"Time between two rounds of probes of other nodes."`
 	ProbeTimeout      time.Duration `yaml:"probe_timeout" validate:"min=10ms,max=1m" help:"How long a direct probe waits before other nodes are asked to probe."`
@@ -87,7 +87,7 @@
 	DrainTimeout      time.Duration `yaml:"drain_timeout" validate:"min=0,max=1h" help:"How long a planned stop waits for running calls before it hands their partitions over all the same."`
 }
 
-// Limits are bounds on what a node accepts and holds.
+// Limits holds the bounds on what a node accepts and keeps.
 type Limits struct {
 	PartitionsPerBranch int `yaml:"partitions_per_branch" validate:"min=1,max=1024" help:"How many partitions the programs of each branch are spread over. All nodes must agree, and it never changes once programs exist."`
 	BodyBytes           int `yaml:"body_bytes" validate:"min=1024,max=67108864" help:"The largest body of a caller's request, in bytes."`
@@ -102,7 +102,7 @@
 	SnapshotRecords     int `yaml:"snapshot_records" validate:"min=16,max=1000000" help:"The least number of records between two snapshots of a partition."`
 }
 
-// Log is what the process writes about itself.
+// Log configures the log of the process.
 type Log struct {
 	Level string `yaml:"level" validate:"oneof=debug info warn error" help:"The least important line that is written: debug, info, warn or error."`
 }
@@ -115,7 +115,7 @@
 	return n.Listen
 }
 
-// Machine returns the node's entry of the machine list.
+// Machine returns the node's entry in the machine list.
 func (n *Node) Machine(incarnation uint64) machine.Machine {
 	return machine.Machine{
 		ID: n.ID, Kind: machine.KindNode, Zone: n.Zone, Address: n.Address(),
@@ -123,8 +123,8 @@
 	}
 }
 
-// Delay returns the one-way delay between two zones. The empty name stands
-// for a client.
+// Delay returns the one-way delay between two zones. An empty name means a
+// client outside the zones.
 func (l *Links) Delay(from, to zone.Name) time.Duration {
 	if from == "" || to == "" {
 		return l.Client
@@ -140,7 +140,7 @@
 	return l.BetweenZones
 }
 
-// ZoneNames returns the names of all zones, in the file's order.
+// ZoneNames returns the names of all zones in the order of the file.
 func (f *File) ZoneNames() []zone.Name {
 	names := make([]zone.Name, len(f.Zones))
 	for index, zone := range f.Zones {
--- a/config/finding.go
+++ b/config/finding.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Finding is one thing that is wrong with a file, and where.
+// Finding is one problem in a file, with its location.
 type Finding struct {
-	// File is the file as it was named, or the flag that overrides it.
+	// File is the file name as given, or the flag that overrides the value.
 	File string `json:"file"`
-	// Line and Column count from one; zero when the place has none.
+	// Line and Column count from 1; they are 0 when the position is unknown.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
-	// Path is the YAML path, such as "$.node.listen".
+	// Path is the YAML path of the value, such as "$.node.listen".
 	Path    string `json:"path"`
 	Message string `json:"message"`
 }
@@ -26,21 +26,21 @@
 	return fmt.Sprintf("%s: %s: %s", place, f.Path, f.Message)
 }
 
-// position is where a value stands in its source.
+// position is the location of a value: a file with line and column, or a flag.
 type position struct {
 	source string
 	line   int
 	column int
 }
 
-// source remembers where the values of a file stand, by YAML path.
+// source holds the positions of a file's values, keyed by YAML path.
 type source struct {
 	name      string
 	positions map[string]position
 }
 
-// finding returns a finding at the path, placed at the nearest value above it
-// that stands in the file.
+// finding returns a finding for the path. Its position is that of the path or,
+// if the file lacks it, of the nearest enclosing value.
 func (s *source) finding(path, format string, arguments ...any) Finding {
 	found := Finding{File: s.name, Path: path, Message: fmt.Sprintf(format, arguments...)}
 	for nearest := path; nearest != ""; nearest = parentPath(nearest) {
@@ -52,7 +52,7 @@
 	return found
 }
 
-// parentPath drops the last key or index of a YAML path.
+// parentPath returns a YAML path without its last key or index.
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
--- a/config/load.go
+++ b/config/load.go
@@ -10,20 +10,20 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Override sets one value in place of the file's.
+// Override replaces one value of the file.
 type Override struct {
 	// Path is the value's YAML path without the leading "$.", such as
 	// "node.listen".
 	Path string
-	// Value is the value's text, as it would stand in the file.
+	// Value is the value's text, as written in a file.
 	Value string
-	// Origin names the flag in findings, such as "flag --listen"; left out, it
-	// is "override".
+	// Origin names the flag in findings, such as "flag --listen". If empty,
+	// findings say "override".
 	Origin string
 }
 
-// Load reads a file, applies the overrides in order and checks the result. It
-// returns every finding; the file is nil when there are any.
+// Load reads a file, applies the overrides in order and validates the result.
+// It returns all findings; the file is nil if there are any.
 func Load(path string, overrides ...Override) (*File, []Finding) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return Parse(path, data, overrides...)
 }
 
-// Parse is Load for the content of a file; name stands in findings, and its
-// folder is where the relative paths of the file start.
+// Parse is Load for the content of a file. Findings carry the name, and
+// relative paths in the file start at its folder.
 func Parse(name string, data []byte, overrides ...Override) (*File, []Finding) {
 	file := Defaults()
 	decoder := &decoder{source: source{name: name, positions: map[string]position{}}}
@@ -56,8 +56,8 @@
 	return file, nil
 }
 
-// resolveSettingsPath makes the path of the initial settings absolute; a relative
-// one starts at folder.
+// resolveSettingsPath makes the path of the initial settings absolute. A
+// relative path starts at folder.
 func (f *File) resolveSettingsPath(folder string) error {
 	if f.Standin == nil || f.Standin.Settings == "" || filepath.IsAbs(f.Standin.Settings) {
 		return nil
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// documentUnreadable reports whether the document as a whole could not be read, so
-// that checks of its values would only repeat that.
+// documentUnreadable reports whether the document as a whole could not be
+// decoded. Validating its values would then only report consequences.
 func (d *decoder) documentUnreadable() bool {
 	for _, found := range d.findings {
 		if found.Path == rootPath {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// Override sets one value. Sections that the file leaves out are created.
+// Override sets one value and creates its section if the file lacks it.
 func (f *File) Override(override Override) []Finding {
 	path := rootPath + "." + override.Path
 	if override.Origin == "" {
--- a/config/load_test.go
+++ b/config/load_test.go
@@ -29,7 +29,7 @@
     - {from: north, to: south, delay: 7ms}
 `
 
-// texts returns the findings as people see them.
+// texts returns the findings in the form in which they are printed.
 func texts(findings []config.Finding) []string {
 	lines := make([]string, len(findings))
 	for index, found := range findings {
--- a/config/reference.go
+++ b/config/reference.go
@@ -8,25 +8,26 @@
 
 //go:generate go run ../internal/settingsdoc -output ../docs/SETTINGS.md
 
-// Setting describes one key of a settings file, for the reference page.
+// Setting describes one key of a settings file for the reference page.
 type Setting struct {
 	// Path is the YAML path, with "[]" for each item of a list.
 	Path string
-	// Kind is its type in words, and Range what is accepted.
+	// Kind is the type and Range the accepted values, both in words.
 	Kind  string
 	Range string
-	// Default is the value when the file leaves the key out; empty when there
-	// is none.
+	// Default is the value if the file leaves the key out, or empty if there is
+	// none.
 	Default string
 	Help    string
 }
 
-// Reference returns every key of a process's settings file, in its order.
+// Reference returns every key of a process's settings file, in the order of
+// File's fields.
 func Reference() []Setting {
 	return describeSection(reflect.ValueOf(Defaults()).Elem(), "")
 }
 
-// describeSection lists the keys of one section.
+// describeSection returns the keys of one section and of the sections in it.
 func describeSection(section reflect.Value, prefix string) []Setting {
 	var settings []Setting
 	for index := range section.NumField() {
@@ -50,8 +51,9 @@
 	return settings
 }
 
-// nestedSection returns a section, or an item of a list of sections, with its
-// defaults.
+// nestedSection returns the section that a value is or points to, or an item of
+// a list of sections, with its defaults and the path prefix of its keys. It
+// reports false for any other value.
 func nestedSection(value reflect.Value, path string) (reflect.Value, string, bool) {
 	kind := value.Type()
 	switch {
@@ -66,7 +68,7 @@
 	}
 }
 
-// acceptedRange tells in words what the validator's rules accept.
+// acceptedRange describes the values that the validator's rules accept.
 func acceptedRange(field reflect.StructField) string {
 	var words []string
 	rules, _, _ := strings.Cut(field.Tag.Get("validate"), ",dive")
@@ -92,7 +94,7 @@
 	return strings.Join(words, "; ")
 }
 
-// boundWithUnit adds the unit of a boundWithUnit.
+// boundWithUnit returns a bound with the unit that its type implies.
 func boundWithUnit(of reflect.Type, parameter string) string {
 	switch of.Kind() {
 	case reflect.Slice:
--- a/config/settings.go
+++ b/config/settings.go
@@ -9,15 +9,15 @@
 
 // SettingsFile holds the initial settings tree of a deployment.
 type SettingsFile struct {
-	// ID and Actor are those of the change that the edits make up.
+	// ID and Actor are those of the change that consists of the edits.
 	ID    string `yaml:"id" help:"The id of the change that the edits make up."`
 	Actor string `yaml:"actor" help:"Who makes the change, as the history shows it."`
-	// Edits are the branches, parents first.
+	// Edits holds one edit per branch, parents first.
 	Edits []contract.Edit `yaml:"edits" help:"The branches with what each sets, parents first."`
 }
 
-// LoadSettings reads a file of initial settings and checks them against an
-// empty tree. Tokens stand in the file as hashes.
+// LoadSettings reads a file of initial settings and validates them against an
+// empty tree. The file holds hashes of tokens, not the tokens.
 func LoadSettings(path string) ([]contract.Change, []Finding) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return ParseSettings(path, data)
 }
 
-// ParseSettings is LoadSettings for the content of a file.
+// ParseSettings is LoadSettings for the content of a file, which findings call
+// by the given name.
 func ParseSettings(name string, data []byte) ([]contract.Change, []Finding) {
 	decoder := &decoder{source: source{name: name, positions: map[string]position{}}}
 	var file SettingsFile
@@ -46,8 +47,9 @@
 	return []contract.Change{change}, nil
 }
 
-// Check reads a file of either sort and returns what is wrong with it: a file
-// with a key "edits" holds settings of the tree, any other those of a process.
+// Check validates a settings file of either kind: a file with a top-level key
+// "edits" holds edits of the settings tree, any other file the settings of a
+// process.
 func Check(path string) []Finding {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/config/standin.go
+++ b/config/standin.go
@@ -7,7 +7,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// Standin describes the stand-ins that one process runs.
+// Standin configures the stand-ins that one process runs: simulated platform
+// services, engines and tool services.
 type Standin struct {
 	Platform       string        `yaml:"platform" validate:"required,address" help:"Where the log service, the machine list and the weight store listen."`
 	Control        string        `yaml:"control" validate:"required,address" help:"Where faults are switched on and off."`
@@ -22,7 +23,7 @@
 	Tools          []ToolService `yaml:"tools" validate:"max=1000,unique=ID,dive" help:"The tool services."`
 }
 
-// Engine is one stand-in of a model engine.
+// Engine configures a stand-in for a model engine.
 type Engine struct {
 	ID          machine.ID `yaml:"id" validate:"required,machine" help:"The engine's name."`
 	Zone        zone.Name  `yaml:"zone" validate:"required,zone" help:"The zone that it runs in."`
@@ -37,7 +38,7 @@
 	*e = Engine{Slots: defaultEngineSlots, CacheTokens: defaultEngineCacheTokens, Speed: 1}
 }
 
-// ToolService is one stand-in of a tool service.
+// ToolService configures a stand-in for a tool service.
 type ToolService struct {
 	ID      machine.ID    `yaml:"id" validate:"required,machine" help:"The service's name."`
 	Zone    zone.Name     `yaml:"zone" validate:"required,zone" help:"The zone that it runs in."`
--- a/config/validate.go
+++ b/config/validate.go
@@ -14,8 +14,8 @@
 
 var machineIDPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
 
-// fileValidator holds the validator with this package's own rules. It caches what
-// it learns about types and is safe for concurrent use.
+// fileValidator is the validator with this package's additional rules. It
+// caches struct metadata and is safe for concurrent use.
 var fileValidator = newFileValidator()
 
 func newFileValidator() *validator.Validate {
@@ -29,13 +29,13 @@
 	for name, accept := range rules {
 		err := created.RegisterValidation(name, func(field validator.FieldLevel) bool { return accept(field.Field().String()) })
 		if err != nil {
-			panic(err) // a rule's name is wrong, whatever the input
+			panic(err) // only an invalid rule name can cause this
 		}
 	}
 	return created
 }
 
-// checkAddress accepts an IP number with a port.
+// checkAddress accepts an IP address with a port other than 0.
 func checkAddress(text string) error {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Validate returns everything that is wrong with the values.
+// Validate returns all findings on the values.
 func (f *File) Validate() []Finding {
 	var findings []Finding
 	if err := fileValidator.Struct(f); err != nil {
@@ -63,7 +63,7 @@
 	return findings
 }
 
-// ruleMessage tells what a rule of the validator wanted.
+// ruleMessage describes the validator rule that a field violates.
 func ruleMessage(wrong validator.FieldError) string {
 	switch wrong.Tag() {
 	case "required":
@@ -74,7 +74,7 @@
 		return fmt.Sprintf("%q: want lower-case letters, digits and inner hyphens", wrong.Value())
 	case "unique":
 		if wrong.Param() == "" {
-			return "an item stands twice"
+			return "duplicate item"
 		}
 		return fmt.Sprintf("two items have the same %s", strings.ToLower(wrong.Param()))
 	case "oneof":
@@ -84,7 +84,7 @@
 	case "gt":
 		return fmt.Sprintf("%v: want more than %s", wrong.Value(), wrong.Param())
 	case "nefield":
-		return fmt.Sprintf("%q: want another value than that of %s", wrong.Value(), strings.ToLower(wrong.Param()))
+		return fmt.Sprintf("%q: must differ from the value of %s", wrong.Value(), strings.ToLower(wrong.Param()))
 	default:
 		return fmt.Sprintf("%v: breaks the rule %s %s", wrong.Value(), wrong.Tag(), wrong.Param())
 	}
@@ -102,7 +102,8 @@
 	}
 }
 
-// checkSections finds sections that need each other.
+// checkSections reports missing sections: node or standin, and those that node
+// requires.
 func (f *File) checkSections() []Finding {
 	var findings []Finding
 	missing := func(path string) { findings = append(findings, f.source.finding(path, "missing")) }
@@ -121,7 +122,7 @@
 	return findings
 }
 
-// checkZones finds names of zones that the list of zones lacks.
+// checkZones reports references to zones that are not in the list of zones.
 func (f *File) checkZones() []Finding {
 	known := map[zone.Name]bool{}
 	for _, zone := range f.Zones {
@@ -152,7 +153,7 @@
 	return findings
 }
 
-// checkAddresses finds two listeners on one address.
+// checkAddresses reports listeners that share an address.
 func (f *File) checkAddresses() []Finding {
 	var findings []Finding
 	pathByAddress := map[string]string{}
@@ -184,7 +185,7 @@
 	return findings
 }
 
-// checkAdvertise finds an address that other machines cannot connect to.
+// checkAdvertise reports an unspecified address, to which peers cannot connect.
 func (f *File) checkAdvertise() []Finding {
 	path := "$.node.advertise"
 	if f.Node.Advertise == "" {
@@ -197,7 +198,7 @@
 	return []Finding{f.source.finding(path, "%q: peers cannot connect to the unspecified address; set node.advertise", f.Node.Address())}
 }
 
-// checkTimings finds timings that contradict each other.
+// checkTimings reports timings that contradict each other.
 func (f *File) checkTimings() []Finding {
 	var findings []Finding
 	if f.Timings.SettingsFreshness < 2*f.Timings.SettingsPoll {
