--- a/cmd/birchwood-edge/main.go
+++ b/cmd/birchwood-edge/main.go
@@ -1,5 +1,6 @@
 // Command birchwood-edge runs one node on the users' platform, as `birchwood
-// edge` does. It links nothing else, since machines there are small.
+// edge` does. It links only what that node needs, because machines there have
+// little memory.
 package main
 
 import (
--- a/cmd/birchwood/main.go
+++ b/cmd/birchwood/main.go
@@ -1,5 +1,5 @@
-// Command birchwood runs a node, the platform's stand-ins, or one of the
-// operators' tools.
+// Command birchwood runs a node, the stand-ins of the platform, or one of the
+// tools for operators.
 package main
 
 import (
--- a/command/backend.go
+++ b/command/backend.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/operator"
 )
 
-// newBackendCommand returns the verbs on back ends.
+// newBackendCommand returns the subcommands for back ends.
 func newBackendCommand() *cobra.Command {
 	flags := &operatorFlags{}
 	command := &cobra.Command{Use: "backend", Short: "See and drain back ends"}
@@ -39,7 +39,8 @@
 	}
 }
 
-// displayStatus tells whether a back end gets new work.
+// displayStatus returns the status to show: "drained" for a drained back end,
+// whatever its machine status is.
 func displayStatus(backend operator.BackendState) machine.Status {
 	if backend.Drained {
 		return "drained"
--- a/command/bench.go
+++ b/command/bench.go
@@ -30,9 +30,9 @@
 }
 
 // errViolations makes bench exit with 1 after it has printed its result.
-var errViolations = errors.New("a policy's run broke an invariant")
+var errViolations = errors.New("at least one policy's run violated an invariant")
 
-// allPolicies is the value of --policy that compares every policy.
+// allPolicies is the value of --policy that selects all policies.
 const allPolicies = "all"
 
 // newBenchCommand returns the command that measures scheduling policies.
@@ -63,7 +63,7 @@
 	return command
 }
 
-// runBench measures and prints.
+// runBench runs the policies and prints the result.
 func runBench(command *cobra.Command, flags benchFlags) error {
 	config, err := benchConfig(flags)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return violationError(result)
 }
 
-// violationError returns an error when a run broke an invariant.
+// violationError returns an error if a run violated an invariant.
 func violationError(result emulator.BenchResult) error {
 	for _, policy := range result.Policies {
 		if policy.Violations > 0 {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// benchConfig turns the flags into a configuration.
+// benchConfig returns the configuration that the flags describe.
 func benchConfig(flags benchFlags) (emulator.BenchConfig, error) {
 	deployment, err := workload.ByName(flags.deployment)
 	if err != nil {
@@ -127,13 +127,13 @@
 	}, nil
 }
 
-// faultsFile is the form of the file of --faults.
+// faultsFile is the content of the file that --faults names.
 type faultsFile struct {
 	Faults []emulator.Fault `yaml:"faults"`
 }
 
-// readFaults reads the faults of a file; no name means none. Unknown keys are
-// refused, with their line.
+// readFaults reads the faults of a file, or none if the name is empty. An
+// unknown key is an error that names its line.
 func readFaults(name string) ([]emulator.Fault, error) {
 	if name == "" {
 		return nil, nil
@@ -150,7 +150,7 @@
 	return content.Faults, nil
 }
 
-// printBench writes the result in the wanted form.
+// printBench writes the result as text or JSON.
 func printBench(writer io.Writer, result emulator.BenchResult, output string) error {
 	if output == "json" {
 		encoder := json.NewEncoder(writer)
@@ -160,7 +160,7 @@
 	return printBenchText(writer, result)
 }
 
-// printBenchText writes a table of the policies, one of the kinds of program,
+// printBenchText writes a table of the policies, a table of the program kinds,
 // and the violations.
 func printBenchText(writer io.Writer, result emulator.BenchResult) error {
 	fmt.Fprintf(writer, "deployment %s, seed %d, load %g of %.2f programs/s, %d programs\n\n",
@@ -196,20 +196,22 @@
 	return nil
 }
 
-// millisecondsPerSecond converts the latencies for the tables.
+// millisecondsPerSecond converts latencies in milliseconds to seconds.
 const millisecondsPerSecond = 1000
 
-// latencyCells returns the percentiles as three cells of a table.
+// latencyCells returns the percentiles, in seconds, as three table cells.
 func latencyCells(latency emulator.Percentiles) string {
 	return fmt.Sprintf("%.2f\t%.2f\t%.2f", latency.P50/millisecondsPerSecond,
 		latency.P95/millisecondsPerSecond, latency.P99/millisecondsPerSecond)
 }
 
-// sweepLoads are the loads of the sweep that --plot draws.
+// sweepLoads are the loads of the sweep that --plot draws, as shares of the
+// capacity.
 var sweepLoads = []float64{0.2, 0.4, 0.6, 0.8, 1, 1.5, 2, 3}
 
-// plotBench draws the result and a load sweep, if a directory is named. Every
-// load of the sweep lasts as long: it takes programs in proportion.
+// plotBench draws the result and a load sweep if a directory is given. The
+// number of programs is proportional to the load, so that each run of the
+// sweep covers the same span of arrivals.
 func plotBench(config emulator.BenchConfig, result emulator.BenchResult, directory string, bar *progressBar) error {
 	if directory == "" {
 		return nil
--- a/command/bench_test.go
+++ b/command/bench_test.go
@@ -13,7 +13,7 @@
 	"birchwood.example/birchwood/command"
 )
 
-// run executes a command line and returns what it printed.
+// run executes a command line and returns its standard output.
 func run(arguments ...string) (string, error) {
 	var printed bytes.Buffer
 	root := command.Root()
@@ -24,7 +24,7 @@
 	return printed.String(), err
 }
 
-// writeFaultsFile writes a file and returns its name.
+// writeFaultsFile writes a faults file and returns its name.
 func writeFaultsFile(content string) string {
 	name := filepath.Join(GinkgoT().TempDir(), "faults.yaml")
 	Expect(os.WriteFile(name, []byte(content), 0o600)).To(Succeed())
--- a/command/check.go
+++ b/command/check.go
@@ -32,17 +32,17 @@
 	return command
 }
 
-// checkPlatform checks a settings file of the users' platform.
+// checkPlatform validates a settings file of a node on the users' platform.
 func checkPlatform(command *cobra.Command, path string) error {
 	if _, err := platform.LoadSettings(path); err != nil {
 		fmt.Fprintln(command.ErrOrStderr(), err)
-		return &ExitError{Code: ExitUsage, Cause: errors.New("the file is not usable")}
+		return &ExitError{Code: ExitUsage, Cause: errors.New("invalid settings file")}
 	}
 	fmt.Fprintf(command.OutOrStdout(), "%s: no findings\n", path)
 	return nil
 }
 
-// reportFindings prints every finding with its place and fails the command.
+// reportFindings prints all findings and returns the error of the command.
 func reportFindings(command *cobra.Command, findings []config.Finding) error {
 	for _, finding := range findings {
 		fmt.Fprintln(command.ErrOrStderr(), finding)
--- a/command/dev.go
+++ b/command/dev.go
@@ -36,7 +36,7 @@
 	return command
 }
 
-// runDev runs the development system until the context ends.
+// runDev runs the development system until the context is cancelled.
 func runDev(ctx context.Context, output io.Writer, level string) error {
 	loggers := func(node string) *log.Logger { return newLogger(level, node) }
 	system, err := development.Start(ctx, config.Dev(), loggers)
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// devExample is a first program and call, ready to paste.
+// devExample shows shell commands that create a program and make a call. Its
+// arguments are the callers' address, the token, the branch and the model.
 const devExample = `
 A first program and its first call:
 
--- a/command/dev_platform.go
+++ b/command/dev_platform.go
@@ -9,7 +9,8 @@
 	"birchwood.example/birchwood/platform/standin"
 )
 
-// The size of the development system on the users' platform.
+// The size of the development system on the users' platform: nodes, model
+// replicas, plain (non-model) replicas, and events per answer of a model replica.
 const (
 	devNodes           = 3
 	devModelReplicas   = 2
@@ -17,14 +18,15 @@
 	devEventsPerAnswer = 8
 )
 
-// devEventInterval is how long an event takes, so that a stream is seen to come.
+// devEventInterval is the time between two events of an answer. It is long
+// enough for a user to see the stream arrive piece by piece.
 const devEventInterval = 60 * time.Millisecond
 
-// devReadyPollInterval is the time between two looks at whether the nodes are ready.
+// devReadyPollInterval is the time between two checks whether a node is ready.
 const devReadyPollInterval = 50 * time.Millisecond
 
 // runDevPlatform runs nodes on stand-ins of the users' platform until the
-// context ends.
+// context is cancelled.
 func runDevPlatform(ctx context.Context, output io.Writer, level string, tenants bool) error {
 	options := standin.Options{
 		Nodes: devNodes, Models: devModelReplicas, Plain: devPlainReplicas, Events: devEventsPerAnswer, Step: devEventInterval, Logger: newLogger(level, ""),
@@ -47,8 +49,8 @@
 	return nil
 }
 
-// awaitReady waits until every node is ready, and reports false if the context
-// ended first.
+// awaitReady waits until every node is ready. It reports false if the context
+// is cancelled first.
 func awaitReady(ctx context.Context, system *standin.System) bool {
 	ticker := time.NewTicker(devReadyPollInterval)
 	defer ticker.Stop()
--- a/command/doc.go
+++ b/command/doc.go
@@ -1,8 +1,9 @@
-// Package command holds the command line, one file for each verb.
+// Package command implements the command line, with one file per subcommand.
 //
-// Root returns the command with all of them. The verbs that run processes
-// (serve, standin, dev) wire the packages that do the work; those of operators
-// ask a node's operators' server over HTTP and print what it answers; the
-// others (bench, fuzz, verify, load, check) run a tool in this process.
-// An error decides the exit code, see ExitError. docs/CLI.md is the users' view.
+// Root returns the command with all subcommands. Those that run processes
+// (serve, standin, dev) wire the packages that do the work. Those for operators
+// send a request to a node's operators' API and print the answer. The others
+// (bench, fuzz, verify, load, check) run a tool in this process. The returned
+// error determines the exit code, see ExitError. docs/CLI.md is the user
+// documentation.
 package command
--- a/command/edgecommand/decisions.go
+++ b/command/edgecommand/decisions.go
@@ -8,12 +8,12 @@
 	"github.com/phuslu/log"
 )
 
-// Bounds of the decision log: lines that cannot be written at once wait in a
-// queue of this length, and are dropped beyond it.
+// decisionQueueLines is the capacity of the decision log's queue, in lines.
+// Lines beyond it are dropped.
 const decisionQueueLines = 2048
 
-// decisionWriter queues the lines of the decision log and counts those that
-// are dropped because the queue is full.
+// decisionWriter queues the lines of the decision log. It counts the lines
+// dropped because the queue is full.
 type decisionWriter struct {
 	queue   log.AsyncWriter
 	dropped atomic.Uint64
@@ -28,9 +28,9 @@
 	return written, err
 }
 
-// newDecisionLogger returns the logger of a node on the users' platform: JSON
-// lines on standard output that never block a request. Flush writes the lines
-// that wait.
+// newDecisionLogger returns the logger of a node on the users' platform. It
+// writes JSON lines to standard output and never blocks a request. The function
+// flush writes the queued lines and closes the queue.
 func newDecisionLogger(node string, lines *decisionWriter) (logger *log.Logger, flush func()) {
 	lines.queue = log.AsyncWriter{
 		ChannelSize: decisionQueueLines, DiscardOnFull: true, DisableWritev: true, Writer: &log.IOWriter{Writer: os.Stdout},
--- a/command/edgecommand/decisions_test.go
+++ b/command/edgecommand/decisions_test.go
@@ -6,7 +6,7 @@
 	"github.com/phuslu/log"
 )
 
-// blockedWriter blocks until it is released.
+// blockedWriter is a writer whose writes block until released is closed.
 type blockedWriter struct{ released chan struct{} }
 
 func (w blockedWriter) Write(line []byte) (int, error) {
--- a/command/edgecommand/edge.go
+++ b/command/edgecommand/edge.go
@@ -1,6 +1,6 @@
-// Package edgecommand is the command that runs one node on the users' platform.
-// It links what a node needs and no more: `birchwood edge` and the program
-// birchwood-edge, which has a machine to itself, share it.
+// Package edgecommand implements the command that runs one node on the users'
+// platform. `birchwood edge` and the binary birchwood-edge share it. It imports
+// only what a node needs, to keep that binary small.
 package edgecommand
 
 import (
@@ -44,10 +44,10 @@
 	return command
 }
 
-// runEdge runs a node until SIGTERM or SIGINT. SIGHUP reads the settings again.
+// runEdge runs a node until SIGTERM or SIGINT. SIGHUP reloads the settings.
 func runEdge(parent context.Context, path string, without []edge.Mechanism) error {
-	// Signals may come at any time from the process's start on; one that is not asked
-	// for ends it.
+	// Register before loading the settings: a signal may arrive at any time, and
+	// an unhandled SIGHUP would end the process.
 	signals := make(chan os.Signal, signalQueueLength)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	settings, err := platform.LoadSettings(path)
@@ -69,7 +69,7 @@
 	for {
 		select {
 		case err := <-node.Failed():
-			return &exit.Error{Code: exit.Failure, Cause: fmt.Errorf("serving ended: %w", err)}
+			return &exit.Error{Code: exit.Failure, Cause: fmt.Errorf("node stopped serving: %w", err)}
 		case <-parent.Done():
 			return nil
 		case received := <-signals:
@@ -82,14 +82,14 @@
 	}
 }
 
-// signalQueueLength bounds the signals that wait to be handled.
+// signalQueueLength is the number of signals that can wait to be handled.
 const signalQueueLength = 8
 
-// reloadEdge reads the settings file again and logs what it found.
+// reloadEdge reloads the settings file and logs which settings changed.
 func reloadEdge(node *edge.Node, path string, logger *log.Logger) {
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
-		logger.Error().Err(err).Msg("settings: not reloaded")
+		logger.Error().Err(err).Msg("settings: reload failed, keeping the present settings")
 		return
 	}
 	changed := node.Reload(settings)
--- a/command/edgecommand/edge_test.go
+++ b/command/edgecommand/edge_test.go
@@ -16,7 +16,7 @@
 		Expect(syscall.Mkfifo(settings, 0o600)).To(Succeed())
 		ended := make(chan error, 1)
 		go func() { ended <- runEdge(context.Background(), settings, nil) }()
-		// The pipe opens once the node reads its settings.
+		// Opening the pipe for writing blocks until the node reads its settings.
 		writer, err := os.OpenFile(settings, os.O_WRONLY, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
--- a/command/exit/exit.go
+++ b/command/exit/exit.go
@@ -1,5 +1,5 @@
-// Package exit names the exit codes of birchwood's programs, which docs/CLI.md
-// lists, and carries them in errors.
+// Package exit defines the exit codes of birchwood's binaries, which
+// docs/CLI.md lists, and an error type that carries one.
 package exit
 
 import (
@@ -11,12 +11,12 @@
 // The exit codes.
 const (
 	OK = 0
-	// Failure: the command ran and the answer is a failure, such as a finding, a
-	// refused change or an unanswered call.
+	// Failure means that the command ran and its result is a failure, such as a
+	// finding, a refused change or an unanswered call.
 	Failure = 1
-	// Usage: the arguments, flags or a settings file are wrong.
+	// Usage means invalid arguments, flags or settings files.
 	Usage = 2
-	// Unreachable: the node could not be reached.
+	// Unreachable means that the node could not be reached.
 	Unreachable = 3
 )
 
@@ -26,13 +26,14 @@
 	Cause error
 }
 
-// Error describes the failure.
+// Error returns the message of the cause.
 func (e *Error) Error() string { return e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Report writes the error of a program, if any, and returns its exit code.
+// Report writes the error, if any, prefixed by the program's name, and returns
+// the exit code. An error without an exit code counts as wrong usage.
 func Report(to io.Writer, program string, err error) int {
 	if err == nil {
 		return OK
--- a/command/explain.go
+++ b/command/explain.go
@@ -12,7 +12,8 @@
 	"github.com/spf13/cobra"
 )
 
-// newExplainCommand returns the verb that leads from a request to its cause.
+// newExplainCommand returns the subcommand that prints the log lines relevant
+// to the outcome of a request.
 func newExplainCommand() *cobra.Command {
 	span := defaultExplainSpan
 	command := &cobra.Command{
@@ -27,13 +28,14 @@
 	return command
 }
 
-// defaultExplainSpan is how far back causes are looked for.
+// defaultExplainSpan is the time before the end of a request from which related
+// log lines are shown.
 const defaultExplainSpan = 10 * time.Second
 
-// maxLogLineBytes bounds one line of a log.
+// maxLogLineBytes is the maximum length of a log line.
 const maxLogLineBytes = 1 << 20
 
-// logLine is one line of a node's log. Fields that it does not have are empty.
+// logLine is one line of a node's log. Fields missing from the line are zero.
 type logLine struct {
 	Time      time.Time `json:"time"`
 	Level     string    `json:"level"`
@@ -42,16 +44,18 @@
 	Request   string    `json:"request"`
 	Partition *int      `json:"partition"`
 	Replica   string    `json:"replica"`
-	// Counted is the node that counted the request to its tenant's limit.
+	// Counted is the node that counted the request towards its tenant's limit.
 	Counted string `json:"counted"`
-	// Evacuated is the zone whose evacuation the line tells of.
+	// Evacuated is the zone whose evacuation the line reports.
 	Evacuated string `json:"evacuated"`
 	raw       []byte
 }
 
-// explain prints the lines about a request, and before them those about what
-// it rested on: its partition's owner, its replica, the configuration, the node
-// that handled it with what it knew of evacuated zones, and the node that counted it to its tenant's limit.
+// explain prints, in order of time, the lines about a request and those about
+// what affected it: its partition's owner, its replica, the configuration, the
+// node that handled it, and the node that counted it towards its tenant's
+// limit. The latter must lie within the span before the request's last line,
+// except for lines about evacuated zones, whose age is not limited.
 func explain(input io.Reader, output io.Writer, request string, span time.Duration) error {
 	lines, err := readLog(input)
 	if err != nil {
@@ -78,7 +82,8 @@
 	return nil
 }
 
-// affectsRequest reports whether a line tells of something that a request rested on.
+// affectsRequest reports whether a line is about a partition, replica or node
+// that one of the request's own lines names.
 func affectsRequest(line logLine, own []logLine) bool {
 	for _, about := range own {
 		switch {
@@ -97,8 +102,8 @@
 	return false
 }
 
-// readLog reads JSON lines, each from its first brace on, in order of time.
-// Other lines are passed over.
+// readLog reads JSON lines and sorts them by time. It ignores the text before
+// the first brace of a line, and lines without a JSON object or a time.
 func readLog(input io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(input)
--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -10,14 +10,14 @@
 	"birchwood.example/birchwood/emulator/cluster"
 )
 
-// errFuzzFailed makes fuzz exit with a failure after it has printed it.
-var errFuzzFailed = errors.New("a run broke a promise")
+// errFuzzFailed makes fuzz exit with 1 after it has printed the failure.
+var errFuzzFailed = errors.New("a run violated a guarantee")
 
-// progressIntervalRuns is after how many runs fuzz says how far it is.
+// progressIntervalRuns is the number of runs between two progress messages.
 const progressIntervalRuns = 100
 
-// newFuzzCommand returns the command that looks for broken promises in
-// emulated clusters.
+// newFuzzCommand returns the subcommand that searches emulated clusters for
+// violated guarantees.
 func newFuzzCommand() *cobra.Command {
 	config := cluster.FuzzConfig{Seed: 1, ShrinkFor: 30 * time.Second}
 	command := &cobra.Command{
@@ -42,7 +42,8 @@
 	return command
 }
 
-// runFuzz runs until a failure or the bounds.
+// runFuzz runs clusters until a failure or until a bound is reached, and prints
+// the outcome.
 func runFuzz(command *cobra.Command, config cluster.FuzzConfig) error {
 	begin := time.Now()
 	config.Progress = func(runs int) {
--- a/command/load.go
+++ b/command/load.go
@@ -19,11 +19,11 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// tokenEnvironmentVariable is the environment variable that holds the caller's token.
+// tokenEnvironmentVariable names the environment variable with the caller's token.
 const tokenEnvironmentVariable = "BIRCHWOOD_TOKEN"
 
-// errFailedCalls makes load exit with a failure after it has printed its result.
-var errFailedCalls = errors.New("calls were left unanswered, answered wrongly or run twice")
+// errFailedCalls makes load exit with 1 after it has printed its result.
+var errFailedCalls = errors.New("some calls got no answer, got a wrong answer or ran twice")
 
 // loadFlags are the flags of the load command.
 type loadFlags struct {
@@ -47,7 +47,7 @@
 	probes      int
 }
 
-// newLoadCommand returns the load tool.
+// newLoadCommand returns the subcommand that generates load.
 func newLoadCommand() *cobra.Command {
 	flags := loadFlags{}
 	command := &cobra.Command{
@@ -113,8 +113,9 @@
 	return nil
 }
 
-// openRecord opens a file for a history, and returns what closes it. Without a
-// name there is no recorder, which records nothing.
+// openRecord creates a file and returns a recorder that writes a history to it,
+// and a function that closes the file. Without a name it returns a nil
+// recorder, which records nothing.
 func openRecord(name string) (*history.Recorder, func(), error) {
 	if name == "" {
 		return nil, func() {}, nil
@@ -127,7 +128,8 @@
 	return recorder, func() { _ = errors.Join(recorder.Flush(), file.Close()) }, nil
 }
 
-// contextOf returns the command's context, which is nil outside of Execute.
+// contextOf returns the command's context, or the background context when the
+// command runs outside of Execute and has none.
 func contextOf(command *cobra.Command) context.Context {
 	if ctx := command.Context(); ctx != nil {
 		return ctx
@@ -135,7 +137,7 @@
 	return context.Background()
 }
 
-// config turns the flags into a run.
+// config returns the configuration that the flags describe.
 func (f loadFlags) config() (load.Config, error) {
 	if f.output != "text" && f.output != "json" {
 		return load.Config{}, fmt.Errorf("output %q: want text or json", f.output)
@@ -159,8 +161,8 @@
 	}, nil
 }
 
-// defaultToken is the environment's token, else the example token that the
-// settings in config/ give the deployment.
+// defaultToken returns the token from the environment or, if there is none, the
+// example token in the deployment's settings in config/.
 func (f loadFlags) defaultToken() string {
 	if token := os.Getenv(tokenEnvironmentVariable); token != "" {
 		return token
@@ -168,7 +170,7 @@
 	return f.deployment + "-example-token"
 }
 
-// printLoad writes the result in the wanted form.
+// printLoad writes the result as text or JSON.
 func printLoad(command *cobra.Command, result load.Result, output string) error {
 	if output == "text" {
 		_, err := fmt.Fprint(command.OutOrStdout(), result)
--- a/command/logger.go
+++ b/command/logger.go
@@ -6,8 +6,8 @@
 	"github.com/phuslu/log"
 )
 
-// newLogger returns a logger that writes one JSON line an event to standard
-// error, marked with the part of the process that it belongs to.
+// newLogger returns a logger that writes JSON lines to standard error. If node
+// is not empty, each line carries it in the field "node".
 func newLogger(level, node string) *log.Logger {
 	logger := &log.Logger{
 		Level:      log.ParseLevel(level),
--- a/command/node.go
+++ b/command/node.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/operator"
 )
 
-// newNodeCommand returns the verbs on nodes.
+// newNodeCommand returns the subcommands for nodes.
 func newNodeCommand() *cobra.Command {
 	flags := &operatorFlags{}
 	command := &cobra.Command{Use: "node", Short: "See and drain nodes"}
@@ -35,7 +35,8 @@
 	}.command(flags)
 }
 
-// ownedPartitionsText shows what a node owns; only the asked node tells it.
+// ownedPartitionsText returns the number of partitions a node owns, or "-" for 0:
+// the queried node knows the number only for itself.
 func ownedPartitionsText(partitions int) any {
 	if partitions == 0 {
 		return "-"
@@ -43,12 +44,13 @@
 	return partitions
 }
 
-// drainResponse is the answer to a request to drain a machine.
+// drainResponse is the answer to a request to drain a node or a back end.
 type drainResponse struct {
 	Draining string `json:"draining"`
 }
 
-// newDrainCommand returns the verb that takes a machine out of use.
+// newDrainCommand returns the subcommand that drains a node or a back end. Kind
+// is the segment of the path: "nodes" or "backends".
 func newDrainCommand(flags *operatorFlags, kind, short string) *cobra.Command {
 	return operatorCommand[drainResponse]{
 		use:       "drain ID",
--- a/command/operator_ask.go
+++ b/command/operator_ask.go
@@ -7,19 +7,20 @@
 	"github.com/spf13/cobra"
 )
 
-// operatorCommand describes a operatorCommand that asks a node for one value and prints it.
+// operatorCommand is a subcommand that requests one value from a node and prints
+// it.
 type operatorCommand[T any] struct {
 	use       string
 	short     string
 	long      string
 	arguments cobra.PositionalArgs
-	// fetch gets the value.
+	// fetch requests the value.
 	fetch func(ctx context.Context, client *operatorClient, arguments []string) (T, error)
-	// printText writes the value for people.
+	// printText writes the value as text.
 	printText func(writer io.Writer, value T)
 }
 
-// command returns the verb as a command.
+// command returns the cobra command.
 func (v operatorCommand[T]) command(flags *operatorFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   v.use,
@@ -40,7 +41,8 @@
 	}
 }
 
-// fetchPath returns an ask that gets the path of the arguments.
+// fetchPath returns a fetch function that sends a GET request to the path for the
+// arguments.
 func fetchPath[T any](path func(arguments []string) string) func(context.Context, *operatorClient, []string) (T, error) {
 	return func(ctx context.Context, client *operatorClient, arguments []string) (value T, err error) {
 		err = client.get(ctx, path(arguments), &value)
@@ -48,7 +50,8 @@
 	}
 }
 
-// constantPath returns the same path for all arguments.
+// constantPath returns a function that returns the path whatever its arguments
+// are.
 func constantPath(path string) func([]string) string {
 	return func([]string) string { return path }
 }
--- a/command/operator_client.go
+++ b/command/operator_client.go
@@ -17,7 +17,7 @@
 	"birchwood.example/birchwood/httpclient"
 )
 
-// The environment variables of the operators' verbs.
+// The environment variables that operators' subcommands read.
 const (
 	operatorAddressVariable = "BIRCHWOOD_OPERATOR"
 	operatorTokenVariable   = "BIRCHWOOD_OPERATOR_TOKEN"
@@ -29,14 +29,14 @@
 	outputJSON = "json"
 )
 
-// operatorTimeout bounds one request to a node. It exceeds the time in which
-// a node waits for the verdict on a change.
+// operatorTimeout is the default time limit of one request to a node. It is
+// longer than a node waits for the verdict on a change.
 const operatorTimeout = 35 * time.Second
 
-// operatorPrefix starts the paths of the operators' API.
+// operatorPrefix is the common prefix of the paths of the operators' API.
 const operatorPrefix = "/v1/operator"
 
-// operatorFlags are the flags that the operators' verbs share.
+// operatorFlags are the flags that the operators' subcommands share.
 type operatorFlags struct {
 	address string
 	token   string
@@ -44,7 +44,7 @@
 	timeout time.Duration
 }
 
-// register adds the flags to a verb and to the verbs below it.
+// register adds the flags to a command and its subcommands.
 func (f *operatorFlags) register(command *cobra.Command) {
 	set := command.PersistentFlags()
 	set.StringVar(&f.address, "address", os.Getenv(operatorAddressVariable),
@@ -54,48 +54,50 @@
 	set.DurationVar(&f.timeout, "timeout", operatorTimeout, "how long to wait for an answer")
 }
 
-// operatorClient asks one node's operators' API and prints its answers.
+// operatorClient sends requests to a node's operators' API and prints the
+// answers.
 type operatorClient struct {
 	client *httpclient.Client
 	output string
 	writer io.Writer
 }
 
-// open checks the flags and returns a client.
+// open validates the flags and returns a client.
 func (f *operatorFlags) open(command *cobra.Command) (*operatorClient, error) {
 	if f.output != outputText && f.output != outputJSON {
 		return nil, usageError("output %q: want %s or %s", f.output, outputText, outputJSON)
 	}
 	if f.address == "" {
-		return nil, usageError("which node? Give --address or set %s", operatorAddressVariable)
+		return nil, usageError("no node address: give --address or set %s", operatorAddressVariable)
 	}
 	token := f.token
 	if token == "" {
 		token = os.Getenv(operatorTokenVariable)
 	}
 	if token == "" {
-		return nil, usageError("an operator's token is needed: give --token or set %s", operatorTokenVariable)
+		return nil, usageError("no operator token: give --token or set %s", operatorTokenVariable)
 	}
 	client := httpclient.New(httpclient.Options{Address: f.address, Token: token, Timeout: f.timeout})
 	return &operatorClient{client: client, output: f.output, writer: command.OutOrStdout()}, nil
 }
 
-// usageError returns the error of wrong arguments.
+// usageError returns an error with the exit code of wrong usage.
 func usageError(format string, arguments ...any) error {
 	return &ExitError{Code: ExitUsage, Cause: fmt.Errorf(format, arguments...)}
 }
 
-// get asks the path and decodes the answer.
+// get sends a GET request to the path and decodes the answer.
 func (c *operatorClient) get(ctx context.Context, path string, answer any) error {
 	return withExitCode(c.client.Do(ctx, http.MethodGet, operatorPrefix+path, nil, answer))
 }
 
-// post sends the body to the path and decodes the answer.
+// post sends a POST request with the body to the path and decodes the answer.
 func (c *operatorClient) post(ctx context.Context, path string, body, answer any) error {
 	return withExitCode(c.client.Do(ctx, http.MethodPost, operatorPrefix+path, body, answer))
 }
 
-// refusalOf returns the error in an answer with an error status.
+// refusalOf returns the API error from the body of an answer with an error
+// status.
 func refusalOf(err error) (*api.Error, bool) {
 	var status *httpclient.StatusError
 	if !errors.As(err, &status) {
@@ -105,7 +107,7 @@
 	return refusal, refusal != nil
 }
 
-// withExitCode gives the failure of a request its exit code and words.
+// withExitCode wraps the error of a request with its exit code.
 func withExitCode(err error) error {
 	if err == nil {
 		return nil
@@ -120,13 +122,14 @@
 	return &ExitError{Code: ExitUnreachable, Cause: fmt.Errorf("the node did not answer: %w", err)}
 }
 
-// refusedError describes a refusal for people.
+// refusedError is the error of a request that the node refused.
 type refusedError struct {
 	refusal *api.Error
 	cause   error
 }
 
-// Error describes the failure.
+// Error returns the refusal's code, message and outcome, and its findings, one
+// a line.
 func (e *refusedError) Error() string {
 	text := fmt.Sprintf("%s: %s (%s)", e.refusal.Code, e.refusal.Message, e.refusal.Ran)
 	for _, finding := range e.refusal.Findings {
@@ -135,10 +138,10 @@
 	return text
 }
 
-// Unwrap returns the answer that carried the refusal.
+// Unwrap returns the error of the HTTP request.
 func (e *refusedError) Unwrap() error { return e.cause }
 
-// print writes the value as JSON, or as the text that the function makes.
+// print writes the value as JSON, or calls text to write it as aligned text.
 func (c *operatorClient) print(value any, text func(writer io.Writer)) error {
 	if c.output == outputJSON {
 		encoder := json.NewEncoder(c.writer)
@@ -150,7 +153,7 @@
 	return table.Flush()
 }
 
-// printRow writes one line of a table.
+// printRow writes one row of a table, with tabs between the cells.
 func printRow(writer io.Writer, cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
--- a/command/operator_verbs_test.go
+++ b/command/operator_verbs_test.go
@@ -17,7 +17,7 @@
 	"birchwood.example/birchwood/contract"
 )
 
-// operatorStub answers requests from canned answers and keeps what was sent.
+// operatorStub serves canned answers and records the requests.
 type operatorStub struct {
 	mutex   sync.Mutex
 	answers map[string][]stubAnswer
@@ -30,7 +30,7 @@
 	body   string
 }
 
-// ServeHTTP gives the next answer of the request, and the last one again.
+// ServeHTTP sends the next answer for the request; the last one repeats.
 func (s *operatorStub) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -61,7 +61,7 @@
 	var stub *operatorStub
 	var address string
 
-	// run runs a verb and returns its output and exit code.
+	// run executes a subcommand and returns its output and exit code.
 	run := func(input string, arguments ...string) (string, int) {
 		root := command.Root()
 		var output bytes.Buffer
--- a/command/page_test.go
+++ b/command/page_test.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/command"
 )
 
-// leafPaths returns the paths of the verbs that do something.
+// leafPaths returns the command paths of the subcommands without further
+// subcommands.
 func leafPaths(parent *cobra.Command) []string {
 	var paths []string
 	for _, child := range parent.Commands() {
--- a/command/partition.go
+++ b/command/partition.go
@@ -11,7 +11,7 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// newPartitionCommand returns the verbs on partitions.
+// newPartitionCommand returns the subcommands for partitions.
 func newPartitionCommand() *cobra.Command {
 	flags := &operatorFlags{}
 	command := &cobra.Command{Use: "partition", Short: "See partitions, and let a stalled recovery go on"}
@@ -36,7 +36,7 @@
 	}.command(flags)
 }
 
-// stallText tells which mirrors a stalled recovery waits for.
+// stallText lists the mirrors that a stalled recovery waits for, and since when.
 func stallText(stall *partition.Stall) string {
 	if stall == nil {
 		return "-"
@@ -51,7 +51,7 @@
 	return text + "since " + stall.Since.Format("15:04:05")
 }
 
-// acceptLossResponse is the answer to a request to accept a loss.
+// acceptLossResponse is the answer to a request to accept the loss of records.
 type acceptLossResponse struct {
 	Accepted partition.ID `json:"accepted"`
 }
--- a/command/program.go
+++ b/command/program.go
@@ -2,7 +2,7 @@
 
 import "github.com/spf13/cobra"
 
-// newProgramCommand returns the verbs on programs.
+// newProgramCommand returns the subcommands for programs.
 func newProgramCommand() *cobra.Command {
 	flags := &operatorFlags{}
 	command := &cobra.Command{
--- a/command/program_list.go
+++ b/command/program_list.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// programState tells whether a program runs, or why it ended.
+// programState returns whether a program is running, or why it ended.
 func programState(program api.Program) string {
 	if !program.Ended {
 		return "running"
--- a/command/program_trace.go
+++ b/command/program_trace.go
@@ -16,8 +16,8 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// programTrace is a program's life: its calls, and how each attempt was
-// decided.
+// programTrace holds a program, its calls, and how the back end of each attempt
+// was chosen.
 type programTrace struct {
 	Program  api.Program         `json:"program"`
 	Calls    []api.Call          `json:"calls"`
@@ -40,7 +40,7 @@
 	}.command(flags)
 }
 
-// readTrace asks for the program, its whole history and its attempts.
+// readTrace requests the program, its attempts and all pages of its history.
 func readTrace(ctx context.Context, client *operatorClient, id string) (programTrace, error) {
 	var trace programTrace
 	path := "/programs/" + url.PathEscape(id)
@@ -87,7 +87,8 @@
 	}
 }
 
-// printAttempt writes a call with its last attempt.
+// printAttempt writes the row of a call's last attempt, with the call's status
+// and usage.
 func printAttempt(writer io.Writer, call api.Call, attempt control.CallTrace) {
 	backend := call.Backend
 	if backend == "" {
@@ -102,7 +103,7 @@
 		call.Usage.PromptTokens, call.Usage.CachedTokens, call.Usage.OutputTokens, reason)
 }
 
-// elapsedText writes the time between two moments, where both are known.
+// elapsedText returns the time between two moments, or "-" if one is unknown.
 func elapsedText(from, to time.Time) string {
 	if from.IsZero() || to.IsZero() {
 		return "-"
@@ -110,7 +111,8 @@
 	return to.Sub(from).Round(time.Millisecond).String()
 }
 
-// choiceText describes the terms of a choice.
+// choiceText describes why a back end was chosen: the reason, the number of
+// feasible back ends and the predicted times.
 func choiceText(terms schedule.Terms) string {
 	if terms.Feasible == 0 {
 		return terms.Reason
--- a/command/progress.go
+++ b/command/progress.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// progressWidth is the length of a progress bar, in characters.
+// progressWidth is the length of the progress bar, in characters.
 const progressWidth = 40
 
-// progressBar shows on a terminal how far a long run is. Elsewhere it shows
-// nothing.
+// progressBar shows the progress of a long run on a terminal. With any other
+// output it shows nothing.
 type progressBar struct {
 	writer io.Writer
 	filled int
 	shown  bool
 }
 
-// newProgressBar returns a bar that writes to a terminal only.
+// newProgressBar returns a bar that shows nothing unless writer is a terminal.
 func newProgressBar(writer io.Writer) *progressBar {
 	file, ok := writer.(*os.File)
 	if !ok {
@@ -31,7 +31,7 @@
 	return &progressBar{writer: file}
 }
 
-// show draws the bar anew when it has grown.
+// show redraws the bar if its filled length has changed.
 func (b *progressBar) show(name string, done, total int) {
 	if b.writer == nil || total <= 0 {
 		return
--- a/command/root.go
+++ b/command/root.go
@@ -8,7 +8,7 @@
 	"birchwood.example/birchwood/command/exit"
 )
 
-// The exit codes of the birchwood command, and the error that carries one.
+// The exit codes of the birchwood command.
 const (
 	ExitOK          = exit.OK
 	ExitFailure     = exit.Failure
@@ -19,7 +19,7 @@
 // ExitError carries the exit code of a command that failed.
 type ExitError = exit.Error
 
-// Root returns the birchwood command with every verb.
+// Root returns the birchwood command with all subcommands.
 func Root() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "birchwood",
--- a/command/serve.go
+++ b/command/serve.go
@@ -37,7 +37,7 @@
 	return command
 }
 
-// overrides returns the flags that were set.
+// overrides returns the overrides for the flags that were set.
 func overrides(values map[string]string) []config.Override {
 	var set []config.Override
 	for path, value := range values {
@@ -48,8 +48,8 @@
 	return set
 }
 
-// serve runs a node until SIGTERM, SIGINT or an operator's drain, then stops it without cutting a
-// request. A second signal ends the process at once.
+// serve runs a node until SIGTERM, SIGINT or an operator's drain, then stops it
+// without interrupting requests. A second signal ends the process at once.
 func serve(parent context.Context, file *config.File) error {
 	logger := newLogger(file.Log.Level, string(file.Node.ID))
 	process, err := node.Wire(file, logger)
@@ -69,7 +69,7 @@
 	process.Start(listener, operator)
 	select {
 	case err := <-process.Failed():
-		return &ExitError{Code: ExitFailure, Cause: fmt.Errorf("serving ended: %w", err)}
+		return &ExitError{Code: ExitFailure, Cause: fmt.Errorf("node stopped serving: %w", err)}
 	case <-process.Drained():
 	case <-ctx.Done():
 	}
@@ -77,13 +77,13 @@
 	return stopWithin(process, file)
 }
 
-// stopWithin stops a node; the time-out leaves room for the hand-over after
-// the last attempt has been waited for.
+// stopWithin stops a node with a time limit: the drain time-out for running
+// calls, and two park time-outs for the handover of partitions after it.
 func stopWithin(process *node.Process, file *config.File) error {
 	ctx, cancel := context.WithTimeout(context.Background(), file.Timings.DrainTimeout+2*file.Timings.ParkTimeout)
 	defer cancel()
 	if err := process.Stop(ctx); err != nil {
-		return &ExitError{Code: ExitFailure, Cause: fmt.Errorf("the planned stop was cut short: %w", err)}
+		return &ExitError{Code: ExitFailure, Cause: fmt.Errorf("planned stop did not complete: %w", err)}
 	}
 	return nil
 }
--- a/command/settings.go
+++ b/command/settings.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/contract"
 )
 
-// newSettingsCommand returns the verbs on the tree of settings.
+// newSettingsCommand returns the subcommands for the settings tree.
 func newSettingsCommand() *cobra.Command {
 	flags := &operatorFlags{}
 	command := &cobra.Command{
@@ -30,7 +30,8 @@
 	return command
 }
 
-// pathQuery returns the query that names the branch of the arguments.
+// pathQuery returns a URL query with the branch that the first argument names,
+// or an empty one without arguments.
 func pathQuery(arguments []string) url.Values {
 	query := url.Values{}
 	if len(arguments) > 0 {
@@ -39,7 +40,8 @@
 	return query
 }
 
-// originText tells where a value comes from.
+// originText returns the branch that a value comes from, with the branches that
+// narrowed it, or "default".
 func originText(value contract.Explanation) string {
 	switch {
 	case value.Default:
--- a/command/settings_diff.go
+++ b/command/settings_diff.go
@@ -30,14 +30,14 @@
 	return command
 }
 
-// printDifferences writes one line for each value.
+// printDifferences writes one row per changed value.
 func printDifferences(writer io.Writer, differences []contract.Difference) {
 	for _, difference := range differences {
 		printRow(writer, difference.Name, orDash(string(difference.Before)), orDash(string(difference.After)), difference.From)
 	}
 }
 
-// orDash keeps an empty cell visible.
+// orDash returns the text, or "-" if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/command/settings_history.go
+++ b/command/settings_history.go
@@ -34,7 +34,7 @@
 	return command
 }
 
-// editsText describes edits in one line.
+// editsText describes the edits in one line.
 func editsText(edits []contract.Edit) string {
 	text := ""
 	for _, edit := range edits {
--- a/command/settings_set.go
+++ b/command/settings_set.go
@@ -20,11 +20,11 @@
 	"birchwood.example/birchwood/operator"
 )
 
-// verdictAttempts is how often a change is sent whose verdict did not come.
-// Sending it again does no harm: the same id counts once.
+// verdictAttempts is the number of times a change is sent until its verdict
+// arrives. Repeating it is safe: a change with a known id is not applied again.
 const verdictAttempts = 4
 
-// setFlags are the flags of settings set.
+// setFlags are the flags of `birchwood settings set`.
 type setFlags struct {
 	unset        []string
 	remove       bool
@@ -67,14 +67,15 @@
 	return command
 }
 
-// setResult is what settings set prints.
+// setResult is the JSON output of `birchwood settings set`.
 type setResult struct {
 	Change  contract.Change   `json:"change"`
 	Preview operator.Preview  `json:"preview"`
 	Verdict *contract.Verdict `json:"verdict,omitempty"`
 }
 
-// runSet shows the effect, asks, sends, and prints the verdict.
+// runSet shows the effect of the change, asks for confirmation, sends the
+// change and prints the verdict.
 func runSet(command *cobra.Command, client *operatorClient, flags *setFlags, arguments []string) error {
 	ctx := command.Context()
 	change, err := flags.change(ctx, client, arguments)
@@ -140,10 +141,10 @@
 	return change, err
 }
 
-// edit reads PATH NAME=VALUE...
+// edit parses the arguments PATH NAME=VALUE...
 func (f *setFlags) edit(arguments []string) (contract.Edit, error) {
 	if len(arguments) == 0 {
-		return contract.Edit{}, usageError("which branch? Give a PATH, / for the root")
+		return contract.Edit{}, usageError("no branch: give a PATH, / for the root")
 	}
 	edit := contract.Edit{Path: contract.Path(strings.Trim(arguments[0], "/")), Unset: f.unset, Remove: f.remove}
 	values := make(map[string]json.RawMessage)
@@ -168,8 +169,8 @@
 	return edit, nil
 }
 
-// encodeValue finds the JSON form in which the setting takes the text: a number,
-// a list, or text such as a duration.
+// encodeValue returns the first JSON form of the text that the setting accepts: as
+// it is (a number), as a list, or as a string (such as a duration).
 func encodeValue(name, text string) (json.RawMessage, error) {
 	parts := []string{}
 	if text != "" {
@@ -199,7 +200,8 @@
 	return nil, err
 }
 
-// printPreview shows what the change would do.
+// printPreview writes the effect of the change on each branch, or the findings
+// against it.
 func printPreview(writer io.Writer, preview operator.Preview) {
 	for _, finding := range preview.Findings {
 		printRow(writer, "wrong: "+finding.Place+": "+finding.Message)
@@ -223,7 +225,7 @@
 	}
 }
 
-// confirmSend asks on the terminal.
+// confirmSend asks the user for confirmation.
 func confirmSend(command *cobra.Command) bool {
 	_, _ = fmt.Fprint(command.ErrOrStderr(), "Send this change? [y/N] ")
 	answer, _ := bufio.NewReader(command.InOrStdin()).ReadString('\n')
@@ -231,7 +233,8 @@
 	return answer == "y" || answer == "yes"
 }
 
-// sendChange sends the change until its verdict is known.
+// sendChange sends the change until its verdict is known, at most
+// verdictAttempts times.
 func sendChange(ctx context.Context, client *operatorClient, change contract.Change) (contract.Verdict, error) {
 	var verdict contract.Verdict
 	var err error
@@ -249,7 +252,8 @@
 	return verdict, fmt.Errorf("the verdict is not known; send the same change again with --id %s --based %d: %w", change.ID, change.Based, err)
 }
 
-// reportResult prints the result and fails when the change was not accepted.
+// reportResult prints the result and returns an error if the change was not or
+// would not be accepted.
 func reportResult(client *operatorClient, result setResult) error {
 	if client.output == outputJSON {
 		if err := client.print(result, nil); err != nil {
@@ -258,7 +262,7 @@
 	}
 	switch {
 	case len(result.Preview.Findings) > 0:
-		return &ExitError{Code: ExitFailure, Cause: errors.New("the change would be refused; it was not sent")}
+		return &ExitError{Code: ExitFailure, Cause: errors.New("change not sent: it would be refused")}
 	case result.Verdict == nil:
 		return nil
 	case !result.Verdict.Accepted:
@@ -269,7 +273,7 @@
 	return nil
 }
 
-// verdictText describes a verdict.
+// verdictText describes a verdict, with the findings if it is a refusal.
 func verdictText(verdict contract.Verdict) string {
 	if verdict.Accepted {
 		return fmt.Sprintf("Accepted as revision %d.", verdict.Revision)
--- a/command/settings_status.go
+++ b/command/settings_status.go
@@ -25,7 +25,7 @@
 	}.command(flags)
 }
 
-// yesNo writes a truth value for people.
+// yesNo returns "yes" or "no".
 func yesNo(value bool) string {
 	if value {
 		return "yes"
--- a/command/soak.go
+++ b/command/soak.go
@@ -16,16 +16,18 @@
 	"birchwood.example/birchwood/soak"
 )
 
-// The run of soak where no flag says otherwise.
+// Defaults of the soak flags.
 const (
 	defaultSoakNodes    = 12
 	defaultSoakDuration = 90 * time.Second
 )
 
-// nodeBinary is the program of a node, which lies beside this one.
+// nodeBinary is the file name of the node's binary, which is expected in the
+// directory of this one.
 const nodeBinary = "birchwood-edge"
 
-// newSoakCommand returns the command that holds real processes to their promises.
+// newSoakCommand returns the subcommand that checks the guarantees with real
+// node processes under faults.
 func newSoakCommand() *cobra.Command {
 	options := soak.Options{Scenario: soak.Scenario{Nodes: defaultSoakNodes}}
 	duration := defaultSoakDuration
@@ -63,7 +65,7 @@
 	return command
 }
 
-// runSoak runs until the end or a signal.
+// runSoak runs the soak test until it ends or a signal arrives.
 func runSoak(parent context.Context, options soak.Options) error {
 	if _, err := edge.ParseMechanisms("--without", options.Without); err != nil {
 		return &ExitError{Code: ExitUsage, Cause: err}
@@ -76,7 +78,7 @@
 		options.Binary = filepath.Join(filepath.Dir(own), nodeBinary)
 	}
 	if _, err := os.Stat(options.Binary); err != nil {
-		return &ExitError{Code: ExitUsage, Cause: fmt.Errorf("the program of a node (see --binary): %w", err)}
+		return &ExitError{Code: ExitUsage, Cause: fmt.Errorf("node binary (see --binary): %w", err)}
 	}
 	ctx, end := signal.NotifyContext(parent, syscall.SIGINT, syscall.SIGTERM)
 	defer end()
--- a/command/standin.go
+++ b/command/standin.go
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// initialSettings loads the settings file that a stand-in's file names.
+// initialSettings loads the file of initial settings that the stand-ins' file
+// at path names. A relative name starts at that file's folder.
 func initialSettings(path, settings string) ([]contract.Change, []config.Finding) {
 	if settings == "" {
 		return nil, nil
--- a/command/verbs.go
+++ b/command/verbs.go
@@ -6,7 +6,7 @@
 	"birchwood.example/birchwood/command/edgecommand"
 )
 
-// subcommands returns the commands in the order of the help page.
+// subcommands returns the subcommands of birchwood.
 func subcommands() []*cobra.Command {
 	return []*cobra.Command{
 		newDevCommand(),
--- a/command/verify.go
+++ b/command/verify.go
@@ -13,9 +13,9 @@
 )
 
 // errFindings makes verify exit with 1 after it has printed its findings.
-var errFindings = errors.New("the history breaks promises")
+var errFindings = errors.New("the history violates guarantees")
 
-// newVerifyCommand returns the command that checks recorded histories.
+// newVerifyCommand returns the subcommand that checks recorded histories.
 func newVerifyCommand() *cobra.Command {
 	output := "text"
 	command := &cobra.Command{
@@ -56,7 +56,7 @@
 	return history.Check(readers...)
 }
 
-// printReport writes a report in the wanted form.
+// printReport writes a report as text or JSON.
 func printReport(writer io.Writer, report history.Report, output string) error {
 	switch output {
 	case "json":
--- a/command/version.go
+++ b/command/version.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version describes this binary.
+// version is the build information of this binary.
 type version struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision,omitempty"`
@@ -17,7 +17,7 @@
 	Go       string `json:"go"`
 }
 
-// newVersionCommand returns the verb that describes this binary.
+// newVersionCommand returns the subcommand that prints the build information.
 func newVersionCommand() *cobra.Command {
 	output := outputText
 	command := &cobra.Command{
@@ -39,7 +39,7 @@
 	return command
 }
 
-// builtVersion reads what the build recorded.
+// builtVersion returns the build information that the Go tool embedded.
 func builtVersion() version {
 	built := version{Version: "unknown", Go: runtime.Version()}
 	info, known := debug.ReadBuildInfo()
--- a/command/why.go
+++ b/command/why.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/gateway"
 )
 
-// newWhyCommand returns the verb that explains a refusal.
+// newWhyCommand returns the subcommand that explains a refusal.
 func newWhyCommand() *cobra.Command {
 	flags := &operatorFlags{}
 	command := operatorCommand[gateway.Refusal]{
