--- a/development/control_bench_test.go
+++ b/development/control_bench_test.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// designCallsPerSecond is the calls a second that each node is sized for.
+	// designCallsPerSecond is the number of calls per second that each node is
+	// sized for.
 	designCallsPerSecond = 8.5
-	// measureDuration is how long control time is measured.
+	// measureDuration is the time over which control time is measured.
 	measureDuration = 10 * time.Second
-	// callsPerProgram is how many calls each program makes.
+	// callsPerProgram is the number of calls that each program makes.
 	callsPerProgram = 20
 )
 
 // BenchmarkControl reports the share of one core that the control goroutine of
-// a node takes, idle and at the design rate, and what one event takes. The
-// share is elapsed time: on a machine with other work it counts the waits for
-// a core too, and is an upper bound.
+// a node uses, idle and at the design rate, and the time per event. The share
+// is computed from elapsed time: on a machine with other load it includes the
+// waits for a core and is an upper bound.
 func BenchmarkControl(b *testing.B) {
 	for name, rate := range map[string]float64{"idle": 0, "design-rate": designCallsPerSecond} {
 		b.Run(name, func(b *testing.B) {
@@ -57,8 +58,8 @@
 	b.ReportMetric(1e6*(seconds-secondsBefore)/(events-eventsBefore), "µs/event")
 }
 
-// callAtRate makes calls at the rate, through each node in turn, without
-// waiting for the answers.
+// callAtRate makes calls at a fixed rate through the nodes in turn, without
+// waiting for earlier answers, until stop is closed.
 func callAtRate(b *testing.B, system *development.System, rate float64, stop <-chan struct{}) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer ticker.Stop()
@@ -83,7 +84,8 @@
 	}
 }
 
-// controlTime adds up the nodes' own measurements of their control events.
+// controlTime returns the total time in seconds and the number of control
+// events, summed over the metrics of all nodes.
 func controlTime(b *testing.B, system *development.System) (seconds, events float64) {
 	b.Helper()
 	for _, node := range system.Nodes {
@@ -101,7 +103,7 @@
 	return seconds, events
 }
 
-// metricValue returns the value on a line of the metric, else zero.
+// metricValue returns the value on the line, or 0 if the line is not of the metric.
 func metricValue(line, metric string) float64 {
 	text, found := strings.CutPrefix(line, metric)
 	if !found {
--- a/development/development.go
+++ b/development/development.go
@@ -1,6 +1,6 @@
-// Package development runs a whole system in one process: the stand-ins of
-// the platform and of the back ends, and several real nodes that talk to them
-// and to each other over loopback. `birchwood dev` and the end-to-end tests
+// Package development runs a whole system in one process: stand-ins for the
+// platform and the back ends, and several real nodes that communicate with them
+// and with each other over loopback. `birchwood dev` and the end-to-end tests
 // use it.
 package development
 
@@ -29,32 +29,33 @@
 	operator net.Listener
 }
 
-// Callers returns the address of the callers' API.
+// CallerAddress returns the address of the callers' API.
 func (n *Node) Callers() string { return n.callers.Addr().String() }
 
 // OperatorAddress returns the address of the operators' API.
 func (n *Node) OperatorAddress() string { return n.operator.Addr().String() }
 
-// Stop stops the node without cutting a request.
+// Stop stops the node without interrupting requests.
 func (n *Node) Stop() error {
 	timings := n.File.Timings
-	// The second summand leaves room for the hand-over itself.
+	// DrainTimeout bounds the wait for running calls; the rest is for the
+	// handover of partitions after it.
 	ctx, cancel := context.WithTimeout(context.Background(), timings.DrainTimeout+2*timings.ParkTimeout)
 	defer cancel()
 	return n.Process.Stop(ctx)
 }
 
-// System is a running system.
+// System is a running development system.
 type System struct {
 	Nodes    []*Node
 	Standins *standin.Set
 }
 
-// LoggerFor returns the logger of one node.
+// LoggerFor returns the logger for the node with the given ID.
 type LoggerFor func(node string) *log.Logger
 
-// Start starts the system and returns once every node is ready. On an error
-// nothing is left running.
+// Start starts the system and returns when every node is ready. If it fails, it
+// stops whatever it has started.
 func Start(ctx context.Context, settings *config.Development, loggers LoggerFor) (*System, error) {
 	set, err := standin.Start(StandinConfig(settings.Standin.Standin))
 	if err != nil {
@@ -84,8 +85,9 @@
 	return nil
 }
 
-// Add starts one more node, without waiting until it is ready. It opens the
-// node's listeners, whose addresses the file then names.
+// Add starts one more node without waiting until it is ready. It opens the
+// node's listeners and sets their addresses, and those of the platform, in the
+// file.
 func (s *System) Add(file *config.File, logger *log.Logger) error {
 	callers, err := net.Listen("tcp", file.Node.Listen)
 	if err != nil {
@@ -108,8 +110,8 @@
 	return nil
 }
 
-// Stop stops the nodes one after another, as an operator would, and then the
-// stand-ins.
+// Stop stops the nodes one after another, each with a planned stop, and then
+// the stand-ins.
 func (s *System) Stop() error {
 	var failures []error
 	for _, started := range s.Nodes {
@@ -119,8 +121,8 @@
 	return errors.Join(failures...)
 }
 
-// StandinConfig turns the settings file's section into the stand-ins' own
-// configuration.
+// StandinConfig converts the settings file's section to the configuration of
+// the stand-ins.
 func StandinConfig(file *config.Standin) standin.Config {
 	settings := standin.Config{
 		Seed:           file.Seed,
@@ -141,11 +143,11 @@
 	return settings
 }
 
-// settingsTimeout bounds the writing of the initial settings.
+// settingsTimeout is the time limit for writing the initial settings.
 const settingsTimeout = 10 * time.Second
 
-// AppendSettings writes the initial settings to a settings stream that is
-// still empty, and leaves any other alone.
+// AppendSettings appends the initial settings to the settings stream if that is
+// empty; otherwise it does nothing.
 func AppendSettings(ctx context.Context, platform string, changes []contract.Change) error {
 	if len(changes) == 0 {
 		return nil
--- a/development/path_bench_test.go
+++ b/development/path_bench_test.go
@@ -24,7 +24,9 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// benchmarkEngineSpeed makes the engines' own time small beside the path's.
+// benchmarkEngineSpeed is the speed of the engines, as a multiple of the default
+// rates. It makes the engines' compute time small compared with the rest of the
+// request path.
 const benchmarkEngineSpeed = 5000
 
 func startForBenchmark(b *testing.B) *development.System {
@@ -47,7 +49,8 @@
 	return system
 }
 
-// client speaks the callers' API without test assertions.
+// client is a client of the callers' API that returns errors instead of making
+// test assertions.
 type client struct {
 	address string
 	http    *http.Client
@@ -89,7 +92,8 @@
 	return program.ID, err
 }
 
-// stream makes a streamed call and returns the time to its first text.
+// stream makes a streamed call and returns the time to its first text and the
+// number of output tokens.
 func (c *client) stream(id api.ProgramID, key string) (time.Duration, int, error) {
 	call := modelCall(key, "How warm is pallet seven? ")
 	call.Stream = true
@@ -115,17 +119,17 @@
 	return first, 0, fmt.Errorf("the stream of call %s ended without an answer: %w", key, lines.Err())
 }
 
-// reportPercentiles gives the median and the 99th percentile as metrics.
+// reportPercentiles reports the median and the 99th percentile as metrics, in µs.
 func reportPercentiles(b *testing.B, name string, samples []time.Duration) {
 	slices.Sort(samples)
 	b.ReportMetric(float64(samples[len(samples)/2].Microseconds()), name+"-p50-µs")
 	b.ReportMetric(float64(samples[len(samples)*99/100].Microseconds()), name+"-p99-µs")
 }
 
-// BenchmarkFirstToken sends the same call straight to an engine and through
-// birchwood in turn, and reports the time to the first token of each, beside
-// the time of one append to the log service, with 10, 1,000 and 100,000
-// programs held.
+// BenchmarkFirstToken sends the same call alternately to an engine directly and
+// through birchwood. It reports the time to the first token of each, and the
+// time of one append to the log service for comparison, with 10, 1,000 and
+// 100,000 programs in the store.
 func BenchmarkFirstToken(b *testing.B) {
 	for _, held := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprintf("programs=%d", held), func(b *testing.B) {
@@ -136,7 +140,7 @@
 	}
 }
 
-// createIdlePrograms creates programs that stay idle.
+// createIdlePrograms creates programs that make no calls.
 func createIdlePrograms(b *testing.B, system *development.System, count int) {
 	b.Helper()
 	const workers = 64
@@ -208,10 +212,10 @@
 	return first
 }
 
-// BenchmarkThroughput makes streamed calls from many callers at once through
-// one gateway, and reports calls and tokens a second for each core of this
-// machine, and the bytes that the whole process allocates for a call:
-// callers, nodes and stand-ins together.
+// BenchmarkThroughput makes streamed calls from 64 concurrent callers, spread
+// over the nodes. It reports calls and tokens per second and core of this
+// machine, and the bytes allocated per call by the whole process: callers, nodes
+// and stand-ins together.
 func BenchmarkThroughput(b *testing.B) {
 	const callers = 64
 	system := startForBenchmark(b)
--- a/development/system_test.go
+++ b/development/system_test.go
@@ -22,15 +22,16 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// ioTimeout bounds a wait for real I/O. Nothing is asserted about how long
-// anything takes within it.
+// ioTimeout bounds every wait for real I/O. The tests assert nothing about
+// durations below it.
 const ioTimeout = 60 * time.Second
 
-// caller is a client of the callers' API at one node.
+// caller is a client of one node's callers' API that fails the test on an
+// error.
 type caller struct{ address string }
 
-// post sends a request and decodes the answer into result. It returns the
-// status.
+// post sends a POST request, decodes the answer into result and returns the
+// HTTP status.
 func (c caller) post(path string, body, result any) int {
 	encoded, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
@@ -56,7 +57,7 @@
 	return response.StatusCode
 }
 
-// create opens a program and returns its id.
+// create creates a program and returns its ID.
 func (c caller) create(branch, key string) api.ProgramID {
 	var program api.Program
 	status := c.post("/v1/programs", api.CreateProgram{Branch: branch, Key: key}, &program)
@@ -79,7 +80,7 @@
 	return api.SubmitCall{Key: key, Kind: api.CallTool, Tool: tool, Input: input}
 }
 
-// discardLogs is a logger that writes nothing.
+// discardLogs returns a logger that writes nothing.
 func discardLogs(string) *log.Logger { return &log.Logger{Level: log.PanicLevel} }
 
 // zoneOf returns the zone of an engine of the development system.
--- a/internal/guarantees/guarantees_test.go
+++ b/internal/guarantees/guarantees_test.go
@@ -1,5 +1,6 @@
-// Package guarantees holds docs/GUARANTEES.md to the tree: each test that the
-// page names exists, and the page names what the checkers' own tests break.
+// Package guarantees checks docs/GUARANTEES.md against the code: every test
+// that the page names exists, and the page lists the broken histories that the
+// checkers' own tests contain.
 package guarantees_test
 
 import (
@@ -22,14 +23,15 @@
 )
 
 var (
-	// testReference is a line that names a test: "- `package`: `name of the test`".
+	// testReference matches a line that names a test: "- `package`: `name of the test`".
 	testReference = regexp.MustCompile("(?m)^- `([a-z/]+)`: `([^`]+)`")
-	// brokenHistoryRow is a row of the checkers' tables, with the entry of the test.
+	// brokenHistoryRow matches a table row with an invariant and the test entry that
+	// violates it.
 	brokenHistoryRow = regexp.MustCompile("(?m)^\\| `([a-z -]+)` \\| `([^`]+)` \\|$")
 )
 
-// testDeclarations are the functions of ginkgo whose first argument names tests. A
-// pending or focused form is none of them.
+// testDeclarations are the Ginkgo functions whose first argument is a test's text.
+// Pending and focused forms do not count.
 var testDeclarations = map[string]bool{"It": true, "Entry": true, "DescribeTable": true, "Describe": true, "Context": true}
 
 func readPage(t *testing.T) string {
@@ -64,8 +66,8 @@
 	return names
 }
 
-// testName returns the name of the test, or of the fuzz target with its seeds, that a
-// piece of code declares.
+// testName returns the name of the test or fuzz target that a node declares. A
+// fuzz target counts because `go test` runs its seeds.
 func testName(node ast.Node) (string, bool) {
 	switch node := node.(type) {
 	case *ast.FuncDecl:
@@ -108,7 +110,7 @@
 	}
 }
 
-// TestEveryGuaranteeNamesTests: a section without a test is a claim alone.
+// TestEveryGuaranteeNamesTests guards against guarantees that no test supports.
 func TestEveryGuaranteeNamesTests(t *testing.T) {
 	_, guarantees, _ := strings.Cut(readPage(t), "\n# Guarantees\n")
 	guarantees, _, _ = strings.Cut(guarantees, "\n# ")
@@ -130,7 +132,8 @@
 	}
 }
 
-// TestEveryInvariantHasABrokenHistory: the page's table is the checker's own.
+// TestEveryInvariantHasABrokenHistory checks that the page's table lists the
+// same invariants and broken histories as the tests of package history.
 func TestEveryInvariantHasABrokenHistory(t *testing.T) {
 	shown := map[string][]string{}
 	for _, match := range brokenHistoryRow.FindAllStringSubmatch(readPage(t), -1) {
@@ -165,9 +168,9 @@
 	listed = regexp.MustCompile("(?m)^\\| `(birchwood [a-z -]+)`")
 )
 
-// TestOperatorsPagesNameWhatExists: metrics as docs/operate/metrics.md explains
-// them, and verbs as docs/CLI.md lists them; both pages are held to the code by
-// tests of their own.
+// TestOperatorsPagesNameWhatExists checks that the operators' pages name only
+// metrics that docs/operate/metrics.md explains and subcommands that docs/CLI.md
+// lists. Other tests check these two pages against the code.
 func TestOperatorsPagesNameWhatExists(t *testing.T) {
 	read := func(path string) string {
 		text, err := os.ReadFile(path)
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -1,6 +1,6 @@
-// Package layout holds the tree to the rules of CONTRIBUTING.md: which package
-// may import which, what a pure state machine may not use, and how long files
-// and functions may be.
+// Package layout checks the code against the rules of CONTRIBUTING.md: which
+// package may import which, what a pure state machine must not use, and how
+// long files and functions may be.
 package layout_test
 
 import (
@@ -16,8 +16,9 @@
 
 const module = "birchwood.example/birchwood/"
 
-// layers orders the packages: each may import only packages of earlier lines.
-// A folder stands for every package below it that has no entry of its own.
+// layers lists the packages in import order: a package may import only packages
+// of earlier layers. An entry also covers the packages below its folder that
+// have no entry of their own.
 var layers = [][]string{
 	{"soak/promise"},
 	{"internal/wait", "findings", "connection", "header", "recordstore", "eventstream", "zone", "dispatch"},
@@ -41,8 +42,8 @@
 	{"cmd"},
 }
 
-// pure are the packages that hold state machines or plain values: no I/O, no
-// clock, no goroutine, no source of randomness that is not passed in.
+// pure lists the packages of state machines and plain values: they use no I/O,
+// no clock, no goroutines, and no randomness that is not passed in.
 var pure = []string{
 	"zone", "machine", "api", "contract", "recordlog", "partition", "program", "schedule", "retry", "findings",
 	"control", "workload", "emulator/enginemodel", "emulator/platformmodel",
@@ -50,7 +51,7 @@
 	"tenant", "evacuation", "dispatch", "gather", "soak/promise",
 }
 
-// embeddable are the packages that others use without the daemon.
+// embeddable lists the packages that other programs use without the daemon.
 var embeddable = []string{"recordlog", "partition", "contract", "schedule", "history", "routing", "replica", "ledger", "ownership", "coordinator", "dispatch"}
 
 const (
@@ -58,7 +59,7 @@
 	maximumFunctionLines = 60
 )
 
-// file is one Go file of the tree.
+// file is one Go file of the module.
 type file struct {
 	path    string
 	folder  string
@@ -108,7 +109,7 @@
 	return files, positions
 }
 
-// layerOf returns the index of a folder's layer, or -1.
+// layerOf returns the index of a folder's layer, or -1 if it has none.
 func layerOf(folder string) int {
 	for name := folder; name != "." && name != ""; name = parentOf(name) {
 		for index, layer := range layers {
@@ -158,7 +159,7 @@
 	}
 }
 
-// impure are the imports and calls that a pure package may not use.
+// The imports, calls and modules that a pure package must not use.
 var (
 	impureImports = []string{"net", "net/http", "os", "os/signal", "syscall", "io/fs", "crypto/rand"}
 	impureCalls   = map[string][]string{
@@ -188,7 +189,8 @@
 	}
 }
 
-// impurity says what in a node a pure package may not hold.
+// impurity describes the construct of a node that a pure package must not
+// contain, or returns "" if there is none.
 func impurity(node ast.Node) string {
 	switch node := node.(type) {
 	case *ast.GoStmt:
@@ -215,7 +217,8 @@
 	}
 }
 
-// checkReachableImports follows the project's own imports and reports HTTP and wiring.
+// checkReachableImports follows imports within the module and reports those of
+// net/http and of impureModules.
 func checkReachableImports(t *testing.T, start, folder string, imports map[string][]string, seen map[string]bool) {
 	if seen[folder] {
 		return
@@ -253,8 +256,9 @@
 	}
 }
 
-// platformNames are words that only the adapter of the users' platform knows.
-// X-Deadline-Ms is not among them: the product's own interface has that field too.
+// platformNames are strings that only the adapter of the users' platform may
+// contain. X-Deadline-Ms is not among them, because the product's own interface
+// has that field too.
 var platformNames = []string{
 	"X-Program-Id", "X-Request-Id", "X-Server-Seal", "X-Prompt-Prefix", "X-Previous-Turn", "X-Token-Budget",
 	"X-Not-Executed", "X-Expect-Instance", "/-/log-", "/-/readyz", "keyed.op", "keyed.servers", "BIRCHWOOD_BOOT",
--- a/internal/layout/links_test.go
+++ b/internal/layout/links_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// nodeModules are the modules that the program of a node on the users' platform
-// links: what is linked there costs memory on every machine.
+// nodeModules lists exactly the modules that birchwood-edge links. Each one costs
+// memory on every machine of the users' platform.
 var nodeModules = []string{
 	"birchwood.example/birchwood",
 	"github.com/BurntSushi/toml",
@@ -30,7 +30,8 @@
 	"golang.org/x/sys",
 }
 
-// forbiddenOnNodes are packages of this module that a node has no use for.
+// forbiddenOnNodes lists packages of this module that birchwood-edge must not
+// link, because it does not use them.
 var forbiddenOnNodes = []string{"schedule", "control", "node", "emulator", "gateway", "operator", "workload", "history", "platform/standin", "command"}
 
 func TestNodeLinksWhatItUses(t *testing.T) {
--- a/internal/settingsdoc/main.go
+++ b/internal/settingsdoc/main.go
@@ -1,7 +1,7 @@
 // Command settingsdoc writes docs/SETTINGS.md from the typed settings: those
 // of a process (package config) and those of the settings tree (package
-// contract). `go generate ./config` runs it; a test holds the committed page
-// to its output.
+// contract). `go generate ./config` runs it; a test compares the committed page
+// with its output.
 package main
 
 import (
--- a/internal/settingsdoc/render.go
+++ b/internal/settingsdoc/render.go
@@ -67,7 +67,7 @@
 	return page.Bytes(), nil
 }
 
-// writeRow writes one row; the row that holds the titles gets its rule.
+// writeRow writes one table row, and the separator line after the header row.
 func writeRow(page *bytes.Buffer, cells ...string) {
 	fmt.Fprintf(page, "| %s |\n", strings.Join(cells, " | "))
 	if cells[len(cells)-1] == "Meaning" {
@@ -75,7 +75,7 @@
 	}
 }
 
-// codeSpan sets text as codeSpan; empty text stays empty.
+// codeSpan returns the text as a Markdown code span, or "" if it is empty.
 func codeSpan(text string) string {
 	if text == "" {
 		return ""
--- a/internal/settingsdoc/render_test.go
+++ b/internal/settingsdoc/render_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestSettingsPageIsUpToDate holds docs/SETTINGS.md to the typed settings.
+// TestSettingsPageIsUpToDate checks that docs/SETTINGS.md agrees with the typed
+// settings.
 func TestSettingsPageIsUpToDate(t *testing.T) {
 	want, err := render()
 	if err != nil {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds a goroutine up, for as long as its context lives.
+// Package wait provides sleeps that end early when a context is cancelled.
 package wait
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for a span. It reports false, at once, if the context ends first or
-// has ended.
+// For sleeps for the given duration. It returns false, without further delay, if
+// the context is cancelled before or during the sleep.
 func For(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -19,5 +19,5 @@
 	}
 }
 
-// Until waits for a time, as For does.
+// Until sleeps until the given time, as For does.
 func Until(ctx context.Context, when time.Time) bool { return For(ctx, time.Until(when)) }
