--- a/command/bench.go
+++ b/command/bench.go
@@ -50,16 +50,16 @@
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return runBench(command, flags) },
 	}
-	set := command.Flags()
-	set.StringVar(&flags.deployment, "deployment", flags.deployment, "koudeketting, qasr or letter")
-	set.StringVar(&flags.policy, "policy", flags.policy, "birchwood, round-robin, least-loaded, sticky or all")
-	set.Uint64Var(&flags.seed, "seed", flags.seed, "seed of the arrivals and of every random choice")
-	set.IntVar(&flags.programs, "programs", flags.programs, "how many programs arrive")
-	set.Float64Var(&flags.load, "load", flags.load, "arrival rate as a share of the capacity")
-	set.StringVar(&flags.faults, "faults", flags.faults, "YAML `file` with the faults of the run")
-	set.StringVar(&flags.output, "output", flags.output, "text or json")
-	set.IntVar(&flags.nodes, "nodes-per-zone", flags.nodes, "nodes that decide in each zone; 0 means the deployment's, at most 3")
-	set.StringVar(&flags.plot, "plot", flags.plot, "`directory` for plots of the latency and of a load sweep")
+	flagSet := command.Flags()
+	flagSet.StringVar(&flags.deployment, "deployment", flags.deployment, "koudeketting, qasr or letter")
+	flagSet.StringVar(&flags.policy, "policy", flags.policy, "birchwood, round-robin, least-loaded, sticky or all")
+	flagSet.Uint64Var(&flags.seed, "seed", flags.seed, "seed of the arrivals and of every random choice")
+	flagSet.IntVar(&flags.programs, "programs", flags.programs, "how many programs arrive")
+	flagSet.Float64Var(&flags.load, "load", flags.load, "arrival rate as a share of the capacity")
+	flagSet.StringVar(&flags.faults, "faults", flags.faults, "YAML `file` with the faults of the run")
+	flagSet.StringVar(&flags.output, "output", flags.output, "text or json")
+	flagSet.IntVar(&flags.nodes, "nodes-per-zone", flags.nodes, "nodes that decide in each zone; 0 means the deployment's, at most 3")
+	flagSet.StringVar(&flags.plot, "plot", flags.plot, "`directory` for plots of the latency and of a load sweep")
 	return command
 }
 
--- a/command/edgecommand/edge.go
+++ b/command/edgecommand/edge.go
@@ -32,11 +32,11 @@
 			if path == "" {
 				return &exit.Error{Code: exit.Usage, Cause: fmt.Errorf("no settings file: want --settings or %s", platform.SettingsVariable)}
 			}
-			switchedOff, err := edge.ParseMechanisms("--without", without)
+			disabled, err := edge.ParseMechanisms("--without", without)
 			if err != nil {
 				return &exit.Error{Code: exit.Usage, Cause: err}
 			}
-			return runEdge(command.Context(), path, switchedOff)
+			return runEdge(command.Context(), path, disabled)
 		},
 	}
 	command.Flags().StringVar(&path, "settings", "", "the settings file, in place of the one that "+platform.SettingsVariable+" names")
@@ -55,10 +55,10 @@
 		return &exit.Error{Code: exit.Usage, Cause: err}
 	}
 	settings.Without = without
-	lines := &decisionWriter{}
-	logger, flush := newDecisionLogger(settings.Node, lines)
+	decisions := &decisionWriter{}
+	logger, flush := newDecisionLogger(settings.Node, decisions)
 	defer flush()
-	settings.LogLinesDropped = lines.dropped.Load
+	settings.LogLinesDropped = decisions.dropped.Load
 	node, err := edge.New(settings, platform.NewAdapter(settings), logger)
 	if err != nil {
 		return &exit.Error{Code: exit.Failure, Cause: err}
--- a/command/exit/exit.go
+++ b/command/exit/exit.go
@@ -34,11 +34,11 @@
 
 // Report writes the error, if any, prefixed by the program's name, and returns
 // the exit code. An error without an exit code counts as wrong usage.
-func Report(to io.Writer, program string, err error) int {
+func Report(writer io.Writer, program string, err error) int {
 	if err == nil {
 		return OK
 	}
-	_, _ = fmt.Fprintf(to, "%s: %v\n", program, err)
+	_, _ = fmt.Fprintf(writer, "%s: %v\n", program, err)
 	var exit *Error
 	if errors.As(err, &exit) {
 		return exit.Code
--- a/command/explain.go
+++ b/command/explain.go
@@ -61,19 +61,19 @@
 	if err != nil {
 		return err
 	}
-	var own []logLine
+	var requestLines []logLine
 	for _, line := range lines {
 		if line.Request == request {
-			own = append(own, line)
+			requestLines = append(requestLines, line)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return &ExitError{Code: ExitFailure, Cause: fmt.Errorf("no line about request %q in %d lines", request, len(lines))}
 	}
-	last := own[len(own)-1]
+	last := requestLines[len(requestLines)-1]
 	for _, line := range lines {
 		recent := !line.Time.After(last.Time) && (last.Time.Sub(line.Time) <= span || line.Evacuated != "")
-		if line.Request == request || (recent && line.Request == "" && affectsRequest(line, own)) {
+		if line.Request == request || (recent && line.Request == "" && affectsRequest(line, requestLines)) {
 			if _, err := fmt.Fprintf(output, "%s\n", line.raw); err != nil {
 				return err
 			}
@@ -84,18 +84,18 @@
 
 // affectsRequest reports whether a line is about a partition, replica or node
 // that one of the request's own lines names.
-func affectsRequest(line logLine, own []logLine) bool {
-	for _, about := range own {
+func affectsRequest(line logLine, requestLines []logLine) bool {
+	for _, requestLine := range requestLines {
 		switch {
 		case line.Partition != nil:
-			if about.Partition != nil && *line.Partition == *about.Partition {
+			if requestLine.Partition != nil && *line.Partition == *requestLine.Partition {
 				return true
 			}
 		case line.Replica != "":
-			if line.Replica == about.Replica {
+			if line.Replica == requestLine.Replica {
 				return true
 			}
-		case line.Node == about.Node || line.Node == about.Counted && about.Counted != "":
+		case line.Node == requestLine.Node || line.Node == requestLine.Counted && requestLine.Counted != "":
 			return true
 		}
 	}
@@ -109,11 +109,11 @@
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, maxLogLineBytes/16), maxLogLineBytes)
 	for scanner.Scan() {
-		begin := bytes.IndexByte(scanner.Bytes(), '{')
-		if begin < 0 {
+		start := bytes.IndexByte(scanner.Bytes(), '{')
+		if start < 0 {
 			continue
 		}
-		line := logLine{raw: slices.Clone(scanner.Bytes()[begin:])}
+		line := logLine{raw: slices.Clone(scanner.Bytes()[start:])}
 		if json.Unmarshal(line.raw, &line) == nil && !line.Time.IsZero() {
 			lines = append(lines, line)
 		}
--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -45,10 +45,10 @@
 // runFuzz runs clusters until a failure or until a bound is reached, and prints
 // the outcome.
 func runFuzz(command *cobra.Command, config cluster.FuzzConfig) error {
-	begin := time.Now()
+	start := time.Now()
 	config.Progress = func(runs int) {
 		if runs%progressIntervalRuns == 0 {
-			_, _ = fmt.Fprintf(command.ErrOrStderr(), "%d runs in %s\n", runs, time.Since(begin).Round(time.Second))
+			_, _ = fmt.Fprintf(command.ErrOrStderr(), "%d runs in %s\n", runs, time.Since(start).Round(time.Second))
 		}
 	}
 	runs, failure, err := cluster.Fuzz(config)
@@ -58,7 +58,7 @@
 	output := command.OutOrStdout()
 	if failure == nil {
 		_, err := fmt.Fprintf(output, "%d runs from seed %d in %s: no promise was broken\n",
-			runs, config.Seed, time.Since(begin).Round(time.Second))
+			runs, config.Seed, time.Since(start).Round(time.Second))
 		return err
 	}
 	_, _ = fmt.Fprintf(output, "%s\n\nrun %d failed; again: %s\n", failure.Text, runs, failure.Replay)
--- a/command/operator_ask.go
+++ b/command/operator_ask.go
@@ -28,7 +28,7 @@
 		Long:  v.long,
 		Args:  v.arguments,
 		RunE: func(command *cobra.Command, arguments []string) error {
-			client, err := flags.open(command)
+			client, err := flags.newClient(command)
 			if err != nil {
 				return err
 			}
--- a/command/operator_client.go
+++ b/command/operator_client.go
@@ -62,8 +62,8 @@
 	writer io.Writer
 }
 
-// open validates the flags and returns a client.
-func (f *operatorFlags) open(command *cobra.Command) (*operatorClient, error) {
+// newClient validates the flags and returns a client.
+func (f *operatorFlags) newClient(command *cobra.Command) (*operatorClient, error) {
 	if f.output != outputText && f.output != outputJSON {
 		return nil, usageError("output %q: want %s or %s", f.output, outputText, outputJSON)
 	}
--- a/command/program_trace.go
+++ b/command/program_trace.go
@@ -47,11 +47,11 @@
 	if err := client.get(ctx, path, &trace.Program); err != nil {
 		return trace, err
 	}
-	var decided gateway.ProgramTrace
-	if err := client.get(ctx, path+"/trace", &decided); err != nil {
+	var placements gateway.ProgramTrace
+	if err := client.get(ctx, path+"/trace", &placements); err != nil {
 		return trace, err
 	}
-	trace.Attempts = decided.Attempts
+	trace.Attempts = placements.Attempts
 	for from := uint64(1); from > 0; {
 		var history api.History
 		if err := client.get(ctx, fmt.Sprintf("%s/history?from=%d", path, from), &history); err != nil {
@@ -72,12 +72,12 @@
 		attempts[attempt.Sequence] = append(attempts[attempt.Sequence], attempt)
 	}
 	for _, call := range trace.Calls {
-		tried := attempts[call.Sequence]
-		if len(tried) == 0 {
-			tried = []control.CallTrace{{Attempt: call.Attempt}}
+		callAttempts := attempts[call.Sequence]
+		if len(callAttempts) == 0 {
+			callAttempts = []control.CallTrace{{Attempt: call.Attempt}}
 		}
-		for i, attempt := range tried {
-			if i == len(tried)-1 {
+		for i, attempt := range callAttempts {
+			if i == len(callAttempts)-1 {
 				printAttempt(writer, call, attempt)
 				continue
 			}
@@ -119,14 +119,14 @@
 	}
 	parts := []string{terms.Reason, fmt.Sprintf("of %d", terms.Feasible)}
 	for _, term := range []struct {
-		name string
-		took time.Duration
+		name     string
+		duration time.Duration
 	}{
 		{"queue", terms.Queue}, {"prefill", terms.Prefill}, {"transfer", terms.Transfer},
 		{"decode", terms.Decode}, {"link", terms.Link},
 	} {
-		if term.took > 0 {
-			parts = append(parts, term.name+" "+term.took.Round(100*time.Microsecond).String())
+		if term.duration > 0 {
+			parts = append(parts, term.name+" "+term.duration.Round(100*time.Microsecond).String())
 		}
 	}
 	return strings.TrimSpace(strings.Join(parts, ", "))
--- a/command/settings_set.go
+++ b/command/settings_set.go
@@ -48,7 +48,7 @@
 		Example: "  birchwood settings set koudeketting/triage zones=isando priority=8\n" +
 			"  birchwood settings set qasr --unset models --yes",
 		RunE: func(command *cobra.Command, arguments []string) error {
-			client, err := flags.open(command)
+			client, err := flags.newClient(command)
 			if err != nil {
 				return err
 			}
@@ -135,9 +135,9 @@
 	if change.Based > 0 {
 		return change, nil
 	}
-	var present operator.Settings
-	err := client.get(ctx, "/settings", &present)
-	change.Based = present.Revision
+	var current operator.Settings
+	err := client.get(ctx, "/settings", &current)
+	change.Based = current.Revision
 	return change, err
 }
 
--- a/command/soak.go
+++ b/command/soak.go
@@ -71,17 +71,17 @@
 		return &ExitError{Code: ExitUsage, Cause: err}
 	}
 	if options.Binary == "" {
-		own, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return &ExitError{Code: ExitFailure, Cause: err}
 		}
-		options.Binary = filepath.Join(filepath.Dir(own), nodeBinary)
+		options.Binary = filepath.Join(filepath.Dir(executable), nodeBinary)
 	}
 	if _, err := os.Stat(options.Binary); err != nil {
 		return &ExitError{Code: ExitUsage, Cause: fmt.Errorf("node binary (see --binary): %w", err)}
 	}
-	ctx, end := signal.NotifyContext(parent, syscall.SIGINT, syscall.SIGTERM)
-	defer end()
+	ctx, stop := signal.NotifyContext(parent, syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
 	err := soak.Run(ctx, options)
 	if err != nil && !errors.Is(err, soak.ErrBroken) {
 		err = fmt.Errorf("soak: %w", err)
--- a/config/decode.go
+++ b/config/decode.go
@@ -45,10 +45,10 @@
 // addSyntaxError reports a document that is not valid YAML.
 func (d *decoder) addSyntaxError(err error) {
 	found := Finding{File: d.source.name, Path: rootPath, Message: err.Error()}
-	var located yaml.Error
-	if errors.As(err, &located) {
-		found.Message = located.GetMessage()
-		if token := located.GetToken(); token != nil {
+	var yamlError yaml.Error
+	if errors.As(err, &yamlError) {
+		found.Message = yamlError.GetMessage()
+		if token := yamlError.GetToken(); token != nil {
 			found.Line, found.Column = token.Position.Line, token.Position.Column
 		}
 	}
@@ -115,8 +115,8 @@
 }
 
 // newWithDefaults returns a pointer to a new value with its section's defaults.
-func newWithDefaults(created reflect.Type) reflect.Value {
-	pointer := reflect.New(created)
+func newWithDefaults(sectionType reflect.Type) reflect.Value {
+	pointer := reflect.New(sectionType)
 	if section, hasDefaults := pointer.Interface().(defaulter); hasDefaults {
 		section.setDefaults()
 	}
@@ -172,7 +172,7 @@
 }
 
 func assignScalar(node ast.Node, target reflect.Value) error {
-	wrong := fmt.Errorf("%q: want %s", node.GetToken().Value, kindName(target.Type()))
+	typeError := fmt.Errorf("%q: want %s", node.GetToken().Value, kindName(target.Type()))
 	if target.Type() == durationType {
 		return assignDuration(node.GetToken().Value, target)
 	}
@@ -181,18 +181,18 @@
 	}
 	switch target.Kind() {
 	case reflect.Struct, reflect.Slice:
-		return wrong
+		return typeError
 	case reflect.String:
 		if _, isString := node.(*ast.StringNode); !isString {
 			return fmt.Errorf("%q: want text; put it in quotes", node.GetToken().Value)
 		}
 	case reflect.Int, reflect.Int64, reflect.Uint64:
 		if _, isInteger := node.(*ast.IntegerNode); !isInteger {
-			return wrong
+			return typeError
 		}
 	}
 	if err := yaml.NodeToValue(node, target.Addr().Interface()); err != nil {
-		return wrong
+		return typeError
 	}
 	return nil
 }
--- a/config/finding.go
+++ b/config/finding.go
@@ -19,11 +19,11 @@
 
 // String returns "file:line:column: path: message".
 func (f Finding) String() string {
-	place := f.File
+	location := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
+		location = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
 	}
-	return fmt.Sprintf("%s: %s: %s", place, f.Path, f.Message)
+	return fmt.Sprintf("%s: %s: %s", location, f.Path, f.Message)
 }
 
 // position is the location of a value: a file with line and column, or a flag.
@@ -44,8 +44,8 @@
 func (s *source) finding(path, format string, arguments ...any) Finding {
 	found := Finding{File: s.name, Path: path, Message: fmt.Sprintf(format, arguments...)}
 	for nearest := path; nearest != ""; nearest = parentPath(nearest) {
-		if at, known := s.positions[nearest]; known {
-			found.File, found.Line, found.Column = at.source, at.line, at.column
+		if pos, known := s.positions[nearest]; known {
+			found.File, found.Line, found.Column = pos.source, pos.line, pos.column
 			break
 		}
 	}
--- a/config/load.go
+++ b/config/load.go
@@ -62,11 +62,11 @@
 	if f.Standin == nil || f.Standin.Settings == "" || filepath.IsAbs(f.Standin.Settings) {
 		return nil
 	}
-	located, err := filepath.Abs(filepath.Join(folder, f.Standin.Settings))
+	absolute, err := filepath.Abs(filepath.Join(folder, f.Standin.Settings))
 	if err != nil {
 		return err
 	}
-	f.Standin.Settings = located
+	f.Standin.Settings = absolute
 	return nil
 }
 
@@ -87,8 +87,8 @@
 	if override.Origin == "" {
 		override.Origin = "override"
 	}
-	place := position{source: override.Origin}
-	decoder := &decoder{source: source{name: override.Origin, positions: map[string]position{path: place}}}
+	flagPosition := position{source: override.Origin}
+	decoder := &decoder{source: source{name: override.Origin, positions: map[string]position{path: flagPosition}}}
 	target := reflect.ValueOf(f).Elem()
 	for _, name := range strings.Split(override.Path, ".") {
 		if target.Kind() == reflect.Pointer {
@@ -114,7 +114,7 @@
 	if f.source.positions == nil {
 		f.source.positions = map[string]position{}
 	}
-	f.source.positions[path] = place
+	f.source.positions[path] = flagPosition
 	return decoder.findings
 }
 
--- a/config/validate.go
+++ b/config/validate.go
@@ -19,20 +19,20 @@
 var fileValidator = newFileValidator()
 
 func newFileValidator() *validator.Validate {
-	created := validator.New(validator.WithRequiredStructEnabled())
-	created.RegisterTagNameFunc(yamlName)
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(yamlName)
 	rules := map[string]func(string) bool{
 		"address": func(text string) bool { return checkAddress(text) == nil },
 		"zone":    func(text string) bool { return zone.Name(text).Validate() == nil },
 		"machine": machineIDPattern.MatchString,
 	}
 	for name, accept := range rules {
-		err := created.RegisterValidation(name, func(field validator.FieldLevel) bool { return accept(field.Field().String()) })
+		err := validate.RegisterValidation(name, func(field validator.FieldLevel) bool { return accept(field.Field().String()) })
 		if err != nil {
 			panic(err) // only an invalid rule name can cause this
 		}
 	}
-	return created
+	return validate
 }
 
 // checkAddress accepts an IP address with a port other than 0.
@@ -51,9 +51,9 @@
 func (f *File) Validate() []Finding {
 	var findings []Finding
 	if err := fileValidator.Struct(f); err != nil {
-		for _, wrong := range err.(validator.ValidationErrors) {
-			path := rootPath + strings.TrimPrefix(wrong.Namespace(), "File")
-			findings = append(findings, f.source.finding(path, "%s", ruleMessage(wrong)))
+		for _, violation := range err.(validator.ValidationErrors) {
+			path := rootPath + strings.TrimPrefix(violation.Namespace(), "File")
+			findings = append(findings, f.source.finding(path, "%s", ruleMessage(violation)))
 		}
 	}
 	findings = append(findings, f.checkSections()...)
@@ -64,41 +64,41 @@
 }
 
 // ruleMessage describes the validator rule that a field violates.
-func ruleMessage(wrong validator.FieldError) string {
-	switch wrong.Tag() {
+func ruleMessage(violation validator.FieldError) string {
+	switch violation.Tag() {
 	case "required":
 		return "missing"
 	case "address":
-		return checkAddress(fmt.Sprint(wrong.Value())).Error()
+		return checkAddress(fmt.Sprint(violation.Value())).Error()
 	case "zone", "machine":
-		return fmt.Sprintf("%q: want lower-case letters, digits and inner hyphens", wrong.Value())
+		return fmt.Sprintf("%q: want lower-case letters, digits and inner hyphens", violation.Value())
 	case "unique":
-		if wrong.Param() == "" {
+		if violation.Param() == "" {
 			return "duplicate item"
 		}
-		return fmt.Sprintf("two items have the same %s", strings.ToLower(wrong.Param()))
+		return fmt.Sprintf("two items have the same %s", strings.ToLower(violation.Param()))
 	case "oneof":
-		return fmt.Sprintf("%q: want one of %s", wrong.Value(), wrong.Param())
+		return fmt.Sprintf("%q: want one of %s", violation.Value(), violation.Param())
 	case "min", "max":
-		return boundMessage(wrong)
+		return boundMessage(violation)
 	case "gt":
-		return fmt.Sprintf("%v: want more than %s", wrong.Value(), wrong.Param())
+		return fmt.Sprintf("%v: want more than %s", violation.Value(), violation.Param())
 	case "nefield":
-		return fmt.Sprintf("%q: must differ from the value of %s", wrong.Value(), strings.ToLower(wrong.Param()))
+		return fmt.Sprintf("%q: must differ from the value of %s", violation.Value(), strings.ToLower(violation.Param()))
 	default:
-		return fmt.Sprintf("%v: breaks the rule %s %s", wrong.Value(), wrong.Tag(), wrong.Param())
+		return fmt.Sprintf("%v: breaks the rule %s %s", violation.Value(), violation.Tag(), violation.Param())
 	}
 }
 
-func boundMessage(wrong validator.FieldError) string {
-	bound := map[string]string{"min": "at least", "max": "at most"}[wrong.Tag()]
-	switch wrong.Kind() {
+func boundMessage(violation validator.FieldError) string {
+	bound := map[string]string{"min": "at least", "max": "at most"}[violation.Tag()]
+	switch violation.Kind() {
 	case reflect.String:
-		return fmt.Sprintf("want %s %s characters", bound, wrong.Param())
+		return fmt.Sprintf("want %s %s characters", bound, violation.Param())
 	case reflect.Slice:
-		return fmt.Sprintf("want %s %s items", bound, wrong.Param())
+		return fmt.Sprintf("want %s %s items", bound, violation.Param())
 	default:
-		return fmt.Sprintf("%v: want %s %s", wrong.Value(), bound, wrong.Param())
+		return fmt.Sprintf("%v: want %s %s", violation.Value(), bound, violation.Param())
 	}
 }
 
--- a/development/system_test.go
+++ b/development/system_test.go
@@ -170,14 +170,14 @@
 	})
 
 	It("gives a node that starts while the log service is down the settings from a peer", func() {
-		held := system.Nodes[0].Process.Node.Settings().Revision()
+		wantRevision := system.Nodes[0].Process.Node.Settings().Revision()
 		Expect(system.Standins.Faults().Add(standin.Fault{Name: "outage", Kind: standin.FaultDown, Target: standin.TargetLog})).To(Succeed())
 		DeferCleanup(func() { system.Standins.Faults().Remove("outage") })
-		late := config.Dev().Nodes[0]
-		late.Node.ID = "node-late"
-		Expect(system.Add(late, discardLogs("node-late"))).To(Succeed())
+		lateFile := config.Dev().Nodes[0]
+		lateFile.Node.ID = "node-late"
+		Expect(system.Add(lateFile, discardLogs("node-late"))).To(Succeed())
 		started := system.Nodes[len(system.Nodes)-1]
-		Eventually(func() any { return started.Process.Node.Settings().Revision() }).WithTimeout(ioTimeout).Should(Equal(held))
+		Eventually(func() any { return started.Process.Node.Settings().Revision() }).WithTimeout(ioTimeout).Should(Equal(wantRevision))
 		system.Standins.Faults().Remove("outage")
 		ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 		defer cancel()
@@ -242,7 +242,7 @@
 			ids[i] = at(i%len(system.Nodes)).create("demo", fmt.Sprintf("stop-%d", i))
 		}
 		stopped := system.Nodes[len(system.Nodes)-1]
-		begun := make(chan struct{})
+		firstAnswered := make(chan struct{})
 		var once sync.Once
 		var group sync.WaitGroup
 		for i, id := range ids {
@@ -252,11 +252,11 @@
 					answer := at(i%(len(system.Nodes)-1)).call(id, modelCall(fmt.Sprintf("t%d", turn), "next. "))
 					Expect(answer.Status).To(Equal(api.StatusSucceeded), "program %d, turn %d: %+v", i, turn, answer.Error)
 					Expect(answer.Sequence).To(Equal(uint64(turn + 1)))
-					once.Do(func() { close(begun) })
+					once.Do(func() { close(firstAnswered) })
 				}
 			})
 		}
-		<-begun
+		<-firstAnswered
 		Expect(stopped.Stop()).To(Succeed())
 		system.Nodes = system.Nodes[:len(system.Nodes)-1]
 		group.Wait()
--- a/internal/guarantees/guarantees_test.go
+++ b/internal/guarantees/guarantees_test.go
@@ -95,8 +95,8 @@
 func TestEveryNamedTestExists(t *testing.T) {
 	text := readPage(t)
 	known := map[string]map[string]bool{}
-	named := testReference.FindAllStringSubmatch(text, -1)
-	for _, match := range named {
+	references := testReference.FindAllStringSubmatch(text, -1)
+	for _, match := range references {
 		folder, name := match[1], match[2]
 		if known[folder] == nil {
 			known[folder] = testNamesIn(t, folder)
@@ -105,8 +105,8 @@
 			t.Errorf("%s: package %s has no test %q", page, folder, name)
 		}
 	}
-	if lines := strings.Count(text, "\n- `"); lines != len(named) {
-		t.Errorf("%s: %d lines begin with a name, and %d of them name a test", page, lines, len(named))
+	if lines := strings.Count(text, "\n- `"); lines != len(references) {
+		t.Errorf("%s: %d lines begin with a name, and %d of them name a test", page, lines, len(references))
 	}
 }
 
@@ -135,27 +135,27 @@
 // TestEveryInvariantHasABrokenHistory checks that the page's table lists the
 // same invariants and broken histories as the tests of package history.
 func TestEveryInvariantHasABrokenHistory(t *testing.T) {
-	shown := map[string][]string{}
+	tableEntries := map[string][]string{}
 	for _, match := range brokenHistoryRow.FindAllStringSubmatch(readPage(t), -1) {
-		shown[match[1]] = append(shown[match[1]], match[2])
+		tableEntries[match[1]] = append(tableEntries[match[1]], match[2])
 	}
 	names := testNamesIn(t, "history")
-	onPage := map[string]bool{}
+	pageEntries := map[string]bool{}
 	for _, invariant := range history.Invariants() {
-		if len(shown[string(invariant)]) == 0 {
+		if len(tableEntries[string(invariant)]) == 0 {
 			t.Errorf("%s: no broken history for %q", page, invariant)
 		}
-		for _, entry := range shown[string(invariant)] {
-			onPage[string(invariant)+": "+entry] = true
+		for _, entry := range tableEntries[string(invariant)] {
+			pageEntries[string(invariant)+": "+entry] = true
 		}
 	}
 	for name := range names {
 		invariant, _, found := strings.Cut(name, ": ")
-		if found && len(shown[invariant]) > 0 && !onPage[name] {
+		if found && len(tableEntries[invariant]) > 0 && !pageEntries[name] {
 			t.Errorf("%s: the table lacks %q", page, name)
 		}
 	}
-	for name := range onPage {
+	for name := range pageEntries {
 		if !names[name] {
 			t.Errorf("%s: package history has no entry %q", page, name)
 		}
@@ -163,9 +163,9 @@
 }
 
 var (
-	metric = regexp.MustCompile(`birchwood_[a-z_]+`)
-	verb   = regexp.MustCompile("`(birchwood(?: [a-z][a-z-]*){1,2})")
-	listed = regexp.MustCompile("(?m)^\\| `(birchwood [a-z -]+)`")
+	metricName    = regexp.MustCompile(`birchwood_[a-z_]+`)
+	commandName   = regexp.MustCompile("`(birchwood(?: [a-z][a-z-]*){1,2})")
+	listedCommand = regexp.MustCompile("(?m)^\\| `(birchwood [a-z -]+)`")
 )
 
 // TestOperatorsPagesNameWhatExists checks that the operators' pages name only
@@ -179,9 +179,9 @@
 		}
 		return string(text)
 	}
-	explained := read(filepath.Join(root, "docs/operate/metrics.md"))
+	metricsPage := read(filepath.Join(root, "docs/operate/metrics.md"))
 	verbs := map[string]bool{}
-	for _, match := range listed.FindAllStringSubmatch(read(filepath.Join(root, "docs/CLI.md")), -1) {
+	for _, match := range listedCommand.FindAllStringSubmatch(read(filepath.Join(root, "docs/CLI.md")), -1) {
 		verbs[match[1]] = true
 	}
 	pages, err := filepath.Glob(filepath.Join(root, "docs/operate/*.md"))
@@ -190,14 +190,14 @@
 	}
 	for _, path := range pages {
 		text := read(path)
-		for _, name := range metric.FindAllString(text, -1) {
-			if !strings.Contains(explained, "`"+name+"`") {
+		for _, name := range metricName.FindAllString(text, -1) {
+			if !strings.Contains(metricsPage, "`"+name+"`") {
 				t.Errorf("%s names the metric %s, which is not explained", path, name)
 			}
 		}
-		for _, match := range verb.FindAllStringSubmatch(text, -1) {
-			one := strings.Join(strings.Fields(match[1])[:2], " ")
-			if !verbs[match[1]] && !verbs[one] {
+		for _, match := range commandName.FindAllStringSubmatch(text, -1) {
+			topCommand := strings.Join(strings.Fields(match[1])[:2], " ")
+			if !verbs[match[1]] && !verbs[topCommand] {
 				t.Errorf("%s names the verb %q, which docs/CLI.md does not list", path, match[1])
 			}
 		}
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -145,14 +145,14 @@
 		if source.isTest {
 			continue
 		}
-		own := layerOf(source.folder)
-		if own < 0 {
+		ownLayer := layerOf(source.folder)
+		if ownLayer < 0 {
 			t.Errorf("%s: folder %s has no layer in this test", source.path, source.folder)
 			continue
 		}
 		for _, name := range source.imports {
 			target, ours := strings.CutPrefix(name, module)
-			if ours && target != source.folder && layerOf(target) >= own {
+			if ours && target != source.folder && layerOf(target) >= ownLayer {
 				t.Errorf("%s imports %s, which is not in an earlier layer", source.path, target)
 			}
 		}
