--- a/cmd/birchwood-edge/main.go
+++ b/cmd/birchwood-edge/main.go
@@ -1,6 +1,6 @@
 // Command birchwood-edge runs one node on the users' platform, as `birchwood
-// edge` does. It links only what that node needs, because machines there have
-// little memory.
+// edge` does. It links only what that node needs, because machines there are
+// small.
 package main
 
 import (
--- a/command/edgecommand/edge.go
+++ b/command/edgecommand/edge.go
@@ -1,6 +1,6 @@
 // Package edgecommand implements the command that runs one node on the users'
-// platform. `birchwood edge` and the binary birchwood-edge share it. It imports
-// only what a node needs, to keep that binary small.
+// platform. `birchwood edge` and the binary birchwood-edge, which has a machine to
+// itself, share it. It imports only what a node needs.
 package edgecommand
 
 import (
