--- a/config/deployments_test.go
+++ b/config/deployments_test.go
@@ -36,8 +36,8 @@
 			listeners[address] = string(file.Node.ID)
 		}
 	}
-	for _, place := range deployment.Zones {
-		Expect(perZone).To(HaveKeyWithValue(place.Name, 2))
+	for _, deployed := range deployment.Zones {
+		Expect(perZone).To(HaveKeyWithValue(deployed.Name, 2))
 	}
 	Expect(standin.Links.BetweenZones).To(Equal(deployment.ZoneDelay))
 	Expect(standin.Links.Client).To(Equal(deployment.ClientDelay))
