--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -11,13 +11,13 @@
 )
 
 // errFuzzFailed makes fuzz exit with 1 after it has printed the failure.
-var errFuzzFailed = errors.New("a run violated a guarantee")
+var errFuzzFailed = errors.New("a run broke a promise")
 
 // progressIntervalRuns is the number of runs between two progress messages.
 const progressIntervalRuns = 100
 
 // newFuzzCommand returns the subcommand that searches emulated clusters for
-// violated guarantees.
+// broken promises.
 func newFuzzCommand() *cobra.Command {
 	config := cluster.FuzzConfig{Seed: 1, ShrinkFor: 30 * time.Second}
 	command := &cobra.Command{
--- a/command/verify.go
+++ b/command/verify.go
@@ -13,7 +13,7 @@
 )
 
 // errFindings makes verify exit with 1 after it has printed its findings.
-var errFindings = errors.New("the history violates guarantees")
+var errFindings = errors.New("the history breaks promises")
 
 // newVerifyCommand returns the subcommand that checks recorded histories.
 func newVerifyCommand() *cobra.Command {
