--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -10,14 +10,14 @@
 	"birchwood.example/birchwood/emulator/cluster"
 )
 
-// errFuzzFailed makes fuzz exit with a failure after it has printed it.
+// errFuzzFailed makes fuzz exit with 1 after it has printed the failure.
 var errFuzzFailed = errors.New("a run broke a promise")
 
-// progressEvery is after how many runs fuzz says how far it is.
-const progressEvery = 100
+// progressIntervalRuns is the number of runs between two progress messages.
+const progressIntervalRuns = 100
 
-// newFuzzCommand returns the command that looks for broken promises in
-// emulated clusters.
+// newFuzzCommand returns the subcommand that searches emulated clusters for
+// broken promises.
 func newFuzzCommand() *cobra.Command {
 	config := cluster.FuzzConfig{Seed: 1, ShrinkFor: 30 * time.Second}
 	command := &cobra.Command{
@@ -42,12 +42,13 @@
 	return command
 }
 
-// runFuzz runs until a failure or the bounds.
+// runFuzz runs clusters until a failure or until a bound is reached, and prints
+// the outcome.
 func runFuzz(command *cobra.Command, config cluster.FuzzConfig) error {
-	begin := time.Now()
+	start := time.Now()
 	config.Progress = func(runs int) {
-		if runs%progressEvery == 0 {
-			_, _ = fmt.Fprintf(command.ErrOrStderr(), "%d runs in %s\n", runs, time.Since(begin).Round(time.Second))
+		if runs%progressIntervalRuns == 0 {
+			_, _ = fmt.Fprintf(command.ErrOrStderr(), "%d runs in %s\n", runs, time.Since(start).Round(time.Second))
 		}
 	}
 	runs, failure, err := cluster.Fuzz(config)
@@ -57,7 +58,7 @@
 	output := command.OutOrStdout()
 	if failure == nil {
 		_, err := fmt.Fprintf(output, "%d runs from seed %d in %s: no promise was broken\n",
-			runs, config.Seed, time.Since(begin).Round(time.Second))
+			runs, config.Seed, time.Since(start).Round(time.Second))
 		return err
 	}
 	_, _ = fmt.Fprintf(output, "%s\n\nrun %d failed; again: %s\n", failure.Text, runs, failure.Replay)
--- a/command/soak.go
+++ b/command/soak.go
@@ -16,19 +16,21 @@
 	"birchwood.example/birchwood/soak"
 )
 
-// The run of soak where no flag says otherwise.
+// Defaults of the soak flags.
 const (
-	soakNodes    = 12
-	soakDuration = 90 * time.Second
+	defaultSoakNodes    = 12
+	defaultSoakDuration = 90 * time.Second
 )
 
-// nodeProgram is the program of a node, which lies beside this one.
-const nodeProgram = "birchwood-edge"
+// nodeBinary is the file name of the node's binary, which is expected in the
+// directory of this one.
+const nodeBinary = "birchwood-edge"
 
-// newSoakCommand returns the command that holds real processes to their promises.
+// newSoakCommand returns the subcommand that checks with real node
+// processes under faults that the promises hold.
 func newSoakCommand() *cobra.Command {
-	options := soak.Options{Scenario: soak.Scenario{Nodes: soakNodes}}
-	duration := soakDuration
+	options := soak.Options{Scenario: soak.Scenario{Nodes: defaultSoakNodes}}
+	duration := defaultSoakDuration
 	var replay string
 	command := &cobra.Command{
 		Use:   "soak [--seed N] [--duration D] [--nodes N] [--without MECHANISM,...] [--replay FILE]",
@@ -59,27 +61,27 @@
 	flags.StringArrayVar(&options.KnownBroken, "known", nil, "a promise that is known to be broken, in the report's words: reported, but no reason to fail; may be given again")
 	flags.StringVar(&replay, "replay", "", "a file with a run to make again, in place of --seed, --duration and --nodes")
 	flags.StringVar(&options.Logs, "logs", "", "a folder that the nodes' logs stay in; without it they go")
-	flags.StringVar(&options.Binary, "binary", "", "the program of a node; by default "+nodeProgram+" beside this program")
+	flags.StringVar(&options.Binary, "binary", "", "the program of a node; by default "+nodeBinary+" beside this program")
 	return command
 }
 
-// runSoak runs until the end or a signal.
+// runSoak runs the soak test until it ends or a signal arrives.
 func runSoak(parent context.Context, options soak.Options) error {
 	if _, err := edge.ParseMechanisms("--without", options.Disabled); err != nil {
 		return &ExitError{Code: ExitUsage, Cause: err}
 	}
 	if options.Binary == "" {
-		own, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return &ExitError{Code: ExitFailure, Cause: err}
 		}
-		options.Binary = filepath.Join(filepath.Dir(own), nodeProgram)
+		options.Binary = filepath.Join(filepath.Dir(executable), nodeBinary)
 	}
 	if _, err := os.Stat(options.Binary); err != nil {
-		return &ExitError{Code: ExitUsage, Cause: fmt.Errorf("the program of a node (see --binary): %w", err)}
+		return &ExitError{Code: ExitUsage, Cause: fmt.Errorf("node binary (see --binary): %w", err)}
 	}
-	ctx, end := signal.NotifyContext(parent, syscall.SIGINT, syscall.SIGTERM)
-	defer end()
+	ctx, stop := signal.NotifyContext(parent, syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
 	err := soak.Run(ctx, options)
 	if err != nil && !errors.Is(err, soak.ErrBroken) {
 		err = fmt.Errorf("soak: %w", err)
--- a/development/system_test.go
+++ b/development/system_test.go
@@ -22,15 +22,16 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// patience bounds a wait for real I/O. Nothing is asserted about how long
-// anything takes within it.
-const patience = 60 * time.Second
+// ioTimeout bounds every wait for real I/O. The tests assert nothing about
+// durations below it.
+const ioTimeout = 60 * time.Second
 
-// caller is a client of the callers' API at one node.
+// caller is a client of one node's callers' API that fails the test on an
+// error.
 type caller struct{ address string }
 
-// post sends a request and decodes the answer into result. It returns the
-// status.
+// post sends a POST request, decodes the answer into result and returns the
+// HTTP status.
 func (c caller) post(path string, body, result any) int {
 	encoded, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
@@ -47,7 +48,7 @@
 
 func (c caller) send(request *http.Request, result any) int {
 	request.Header.Set("Authorization", "Bearer "+config.DevCallerToken)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 	defer cancel()
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	Expect(err).NotTo(HaveOccurred())
@@ -56,7 +57,7 @@
 	return response.StatusCode
 }
 
-// create opens a program and returns its id.
+// create creates a program and returns its ID.
 func (c caller) create(branch, key string) api.ProgramID {
 	var program api.Program
 	status := c.post("/v1/programs", api.CreateProgram{Branch: branch, Key: key}, &program)
@@ -79,8 +80,8 @@
 	return api.SubmitCall{Key: key, Kind: api.CallTool, Tool: tool, Input: input}
 }
 
-// silent is a logger that writes nothing.
-func silent(string) *log.Logger { return &log.Logger{Level: log.PanicLevel} }
+// discardLogs returns a logger that writes nothing.
+func discardLogs(string) *log.Logger { return &log.Logger{Level: log.PanicLevel} }
 
 // zoneOf returns the zone of an engine of the development system.
 func zoneOf(system *development.System, backend string) zone.Name {
@@ -100,9 +101,9 @@
 	at := func(index int) caller { return caller{address: system.Nodes[index].Callers()} }
 
 	BeforeAll(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 		defer cancel()
-		started, err := development.Start(ctx, config.Dev(), silent)
+		started, err := development.Start(ctx, config.Dev(), discardLogs)
 		Expect(err).NotTo(HaveOccurred())
 		system = started
 		DeferCleanup(func() { Expect(system.Stop()).To(Succeed()) })
@@ -165,20 +166,20 @@
 			g.Expect(at(3).get(fmt.Sprintf("/v1/programs/%s/history", program), &history)).To(Equal(http.StatusOK))
 			g.Expect(history.Calls).To(HaveLen(3))
 			g.Expect(history.Calls[1].Output).To(Equal(during.Output))
-		}).WithTimeout(patience).Should(Succeed())
+		}).WithTimeout(ioTimeout).Should(Succeed())
 	})
 
 	It("gives a node that starts while the log service is down the settings from a peer", func() {
-		held := system.Nodes[0].Process.Node.Settings().Revision()
+		wantRevision := system.Nodes[0].Process.Node.Settings().Revision()
 		Expect(system.Standins.Faults().Add(standin.Fault{Name: "outage", Kind: standin.FaultDown, Target: standin.TargetLog})).To(Succeed())
 		DeferCleanup(func() { system.Standins.Faults().Remove("outage") })
-		late := config.Dev().Nodes[0]
-		late.Node.ID = "node-late"
-		Expect(system.Add(late, silent("node-late"))).To(Succeed())
+		lateFile := config.Dev().Nodes[0]
+		lateFile.Node.ID = "node-late"
+		Expect(system.Add(lateFile, discardLogs("node-late"))).To(Succeed())
 		started := system.Nodes[len(system.Nodes)-1]
-		Eventually(func() any { return started.Process.Node.Settings().Revision() }).WithTimeout(patience).Should(Equal(held))
+		Eventually(func() any { return started.Process.Node.Settings().Revision() }).WithTimeout(ioTimeout).Should(Equal(wantRevision))
 		system.Standins.Faults().Remove("outage")
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
 		defer cancel()
 		Expect(started.Process.Node.AwaitReady(ctx)).To(Succeed())
 	})
@@ -198,7 +199,7 @@
 		Expect(verdict.Accepted).To(BeTrue(), "%+v", verdict)
 
 		for _, started := range system.Nodes {
-			Eventually(started.Process.Node.Settings().Revision).WithTimeout(patience).Should(BeNumerically(">=", verdict.Revision))
+			Eventually(started.Process.Node.Settings().Revision).WithTimeout(ioTimeout).Should(BeNumerically(">=", verdict.Revision))
 		}
 		second := at(1).call(program, modelCall("second", "second. "))
 		Expect(second.Status).To(Equal(api.StatusSucceeded), "%+v", second.Error)
@@ -216,7 +217,7 @@
 			var history api.History
 			g.Expect(at(2).get(fmt.Sprintf("/v1/programs/%s/history", program), &history)).To(Equal(http.StatusOK))
 			g.Expect(history.Calls).To(HaveLen(2))
-		}).WithTimeout(patience).Should(Succeed())
+		}).WithTimeout(ioTimeout).Should(Succeed())
 	})
 
 	It("sends nothing new to a back end that an operator drains", func() {
@@ -224,7 +225,7 @@
 		revision := system.Nodes[0].Process.Node.Settings().Revision()
 		Expect(system.Nodes[0].Process.Node.DrainBackend(context.Background(), drained)).To(Succeed())
 		for _, started := range system.Nodes {
-			Eventually(started.Process.Node.Settings().Revision).WithTimeout(patience).Should(BeNumerically(">", revision))
+			Eventually(started.Process.Node.Settings().Revision).WithTimeout(ioTimeout).Should(BeNumerically(">", revision))
 		}
 		for i := range 12 {
 			program := at(i%len(system.Nodes)).create("demo", fmt.Sprintf("drained-%d", i))
@@ -241,7 +242,7 @@
 			ids[i] = at(i%len(system.Nodes)).create("demo", fmt.Sprintf("stop-%d", i))
 		}
 		stopped := system.Nodes[len(system.Nodes)-1]
-		begun := make(chan struct{})
+		firstAnswered := make(chan struct{})
 		var once sync.Once
 		var group sync.WaitGroup
 		for i, id := range ids {
@@ -251,11 +252,11 @@
 					answer := at(i%(len(system.Nodes)-1)).call(id, modelCall(fmt.Sprintf("t%d", turn), "next. "))
 					Expect(answer.Status).To(Equal(api.StatusSucceeded), "program %d, turn %d: %+v", i, turn, answer.Error)
 					Expect(answer.Sequence).To(Equal(uint64(turn + 1)))
-					once.Do(func() { close(begun) })
+					once.Do(func() { close(firstAnswered) })
 				}
 			})
 		}
-		<-begun
+		<-firstAnswered
 		Expect(stopped.Stop()).To(Succeed())
 		system.Nodes = system.Nodes[:len(system.Nodes)-1]
 		group.Wait()
