--- a/command/dev.go
+++ b/command/dev.go
@@ -68,11 +68,11 @@
 	fmt.Fprintln(output, "birchwood dev is ready")
 	for _, started := range system.Nodes {
 		fmt.Fprintf(output, "  %-8s %-6s callers http://%s  operators http://%s\n",
-			started.File.Node.ID, started.File.Node.Zone, started.Callers(), started.OperatorAddress())
+			started.File.Node.ID, started.File.Node.Zone, started.CallerAddress(), started.OperatorAddress())
 	}
 	addresses := system.Standins.Addresses()
 	fmt.Fprintf(output, "  platform http://%s  faults http://%s\n", addresses.Platform, addresses.Control)
 	fmt.Fprintf(output, "  caller token %s on branch %s, operator token %s\n",
 		config.DevCallerToken, config.DevBranch, config.DevOperatorToken)
-	fmt.Fprintf(output, devExample, system.Nodes[0].Callers(), config.DevCallerToken, config.DevBranch, config.DevModel)
+	fmt.Fprintf(output, devExample, system.Nodes[0].CallerAddress(), config.DevCallerToken, config.DevBranch, config.DevModel)
 }
--- a/development/development.go
+++ b/development/development.go
@@ -30,7 +30,7 @@
 }
 
 // CallerAddress returns the address of the callers' API.
-func (n *Node) Callers() string { return n.callers.Addr().String() }
+func (n *Node) CallerAddress() string { return n.callers.Addr().String() }
 
 // OperatorAddress returns the address of the operators' API.
 func (n *Node) OperatorAddress() string { return n.operator.Addr().String() }
--- a/development/path_bench_test.go
+++ b/development/path_bench_test.go
@@ -58,7 +58,7 @@
 
 func newClient(system *development.System, node int) *client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256}
-	return &client{address: system.Nodes[node].Callers(), http: &http.Client{Transport: transport}}
+	return &client{address: system.Nodes[node].CallerAddress(), http: &http.Client{Transport: transport}}
 }
 
 func (c *client) post(path string, body any) (*http.Response, error) {
--- a/development/system_test.go
+++ b/development/system_test.go
@@ -98,7 +98,7 @@
 var _ = Describe("A whole system over loopback", Ordered, func() {
 	var system *development.System
 
-	at := func(index int) caller { return caller{address: system.Nodes[index].Callers()} }
+	at := func(index int) caller { return caller{address: system.Nodes[index].CallerAddress()} }
 
 	BeforeAll(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), ioTimeout)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -128,7 +128,7 @@
 		defer func() { Expect(system.Stop()).To(Succeed()) }()
 		var targets, engines, tools []string
 		for _, node := range system.Nodes {
-			targets = append(targets, node.Callers())
+			targets = append(targets, node.CallerAddress())
 		}
 		for _, address := range system.Standins.Addresses().Engines {
 			engines = append(engines, address)
