--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -22,20 +22,20 @@
 	// wakeAt is the earliest pending wake.
 	wakeAt time.Time
 	// down engines lose every message; gone ones have left the machine list.
-	down bool
-	gone bool
+	down     bool
+	unlisted bool
 	// leavingSince is when the machine list began to show it as leaving.
 	leavingSince time.Time
-	// reportsLate delays load reports and cache events further.
-	reportsLate time.Duration
+	// reportDelay delays load reports and cache events further.
+	reportDelay time.Duration
 	// told is the last load report that was passed on.
-	told schedule.Load
+	lastLoad schedule.Load
 }
 
 // start begins with an empty engine, at first and after a crash.
 func (h *engineHost) start() error {
 	random := rand.New(rand.NewPCG(h.run.config.Seed, h.seed))
-	model, err := enginemodel.New(engineConfig(h.machine, h.run.config.Rates), h.run.clock.now, random)
+	model, err := enginemodel.New(engineConfig(h.machine, h.run.config.TuneEngines), h.run.clock.now, random)
 	if err != nil {
 		return err
 	}
@@ -84,9 +84,9 @@
 		case output.Finished != nil:
 			h.finished(*output.Finished)
 		case output.CacheEvent != nil:
-			h.tellCache(*output.CacheEvent)
+			h.sendCacheEvent(*output.CacheEvent)
 		case output.Load != nil:
-			h.tellLoad(*output.Load)
+			h.sendLoadReport(*output.Load)
 		case output.ModelReady != "":
 			h.machine.Models = h.model.Models()
 			h.run.announceMachines()
@@ -103,44 +103,44 @@
 	}
 	owner := waiting.agent.node
 	delay := h.run.links.delay(h.machine.Zone, owner.zone)
-	if h.run.links.isCut(h.machine.Zone, owner.zone) {
-		h.run.clock.after(brokenAfter, func() { owner.attemptLost(waiting) })
+	if h.run.links.isBlocked(h.machine.Zone, owner.zone) {
+		h.run.clock.after(failureDetectionDelay, func() { owner.streamBroken(waiting) })
 		return
 	}
 	h.run.clock.after(delay, func() { owner.modelFinished(waiting, h, ended) })
 }
 
-// tellCache sends a cache event to the node that owns the program.
-func (h *engineHost) tellCache(told engine.CacheEvent) {
-	owner := h.run.owners[told.Owner]
-	if owner == nil || !told.Evicted || h.run.links.isCut(h.machine.Zone, owner.zone) {
+// sendCacheEvent sends a cache event to the node that owns the program.
+func (h *engineHost) sendCacheEvent(event engine.CacheEvent) {
+	owner := h.run.owners[event.Owner]
+	if owner == nil || !event.Evicted || h.run.links.isBlocked(h.machine.Zone, owner.zone) {
 		return
 	}
-	h.run.clock.after(h.reportsLate+h.run.links.delay(h.machine.Zone, owner.zone), func() {
-		owner.policy.Evicted(h.run.clock.now, told.Owner, h.machine.ID)
-		owner.touch()
+	h.run.clock.after(h.reportDelay+h.run.links.delay(h.machine.Zone, owner.zone), func() {
+		owner.policy.Evicted(h.run.clock.now, event.Owner, h.machine.ID)
+		owner.markDirty()
 	})
 }
 
-// unchangedReport is how often a load report is passed on that says the same
+// unchangedReportInterval is how often a load report is passed on that says the same
 // as the one before.
-const unchangedReport = 4 * time.Second
+const unchangedReportInterval = 4 * time.Second
 
-// tellLoad sends a load report to every node, if it says something new.
-func (h *engineHost) tellLoad(measured schedule.Load) {
-	same := h.told
+// sendLoadReport sends a load report to every node, if it says something new.
+func (h *engineHost) sendLoadReport(measured schedule.Load) {
+	same := h.lastLoad
 	same.At = measured.At
-	if same == measured && measured.At.Sub(h.told.At) < unchangedReport {
+	if same == measured && measured.At.Sub(h.lastLoad.At) < unchangedReportInterval {
 		return
 	}
-	h.told = measured
-	h.run.clock.after(h.reportsLate+h.run.config.Deployment.ZoneDelay, func() {
+	h.lastLoad = measured
+	h.run.clock.after(h.reportDelay+h.run.config.Deployment.ZoneDelay, func() {
 		for _, each := range h.run.nodes {
-			if h.run.links.isCut(h.machine.Zone, each.zone) {
+			if h.run.links.isBlocked(h.machine.Zone, each.zone) {
 				continue
 			}
 			each.policy.ObserveLoad(h.run.clock.now, measured)
-			each.touch()
+			each.markDirty()
 		}
 	})
 }
@@ -159,8 +159,8 @@
 // sweep releases the prefixes of programs that are gone, and comes again.
 func (h *engineHost) sweep() {
 	h.run.clock.after(sweepInterval, h.sweep)
-	attendant := h.run.commander(h.machine.ID)
-	if h.down || h.run.links.isCut(attendant.zone, h.machine.Zone) {
+	manager := h.run.engineManager(h.machine.ID)
+	if h.down || h.run.links.isBlocked(manager.zone, h.machine.Zone) {
 		return
 	}
 	for _, held := range h.model.Prefixes() {
@@ -191,7 +191,7 @@
 	h.run.measure.countEngine(h.model)
 	for _, waiting := range sortedCalls(h.calls) {
 		owner := waiting.agent.node
-		h.run.clock.after(h.run.links.delay(h.machine.Zone, owner.zone), func() { owner.attemptLost(waiting) })
+		h.run.clock.after(h.run.links.delay(h.machine.Zone, owner.zone), func() { owner.streamBroken(waiting) })
 	}
 	clear(h.calls)
 }
@@ -202,25 +202,25 @@
 	machine machine.Machine
 	down    bool
 	hung    bool
-	// losesAnswers lets runs take effect whose answers never arrive.
-	losesAnswers bool
+	// dropsAnswers lets runs take effect whose answers never arrive.
+	dropsAnswers bool
 	leavingSince time.Time
 }
 
 // start runs a tool call and sends its answer back.
 func (h *toolHost) start(started *call) {
 	owner := started.agent.node
-	back := h.run.links.delay(h.machine.Zone, owner.zone)
+	returnDelay := h.run.links.delay(h.machine.Zone, owner.zone)
 	if h.down {
-		h.run.clock.after(back, func() { owner.notSent(started, h.machine.ID) })
+		h.run.clock.after(returnDelay, func() { owner.releaseAndRetry(started, h.machine.ID) })
 		return
 	}
 	if h.hung {
 		return // the call's own time-out ends it
 	}
 	h.run.check.toolRan(started)
-	if h.losesAnswers || h.run.links.isCut(h.machine.Zone, owner.zone) {
+	if h.dropsAnswers || h.run.links.isBlocked(h.machine.Zone, owner.zone) {
 		return
 	}
-	h.run.clock.after(started.step.Duration+back, func() { owner.toolFinished(started) })
+	h.run.clock.after(started.step.Duration+returnDelay, func() { owner.toolFinished(started) })
 }
--- a/emulator/bench.go
+++ b/emulator/bench.go
@@ -48,12 +48,12 @@
 	// three milliseconds.
 	JournalDelay time.Duration
 	// Tune, if set, changes the configuration that every policy gets.
-	Tune func(*schedule.Config)
+	TuneScheduler func(*schedule.Config)
 	// NewPolicy, if set, makes the policy of each node in place of those that
 	// Policies names; the names then only label the results.
 	NewPolicy func(name string, config schedule.Config) (schedule.Policy, error)
 	// Rates, if set, changes the engines' configuration.
-	Rates func(*enginemodel.Config)
+	TuneEngines func(*enginemodel.Config)
 	// Progress, if set, hears how many programs of a policy's run have ended.
 	Progress func(policy string, ended, programs int)
 	// KeepLatencies adds every program's latency to the result, for plots.
@@ -205,7 +205,7 @@
 		return BenchResult{}, err
 	}
 	config = config.withDefaults()
-	capacity, fleet := Capacity(config.Deployment, config.Rates)
+	capacity, fleet := Capacity(config.Deployment, config.TuneEngines)
 	result := BenchResult{
 		Deployment:                     config.Deployment.Name,
 		Seed:                           config.Seed,
--- a/emulator/bench_test.go
+++ b/emulator/bench_test.go
@@ -61,11 +61,11 @@
 			{At: 6 * time.Second, For: 9 * time.Second, Kind: emulator.FaultCrash, Target: "depot-events-1"},
 			{At: 6 * time.Second, For: 30 * time.Second, Kind: emulator.FaultLostReleases},
 			{At: 8 * time.Second, Kind: emulator.FaultLeave, Target: "engine-005"},
-			{At: 10 * time.Second, For: 15 * time.Second, Kind: emulator.FaultCut, From: "midrand-a", To: "isando"},
+			{At: 10 * time.Second, For: 15 * time.Second, Kind: emulator.FaultNetworkPartition, From: "midrand-a", To: "isando"},
 			{At: 12 * time.Second, For: 20 * time.Second, Kind: emulator.FaultHungTool, Target: "depot-events-2"},
 			{At: 14 * time.Second, For: 20 * time.Second, Kind: emulator.FaultLostAnswers, Target: "depot-events-3"},
 			{At: 20 * time.Second, For: 10 * time.Second, Kind: emulator.FaultSlowLinks, Delay: 50 * time.Millisecond},
-			{At: 20 * time.Second, For: 30 * time.Second, Kind: emulator.FaultLagging, Delay: 5 * time.Second},
+			{At: 20 * time.Second, For: 30 * time.Second, Kind: emulator.FaultDelayedReports, Delay: 5 * time.Second},
 		}
 		result := bench("koudeketting", func(config *emulator.BenchConfig) { config.Faults = faults })
 		for _, policy := range result.Policies {
@@ -84,17 +84,17 @@
 			return counts
 		}
 		sticky := func(config *emulator.BenchConfig) { config.Policies = []string{"sticky"} }
-		calm := tenants(bench("koudeketting", sticky))
-		flood := tenants(bench("koudeketting", func(config *emulator.BenchConfig) {
+		withoutFlood := tenants(bench("koudeketting", sticky))
+		withFlood := tenants(bench("koudeketting", func(config *emulator.BenchConfig) {
 			sticky(config)
 			config.Faults = []emulator.Fault{
 				{At: 5 * time.Second, For: 20 * time.Second, Kind: emulator.FaultFlood, Branch: flooded, Rate: 10},
 			}
 		}))
-		Expect(flood[flooded] - calm[flooded]).To(BeNumerically("~", 200, 60))
-		delete(calm, flooded)
-		delete(flood, flooded)
-		Expect(flood).To(Equal(calm))
+		Expect(withFlood[flooded] - withoutFlood[flooded]).To(BeNumerically("~", 200, 60))
+		delete(withoutFlood, flooded)
+		delete(withFlood, flooded)
+		Expect(withFlood).To(Equal(withoutFlood))
 	})
 
 	It("refuses a configuration with every finding", func() {
--- a/emulator/broken_test.go
+++ b/emulator/broken_test.go
@@ -41,9 +41,9 @@
 	return decisions
 }
 
-// isPlace reports whether a decision sends a call to one of the machines of a
+// isPlacementOn reports whether a decision sends a call to one of the machines of a
 // kind.
-func (b *brokenPolicy) isPlace(decision schedule.Decision, kind machine.Kind) bool {
+func (b *brokenPolicy) isPlacementOn(decision schedule.Decision, kind machine.Kind) bool {
 	for _, each := range b.machines {
 		if each.ID == decision.Backend {
 			return decision.Action == schedule.ActionPlace && each.Kind == kind
@@ -55,7 +55,7 @@
 // ignoreZones places every call at the first machine of the kind it needs.
 func ignoreZones(b *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 	for i, decision := range decisions {
-		if b.isPlace(decision, machine.KindTool) {
+		if b.isPlacementOn(decision, machine.KindTool) {
 			decisions[i].Backend = "depot-events-1"
 		}
 	}
@@ -78,8 +78,8 @@
 	return all
 }
 
-// forget returns a policy's change that loses one call in seven.
-func forget() func(*brokenPolicy, []schedule.Decision) []schedule.Decision {
+// dropEverySeventh returns a policy's change that loses one call in seven.
+func dropEverySeventh() func(*brokenPolicy, []schedule.Decision) []schedule.Decision {
 	count := 0
 	return func(_ *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 		var kept []schedule.Decision
@@ -99,7 +99,7 @@
 				config.Policies = []string{"broken"}
 				config.Programs = 80
 				config.Faults = []emulator.Fault{{At: 2 * time.Second, Kind: emulator.FaultLeave, Target: "engine-001"}}
-				config.Tune = func(tuned *schedule.Config) { tuned.MaximumHold = time.Minute }
+				config.TuneScheduler = func(tuned *schedule.Config) { tuned.MaximumHold = time.Minute }
 				config.NewPolicy = func(_ string, tuned schedule.Config) (schedule.Policy, error) {
 					baseline, err := schedule.NewBaseline(schedule.BaselineRoundRobin, tuned)
 					return &brokenPolicy{Policy: baseline, frozen: frozen, change: change}, err
@@ -111,7 +111,7 @@
 		Entry("calls outside the permitted zones", "place", false, ignoreZones),
 		Entry("calls sent twice", "at most once", false, placeTwice),
 		Entry("not_run for what was sent", "true not_run", false, refuseAfterPlace),
-		Entry("calls that are never answered", "every call answered", false, forget()),
+		Entry("calls that are never answered", "every call answered", false, dropEverySeventh()),
 		Entry("work for a back end that leaves", "leaving", true, nil),
 	)
 
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -22,8 +22,8 @@
 	parent    *agent
 	// start is the intended start.
 	start time.Time
-	// paused is the time in which a person read and typed.
-	paused time.Duration
+	// pausedTime is the time in which a person read and typed.
+	pausedTime time.Duration
 
 	sequence uint64
 	turns    int
@@ -43,10 +43,10 @@
 	childrenLeft int
 	childTokens  int
 	// gone: the caller has hung up; ended: the node has forgotten it.
-	gone  bool
-	ended bool
-	// stopped is the reason for which the caller gave the program up.
-	stopped endReason
+	disconnected bool
+	ended        bool
+	// reason is the reason for which the caller gave the program up.
+	reason endReason
 }
 
 // startProgram lets a program begin at its intended start.
@@ -80,7 +80,7 @@
 			permitted = append(permitted, each)
 		}
 	}
-	return permitted[hashOf(name)%uint64(len(permitted))]
+	return permitted[stableHash(name)%uint64(len(permitted))]
 }
 
 // deadline is when the caller can no longer use an answer; zero means never.
@@ -95,14 +95,14 @@
 func (a *agent) next(result workload.Result) {
 	step, more := a.program.Next(result)
 	if !more {
-		a.over()
+		a.complete()
 		return
 	}
 	switch step.Kind {
 	case workload.StepModel, workload.StepTool:
 		a.submit(step)
 	case workload.StepPause:
-		a.paused += step.Duration
+		a.pausedTime += step.Duration
 		a.run.clock.after(step.Duration, func() { a.next(workload.Result{}) })
 	case workload.StepSpawn:
 		a.spawn(step.Children)
@@ -114,11 +114,11 @@
 	a.sequence++
 	submitted := &call{agent: a, sequence: a.sequence, step: step}
 	if step.HangUpAfter > 0 {
-		a.run.clock.after(step.HangUpAfter, func() { a.hangUp(submitted) })
+		a.run.clock.after(step.HangUpAfter, func() { a.disconnect(submitted) })
 	}
 	delay := a.run.config.Deployment.ClientDelay + a.run.config.JournalDelay
 	a.run.clock.after(delay, func() {
-		if a.gone {
+		if a.disconnected {
 			return
 		}
 		submitted.prompt = a.history + step.InputTokens
@@ -128,26 +128,26 @@
 
 // answer brings a call's result to the caller.
 func (a *agent) answer(ended *call, status api.CallStatus, code api.Code) {
-	if a.gone || ended.answered {
+	if a.disconnected || ended.answered {
 		return
 	}
 	ended.answered = true
 	a.run.check.delivered(ended)
 	switch status {
 	case api.StatusNotRun:
-		a.stopped = reasonOf(code)
+		a.reason = refusalReason(code)
 	case api.StatusFailed:
 		if ended.step.Kind == workload.StepModel {
-			a.stopped = endFailed
-			a.over()
+			a.reason = endFailed
+			a.complete()
 			return
 		}
 	}
 	a.next(workload.Result{Status: status, Code: code})
 }
 
-// reasonOf tells a limit of the contract from a refusal for want of room.
-func reasonOf(code api.Code) endReason {
+// refusalReason tells a limit of the contract from a refusal for want of room.
+func refusalReason(code api.Code) endReason {
 	switch code {
 	case api.CodeLimitReached, api.CodeBudgetExhausted:
 		return endLimited
@@ -155,15 +155,15 @@
 	return endRefused
 }
 
-// hangUp drops the caller's connection, unless the answer was there first.
-func (a *agent) hangUp(waiting *call) {
-	if waiting.answered || a.gone {
+// disconnect drops the caller's connection, unless the answer was there first.
+func (a *agent) disconnect(waiting *call) {
+	if waiting.answered || a.disconnected {
 		return
 	}
 	waiting.answered = true
-	a.gone = true
-	a.stopped = endHungUp
-	a.run.clock.after(a.run.config.Deployment.ClientDelay, func() { a.node.hangUp(a) })
+	a.disconnected = true
+	a.reason = endHungUp
+	a.run.clock.after(a.run.config.Deployment.ClientDelay, func() { a.node.disconnect(a) })
 	a.next(workload.Result{HungUp: true})
 }
 
@@ -176,8 +176,8 @@
 	}
 }
 
-// childOver counts a sub-agent that has ended.
-func (a *agent) childOver(outputTokens int) {
+// childEnded counts a sub-agent that has ended.
+func (a *agent) childEnded(outputTokens int) {
 	a.childrenLeft--
 	a.childTokens += outputTokens
 	if a.childrenLeft == 0 {
@@ -186,12 +186,12 @@
 }
 
 // over ends the program at its caller, and at its node a little later.
-func (a *agent) over() {
-	if !a.gone {
+func (a *agent) complete() {
+	if !a.disconnected {
 		a.run.clock.after(a.run.config.Deployment.ClientDelay, func() { a.node.end(a) })
 	}
 	if a.parent != nil {
-		a.parent.childOver(a.lastOutput)
+		a.parent.childEnded(a.lastOutput)
 		return
 	}
 	a.run.ended++
@@ -247,8 +247,8 @@
 	a.history += ended.step.InputTokens + ended.step.OutputTokens
 }
 
-// touchEngine remembers that an engine may hold a prefix of the program.
-func (a *agent) touchEngine(id machine.ID) {
+// addEngine remembers that an engine may hold a prefix of the program.
+func (a *agent) addEngine(id machine.ID) {
 	if !slices.Contains(a.engines, id) {
 		a.engines = append(a.engines, id)
 	}
--- a/emulator/check.go
+++ b/emulator/check.go
@@ -14,8 +14,8 @@
 const (
 	// leavingBound is when a leaving back end gets no new work any more.
 	leavingBound = 3 * time.Second
-	// keptFindings is how many violations are described.
-	keptFindings = 20
+	// maximumFindings is how many violations are described.
+	maximumFindings = 20
 )
 
 // checker verifies the run against what must always hold, from what callers,
@@ -33,7 +33,7 @@
 // report counts a violation of the named invariant.
 func (c *checker) report(invariant, format string, arguments ...any) {
 	c.count++
-	if len(c.findings) < keptFindings {
+	if len(c.findings) < maximumFindings {
 		c.findings = append(c.findings, invariant+": "+fmt.Sprintf(format, arguments...))
 	}
 }
@@ -49,7 +49,7 @@
 // placed checks a placement against the program's contract, and reports
 // whether the call may be sent.
 func (c *checker) placed(run *simulation, sent *call) bool {
-	in := run.zoneOf(sent)
+	in := run.backendZone(sent)
 	if !sent.agent.placement.Contains(in) {
 		c.report("place", "call %d of %s was placed in zone %q, permitted %s", sent.sequence, sent.agent.id, in, sent.agent.placement)
 		return false
@@ -112,8 +112,8 @@
 	}
 }
 
-// atEnd checks that nothing is left open or held for programs that are gone.
-func (c *checker) atEnd(run *simulation) {
+// checkFinalState checks that nothing is left open or held for programs that are gone.
+func (c *checker) checkFinalState(run *simulation) {
 	for _, each := range run.nodes {
 		for range each.calls {
 			c.report("whole answer", "node %d holds a call after the run", each.index)
--- a/emulator/fault.go
+++ b/emulator/fault.go
@@ -22,13 +22,13 @@
 	// FaultLeave lets a back end leave: the machine list shows it, and it
 	// takes no new work.
 	FaultLeave FaultKind = "leave"
-	// FaultCut loses the messages between the zones From and To.
-	FaultCut FaultKind = "cut"
+	// FaultNetworkPartition loses the messages between the zones From and To.
+	FaultNetworkPartition FaultKind = "cut"
 	// FaultSlowLinks adds Delay to every message between zones.
 	FaultSlowLinks FaultKind = "slow_links"
-	// FaultLagging makes an engine's reports and cache events later by Delay;
+	// FaultDelayedReports makes an engine's reports and cache events later by Delay;
 	// without Target, those of every engine.
-	FaultLagging FaultKind = "lagging"
+	FaultDelayedReports FaultKind = "lagging"
 	// FaultHungTool makes a tool service take requests without an answer.
 	FaultHungTool FaultKind = "hung_tool"
 	// FaultLostReleases loses the messages that release prefixes.
@@ -71,11 +71,11 @@
 		if !tools {
 			findings = append(findings, fmt.Errorf("target: no tool service %q", f.Target))
 		}
-	case FaultLagging:
+	case FaultDelayedReports:
 		if f.Target != "" && !engines {
 			findings = append(findings, fmt.Errorf("target: no engine %q", f.Target))
 		}
-	case FaultCut:
+	case FaultNetworkPartition:
 		if f.From == "" || f.To == "" {
 			findings = append(findings, errors.New("from, to: missing"))
 		}
@@ -121,28 +121,28 @@
 		delta = -1
 	}
 	switch fault.Kind {
-	case FaultCut:
-		s.links.cuts[way{fault.From, fault.To}] += delta
-		s.links.cuts[way{fault.To, fault.From}] += delta
+	case FaultNetworkPartition:
+		s.links.blocked[direction{fault.From, fault.To}] += delta
+		s.links.blocked[direction{fault.To, fault.From}] += delta
 	case FaultSlowLinks:
-		s.links.extra += time.Duration(delta) * fault.Delay
-	case FaultLagging:
+		s.links.extraDelay += time.Duration(delta) * fault.Delay
+	case FaultDelayedReports:
 		for _, host := range s.engines {
 			if fault.Target == "" || fault.Target == host.machine.ID {
-				host.reportsLate += time.Duration(delta) * fault.Delay
+				host.reportDelay += time.Duration(delta) * fault.Delay
 			}
 		}
 	case FaultLostReleases:
-		s.losesReleases = begins
+		s.dropsReleases = begins
 	case FaultHungTool:
 		s.toolByID[fault.Target].hung = begins
 	case FaultLostAnswers:
-		s.toolByID[fault.Target].losesAnswers = begins
+		s.toolByID[fault.Target].dropsAnswers = begins
 	case FaultCrash, FaultLeave:
 		if begins {
 			s.stopBackend(fault)
 		} else {
-			s.returnBackend(fault)
+			s.restartBackend(fault)
 		}
 	}
 }
@@ -150,12 +150,12 @@
 // scheduleFlood adds the arrivals of one branch, on top of the configured
 // programs.
 func (s *simulation) scheduleFlood(fault Fault, index uint64) {
-	share := s.shareOf(fault.Branch)
+	share := s.arrivalShare(fault.Branch)
 	if share == 0 {
 		return
 	}
 	generator := s.config.Deployment.Generate(workload.Options{
-		Seed:              s.config.Seed + floodSeed + index,
+		Seed:              s.config.Seed + floodSeedOffset + index,
 		ProgramsPerSecond: fault.Rate / share,
 		BurstProbability:  -1,
 	})
@@ -173,11 +173,11 @@
 	}
 }
 
-// floodSeed keeps a flood's programs apart from those of the run.
-const floodSeed = 1 << 32
+// floodSeedOffset keeps a flood's programs apart from those of the run.
+const floodSeedOffset = 1 << 32
 
-// shareOf is the share of the arrivals that start on a branch.
-func (s *simulation) shareOf(branch contract.Path) float64 {
+// arrivalShare is the share of the arrivals that start on a branch.
+func (s *simulation) arrivalShare(branch contract.Path) float64 {
 	share, total := 0.0, 0.0
 	for _, profile := range s.config.Deployment.Profiles {
 		total += profile.Share
@@ -190,13 +190,13 @@
 	return share / total
 }
 
-// returnBackend brings a crashed back end back, empty.
-func (s *simulation) returnBackend(fault Fault) {
+// restartBackend brings a crashed back end back, empty.
+func (s *simulation) restartBackend(fault Fault) {
 	if fault.Kind != FaultCrash {
 		return
 	}
 	if host := s.engineByID[fault.Target]; host != nil {
-		host.gone = host.start() != nil
+		host.unlisted = host.start() != nil
 		host.machine.Models = host.model.Models()
 	}
 	if host := s.toolByID[fault.Target]; host != nil {
@@ -212,7 +212,7 @@
 	if host := s.engineByID[fault.Target]; host != nil {
 		if fault.Kind == FaultCrash {
 			host.crash()
-			host.gone = true
+			host.unlisted = true
 		} else {
 			host.machine.Status = machine.StatusLeaving
 			host.leavingSince = s.clock.now
@@ -228,8 +228,8 @@
 	s.announceMachines()
 }
 
-// zoneOf is the zone of the back end that a call was sent to.
-func (s *simulation) zoneOf(sent *call) zone.Name {
+// backendZone is the zone of the back end that a call was sent to.
+func (s *simulation) backendZone(sent *call) zone.Name {
 	if host := s.engineByID[sent.backend]; host != nil {
 		return host.machine.Zone
 	}
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -10,28 +10,28 @@
 // links are the delays between zones, and the cuts in force.
 type links struct {
 	deployment workload.Deployment
-	// cuts counts the cuts in force on each way.
-	cuts map[way]int
+	// blocked counts the cuts in force on each way.
+	blocked map[direction]int
 	// extra slows every message between zones.
-	extra time.Duration
+	extraDelay time.Duration
 }
 
-// way is a direction between two zones.
-type way struct{ from, to zone.Name }
+// direction is a direction between two zones.
+type direction struct{ from, to zone.Name }
 
 // newLinks returns the deployment's links, all whole.
 func newLinks(deployment workload.Deployment) *links {
-	return &links{deployment: deployment, cuts: make(map[way]int)}
+	return &links{deployment: deployment, blocked: make(map[direction]int)}
 }
 
 // delay is the one-way delay between two zones.
 func (l *links) delay(from, to zone.Name) time.Duration {
 	base := l.deployment.Delay(from, to)
 	if from != to {
-		base += l.extra
+		base += l.extraDelay
 	}
 	return base
 }
 
-// isCut reports whether messages on the way are lost.
-func (l *links) isCut(from, to zone.Name) bool { return l.cuts[way{from, to}] > 0 }
+// isBlocked reports whether messages on the way are lost.
+func (l *links) isBlocked(from, to zone.Name) bool { return l.blocked[direction{from, to}] > 0 }
--- a/emulator/measure.go
+++ b/emulator/measure.go
@@ -112,7 +112,7 @@
 		return
 	}
 	m.result.ModelCalls++
-	if owner := sent.agent; owner.lastEngine != "" && owner.lastEngine != sent.backend {
+	if issuer := sent.agent; issuer.lastEngine != "" && issuer.lastEngine != sent.backend {
 		m.result.Moves++
 	}
 	sent.agent.lastEngine = sent.backend
@@ -120,38 +120,38 @@
 
 // modelEnded counts the prefill that had been computed before.
 func (m *measure) modelEnded(ended *call, answer enginemodel.Finished) {
-	owner := ended.agent
-	known := min(owner.computed, answer.Usage.PromptTokens)
+	issuer := ended.agent
+	known := min(issuer.computed, answer.Usage.PromptTokens)
 	m.result.Wasted.RecomputedTokens += int64(max(0, known-max(answer.Usage.CachedTokens, 0)))
-	owner.computed = max(owner.computed, answer.Usage.PromptTokens+answer.Usage.OutputTokens)
+	issuer.computed = max(issuer.computed, answer.Usage.PromptTokens+answer.Usage.OutputTokens)
 }
 
 // tokenTimes records how long a call waited for its first token, from the
 // moment its node held it, and the mean time between its further tokens. back
 // is the delay of the link from the engine.
-func (m *measure) tokenTimes(ended *call, answer enginemodel.Finished, now time.Time, back time.Duration) {
+func (m *measure) tokenTimes(ended *call, answer enginemodel.Finished, now time.Time, returnDelay time.Duration) {
 	if answer.Cancelled || answer.FirstTokenAt.IsZero() {
 		return
 	}
-	first := answer.FirstTokenAt.Add(back).Sub(ended.heldSince)
+	first := answer.FirstTokenAt.Add(returnDelay).Sub(ended.heldSince)
 	_ = m.firstToken.RecordValue(max(first.Microseconds(), lowestLatency))
 	if further := answer.Usage.OutputTokens - 1; further > 0 {
-		decoding := now.Add(-back).Sub(answer.FirstTokenAt)
+		decoding := now.Add(-returnDelay).Sub(answer.FirstTokenAt)
 		_ = m.tokenGap.RecordValue(max(decoding.Microseconds()/int64(further), lowestLatency))
 	}
 }
 
 // ended records a program's end at its caller.
-func (m *measure) ended(over *agent, latency time.Duration) {
-	inTime := over.stopped == endCompleted &&
-		(over.program.Deadline <= 0 || latency <= over.program.Deadline)
-	for _, counted := range m.groupsOf(over.program) {
+func (m *measure) ended(finished *agent, latency time.Duration) {
+	inTime := finished.reason == endCompleted &&
+		(finished.program.Deadline <= 0 || latency <= finished.program.Deadline)
+	for _, counted := range m.groupsOf(finished.program) {
 		counted.programs++
-		switch over.stopped {
+		switch finished.reason {
 		case endCompleted:
 			counted.completed++
 			_ = counted.latency.RecordValue(latency.Microseconds())
-			_ = counted.waiting.RecordValue((latency - over.paused).Microseconds())
+			_ = counted.waiting.RecordValue((latency - finished.pausedTime).Microseconds())
 		case endRefused:
 			counted.refused++
 		}
@@ -159,11 +159,11 @@
 			counted.inTime++
 		}
 	}
-	if over.stopped == endCompleted {
+	if finished.reason == endCompleted {
 		m.latencies = append(m.latencies, float64(latency)/float64(time.Millisecond))
 	}
-	m.countReason(over.stopped)
-	m.outcomes = append(m.outcomes, outcome{start: over.start.Sub(epoch), inTime: inTime})
+	m.countReason(finished.reason)
+	m.outcomes = append(m.outcomes, outcome{start: finished.start.Sub(epoch), inTime: inTime})
 }
 
 // groupsOf returns the groups that a program counts in.
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// brokenAfter is when a node notices that a peer does not answer.
-	brokenAfter = time.Second
+	// failureDetectionDelay is when a node notices that a peer does not answer.
+	failureDetectionDelay = time.Second
 	// maximumAttempts bounds how often a repeatable call is tried.
 	maximumAttempts = 4
 )
@@ -36,8 +36,8 @@
 	wakeAt time.Time
 }
 
-// touch lets the policy decide at the end of this instant.
-func (n *node) touch() {
+// markDirty lets the policy decide at the end of this instant.
+func (n *node) markDirty() {
 	if n.dirty {
 		return
 	}
@@ -59,7 +59,7 @@
 	n.run.clock.at(next, func() {
 		if n.wakeAt.Equal(next) {
 			n.wakeAt = time.Time{}
-			n.touch()
+			n.markDirty()
 		}
 	})
 }
@@ -75,10 +75,10 @@
 		}
 	case schedule.ActionDrop:
 		n.run.measure.result.Drops++
-		n.toEngine(decision.Backend, func(host *engineHost) { host.release(decision.Program) })
+		n.sendToEngine(decision.Backend, func(host *engineHost) { host.release(decision.Program) })
 	case schedule.ActionExport:
 		target := n.run.engineByID[decision.ExportTo]
-		n.toEngine(decision.Backend, func(host *engineHost) {
+		n.sendToEngine(decision.Backend, func(host *engineHost) {
 			if target != nil && host.transfer(decision.Program, target) {
 				n.run.measure.result.Imports++
 			}
@@ -98,7 +98,7 @@
 	if order.Load != "" {
 		order.WeightsIn = n.run.weights.Reserve(n.run.clock.now, order.Load)
 	}
-	n.toEngine(to, func(host *engineHost) {
+	n.sendToEngine(to, func(host *engineHost) {
 		if host.step(enginemodel.Event{Order: &order}) != nil {
 			return
 		}
@@ -107,11 +107,11 @@
 	})
 }
 
-// toEngine performs an action at an engine after the link's delay, unless the
+// sendToEngine performs an action at an engine after the link's delay, unless the
 // way is cut.
-func (n *node) toEngine(id machine.ID, action func(*engineHost)) {
+func (n *node) sendToEngine(id machine.ID, action func(*engineHost)) {
 	host := n.run.engineByID[id]
-	if host == nil || n.run.links.isCut(n.zone, host.machine.Zone) {
+	if host == nil || n.run.links.isBlocked(n.zone, host.machine.Zone) {
 		return
 	}
 	n.run.clock.after(n.run.links.delay(n.zone, host.machine.Zone), func() { action(host) })
@@ -120,36 +120,36 @@
 // accept takes a call whose record is durable: limits, budget, then the
 // policy.
 func (n *node) accept(accepted *call) {
-	owner := accepted.agent
-	if owner.ended {
+	issuer := accepted.agent
+	if issuer.ended {
 		return
 	}
-	n.calls[callKey{owner.id, accepted.sequence}] = accepted
+	n.calls[callKey{issuer.id, accepted.sequence}] = accepted
 	n.run.check.accepted(accepted)
-	if code := owner.limit(accepted); code != "" {
+	if code := issuer.limit(accepted); code != "" {
 		n.refuse(accepted, code)
 		return
 	}
-	owner.reserve(accepted)
+	issuer.reserve(accepted)
 	n.enqueue(accepted)
 }
 
 // enqueue hands a call to the policy.
 func (n *node) enqueue(queued *call) {
-	owner := queued.agent
+	issuer := queued.agent
 	request := schedule.Request{
 		Call:           queued.ref(),
 		Kind:           api.CallModel,
 		Model:          queued.step.Model,
-		Tenant:         string(owner.program.Branch),
-		Placement:      owner.placement,
-		Priority:       owner.program.Priority,
+		Tenant:         string(issuer.program.Branch),
+		Placement:      issuer.placement,
+		Priority:       issuer.program.Priority,
 		PromptTokens:   queued.prompt,
 		OutputCap:      queued.step.OutputCap,
-		AttainedTokens: owner.attained,
-		Arrived:        owner.start,
+		AttainedTokens: issuer.attained,
+		Arrived:        issuer.start,
 		Enqueued:       n.run.clock.now,
-		Deadline:       owner.deadline(),
+		Deadline:       issuer.deadline(),
 		Avoid:          queued.avoid,
 	}
 	if queued.step.Kind == workload.StepTool {
@@ -160,7 +160,7 @@
 	queued.inFlight = false
 	queued.heldSince = n.run.clock.now
 	n.policy.Enqueue(n.run.clock.now, request)
-	n.touch()
+	n.markDirty()
 }
 
 // place sends a call to the back end that the policy chose.
@@ -192,25 +192,25 @@
 func (n *node) sendModel(placed *call, decision schedule.Decision) {
 	host := n.run.engineByID[placed.backend]
 	attempt := placed.attempt
-	owner := placed.agent
+	issuer := placed.agent
 	n.run.measure.placed(placed)
-	owner.touchEngine(placed.backend)
-	placed.stream = fmt.Sprintf("%s/%d/%d", owner.id, placed.sequence, attempt)
-	if n.run.links.isCut(n.zone, host.machine.Zone) {
-		n.run.clock.after(brokenAfter, func() { n.lostAttempt(placed, attempt, true) })
+	issuer.addEngine(placed.backend)
+	placed.stream = fmt.Sprintf("%s/%d/%d", issuer.id, placed.sequence, attempt)
+	if n.run.links.isBlocked(n.zone, host.machine.Zone) {
+		n.run.clock.after(failureDetectionDelay, func() { n.attemptFailed(placed, attempt, true) })
 		return
 	}
 	source := n.run.engineByID[decision.ImportFrom]
 	n.run.clock.after(n.run.links.delay(n.zone, host.machine.Zone), func() {
-		if source != nil && source != host && source.transfer(owner.id, host) {
+		if source != nil && source != host && source.transfer(issuer.id, host) {
 			n.run.measure.result.Imports++
 		}
-		n.arrive(placed, host, decision.EnginePriority, attempt)
+		n.submitToEngine(placed, host, decision.EnginePriority, attempt)
 	})
 }
 
 // arrive hands a model call to its engine.
-func (n *node) arrive(placed *call, host *engineHost, priority, attempt int) {
+func (n *node) submitToEngine(placed *call, host *engineHost, priority, attempt int) {
 	if placed.closed || placed.attempt != attempt {
 		return
 	}
@@ -235,35 +235,35 @@
 		return
 	}
 	delete(host.calls, placed.stream)
-	back := n.run.links.delay(host.machine.Zone, n.zone)
-	n.run.clock.after(back, func() { n.notSent(placed, host.machine.ID) })
+	returnDelay := n.run.links.delay(host.machine.Zone, n.zone)
+	n.run.clock.after(returnDelay, func() { n.releaseAndRetry(placed, host.machine.ID) })
 }
 
-// notSent tries a call elsewhere that certainly did not reach its back end.
-func (n *node) notSent(placed *call, backend machine.ID) {
+// releaseAndRetry tries a call elsewhere that certainly did not reach its back end.
+func (n *node) releaseAndRetry(placed *call, backend machine.ID) {
 	if placed.closed {
 		return
 	}
 	n.policy.Finished(n.run.clock.now, placed.ref(), backend, api.Usage{}, 0)
-	n.touch()
-	n.again(placed, backend)
+	n.markDirty()
+	n.retry(placed, backend)
 }
 
-// attemptLost retries a model call whose stream broke.
-func (n *node) attemptLost(placed *call) { n.lostAttempt(placed, placed.attempt, false) }
+// streamBroken retries a model call whose stream broke.
+func (n *node) streamBroken(placed *call) { n.attemptFailed(placed, placed.attempt, false) }
 
-// lostAttempt retries a model call, if the attempt is still the last one.
-func (n *node) lostAttempt(placed *call, attempt int, unsent bool) {
+// attemptFailed retries a model call, if the attempt is still the last one.
+func (n *node) attemptFailed(placed *call, attempt int, unsent bool) {
 	if placed.closed || placed.attempt != attempt {
 		return
 	}
 	placed.sent = placed.sent || !unsent
-	n.notSent(placed, placed.backend)
+	n.releaseAndRetry(placed, placed.backend)
 }
 
-// again enqueues a call once more, away from the back end that failed.
-func (n *node) again(failed *call, backend machine.ID) {
-	if failed.agent.gone {
+// retry enqueues a call once more, away from the back end that failed.
+func (n *node) retry(failed *call, backend machine.ID) {
+	if failed.agent.disconnected {
 		n.finish(failed, api.StatusCancelled, "")
 		return
 	}
@@ -281,7 +281,7 @@
 // modelFinished takes the end of a stream.
 func (n *node) modelFinished(ended *call, host *engineHost, answer enginemodel.Finished) {
 	n.policy.ObserveLoad(n.run.clock.now, answer.Load)
-	n.touch()
+	n.markDirty()
 	if ended.closed || answer.Stream != ended.stream {
 		return
 	}
@@ -316,7 +316,7 @@
 	ended.closed = true
 	delete(n.calls, callKey{ended.agent.id, ended.sequence})
 	n.run.check.closed(ended, status)
-	if ended.agent.gone {
+	if ended.agent.disconnected {
 		n.end(ended.agent)
 		return
 	}
@@ -324,62 +324,62 @@
 	n.run.clock.after(delay, func() { ended.agent.answer(ended, status, code) })
 }
 
-// hangUp stops a program whose caller has gone.
-func (n *node) hangUp(abandoned *agent) {
+// disconnect stops a program whose caller has gone.
+func (n *node) disconnect(abandoned *agent) {
 	open := n.calls[callKey{abandoned.id, abandoned.sequence}]
 	if open == nil || open.closed {
 		n.end(abandoned)
 		return
 	}
 	if n.policy.Withdraw(open.ref()) {
-		n.touch()
+		n.markDirty()
 		n.finish(open, api.StatusCancelled, api.CodeCancelled)
 		return
 	}
 	if open.step.Kind == workload.StepModel && open.stream != "" {
 		stream := open.stream
-		n.toEngine(open.backend, func(host *engineHost) {
+		n.sendToEngine(open.backend, func(host *engineHost) {
 			_ = host.step(enginemodel.Event{Cancel: &enginemodel.Cancel{Stream: stream}})
 		})
 	}
 }
 
-// heldReview is how often a node looks for calls that its policy forgot, and
+// heldReviewInterval is how often a node looks for calls that its policy forgot, and
 // how much longer than its configuration says a policy may hold a call.
-const heldReview = 30 * time.Second
+const heldReviewInterval = 30 * time.Second
 
-// reviewHeld takes back the calls that the policy neither places nor refuses,
+// refuseOverdue takes back the calls that the policy neither places nor refuses,
 // and comes again.
-func (n *node) reviewHeld() {
-	n.run.clock.after(heldReview, n.reviewHeld)
-	var forgotten []*call
+func (n *node) refuseOverdue() {
+	n.run.clock.after(heldReviewInterval, n.refuseOverdue)
+	var overdue []*call
 	for _, each := range n.calls {
 		if !each.inFlight && n.run.clock.now.Sub(each.heldSince) > n.heldLimit {
-			forgotten = append(forgotten, each)
+			overdue = append(overdue, each)
 		}
 	}
-	slices.SortFunc(forgotten, func(a, b *call) int { return strings.Compare(string(a.agent.id), string(b.agent.id)) })
-	for _, each := range forgotten {
+	slices.SortFunc(overdue, func(a, b *call) int { return strings.Compare(string(a.agent.id), string(b.agent.id)) })
+	for _, each := range overdue {
 		n.run.check.report("every call answered", "call %d of %s was held for %v", each.sequence, each.agent.id, n.heldLimit)
 		n.policy.Withdraw(each.ref())
-		n.touch()
+		n.markDirty()
 		n.refuse(each, api.CodeTimeout)
 	}
 }
 
 // end forgets a program and releases its prefixes everywhere.
-func (n *node) end(over *agent) {
-	if over.ended {
+func (n *node) end(finished *agent) {
+	if finished.ended {
 		return
 	}
-	over.ended = true
-	n.policy.ProgramEnded(n.run.clock.now, over.id)
-	n.touch()
-	for _, id := range over.engines {
-		if n.run.losesReleases {
+	finished.ended = true
+	n.policy.ProgramEnded(n.run.clock.now, finished.id)
+	n.markDirty()
+	for _, id := range finished.engines {
+		if n.run.dropsReleases {
 			break
 		}
-		n.toEngine(id, func(host *engineHost) { host.release(over.id) })
+		n.sendToEngine(id, func(host *engineHost) { host.release(finished.id) })
 	}
-	delete(n.run.owners, over.id)
+	delete(n.run.owners, finished.id)
 }
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -18,9 +18,9 @@
 const (
 	// machineLag is how late nodes hear that a machine changed.
 	machineLag = 2 * time.Second
-	// weightTransfer is what the weight store needs for one model: 16 GB at
+	// weightTransferTime is what the weight store needs for one model: 16 GB at
 	// 2 GB/s.
-	weightTransfer = 8 * time.Second
+	weightTransferTime = 8 * time.Second
 )
 
 // simulation is the run of one policy.
@@ -47,8 +47,8 @@
 	// arrived and ended count programs without sub-agents; extra are those
 	// that floods add to the configured number.
 	arrived, ended, extra int
-	// losesReleases drops the messages that release prefixes.
-	losesReleases bool
+	// dropsReleases drops the messages that release prefixes.
+	dropsReleases bool
 	// fence grows with each order to an engine.
 	fence uint64
 	// dirty are the nodes whose policy had an input at this instant.
@@ -60,11 +60,11 @@
 	run := &simulation{
 		config:     config,
 		policy:     policy,
-		random:     rand.New(rand.NewPCG(config.Seed, hashOf(policy))),
+		random:     rand.New(rand.NewPCG(config.Seed, stableHash(policy))),
 		clock:      newClock(),
 		engineByID: make(map[machine.ID]*engineHost),
 		toolByID:   make(map[machine.ID]*toolHost),
-		weights:    platformmodel.NewWeightStore(weightTransfer),
+		weights:    platformmodel.NewWeightStore(weightTransferTime),
 		links:      newLinks(config.Deployment),
 		measure:    newMeasure(),
 		check:      newChecker(),
@@ -82,8 +82,8 @@
 	return run, nil
 }
 
-// hashOf is a stable hash of a name, for seeds and for placing programs.
-func hashOf(name string) uint64 {
+// stableHash is a stable hash of a name, for seeds and for placing programs.
+func stableHash(name string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(name))
 	return digest.Sum64()
@@ -131,11 +131,11 @@
 	config.Self = in
 	config.LinkDelay = func(to zone.Name) time.Duration { return s.config.Deployment.Delay(in, to) }
 	config.Random = rand.New(rand.NewPCG(s.config.Seed, 1000+uint64(index)))
-	config.ManagesEngine = func(id machine.ID) bool { return s.commander(id) == added }
-	if s.config.Tune != nil {
-		s.config.Tune(&config)
+	config.ManagesEngine = func(id machine.ID) bool { return s.engineManager(id) == added }
+	if s.config.TuneScheduler != nil {
+		s.config.TuneScheduler(&config)
 	}
-	added.heldLimit = config.MaximumHold + heldReview
+	added.heldLimit = config.MaximumHold + heldReviewInterval
 	var err error
 	switch {
 	case s.config.NewPolicy != nil:
@@ -149,20 +149,20 @@
 		return fmt.Errorf("policy %s: %w", s.policy, err)
 	}
 	s.nodes = append(s.nodes, added)
-	s.clock.after(heldReview, added.reviewHeld)
+	s.clock.after(heldReviewInterval, added.refuseOverdue)
 	return nil
 }
 
-// commander is the node that gives orders to an engine.
-func (s *simulation) commander(id machine.ID) *node {
-	return s.nodes[hashOf(string(id))%uint64(len(s.nodes))]
+// engineManager is the node that gives orders to an engine.
+func (s *simulation) engineManager(id machine.ID) *node {
+	return s.nodes[stableHash(string(id))%uint64(len(s.nodes))]
 }
 
 // machines returns the back ends as the machine list shows them.
 func (s *simulation) machines() []machine.Machine {
 	listed := make([]machine.Machine, 0, len(s.engines)+len(s.tools))
 	for _, host := range s.engines {
-		if !host.gone {
+		if !host.unlisted {
 			listed = append(listed, host.machine)
 		}
 	}
@@ -178,7 +178,7 @@
 	s.clock.after(machineLag, func() {
 		for _, each := range s.nodes {
 			each.policy.SetBackends(s.clock.now, listed)
-			each.touch()
+			each.markDirty()
 		}
 	})
 }
@@ -222,7 +222,7 @@
 			s.flush()
 		}
 	}
-	s.check.atEnd(s)
+	s.check.checkFinalState(s)
 }
 
 // flush lets the policies that had an input at this instant decide.
--- a/emulator/toolcall.go
+++ b/emulator/toolcall.go
@@ -11,14 +11,14 @@
 const toolTimeout = 30 * time.Second
 
 // sendTool sends a tool call. One that may not be repeated is never sent
-// again once it may have reached the service.
+// retry once it may have reached the service.
 func (n *node) sendTool(placed *call) {
 	host := n.run.toolByID[placed.backend]
 	attempt := placed.attempt
 	n.run.measure.placed(placed)
 	n.run.clock.after(toolTimeout, func() { n.toolTimedOut(placed, attempt) })
-	if n.run.links.isCut(n.zone, host.machine.Zone) {
-		n.run.clock.after(brokenAfter, func() { n.notSentAttempt(placed, attempt, host.machine.ID) })
+	if n.run.links.isBlocked(n.zone, host.machine.Zone) {
+		n.run.clock.after(failureDetectionDelay, func() { n.attemptNotSent(placed, attempt, host.machine.ID) })
 		return
 	}
 	n.run.clock.after(n.run.links.delay(n.zone, host.machine.Zone), func() {
@@ -31,10 +31,10 @@
 	})
 }
 
-// notSentAttempt is notSent, unless the call has moved on.
-func (n *node) notSentAttempt(placed *call, attempt int, backend machine.ID) {
+// attemptNotSent is notSent, unless the call has moved on.
+func (n *node) attemptNotSent(placed *call, attempt int, backend machine.ID) {
 	if !placed.closed && placed.attempt == attempt {
-		n.notSent(placed, backend)
+		n.releaseAndRetry(placed, backend)
 	}
 }
 
@@ -44,7 +44,7 @@
 		return
 	}
 	n.policy.Finished(n.run.clock.now, ended.ref(), ended.backend, api.Usage{}, 0)
-	n.touch()
+	n.markDirty()
 	ended.agent.settleTool(ended)
 	n.finish(ended, api.StatusSucceeded, "")
 }
@@ -56,9 +56,9 @@
 		return
 	}
 	n.policy.Finished(n.run.clock.now, waiting.ref(), waiting.backend, api.Usage{}, 0)
-	n.touch()
+	n.markDirty()
 	if waiting.step.Repeatable {
-		n.again(waiting, waiting.backend)
+		n.retry(waiting, waiting.backend)
 		return
 	}
 	n.finish(waiting, api.StatusOutcomeUnknown, api.CodeOutcomeUnknown)
