--- a/emulator/enginemodel/config.go
+++ b/emulator/enginemodel/config.go
@@ -23,7 +23,7 @@
 	// 5,000 tokens a second.
 	DefaultPrefillPerToken = 200 * time.Microsecond
 	// DefaultChunkTokens bounds the prefill of one iteration, so that a long
-	// prompt does not stop the running answers (chunked prefill).
+	// immediate does not stop the running answers (chunked prefill).
 	DefaultChunkTokens = 512
 	// DefaultCacheTokens: 8 GB that the weights leave, at 128 KiB a token.
 	DefaultCacheTokens = 64 << 10
--- a/emulator/enginemodel/doc.go
+++ b/emulator/enginemodel/doc.go
@@ -21,7 +21,7 @@
 //
 // When a sequence ends, the KV cache of its prompt and output stays as the
 // prefix of its program. The next call of the program computes only what the
-// prompt adds. A prefix is named by the program alone and not by the hash of
+// immediate adds. A prefix is named by the program alone and not by the hash of
 // its blocks: a program's history only grows, so its cached prefix always is
 // the beginning of its next prompt, and one entry a program is cheap. Two
 // programs never share an entry, which also keeps the timing of one branch's
--- a/emulator/enginemodel/engine.go
+++ b/emulator/enginemodel/engine.go
@@ -27,30 +27,30 @@
 	cache    *cache
 	// reserved is the memory of running sequences and arriving imports.
 	reserved int
-	imports  map[api.ProgramID]*arriving
+	imports  map[api.ProgramID]*pendingImport
 	timers   []timer
 
 	finished      map[string]Finished
 	finishedOrder []finishedStream
 
-	iteration iteration
-	clock     time.Time
-	outputs   outputs
-	events    uint64 // sequence of cache events
-	stats     Statistics
+	iteration     iteration
+	clock         time.Time
+	outputs       outputs
+	eventSequence uint64 // sequence of cache events
+	stats         Statistics
 }
 
-// arriving is a KV transfer that has not ended, and the streams that wait for
+// pendingImport is a KV transfer that has not ended, and the streams that wait for
 // it.
-type arriving struct {
+type pendingImport struct {
 	tokens int
 	parked []*sequence
 }
 
 // finishedStream remembers when a finished stream may be forgotten.
 type finishedStream struct {
-	stream string
-	until  time.Time
+	stream   string
+	forgetAt time.Time
 }
 
 // New returns an engine that starts at the given time. The random source must
@@ -66,7 +66,7 @@
 		role:     RoleBalanced,
 		streams:  make(map[string]*sequence),
 		cache:    newCache(),
-		imports:  make(map[api.ProgramID]*arriving),
+		imports:  make(map[api.ProgramID]*pendingImport),
 		finished: make(map[string]Finished),
 		clock:    now,
 	}
@@ -118,7 +118,7 @@
 		e.outputs.add(Output{At: e.clock, Finished: &ended})
 		return nil
 	}
-	if err := e.admissible(request); err != nil {
+	if err := e.checkAdmissible(request); err != nil {
 		return err
 	}
 	e.arrivals++
@@ -134,12 +134,12 @@
 		return nil
 	}
 	heap.Push(&e.waiting, added)
-	e.interrupt()
+	e.endRun()
 	return nil
 }
 
-// admissible says why a request can never run here.
-func (e *Engine) admissible(request Generate) error {
+// checkAdmissible says why a request can never run here.
+func (e *Engine) checkAdmissible(request Generate) error {
 	if e.leaving {
 		return ErrLeaving
 	}
@@ -162,17 +162,17 @@
 		return
 	}
 	if stopped.reserved > 0 {
-		e.interrupt()
-		e.leaveBatch(stopped)
-		e.keep(stopped.Owner, stopped.computed())
+		e.endRun()
+		e.removeRunning(stopped)
+		e.cachePrefix(stopped.Owner, stopped.computed())
 	} else {
-		e.leaveQueue(stopped)
+		e.removeWaiting(stopped)
 	}
 	e.finish(stopped, true)
 }
 
-// leaveQueue removes a stream that is not running.
-func (e *Engine) leaveQueue(stopped *sequence) {
+// removeWaiting removes a stream that is not running.
+func (e *Engine) removeWaiting(stopped *sequence) {
 	if stopped.index >= 0 {
 		e.waiting.remove(stopped)
 		return
@@ -186,8 +186,8 @@
 	}
 }
 
-// leaveBatch removes a running stream and frees its memory.
-func (e *Engine) leaveBatch(stopped *sequence) {
+// removeRunning removes a running stream and frees its memory.
+func (e *Engine) removeRunning(stopped *sequence) {
 	for i, running := range e.running {
 		if running == stopped {
 			e.running = append(e.running[:i], e.running[i+1:]...)
@@ -232,7 +232,7 @@
 		CachedTokens: e.cache.tokens + e.reserved,
 	}
 	for _, queued := range e.waiting {
-		measured.QueuedTokens += max(queued.PromptTokens-e.usable(queued), 0)
+		measured.QueuedTokens += max(queued.PromptTokens-e.cachedPromptTokens(queued), 0)
 	}
 	for _, running := range e.running {
 		measured.QueuedTokens += running.prefillLeft
@@ -240,8 +240,8 @@
 	return measured
 }
 
-// usable is how much of a waiting sequence's prompt is cached.
-func (e *Engine) usable(queued *sequence) int {
+// cachedPromptTokens is how much of a waiting sequence's prompt is cached.
+func (e *Engine) cachedPromptTokens(queued *sequence) int {
 	if queued.Fresh {
 		return 0
 	}
--- a/emulator/enginemodel/engine_test.go
+++ b/emulator/enginemodel/engine_test.go
@@ -50,7 +50,7 @@
 	for _, output := range d.engine.Ready(d.now) {
 		switch {
 		case output.Finished != nil:
-			if _, twice := d.finished[output.Finished.Stream]; twice {
+			if _, duplicate := d.finished[output.Finished.Stream]; duplicate {
 				panic("finished twice: " + output.Finished.Stream)
 			}
 			d.finished[output.Finished.Stream] = *output.Finished
@@ -189,9 +189,9 @@
 		d.run()
 		Expect(d.finished["a/2"].Usage.CachedTokens).To(Equal(800))
 		var evicted []api.ProgramID
-		for _, told := range d.events {
-			if told.Evicted {
-				evicted = append(evicted, told.Owner)
+		for _, event := range d.events {
+			if event.Evicted {
+				evicted = append(evicted, event.Owner)
 			}
 		}
 		Expect(evicted).To(Equal([]api.ProgramID{"b"}))
@@ -251,7 +251,7 @@
 		d := newDriver(func(c *enginemodel.Config) { c.MaximumModels = 2 })
 		Expect(d.step(order(enginemodel.Order{Fence: 1, Load: "general@2+farm"}))).To(MatchError(enginemodel.ErrModelNotLoaded))
 		Expect(d.step(order(enginemodel.Order{Fence: 1, Load: "general@2", WeightsIn: 8 * time.Second}))).To(Succeed())
-		Expect(d.step(order(enginemodel.Order{Fence: 2, Load: "third"}))).To(MatchError(enginemodel.ErrNoRoom))
+		Expect(d.step(order(enginemodel.Order{Fence: 2, Load: "third"}))).To(MatchError(enginemodel.ErrTooManyModels))
 		d.runUntil(start.Add(7 * time.Second))
 		Expect(d.engine.Models()).To(Equal([]string{model}))
 		d.runUntil(start.Add(8 * time.Second))
@@ -302,31 +302,31 @@
 	It("keeps within memory and slots, ends each stream once, and does not depend on how often time is passed", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			small := func(c *enginemodel.Config) { c.Slots, c.CacheTokens, c.StreamRetention = 3, 3000, time.Hour }
-			seldom, often := newDriver(small), newDriver(small)
-			wanted := make(map[string]bool)
+			coarse, fine := newDriver(small), newDriver(small)
+			accepted := make(map[string]bool)
 			for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-				until := seldom.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "wait")) * time.Millisecond)
-				seldom.runUntil(until)
-				for often.now.Before(until) {
-					often.runUntil(minTime(until, often.now.Add(7*time.Millisecond)))
+				until := coarse.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "wait")) * time.Millisecond)
+				coarse.runUntil(until)
+				for fine.now.Before(until) {
+					fine.runUntil(minTime(until, fine.now.Add(7*time.Millisecond)))
 				}
 				event := randomEvent(t, step)
-				first, second := seldom.step(event), often.step(event)
+				first, second := coarse.step(event), fine.step(event)
 				if fmt.Sprint(first) != fmt.Sprint(second) {
 					t.Fatalf("one refuses: %v, %v", first, second)
 				}
 				if event.Generate != nil && first == nil {
-					wanted[event.Generate.Stream] = true
+					accepted[event.Generate.Stream] = true
 				}
-				checkMemory(t, seldom)
+				checkMemory(t, coarse)
 			}
-			seldom.run()
-			often.run()
-			if len(seldom.finished) != len(wanted) {
-				t.Fatalf("%d streams ended of %d", len(seldom.finished), len(wanted))
+			coarse.run()
+			fine.run()
+			if len(coarse.finished) != len(accepted) {
+				t.Fatalf("%d streams ended of %d", len(coarse.finished), len(accepted))
 			}
-			if fmt.Sprint(seldom.order, seldom.finished, seldom.events) != fmt.Sprint(often.order, often.finished, often.events) {
-				t.Fatalf("the runs differ:\n%v\n%v", seldom.finished, often.finished)
+			if fmt.Sprint(coarse.order, coarse.finished, coarse.events) != fmt.Sprint(fine.order, fine.finished, fine.events) {
+				t.Fatalf("the runs differ:\n%v\n%v", coarse.finished, fine.finished)
 			}
 		})
 	})
--- a/emulator/enginemodel/errors.go
+++ b/emulator/enginemodel/errors.go
@@ -8,7 +8,7 @@
 	ErrLeaving        = errors.New("engine: leaving, no new work")
 	ErrTooLong        = errors.New("engine: prompt and output do not fit the cache")
 	ErrStaleFence     = errors.New("engine: order with a stale fence")
-	ErrNoRoom         = errors.New("engine: no room for another model")
+	ErrTooManyModels  = errors.New("engine: no room for another model")
 	ErrUnknownRole    = errors.New("engine: unknown role")
 	ErrEmptyPrompt    = errors.New("engine: empty prompt")
 )
--- a/emulator/enginemodel/iteration.go
+++ b/emulator/enginemodel/iteration.go
@@ -23,13 +23,13 @@
 // advance lets time pass until now.
 func (e *Engine) advance(now time.Time) {
 	for len(e.timers) > 0 && !e.timers[0].at.After(now) {
-		due := e.timers[0]
+		expired := e.timers[0]
 		e.timers = e.timers[1:]
-		e.run(due.at)
-		e.fire(due)
+		e.run(expired.at)
+		e.fire(expired)
 	}
 	e.run(now)
-	for len(e.finishedOrder) > 0 && !e.finishedOrder[0].until.After(now) {
+	for len(e.finishedOrder) > 0 && !e.finishedOrder[0].forgetAt.After(now) {
 		delete(e.finished, e.finishedOrder[0].stream)
 		e.finishedOrder = e.finishedOrder[1:]
 	}
@@ -56,9 +56,9 @@
 	}
 }
 
-// interrupt makes the iteration that runs the last of its run, because the
+// endRun makes the iteration that runs the last of its run, because the
 // next one has another batch.
-func (e *Engine) interrupt() {
+func (e *Engine) endRun() {
 	e.iteration.count = min(e.iteration.count, 1)
 }
 
@@ -137,7 +137,7 @@
 // it, in order of priority, and returns its sum.
 func (e *Engine) planPrefill() int {
 	pending := e.pendingPrefill()
-	budget := max(1, e.config.ChunkTokens*roleChunks[e.role]/chunkUnit)
+	budget := max(1, e.config.ChunkTokens*roleChunkEighths[e.role]/chunkDenominator)
 	left := budget
 	for _, next := range pending {
 		next.chunk = min(next.prefillLeft, left)
@@ -206,8 +206,8 @@
 			i++
 			continue
 		}
-		e.leaveBatch(running)
-		e.keep(running.Owner, running.computed())
+		e.removeRunning(running)
+		e.cachePrefix(running.Owner, running.computed())
 		e.finish(running, false)
 	}
 }
--- a/emulator/enginemodel/memory.go
+++ b/emulator/enginemodel/memory.go
@@ -23,12 +23,12 @@
 		return
 	}
 	e.countIdle(dropped)
-	e.tellCache(engine.CacheEvent{Owner: owner, Tokens: dropped.tokens, Evicted: true})
-	e.interrupt()
+	e.emitCacheEvent(engine.CacheEvent{Owner: owner, Tokens: dropped.tokens, Evicted: true})
+	e.endRun()
 }
 
-// keep caches a prefix for the owner, unless a longer one is there.
-func (e *Engine) keep(owner api.ProgramID, tokens int) {
+// cachePrefix caches a prefix for the owner, unless a longer one is there.
+func (e *Engine) cachePrefix(owner api.ProgramID, tokens int) {
 	if tokens <= 0 {
 		return
 	}
@@ -36,7 +36,7 @@
 		tokens = max(tokens, held.tokens)
 	}
 	e.cache.put(&prefix{owner: owner, tokens: tokens, used: e.clock})
-	e.tellCache(engine.CacheEvent{Owner: owner, Tokens: tokens})
+	e.emitCacheEvent(engine.CacheEvent{Owner: owner, Tokens: tokens})
 }
 
 // makeRoom evicts the least recently used prefixes until tokens more fit. It
@@ -49,7 +49,7 @@
 		victim := e.cache.take(e.cache.oldest().owner)
 		e.countIdle(victim)
 		e.stats.Evictions++
-		e.tellCache(engine.CacheEvent{Owner: victim.owner, Tokens: victim.tokens, Evicted: true})
+		e.emitCacheEvent(engine.CacheEvent{Owner: victim.owner, Tokens: victim.tokens, Evicted: true})
 	}
 	return true
 }
@@ -71,7 +71,7 @@
 		return ErrTooLong
 	}
 	e.reserved += request.Tokens
-	e.imports[request.Owner] = &arriving{tokens: request.Tokens}
+	e.imports[request.Owner] = &pendingImport{tokens: request.Tokens}
 	e.addTimer(timer{at: e.clock.Add(e.config.TransferTime(request.Tokens)), kind: timerImported, owner: request.Owner})
 	return nil
 }
@@ -82,18 +82,18 @@
 	delete(e.imports, owner)
 	e.reserved -= transfer.tokens
 	e.stats.ImportedTokens += int64(transfer.tokens)
-	e.keep(owner, transfer.tokens)
+	e.cachePrefix(owner, transfer.tokens)
 	for _, parked := range transfer.parked {
 		heap.Push(&e.waiting, parked)
 	}
 	e.outputs.add(Output{At: e.clock, Imported: &Imported{Owner: owner, Tokens: transfer.tokens}})
-	e.interrupt()
+	e.endRun()
 }
 
-// tellCache emits a cache event, late, or loses it.
-func (e *Engine) tellCache(event engine.CacheEvent) {
-	e.events++
-	event.Sequence = e.events
+// emitCacheEvent emits a cache event, late, or loses it.
+func (e *Engine) emitCacheEvent(event engine.CacheEvent) {
+	e.eventSequence++
+	event.Sequence = e.eventSequence
 	if e.config.EventLoss > 0 && e.random.Float64() < e.config.EventLoss {
 		return
 	}
--- a/emulator/enginemodel/order.go
+++ b/emulator/enginemodel/order.go
@@ -10,10 +10,10 @@
 	if order.Fence < e.fence {
 		return ErrStaleFence
 	}
-	if _, known := roleChunks[order.Role]; order.Role != "" && !known {
+	if _, known := roleChunkEighths[order.Role]; order.Role != "" && !known {
 		return ErrUnknownRole
 	}
-	if err := e.loadable(order); err != nil {
+	if err := e.checkLoadable(order); err != nil {
 		return err
 	}
 	e.fence = order.Fence
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// loadable says why the order's model cannot be loaded.
-func (e *Engine) loadable(order Order) error {
+// checkLoadable says why the order's model cannot be loaded.
+func (e *Engine) checkLoadable(order Order) error {
 	if order.Load == "" || e.models[order.Load] {
 		return nil
 	}
@@ -48,7 +48,7 @@
 		}
 	}
 	if held >= e.config.MaximumModels {
-		return ErrNoRoom
+		return ErrTooManyModels
 	}
 	if base, _, _ := strings.Cut(order.Load, adapterSeparator); isAdapter(order.Load) && !e.models[base] {
 		return ErrModelNotLoaded
--- a/emulator/enginemodel/output.go
+++ b/emulator/enginemodel/output.go
@@ -67,30 +67,30 @@
 // outputs are the engine's tidings that are not told yet. Cache events and
 // load reports are told late, each in their order.
 type outputs struct {
-	prompt []Output
-	cache  []Output
-	loads  []Output
+	immediate []Output
+	cache     []Output
+	loads     []Output
 }
 
 // add appends an output that is told at once.
-func (o *outputs) add(output Output) { o.prompt = append(o.prompt, output) }
+func (o *outputs) add(output Output) { o.immediate = append(o.immediate, output) }
 
 // addCacheEvent appends a cache event, not before the one ahead of it.
-func (o *outputs) addCacheEvent(output Output) { o.cache = appendLate(o.cache, output) }
+func (o *outputs) addCacheEvent(output Output) { o.cache = appendOrdered(o.cache, output) }
 
 // addLoad appends a load report, not before the one ahead of it.
-func (o *outputs) addLoad(output Output) { o.loads = appendLate(o.loads, output) }
+func (o *outputs) addLoad(output Output) { o.loads = appendOrdered(o.loads, output) }
 
-// appendLate keeps the queue in order when the delay has become shorter.
-func appendLate(queue []Output, output Output) []Output {
+// appendOrdered keeps the queue in order when the delay has become shorter.
+func appendOrdered(queue []Output, output Output) []Output {
 	if last := len(queue) - 1; last >= 0 && output.At.Before(queue[last].At) {
 		output.At = queue[last].At
 	}
 	return append(queue, output)
 }
 
-// due splits the outputs that are told by now from the rest.
-func due(queue []Output, now time.Time) (ready, rest []Output) {
+// takeDue splits the outputs that are told by now from the rest.
+func takeDue(queue []Output, now time.Time) (ready, rest []Output) {
 	count := 0
 	for count < len(queue) && !queue[count].At.After(now) {
 		count++
@@ -100,10 +100,10 @@
 
 // Ready returns the outputs that are told by now, and forgets them.
 func (e *Engine) Ready(now time.Time) []Output {
-	ready := e.outputs.prompt
-	e.outputs.prompt = nil
-	cache, restCache := due(e.outputs.cache, now)
-	loads, restLoads := due(e.outputs.loads, now)
+	ready := e.outputs.immediate
+	e.outputs.immediate = nil
+	cache, restCache := takeDue(e.outputs.cache, now)
+	loads, restLoads := takeDue(e.outputs.loads, now)
 	e.outputs.cache, e.outputs.loads = restCache, restLoads
 	if len(cache) > 0 {
 		ready = append(ready, cache...)
@@ -117,7 +117,7 @@
 // NextWake returns when the engine next has something to tell or to do
 // without an event; the zero time means never.
 func (e *Engine) NextWake() time.Time {
-	if len(e.outputs.prompt) > 0 {
+	if len(e.outputs.immediate) > 0 {
 		return e.clock
 	}
 	var next time.Time
@@ -163,7 +163,7 @@
 }
 
 // EventSequence returns the sequence of the last cache event, told or not.
-func (e *Engine) EventSequence() uint64 { return e.events }
+func (e *Engine) EventSequence() uint64 { return e.eventSequence }
 
 // Load measures the engine as of the last Step.
 func (e *Engine) Load() schedule.Load { return e.load() }
--- a/emulator/enginemodel/role.go
+++ b/emulator/enginemodel/role.go
@@ -12,8 +12,8 @@
 	RoleDecode Role = "decode"
 )
 
-// roleChunks is the share of ChunkTokens that each role prefills, in eighths.
-var roleChunks = map[Role]int{RoleBalanced: 8, RolePrefill: 32, RoleDecode: 1}
+// roleChunkEighths is the share of ChunkTokens that each role prefills, in eighths.
+var roleChunkEighths = map[Role]int{RoleBalanced: 8, RolePrefill: 32, RoleDecode: 1}
 
-// chunkUnit is the denominator of roleChunks.
-const chunkUnit = 8
+// chunkDenominator is the denominator of roleChunks.
+const chunkDenominator = 8
--- a/emulator/enginemodel/timer.go
+++ b/emulator/enginemodel/timer.go
@@ -35,16 +35,16 @@
 }
 
 // fire performs a timer.
-func (e *Engine) fire(due timer) {
-	switch due.kind {
+func (e *Engine) fire(expired timer) {
+	switch expired.kind {
 	case timerReport:
 		measured := e.load()
 		e.outputs.addLoad(Output{At: e.clock.Add(e.config.ReportDelay), Load: &measured})
-		e.addTimer(timer{at: due.at.Add(e.config.ReportPeriod), kind: timerReport})
+		e.addTimer(timer{at: expired.at.Add(e.config.ReportPeriod), kind: timerReport})
 	case timerImported:
-		e.endImport(due.owner)
+		e.endImport(expired.owner)
 	case timerModel:
-		e.models[due.model] = true
-		e.outputs.add(Output{At: e.clock, ModelReady: due.model})
+		e.models[expired.model] = true
+		e.outputs.add(Output{At: e.clock, ModelReady: expired.model})
 	}
 }
