--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -11,28 +11,30 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// engineHost is one replica: the engine model and what it still has to tell.
+// engineHost is one engine replica: the engine model and the delivery of its
+// outputs to the nodes.
 type engineHost struct {
 	run     *simulation
 	seed    uint64
 	machine machine.Machine
 	model   *enginemodel.Engine
-	// calls are the streams that a node waits for.
+	// calls maps each stream to the call whose node waits for its end.
 	calls map[string]*call
-	// wakeAt is the earliest pending wake.
+	// wakeAt is the earliest pending wake, zero if there is none.
 	wakeAt time.Time
-	// down engines lose every message; gone ones have left the machine list.
+	// down is set while the engine is crashed and loses every message; unlisted is
+	// set while it is not in the machine list.
 	down     bool
 	unlisted bool
-	// leavingSince is when the machine list began to show it as leaving.
+	// leavingSince is when the engine began to leave, zero if it does not leave.
 	leavingSince time.Time
-	// reportDelay delays load reports and cache events further.
+	// reportDelay is added to the delay of load reports and cache events.
 	reportDelay time.Duration
-	// told is the last load report that was passed on.
+	// lastLoad is the last load report that was sent to the nodes.
 	lastLoad schedule.Load
 }
 
-// start begins with an empty engine, at first and after a crash.
+// start replaces the engine by an empty one, at the beginning and after a crash.
 func (h *engineHost) start() error {
 	random := rand.New(rand.NewPCG(h.run.config.Seed, h.seed))
 	model, err := enginemodel.New(engineConfig(h.machine, h.run.config.TuneEngines), h.run.clock.now, random)
@@ -46,7 +48,7 @@
 	return nil
 }
 
-// step applies an event now and delivers what the engine tells.
+// step applies an event at the current time and delivers the engine's outputs.
 func (h *engineHost) step(event enginemodel.Event) error {
 	err := h.model.Step(h.run.clock.now, event)
 	h.deliver()
@@ -54,8 +56,7 @@
 	return err
 }
 
-// scheduleWake makes sure that the engine runs when it next has something to
-// do.
+// scheduleWake schedules the engine's next wake, unless an earlier one is pending.
 func (h *engineHost) scheduleWake() {
 	next := h.model.NextWake()
 	if next.IsZero() || h.down {
@@ -68,7 +69,7 @@
 	h.run.clock.at(next, func() { h.wake(next) })
 }
 
-// wake lets the engine run, unless an earlier wake has replaced this one.
+// wake advances the engine, unless an earlier wake has replaced this one.
 func (h *engineHost) wake(planned time.Time) {
 	if !h.wakeAt.Equal(planned) || h.down {
 		return
@@ -77,7 +78,7 @@
 	_ = h.step(enginemodel.Event{})
 }
 
-// deliver sends what the engine tells to those whom it concerns.
+// deliver sends the engine's outputs to the nodes that they concern.
 func (h *engineHost) deliver() {
 	for _, output := range h.model.Ready(h.run.clock.now) {
 		switch {
@@ -122,11 +123,12 @@
 	})
 }
 
-// unchangedReportInterval is how often a load report is passed on that says the same
-// as the one before.
+// unchangedReportInterval is the time after which a load report is sent although
+// it equals the previous one.
 const unchangedReportInterval = 4 * time.Second
 
-// sendLoadReport sends a load report to every node, if it says something new.
+// sendLoadReport sends a load report to every node. It suppresses a report that
+// equals the previous one for unchangedReportInterval.
 func (h *engineHost) sendLoadReport(measured schedule.Load) {
 	same := h.lastLoad
 	same.At = measured.At
@@ -145,18 +147,18 @@
 	})
 }
 
-// release drops a program's prefix.
+// release drops the cached prefix of a program.
 func (h *engineHost) release(owner api.ProgramID) {
 	if !h.down {
 		_ = h.step(enginemodel.Event{Release: &enginemodel.Release{Owner: owner}})
 	}
 }
 
-// sweepInterval is how often an engine's attendant compares what the engine
-// holds with the programs that live: a release may have been lost.
+// sweepInterval is how often the manager of an engine searches its cache for
+// prefixes of ended programs, whose release may have been lost.
 const sweepInterval = 10 * time.Second
 
-// sweep releases the prefixes of programs that are gone, and comes again.
+// sweep releases the prefixes of ended programs and schedules the next sweep.
 func (h *engineHost) sweep() {
 	h.run.clock.after(sweepInterval, h.sweep)
 	manager := h.run.engineManager(h.machine.ID)
@@ -170,7 +172,8 @@
 	}
 }
 
-// transfer moves a program's prefix to another engine, if it is still here.
+// transfer moves a program's prefix to another engine and reports whether it did:
+// the prefix may be evicted, or an engine down.
 func (h *engineHost) transfer(owner api.ProgramID, target *engineHost) bool {
 	tokens := h.model.Resident(owner)
 	if h.down || target.down || tokens == 0 {
@@ -183,8 +186,8 @@
 	return true
 }
 
-// crash loses everything that the engine holds. The nodes that wait for its
-// streams notice broken connections.
+// crash stops the engine and loses its state. The nodes that wait for its streams
+// see their connections break after the link delay.
 func (h *engineHost) crash() {
 	h.down = true
 	h.wakeAt = time.Time{}
@@ -196,13 +199,14 @@
 	clear(h.calls)
 }
 
-// toolHost is one tool service. It runs any number of requests at once.
+// toolHost is one tool service. It runs any number of requests concurrently.
 type toolHost struct {
 	run     *simulation
 	machine machine.Machine
 	down    bool
-	hung    bool
-	// dropsAnswers lets runs take effect whose answers never arrive.
+	// hung makes the service accept requests without running them.
+	hung bool
+	// dropsAnswers makes the service run requests without sending the answers.
 	dropsAnswers bool
 	leavingSince time.Time
 }
@@ -216,7 +220,7 @@
 		return
 	}
 	if h.hung {
-		return // the call's own time-out ends it
+		return // The call ends by toolTimeout.
 	}
 	h.run.check.toolRan(started)
 	if h.dropsAnswers || h.run.links.isBlocked(h.machine.Zone, owner.zone) {
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// agent is one program while it runs, seen from its caller and from its node.
+// agent is one running program. It holds the state of both its caller and its
+// node.
 type agent struct {
 	run       *simulation
 	id        api.ProgramID
@@ -20,36 +21,41 @@
 	placement zone.Placement
 	node      *node
 	parent    *agent
-	// start is the intended start.
+	// start is the intended start; a sub-agent has that of its parent.
 	start time.Time
-	// pausedTime is the time in which a person read and typed.
+	// pausedTime is the total time of pauses in which a person reads and types.
 	pausedTime time.Duration
 
 	sequence uint64
 	turns    int
 	// history is the length of the program's history, in tokens; computed is
-	// how much of it some engine has had in its cache.
+	// the length of the longest part that any engine has computed.
 	history  int
 	computed int
+	// attained is the attained service in tokens: uncached prompt tokens and
+	// output tokens. spent and reserved count against the token budget.
 	attained int64
 	spent    int64
 	reserved int64
-	// engines are those that may hold a prefix.
+	// engines lists the engines that may hold a prefix of the program.
 	engines    []machine.ID
 	lastEngine machine.ID
 	lastOutput int
 
-	// childrenLeft and childTokens are of the sub-agents that run.
+	// childrenLeft is the number of running sub-agents; childTokens sums the
+	// output tokens of those that have ended.
 	childrenLeft int
 	childTokens  int
-	// gone: the caller has hung up; ended: the node has forgotten it.
+	// disconnected is set once the caller has disconnected; ended is set once the
+	// node has removed the program.
 	disconnected bool
 	ended        bool
-	// reason is the reason for which the caller gave the program up.
+	// reason is why the program ended.
 	reason endReason
 }
 
-// startProgram lets a program begin at its intended start.
+// startProgram starts a program at the current time. parent is nil unless the
+// program is a sub-agent, which runs on the node of its parent.
 func (s *simulation) startProgram(program *workload.Program, parent *agent) {
 	s.programs++
 	branch, _ := s.config.Deployment.Branch(program.Branch)
@@ -72,7 +78,7 @@
 	started.next(workload.Result{})
 }
 
-// owner picks the node of a program by hash among the permitted zones.
+// owner picks a node for a program by hash among the nodes of the permitted zones.
 func (s *simulation) owner(placement zone.Placement, name string) *node {
 	var permitted []*node
 	for _, each := range s.nodes {
@@ -83,7 +89,8 @@
 	return permitted[stableHash(name)%uint64(len(permitted))]
 }
 
-// deadline is when the caller can no longer use an answer; zero means never.
+// deadline returns the time after which an answer is of no use to the caller. The
+// zero time means that there is no deadline.
 func (a *agent) deadline() time.Time {
 	if a.program.Deadline <= 0 {
 		return time.Time{}
@@ -91,7 +98,7 @@
 	return a.start.Add(a.program.Deadline)
 }
 
-// next lets the caller do its next step.
+// next starts the next step of the caller, given the result of the previous one.
 func (a *agent) next(result workload.Result) {
 	step, more := a.program.Next(result)
 	if !more {
@@ -109,7 +116,7 @@
 	}
 }
 
-// submit sends a call to the program's node.
+// submit sends a call to the node that owns the program.
 func (a *agent) submit(step workload.Step) {
 	a.sequence++
 	submitted := &call{agent: a, sequence: a.sequence, step: step}
@@ -126,7 +133,8 @@
 	})
 }
 
-// answer brings a call's result to the caller.
+// answer delivers the result of a call to the caller, which ends the program after
+// a failed model call.
 func (a *agent) answer(ended *call, status api.CallStatus, code api.Code) {
 	if a.disconnected || ended.answered {
 		return
@@ -146,7 +154,8 @@
 	a.next(workload.Result{Status: status, Code: code})
 }
 
-// refusalReason tells a limit of the contract from a refusal for want of room.
+// refusalReason distinguishes a limit of the contract from a refusal for lack of
+// capacity.
 func refusalReason(code api.Code) endReason {
 	switch code {
 	case api.CodeLimitReached, api.CodeBudgetExhausted:
@@ -155,7 +164,7 @@
 	return endRefused
 }
 
-// disconnect drops the caller's connection, unless the answer was there first.
+// disconnect closes the caller's connection, unless the answer has arrived.
 func (a *agent) disconnect(waiting *call) {
 	if waiting.answered || a.disconnected {
 		return
@@ -176,7 +185,8 @@
 	}
 }
 
-// childEnded counts a sub-agent that has ended.
+// childEnded records the end of a sub-agent. After the last one the program
+// continues.
 func (a *agent) childEnded(outputTokens int) {
 	a.childrenLeft--
 	a.childTokens += outputTokens
@@ -185,7 +195,7 @@
 	}
 }
 
-// over ends the program at its caller, and at its node a little later.
+// complete ends the program at its caller, and at its node after the client delay.
 func (a *agent) complete() {
 	if !a.disconnected {
 		a.run.clock.after(a.run.config.Deployment.ClientDelay, func() { a.node.end(a) })
@@ -201,7 +211,8 @@
 	}
 }
 
-// limit says which limit of the contract a call would pass, if any.
+// limit returns the code of the contract limit that a call would exceed, or an
+// empty code.
 func (a *agent) limit(next *call) api.Code {
 	if next.step.Kind != workload.StepModel {
 		return ""
@@ -215,7 +226,7 @@
 	return ""
 }
 
-// reservation is what a call may cost at most.
+// reservation returns the largest number of tokens that a call may cost.
 func reservation(next *call) int64 {
 	if next.step.Kind != workload.StepModel {
 		return 0
@@ -223,7 +234,8 @@
 	return int64(next.prompt + next.step.OutputCap)
 }
 
-// reserve holds a call's cost against the budget.
+// reserve charges the reservation of a call to the budget, and counts a model call
+// as a turn.
 func (a *agent) reserve(next *call) {
 	a.reserved += reservation(next)
 	if next.step.Kind == workload.StepModel {
@@ -231,7 +243,7 @@
 	}
 }
 
-// settle turns a model call's reservation into its cost, and adds the call to
+// settle replaces the reservation of a model call by its cost and adds the call to
 // the history.
 func (a *agent) settle(ended *call, usage api.Usage) {
 	a.reserved -= reservation(ended)
@@ -247,7 +259,7 @@
 	a.history += ended.step.InputTokens + ended.step.OutputTokens
 }
 
-// addEngine remembers that an engine may hold a prefix of the program.
+// addEngine records that an engine may hold a prefix of the program.
 func (a *agent) addEngine(id machine.ID) {
 	if !slices.Contains(a.engines, id) {
 		a.engines = append(a.engines, id)
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -5,7 +5,7 @@
 // epoch is the virtual time at which every run starts.
 var epoch = time.Unix(1_700_000_000, 0).UTC()
 
-// event is something that happens at a virtual time.
+// event is an action that is scheduled for a virtual time.
 type event struct {
 	at       time.Time
 	sequence uint64
@@ -20,17 +20,17 @@
 	return e.sequence < other.sequence
 }
 
-// clock is virtual time with its pending events, a binary heap.
+// clock is the virtual time and a binary heap of the pending events.
 type clock struct {
 	now      time.Time
 	sequence uint64
 	events   []event
 }
 
-// newClock returns a clock at the epoch.
+// newClock returns a clock that is set to epoch.
 func newClock() *clock { return &clock{now: epoch} }
 
-// at schedules an action; a time that has passed means now.
+// at schedules an action. A time in the past is replaced by the current time.
 func (c *clock) at(when time.Time, action func()) {
 	if when.Before(c.now) {
 		when = c.now
@@ -48,10 +48,10 @@
 	}
 }
 
-// after schedules an action in a while.
+// after schedules an action after a delay.
 func (c *clock) after(delay time.Duration, action func()) { c.at(c.now.Add(delay), action) }
 
-// step performs the next event and reports whether there was one.
+// step runs the next event and reports whether there was one.
 func (c *clock) step() bool {
 	if len(c.events) == 0 {
 		return false
@@ -62,12 +62,12 @@
 	return true
 }
 
-// instantOver reports whether no further event happens at this instant.
+// instantOver reports whether no pending event is due at the current time.
 func (c *clock) instantOver() bool {
 	return len(c.events) == 0 || c.events[0].at.After(c.now)
 }
 
-// pop removes the earliest event.
+// pop removes and returns the earliest event. The heap must not be empty.
 func (c *clock) pop() event {
 	first := c.events[0]
 	last := len(c.events) - 1
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -1,7 +1,7 @@
 // Package emulator runs the system in virtual time. RunBench measures
-// scheduling policies under a deployment's load: the schedule.Policy of each
-// node is the daemon's own code, the engines are those of package enginemodel,
-// and the callers' programs come from package workload.
+// scheduling policies under the load of a deployment: each node runs the same
+// schedule.Policy code as the daemon, package enginemodel emulates the engines,
+// and package workload generates the programs of the callers.
 //
 //	deployment, _ := workload.ByName("qasr")
 //	result, err := emulator.RunBench(emulator.BenchConfig{
@@ -13,20 +13,21 @@
 //	})
 //
 // A run is a discrete-event simulation on one goroutine: the same
-// configuration gives the same result to the byte. Every policy of one run
-// sees the same arrivals; a program's steps are drawn from its own random
-// source, so they do not depend on the policy either.
+// configuration gives a byte-identical result. All policies of a run get the
+// same arrivals, and each program draws its steps from its own random source,
+// so the steps do not depend on the policy either.
 //
 // # What is emulated
 //
-// A caller's call travels to the node that owns its program (client delay),
-// is recorded (journal delay), waits in the node's policy, travels to the back
-// end (link delay), and its answer travels back and is recorded the same way.
-// Load reports and cache events reach the nodes late. Each node decides alone.
+// A call is sent to the node that owns its program (client delay), is recorded
+// there (journal delay), waits in the node's scheduling policy and is sent to a
+// back end (link delay). The answer returns and is recorded with the same
+// delays. Load reports and cache events reach the nodes late. Each node decides
+// independently of the others.
 //
 // # What load means
 //
-// Load 1 is the arrival rate at which the replicas of the most wanted model
-// are just busy, if every prompt token were computed once and every batch were
-// full. Capacity tells how it is worked out.
+// Load 1 is the arrival rate at which the replicas of the model in highest
+// demand are just fully utilised, assuming that every prompt token is computed
+// once and every batch is full. Capacity documents the calculation.
 package emulator
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -7,24 +7,24 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// links are the delays between zones, and the cuts in force.
+// links holds the delays between zones and the current network partitions.
 type links struct {
 	deployment workload.Deployment
-	// blocked counts the cuts in force on each way.
+	// blocked counts, for each direction, the faults that currently block it.
 	blocked map[direction]int
-	// extra slows every message between zones.
+	// extraDelay is added to every message between different zones.
 	extraDelay time.Duration
 }
 
-// direction is a direction between two zones.
+// direction is an ordered pair of zones: messages go from one to the other.
 type direction struct{ from, to zone.Name }
 
-// newLinks returns the deployment's links, all whole.
+// newLinks returns the deployment's links, none of them blocked.
 func newLinks(deployment workload.Deployment) *links {
 	return &links{deployment: deployment, blocked: make(map[direction]int)}
 }
 
-// delay is the one-way delay between two zones.
+// delay returns the one-way delay between two zones.
 func (l *links) delay(from, to zone.Name) time.Duration {
 	base := l.deployment.Delay(from, to)
 	if from != to {
@@ -33,5 +33,5 @@
 	return base
 }
 
-// isBlocked reports whether messages on the way are lost.
+// isBlocked reports whether messages in this direction are lost.
 func (l *links) isBlocked(from, to zone.Name) bool { return l.blocked[direction{from, to}] > 0 }
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -15,28 +15,32 @@
 )
 
 const (
-	// failureDetectionDelay is when a node notices that a peer does not answer.
+	// failureDetectionDelay is how long a node takes to detect that a peer does
+	// not answer.
 	failureDetectionDelay = time.Second
-	// maximumAttempts bounds how often a repeatable call is tried.
+	// maximumAttempts is the largest number of attempts at one call.
 	maximumAttempts = 4
 )
 
-// node is one of the system's machines: a policy and the programs that the
-// node owns.
+// node is one scheduler node: its policy and the open calls of the programs that
+// it owns.
 type node struct {
 	run    *simulation
 	index  int
 	zone   zone.Name
 	policy schedule.Policy
-	// heldLimit is longer than the policy may hold a call.
+	// heldLimit is how long a call may be held before it counts as a violation:
+	// the maximum hold time of the policy plus heldReviewInterval.
 	heldLimit time.Duration
-	// calls are those that have not been closed.
-	calls  map[callKey]*call
-	dirty  bool
+	// calls are the calls that have not been closed.
+	calls map[callKey]*call
+	// dirty is set while the node is in the simulation's list of dirty nodes.
+	dirty bool
+	// wakeAt is the earliest pending wake of the policy, zero if there is none.
 	wakeAt time.Time
 }
 
-// markDirty lets the policy decide at the end of this instant.
+// markDirty makes the policy decide at the end of the current instant.
 func (n *node) markDirty() {
 	if n.dirty {
 		return
@@ -45,7 +49,7 @@
 	n.run.dirty = append(n.run.dirty, n)
 }
 
-// decide performs the policy's decisions and schedules its next wake.
+// decide applies the policy's decisions and schedules its next wake.
 func (n *node) decide() {
 	n.dirty = false
 	for _, decision := range n.policy.Ready(n.run.clock.now) {
@@ -90,7 +94,8 @@
 	}
 }
 
-// order sends a fenced order to an engine; weights come from the store.
+// order sends an order to an engine with a new fencing token. For a load it
+// reserves the transfer of the weights at the weight store.
 func (n *node) order(to machine.ID, order enginemodel.Order) {
 	n.run.fence++
 	order.Fence = n.run.fence
@@ -107,8 +112,8 @@
 	})
 }
 
-// sendToEngine performs an action at an engine after the link's delay, unless the
-// way is cut.
+// sendToEngine runs an action at an engine after the link delay. The message is
+// lost if the direction is blocked.
 func (n *node) sendToEngine(id machine.ID, action func(*engineHost)) {
 	host := n.run.engineByID[id]
 	if host == nil || n.run.links.isBlocked(n.zone, host.machine.Zone) {
@@ -117,8 +122,8 @@
 	n.run.clock.after(n.run.links.delay(n.zone, host.machine.Zone), func() { action(host) })
 }
 
-// accept takes a call whose record is durable: limits, budget, then the
-// policy.
+// accept processes a call whose record is durable: it checks the limits and
+// reserves the budget, then passes the call to the policy.
 func (n *node) accept(accepted *call) {
 	issuer := accepted.agent
 	if issuer.ended {
@@ -134,7 +139,7 @@
 	n.enqueue(accepted)
 }
 
-// enqueue hands a call to the policy.
+// enqueue passes a call to the policy.
 func (n *node) enqueue(queued *call) {
 	issuer := queued.agent
 	request := schedule.Request{
@@ -167,7 +172,7 @@
 func (n *node) place(decision schedule.Decision) {
 	placed := n.calls[callKey{decision.Call.Program, decision.Call.Sequence}]
 	if placed == nil {
-		n.run.check.report("order", "a call that is not open was placed: %s/%d", decision.Call.Program, decision.Call.Sequence)
+		n.run.check.report("order", "call %s/%d was placed but is not open", decision.Call.Program, decision.Call.Sequence)
 		return
 	}
 	if placed.inFlight {
@@ -188,7 +193,8 @@
 	n.sendModel(placed, decision)
 }
 
-// sendModel sends a model call, after its prefix where one is to be moved.
+// sendModel sends a model call. If the policy asked for it, the program's prefix
+// is transferred to the engine first.
 func (n *node) sendModel(placed *call, decision schedule.Decision) {
 	host := n.run.engineByID[placed.backend]
 	attempt := placed.attempt
@@ -209,7 +215,7 @@
 	})
 }
 
-// arrive hands a model call to its engine.
+// submitToEngine submits a model call to its engine on arrival there.
 func (n *node) submitToEngine(placed *call, host *engineHost, priority, attempt int) {
 	if placed.closed || placed.attempt != attempt {
 		return
@@ -239,7 +245,8 @@
 	n.run.clock.after(returnDelay, func() { n.releaseAndRetry(placed, host.machine.ID) })
 }
 
-// releaseAndRetry tries a call elsewhere that certainly did not reach its back end.
+// releaseAndRetry reports a failed attempt to the policy as finished and retries
+// the call elsewhere.
 func (n *node) releaseAndRetry(placed *call, backend machine.ID) {
 	if placed.closed {
 		return
@@ -249,10 +256,11 @@
 	n.retry(placed, backend)
 }
 
-// streamBroken retries a model call whose stream broke.
+// streamBroken retries a model call whose stream was interrupted.
 func (n *node) streamBroken(placed *call) { n.attemptFailed(placed, placed.attempt, false) }
 
-// attemptFailed retries a model call, if the attempt is still the last one.
+// attemptFailed retries a model call unless a later attempt has been made. unsent
+// means that the attempt did not reach the engine.
 func (n *node) attemptFailed(placed *call, attempt int, unsent bool) {
 	if placed.closed || placed.attempt != attempt {
 		return
@@ -261,7 +269,8 @@
 	n.releaseAndRetry(placed, placed.backend)
 }
 
-// retry enqueues a call once more, away from the back end that failed.
+// retry enqueues a call again and excludes the back end that failed. The call
+// fails after maximumAttempts.
 func (n *node) retry(failed *call, backend machine.ID) {
 	if failed.agent.disconnected {
 		n.finish(failed, api.StatusCancelled, "")
@@ -278,7 +287,7 @@
 	n.enqueue(failed)
 }
 
-// modelFinished takes the end of a stream.
+// modelFinished processes the end of a stream.
 func (n *node) modelFinished(ended *call, host *engineHost, answer enginemodel.Finished) {
 	n.policy.ObserveLoad(n.run.clock.now, answer.Load)
 	n.markDirty()
@@ -297,21 +306,22 @@
 	n.finish(ended, api.StatusSucceeded, "")
 }
 
-// refuse answers that a call did not run.
+// refuse closes a call that is not in flight: as not run, or as failed if an
+// earlier attempt may have run.
 func (n *node) refuse(refused *call, code api.Code) {
 	if refused.inFlight {
 		n.run.check.report("true not_run", "call %d of %s was refused while in flight", refused.sequence, refused.agent.id)
 		return
 	}
 	if refused.sent {
-		// An earlier attempt may have run: the answer must not claim otherwise.
+		// An earlier attempt may have run, so not_run would be false.
 		n.finish(refused, api.StatusFailed, code)
 		return
 	}
 	n.finish(refused, api.StatusNotRun, code)
 }
 
-// finish closes a call and answers its caller once the outcome is durable.
+// finish closes a call and answers the caller once the outcome is durable.
 func (n *node) finish(ended *call, status api.CallStatus, code api.Code) {
 	ended.closed = true
 	delete(n.calls, callKey{ended.agent.id, ended.sequence})
@@ -324,7 +334,8 @@
 	n.run.clock.after(delay, func() { ended.agent.answer(ended, status, code) })
 }
 
-// disconnect stops a program whose caller has gone.
+// disconnect stops a program whose caller has disconnected: it withdraws or
+// cancels the open call, or ends the program if there is none.
 func (n *node) disconnect(abandoned *agent) {
 	open := n.calls[callKey{abandoned.id, abandoned.sequence}]
 	if open == nil || open.closed {
@@ -344,12 +355,12 @@
 	}
 }
 
-// heldReviewInterval is how often a node looks for calls that its policy forgot, and
-// how much longer than its configuration says a policy may hold a call.
+// heldReviewInterval is the time between two searches for calls that the policy
+// holds too long, and the tolerance beyond the policy's maximum hold time.
 const heldReviewInterval = 30 * time.Second
 
-// refuseOverdue takes back the calls that the policy neither places nor refuses,
-// and comes again.
+// refuseOverdue reports and refuses the calls that the policy has neither placed
+// nor refused within heldLimit, and schedules the next review.
 func (n *node) refuseOverdue() {
 	n.run.clock.after(heldReviewInterval, n.refuseOverdue)
 	var overdue []*call
@@ -367,7 +378,7 @@
 	}
 }
 
-// end forgets a program and releases its prefixes everywhere.
+// end removes a program from the node and releases its prefixes on all engines.
 func (n *node) end(finished *agent) {
 	if finished.ended {
 		return
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// machineLag is how late nodes hear that a machine changed.
+	// machineLag is the delay until nodes see a change of the machine list.
 	machineLag = 2 * time.Second
-	// weightTransferTime is what the weight store needs for one model: 16 GB at
-	// 2 GB/s.
+	// weightTransferTime is how long the weight store takes to deliver one model:
+	// 16 GB at 2 GB/s.
 	weightTransferTime = 8 * time.Second
 )
 
-// simulation is the run of one policy.
+// simulation is the state of one policy's run.
 type simulation struct {
 	config  BenchConfig
 	policy  string
@@ -32,7 +32,7 @@
 	nodes   []*node
 	engines []*engineHost
 	tools   []*toolHost
-	// engineByID and toolByID find the back ends.
+	// engineByID and toolByID index the back ends.
 	engineByID map[machine.ID]*engineHost
 	toolByID   map[machine.ID]*toolHost
 	weights    *platformmodel.WeightStore
@@ -40,22 +40,22 @@
 	measure    *measure
 	check      *checker
 
-	// owners finds the node of each program that has not ended.
+	// owners maps each program that has not ended to the node that owns it.
 	owners map[api.ProgramID]*node
-	// programs are those that were started, for the ids.
+	// programs counts the started programs and makes their IDs unique.
 	programs uint64
-	// arrived and ended count programs without sub-agents; extra are those
-	// that floods add to the configured number.
+	// arrived and ended count programs, sub-agents excluded; extra is the number
+	// of programs that floods add to the configured number.
 	arrived, ended, extra int
 	// dropsReleases drops the messages that release prefixes.
 	dropsReleases bool
-	// fence grows with each order to an engine.
+	// fence is the fencing token of the last order to an engine.
 	fence uint64
-	// dirty are the nodes whose policy had an input at this instant.
+	// dirty lists the nodes whose policy received input at the current instant.
 	dirty []*node
 }
 
-// newSimulation sets up the deployment at the epoch.
+// newSimulation returns a simulation of the deployment, with its clock at epoch.
 func newSimulation(config BenchConfig, policy string, rate float64) (*simulation, error) {
 	run := &simulation{
 		config:     config,
@@ -82,14 +82,15 @@
 	return run, nil
 }
 
-// stableHash is a stable hash of a name, for seeds and for placing programs.
+// stableHash returns a hash of a name that is the same in every process. It
+// seeds random sources and assigns programs and engines to nodes.
 func stableHash(name string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(name))
 	return digest.Sum64()
 }
 
-// addBackends starts the engines and tool services.
+// addBackends starts the engines and tool services of the deployment.
 func (s *simulation) addBackends() error {
 	for i, replica := range s.config.Deployment.Replicas {
 		host := &engineHost{run: s, seed: uint64(i) + 1, machine: replica, calls: make(map[string]*call)}
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// addNodes starts the nodes, each with a policy of its own.
+// addNodes starts the nodes of every zone, each with its own policy instance.
 func (s *simulation) addNodes() error {
 	for _, place := range s.config.Deployment.Zones {
 		for range s.config.NodesPerZone {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// addNode starts one node.
+// addNode starts one node in the zone.
 func (s *simulation) addNode(in zone.Name) error {
 	index := len(s.nodes)
 	added := &node{run: s, index: index, zone: in, calls: make(map[callKey]*call)}
@@ -153,12 +154,13 @@
 	return nil
 }
 
-// engineManager is the node that gives orders to an engine.
+// engineManager returns the node that manages an engine: it sends the load and
+// unload orders and sweeps the prefixes.
 func (s *simulation) engineManager(id machine.ID) *node {
 	return s.nodes[stableHash(string(id))%uint64(len(s.nodes))]
 }
 
-// machines returns the back ends as the machine list shows them.
+// machines returns the back ends that the machine list currently contains.
 func (s *simulation) machines() []machine.Machine {
 	listed := make([]machine.Machine, 0, len(s.engines)+len(s.tools))
 	for _, host := range s.engines {
@@ -172,7 +174,8 @@
 	return listed
 }
 
-// announceMachines tells every node the machines as they are now, late.
+// announceMachines delivers the current machine list to every node after
+// machineLag.
 func (s *simulation) announceMachines() {
 	listed := s.machines()
 	s.clock.after(machineLag, func() {
@@ -183,8 +186,8 @@
 	})
 }
 
-// scheduleArrivals lets the first program arrive; each arrival schedules the
-// next, at its intended start (open loop).
+// scheduleArrivals schedules the first arrival. Each arrival schedules the next
+// one at its intended start, however long the programs take (open loop).
 func (s *simulation) scheduleArrivals(rate float64) {
 	generator := s.config.Deployment.Generate(workload.Options{Seed: s.config.Seed, ProgramsPerSecond: rate})
 	var arrive func(next *workload.Program)
@@ -201,11 +204,12 @@
 	arrive(generator.Next())
 }
 
-// settleTime is how long a run goes on after the last program has ended:
-// after two sweeps nothing may be held for programs that are gone.
+// settleTime is how long a run continues after the last program has ended. After
+// two sweeps the engines must hold no prefix of an ended program.
 const settleTime = 2*sweepInterval + time.Second
 
-// run performs events until every program has ended.
+// run processes events until every program has ended, then for settleTime, and
+// checks the final state.
 func (s *simulation) run() {
 	for s.ended < s.config.Programs+s.extra && s.clock.step() {
 		if s.clock.instantOver() {
@@ -225,7 +229,8 @@
 	s.check.checkFinalState(s)
 }
 
-// flush lets the policies that had an input at this instant decide.
+// flush applies the decisions of all policies that received input at the current
+// instant.
 func (s *simulation) flush() {
 	for len(s.dirty) > 0 {
 		touched := s.dirty
@@ -236,10 +241,11 @@
 	}
 }
 
-// imbalanceInterval is how often the engines' calls are compared.
+// imbalanceInterval is the time between two samples of the load imbalance.
 const imbalanceInterval = time.Second
 
-// sampleImbalance compares the replicas of each model, and comes again.
+// sampleImbalance records the outstanding calls of the replicas of each model and
+// schedules the next sample.
 func (s *simulation) sampleImbalance() {
 	s.clock.after(imbalanceInterval, s.sampleImbalance)
 	outstanding := make(map[string][]int)
@@ -254,7 +260,7 @@
 	s.measure.sampleImbalance(outstanding)
 }
 
-// countEngines adds the engines' counters to the measurements.
+// countEngines adds the counters of all running engines to the measurements.
 func (s *simulation) countEngines() {
 	for _, host := range s.engines {
 		if host.down {
@@ -268,7 +274,7 @@
 	s.measure.result.Utilisation = float64(s.measure.busy) / float64(max(total, 1))
 }
 
-// result returns the measurements.
+// result returns the measurements of the run.
 func (s *simulation) result() PolicyResult {
 	return s.measure.summarise(s.policy, s.check, s.config.KeepLatencies)
 }
--- a/emulator/toolcall.go
+++ b/emulator/toolcall.go
@@ -7,11 +7,11 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// toolTimeout ends a tool call that has no answer.
+// toolTimeout is how long a node waits for the answer to a tool call.
 const toolTimeout = 30 * time.Second
 
-// sendTool sends a tool call. One that may not be repeated is never sent
-// retry once it may have reached the service.
+// sendTool sends a tool call. A call that must not be repeated is not sent again
+// once it may have reached the service.
 func (n *node) sendTool(placed *call) {
 	host := n.run.toolByID[placed.backend]
 	attempt := placed.attempt
@@ -31,14 +31,15 @@
 	})
 }
 
-// attemptNotSent is notSent, unless the call has moved on.
+// attemptNotSent retries a call unless it is closed or a later attempt has been
+// made.
 func (n *node) attemptNotSent(placed *call, attempt int, backend machine.ID) {
 	if !placed.closed && placed.attempt == attempt {
 		n.releaseAndRetry(placed, backend)
 	}
 }
 
-// toolFinished takes the answer of a tool service.
+// toolFinished processes the answer of a tool service.
 func (n *node) toolFinished(ended *call) {
 	if ended.closed {
 		return
@@ -49,8 +50,8 @@
 	n.finish(ended, api.StatusSucceeded, "")
 }
 
-// toolTimedOut ends a tool call that has no answer. A repeatable one is tried
-// again; for another the outcome is unknown.
+// toolTimedOut ends an attempt at a tool call that got no answer. A repeatable
+// call is retried; otherwise its outcome is unknown.
 func (n *node) toolTimedOut(waiting *call, attempt int) {
 	if waiting.closed || waiting.attempt != attempt {
 		return
