--- a/emulator/bench.go
+++ b/emulator/bench.go
@@ -11,10 +11,10 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// PolicyBirchwood is the project's own policy; the others are the baselines.
+// PolicyBirchwood is the policy of the daemon. The other policies are baselines.
 const PolicyBirchwood = "birchwood"
 
-// AllPolicies returns the names of every policy, the project's own first.
+// AllPolicies returns the names of all policies, PolicyBirchwood first.
 func AllPolicies() []string {
 	return []string{
 		PolicyBirchwood, schedule.BaselineRoundRobin, schedule.BaselineLeastLoaded, schedule.BaselineSticky,
@@ -23,44 +23,45 @@
 
 // Defaults of BenchConfig.
 const (
-	// defaultNodesPerZone bounds the nodes of a large deployment: each node
-	// hears of every engine's load, which costs a run more than it tells.
+	// defaultNodesPerZone limits the nodes of a large deployment. Every node
+	// receives the load of every engine, and the run time that more nodes cost is
+	// not worth what they add to the result.
 	defaultNodesPerZone = 3
-	// defaultJournalDelay is the group commit of one record to the log.
+	// defaultJournalDelay is the time of a group commit to the log.
 	defaultJournalDelay = 3 * time.Millisecond
 )
 
-// BenchConfig describes one run for each policy.
+// BenchConfig configures a bench, which makes one run for each policy.
 type BenchConfig struct {
 	Deployment workload.Deployment
-	// Policies are names of AllPolicies.
+	// Policies are names from AllPolicies.
 	Policies []string
 	Seed     uint64
-	// Programs is how many programs arrive; their sub-agents come on top.
+	// Programs is the number of programs that arrive, sub-agents excluded.
 	Programs int
-	// Load is the arrival rate as a share of Capacity.
+	// Load is the arrival rate as a multiple of Capacity.
 	Load float64
-	// Faults happen at their time in every policy's run.
+	// Faults are injected at the same times in every policy's run.
 	Faults []Fault
-	// NodesPerZone zero means the deployment's, but at most three.
+	// NodesPerZone is the number of nodes in each zone. Zero means that of the
+	// deployment, but at most three.
 	NodesPerZone int
-	// JournalDelay is how long a record takes to become durable; zero means
-	// three milliseconds.
+	// JournalDelay is how long a record takes to become durable. Zero means 3 ms.
 	JournalDelay time.Duration
-	// Tune, if set, changes the configuration that every policy gets.
+	// TuneScheduler, if set, changes the configuration of every policy.
 	TuneScheduler func(*schedule.Config)
-	// NewPolicy, if set, makes the policy of each node in place of those that
-	// Policies names; the names then only label the results.
+	// NewPolicy, if set, creates the policy of each node. The names in Policies
+	// then only label the results.
 	NewPolicy func(name string, config schedule.Config) (schedule.Policy, error)
-	// Rates, if set, changes the engines' configuration.
+	// TuneEngines, if set, changes the configuration of every engine.
 	TuneEngines func(*enginemodel.Config)
-	// Progress, if set, hears how many programs of a policy's run have ended.
+	// Progress, if set, is called after each end of a program in a policy's run.
 	Progress func(policy string, ended, programs int)
 	// KeepLatencies adds every program's latency to the result, for plots.
 	KeepLatencies bool
 }
 
-// validate collects everything that is wrong.
+// validate returns all findings on the configuration as one error.
 func (c BenchConfig) validate() error {
 	found := findings.Of("bench")
 	found.Require(len(c.Deployment.Replicas) > 0, "deployment", "has no replicas")
@@ -77,7 +78,7 @@
 	return found.Err()
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns the configuration with zero fields set to their defaults.
 func (c BenchConfig) withDefaults() BenchConfig {
 	if c.NodesPerZone <= 0 {
 		c.NodesPerZone = max(1, min(c.Deployment.NodesPerZone, defaultNodesPerZone))
@@ -94,9 +95,9 @@
 	Seed       uint64  `json:"seed"`
 	Load       float64 `json:"load"`
 	Programs   int     `json:"programs"`
-	// CapacityProgramsPerSecond is the arrival rate of load 1, with the models
-	// as they are placed; FleetCapacityProgramsPerSecond is that of a fleet
-	// whose replicas follow the demand.
+	// CapacityProgramsPerSecond is the arrival rate of load 1 with the models
+	// placed as configured. FleetCapacityProgramsPerSecond is the arrival rate of
+	// load 1 if models were placed in proportion to the demand.
 	CapacityProgramsPerSecond      float64        `json:"capacity_programs_per_s"`
 	FleetCapacityProgramsPerSecond float64        `json:"fleet_capacity_programs_per_s"`
 	Policies                       []PolicyResult `json:"policies"`
@@ -109,13 +110,13 @@
 	P99 float64 `json:"p99"`
 }
 
-// WastedCache is KV memory and prefill that brought nothing.
+// WastedCache is KV memory and prefill that saved no work.
 type WastedCache struct {
 	// RecomputedTokens is prefill of tokens whose KV an engine had computed
 	// for the same program before.
 	RecomputedTokens int64 `json:"recomputed_tokens"`
-	// IdleTokenSeconds is KV memory from its last use to its eviction or
-	// release, where it was not used again.
+	// IdleTokenSeconds is KV memory that was not used again, in tokens times the
+	// seconds from its last use to its eviction or release.
 	IdleTokenSeconds float64 `json:"idle_kv_token_seconds"`
 }
 
@@ -139,43 +140,44 @@
 	Waiting   Percentiles `json:"program_waiting_ms"`
 }
 
-// PolicyResult is what one policy's run gave.
+// PolicyResult holds the measurements of one policy's run.
 type PolicyResult struct {
 	Policy string `json:"policy"`
-	// Latency is of the programs that completed, from the intended start.
+	// Latency is the latency of completed programs, from the intended start.
 	Latency Percentiles `json:"program_latency_ms"`
-	// Waiting is the same less the pauses in which a person reads and types:
-	// what callers waited for.
+	// Waiting is Latency without the pauses in which a person reads and types:
+	// the time that callers spent waiting.
 	Waiting Percentiles `json:"program_waiting_ms"`
-	// FirstToken is of model calls, from the moment their node held them to
-	// their first token there; TokenGap is the mean time between a call's
-	// further tokens.
+	// FirstToken is the time from when a node passed a model call to its policy
+	// to the arrival of the first token at that node. TokenGap is the mean time
+	// between the later tokens of a call.
 	FirstToken Percentiles `json:"first_token_ms"`
 	TokenGap   Percentiles `json:"token_gap_ms"`
 	Wasted     WastedCache `json:"wasted_cache"`
-	// Goodput counts the programs that completed within their deadline, and
-	// Offered all of them: those that arrived in the middle three fifths of
-	// the arrivals, over that time.
+	// Goodput is the rate of programs that completed within their deadline, and
+	// Offered the rate of all programs. Both count only the programs that arrived
+	// in the middle three fifths of the arrival period.
 	Goodput float64 `json:"goodput_programs_per_s"`
 	Offered float64 `json:"offered_programs_per_s"`
 	// Refused counts programs that ended because a call was refused.
 	Refused    int `json:"refused"`
 	Violations int `json:"violations"`
-	// Findings describe the first violations.
+	// Findings describes the first violations.
 	Findings []string `json:"findings,omitempty"`
 
 	Completed int `json:"completed"`
 	InTime    int `json:"in_time"`
 	// HungUp, Limited and Failed count the programs that ended because their
-	// caller hung up, at a limit of their contract, or by a failed call.
+	// caller disconnected, because they reached a limit of their contract, or
+	// because a model call failed.
 	HungUp  int `json:"hung_up"`
 	Limited int `json:"limited"`
 	Failed  int `json:"failed"`
 
 	ModelCalls int `json:"model_calls"`
 	ToolCalls  int `json:"tool_calls"`
-	// Moves counts model calls that ran at another engine than the program's
-	// last one; Imports those that brought the prefix along.
+	// Moves counts the model calls that were sent to another engine than the
+	// program's previous model call. Imports counts the prefix transfers.
 	Moves       int   `json:"moves"`
 	Imports     int   `json:"imports"`
 	Retries     int   `json:"retries"`
@@ -185,21 +187,24 @@
 	Prefilled   int64 `json:"prefill_tokens"`
 	CacheHits   int64 `json:"cached_tokens"`
 	Decoded     int64 `json:"output_tokens"`
-	// Utilisation is the share of the engines' time with a running batch.
+	// Utilisation is the share of time in which an engine ran a batch, over all
+	// engines.
 	Utilisation float64 `json:"utilisation"`
-	// Imbalance is how unevenly the replicas of one model are loaded: the
-	// standard deviation of their calls over the mean, on average over time
-	// and calls. Nodes that herd on one engine make it large.
+	// Imbalance is how unevenly the replicas of a model are loaded: the
+	// coefficient of variation of their outstanding calls, averaged over samples
+	// and models and weighted by the number of calls. It is large if nodes send
+	// their calls to the same engine at the same time (herding).
 	Imbalance float64 `json:"imbalance"`
-	// VirtualSeconds is how long the run lasted in virtual time.
+	// VirtualSeconds is the duration of the run in virtual time.
 	VirtualSeconds float64        `json:"virtual_seconds"`
 	Kinds          []KindResult   `json:"kinds"`
 	Tenants        []TenantResult `json:"tenants,omitempty"`
-	// Latencies are in milliseconds, sorted; for plots.
+	// Latencies are the sorted program latencies in milliseconds, for plots. They
+	// are empty unless BenchConfig.KeepLatencies is set.
 	Latencies []float64 `json:"latencies_ms,omitempty"`
 }
 
-// RunBench runs every policy under the same arrivals.
+// RunBench makes one run for each policy, all with the same arrivals.
 func RunBench(config BenchConfig) (BenchResult, error) {
 	if err := config.validate(); err != nil {
 		return BenchResult{}, err
--- a/emulator/capacity.go
+++ b/emulator/capacity.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// capacitySample is how many programs Capacity draws.
+	// capacitySample is the number of programs that Capacity draws.
 	capacitySample = 2000
-	// capacitySeed makes the sample the same for every run.
+	// capacitySeed is fixed so that every run draws the same sample.
 	capacitySeed = 1
 )
 
 // Capacity returns the arrival rate, in programs per second, that counts as
-// load 1. It draws a fixed sample of the deployment's programs and adds up,
-// for each model, the tokens that must be computed at least: every token of a
-// program's history once as prefill or as output. An engine with full batches
-// needs enginemodel.Config.ServiceTime for them; a replica that has several
-// models loaded counts for each of them by its share. The rate at which the
-// replicas of the most wanted model would be busy all the time is the
-// capacity as placed. The capacity of the fleet is the rate at which all
-// replicas would be busy if the models were placed in proportion to the
-// demand. No policy reaches either: prefixes get lost and batches are not
-// always full.
+// load 1. It draws a fixed sample of the deployment's programs and sums, for
+// each model, the minimum number of tokens to compute: every token of a
+// program's history once, as prefill or as output. An engine with full batches
+// takes enginemodel.Config.ServiceTime for them. A replica with n models loaded
+// counts as 1/n replica of each.
+//
+// The first result is the capacity with the models placed as configured: the
+// rate that fully utilises the replicas of the model in highest demand. The
+// second is the capacity of the fleet: the rate that fully utilises all replicas
+// if the models were placed in proportion to the demand. No policy reaches
+// either, because prefixes get evicted and batches are not always full.
 func Capacity(deployment workload.Deployment, rates func(*enginemodel.Config)) (placed, fleet float64) {
 	demands := make(map[string]*modelDemand)
 	generator := deployment.Generate(workload.Options{Seed: capacitySeed, ProgramsPerSecond: 1})
@@ -53,14 +54,14 @@
 	return placed, float64(len(deployment.Replicas)) * float64(time.Second) / float64(max(total, 1))
 }
 
-// modelDemand is the work that programs ask of one model, in tokens.
+// modelDemand is the number of tokens that programs need from one model.
 type modelDemand struct {
 	prefill float64
 	output  float64
 }
 
-// addDemand runs a program against answers that always succeed and returns
-// the length of its last answer.
+// addDemand runs a program whose calls all succeed, adds its tokens to demands
+// and returns the number of output tokens of its last answer.
 func addDemand(demands map[string]*modelDemand, program *workload.Program, deployment workload.Deployment) int {
 	branch, _ := deployment.Branch(program.Branch)
 	result := workload.Result{}
@@ -94,7 +95,7 @@
 	}
 }
 
-// engineConfig returns the engine model's configuration of a replica.
+// engineConfig returns the configuration of the engine model for a replica.
 func engineConfig(replica machine.Machine, rates func(*enginemodel.Config)) enginemodel.Config {
 	config := enginemodel.DefaultConfig(replica.ID, replica.Models...)
 	if replica.Slots > 0 {
--- a/emulator/check.go
+++ b/emulator/check.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// leavingBound is when a leaving back end gets no new work any more.
+	// leavingBound is how long after it began to leave a back end may still get
+	// new work.
 	leavingBound = 3 * time.Second
-	// maximumFindings is how many violations are described.
+	// maximumFindings is the number of violations that are described; the others
+	// are only counted.
 	maximumFindings = 20
 )
 
-// checker verifies the run against what must always hold, from what callers,
-// back ends and nodes do, not from what the policy believes.
+// checker verifies the invariants of a run. It observes the actions of callers,
+// back ends and nodes and does not rely on the state of the policy.
 type checker struct {
 	count    int
 	findings []string
-	// toolRuns counts the runs of calls that may not be repeated.
+	// toolRuns counts the runs of each call that must not be repeated.
 	toolRuns map[callKey]int
 }
 
 // newChecker returns a checker without findings.
 func newChecker() *checker { return &checker{toolRuns: make(map[callKey]int)} }
 
-// report counts a violation of the named invariant.
+// report records a violation of the named invariant.
 func (c *checker) report(invariant, format string, arguments ...any) {
 	c.count++
 	if len(c.findings) < maximumFindings {
@@ -38,16 +40,17 @@
 	}
 }
 
-// accepted checks that a program's calls run one after another.
+// accepted checks that the previous call of the program is closed.
 func (c *checker) accepted(next *call) {
 	before := callKey{next.agent.id, next.sequence - 1}
 	if next.agent.node.calls[before] != nil {
-		c.report("order", "call %d of %s begins while the one before is open", next.sequence, next.agent.id)
+		c.report("order", "call %d of %s was accepted while the previous call is open", next.sequence, next.agent.id)
 	}
 }
 
-// placed checks a placement against the program's contract, and reports
-// whether the call may be sent.
+// placed checks the placement of a call against the program's permitted zones and
+// the limit of one attempt for non-repeatable tool calls. It reports whether the
+// call may be sent.
 func (c *checker) placed(run *simulation, sent *call) bool {
 	in := run.backendZone(sent)
 	if !sent.agent.placement.Contains(in) {
@@ -61,14 +64,14 @@
 	return true
 }
 
-// arrives checks that a leaving back end gets no new work after the bound.
+// arrives checks that a leaving back end gets no new work after leavingBound.
 func (c *checker) arrives(run *simulation, sent *call, leavingSince time.Time) {
 	if !leavingSince.IsZero() && run.clock.now.Sub(leavingSince) > leavingBound {
 		c.report("leaving", "%s got work %v after it began to leave", sent.backend, run.clock.now.Sub(leavingSince))
 	}
 }
 
-// toolRan counts the runs of a call that may not be repeated.
+// toolRan checks that a call that must not be repeated runs at most once.
 func (c *checker) toolRan(ran *call) {
 	if ran.step.Repeatable {
 		return
@@ -80,7 +83,7 @@
 	}
 }
 
-// answered checks that an answer belongs to its call.
+// answered checks that an answer belongs to its call and is complete.
 func (c *checker) answered(ended *call, answer enginemodel.Finished) {
 	if answer.Owner != ended.agent.id || answer.Usage.PromptTokens != ended.prompt {
 		c.report("own answer", "call %d of %s got the answer of %s", ended.sequence, ended.agent.id, answer.Stream)
@@ -91,32 +94,33 @@
 	}
 }
 
-// closed checks that what is said not to have run was not sent.
+// closed checks that a call reported as not run was not sent.
 func (c *checker) closed(ended *call, status api.CallStatus) {
 	if status == api.StatusNotRun && ended.sent {
-		c.report("true not_run", "call %d of %s was sent and is answered as not run", ended.sequence, ended.agent.id)
+		c.report("true not_run", "call %d of %s was sent but answered as not run", ended.sequence, ended.agent.id)
 	}
 }
 
-// delivered checks that answers arrive in the program's order.
+// delivered checks that the answer is that of the program's latest call.
 func (c *checker) delivered(ended *call) {
 	if ended.sequence != ended.agent.sequence {
-		c.report("order", "call %d of %s is answered during call %d", ended.sequence, ended.agent.id, ended.agent.sequence)
+		c.report("order", "call %d of %s was answered after call %d was submitted", ended.sequence, ended.agent.id, ended.agent.sequence)
 	}
 }
 
-// budget checks that a program stays within its budget.
+// budget checks that a program stays within its token budget.
 func (c *checker) budget(spender *agent) {
 	if limit := spender.branch.BudgetTokens; limit > 0 && spender.spent > limit {
 		c.report("budget", "%s has spent %d of %d tokens", spender.id, spender.spent, limit)
 	}
 }
 
-// checkFinalState checks that nothing is left open or held for programs that are gone.
+// checkFinalState checks that no call is left open and that engines hold no prefix
+// of an ended program.
 func (c *checker) checkFinalState(run *simulation) {
 	for _, each := range run.nodes {
 		for range each.calls {
-			c.report("whole answer", "node %d holds a call after the run", each.index)
+			c.report("whole answer", "node %d has an open call after the run", each.index)
 		}
 	}
 	for _, host := range run.engines {
@@ -132,7 +136,7 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](items map[K]V) []K {
 	keys := make([]K, 0, len(items))
 	for key := range items {
--- a/emulator/fault.go
+++ b/emulator/fault.go
@@ -12,36 +12,38 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// FaultKind tells what a fault of a bench does.
+// FaultKind is the kind of a fault that a bench injects.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// FaultCrash stops a back end without notice; its streams break.
+	// FaultCrash stops a back end without notice, which interrupts its streams.
 	FaultCrash FaultKind = "crash"
-	// FaultLeave lets a back end leave: the machine list shows it, and it
-	// takes no new work.
+	// FaultLeave makes a back end leave: the machine list shows it as leaving,
+	// and it accepts no new work.
 	FaultLeave FaultKind = "leave"
-	// FaultNetworkPartition loses the messages between the zones From and To.
+	// FaultNetworkPartition drops all messages between the zones From and To.
 	FaultNetworkPartition FaultKind = "cut"
 	// FaultSlowLinks adds Delay to every message between zones.
 	FaultSlowLinks FaultKind = "slow_links"
-	// FaultDelayedReports makes an engine's reports and cache events later by Delay;
-	// without Target, those of every engine.
+	// FaultDelayedReports adds Delay to the load reports and cache events of the
+	// engine Target, or of every engine without Target.
 	FaultDelayedReports FaultKind = "lagging"
-	// FaultHungTool makes a tool service take requests without an answer.
+	// FaultHungTool makes a tool service accept requests without running or
+	// answering them.
 	FaultHungTool FaultKind = "hung_tool"
-	// FaultLostReleases loses the messages that release prefixes.
+	// FaultLostReleases drops the messages that release prefixes of ended
+	// programs.
 	FaultLostReleases FaultKind = "lost_releases"
-	// FaultFlood adds arrivals on Branch, Rate programs a second.
+	// FaultFlood adds arrivals on Branch at Rate programs per second.
 	FaultFlood FaultKind = "flood"
-	// FaultLostAnswers lets a tool service act and lose its answers.
+	// FaultLostAnswers makes a tool service run requests and drops its answers.
 	FaultLostAnswers FaultKind = "lost_answers"
 )
 
-// Fault is one thing that goes wrong in a bench. It ends after For, if that is
-// set; a crashed engine is then back, empty. A leave lasts to the end, and a
-// flood must have an end.
+// Fault is a fault that a bench injects at the time At. It ends after For, if that
+// is set: a crashed engine then restarts with an empty cache. FaultLeave lasts
+// until the end of the run. FaultFlood requires For.
 type Fault struct {
 	At     time.Duration `yaml:"at"`
 	For    time.Duration `yaml:"for"`
@@ -55,7 +57,7 @@
 	Rate   float64       `yaml:"rate"`
 }
 
-// validate says what is wrong with a fault.
+// validate returns all findings on the fault as one error.
 func (f Fault) validate(deployment workload.Deployment) error {
 	var findings []error
 	if f.At < 0 || f.For < 0 || f.Delay < 0 {
@@ -81,7 +83,7 @@
 		}
 	case FaultFlood:
 		if _, found := deployment.Branch(f.Branch); !found || f.Rate <= 0 || f.For <= 0 {
-			findings = append(findings, errors.New("branch, rate, for: want a known branch, a rate and an end"))
+			findings = append(findings, errors.New("branch, rate, for: want a known branch, a positive rate and a positive duration"))
 		}
 	case FaultSlowLinks, FaultLostReleases:
 	default:
@@ -90,7 +92,7 @@
 	return errors.Join(findings...)
 }
 
-// hasMachine reports whether a machine is among others.
+// hasMachine reports whether the list contains a machine with the ID.
 func hasMachine(machines []machine.Machine, id machine.ID) bool {
 	for _, each := range machines {
 		if each.ID == id {
@@ -100,7 +102,7 @@
 	return false
 }
 
-// scheduleFaults plans the beginning and the end of every fault.
+// scheduleFaults schedules the start and the end of every fault.
 func (s *simulation) scheduleFaults() {
 	for i, fault := range s.config.Faults {
 		if fault.Kind == FaultFlood {
@@ -114,7 +116,7 @@
 	}
 }
 
-// applyFault begins or ends a fault.
+// applyFault starts or ends a fault.
 func (s *simulation) applyFault(fault Fault, begins bool) {
 	delta := 1
 	if !begins {
@@ -147,8 +149,8 @@
 	}
 }
 
-// scheduleFlood adds the arrivals of one branch, on top of the configured
-// programs.
+// scheduleFlood schedules the arrivals of a flood on one branch, in addition to
+// the configured programs.
 func (s *simulation) scheduleFlood(fault Fault, index uint64) {
 	share := s.arrivalShare(fault.Branch)
 	if share == 0 {
@@ -173,10 +175,11 @@
 	}
 }
 
-// floodSeedOffset keeps a flood's programs apart from those of the run.
+// floodSeedOffset is added to the seed so that a flood draws other programs than
+// the run.
 const floodSeedOffset = 1 << 32
 
-// arrivalShare is the share of the arrivals that start on a branch.
+// arrivalShare returns the share of the arrivals that belong to a branch.
 func (s *simulation) arrivalShare(branch contract.Path) float64 {
 	share, total := 0.0, 0.0
 	for _, profile := range s.config.Deployment.Profiles {
@@ -190,7 +193,8 @@
 	return share / total
 }
 
-// restartBackend brings a crashed back end back, empty.
+// restartBackend restarts a crashed back end with empty state. It does nothing for
+// a back end that left.
 func (s *simulation) restartBackend(fault Fault) {
 	if fault.Kind != FaultCrash {
 		return
@@ -207,7 +211,7 @@
 	s.announceMachines()
 }
 
-// stopBackend crashes a back end or lets it leave.
+// stopBackend makes a back end crash or leave.
 func (s *simulation) stopBackend(fault Fault) {
 	if host := s.engineByID[fault.Target]; host != nil {
 		if fault.Kind == FaultCrash {
@@ -228,7 +232,8 @@
 	s.announceMachines()
 }
 
-// backendZone is the zone of the back end that a call was sent to.
+// backendZone returns the zone of the back end that a call was sent to, empty for
+// an unknown one.
 func (s *simulation) backendZone(sent *call) zone.Name {
 	if host := s.engineByID[sent.backend]; host != nil {
 		return host.machine.Zone
--- a/emulator/measure.go
+++ b/emulator/measure.go
@@ -11,10 +11,10 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// endReason is why a program ended other than by its own last step.
+// endReason is why a program ended.
 type endReason int
 
-// The reasons; the zero value is the program's own end.
+// The reasons. endCompleted, the zero value, is the end after the last step.
 const (
 	endCompleted endReason = iota
 	endRefused
@@ -23,21 +23,23 @@
 	endFailed
 )
 
-// Latencies are recorded in microseconds, up to a day, to three digits.
+// Latencies are recorded in microseconds, up to one day, with three significant
+// digits.
 const (
 	lowestLatency  = 1
 	highestLatency = int64(24 * time.Hour / time.Microsecond)
 	latencyDigits  = 3
 )
 
-// The arrivals that goodput counts: neither the start, when the engines are
-// still empty, nor the end, after which no load follows.
+// goodputFrom and goodputTo bound the part of the arrival period that goodput
+// counts, as shares of it. They exclude the start, when the engines are still
+// empty, and the end, when the load ceases.
 const (
 	goodputFrom = 0.2
 	goodputTo   = 0.8
 )
 
-// group is the measurements of one kind or one tenant.
+// group holds the measurements of all programs, of one kind or of one tenant.
 type group struct {
 	programs  int
 	completed int
@@ -55,7 +57,8 @@
 	}
 }
 
-// percentilesOf returns latencies in milliseconds.
+// percentilesOf converts a histogram in microseconds to percentiles in
+// milliseconds.
 func percentilesOf(recorded *hdrhistogram.Histogram) Percentiles {
 	if recorded.TotalCount() == 0 {
 		return Percentiles{}
@@ -66,28 +69,30 @@
 	return Percentiles{P50: value(50), P95: value(95), P99: value(99)}
 }
 
-// outcome is one program's end, for the goodput.
+// outcome is what the goodput needs to know of an ended program: its start,
+// relative to epoch, and whether it completed within its deadline.
 type outcome struct {
 	start  time.Duration
 	inTime bool
 }
 
-// measure collects what one run shows.
+// measure collects the measurements of one run.
 type measure struct {
 	result  PolicyResult
 	all     *group
 	kinds   map[workload.Kind]*group
 	tenants map[string]*group
-	// firstToken and tokenGap are of model calls that were answered.
+	// firstToken and tokenGap cover the model calls that were answered.
 	firstToken  *hdrhistogram.Histogram
 	tokenGap    *hdrhistogram.Histogram
 	outcomes    []outcome
 	lastArrival time.Duration
 	latencies   []float64
-	// imbalance and imbalanceWeight are the sums of its weighted mean.
+	// imbalance is the weighted sum of the imbalance samples, and imbalanceWeight
+	// the sum of their weights.
 	imbalance       float64
 	imbalanceWeight float64
-	// busy is the engines' time with a running batch.
+	// busy is the total time in which engines ran a batch.
 	busy time.Duration
 }
 
@@ -102,10 +107,10 @@
 	}
 }
 
-// arrive counts the intended start of a program.
+// arrive records the intended start of a program, relative to epoch.
 func (m *measure) arrive(start time.Duration) { m.lastArrival = max(m.lastArrival, start) }
 
-// placed counts a call that is sent.
+// placed counts a call that is sent to a back end.
 func (m *measure) placed(sent *call) {
 	if sent.step.Kind == workload.StepTool {
 		m.result.ToolCalls++
@@ -118,7 +123,8 @@
 	sent.agent.lastEngine = sent.backend
 }
 
-// modelEnded counts the prefill that had been computed before.
+// modelEnded counts the prefilled tokens of a call that an engine had computed for
+// the program before.
 func (m *measure) modelEnded(ended *call, answer enginemodel.Finished) {
 	issuer := ended.agent
 	known := min(issuer.computed, answer.Usage.PromptTokens)
@@ -126,9 +132,9 @@
 	issuer.computed = max(issuer.computed, answer.Usage.PromptTokens+answer.Usage.OutputTokens)
 }
 
-// tokenTimes records how long a call waited for its first token, from the
-// moment its node held it, and the mean time between its further tokens. back
-// is the delay of the link from the engine.
+// tokenTimes records the time from when the node passed the call to its policy to
+// the first token, and the mean time between the later tokens. returnDelay is the
+// link delay from the engine to the node.
 func (m *measure) tokenTimes(ended *call, answer enginemodel.Finished, now time.Time, returnDelay time.Duration) {
 	if answer.Cancelled || answer.FirstTokenAt.IsZero() {
 		return
@@ -141,7 +147,7 @@
 	}
 }
 
-// ended records a program's end at its caller.
+// ended records the end of a program at its caller.
 func (m *measure) ended(finished *agent, latency time.Duration) {
 	inTime := finished.reason == endCompleted &&
 		(finished.program.Deadline <= 0 || latency <= finished.program.Deadline)
@@ -166,7 +172,7 @@
 	m.outcomes = append(m.outcomes, outcome{start: finished.start.Sub(epoch), inTime: inTime})
 }
 
-// groupsOf returns the groups that a program counts in.
+// groupsOf returns the groups that a program belongs to.
 func (m *measure) groupsOf(program *workload.Program) []*group {
 	kind := m.kinds[program.Kind]
 	if kind == nil {
@@ -193,7 +199,7 @@
 	}
 }
 
-// countEngine adds the counters of an engine that crashed, or at the end.
+// countEngine adds the counters of an engine, when it crashes or the run ends.
 func (m *measure) countEngine(model *enginemodel.Engine) {
 	counted := model.Statistics()
 	m.busy += counted.Busy
@@ -204,7 +210,8 @@
 	m.result.Wasted.IdleTokenSeconds += model.IdleTokenSeconds()
 }
 
-// sampleImbalance looks at the calls of the replicas of each model.
+// sampleImbalance adds one sample per model, given the outstanding calls of each
+// of its replicas: their coefficient of variation, weighted by their sum.
 func (m *measure) sampleImbalance(outstanding map[string][]int) {
 	for _, model := range sortedKeys(outstanding) {
 		calls := outstanding[model]
@@ -223,7 +230,7 @@
 	}
 }
 
-// finish notes how long the run lasted.
+// finish records the duration of the run.
 func (m *measure) finish(now time.Time) { m.result.VirtualSeconds = now.Sub(epoch).Seconds() }
 
 // summarise returns the result of the run.
@@ -252,8 +259,9 @@
 	return result
 }
 
-// goodput returns the rates of programs in time, and of all programs, among
-// those that arrived in the counted part of the arrivals.
+// goodput returns the rates, per second, of programs that completed in time and of
+// all programs. It counts the programs that arrived between goodputFrom and
+// goodputTo.
 func (m *measure) goodput() (inTime, offered float64) {
 	from := time.Duration(float64(m.lastArrival) * goodputFrom)
 	to := time.Duration(float64(m.lastArrival) * goodputTo)
@@ -274,7 +282,7 @@
 	return float64(good) / seconds, float64(all) / seconds
 }
 
-// kindResults returns the kinds in the order of their names.
+// kindResults returns the results of all kinds, sorted by name.
 func (m *measure) kindResults() []KindResult {
 	results := make([]KindResult, 0, len(m.kinds))
 	for _, kind := range sortedKeys(m.kinds) {
@@ -292,12 +300,12 @@
 	return results
 }
 
-// maximumTenants bounds the tenants in a result: the design size has
-// hundreds.
+// maximumTenants is the largest number of tenants that a result lists. The design
+// size has hundreds.
 const maximumTenants = 32
 
-// tenantResults returns the tenants in the order of their names, if they are
-// few.
+// tenantResults returns the results of all tenants, sorted by name, or nil if
+// there are more than maximumTenants.
 func (m *measure) tenantResults() []TenantResult {
 	if len(m.tenants) > maximumTenants {
 		return nil
