--- a/emulator/bench_test.go
+++ b/emulator/bench_test.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// bench runs a small bench.
+// bench runs a small bench of the deployment with all policies; change, if set,
+// adjusts its configuration.
 func bench(deployment string, change func(*emulator.BenchConfig)) emulator.BenchResult {
 	found, err := workload.ByName(deployment)
 	Expect(err).NotTo(HaveOccurred())
@@ -30,7 +31,7 @@
 	return result
 }
 
-// encoded is a result as JSON.
+// encoded returns a result as JSON.
 func encoded(result emulator.BenchResult) string {
 	text, err := json.Marshal(result)
 	Expect(err).NotTo(HaveOccurred())
--- a/emulator/broken_test.go
+++ b/emulator/broken_test.go
@@ -12,17 +12,19 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// brokenPolicy is a baseline with one promise broken on purpose.
+// brokenPolicy is a baseline policy that deliberately violates one invariant.
 type brokenPolicy struct {
 	schedule.Policy
 	machines []machine.Machine
 	setOnce  bool
-	// frozen keeps the first list of machines.
+	// frozen makes the policy ignore all machine lists but the first.
 	frozen bool
+	// change, if set, alters the decisions of the baseline.
 	change func(*brokenPolicy, []schedule.Decision) []schedule.Decision
 }
 
-// SetBackends keeps the machines, for policies that choose on their own.
+// SetBackends stores the machines for isPlacementOn and passes them to the
+// baseline.
 func (b *brokenPolicy) SetBackends(now time.Time, machines []machine.Machine) {
 	if b.frozen && b.setOnce {
 		return
@@ -32,7 +34,7 @@
 	b.Policy.SetBackends(now, machines)
 }
 
-// Ready breaks the decisions of the baseline.
+// Ready returns the decisions of the baseline after change.
 func (b *brokenPolicy) Ready(now time.Time) []schedule.Decision {
 	decisions := b.Policy.Ready(now)
 	if b.change != nil {
@@ -41,8 +43,7 @@
 	return decisions
 }
 
-// isPlacementOn reports whether a decision sends a call to one of the machines of a
-// kind.
+// isPlacementOn reports whether a decision places a call on a machine of the kind.
 func (b *brokenPolicy) isPlacementOn(decision schedule.Decision, kind machine.Kind) bool {
 	for _, each := range b.machines {
 		if each.ID == decision.Backend {
@@ -52,7 +53,7 @@
 	return false
 }
 
-// ignoreZones places every call at the first machine of the kind it needs.
+// ignoreZones places every tool call on depot-events-1, whatever its zone.
 func ignoreZones(b *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 	for i, decision := range decisions {
 		if b.isPlacementOn(decision, machine.KindTool) {
@@ -62,12 +63,12 @@
 	return decisions
 }
 
-// placeTwice sends every call twice.
+// placeTwice emits every decision twice.
 func placeTwice(_ *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 	return append(decisions, decisions...)
 }
 
-// refuseAfterPlace refuses what it has sent.
+// refuseAfterPlace refuses every call that it has just placed.
 func refuseAfterPlace(_ *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 	all := decisions
 	for _, decision := range decisions {
@@ -78,7 +79,7 @@
 	return all
 }
 
-// dropEverySeventh returns a policy's change that loses one call in seven.
+// dropEverySeventh returns a change that drops every seventh decision.
 func dropEverySeventh() func(*brokenPolicy, []schedule.Decision) []schedule.Decision {
 	count := 0
 	return func(_ *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
