--- a/emulator/enginemodel/engine_test.go
+++ b/emulator/enginemodel/engine_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// driver runs an engine in virtual time and keeps what it tells.
+// driver runs an engine in virtual time and collects its outputs.
 type driver struct {
 	engine   *enginemodel.Engine
 	config   enginemodel.Config
@@ -29,7 +29,8 @@
 	imported []enginemodel.Imported
 }
 
-// newDriver returns a small engine without load reports, changed as wanted.
+// newDriver returns a driver for an engine without load reports and event loss.
+// change, if set, adjusts its configuration.
 func newDriver(change func(*enginemodel.Config)) *driver {
 	config := enginemodel.DefaultConfig("e", model)
 	config.ReportPeriod = 0
@@ -44,7 +45,7 @@
 	return &driver{engine: created, config: config, now: start, finished: make(map[string]enginemodel.Finished)}
 }
 
-// step applies an event and keeps what the engine tells.
+// step applies an event and collects the outputs.
 func (d *driver) step(event enginemodel.Event) error {
 	err := d.engine.Step(d.now, event)
 	for _, output := range d.engine.Ready(d.now) {
@@ -64,7 +65,7 @@
 	return err
 }
 
-// runUntil lets time pass, waking the engine only when it asks for it.
+// runUntil advances the time, calling Step only at the times of NextWake.
 func (d *driver) runUntil(until time.Time) {
 	for {
 		next := d.engine.NextWake()
@@ -80,14 +81,14 @@
 	_ = d.step(enginemodel.Event{})
 }
 
-// run lets the engine run until it has nothing more to do.
+// run advances the time until the engine has no further wake.
 func (d *driver) run() {
 	for next := d.engine.NextWake(); !next.IsZero(); next = d.engine.NextWake() {
 		d.runUntil(next)
 	}
 }
 
-// generate returns an event that asks for a stream.
+// generate returns an event that starts a stream.
 func generate(stream string, owner api.ProgramID, prompt, output int) enginemodel.Event {
 	return enginemodel.Event{Generate: &enginemodel.Generate{
 		Stream: stream, Owner: owner, Model: model, PromptTokens: prompt, OutputTokens: output, MaxOutputTokens: output,
@@ -95,8 +96,8 @@
 }
 
 var _ = Describe("Continuous batching", func() {
-	// batch runs equal calls of different programs together and returns how
-	// long all of them took.
+	// batch runs equal calls of different programs concurrently and returns the
+	// time until the last has finished.
 	batch := func(count int) time.Duration {
 		d := newDriver(nil)
 		for i := range count {
@@ -271,8 +272,8 @@
 	})
 })
 
-// randomEvent draws an event among few programs and streams, so that they
-// meet.
+// randomEvent draws an event among few programs and streams, so that events often
+// concern the same ones.
 func randomEvent(t *rapid.T, step int) enginemodel.Event {
 	owner := api.ProgramID(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "owner"))
 	stream := fmt.Sprintf("%s/%d", owner, rapid.IntRange(max(0, step-6), step).Draw(t, "stream"))
@@ -290,7 +291,7 @@
 	return event
 }
 
-// checkMemory verifies that the KV memory and the slots are never exceeded.
+// checkMemory verifies that the engine exceeds neither its KV memory nor its slots.
 func checkMemory(t *rapid.T, d *driver) {
 	load := d.engine.Load()
 	if load.CachedTokens > d.config.CacheTokens || load.Running > d.config.Slots {
--- a/emulator/enginemodel/suite_test.go
+++ b/emulator/enginemodel/suite_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// rapidDefaults make the drawn sequences the same in every run; the flags of
-// the command line override them.
+// rapidDefaults are flag values that make rapid draw the same sequences in every
+// run. Flags on the command line override them.
 var rapidDefaults = map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"}
 
 func TestSuite(t *testing.T) {
