--- a/emulator/enginemodel/cache.go
+++ b/emulator/enginemodel/cache.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/api"
 )
 
-// prefix is one program's cached prefix that no running sequence uses.
+// prefix is the cached prefix of one program, last used at the time used.
 type prefix struct {
 	owner  api.ProgramID
 	tokens int
@@ -15,8 +15,8 @@
 }
 
 // cache holds the prefixes that may be evicted, least recently used first. A
-// running sequence takes its program's prefix out of the cache, which pins
-// it, and puts a longer one back.
+// sequence that starts takes the prefix of its program out of the cache, which
+// pins it, and puts a longer one back when it ends.
 type cache struct {
 	order   *list.List // of *prefix
 	byOwner map[api.ProgramID]*list.Element
--- a/emulator/enginemodel/config.go
+++ b/emulator/enginemodel/config.go
@@ -7,73 +7,84 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Default rates. They are our own round figures for one replica: a model of
-// about eight billion parameters in 16-bit weights on one accelerator with 24
-// GB of memory and about 1 TB/s of memory bandwidth. The orders of magnitude
-// follow from that hardware as public literature on model serving describes
-// it; they are not measurements of a product.
+// Default rates: round figures for one replica that runs a model of about eight
+// billion parameters with 16-bit weights on one accelerator with 24 GB of memory
+// and about 1 TB/s of memory bandwidth. The orders of magnitude follow from that
+// hardware and do not represent a particular product.
 const (
-	// DefaultStepOverhead: an iteration reads all weights once, 16 GB at
-	// about 1 TB/s.
+	// DefaultStepOverhead is the time to read all weights once per iteration:
+	// 16 GB at about 1 TB/s.
 	DefaultStepOverhead = 16 * time.Millisecond
-	// DefaultDecodePerSequence: reading one sequence's KV cache of a few
-	// thousand tokens, and its share of the sampling.
+	// DefaultDecodePerSequence is the time to read the KV cache of one sequence,
+	// a few thousand tokens, and to sample its next token.
 	DefaultDecodePerSequence = 250 * time.Microsecond
-	// DefaultPrefillPerToken: 16 GFLOP a token at about 80 TFLOP/s, which is
-	// 5,000 tokens a second.
+	// DefaultPrefillPerToken is the time for 16 GFLOP at about 80 TFLOP/s, which
+	// gives 5,000 tokens per second.
 	DefaultPrefillPerToken = 200 * time.Microsecond
-	// DefaultChunkTokens bounds the prefill of one iteration, so that a long
-	// immediate does not stop the running answers (chunked prefill).
+	// DefaultChunkTokens limits the prefill of one iteration, so that a long
+	// prompt does not stall the sequences that decode (chunked prefill).
 	DefaultChunkTokens = 512
-	// DefaultCacheTokens: 8 GB that the weights leave, at 128 KiB a token.
+	// DefaultCacheTokens is the KV memory beside the weights: 8 GB at 128 KiB per
+	// token.
 	DefaultCacheTokens = 64 << 10
-	// DefaultSlots is how many sequences run at once.
+	// DefaultSlots is the maximum number of concurrent sequences.
 	DefaultSlots = 16
-	// DefaultTransferTokensPerSecond: 128 KiB a token over 25 Gbit/s.
+	// DefaultTransferTokensPerSecond follows from 128 KiB per token over 25 Gbit/s.
 	DefaultTransferTokensPerSecond = 20000
-	// DefaultReportPeriod and DefaultReportDelay: how often the engine
-	// measures its load, and how late the report arrives.
+	// DefaultReportPeriod is the time between two load reports, and
+	// DefaultReportDelay the time from the measurement to its delivery.
 	DefaultReportPeriod = 500 * time.Millisecond
 	DefaultReportDelay  = 250 * time.Millisecond
-	// DefaultEventDelay and DefaultEventLoss: cache events come late, and one
-	// in fifty never.
+	// DefaultEventDelay is the delay of cache events. DefaultEventLoss is the
+	// share that is never delivered: one in fifty.
 	DefaultEventDelay = time.Second
 	DefaultEventLoss  = 0.02
-	// DefaultAdapterLoad: a low-rank adapter is a few hundred megabytes, from
-	// host memory.
+	// DefaultAdapterLoad is the time to load a low-rank adapter, a few hundred
+	// megabytes, from host memory.
 	DefaultAdapterLoad = 500 * time.Millisecond
-	// DefaultMaximumModels is how many models and adapters fit at once.
+	// DefaultMaximumModels is how many models and adapters can be loaded at once.
 	DefaultMaximumModels = 4
 	// DefaultStreamRetention is how long a finished stream can be resumed.
 	DefaultStreamRetention = time.Minute
 )
 
-// Config describes one engine. Durations and rates must be positive.
+// Config configures one engine. Durations and rates must be positive, unless the
+// field's comment says otherwise.
 type Config struct {
 	ID machine.ID
-	// Models are loaded at the start.
+	// Models are the models that are loaded at the start.
 	Models []string
-	// Slots is how many sequences run at once.
+	// Slots is the maximum number of concurrent sequences.
 	Slots int
 	// CacheTokens is the KV memory, in tokens.
 	CacheTokens int
 
+	// StepOverhead, DecodePerSequence and PrefillPerToken give the duration of an
+	// iteration; see the package documentation.
 	StepOverhead      time.Duration
 	DecodePerSequence time.Duration
 	PrefillPerToken   time.Duration
-	ChunkTokens       int
+	// ChunkTokens is the maximum prefill of one iteration in RoleBalanced.
+	ChunkTokens int
 
 	// TransferTokensPerSecond is the bandwidth of KV import and export.
 	TransferTokensPerSecond int
-	// ReportPeriod zero means that the engine reports no load by itself.
+	// ReportPeriod is the time between two load reports. Zero disables them.
 	ReportPeriod time.Duration
-	ReportDelay  time.Duration
-	EventDelay   time.Duration
+	// ReportDelay and EventDelay delay the output of load reports and cache
+	// events.
+	ReportDelay time.Duration
+	EventDelay  time.Duration
 	// EventLoss is the probability that a cache event is never delivered.
 	EventLoss float64
 
-	AdapterLoad     time.Duration
-	MaximumModels   int
+	// AdapterLoad is the time to load an adapter, in addition to the transfer of
+	// its weights.
+	AdapterLoad time.Duration
+	// MaximumModels is how many models and adapters can be loaded at once.
+	MaximumModels int
+	// StreamRetention is how long a finished stream can be resumed. Zero disables
+	// resumption.
 	StreamRetention time.Duration
 }
 
@@ -99,8 +110,8 @@
 	}
 }
 
-// Faster returns the configuration of an engine that computes and transfers
-// factor times as fast.
+// Faster returns the configuration of an engine that computes, loads adapters and
+// transfers KV cache factor times as fast.
 func (c Config) Faster(factor float64) Config {
 	scale := func(d time.Duration) time.Duration {
 		return max(time.Duration(float64(d)/factor), time.Nanosecond)
@@ -113,21 +124,20 @@
 	return c
 }
 
-// ServiceTime returns how much of the engine's time a call takes when the
-// batch is full: its prefill, and its share of the decode iterations. Its
-// inverse is the engine's capacity in calls.
+// ServiceTime returns the engine time that a call takes when the batch is full:
+// its prefill and its share of the decode iterations. Its inverse is the engine's
+// capacity in calls per time.
 func (c Config) ServiceTime(prefillTokens, outputTokens float64) time.Duration {
 	share := float64(c.StepOverhead)/float64(c.Slots) + float64(c.DecodePerSequence)
 	return time.Duration(prefillTokens*float64(c.PrefillPerToken) + outputTokens*share)
 }
 
-// TransferTime returns how long it takes to move the KV cache of so many
-// tokens.
+// TransferTime returns the time to transfer the KV cache of a number of tokens.
 func (c Config) TransferTime(tokens int) time.Duration {
 	return time.Duration(tokens) * time.Second / time.Duration(c.TransferTokensPerSecond)
 }
 
-// validate collects everything that is wrong.
+// validate returns all findings on the configuration as one error.
 func (c Config) validate() error {
 	found := findings.Of("engine " + string(c.ID))
 	found.Require(c.ID != "", "id", "missing")
--- a/emulator/enginemodel/engine.go
+++ b/emulator/enginemodel/engine.go
@@ -21,11 +21,12 @@
 	leaving bool
 
 	arrivals uint64
-	streams  map[string]*sequence // waiting, parked and running
+	streams  map[string]*sequence // waiting, running, or waiting for an import
 	waiting  waiting
 	running  []*sequence
 	cache    *cache
-	// reserved is the memory of running sequences and arriving imports.
+	// reserved is the KV memory, in tokens, of running sequences and pending
+	// imports.
 	reserved int
 	imports  map[api.ProgramID]*pendingImport
 	timers   []timer
@@ -36,25 +37,25 @@
 	iteration     iteration
 	clock         time.Time
 	outputs       outputs
-	eventSequence uint64 // sequence of cache events
+	eventSequence uint64 // sequence of the last cache event
 	stats         Statistics
 }
 
-// pendingImport is a KV transfer that has not ended, and the streams that wait for
-// it.
+// pendingImport is an unfinished KV transfer to this engine. parked holds the
+// streams that wait for its end.
 type pendingImport struct {
 	tokens int
 	parked []*sequence
 }
 
-// finishedStream remembers when a finished stream may be forgotten.
+// finishedStream is a finished stream and the end of its retention.
 type finishedStream struct {
 	stream   string
 	forgetAt time.Time
 }
 
-// New returns an engine that starts at the given time. The random source must
-// not be shared.
+// New returns an engine that starts at the given time. The random source must not
+// be shared with another user.
 func New(config Config, now time.Time, random *rand.Rand) (*Engine, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -79,8 +80,8 @@
 	return created, nil
 }
 
-// Step lets time pass until now, which must not go back, and applies the
-// event. On an error the event had no effect.
+// Step advances the engine to now, which must not be before the previous call, and
+// applies the event. On an error the event had no effect.
 func (e *Engine) Step(now time.Time, event Event) error {
 	e.advance(now)
 	err := e.apply(event)
@@ -88,7 +89,7 @@
 	return err
 }
 
-// apply dispatches an event.
+// apply applies an event at the current time.
 func (e *Engine) apply(event Event) error {
 	switch {
 	case event.Generate != nil:
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// generate queues a new stream, or attaches to the known one of that name.
+// generate queues a new stream. If the stream exists, it has no effect; if the
+// stream is finished, its end is emitted again.
 func (e *Engine) generate(request Generate) error {
 	if _, known := e.streams[request.Stream]; known {
 		return nil
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// checkAdmissible says why a request can never run here.
+// checkAdmissible returns an error if the engine cannot accept the request.
 func (e *Engine) checkAdmissible(request Generate) error {
 	if e.leaving {
 		return ErrLeaving
@@ -155,7 +157,8 @@
 	return nil
 }
 
-// cancel stops a stream that has not ended.
+// cancel stops a stream that has not ended. What a running stream has computed is
+// cached.
 func (e *Engine) cancel(stream string) {
 	stopped := e.streams[stream]
 	if stopped == nil {
@@ -171,7 +174,8 @@
 	e.finish(stopped, true)
 }
 
-// removeWaiting removes a stream that is not running.
+// removeWaiting removes a stream from the queue or from the import that it waits
+// for.
 func (e *Engine) removeWaiting(stopped *sequence) {
 	if stopped.index >= 0 {
 		e.waiting.remove(stopped)
@@ -186,7 +190,7 @@
 	}
 }
 
-// removeRunning removes a running stream and frees its memory.
+// removeRunning removes a stream from the batch and frees its reserved memory.
 func (e *Engine) removeRunning(stopped *sequence) {
 	for i, running := range e.running {
 		if running == stopped {
@@ -198,7 +202,7 @@
 	stopped.reserved = 0
 }
 
-// finish tells the end of a stream and remembers it for resumption.
+// finish emits the end of a stream and stores it for resumption.
 func (e *Engine) finish(ended *sequence, cancelled bool) {
 	delete(e.streams, ended.Stream)
 	report := Finished{
@@ -222,7 +226,8 @@
 	e.outputs.add(Output{At: e.clock, Finished: &report})
 }
 
-// load measures the engine.
+// load returns the current load. QueuedTokens are the uncached prompt tokens that
+// are still to be prefilled.
 func (e *Engine) load() schedule.Load {
 	measured := schedule.Load{
 		Backend:      e.config.ID,
@@ -240,7 +245,8 @@
 	return measured
 }
 
-// cachedPromptTokens is how much of a waiting sequence's prompt is cached.
+// cachedPromptTokens returns how many prompt tokens of a waiting sequence are
+// cached. At least the last prompt token is always computed.
 func (e *Engine) cachedPromptTokens(queued *sequence) int {
 	if queued.Fresh {
 		return 0
--- a/emulator/enginemodel/errors.go
+++ b/emulator/enginemodel/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of Step. The engine did nothing then.
+// Errors of Step. The event that caused one had no effect.
 var (
 	ErrModelNotLoaded = errors.New("engine: model not loaded")
 	ErrLeaving        = errors.New("engine: leaving, no new work")
--- a/emulator/enginemodel/iteration.go
+++ b/emulator/enginemodel/iteration.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// iteration is a run of equal iterations of the batch. All but the last only
-// decode, and no sequence ends before the last.
+// iteration is a run of iterations of equal duration with the same batch. A run
+// of several iterations only decodes, and no sequence ends before its last
+// iteration. An iteration that prefills is a run of its own.
 type iteration struct {
 	start    time.Time
 	duration time.Duration
-	// count is zero while the engine is idle.
+	// count is the number of iterations left, zero while the engine is idle.
 	count int
 }
 
-// end is when the last iteration ends.
+// end returns the time at which the last iteration of the run ends.
 func (i iteration) end() time.Time {
 	return i.start.Add(time.Duration(i.count) * i.duration)
 }
 
-// advance lets time pass until now.
+// advance computes the batch, fires the timers and forgets finished streams up to
+// now.
 func (e *Engine) advance(now time.Time) {
 	for len(e.timers) > 0 && !e.timers[0].at.After(now) {
 		expired := e.timers[0]
@@ -35,7 +37,7 @@
 	}
 }
 
-// run computes the batch until now.
+// run computes the batch up to now.
 func (e *Engine) run(now time.Time) {
 	for {
 		if e.iteration.count == 0 && !e.startIteration() {
@@ -56,14 +58,14 @@
 	}
 }
 
-// endRun makes the iteration that runs the last of its run, because the
-// next one has another batch.
+// endRun makes the current iteration the last of its run, because the batch or the
+// cache changes.
 func (e *Engine) endRun() {
 	e.iteration.count = min(e.iteration.count, 1)
 }
 
-// startIteration admits sequences and plans the next iterations. It reports
-// false when there is nothing to run.
+// startIteration admits sequences and plans the next run of iterations. It reports
+// whether there is anything to run.
 func (e *Engine) startIteration() bool {
 	e.admit()
 	if len(e.running) == 0 {
@@ -94,9 +96,9 @@
 	return true
 }
 
-// admit moves waiting sequences into the batch while a slot and memory for
-// their prompt and whole output are free. Reserving the output means that a
-// running sequence never has to be preempted.
+// admit moves waiting sequences into the batch while a slot and the memory for
+// their prompt and maximum output are free. Because the output is reserved in
+// advance, a running sequence never has to be preempted.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.Slots {
 		next := e.waiting[0]
@@ -113,12 +115,14 @@
 	}
 }
 
-// putBack returns a prefix that was taken for a sequence that did not fit.
+// putBack returns to the cache a prefix that was taken for a sequence that does
+// not fit.
 func (e *Engine) putBack(held *prefix) {
 	e.cache.put(held)
 }
 
-// start puts a sequence into the batch on top of the prefix that is held.
+// start adds a sequence to the batch. held is the owner's cached prefix, or nil;
+// it is reused unless the request excludes that.
 func (e *Engine) start(started *sequence, held *prefix, reserved int) {
 	if held != nil && started.Fresh {
 		e.countIdle(held)
@@ -133,8 +137,8 @@
 	e.stats.CachedTokens += int64(started.cached)
 }
 
-// planPrefill shares the iteration's prefill among the sequences that need
-// it, in order of priority, and returns its sum.
+// planPrefill distributes the prefill of the next iteration among the sequences
+// that need it, in order of priority, and returns the total in tokens.
 func (e *Engine) planPrefill() int {
 	pending := e.pendingPrefill()
 	budget := max(1, e.config.ChunkTokens*roleChunkEighths[e.role]/chunkDenominator)
@@ -146,7 +150,8 @@
 	return budget - left
 }
 
-// pendingPrefill returns the running sequences whose prompt is not computed.
+// pendingPrefill returns the running sequences whose prompt is not fully computed,
+// sorted by priority and arrival.
 func (e *Engine) pendingPrefill() []*sequence {
 	var pending []*sequence
 	for _, running := range e.running {
@@ -163,7 +168,8 @@
 	return pending
 }
 
-// complete applies done iterations, of which the last ends at the given time.
+// complete applies the number of iterations in done, the last of which ends at
+// end.
 func (e *Engine) complete(done int, end time.Time) {
 	e.stats.Busy += time.Duration(done) * e.iteration.duration
 	e.clock = end
@@ -179,7 +185,7 @@
 	}
 }
 
-// progress applies done iterations to one sequence.
+// progress applies the number of iterations in done to one sequence.
 func (e *Engine) progress(running *sequence, done int) {
 	if running.prefillLeft == 0 {
 		running.produced += done
@@ -198,7 +204,7 @@
 	e.outputs.add(Output{At: e.clock, FirstToken: running.Stream})
 }
 
-// finishEnded ends every sequence that has its whole output.
+// finishEnded finishes every sequence whose output is complete.
 func (e *Engine) finishEnded() {
 	for i := 0; i < len(e.running); {
 		running := e.running[i]
--- a/emulator/enginemodel/memory.go
+++ b/emulator/enginemodel/memory.go
@@ -8,7 +8,8 @@
 	"birchwood.example/birchwood/engine"
 )
 
-// resident is how many tokens of the owner's prefix are cached.
+// resident returns the number of cached tokens of the owner's prefix that no
+// running sequence uses.
 func (e *Engine) resident(owner api.ProgramID) int {
 	if held := e.cache.get(owner); held != nil {
 		return held.tokens
@@ -16,7 +17,7 @@
 	return 0
 }
 
-// release drops the owner's prefix, if no running sequence holds it.
+// release drops the owner's prefix, unless a running sequence uses it.
 func (e *Engine) release(owner api.ProgramID) {
 	dropped := e.cache.take(owner)
 	if dropped == nil {
@@ -27,7 +28,8 @@
 	e.endRun()
 }
 
-// cachePrefix caches a prefix for the owner, unless a longer one is there.
+// cachePrefix caches a prefix for the owner. If a longer one is cached, its length
+// is kept.
 func (e *Engine) cachePrefix(owner api.ProgramID, tokens int) {
 	if tokens <= 0 {
 		return
@@ -39,8 +41,8 @@
 	e.emitCacheEvent(engine.CacheEvent{Owner: owner, Tokens: tokens})
 }
 
-// makeRoom evicts the least recently used prefixes until tokens more fit. It
-// reports false, and evicts nothing, when they cannot fit.
+// makeRoom evicts the least recently used prefixes until the number of tokens
+// fits. It reports false, and evicts nothing, if that is not possible.
 func (e *Engine) makeRoom(tokens int) bool {
 	if e.reserved+tokens > e.config.CacheTokens {
 		return false
@@ -54,12 +56,12 @@
 	return true
 }
 
-// countIdle adds the time since the last use of a prefix that goes unused.
+// countIdle adds a dropped prefix that was not used again to the idle KV memory.
 func (e *Engine) countIdle(dropped *prefix) {
 	e.stats.IdleTokenSeconds += float64(dropped.tokens) * e.clock.Sub(dropped.used).Seconds()
 }
 
-// startImport begins to receive a prefix.
+// startImport starts the transfer of a prefix to this engine.
 func (e *Engine) startImport(request Import) error {
 	if e.leaving {
 		return ErrLeaving
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// endImport caches what has arrived and queues the streams that waited.
+// endImport caches the imported prefix and queues the streams that waited for it.
 func (e *Engine) endImport(owner api.ProgramID) {
 	transfer := e.imports[owner]
 	delete(e.imports, owner)
@@ -90,7 +92,8 @@
 	e.endRun()
 }
 
-// emitCacheEvent emits a cache event, late, or loses it.
+// emitCacheEvent emits a cache event after EventDelay, or loses it with the
+// probability EventLoss. A lost event still takes a sequence number.
 func (e *Engine) emitCacheEvent(event engine.CacheEvent) {
 	e.eventSequence++
 	event.Sequence = e.eventSequence
--- a/emulator/enginemodel/order.go
+++ b/emulator/enginemodel/order.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// order applies a fenced order.
+// order applies an order, if its fencing token is not stale.
 func (e *Engine) order(order Order) error {
 	if order.Fence < e.fence {
 		return ErrStaleFence
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// checkLoadable says why the order's model cannot be loaded.
+// checkLoadable returns an error if the model of the order cannot be loaded. Models
+// that are being loaded count against MaximumModels.
 func (e *Engine) checkLoadable(order Order) error {
 	if order.Load == "" || e.models[order.Load] {
 		return nil
@@ -56,15 +57,15 @@
 	return nil
 }
 
-// adapterSeparator stands between a model with its version ("base@version")
-// and an adapter on it.
+// adapterSeparator separates a model with its version ("base@version") from the
+// name of an adapter on it.
 const adapterSeparator = "+"
 
-// isAdapter reports whether the name is that of an adapter on a model.
+// isAdapter reports whether the name is that of a model with an adapter.
 func isAdapter(model string) bool { return strings.Contains(model, adapterSeparator) }
 
-// unload forgets a model and the adapters on it. Streams that were accepted
-// still end.
+// unload removes a model and the adapters on it, and cancels a pending load of the
+// model. Streams that were accepted before still run to their end.
 func (e *Engine) unload(model string) {
 	delete(e.models, model)
 	for name := range e.models {
--- a/emulator/enginemodel/output.go
+++ b/emulator/enginemodel/output.go
@@ -10,10 +10,10 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// Output is what the engine tells, a tagged union: exactly one field beside
-// At is set.
+// Output is an output of the engine, a tagged union: exactly one field besides At
+// is set. FirstToken is the name of a stream, ModelReady that of a model.
 type Output struct {
-	// At is when it is told; a report or a cache event is told late.
+	// At is when the output is due. Load reports and cache events are delayed.
 	At         time.Time
 	FirstToken string
 	Finished   *Finished
@@ -28,10 +28,10 @@
 	Stream string
 	Owner  api.ProgramID
 	Usage  api.Usage
-	// Resident is how many tokens of the owner's prefix are cached now.
+	// Resident is the number of cached tokens of the owner's prefix.
 	Resident  int
 	Cancelled bool
-	// FirstTokenAt is when the first token was there.
+	// FirstTokenAt is when the first token was produced, zero if there is none.
 	FirstTokenAt time.Time
 	Load         schedule.Load
 }
@@ -42,14 +42,15 @@
 	Tokens int
 }
 
-// Progress is how far a stream is.
+// Progress is the progress of a stream. Produced counts output tokens; Finished is
+// set if Done.
 type Progress struct {
 	Produced int
 	Done     bool
 	Finished Finished
 }
 
-// Statistics count what the engine did since its start.
+// Statistics are the counters of the engine since its start.
 type Statistics struct {
 	Finished       int
 	PrefillTokens  int64
@@ -57,31 +58,32 @@
 	OutputTokens   int64
 	ImportedTokens int64
 	Evictions      int
-	// IdleTokenSeconds is the KV memory that was held and never used again:
-	// tokens times seconds from the last use to the eviction or release.
+	// IdleTokenSeconds is the KV memory that was not used again, in tokens times
+	// the seconds from the last use to the eviction or release.
 	IdleTokenSeconds float64
-	// Busy is the time with a running iteration.
+	// Busy is the total duration of the iterations.
 	Busy time.Duration
 }
 
-// outputs are the engine's tidings that are not told yet. Cache events and
-// load reports are told late, each in their order.
+// outputs holds the outputs that Ready has not returned yet. Cache events and load
+// reports are delayed; each of the two queues is ordered by due time.
 type outputs struct {
 	immediate []Output
 	cache     []Output
 	loads     []Output
 }
 
-// add appends an output that is told at once.
+// add appends an output that is due immediately.
 func (o *outputs) add(output Output) { o.immediate = append(o.immediate, output) }
 
-// addCacheEvent appends a cache event, not before the one ahead of it.
+// addCacheEvent appends a cache event, due no earlier than the previous one.
 func (o *outputs) addCacheEvent(output Output) { o.cache = appendOrdered(o.cache, output) }
 
-// addLoad appends a load report, not before the one ahead of it.
+// addLoad appends a load report, due no earlier than the previous one.
 func (o *outputs) addLoad(output Output) { o.loads = appendOrdered(o.loads, output) }
 
-// appendOrdered keeps the queue in order when the delay has become shorter.
+// appendOrdered appends an output and postpones it to the due time of the previous
+// one if that is later, which happens when SetDelays shortens the delay.
 func appendOrdered(queue []Output, output Output) []Output {
 	if last := len(queue) - 1; last >= 0 && output.At.Before(queue[last].At) {
 		output.At = queue[last].At
@@ -89,7 +91,7 @@
 	return append(queue, output)
 }
 
-// takeDue splits the outputs that are told by now from the rest.
+// takeDue splits a queue into the outputs that are due by now and the rest.
 func takeDue(queue []Output, now time.Time) (ready, rest []Output) {
 	count := 0
 	for count < len(queue) && !queue[count].At.After(now) {
@@ -98,7 +100,7 @@
 	return queue[:count], queue[count:]
 }
 
-// Ready returns the outputs that are told by now, and forgets them.
+// Ready returns the outputs that are due by now and removes them.
 func (e *Engine) Ready(now time.Time) []Output {
 	ready := e.outputs.immediate
 	e.outputs.immediate = nil
@@ -114,8 +116,8 @@
 	return ready
 }
 
-// NextWake returns when the engine next has something to tell or to do
-// without an event; the zero time means never.
+// NextWake returns when the engine next has an output or an internal change
+// without an event. The zero time means never.
 func (e *Engine) NextWake() time.Time {
 	if len(e.outputs.immediate) > 0 {
 		return e.clock
@@ -141,8 +143,8 @@
 	return next
 }
 
-// NextIteration returns when the iteration that runs ends and the sequences
-// have moved on; the zero time means that nothing runs.
+// NextIteration returns when the current iteration ends and the sequences progress.
+// The zero time means that the engine is idle.
 func (e *Engine) NextIteration() time.Time {
 	if e.iteration.count == 0 {
 		return time.Time{}
@@ -150,8 +152,8 @@
 	return e.iteration.start.Add(e.iteration.duration)
 }
 
-// Progress returns how far a stream is, as of the last Step. It reports false
-// for a stream that is unknown or forgotten.
+// Progress returns the progress of a stream as of the last Step. It reports false
+// for an unknown stream and after the retention of a finished one.
 func (e *Engine) Progress(stream string) (Progress, bool) {
 	if ended, known := e.finished[stream]; known {
 		return Progress{Produced: ended.Usage.OutputTokens, Done: true, Finished: ended}, true
@@ -162,21 +164,22 @@
 	return Progress{}, false
 }
 
-// EventSequence returns the sequence of the last cache event, told or not.
+// EventSequence returns the sequence of the last cache event, including events
+// that are not due yet or lost.
 func (e *Engine) EventSequence() uint64 { return e.eventSequence }
 
-// Load measures the engine as of the last Step.
+// Load returns the load as of the last Step.
 func (e *Engine) Load() schedule.Load { return e.load() }
 
-// Outstanding returns how many streams wait or run.
+// Outstanding returns the number of unfinished streams.
 func (e *Engine) Outstanding() int { return len(e.streams) }
 
-// Statistics returns the counters as of the last Step. Prefixes that are
-// still cached are not counted as idle; see IdleTokenSeconds.
+// Statistics returns the counters as of the last Step. Prefixes that are still
+// cached do not count as idle; see Engine.IdleTokenSeconds.
 func (e *Engine) Statistics() Statistics { return e.stats }
 
-// IdleTokenSeconds returns the KV memory held and never used again, counting
-// what is still cached as if it were dropped now.
+// IdleTokenSeconds returns the KV memory that was not used again, in tokens times
+// seconds. Prefixes that are still cached count as if they were dropped now.
 func (e *Engine) IdleTokenSeconds() float64 {
 	total := e.stats.IdleTokenSeconds
 	for element := e.cache.order.Front(); element != nil; element = element.Next() {
@@ -186,12 +189,12 @@
 	return total
 }
 
-// Resident returns how many tokens of the owner's prefix are cached and not
-// in use by a running sequence.
+// Resident returns the number of cached tokens of the owner's prefix, zero while a
+// running sequence uses it.
 func (e *Engine) Resident(owner api.ProgramID) int { return e.resident(owner) }
 
-// Prefixes lists the cached prefixes, sorted by owner. Those that a running
-// sequence uses are listed as idle for no time.
+// Prefixes returns the cached prefixes, sorted by owner. Those that a running
+// sequence uses have an idle time of zero.
 func (e *Engine) Prefixes() []engine.Prefix {
 	var listed []engine.Prefix
 	for element := e.cache.order.Front(); element != nil; element = element.Next() {
@@ -205,7 +208,7 @@
 	return listed
 }
 
-// SetDelays changes how late load reports and cache events are told.
+// SetDelays changes the delays of load reports and cache events.
 func (e *Engine) SetDelays(report, event time.Duration) {
 	e.config.ReportDelay = report
 	e.config.EventDelay = event
--- a/emulator/enginemodel/queue.go
+++ b/emulator/enginemodel/queue.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// sequence is one stream in the engine.
+// sequence is the state of one unfinished stream.
 type sequence struct {
 	Generate
 	arrival uint64 // order of arrival
-	index   int    // place in the waiting queue, -1 outside
+	index   int    // index in the waiting queue, -1 if not queued
 
-	// cached is the prompt that needed no prefill.
+	// cached is the number of prompt tokens that needed no prefill.
 	cached int
-	// prefillLeft is the prompt that is not computed yet.
+	// prefillLeft is the number of prompt tokens that are not computed yet.
 	prefillLeft int
-	// chunk is the prefill of the iteration that runs.
-	chunk        int
-	produced     int
-	target       int
+	// chunk is the number of prompt tokens that the current iteration prefills.
+	chunk int
+	// produced is the number of output tokens so far, and target that of the
+	// complete output.
+	produced int
+	target   int
+	// reserved is the KV memory in tokens, zero unless the sequence is running.
 	reserved     int
 	firstTokenAt time.Time
 }
 
-// computed is how many tokens of the sequence have their KV in memory.
+// computed returns how many tokens of the sequence are in the KV cache.
 func (s *sequence) computed() int {
 	return s.PromptTokens - s.prefillLeft + s.produced
 }
 
-// waiting is a heap of sequences by priority, then arrival.
+// waiting is a heap of sequences, ordered by priority, then by arrival.
 type waiting []*sequence
 
 func (w waiting) Len() int { return len(w) }
@@ -57,7 +60,8 @@
 	return last
 }
 
-// before orders sequences: lower priority value first, then by arrival.
+// before reports whether a is ahead of b: a lower priority value first, then the
+// earlier arrival.
 func before(a, b *sequence) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
@@ -65,7 +69,7 @@
 	return a.arrival < b.arrival
 }
 
-// remove takes a sequence out of the queue.
+// remove removes a sequence from the queue.
 func (w *waiting) remove(removed *sequence) {
 	heap.Remove(w, removed.index)
 }
--- a/emulator/enginemodel/role.go
+++ b/emulator/enginemodel/role.go
@@ -1,19 +1,21 @@
 package enginemodel
 
-// Role trades prefill throughput against the smoothness of running answers.
+// Role sets the balance between prefill throughput and the token rate of decoding
+// sequences.
 type Role string
 
 // The roles of an engine.
 const (
 	RoleBalanced Role = "balanced"
-	// RolePrefill lets an iteration take four times the prefill.
+	// RolePrefill allows four times ChunkTokens of prefill per iteration.
 	RolePrefill Role = "prefill"
-	// RoleDecode lets an iteration take an eighth of the prefill.
+	// RoleDecode allows an eighth of ChunkTokens of prefill per iteration.
 	RoleDecode Role = "decode"
 )
 
-// roleChunkEighths is the share of ChunkTokens that each role prefills, in eighths.
+// roleChunkEighths is the maximum prefill of one iteration in each role, in eighths
+// of ChunkTokens.
 var roleChunkEighths = map[Role]int{RoleBalanced: 8, RolePrefill: 32, RoleDecode: 1}
 
-// chunkDenominator is the denominator of roleChunks.
+// chunkDenominator is the denominator of the shares in roleChunkEighths.
 const chunkDenominator = 8
--- a/emulator/enginemodel/timer.go
+++ b/emulator/enginemodel/timer.go
@@ -7,16 +7,16 @@
 	"birchwood.example/birchwood/api"
 )
 
-// timerKind tells what a timer is for.
+// timerKind is what a timer triggers.
 type timerKind int
 
 const (
-	timerReport timerKind = iota
-	timerImported
-	timerModel
+	timerReport   timerKind = iota // load report
+	timerImported                  // end of an import
+	timerModel                     // end of a model's load
 )
 
-// timer is something that happens at a known time.
+// timer is an internal change that is scheduled for a time.
 type timer struct {
 	at    time.Time
 	kind  timerKind
@@ -25,7 +25,8 @@
 	fence uint64
 }
 
-// addTimer keeps the timers sorted; equal times keep their order.
+// addTimer inserts a timer. The timers are sorted by time, those of equal time in
+// the order of insertion.
 func (e *Engine) addTimer(added timer) {
 	at := len(e.timers)
 	for at > 0 && e.timers[at-1].at.After(added.at) {
@@ -34,7 +35,7 @@
 	e.timers = slices.Insert(e.timers, at, added)
 }
 
-// fire performs a timer.
+// fire performs the action of an expired timer.
 func (e *Engine) fire(expired timer) {
 	switch expired.kind {
 	case timerReport:
