--- a/emulator/platformmodel/log.go
+++ b/emulator/platformmodel/log.go
@@ -1,7 +1,7 @@
 package platformmodel
 
-// Log is an append-only log service: named streams of entries with offsets
-// from zero. A stream that was never written to is empty.
+// Log is an append-only log service with named streams of entries. Offsets start at
+// zero. A stream that was never written to reads as empty.
 type Log struct {
 	streams map[string][][]byte
 }
@@ -11,8 +11,8 @@
 	return &Log{streams: make(map[string][][]byte)}
 }
 
-// Append adds copies of the entries to the end of the stream, in order and
-// without gaps, and returns the offset of the first.
+// Append appends copies of the entries to the stream, at consecutive offsets, and
+// returns the offset of the first.
 func (l *Log) Append(stream string, entries [][]byte) uint64 {
 	first := uint64(len(l.streams[stream]))
 	for _, entry := range entries {
@@ -21,9 +21,10 @@
 	return first
 }
 
-// Read returns up to maximum entries from the offset on, at most maximumBytes
-// unless a single entry is longer, and the stream's end. The entries are
-// shared with the log: the caller must not change them.
+// Read returns up to maximum entries starting at the offset from, and the end of
+// the stream, which is the offset of its next entry. The entries have at most
+// maximumBytes in total, but the first is returned whatever its size. They are
+// shared with the log: the caller must not modify them.
 func (l *Log) Read(stream string, from uint64, maximum, maximumBytes int) ([][]byte, uint64) {
 	entries := l.streams[stream]
 	end := uint64(len(entries))
--- a/emulator/platformmodel/machinelist.go
+++ b/emulator/platformmodel/machinelist.go
@@ -8,23 +8,26 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// MachineList is the platform's list of machines. It lags: what it shows is
-// the state of some time ago. An entry that is not renewed expires.
+// MachineList is the platform's list of machines. It shows changes only after a
+// lag, and an entry that is not renewed expires.
 type MachineList struct {
-	// lag is how old the shown state is.
+	// lag is the age of the state that the list shows.
 	lag time.Duration
-	// expiry is how long an entry lives without renewal.
+	// expiry is the time after which an entry expires without renewal, zero for
+	// never.
 	expiry  time.Duration
 	entries map[machine.ID]*listEntry
 }
 
-// listEntry keeps the versions of one entry that the lag may still show.
+// listEntry holds the versions of one entry that are shown now or after the lag,
+// oldest first.
 type listEntry struct {
 	versions []listVersion
 	renewed  time.Time
 }
 
-// listVersion is an entry's state from a time on.
+// listVersion is the state of an entry since a time. present is false after a
+// withdrawal.
 type listVersion struct {
 	since   time.Time
 	present bool
@@ -32,12 +35,13 @@
 }
 
 // NewMachineList returns an empty list that shows changes after lag and drops
-// entries that were not renewed for expiry. A zero expiry keeps them.
+// entries that were not renewed within expiry. If expiry is zero, entries do not
+// expire.
 func NewMachineList(lag, expiry time.Duration) *MachineList {
 	return &MachineList{lag: lag, expiry: expiry, entries: make(map[machine.ID]*listEntry)}
 }
 
-// SetLag changes how old the shown state is.
+// SetLag changes the age of the state that the list shows.
 func (l *MachineList) SetLag(lag time.Duration) { l.lag = lag }
 
 // Announce registers a machine or renews its entry.
@@ -58,7 +62,7 @@
 	known.versions = append(known.versions, listVersion{since: now, present: true, machine: entry})
 }
 
-// Withdraw removes a machine's entry.
+// Withdraw removes the entry of a machine, if there is one.
 func (l *MachineList) Withdraw(now time.Time, id machine.ID) {
 	known := l.entries[id]
 	if known == nil {
@@ -67,7 +71,7 @@
 	known.versions = append(known.versions, listVersion{since: now})
 }
 
-// Machines returns what the list shows now, sorted by ID.
+// Machines returns the machines that the list shows at the time now, sorted by ID.
 func (l *MachineList) Machines(now time.Time) []machine.Machine {
 	var shown []machine.Machine
 	asOf := now.Add(-l.lag)
@@ -88,14 +92,14 @@
 	return shown
 }
 
-// trim forgets the versions that are older than the one shown at asOf.
+// trim removes the versions that precede the one shown at asOf.
 func (e *listEntry) trim(asOf time.Time) {
 	for len(e.versions) > 1 && !e.versions[1].since.After(asOf) {
 		e.versions = e.versions[1:]
 	}
 }
 
-// sameMachine reports whether two entries say the same.
+// sameMachine reports whether two entries are equal.
 func sameMachine(a, b machine.Machine) bool {
 	return a.ID == b.ID && a.Kind == b.Kind && a.Zone == b.Zone && a.Address == b.Address &&
 		a.Status == b.Status && a.Incarnation == b.Incarnation && a.Slots == b.Slots &&
--- a/emulator/platformmodel/platformmodel_test.go
+++ b/emulator/platformmodel/platformmodel_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// at is a time in seconds after the start.
+// at returns the time that many seconds after the start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 var _ = Describe("The machine list", func() {
--- a/emulator/platformmodel/weightstore.go
+++ b/emulator/platformmodel/weightstore.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// WeightStore is the rate-limited store of model weights: transfers follow
-// each other, each taking the model's size over the rate.
+// WeightStore is the rate-limited store of model weights. It performs one transfer
+// at a time, and all transfers take equally long.
 type WeightStore struct {
 	transfer time.Duration
-	free     time.Time
+	// free is when the last reserved transfer ends.
+	free time.Time
 }
 
-// NewWeightStore returns a store that needs transfer for the weights of one
-// model.
+// NewWeightStore returns a store that takes the duration transfer to deliver the
+// weights of one model.
 func NewWeightStore(transfer time.Duration) *WeightStore {
 	return &WeightStore{transfer: transfer}
 }
 
-// Reserve books the next transfer and returns how long it is until the
-// weights have arrived.
+// Reserve reserves the next transfer and returns the time until the weights are
+// delivered.
 func (w *WeightStore) Reserve(now time.Time, model string) time.Duration {
 	start := now
 	if w.free.After(now) {
