--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -111,7 +111,8 @@
 	h.run.clock.after(delay, func() { owner.modelFinished(waiting, h, ended) })
 }
 
-// sendCacheEvent sends a cache event to the node that owns the program.
+// sendCacheEvent sends an eviction to the node that owns the program. Other cache
+// events are ignored.
 func (h *engineHost) sendCacheEvent(event engine.CacheEvent) {
 	owner := h.run.owners[event.Owner]
 	if owner == nil || !event.Evicted || h.run.links.isBlocked(h.machine.Zone, owner.zone) {
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -68,7 +68,7 @@
 	})
 }
 
-// perform carries out one decision.
+// perform applies one decision of the policy.
 func (n *node) perform(decision schedule.Decision) {
 	switch decision.Action {
 	case schedule.ActionPlace:
