--- a/emulator/bench.go
+++ b/emulator/bench.go
@@ -178,15 +178,15 @@
 	ToolCalls  int `json:"tool_calls"`
 	// Moves counts the model calls that were sent to another engine than the
 	// program's previous model call. Imports counts the prefix transfers.
-	Moves       int   `json:"moves"`
-	Imports     int   `json:"imports"`
-	Retries     int   `json:"retries"`
-	Drops       int   `json:"drops"`
-	ModelOrders int   `json:"model_orders"`
-	Evictions   int   `json:"evictions"`
-	Prefilled   int64 `json:"prefill_tokens"`
-	CacheHits   int64 `json:"cached_tokens"`
-	Decoded     int64 `json:"output_tokens"`
+	Moves           int   `json:"moves"`
+	Imports         int   `json:"imports"`
+	Retries         int   `json:"retries"`
+	PrefixDrops     int   `json:"drops"`
+	ModelOrders     int   `json:"model_orders"`
+	Evictions       int   `json:"evictions"`
+	PrefilledTokens int64 `json:"prefill_tokens"`
+	CacheHitTokens  int64 `json:"cached_tokens"`
+	DecodedTokens   int64 `json:"output_tokens"`
 	// Utilisation is the share of time in which an engine ran a batch, over all
 	// engines.
 	Utilisation float64 `json:"utilisation"`
--- a/emulator/bench_test.go
+++ b/emulator/bench_test.go
@@ -47,7 +47,7 @@
 				Expect(policy.Findings).To(BeEmpty(), policy.Policy)
 				ended := policy.Completed + policy.Refused + policy.HungUp + policy.Limited + policy.Failed
 				Expect(ended).To(Equal(150), "%s: every program has ended", policy.Policy)
-				Expect(policy.Prefilled).To(BeNumerically(">", policy.Wasted.RecomputedTokens))
+				Expect(policy.PrefilledTokens).To(BeNumerically(">", policy.Wasted.RecomputedTokens))
 			}
 			other := bench(deployment, func(config *emulator.BenchConfig) { config.Seed = 12 })
 			Expect(encoded(other)).NotTo(Equal(encoded(first)))
--- a/emulator/measure.go
+++ b/emulator/measure.go
@@ -204,9 +204,9 @@
 	counted := model.Statistics()
 	m.busy += counted.Busy
 	m.result.Evictions += counted.Evictions
-	m.result.Prefilled += counted.PrefillTokens
-	m.result.CacheHits += counted.CachedTokens
-	m.result.Decoded += counted.OutputTokens
+	m.result.PrefilledTokens += counted.PrefillTokens
+	m.result.CacheHitTokens += counted.CachedTokens
+	m.result.DecodedTokens += counted.OutputTokens
 	m.result.Wasted.IdleTokenSeconds += model.IdleTokenSeconds()
 }
 
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -78,7 +78,7 @@
 			n.refuse(refused, decision.Error.Code)
 		}
 	case schedule.ActionDrop:
-		n.run.measure.result.Drops++
+		n.run.measure.result.PrefixDrops++
 		n.sendToEngine(decision.Backend, func(host *engineHost) { host.release(decision.Program) })
 	case schedule.ActionExport:
 		target := n.run.engineByID[decision.ExportTo]
