--- a/emulator/capacity.go
+++ b/emulator/capacity.go
@@ -28,7 +28,7 @@
 // second is the capacity of the fleet: the rate that fully utilises all replicas
 // if the models were placed in proportion to the demand. No policy reaches
 // either, because prefixes get evicted and batches are not always full.
-func Capacity(deployment workload.Deployment, rates func(*enginemodel.Config)) (placed, fleet float64) {
+func Capacity(deployment workload.Deployment, tuneEngines func(*enginemodel.Config)) (placed, fleet float64) {
 	demands := make(map[string]*modelDemand)
 	generator := deployment.Generate(workload.Options{Seed: capacitySeed, ProgramsPerSecond: 1})
 	for range capacitySample {
@@ -40,7 +40,7 @@
 			replicas[model] += 1 / float64(len(replica.Models))
 		}
 	}
-	config := engineConfig(deployment.Replicas[0], rates)
+	config := engineConfig(deployment.Replicas[0], tuneEngines)
 	var total time.Duration
 	for _, model := range sortedKeys(demands) {
 		demand := demands[model]
@@ -96,7 +96,7 @@
 }
 
 // engineConfig returns the configuration of the engine model for a replica.
-func engineConfig(replica machine.Machine, rates func(*enginemodel.Config)) enginemodel.Config {
+func engineConfig(replica machine.Machine, tuneEngines func(*enginemodel.Config)) enginemodel.Config {
 	config := enginemodel.DefaultConfig(replica.ID, replica.Models...)
 	if replica.Slots > 0 {
 		config.Slots = replica.Slots
@@ -105,8 +105,8 @@
 		config.CacheTokens = replica.CacheTokens
 	}
 	config.StreamRetention = 0
-	if rates != nil {
-		rates(&config)
+	if tuneEngines != nil {
+		tuneEngines(&config)
 	}
 	return config
 }
