--- a/emulator/capacity.go
+++ b/emulator/capacity.go
@@ -28,6 +28,8 @@
 // second is the capacity of the fleet: the rate that fully utilises all replicas
 // if the models were placed in proportion to the demand. No policy reaches
 // either, because prefixes get evicted and batches are not always full.
+//
+// tuneEngines, if not nil, changes the configuration of the engines.
 func Capacity(deployment workload.Deployment, tuneEngines func(*enginemodel.Config)) (placed, fleet float64) {
 	demands := make(map[string]*modelDemand)
 	generator := deployment.Generate(workload.Options{Seed: capacitySeed, ProgramsPerSecond: 1})
