--- a/emulator/enginemodel/engine.go
+++ b/emulator/enginemodel/engine.go
@@ -21,40 +21,41 @@
 	leaving bool
 
 	arrivals uint64
-	streams  map[string]*sequence // waiting, parked and running
+	streams  map[string]*sequence // waiting, running, or waiting for an import
 	waiting  waiting
 	running  []*sequence
 	cache    *cache
-	// reserved is the memory of running sequences and arriving imports.
+	// reserved is the KV memory, in tokens, of running sequences and pending
+	// imports.
 	reserved int
-	imports  map[api.ProgramID]*arriving
+	imports  map[api.ProgramID]*pendingImport
 	timers   []timer
 
 	finished      map[string]Finished
 	finishedOrder []finishedStream
 
-	iteration iteration
-	clock     time.Time
-	outputs   outputs
-	events    uint64 // sequence of cache events
-	stats     Statistics
+	iteration     iteration
+	clock         time.Time
+	outputs       outputs
+	eventSequence uint64 // sequence of the last cache event
+	stats         Statistics
 }
 
-// arriving is a KV transfer that has not ended, and the streams that wait for
-// it.
-type arriving struct {
+// pendingImport is an unfinished KV transfer to this engine. parked holds the
+// streams that wait for its end.
+type pendingImport struct {
 	tokens int
 	parked []*sequence
 }
 
-// finishedStream remembers when a finished stream may be forgotten.
+// finishedStream is a finished stream and the end of its retention.
 type finishedStream struct {
-	stream string
-	until  time.Time
+	stream   string
+	forgetAt time.Time
 }
 
-// New returns an engine that starts at the given time. The random source must
-// not be shared.
+// New returns an engine that starts at the given time. The random source must not
+// be shared with another user.
 func New(config Config, now time.Time, random *rand.Rand) (*Engine, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -66,7 +67,7 @@
 		role:     RoleBalanced,
 		streams:  make(map[string]*sequence),
 		cache:    newCache(),
-		imports:  make(map[api.ProgramID]*arriving),
+		imports:  make(map[api.ProgramID]*pendingImport),
 		finished: make(map[string]Finished),
 		clock:    now,
 	}
@@ -79,8 +80,8 @@
 	return created, nil
 }
 
-// Step lets time pass until now, which must not go back, and applies the
-// event. On an error the event had no effect.
+// Step advances the engine to now, which must not be before the previous call, and
+// applies the event. On an error the event had no effect.
 func (e *Engine) Step(now time.Time, event Event) error {
 	e.advance(now)
 	err := e.apply(event)
@@ -88,7 +89,7 @@
 	return err
 }
 
-// apply dispatches an event.
+// apply applies an event at the current time.
 func (e *Engine) apply(event Event) error {
 	switch {
 	case event.Generate != nil:
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// generate queues a new stream, or attaches to the known one of that name.
+// generate queues a new stream. If the stream exists, it has no effect; if the
+// stream is finished, its end is emitted again.
 func (e *Engine) generate(request Generate) error {
 	if _, known := e.streams[request.Stream]; known {
 		return nil
@@ -118,7 +120,7 @@
 		e.outputs.add(Output{At: e.clock, Finished: &ended})
 		return nil
 	}
-	if err := e.admissible(request); err != nil {
+	if err := e.checkAdmissible(request); err != nil {
 		return err
 	}
 	e.arrivals++
@@ -134,12 +136,12 @@
 		return nil
 	}
 	heap.Push(&e.waiting, added)
-	e.interrupt()
+	e.endRun()
 	return nil
 }
 
-// admissible says why a request can never run here.
-func (e *Engine) admissible(request Generate) error {
+// checkAdmissible returns an error if the engine cannot accept the request.
+func (e *Engine) checkAdmissible(request Generate) error {
 	if e.leaving {
 		return ErrLeaving
 	}
@@ -155,24 +157,26 @@
 	return nil
 }
 
-// cancel stops a stream that has not ended.
+// cancel stops a stream that has not ended. What a running stream has computed is
+// cached.
 func (e *Engine) cancel(stream string) {
 	stopped := e.streams[stream]
 	if stopped == nil {
 		return
 	}
 	if stopped.reserved > 0 {
-		e.interrupt()
-		e.leaveBatch(stopped)
-		e.keep(stopped.Owner, stopped.computed())
+		e.endRun()
+		e.removeRunning(stopped)
+		e.cachePrefix(stopped.Owner, stopped.computed())
 	} else {
-		e.leaveQueue(stopped)
+		e.removeWaiting(stopped)
 	}
 	e.finish(stopped, true)
 }
 
-// leaveQueue removes a stream that is not running.
-func (e *Engine) leaveQueue(stopped *sequence) {
+// removeWaiting removes a stream from the queue or from the import that it waits
+// for.
+func (e *Engine) removeWaiting(stopped *sequence) {
 	if stopped.index >= 0 {
 		e.waiting.remove(stopped)
 		return
@@ -186,8 +190,8 @@
 	}
 }
 
-// leaveBatch removes a running stream and frees its memory.
-func (e *Engine) leaveBatch(stopped *sequence) {
+// removeRunning removes a stream from the batch and frees its reserved memory.
+func (e *Engine) removeRunning(stopped *sequence) {
 	for i, running := range e.running {
 		if running == stopped {
 			e.running = append(e.running[:i], e.running[i+1:]...)
@@ -198,7 +202,7 @@
 	stopped.reserved = 0
 }
 
-// finish tells the end of a stream and remembers it for resumption.
+// finish emits the end of a stream and stores it for resumption.
 func (e *Engine) finish(ended *sequence, cancelled bool) {
 	delete(e.streams, ended.Stream)
 	report := Finished{
@@ -222,7 +226,8 @@
 	e.outputs.add(Output{At: e.clock, Finished: &report})
 }
 
-// load measures the engine.
+// load returns the current load. QueuedTokens are the uncached prompt tokens that
+// are still to be prefilled.
 func (e *Engine) load() schedule.Load {
 	measured := schedule.Load{
 		Backend:      e.config.ID,
@@ -232,7 +237,7 @@
 		CachedTokens: e.cache.tokens + e.reserved,
 	}
 	for _, queued := range e.waiting {
-		measured.QueuedTokens += max(queued.PromptTokens-e.usable(queued), 0)
+		measured.QueuedTokens += max(queued.PromptTokens-e.cachedPromptTokens(queued), 0)
 	}
 	for _, running := range e.running {
 		measured.QueuedTokens += running.prefillLeft
@@ -240,8 +245,9 @@
 	return measured
 }
 
-// usable is how much of a waiting sequence's prompt is cached.
-func (e *Engine) usable(queued *sequence) int {
+// cachedPromptTokens returns how many prompt tokens of a waiting sequence are
+// cached. At least the last prompt token is always computed.
+func (e *Engine) cachedPromptTokens(queued *sequence) int {
 	if queued.Fresh {
 		return 0
 	}
--- a/emulator/toolcall.go
+++ b/emulator/toolcall.go
@@ -7,18 +7,18 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// toolTimeout ends a tool call that has no answer.
+// toolTimeout is how long a node waits for the answer to a tool call.
 const toolTimeout = 30 * time.Second
 
-// sendTool sends a tool call. One that may not be repeated is never sent
-// again once it may have reached the service.
+// sendTool sends a tool call. A call that must not be repeated is not sent again
+// once it may have reached the service.
 func (n *node) sendTool(placed *call) {
 	host := n.run.toolByID[placed.backend]
 	attempt := placed.attempt
 	n.run.measure.placed(placed)
 	n.run.clock.after(toolTimeout, func() { n.toolTimedOut(placed, attempt) })
-	if n.run.links.isCut(n.zone, host.machine.Zone) {
-		n.run.clock.after(brokenAfter, func() { n.notSentAttempt(placed, attempt, host.machine.ID) })
+	if n.run.links.isBlocked(n.zone, host.machine.Zone) {
+		n.run.clock.after(failureDetectionDelay, func() { n.attemptNotSent(placed, attempt, host.machine.ID) })
 		return
 	}
 	n.run.clock.after(n.run.links.delay(n.zone, host.machine.Zone), func() {
@@ -31,34 +31,35 @@
 	})
 }
 
-// notSentAttempt is notSent, unless the call has moved on.
-func (n *node) notSentAttempt(placed *call, attempt int, backend machine.ID) {
+// attemptNotSent retries a call unless it is closed or a later attempt has been
+// made.
+func (n *node) attemptNotSent(placed *call, attempt int, backend machine.ID) {
 	if !placed.closed && placed.attempt == attempt {
-		n.notSent(placed, backend)
+		n.releaseAndRetry(placed, backend)
 	}
 }
 
-// toolFinished takes the answer of a tool service.
+// toolFinished processes the answer of a tool service.
 func (n *node) toolFinished(ended *call) {
 	if ended.closed {
 		return
 	}
 	n.policy.Finished(n.run.clock.now, ended.ref(), ended.backend, api.Usage{}, 0)
-	n.touch()
+	n.markDirty()
 	ended.agent.settleTool(ended)
 	n.finish(ended, api.StatusSucceeded, "")
 }
 
-// toolTimedOut ends a tool call that has no answer. A repeatable one is tried
-// again; for another the outcome is unknown.
+// toolTimedOut ends an attempt at a tool call that got no answer. A repeatable
+// call is retried; otherwise its outcome is unknown.
 func (n *node) toolTimedOut(waiting *call, attempt int) {
 	if waiting.closed || waiting.attempt != attempt {
 		return
 	}
 	n.policy.Finished(n.run.clock.now, waiting.ref(), waiting.backend, api.Usage{}, 0)
-	n.touch()
+	n.markDirty()
 	if waiting.step.Repeatable {
-		n.again(waiting, waiting.backend)
+		n.retry(waiting, waiting.backend)
 		return
 	}
 	n.finish(waiting, api.StatusOutcomeUnknown, api.CodeOutcomeUnknown)
