--- a/emulator/enginemodel/engine.go
+++ b/emulator/enginemodel/engine.go
@@ -248,7 +248,7 @@
 // cachedPromptTokens returns how many prompt tokens of a waiting sequence are
 // cached. At least the last prompt token is always computed.
 func (e *Engine) cachedPromptTokens(queued *sequence) int {
-	if queued.Fresh {
+	if queued.IgnoreCache {
 		return 0
 	}
 	return min(e.resident(queued.Owner), queued.PromptTokens-1)
--- a/emulator/enginemodel/engine_test.go
+++ b/emulator/enginemodel/engine_test.go
@@ -173,7 +173,7 @@
 		Expect(d.finished["p/2"].Usage).To(Equal(api.Usage{PromptTokens: 1200, CachedTokens: 1050, OutputTokens: 50}))
 		Expect(d.finished["p/2"].Resident).To(Equal(1250))
 		fresh := generate("p/3", "p", 1300, 50)
-		fresh.Generate.Fresh = true
+		fresh.Generate.IgnoreCache = true
 		Expect(d.step(fresh)).To(Succeed())
 		d.run()
 		Expect(d.finished["p/3"].Usage.CachedTokens).To(BeZero())
--- a/emulator/enginemodel/event.go
+++ b/emulator/enginemodel/event.go
@@ -33,7 +33,7 @@
 	MaxOutputTokens int
 	// IgnoreCache means that the prompt does not continue the cached prefix of the
 	// owner, so that none of it can be reused.
-	Fresh bool
+	IgnoreCache bool
 }
 
 // Cancel stops a stream. The tokens that were computed stay cached for its owner.
--- a/emulator/enginemodel/iteration.go
+++ b/emulator/enginemodel/iteration.go
@@ -124,10 +124,10 @@
 // start adds a sequence to the batch. held is the owner's cached prefix, or nil;
 // it is reused unless the request excludes that.
 func (e *Engine) start(started *sequence, held *prefix, reserved int) {
-	if held != nil && started.Fresh {
+	if held != nil && started.IgnoreCache {
 		e.countIdle(held)
 	}
-	if held != nil && !started.Fresh {
+	if held != nil && !started.IgnoreCache {
 		started.cached = min(held.tokens, started.PromptTokens-1)
 	}
 	started.prefillLeft = started.PromptTokens - started.cached
--- a/emulator/standin/engine.go
+++ b/emulator/standin/engine.go
@@ -223,7 +223,7 @@
 		PromptTokens:    tokensOf(request.Prompt),
 		OutputTokens:    output,
 		MaxOutputTokens: request.MaxOutputTokens,
-		Fresh:           !r.continues(request),
+		IgnoreCache:     !r.continues(request),
 	}})
 	if err != nil {
 		return text, err
