--- a/emulator/cluster/agent.go
+++ b/emulator/cluster/agent.go
@@ -12,30 +12,30 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// CallPlan is one call that a program will make.
+// CallPlan describes one call of a program.
 type CallPlan struct {
 	Tool       bool
 	Repeatable bool
 }
 
-// ProgramPlan is what a program will do.
+// ProgramPlan describes a program: its branch, its calls and how it sends them.
 type ProgramPlan struct {
 	Branch contract.Path
 	Calls  []CallPlan
-	// Pipelined programs send all calls at once, through different nodes.
+	// Pipelined sends all calls at once, through different nodes.
 	Pipelined bool
-	// BudgetTokens lowers the branch's budget; zero keeps it.
+	// BudgetTokens is a budget below the branch's; zero uses the branch's.
 	BudgetTokens int64
 	// Agent is the plan of a sub-agent that runs before the last call.
 	Agent *ProgramPlan
-	// Pause is the time between two calls.
+	// Pause is the time between the answer to a call and the next call.
 	Pause time.Duration
-	// Twice sends the creation and each call a second time, through another
-	// node, without waiting for the first answer.
+	// Twice sends the creation and each call a second time, through a node
+	// drawn anew, without waiting for the first answer.
 	Twice bool
 }
 
-// agent runs one program as its caller.
+// agent emulates the caller of one program.
 type agent struct {
 	cluster *Cluster
 	plan    ProgramPlan
@@ -48,7 +48,7 @@
 	after   func()
 }
 
-// StartProgram starts a program; it runs while virtual time passes.
+// StartProgram starts a program, which proceeds as virtual time advances.
 func (c *Cluster) StartProgram(plan ProgramPlan) {
 	c.startAgent(plan, "", func() {})
 }
@@ -60,15 +60,15 @@
 	started.create()
 }
 
-// The backoff between two requests for the same thing.
+// Limits of the delay before a request is sent again.
 const (
 	firstBackoff   = 100 * time.Millisecond
 	longestBackoff = 4 * time.Second
 )
 
-// ask sends a request until it has an answer; then runs then, once. build
-// makes the request anew for each node, because it may name what that node
-// resolves.
+// sendUntilAnswered sends a request, with retries, until it has a final answer,
+// and then calls then once. build creates the request for each node anew,
+// because the program ID may depend on the settings that the node has resolved.
 func (a *agent) ask(sent history.Sent, build func(at *node) (control.Request, bool), then func(control.Reply)) {
 	a.askAgain(sent, build, then, firstBackoff)
 }
@@ -118,7 +118,8 @@
 	})
 }
 
-// retryAfter reports whether the same request may still succeed.
+// retryAfter reports whether the same request may still succeed, and the
+// retry delay that the reply asks for.
 func retryAfter(reply control.Reply) (time.Duration, bool) {
 	refusal := reply.Error
 	if refusal == nil || !refusal.Retry && refusal.Ran != api.RanOutcomeUnknown {
@@ -127,7 +128,7 @@
 	return time.Duration(refusal.RetryAfterMilliseconds) * time.Millisecond, true
 }
 
-// gotOf is a reply as the history records it.
+// gotEvent returns the history's record of a reply.
 func gotOf(sent history.Sent, request control.Request, reply control.Reply) *history.Got {
 	got := &history.Got{Request: sent.Request}
 	switch {
@@ -149,7 +150,7 @@
 	return got
 }
 
-// create opens the program, then makes its calls.
+// create creates the program, then makes its calls.
 func (a *agent) create() {
 	branch := a.plan.Branch
 	build := func(at *node) (control.Request, bool) {
@@ -182,7 +183,7 @@
 	}
 }
 
-// makeCalls sends all calls at once, or the first.
+// makeCalls sends all calls of a pipelined program, or else the first call.
 func (a *agent) makeCalls() {
 	if len(a.plan.Calls) == 0 {
 		a.readBack()
@@ -197,10 +198,10 @@
 	}
 }
 
-// outputCap is the answer's cap in every model call, in tokens.
+// maxOutputTokens is the output limit of every model call, in tokens.
 const outputCap = 16
 
-// call makes one call.
+// call sends the call with the given sequence number.
 func (a *agent) call(sequence uint64) {
 	plan := a.plan.Calls[sequence-1]
 	submit := api.SubmitCall{
@@ -228,9 +229,9 @@
 	}
 }
 
-// answered goes on after the answer to a call. A refusal that no retry mends
-// ends a program that sends one call after another; a pipelined one waits for
-// the answers to all.
+// answered continues after the final answer to a call. A sequential program
+// ends after a refusal that can't be retried; a pipelined one waits for the
+// answers to all its calls.
 func (a *agent) answered(sequence uint64, reply control.Reply) {
 	a.answers++
 	a.refused = a.refused || reply.Error != nil
@@ -249,12 +250,12 @@
 	}
 }
 
-// readBack reads the program's history and its budget, and ends it.
+// readHistory reads the program's history and its budget, then ends the program.
 func (a *agent) readBack() {
 	a.readPart(1, &history.Read{Program: a.id, SentAt: a.cluster.now})
 }
 
-// readPart reads the calls from a place on.
+// readHistoryPage reads the calls from a sequence number on, page by page.
 func (a *agent) readPart(from uint64, read *history.Read) {
 	sent := history.Sent{Operation: history.OperationAttach, Key: fmt.Sprintf("history-%d", from)}
 	a.ask(sent, a.plainRequest(control.Request{Operation: control.OperationHistory, Sequence: from}), func(reply control.Reply) {
@@ -276,7 +277,8 @@
 	})
 }
 
-// describe asks for the spent budget, then ends the program.
+// describe requests the program's state with its spent budget, then ends the
+// program.
 func (a *agent) describe() {
 	sent := history.Sent{Operation: history.OperationDescribe}
 	a.ask(sent, a.plainRequest(control.Request{Operation: control.OperationDescribe}), func(control.Reply) {
@@ -287,14 +289,14 @@
 	})
 }
 
-// plainRequest completes a request about this program.
+// plainRequest returns a build function for a request about this program.
 func (a *agent) plainRequest(request control.Request) func(*node) (control.Request, bool) {
 	request.Scope = a.plan.Branch
 	request.Program = a.id
 	return func(*node) (control.Request, bool) { return request, true }
 }
 
-// finish ends the caller's part.
+// finish marks the caller as done and runs its continuation.
 func (a *agent) finish() {
 	a.done = true
 	a.after()
--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -11,23 +11,24 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// attempt is one attempt at a call, as the node that sent it follows it.
+// attempt is one attempt at a call, as tracked by the node that sent it.
 type attempt struct {
 	node   *node
 	action control.SendAttempt
 	engine *emulatedEngine
 	begun  *run
-	// ended is set once the core has been told the outcome.
+	// ended is set once the outcome has been reported to the core or the node
+	// has crashed.
 	ended bool
 }
 
-// stream is the name of the answer at an engine.
+// stream returns the name of the attempt's answer stream at an engine.
 func (a *attempt) stream() string {
 	of := a.action.Attempt
 	return fmt.Sprintf("%s/%d/%d", of.Program, of.Sequence, of.Attempt)
 }
 
-// startAttempt sends an attempt to its back end.
+// startAttempt sends an attempt to its back end, and ends it at its deadline.
 func (n *node) startAttempt(action control.SendAttempt) {
 	sent := &attempt{node: n, action: action}
 	n.attempts[action.Attempt] = sent
@@ -84,15 +85,16 @@
 	})
 }
 
-// reach carries a request to a back end's zone. A request whose sender has
-// given it up by then still arrives; one behind a cut was never sent.
+// sendToZone sends a request to a back end's zone. The request arrives even if
+// the sender has abandoned it by then; on a blocked link it counts as not sent.
 func (n *node) reach(to zone.Name, sent *attempt, arrive func()) {
 	n.cluster.travel(n.self.Zone, to, arrive, func() {
 		n.cluster.after(dialTimeout, func() { sent.notSent("no connection to the back end") })
 	})
 }
 
-// follow waits for the end of a run, unless the attempt is over.
+// follow subscribes to the end of an execution. If the attempt has already
+// ended, an engine's execution is cancelled instead.
 func (a *attempt) follow(begun *run, from zone.Name) {
 	a.begun = begun
 	arrived := func(ok bool) {
@@ -111,7 +113,8 @@
 	begun.listeners = append(begun.listeners, arrived)
 }
 
-// finish tells the core how the back end ended the attempt.
+// finish reports the back end's result to the core; ok is false if the
+// execution was interrupted.
 func (a *attempt) finish(ok bool) {
 	if !ok {
 		a.abort(api.CodeBackendFailed)
@@ -128,8 +131,8 @@
 	a.tell(ended)
 }
 
-// abort ends an attempt that may have run: a model call failed, a tool call's
-// outcome is unknown.
+// abort ends an attempt that may have run: a model call counts as failed, a
+// tool call's outcome as unknown.
 func (a *attempt) abort(code api.Code) {
 	if a.ended {
 		return
@@ -145,14 +148,14 @@
 	a.disconnect()
 }
 
-// notSent ends an attempt that certainly reached nobody.
+// notSent ends an attempt that certainly did not reach its back end.
 func (a *attempt) notSent(reason string) {
 	a.tell(control.AttemptEnded{Outcome: program.Outcome{
 		Status: api.StatusNotRun, Error: api.Refuse(api.CodeBackendFailed, "%s", reason).After(0),
 	}})
 }
 
-// tell posts the outcome to the core, once.
+// report posts the outcome to the core, once.
 func (a *attempt) tell(ended control.AttemptEnded) {
 	if a.ended {
 		return
@@ -166,8 +169,8 @@
 	}
 }
 
-// disconnect closes the attempt's connection; an engine then stops the answer
-// if nobody else follows it.
+// disconnect closes the attempt's connection; an engine then cancels the answer,
+// unless it has a new listener by then.
 func (a *attempt) disconnect() {
 	a.ended = true
 	if a.begun == nil || a.engine == nil || a.begun.finished {
@@ -177,14 +180,14 @@
 	a.node.cluster.after(a.node.cluster.jitter(a.node.cluster.config.LinkDelay), func() { a.engine.cancel(a) })
 }
 
-// stopAttempt cancels an attempt; its outcome still follows.
+// stopAttempt cancels an attempt; its outcome is still reported.
 func (n *node) stopAttempt(of program.AttemptRef) {
 	if sent, found := n.attempts[of]; found {
 		sent.abort(api.CodeCancelled)
 	}
 }
 
-// started and finished are the attempt as its back end sees it.
+// started returns the history's record of the attempt's start at a back end.
 func (a *attempt) started(backend machine.Machine, promptHash uint64) *history.Started {
 	of := a.action.Attempt
 	return &history.Started{
@@ -194,6 +197,7 @@
 	}
 }
 
+// finished returns the history's record of the attempt's end at its back end.
 func (a *attempt) finished(outcome history.Outcome, ended *run) *history.Finished {
 	of := a.action.Attempt
 	return &history.Finished{
@@ -202,7 +206,7 @@
 	}
 }
 
-// lookUp asks a tool service about a key.
+// lookUp queries a tool service for the output stored under a call's key.
 func (n *node) lookUp(action control.LookUpKey) {
 	c := n.cluster
 	answer := n.whileRunning(func(err error) {
@@ -220,8 +224,8 @@
 	c.after(c.jitter(2*c.config.LinkDelay), func() { answer(nil) })
 }
 
-// askBackend performs a request to a back end that has no effect, or one that
-// may be repeated.
+// sendIdempotent sends a back end a request that is read-only or idempotent, and
+// calls done at the node once it was answered or failed.
 func (n *node) askBackend(id machine.ID, at zone.Name, down bool, ask func(err error)) {
 	c := n.cluster
 	answer := n.whileRunning(ask)
@@ -232,7 +236,7 @@
 	c.after(c.jitter(2*c.config.LinkDelay), func() { answer(nil) })
 }
 
-// queryBackend asks for a back end's load.
+// queryBackend requests an engine's load.
 func (n *node) queryBackend(action control.QueryBackend) {
 	target := n.cluster.engine(action.Backend.ID)
 	if target == nil {
@@ -249,7 +253,7 @@
 	})
 }
 
-// listPrefixes asks an engine for its cached prefixes.
+// listPrefixes requests the list of an engine's cached prefixes.
 func (n *node) listPrefixes(action control.ListPrefixes) {
 	target := n.cluster.engine(action.Backend.ID)
 	if target == nil {
@@ -264,10 +268,11 @@
 	})
 }
 
-// lostReleases is the share of releases that never reach their engine.
+// lostReleaseShare is the share of release requests that do not reach their
+// engine.
 const lostReleases = 0.1
 
-// releasePrefix frees a program's memory at an engine.
+// releasePrefix asks an engine to drop a program's cached prefix.
 func (n *node) releasePrefix(action control.ReleasePrefix) {
 	target := n.cluster.engine(action.Backend.ID)
 	if target == nil {
--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -11,17 +11,17 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// The models and tools of every emulated cluster.
+// The model and the tool that every emulated cluster serves.
 const (
 	modelName = "birch-8b"
 	toolName  = "issue_plan_receipt"
 )
 
-// bytesPerToken is how nodes count tokens by default.
+// bytesPerToken is the nodes' default ratio for estimating token counts.
 const bytesPerToken = 4
 
-// The shapes of the emulated back ends. Their speed matters little here; the
-// bench has a model of engines for that.
+// Capacities and mean run times of the emulated back ends. These tests don't
+// depend on realistic speeds; the bench has a detailed engine model.
 const (
 	engineSlots       = 8
 	engineCacheTokens = 100_000
@@ -29,13 +29,14 @@
 	meanToolRun       = 150 * time.Millisecond
 )
 
-// run is one attempt that a back end has begun.
+// execution is an attempt that a back end has started.
 type run struct {
 	output   string
 	usage    api.Usage
 	resident int
 	finished bool
-	// listeners are told how the run ended; ok is false when it was cut.
+	// listeners are called when the execution ends; ok is false if it was
+	// interrupted.
 	listeners []func(ok bool)
 }
 
@@ -59,18 +60,18 @@
 	prefixes map[api.ProgramID]int
 }
 
-// emulatedTool is a tool service.
+// emulatedTool is an emulated tool service.
 type emulatedTool struct {
 	cluster *Cluster
 	machine machine.Machine
 	down    bool
-	// hanging: requests take effect and are never answered.
+	// hanging means that requests take effect and are never answered.
 	hanging bool
 	outputs map[string]string
 }
 
-// addBackends adds the engines and tool services, which renew their entries in
-// the machine list.
+// addBackends adds the engines and tool services and starts the renewal of
+// their entries in the machine list.
 func (c *Cluster) addBackends() {
 	for i, name := range c.config.Zones {
 		for k := range c.config.EnginesPerZone {
@@ -97,7 +98,8 @@
 	}
 }
 
-// renew keeps a back end in the machine list while it runs.
+// renew renews a back end's entry in the machine list every renewPeriod while
+// the back end is up.
 func (c *Cluster) renew(entry *machine.Machine, down *bool) {
 	if !*down {
 		c.machines.Announce(c.now, *entry)
@@ -125,10 +127,10 @@
 	return nil
 }
 
-// tokensOf counts the tokens of a text as the nodes do.
+// tokensOf estimates the tokens of a text as the nodes do.
 func tokensOf(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
-// generate begins an answer, or joins the one of the same stream.
+// generate starts an answer, or returns the existing one of the same stream.
 func (e *emulatedEngine) generate(sent *attempt, prompt string) *run {
 	stream := sent.stream()
 	if known, found := e.streams[stream]; found {
@@ -159,8 +161,7 @@
 	return begun
 }
 
-// cancel stops a stream that nobody follows any more. What it computed stays
-// cached.
+// cancel stops an unfinished stream without listeners. The prompt stays cached.
 func (e *emulatedEngine) cancel(sent *attempt) {
 	begun, found := e.streams[sent.stream()]
 	if !found || begun.finished || len(begun.listeners) > 0 {
@@ -173,7 +174,7 @@
 	delete(e.streams, sent.stream())
 }
 
-// crash loses all streams and prefixes.
+// crash stops the engine: all streams and cached prefixes are lost.
 func (e *emulatedEngine) crash() {
 	e.down = true
 	streams := e.streams
@@ -187,12 +188,12 @@
 	}
 }
 
-// load is the engine's report.
+// load returns the engine's load report.
 func (e *emulatedEngine) load() schedule.Load {
 	return schedule.Load{Backend: e.machine.ID, At: e.cluster.now, Running: e.running}
 }
 
-// list returns the cached prefixes, and records them.
+// list returns the cached prefixes and records them in the history.
 func (e *emulatedEngine) list() []engine.Prefix {
 	var listed []engine.Prefix
 	held := &history.Held{Backend: e.machine.ID}
@@ -204,13 +205,15 @@
 	return listed
 }
 
-// answerText is the engine's answer: its hash names the prompt.
+// answerText returns the engine's answer, the hash of the prompt, truncated to
+// the maximum number of tokens.
 func answerText(prompt string, maximumTokens int) string {
 	text := fmt.Sprintf("<%016x>", history.HashText(prompt))
 	return text[:min(len(text), max(1, maximumTokens)*bytesPerToken)]
 }
 
-// execute runs a tool request: it takes effect at once, as often as it comes.
+// execute runs a tool request. It takes effect at once, and again each time the
+// same key is sent.
 func (t *emulatedTool) execute(sent *attempt) *run {
 	c := t.cluster
 	key := sent.action.Key
--- a/emulator/cluster/cluster.go
+++ b/emulator/cluster/cluster.go
@@ -36,14 +36,14 @@
 	events   []history.Event
 }
 
-// zonePair is a direction between two zones.
+// zonePair is the link between two zones in one direction.
 type zonePair struct{ from, to zone.Name }
 
-// epoch is when every run begins.
+// epoch is the virtual time at which every run starts.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// New returns a cluster whose nodes have just started, with the settings in
-// the stream.
+// New returns a cluster whose nodes have just started and whose settings stream
+// holds the initial settings.
 func New(config Config) (*Cluster, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	return c, nil
 }
 
-// addNode starts a node in a zone.
+// addNode adds a node to a zone and starts it.
 func (c *Cluster) addNode(name zone.Name) error {
 	index := len(c.nodes) + 1
 	added := &node{
@@ -92,13 +92,14 @@
 // Now returns the virtual time.
 func (c *Cluster) Now() time.Time { return c.now }
 
-// Steps counts the steps of all nodes so far: what their control costs.
+// Steps returns the number of core steps of all nodes so far, a measure of the
+// cost of the control logic.
 func (c *Cluster) Steps() uint64 { return c.steps }
 
-// Events returns the history so far.
+// Events returns the events recorded so far.
 func (c *Cluster) Events() []history.Event { return c.events }
 
-// record adds an event to the history, at the present time.
+// record adds an event to the history with the current virtual time.
 func (c *Cluster) record(event history.Event) {
 	event.At = c.now
 	c.events = append(c.events, event)
@@ -114,18 +115,19 @@
 	return nil
 }
 
-// jitter draws a delay around the mean, at least a tenth of it.
+// jitter draws a delay: a tenth of the mean plus an exponentially distributed
+// time with the given mean.
 func (c *Cluster) jitter(mean time.Duration) time.Duration {
 	return mean/10 + time.Duration(c.random.ExpFloat64()*float64(mean))
 }
 
-// chance reports true with the given probability.
+// chance returns true with the given probability.
 func (c *Cluster) chance(probability float64) bool {
 	return c.random.Float64() < probability
 }
 
-// travel lets something go from one zone to another: deliver runs on arrival,
-// lost at once if the way is cut.
+// transmit sends a message from one zone to another: deliver runs on arrival,
+// or lost runs at once if the link is blocked.
 func (c *Cluster) travel(from, to zone.Name, deliver, lost func()) {
 	if c.cuts[zonePair{from, to}] {
 		lost()
--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -15,7 +15,7 @@
 
 const atRest = 10 * time.Second
 
-// open starts a cluster and lets it find its owners.
+// startCluster returns a cluster whose partitions have owners.
 func open(seed uint64) *cluster.Cluster {
 	opened, err := cluster.New(cluster.DefaultConfig(seed))
 	Expect(err).NotTo(HaveOccurred())
@@ -23,8 +23,8 @@
 	return opened
 }
 
-// settled heals and settles the cluster and expects that no promise was
-// broken. It returns the history.
+// settleAndCheck settles the cluster, expects that no guarantee was violated, and
+// returns the history.
 func settled(of *cluster.Cluster) []history.Event {
 	Expect(of.Settle()).To(Succeed())
 	report := history.CheckEvents(of.Events())
@@ -32,12 +32,12 @@
 	return of.Events()
 }
 
-// models is a plan of model calls, one after another.
+// modelCalls returns a plan of sequential model calls.
 func models(count int) cluster.ProgramPlan {
 	return cluster.ProgramPlan{Branch: cluster.BranchCold, Calls: make([]cluster.CallPlan, count), Pause: time.Second}
 }
 
-// starts returns the attempts that back ends began.
+// startedAttempts returns the attempts that back ends started.
 func starts(events []history.Event) []*history.Started {
 	var all []*history.Started
 	for _, event := range events {
@@ -48,7 +48,7 @@
 	return all
 }
 
-// rough is a run in which much goes wrong.
+// runWithFaults returns the history of a run with several kinds of faults.
 func rough(seed uint64) []history.Event {
 	running := open(seed)
 	running.StartProgram(models(4))
@@ -176,8 +176,9 @@
 	})
 
 	It("recovers a partition whose zones were narrowed while its owner was dead", func() {
-		// One of the nodes owns the program; the others then hold its mirrors
-		// and stand outside of the new zones.
+		// The loop crashes each node in turn, because one of them owns the
+		// program. The other nodes hold its mirrors and are outside of the new
+		// zones.
 		for owner, name := range cluster.DefaultConfig(0).Zones {
 			running := open(5)
 			running.StartProgram(models(3))
--- a/emulator/cluster/config.go
+++ b/emulator/cluster/config.go
@@ -10,23 +10,23 @@
 // Config describes a cluster.
 type Config struct {
 	Seed uint64
-	// Zones are the zones, all of one region.
+	// Zones are the cluster's zones, all in the same region.
 	Zones []zone.Name
-	// NodesPerZone, EnginesPerZone and Tools are how many machines there are.
+	// NodesPerZone, EnginesPerZone and Tools are the numbers of machines.
 	NodesPerZone   int
 	EnginesPerZone int
 	Tools          int
-	// LinkDelay is the mean delay between two machines, ClientDelay between a
-	// caller and a node, StoreDelay of half a request to the platform.
+	// LinkDelay is the mean one-way delay between two machines, ClientDelay
+	// between a caller and a node, StoreDelay between a node and the platform.
 	LinkDelay   time.Duration
 	ClientDelay time.Duration
 	StoreDelay  time.Duration
-	// DropShare is the share of control messages that are lost at any time.
+	// DropShare is the share of control messages that are lost, from 0 to below 1.
 	DropShare float64
 }
 
-// DefaultConfig is a small cluster in which everything that can go wrong
-// between nodes can.
+// DefaultConfig returns the configuration of a small cluster, large enough for
+// every kind of fault between nodes.
 func DefaultConfig(seed uint64) Config {
 	return Config{
 		Seed:           seed,
@@ -41,7 +41,7 @@
 	}
 }
 
-// validate reports everything that is wrong.
+// validate reports all invalid fields.
 func (c Config) validate() error {
 	found := findings.Of("cluster config")
 	found.Require(len(c.Zones) > 0, "Zones", "missing")
@@ -58,26 +58,28 @@
 	return found.Err()
 }
 
-// The emulated platform's times.
+// Delays and timeouts of the emulated platform, nodes and callers.
 const (
-	// listLag is how old the machine list is, listExpiry how long an entry
-	// stays without renewal, renewPeriod how often back ends renew theirs.
+	// listLag is the delay until a change shows in the machine list,
+	// listExpiry the time after which an entry expires without renewal,
+	// renewPeriod the interval at which back ends renew theirs.
 	listLag     = time.Second
 	listExpiry  = 6 * time.Second
 	renewPeriod = 2 * time.Second
-	// storeTimeout is how long a node waits for the platform's answer.
+	// storeTimeout is a node's timeout for requests to the platform.
 	storeTimeout = 2 * time.Second
-	// dialTimeout is how long a node tries to reach a machine behind a cut.
+	// dialTimeout is a node's timeout for connecting to an unreachable machine.
 	dialTimeout = time.Second
-	// peerSilence is how long a node waits on a peer that owes an answer.
+	// peerTimeout is how long a node waits for a peer's answer that was lost.
 	peerSilence = 8 * time.Second
-	// streamSilence is when a node gives up a back end's stream that stalls.
+	// streamTimeout is how long a node waits for a stalled stream of a back end.
 	streamSilence = 5 * time.Second
-	// callerPatience is when a caller drops a request and asks again.
+	// callerTimeout is when a caller abandons a request and sends it again.
 	callerPatience = 45 * time.Second
-	// acceptLossAfter is when a new owner goes on although too few mirrors of
-	// the last one answer; the stream then says so, and so does DeclaredLoss.
+	// acceptLossAfter is how long a new owner waits for enough mirrors of the
+	// previous one. It then continues without them and records the possible
+	// loss in the partition's stream, which DeclaredLoss reads.
 	acceptLossAfter = 30 * time.Second
-	// longestSleep bounds the time between two steps of a node.
+	// longestSleep is the maximum time between two steps of a running node.
 	longestSleep = time.Second
 )
--- a/emulator/cluster/fault.go
+++ b/emulator/cluster/fault.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// fault records the begin or the end of a disturbance.
+// fault records the start or the end of a fault.
 func (c *Cluster) fault(kind history.FaultKind, id machine.ID, begin bool) {
 	c.record(history.Event{Fault: &history.Fault{Kind: kind, Machine: id, Begin: begin}})
 }
@@ -27,7 +27,7 @@
 	n.crash()
 }
 
-// Restart starts a node's process again, if it is dead.
+// Restart starts a node's process again if it isn't running.
 func (c *Cluster) Restart(index int) error {
 	n := c.nodes[index%len(c.nodes)]
 	if n.running {
@@ -37,7 +37,7 @@
 	return n.start()
 }
 
-// Pause stops a node's process without killing it.
+// Pause suspends a node's process without killing it.
 func (c *Cluster) Pause(index int) {
 	n := c.nodes[index%len(c.nodes)]
 	if !n.running || n.paused {
@@ -47,7 +47,8 @@
 	n.paused = true
 }
 
-// Wake lets a paused process go on, with all that reached it meanwhile.
+// Resume continues a paused process, which first handles everything that
+// arrived during the pause.
 func (c *Cluster) Wake(index int) {
 	n := c.nodes[index%len(c.nodes)]
 	if !n.running || !n.paused {
@@ -63,7 +64,7 @@
 	n.enqueue(func() { n.step(control.Tick{}) })
 }
 
-// Stop begins a node's planned stop.
+// Stop starts a planned stop of a node.
 func (c *Cluster) Stop(index int) {
 	n := c.nodes[index%len(c.nodes)]
 	if !n.running || n.paused || n.leaving {
@@ -74,7 +75,7 @@
 	n.post(control.StopRequested{})
 }
 
-// Cut cuts the way from one zone to another; the other direction stays.
+// BlockLink blocks the link from one zone to another in this direction only.
 func (c *Cluster) Cut(from, to int) {
 	way := zonePair{c.zone(from), c.zone(to)}
 	if way.from == way.to || c.cuts[way] {
@@ -84,7 +85,7 @@
 	c.faultZones(way, true)
 }
 
-// Mend opens every way that is cut.
+// UnblockLinks unblocks every blocked link.
 func (c *Cluster) Mend() {
 	for _, from := range c.config.Zones {
 		for _, to := range c.config.Zones {
@@ -96,10 +97,11 @@
 	}
 }
 
-// zone returns a zone by a number.
+// zone returns the zone with the index, modulo the number of zones.
 func (c *Cluster) zone(index int) zone.Name { return c.config.Zones[index%len(c.config.Zones)] }
 
-// faultZones records a cut for every machine in both zones.
+// faultZones records the start or end of a blocked link as a fault of every
+// node and engine in both zones.
 func (c *Cluster) faultZones(way zonePair, begin bool) {
 	for _, n := range c.nodes {
 		if n.self.Zone == way.from || n.self.Zone == way.to {
@@ -113,18 +115,21 @@
 	}
 }
 
-// StoreDown makes the platform's service unreachable.
+// StoreDown makes the platform unavailable.
 func (c *Cluster) StoreDown() { c.setStore(func(s *storeFaults) { s.down = true }) }
 
-// StoreSlow makes it take seconds for every request.
+// StoreSlow makes the platform take seconds for every request.
 func (c *Cluster) StoreSlow() { c.setStore(func(s *storeFaults) { s.slow = true }) }
 
-// StoreLosesAnswers makes half of its answers get lost after the effect.
+// StoreLosesAnswers makes the platform lose half of its answers, after the
+// requests took effect.
 func (c *Cluster) StoreLosesAnswers() { c.setStore(func(s *storeFaults) { s.loseAnswers = true }) }
 
-// StoreUp heals the platform's service.
+// StoreUp ends all faults of the platform.
 func (c *Cluster) StoreUp() { c.setStore(func(s *storeFaults) { *s = storeFaults{} }) }
 
+// setStore changes the platform's faults, and records when the first one starts
+// and when the last one ends.
 func (c *Cluster) setStore(change func(*storeFaults)) {
 	before := c.store
 	change(&c.store)
@@ -136,7 +141,7 @@
 	}
 }
 
-// Flap makes the machine list leave out entries at random, or stops that.
+// Flap sets whether the machine list omits entries at random.
 func (c *Cluster) Flap(on bool) {
 	if on != c.flapping {
 		c.flapping = on
@@ -144,7 +149,7 @@
 	}
 }
 
-// CrashEngine kills an engine: its streams and prefixes are gone.
+// CrashEngine kills an engine, which loses its streams and cached prefixes.
 func (c *Cluster) CrashEngine(index int) {
 	e := c.engines[index%len(c.engines)]
 	if !e.down {
@@ -153,7 +158,7 @@
 	}
 }
 
-// RestartEngine starts a dead engine again, empty.
+// RestartEngine starts a crashed engine again, with an empty cache.
 func (c *Cluster) RestartEngine(index int) {
 	e := c.engines[index%len(c.engines)]
 	if e.down {
@@ -174,12 +179,12 @@
 	c.record(history.Event{Leaving: &history.Leaving{Backend: e.machine.ID}})
 }
 
-// HangTool makes a tool service take requests and never answer, or stops that.
+// HangTool sets whether a tool service executes requests without ever answering.
 func (c *Cluster) HangTool(index int, on bool) {
 	c.tools[index%len(c.tools)].hanging = on
 }
 
-// Heal ends every fault and starts every dead node.
+// Heal ends every fault and restarts every node and engine that is down.
 func (c *Cluster) Heal() error {
 	c.Mend()
 	c.StoreUp()
@@ -199,7 +204,9 @@
 	return nil
 }
 
-// The time that a healed cluster gets to answer everything, and then to sweep.
+// Limits of Settle: planned stops get stoppingSteps steps to complete, the
+// healed cluster settleSteps steps to answer all callers, and the sweeps of the
+// engines' caches get sweepingTime.
 const (
 	settleStep    = 5 * time.Second
 	settleSteps   = 240
@@ -207,8 +214,9 @@
 	stoppingSteps = 30
 )
 
-// Settle heals everything, waits until every caller has its answers and every
-// sweep has passed, and closes the history.
+// Settle waits for planned stops, ends all faults, waits until every caller has
+// its answers and the sweeps have run, lists the engines' prefixes, and closes
+// the history.
 func (c *Cluster) Settle() error {
 	for range stoppingSteps {
 		if !c.stopping() {
@@ -233,7 +241,7 @@
 	return nil
 }
 
-// stopping reports whether a planned stop is under way.
+// stopping reports whether a planned stop is in progress.
 func (c *Cluster) stopping() bool {
 	for _, n := range c.nodes {
 		if n.running && n.leaving {
--- a/emulator/cluster/fuzz.go
+++ b/emulator/cluster/fuzz.go
@@ -8,12 +8,12 @@
 	"birchwood.example/birchwood/history"
 )
 
-// warmUp is the time in which a new cluster finds its machines and owners.
+// warmUp is the time for a new cluster to discover its machines and claim partitions.
 const warmUp = 8 * time.Second
 
-// Property is the stateful test: whatever happens to a cluster, and however
-// often, the history that it leaves keeps every promise once the cluster is
-// healed. It draws everything from t, so that rapid can shrink a failure.
+// Property is the stateful test: after any sequence of actions and faults, once
+// the cluster has settled, its history violates no guarantee. All random choices
+// of the scenario are drawn from t, so that rapid can shrink a failure.
 func Property(t *rapid.T) {
 	seed := rapid.Uint64Range(0, 1<<32).Draw(t, "seed")
 	c, err := New(DefaultConfig(seed))
@@ -31,7 +31,7 @@
 	}
 }
 
-// actions are what may happen to a cluster, by name.
+// actions returns the actions of the stateful test by name.
 func actions(c *Cluster) map[string]func(*rapid.T) {
 	all := map[string]func(*rapid.T){
 		"start program": func(t *rapid.T) { c.StartProgram(drawProgram(t, true)) },
@@ -46,7 +46,7 @@
 	return all
 }
 
-// addNodeFaults adds what happens to nodes and the links between them.
+// addNodeFaults adds the faults of nodes and of the links between zones.
 func addNodeFaults(all map[string]func(*rapid.T), c *Cluster) {
 	index := func(t *rapid.T) int { return rapid.IntRange(0, len(c.nodes)-1).Draw(t, "node") }
 	all["crash"] = func(t *rapid.T) { c.Crash(index(t)) }
@@ -69,7 +69,7 @@
 	all["mend"] = func(*rapid.T) { c.Mend() }
 }
 
-// addPlatformFaults adds what happens to the platform.
+// addPlatformFaults adds the faults of the platform.
 func addPlatformFaults(all map[string]func(*rapid.T), c *Cluster) {
 	all["store down"] = func(*rapid.T) { c.StoreDown() }
 	all["store slow"] = func(*rapid.T) { c.StoreSlow() }
@@ -78,7 +78,7 @@
 	all["flap"] = func(t *rapid.T) { c.Flap(rapid.Bool().Draw(t, "on")) }
 }
 
-// addBackendFaults adds what happens to engines and tool services.
+// addBackendFaults adds the faults of engines and tool services.
 func addBackendFaults(all map[string]func(*rapid.T), c *Cluster) {
 	engine := func(t *rapid.T) int { return rapid.IntRange(0, len(c.engines)-1).Draw(t, "engine") }
 	all["crash engine"] = func(t *rapid.T) { c.CrashEngine(engine(t)) }
@@ -89,14 +89,15 @@
 	all["engine leaves"] = func(*rapid.T) { c.LeaveEngine(0) }
 }
 
-// drawTime draws how long nothing else happens: mostly short.
+// drawTime draws the time until the next action; short times are more likely.
 func drawTime(t *rapid.T) time.Duration {
 	spans := []time.Duration{50 * time.Millisecond, 300 * time.Millisecond, time.Second, 5 * time.Second, 20 * time.Second, 60 * time.Second}
 	span := rapid.SampledFrom(spans).Draw(t, "span")
 	return time.Duration(rapid.IntRange(1, 1000).Draw(t, "part")) * span / 1000
 }
 
-// drawProgram draws a program; one that may have a sub-agent draws its plan too.
+// drawProgram draws a program and, if mayHaveAgent is set, possibly the plan of
+// a sub-agent.
 func drawProgram(t *rapid.T, mayHaveAgent bool) ProgramPlan {
 	plan := ProgramPlan{
 		Branch:    rapid.SampledFrom(Branches()).Draw(t, "branch"),
@@ -121,7 +122,7 @@
 	return plan
 }
 
-// drawRace lets one or two operators change a branch's zones at once.
+// drawRace starts one or two concurrent changes of branches' zones.
 func drawRace(t *rapid.T, c *Cluster) {
 	for range rapid.IntRange(1, 2).Draw(t, "operators") {
 		zones := c.config.Zones[:rapid.IntRange(1, len(c.config.Zones)).Draw(t, "zones")]
--- a/emulator/cluster/gateway.go
+++ b/emulator/cluster/gateway.go
@@ -6,26 +6,27 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// connection is one caller's request at a node.
+// connection is a caller's request at the node that received it.
 type connection struct {
 	node   *node
 	starts uint64
 	id     uint64
-	// owner is the node that the request was relayed to, and handle what it
-	// waits for there or here. relayed names the request among the owner's
-	// connections.
+	// owner is the node that the request was relayed to, if any. handle is the
+	// request's handle at the core that serves it. relayed is its key in the
+	// owner's connections.
 	owner   *node
 	handle  uint64
 	relayed uint64
-	// reply and lost end the request; over is set by whichever came first.
+	// reply and lost end the request at the caller; over is set by the first
+	// event that ends it: reply, loss or disconnect.
 	reply func(control.Reply)
 	lost  func()
 	over  bool
 }
 
-// request sends a caller's request to a node. Exactly one of reply and lost
-// runs, unless the returned function, with which the caller hangs up, is called
-// first. refused says that no connection was had.
+// request sends a caller's request to a node. At most one of reply and lost
+// runs, and none after the caller has called the returned disconnect function.
+// refused means that the connection could not be opened.
 func (c *Cluster) request(at *node, request control.Request, reply func(control.Reply), lost func(refused bool)) (hangUp func()) {
 	opened := &connection{node: at, reply: reply, lost: func() { lost(false) }}
 	c.requests++
@@ -45,7 +46,8 @@
 	return opened.hangUp
 }
 
-// serve finds the owner of the request's program.
+// serve passes the request to the owner of its program: this node's core or
+// another node.
 func (o *connection) serve(request control.Request) {
 	n := o.node
 	id, err := partition.OfProgram(request.Program)
@@ -64,10 +66,11 @@
 	}
 }
 
-// ownerRetry is when to ask again while no owner is known, in milliseconds.
+// ownerRetry is the retry delay for callers while no owner is known or
+// reachable, in milliseconds.
 const ownerRetry = 500
 
-// open hands a request to the core and returns its handle.
+// open passes a request to the core and returns its handle.
 func (n *node) open(request control.Request, reply func(control.Reply)) uint64 {
 	n.handles++
 	handle := n.handles
@@ -76,7 +79,7 @@
 	return handle
 }
 
-// relay passes the request on to the owner, and waits for its reply.
+// relay forwards the request to the owner and waits for its reply.
 func (o *connection) relay(request control.Request, owner *node) {
 	c := o.node.cluster
 	notSent := func() {
@@ -113,7 +116,8 @@
 	c.travel(o.node.self.Zone, owner.self.Zone, arrive, func() { c.after(dialTimeout, notSent) })
 }
 
-// finish answers the caller, once the process can.
+// finish sends the caller the reply, after a pause of the process if there is
+// one.
 func (o *connection) finish(reply control.Reply) {
 	n := o.node
 	if o.over || !n.running || n.starts != o.starts {
@@ -130,7 +134,7 @@
 	})
 }
 
-// breakOff tells the caller that its connection is gone.
+// abort reports to the caller that its connection was lost.
 func (o *connection) breakOff() {
 	if !o.over {
 		o.over = true
@@ -138,7 +142,8 @@
 	}
 }
 
-// hangUp is the caller closing its connection: the node stops waiting.
+// disconnect closes the connection on the caller's side; the request is
+// abandoned at the node that serves it.
 func (o *connection) hangUp() {
 	if o.over {
 		return
--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -13,7 +13,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// inSmallSteps advances until the condition holds, which must come soon.
+// advanceUntil advances in small steps until the condition holds, and fails after
+// a minute of virtual time.
 func inSmallSteps(of *cluster.Cluster, condition func(events []history.Event) bool) {
 	const step, steps = 200 * time.Microsecond, 300_000
 	for range steps {
@@ -25,8 +26,8 @@
 	Fail("the run never came to this point")
 }
 
-// orphaned returns the programs that an engine listed after their end, and
-// those that engines still list at the end of the run.
+// orphaned returns the programs whose prefixes an engine listed after the
+// program's end, and those that engines still list at the end of the run.
 func orphaned(events []history.Event) (seen, left map[api.ProgramID]bool) {
 	closed := map[api.ProgramID]bool{}
 	last := map[machine.ID][]api.ProgramID{}
@@ -56,7 +57,7 @@
 	return seen, left
 }
 
-// closings counts the programs that ended.
+// countEnded counts the programs that ended.
 func closings(events []history.Event) int {
 	count := 0
 	for _, event := range events {
@@ -67,8 +68,8 @@
 	return count
 }
 
-// highestInForce returns each node's newest revision and, apart from it, the
-// first one that each process of the node put in force.
+// highestInForce returns each node's highest revision, and the first revision
+// that each process of the node put in force.
 func highestInForce(events []history.Event) (newest map[machine.ID]uint64, first map[machine.ID][]uint64) {
 	newest, first = map[machine.ID]uint64{}, map[machine.ID][]uint64{}
 	incarnations := map[machine.ID]uint64{}
@@ -95,8 +96,8 @@
 			})
 		}
 		running.Advance(3 * time.Second)
-		// The engine in the first zone hears nobody and is heard by nobody
-		// outside of it: releases from other zones are lost.
+		// The first zone is isolated in both directions, so releases from other
+		// zones don't reach its engine.
 		for zone := range 3 {
 			running.Cut(0, zone)
 			running.Cut(zone, 0)
--- a/emulator/cluster/loss.go
+++ b/emulator/cluster/loss.go
@@ -6,9 +6,9 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// DeclaredLoss returns the partitions whose stream says that records may be
-// lost: an owner died while the store did not take its records, and so did the
-// mirrors that had them.
+// DeclaredLoss returns the partitions whose stream declares that records may be
+// lost: an owner crashed while the store did not accept its records, and so did
+// the mirrors that held them.
 func (c *Cluster) DeclaredLoss() map[partition.ID]bool {
 	declared := map[partition.ID]bool{}
 	for _, id := range c.partitions() {
@@ -22,7 +22,7 @@
 	return declared
 }
 
-// The bounds of a whole stream.
+// Limits of a read that returns a whole stream.
 const (
 	maximumEntries = 1 << 20
 	maximumBytes   = 1 << 30
@@ -42,9 +42,9 @@
 	return ids
 }
 
-// excusedEvents leaves out the programs of partitions with a declared loss.
-// While the store took records at all times nothing can have been lost, so
-// that nothing is excused then.
+// excusedEvents returns the history without the programs of partitions with a
+// declared loss. If the store had no fault in the run, nothing can have been
+// lost, and the whole history is returned.
 func (c *Cluster) excusedEvents() []history.Event {
 	declared := c.DeclaredLoss()
 	if len(declared) == 0 || !c.storeFailed() {
@@ -70,8 +70,9 @@
 	return false
 }
 
-// excused reports whether the event concerns a program of such a partition.
-// requests collects the names of the requests that were left out.
+// excused reports whether the event concerns a program of a declared partition.
+// requests maps each request sent so far to whether it was excused, for the
+// events that name only the request.
 func (c *Cluster) excused(event history.Event, declared map[partition.ID]bool, requests map[string]bool) bool {
 	concerns := func(id api.ProgramID) bool {
 		of, err := partition.OfProgram(id)
--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -16,38 +16,39 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// node is one machine of the system, running or not.
+// node is a machine that runs birchwood's node process, running or not.
 type node struct {
 	cluster *Cluster
 	index   int
 	self    machine.Machine
 	core    *control.Core
 	// starts counts the starts of the process; running and paused are its
-	// state. What reaches a paused process waits in its backlog.
+	// state. backlog holds what arrived while the process was paused.
 	starts  uint64
 	running bool
 	paused  bool
 	backlog []func()
 	wake    time.Time
-	// leaving is set by a planned stop, handedOver once it is complete.
+	// leaving is set when a planned stop starts, handedOver when the core has
+	// handed over everything.
 	leaving    bool
 	handedOver bool
 
 	handles  uint64
 	waiting  map[uint64]func(control.Reply)
 	attempts map[program.AttemptRef]*attempt
-	// connections are the callers' requests that this node has not answered;
-	// each value tells the caller that its connection was lost.
+	// connections holds the unanswered requests of callers and of relaying
+	// nodes; each value reports to the sender that its connection was lost.
 	connections map[uint64]func()
 	verdicts    map[string]func(contract.Verdict)
 	inForce     contract.Revision
-	// inputs are those of calls that were sent from here and have not ended;
-	// texts are calls that have.
+	// inputs holds the inputs of calls that were sent from this node and have
+	// not ended; endedCalls holds those that succeeded.
 	inputs map[program.CallRef]string
 	texts  map[program.CallRef]api.Call
 }
 
-// start begins a new process on the machine.
+// start starts a new process on the machine.
 func (n *node) start() error {
 	n.starts++
 	n.self.Incarnation = uint64(n.cluster.now.Sub(epoch)/time.Millisecond) + n.starts
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// whileRunning wraps an answer to this process: it is dropped when the process
-// is gone by then, and waits while the process is paused.
+// whileRunning wraps a callback of the present process: it is dropped once the
+// process has ended, and delayed while the process is paused.
 func (n *node) whileRunning(run func(error)) func(error) {
 	starts := n.starts
 	return func(err error) {
@@ -94,7 +95,8 @@
 	}
 }
 
-// enqueue runs a function in the process, now or when it wakes.
+// enqueue runs a function in the process: at once, or when a paused process
+// resumes.
 func (n *node) enqueue(run func()) {
 	switch {
 	case !n.running:
@@ -105,7 +107,7 @@
 	}
 }
 
-// post hands an event to the core, after what happens now.
+// post passes an event to the core, after the event that is being handled.
 func (n *node) post(event control.Event) {
 	starts := n.starts
 	n.cluster.after(0, func() {
@@ -115,7 +117,7 @@
 	})
 }
 
-// step steps the core and performs its actions.
+// step passes an event to the core and performs the resulting actions.
 func (n *node) step(event control.Event) {
 	n.cluster.steps++
 	n.core.Step(n.cluster.now, event)
@@ -127,7 +129,8 @@
 	n.finishStop()
 }
 
-// scheduleWake queues the next tick.
+// scheduleWake queues the next tick: when the core asks for it, but at least
+// 1 ms and at most longestSleep from now.
 func (n *node) scheduleWake() {
 	now := n.cluster.now
 	wake := now.Add(longestSleep)
@@ -149,7 +152,8 @@
 	})
 }
 
-// noteInForce records the revision that this node places new work by.
+// recordInForce records the settings revision by which this node places new
+// work, when it changes.
 func (n *node) noteInForce() {
 	revision := n.core.Tree().Revision()
 	if revision == n.inForce || !n.core.Freshness(n.cluster.now).MayPlace {
@@ -161,7 +165,7 @@
 	}})
 }
 
-// perform does one action of the core.
+// perform executes one action of the core.
 func (n *node) perform(action control.Action) {
 	switch action := action.(type) {
 	case control.AppendStream:
@@ -191,7 +195,7 @@
 	}
 }
 
-// note takes the actions that answer somebody or tell what happened.
+// performLocal executes the actions that complete a request or report an event.
 func (n *node) note(action control.Action) {
 	switch action := action.(type) {
 	case control.Answer:
@@ -212,7 +216,7 @@
 	}
 }
 
-// sendMessage carries a control message to a peer, if it arrives.
+// sendMessage sends a control message to a peer; DropShare of them are lost.
 func (n *node) sendMessage(action control.SendMessage) {
 	c := n.cluster
 	peer := c.node(action.To.ID)
@@ -225,7 +229,7 @@
 	}, func() {})
 }
 
-// answer gives a reply to whoever waits for the handle.
+// answer passes a reply to the request waiting on the handle.
 func (n *node) answer(handle uint64, reply control.Reply) {
 	waiting, found := n.waiting[handle]
 	if !found {
@@ -235,7 +239,7 @@
 	n.cluster.after(0, func() { waiting(reply) })
 }
 
-// crash ends the process without a word.
+// crash ends the process without a handover; its connections are lost.
 func (n *node) crash() {
 	n.running = false
 	n.paused = false
@@ -250,7 +254,7 @@
 }
 
 // finishStop ends the process once a planned stop has handed everything over
-// and every caller has its answer.
+// and every request has been answered.
 func (n *node) finishStop() {
 	if !n.handedOver || len(n.connections) > 0 || len(n.waiting) > 0 {
 		return
--- a/emulator/cluster/property_test.go
+++ b/emulator/cluster/property_test.go
@@ -7,7 +7,7 @@
 	"birchwood.example/birchwood/emulator/cluster"
 )
 
-// The fixed part of the stateful test. `birchwood fuzz` looks further.
+// The seeds of the stateful test that always run; `birchwood fuzz` runs others.
 const (
 	firstSeed = 1
 	fixedRuns = 60
--- a/emulator/cluster/queue.go
+++ b/emulator/cluster/queue.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// timedEvent is something that happens at a moment of virtual time.
+// timedEvent is a function that runs at a given virtual time.
 type timedEvent struct {
 	at       time.Time
 	sequence uint64
 	run      func()
 }
 
-// eventQueue is a heap by time; events of one moment run in the order in which
-// they were queued.
+// eventQueue is a heap ordered by time; events of equal time run in the order in
+// which they were queued.
 type eventQueue []timedEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -39,13 +39,13 @@
 	return event
 }
 
-// after runs a function once the delay is over.
+// after queues a function to run after the delay.
 func (c *Cluster) after(delay time.Duration, run func()) {
 	c.queued++
 	heap.Push(&c.queue, timedEvent{at: c.now.Add(max(0, delay)), sequence: c.queued, run: run})
 }
 
-// Advance lets virtual time pass.
+// Advance runs all events due within the given length of virtual time.
 func (c *Cluster) Advance(length time.Duration) {
 	until := c.now.Add(length)
 	for len(c.queue) > 0 && !c.queue[0].at.After(until) {
--- a/emulator/cluster/run.go
+++ b/emulator/cluster/run.go
@@ -13,37 +13,40 @@
 	"pgregory.net/rapid"
 )
 
-// FuzzConfig describes a long run of Property.
+// FuzzConfig describes a series of runs of Property.
 type FuzzConfig struct {
-	// Seed is the first run's seed; each further run takes the next number.
+	// Seed is the first run's seed, incremented by one for each further run.
 	Seed uint64
-	// Runs bounds the runs, For their time. At least one must be set.
+	// Runs limits the number of runs, MaxDuration their total time: no run
+	// starts after it. At least one must be set.
 	Runs int
 	For  time.Duration
-	// ShrinkFor bounds the time to make a failure smaller.
+	// MaxShrinkTime limits the time spent on shrinking a failure.
 	ShrinkFor time.Duration
-	// Progress is told after each run; nil tells nobody.
+	// Progress is called after each run with the number of runs; it may be nil.
 	Progress func(runs int)
 }
 
-// FuzzFailure is a run that broke a promise.
+// FuzzFailure is a run that violated a guarantee.
 type FuzzFailure struct {
 	Seed uint64
-	// Text is the shrunk scenario and the findings.
+	// Text holds the shrunk scenario and the findings.
 	Text string
-	// Replay is the command that runs it again.
+	// Replay is the command that repeats the run.
 	Replay string
 }
 
-// prepareFlags makes the flags of rapid and testing usable outside of a test.
+// prepareFlags registers and parses the flags of testing, so that rapid can be
+// used outside of a test.
 var prepareFlags = sync.OnceFunc(func() {
 	testing.Init()
 	_ = flag.CommandLine.Parse(nil)
 })
 
 // Fuzz runs Property until a run fails or the bounds are reached, and returns
-// the number of runs and the failure, if there is one. It must not run beside
-// other users of rapid, whose settings are the process's flags.
+// the number of runs and the failure, if there is one. It must not run
+// concurrently with other users of rapid, because rapid's settings are
+// process-wide flags.
 func Fuzz(config FuzzConfig) (int, *FuzzFailure, error) {
 	prepareFlags()
 	settings := map[string]string{
@@ -77,7 +80,7 @@
 	return runs, nil, nil
 }
 
-// wants reports whether another run is due.
+// runNext reports whether the limits permit another run.
 func (c FuzzConfig) wants(runs int, elapsed time.Duration) bool {
 	if c.Runs > 0 && runs >= c.Runs {
 		return false
@@ -88,8 +91,9 @@
 	return c.Runs > 0 || c.For > 0
 }
 
-// checkOnce runs the property under the flags that are set, and returns what
-// a failure says. rapid ends a failed test by leaving its goroutine.
+// checkOnce runs the property with the current flags and returns the text of a
+// failure, or "". It uses a goroutine of its own, because rapid ends a failed
+// test with runtime.Goexit.
 func checkOnce() string {
 	collected := &collector{}
 	done := make(chan struct{})
@@ -104,7 +108,7 @@
 	return strings.Join(collected.lines, "\n")
 }
 
-// collector is a rapid.TB that keeps what a test says.
+// collector is a rapid.TB that collects the output of a test.
 type collector struct {
 	lines  []string
 	failed bool
--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The branches that programs run on. The depot keeps an exception of its own.
+// The branches that programs run on. BranchDepot has zones of its own, below
+// BranchCold.
 const (
 	BranchCold  contract.Path = "cold"
 	BranchDepot contract.Path = "cold/depot"
@@ -21,17 +22,17 @@
 // Branches lists the branches that programs run on.
 func Branches() []contract.Path { return []contract.Path{BranchCold, BranchDepot, BranchChat} }
 
-// operators are the people who change the settings.
+// operators emulates the operators who change the settings.
 type operators struct {
 	tree    *contract.Tree
 	changes int
-	// recorded are the changes that the history was told of.
+	// recorded holds the IDs of the changes that are in the history.
 	recorded map[string]bool
-	// placements are those that the history was told last.
+	// placements holds the last placement of each branch in the history.
 	placements map[contract.Path]zone.Placement
 }
 
-// notePlacements tells the history the placements that a change has brought.
+// recordPlacements records the placements of branches that have changed.
 func (c *Cluster) notePlacements() {
 	for _, path := range Branches() {
 		resolved, err := c.operators.tree.Resolve(path)
@@ -45,7 +46,7 @@
 	}
 }
 
-// openSettings puts the first settings in the stream.
+// openSettings appends the initial settings to the settings stream.
 func (c *Cluster) openSettings() error {
 	c.operators = operators{
 		tree: contract.NewTree(), recorded: map[string]bool{}, placements: map[contract.Path]zone.Placement{},
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// appendChange adds a change to the settings stream and folds it at once, so
-// that the history knows the verdict and when it took effect.
+// appendChange appends a change to the settings stream and applies it at once,
+// to record in the history the verdict and the time it took effect.
 func (c *Cluster) appendChange(change contract.Change, sentAt time.Time) uint64 {
 	text := encode(change)
 	revision := c.log.Append(contract.StreamName, [][]byte{text}) + 1
@@ -87,8 +88,8 @@
 	return revision
 }
 
-// ChangeZones lets an operator set a branch's zones through a node. The change
-// is based on what that node knows.
+// ChangeZones changes a branch's zones as an operator would, through a node. The
+// change is based on the revision that this node has.
 func (c *Cluster) ChangeZones(path contract.Path, zones []zone.Name, through int) {
 	c.operators.changes++
 	change := contract.Change{
@@ -106,7 +107,7 @@
 }
 
 // changeSettings appends a change, as the node's operator interface does, and
-// notes the verdict that the operator gets.
+// records the verdict that the operator gets.
 func (n *node) changeSettings(change contract.Change) {
 	c := n.cluster
 	sentAt := c.now
@@ -124,7 +125,7 @@
 	})
 }
 
-// noteVerdict records what this node decided, and tells a waiting operator.
+// recordVerdict records this node's verdict and passes it to a waiting operator.
 func (n *node) noteVerdict(verdict contract.Verdict) {
 	n.cluster.record(history.Event{Verdict: &history.Verdict{
 		Node: n.self.ID, ID: verdict.ID, Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
--- a/emulator/cluster/sorted.go
+++ b/emulator/cluster/sorted.go
@@ -8,12 +8,14 @@
 	"birchwood.example/birchwood/program"
 )
 
-// sortedKeys returns a map's keys in order, so that a run replays.
+// sortedKeys returns a map's keys in ascending order; iteration in the map's own
+// order would make runs irreproducible.
 func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
 	return slices.Sorted(maps.Keys(values))
 }
 
-// sortedAttempts returns the attempts in the order of their calls.
+// sortedAttempts returns the attempts ordered by program, sequence number and
+// attempt number.
 func sortedAttempts(attempts map[program.AttemptRef]*attempt) []*attempt {
 	sorted := slices.Collect(maps.Values(attempts))
 	slices.SortFunc(sorted, func(a, b *attempt) int {
--- a/emulator/cluster/stop_test.go
+++ b/emulator/cluster/stop_test.go
@@ -11,7 +11,7 @@
 	"birchwood.example/birchwood/history"
 )
 
-// longestWait is the longest time between a request and its answer.
+// longestWait returns the longest time between a request and its answer.
 func longestWait(events []history.Event) time.Duration {
 	sent := map[string]time.Time{}
 	longest := time.Duration(0)
@@ -30,7 +30,7 @@
 	It("hands programs over while they run, so that no call waits until a death is noticed", func() {
 		for stopped := range 6 {
 			settings := cluster.DefaultConfig(uint64(70 + stopped))
-			settings.DropShare = 0 // A lost offer is made up for by the next owner's patience.
+			settings.DropShare = 0 // A lost offer delays the takeover until the next owner's timeout.
 			running, err := cluster.New(settings)
 			Expect(err).NotTo(HaveOccurred())
 			running.Advance(atRest)
--- a/emulator/cluster/storeservice.go
+++ b/emulator/cluster/storeservice.go
@@ -13,14 +13,14 @@
 	"birchwood.example/birchwood/recordlog"
 )
 
-// storeFaults is what is wrong with the platform's service at present.
+// storeFaults holds the present faults of the platform.
 type storeFaults struct {
-	// down: no request takes effect.
+	// down means that no request takes effect.
 	down bool
-	// slow: requests take seconds, often longer than their senders wait, and
-	// take effect all the same.
+	// slow means that requests take seconds, often longer than storeTimeout,
+	// but take effect nevertheless.
 	slow bool
-	// loseAnswers: half of the answers are lost after the effect.
+	// loseAnswers means that half of the answers are lost after the effect.
 	loseAnswers bool
 }
 
@@ -29,14 +29,15 @@
 	errRefused  = errors.New("the platform refused the connection")
 )
 
-// slowDelay is the mean delay of half a request to a slow store.
+// slowDelay is the mean one-way delay to a slow store.
 const slowDelay = 1500 * time.Millisecond
 
-// readBytes bounds one read of the log.
+// readBytes is the maximum size of one read of the log, in bytes.
 const readBytes = 1 << 20
 
 // storeRequest performs a node's request to the platform: effect runs at the
-// platform, if the request reaches it, and done once at the node, in time.
+// platform if the request arrives, and done once at the node, with errNoAnswer
+// after storeTimeout.
 func (c *Cluster) storeRequest(n *node, effect func(), done func(err error)) {
 	answered := false
 	answer := n.whileRunning(func(err error) {
@@ -123,10 +124,10 @@
 	})
 }
 
-// flapShare is the share of entries that a flapping list leaves out.
+// flapShare is the share of entries that a flapping list omits.
 const flapShare = 0.3
 
-// listMachines renews this node's entry and reads the list.
+// listMachines renews this node's entry and reads the machine list.
 func (n *node) listMachines(action control.ListMachines) {
 	var listed []machine.Machine
 	c := n.cluster
@@ -143,14 +144,14 @@
 	})
 }
 
-// recordUse notes that this node touched a partition's stream.
+// recordUse records that this node accessed a partition's stream.
 func (n *node) recordUse(id partition.ID) {
 	n.cluster.record(history.Event{Stream: &history.StreamUse{
 		Machine: n.self.ID, Zone: n.self.Zone, Stream: id.String(), Branch: id.Group.Branch(),
 	}})
 }
 
-// encode returns an entry as it stands in the log.
+// encode returns the JSON form of an entry, as stored in the log.
 func encode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -159,7 +160,7 @@
 	return text
 }
 
-// decodeEntry reads an entry; bytes that are none become one of no kind.
+// decodeEntry decodes an entry; invalid bytes give an empty entry.
 func decodeEntry(text []byte) recordlog.Entry {
 	var entry recordlog.Entry
 	if json.Unmarshal(text, &entry) != nil {
--- a/emulator/cluster/transcript.go
+++ b/emulator/cluster/transcript.go
@@ -11,11 +11,11 @@
 	"birchwood.example/birchwood/program"
 )
 
-// rereadAfter is how long a node waits before it reads a history again.
+// historyRetryDelay is the delay before a failed read of a history is retried.
 const rereadAfter = 500 * time.Millisecond
 
-// readPrompt reads the calls that precede an attempt. It tries until it can,
-// or until the attempt is over.
+// readPrompt reads the calls that precede an attempt. It retries until it
+// succeeds or the attempt has ended.
 func (n *node) readPrompt(sent *attempt, done func(calls []api.Call)) {
 	action := sent.action
 	if known, found := n.knownTexts(action.Attempt.Program, action.Prompt); found {
@@ -33,8 +33,8 @@
 	})
 }
 
-// noteText keeps a call that was sent and ended on this node, as the daemon
-// does for the programs that ran lately: a prompt then needs no read of the
+// cacheCall caches a call that was sent from this node and has succeeded, as the
+// daemon does for recently active programs: a prompt then needs no read of the
 // log.
 func (n *node) noteText(call api.Call) {
 	ref := program.CallRef{Program: call.Program, Sequence: call.Sequence}
@@ -46,7 +46,8 @@
 	}
 }
 
-// knownTexts returns the located calls if this node has all of them.
+// cachedCalls returns the calls at the locations if all of them are cached on
+// this node.
 func (n *node) knownTexts(owner api.ProgramID, locations []program.CallLocation) ([]api.Call, bool) {
 	calls := make([]api.Call, len(locations))
 	for i, location := range locations {
@@ -59,7 +60,7 @@
 	return calls, true
 }
 
-// readTexts reads calls back from a partition's stream, in one request.
+// readCalls reads calls from a partition's stream in one request.
 func (n *node) readTexts(id partition.ID, owner api.ProgramID, locations []program.CallLocation, done func([]api.Call, error)) {
 	if len(locations) == 0 {
 		done(nil, nil)
@@ -82,7 +83,7 @@
 	})
 }
 
-// readCall puts a call together from its two records.
+// readCall assembles a call from the records of its acceptance and its end.
 func (n *node) readCall(id partition.ID, owner api.ProgramID, location program.CallLocation) (api.Call, error) {
 	accepted, ended := location.Accepted, location.Ended
 	if accepted == nil {
@@ -121,7 +122,7 @@
 	return record, err
 }
 
-// fetchHistory replies with calls that are read back from the log.
+// fetchHistory answers a request with calls read from the log.
 func (n *node) fetchHistory(action control.FetchHistory) {
 	n.readTexts(action.Partition, action.Program, action.Locations, func(calls []api.Call, err error) {
 		reply := control.Reply{}
