--- a/emulator/cluster/agent.go
+++ b/emulator/cluster/agent.go
@@ -69,14 +69,14 @@
 // sendUntilAnswered sends a request, with retries, until it has a final answer,
 // and then calls then once. build creates the request for each node anew,
 // because the program ID may depend on the settings that the node has resolved.
-func (a *agent) ask(sent history.Sent, build func(at *node) (control.Request, bool), then func(control.Reply)) {
-	a.askAgain(sent, build, then, firstBackoff)
+func (a *agent) sendUntilAnswered(sent history.Sent, build func(at *node) (control.Request, bool), then func(control.Reply)) {
+	a.sendWithBackoff(sent, build, then, firstBackoff)
 }
 
-func (a *agent) askAgain(sent history.Sent, build func(at *node) (control.Request, bool), then func(control.Reply), backoff time.Duration) {
+func (a *agent) sendWithBackoff(sent history.Sent, build func(at *node) (control.Request, bool), then func(control.Reply), backoff time.Duration) {
 	c := a.cluster
-	again := func(wait time.Duration) {
-		c.after(wait+c.jitter(wait/4), func() { a.askAgain(sent, build, then, min(2*backoff, longestBackoff)) })
+	sendAgain := func(wait time.Duration) {
+		c.after(wait+c.jitter(wait/4), func() { a.sendWithBackoff(sent, build, then, min(2*backoff, longestBackoff)) })
 	}
 	at := c.nodes[c.random.IntN(len(c.nodes))]
 	request, ready := control.Request{}, false
@@ -84,7 +84,7 @@
 		request, ready = build(at)
 	}
 	if !ready {
-		again(backoff)
+		sendAgain(backoff)
 		return
 	}
 	c.requests++
@@ -95,25 +95,25 @@
 		sent.Program = ""
 	}
 	c.record(history.Event{Sent: &sent})
-	over := false
-	hangUp := c.request(at, request, func(reply control.Reply) {
-		over = true
-		c.record(history.Event{Got: gotOf(sent, request, reply)})
+	ended := false
+	disconnect := c.request(at, request, func(reply control.Reply) {
+		ended = true
+		c.record(history.Event{Got: gotEvent(sent, request, reply)})
 		if wait, retry := retryAfter(reply); retry {
-			again(max(wait, backoff))
+			sendAgain(max(wait, backoff))
 			return
 		}
 		then(reply)
 	}, func(refused bool) {
-		over = true
+		ended = true
 		c.record(history.Event{Lost: &history.Lost{Request: sent.Request, NotSent: refused}})
-		again(backoff)
+		sendAgain(backoff)
 	})
-	c.after(callerPatience, func() {
-		if !over {
-			hangUp()
+	c.after(callerTimeout, func() {
+		if !ended {
+			disconnect()
 			c.record(history.Event{Lost: &history.Lost{Request: sent.Request, HungUp: true}})
-			again(backoff)
+			sendAgain(backoff)
 		}
 	})
 }
@@ -129,7 +129,7 @@
 }
 
 // gotEvent returns the history's record of a reply.
-func gotOf(sent history.Sent, request control.Request, reply control.Reply) *history.Got {
+func gotEvent(sent history.Sent, request control.Request, reply control.Reply) *history.Got {
 	got := &history.Got{Request: sent.Request}
 	switch {
 	case reply.Error != nil:
@@ -167,7 +167,7 @@
 		return request, err == nil
 	}
 	sent := history.Sent{Operation: history.OperationCreate, Branch: string(branch), Key: a.key}
-	a.ask(sent, build, func(reply control.Reply) {
+	a.sendUntilAnswered(sent, build, func(reply control.Reply) {
 		if reply.Error != nil {
 			a.finish()
 			return
@@ -179,14 +179,14 @@
 		a.makeCalls()
 	})
 	if a.plan.Twice {
-		a.ask(sent, build, func(control.Reply) {})
+		a.sendUntilAnswered(sent, build, func(control.Reply) {})
 	}
 }
 
 // makeCalls sends all calls of a pipelined program, or else the first call.
 func (a *agent) makeCalls() {
 	if len(a.plan.Calls) == 0 {
-		a.readBack()
+		a.readHistory()
 		return
 	}
 	if !a.plan.Pipelined {
@@ -199,7 +199,7 @@
 }
 
 // maxOutputTokens is the output limit of every model call, in tokens.
-const outputCap = 16
+const maxOutputTokens = 16
 
 // call sends the call with the given sequence number.
 func (a *agent) call(sequence uint64) {
@@ -211,7 +211,7 @@
 	if plan.Tool {
 		submit.Kind, submit.Tool, submit.Repeatable = api.CallTool, toolName, plan.Repeatable
 	} else {
-		submit.Kind, submit.Model, submit.MaxOutputTokens = api.CallModel, modelName, outputCap
+		submit.Kind, submit.Model, submit.MaxOutputTokens = api.CallModel, modelName, maxOutputTokens
 	}
 	sent := history.Sent{
 		Operation: history.OperationSubmit, Key: submit.Key, Sequence: sequence, Kind: submit.Kind,
@@ -223,9 +223,9 @@
 			Operation: control.OperationSubmit, Scope: a.plan.Branch, Program: a.id, Submit: &copied, Wait: true,
 		}, true
 	}
-	a.ask(sent, build, func(reply control.Reply) { a.answered(sequence, reply) })
+	a.sendUntilAnswered(sent, build, func(reply control.Reply) { a.answered(sequence, reply) })
 	if a.plan.Twice {
-		a.ask(sent, build, func(control.Reply) {})
+		a.sendUntilAnswered(sent, build, func(control.Reply) {})
 	}
 }
 
@@ -239,10 +239,10 @@
 	switch {
 	case a.plan.Pipelined:
 		if a.answers == len(a.plan.Calls) {
-			a.readBack()
+			a.readHistory()
 		}
 	case a.refused || sequence == count:
-		a.readBack()
+		a.readHistory()
 	case a.plan.Agent != nil && sequence == count-1:
 		a.cluster.startAgent(*a.plan.Agent, a.id, func() { a.call(count) })
 	default:
@@ -251,14 +251,14 @@
 }
 
 // readHistory reads the program's history and its budget, then ends the program.
-func (a *agent) readBack() {
-	a.readPart(1, &history.Read{Program: a.id, SentAt: a.cluster.now})
+func (a *agent) readHistory() {
+	a.readHistoryPage(1, &history.Read{Program: a.id, SentAt: a.cluster.now})
 }
 
 // readHistoryPage reads the calls from a sequence number on, page by page.
-func (a *agent) readPart(from uint64, read *history.Read) {
+func (a *agent) readHistoryPage(from uint64, read *history.Read) {
 	sent := history.Sent{Operation: history.OperationAttach, Key: fmt.Sprintf("history-%d", from)}
-	a.ask(sent, a.plainRequest(control.Request{Operation: control.OperationHistory, Sequence: from}), func(reply control.Reply) {
+	a.sendUntilAnswered(sent, a.plainRequest(control.Request{Operation: control.OperationHistory, Sequence: from}), func(reply control.Reply) {
 		if reply.Error != nil {
 			a.finish()
 			return
@@ -269,7 +269,7 @@
 			})
 		}
 		if reply.History.Next != 0 {
-			a.readPart(reply.History.Next, read)
+			a.readHistoryPage(reply.History.Next, read)
 			return
 		}
 		a.cluster.record(history.Event{Read: read})
@@ -281,9 +281,9 @@
 // program.
 func (a *agent) describe() {
 	sent := history.Sent{Operation: history.OperationDescribe}
-	a.ask(sent, a.plainRequest(control.Request{Operation: control.OperationDescribe}), func(control.Reply) {
+	a.sendUntilAnswered(sent, a.plainRequest(control.Request{Operation: control.OperationDescribe}), func(control.Reply) {
 		end := history.Sent{Operation: history.OperationEnd}
-		a.ask(end, a.plainRequest(control.Request{Operation: control.OperationEnd, Reason: "done"}), func(control.Reply) {
+		a.sendUntilAnswered(end, a.plainRequest(control.Request{Operation: control.OperationEnd, Reason: "done"}), func(control.Reply) {
 			a.finish()
 		})
 	})
--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -13,10 +13,10 @@
 
 // attempt is one attempt at a call, as tracked by the node that sent it.
 type attempt struct {
-	node   *node
-	action control.SendAttempt
-	engine *emulatedEngine
-	begun  *run
+	node      *node
+	action    control.SendAttempt
+	engine    *emulatedEngine
+	execution *backendRun
 	// ended is set once the outcome has been reported to the core or the node
 	// has crashed.
 	ended bool
@@ -59,7 +59,7 @@
 		sent.notSent("the engine is unknown")
 		return
 	}
-	n.reach(target.machine.Zone, sent, func() {
+	n.sendToZone(target.machine.Zone, sent, func() {
 		if target.down {
 			sent.notSent("the engine refused the connection")
 			return
@@ -76,7 +76,7 @@
 		sent.notSent("the tool service is unknown")
 		return
 	}
-	n.reach(target.machine.Zone, sent, func() {
+	n.sendToZone(target.machine.Zone, sent, func() {
 		if target.down {
 			sent.notSent("the tool service refused the connection")
 			return
@@ -87,22 +87,22 @@
 
 // sendToZone sends a request to a back end's zone. The request arrives even if
 // the sender has abandoned it by then; on a blocked link it counts as not sent.
-func (n *node) reach(to zone.Name, sent *attempt, arrive func()) {
-	n.cluster.travel(n.self.Zone, to, arrive, func() {
+func (n *node) sendToZone(to zone.Name, sent *attempt, arrive func()) {
+	n.cluster.transmit(n.self.Zone, to, arrive, func() {
 		n.cluster.after(dialTimeout, func() { sent.notSent("no connection to the back end") })
 	})
 }
 
 // follow subscribes to the end of an execution. If the attempt has already
 // ended, an engine's execution is cancelled instead.
-func (a *attempt) follow(begun *run, from zone.Name) {
-	a.begun = begun
+func (a *attempt) follow(execution *backendRun, from zone.Name) {
+	a.execution = execution
 	arrived := func(ok bool) {
-		a.node.cluster.travel(from, a.node.self.Zone, func() { a.finish(ok) }, func() {
-			a.node.cluster.after(streamSilence, func() { a.abort(api.CodeBackendFailed) })
+		a.node.cluster.transmit(from, a.node.self.Zone, func() { a.finish(ok) }, func() {
+			a.node.cluster.after(streamTimeout, func() { a.abort(api.CodeBackendFailed) })
 		})
 	}
-	if begun.finished {
+	if execution.finished {
 		arrived(true)
 		return
 	}
@@ -110,7 +110,7 @@
 		a.engine.cancel(a)
 		return
 	}
-	begun.listeners = append(begun.listeners, arrived)
+	execution.listeners = append(execution.listeners, arrived)
 }
 
 // finish reports the back end's result to the core; ok is false if the
@@ -121,14 +121,14 @@
 		return
 	}
 	ended := control.AttemptEnded{Outcome: program.Outcome{
-		Status: api.StatusSucceeded, Output: a.begun.output, Usage: a.begun.usage,
+		Status: api.StatusSucceeded, Output: a.execution.output, Usage: a.execution.usage,
 	}}
 	if a.engine != nil {
 		load := a.engine.load()
 		ended.Load = &load
-		ended.Resident = a.begun.resident
+		ended.Resident = a.execution.resident
 	}
-	a.tell(ended)
+	a.report(ended)
 }
 
 // abort ends an attempt that may have run: a model call counts as failed, a
@@ -144,19 +144,19 @@
 		failure.Ran = api.RanOutcomeUnknown
 	}
 	outcome.Error = failure
-	a.tell(control.AttemptEnded{Outcome: outcome})
+	a.report(control.AttemptEnded{Outcome: outcome})
 	a.disconnect()
 }
 
 // notSent ends an attempt that certainly did not reach its back end.
 func (a *attempt) notSent(reason string) {
-	a.tell(control.AttemptEnded{Outcome: program.Outcome{
+	a.report(control.AttemptEnded{Outcome: program.Outcome{
 		Status: api.StatusNotRun, Error: api.Refuse(api.CodeBackendFailed, "%s", reason).After(0),
 	}})
 }
 
 // report posts the outcome to the core, once.
-func (a *attempt) tell(ended control.AttemptEnded) {
+func (a *attempt) report(ended control.AttemptEnded) {
 	if a.ended {
 		return
 	}
@@ -173,10 +173,10 @@
 // unless it has a new listener by then.
 func (a *attempt) disconnect() {
 	a.ended = true
-	if a.begun == nil || a.engine == nil || a.begun.finished {
+	if a.execution == nil || a.engine == nil || a.execution.finished {
 		return
 	}
-	a.begun.listeners = nil
+	a.execution.listeners = nil
 	a.node.cluster.after(a.node.cluster.jitter(a.node.cluster.config.LinkDelay), func() { a.engine.cancel(a) })
 }
 
@@ -198,7 +198,7 @@
 }
 
 // finished returns the history's record of the attempt's end at its back end.
-func (a *attempt) finished(outcome history.Outcome, ended *run) *history.Finished {
+func (a *attempt) finished(outcome history.Outcome, ended *backendRun) *history.Finished {
 	of := a.action.Attempt
 	return &history.Finished{
 		Backend: a.action.Backend.ID, Program: of.Program, Sequence: of.Sequence, Attempt: of.Attempt,
@@ -217,7 +217,7 @@
 		n.post(control.LookupReturned{Result: result})
 	})
 	target := c.tool(action.Backend.ID)
-	if target == nil || target.down || c.cuts[zonePair{n.self.Zone, target.machine.Zone}] || c.cuts[zonePair{target.machine.Zone, n.self.Zone}] {
+	if target == nil || target.down || c.blockedLinks[zonePair{n.self.Zone, target.machine.Zone}] || c.blockedLinks[zonePair{target.machine.Zone, n.self.Zone}] {
 		c.after(dialTimeout, func() { answer(errNoAnswer) })
 		return
 	}
@@ -226,10 +226,10 @@
 
 // sendIdempotent sends a back end a request that is read-only or idempotent, and
 // calls done at the node once it was answered or failed.
-func (n *node) askBackend(id machine.ID, at zone.Name, down bool, ask func(err error)) {
+func (n *node) sendIdempotent(id machine.ID, at zone.Name, down bool, done func(err error)) {
 	c := n.cluster
-	answer := n.whileRunning(ask)
-	if down || c.cuts[zonePair{n.self.Zone, at}] || c.cuts[zonePair{at, n.self.Zone}] || id == "" {
+	answer := n.whileRunning(done)
+	if down || c.blockedLinks[zonePair{n.self.Zone, at}] || c.blockedLinks[zonePair{at, n.self.Zone}] || id == "" {
 		c.after(dialTimeout, func() { answer(errNoAnswer) })
 		return
 	}
@@ -243,7 +243,7 @@
 		n.post(control.BackendObserved{Backend: action.Backend.ID})
 		return
 	}
-	n.askBackend(target.machine.ID, target.machine.Zone, target.down, func(err error) {
+	n.sendIdempotent(target.machine.ID, target.machine.Zone, target.down, func(err error) {
 		event := control.BackendObserved{Backend: target.machine.ID, Err: err}
 		if err == nil {
 			load := target.load()
@@ -259,7 +259,7 @@
 	if target == nil {
 		return
 	}
-	n.askBackend(target.machine.ID, target.machine.Zone, target.down, func(err error) {
+	n.sendIdempotent(target.machine.ID, target.machine.Zone, target.down, func(err error) {
 		event := control.PrefixesListed{Backend: target.machine.ID, Err: err}
 		if err == nil {
 			event.Prefixes = target.list()
@@ -270,7 +270,7 @@
 
 // lostReleaseShare is the share of release requests that do not reach their
 // engine.
-const lostReleases = 0.1
+const lostReleaseShare = 0.1
 
 // releasePrefix asks an engine to drop a program's cached prefix.
 func (n *node) releasePrefix(action control.ReleasePrefix) {
@@ -278,8 +278,8 @@
 	if target == nil {
 		return
 	}
-	lost := n.cluster.chance(lostReleases)
-	n.askBackend(target.machine.ID, target.machine.Zone, target.down || lost, func(err error) {
+	lost := n.cluster.chance(lostReleaseShare)
+	n.sendIdempotent(target.machine.ID, target.machine.Zone, target.down || lost, func(err error) {
 		if err == nil {
 			delete(target.prefixes, action.Owner)
 		}
--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -29,8 +29,8 @@
 	meanToolRun       = 150 * time.Millisecond
 )
 
-// execution is an attempt that a back end has started.
-type run struct {
+// backendRun is the execution of an attempt at a back end.
+type backendRun struct {
 	output   string
 	usage    api.Usage
 	resident int
@@ -41,7 +41,7 @@
 }
 
 // end tells the listeners.
-func (r *run) end(ok bool) {
+func (r *backendRun) end(ok bool) {
 	r.finished = true
 	listeners := r.listeners
 	r.listeners = nil
@@ -55,7 +55,7 @@
 	cluster  *Cluster
 	machine  machine.Machine
 	down     bool
-	streams  map[string]*run
+	streams  map[string]*backendRun
 	running  int
 	prefixes map[api.ProgramID]int
 }
@@ -76,7 +76,7 @@
 	for i, name := range c.config.Zones {
 		for k := range c.config.EnginesPerZone {
 			added := &emulatedEngine{
-				cluster: c, streams: map[string]*run{}, prefixes: map[api.ProgramID]int{},
+				cluster: c, streams: map[string]*backendRun{}, prefixes: map[api.ProgramID]int{},
 				machine: machine.Machine{
 					ID:   machine.ID(fmt.Sprintf("engine-%d", i*c.config.EnginesPerZone+k+1)),
 					Kind: machine.KindEngine, Zone: name, Address: fmt.Sprintf("10.0.1.%d:7000", i*c.config.EnginesPerZone+k+1),
@@ -131,46 +131,46 @@
 func tokensOf(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
 // generate starts an answer, or returns the existing one of the same stream.
-func (e *emulatedEngine) generate(sent *attempt, prompt string) *run {
+func (e *emulatedEngine) generate(sent *attempt, prompt string) *backendRun {
 	stream := sent.stream()
 	if known, found := e.streams[stream]; found {
 		return known
 	}
 	c := e.cluster
 	owner := sent.action.Attempt.Program
-	begun := &run{output: answerText(prompt, sent.action.Call.MaxOutputTokens)}
+	execution := &backendRun{output: answerText(prompt, sent.action.Call.MaxOutputTokens)}
 	promptTokens := tokensOf(prompt)
-	begun.usage = api.Usage{
+	execution.usage = api.Usage{
 		PromptTokens: promptTokens,
 		CachedTokens: min(e.prefixes[owner], promptTokens),
-		OutputTokens: tokensOf(begun.output),
+		OutputTokens: tokensOf(execution.output),
 	}
-	begun.resident = promptTokens + begun.usage.OutputTokens
-	e.streams[stream] = begun
+	execution.resident = promptTokens + execution.usage.OutputTokens
+	e.streams[stream] = execution
 	e.running++
 	c.record(history.Event{Started: sent.started(e.machine, history.HashText(prompt))})
 	c.after(c.jitter(meanGeneration), func() {
-		if begun.finished {
+		if execution.finished {
 			return
 		}
 		e.running--
-		e.prefixes[owner] = begun.resident
-		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, begun)})
-		begun.end(true)
+		e.prefixes[owner] = execution.resident
+		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, execution)})
+		execution.end(true)
 	})
-	return begun
+	return execution
 }
 
 // cancel stops an unfinished stream without listeners. The prompt stays cached.
 func (e *emulatedEngine) cancel(sent *attempt) {
-	begun, found := e.streams[sent.stream()]
-	if !found || begun.finished || len(begun.listeners) > 0 {
+	execution, found := e.streams[sent.stream()]
+	if !found || execution.finished || len(execution.listeners) > 0 {
 		return
 	}
 	e.running--
-	e.prefixes[sent.action.Attempt.Program] = begun.usage.PromptTokens
-	e.cluster.record(history.Event{Finished: sent.finished(history.OutcomeCancelled, &run{usage: api.Usage{}})})
-	begun.finished = true
+	e.prefixes[sent.action.Attempt.Program] = execution.usage.PromptTokens
+	e.cluster.record(history.Event{Finished: sent.finished(history.OutcomeCancelled, &backendRun{usage: api.Usage{}})})
+	execution.finished = true
 	delete(e.streams, sent.stream())
 }
 
@@ -178,7 +178,7 @@
 func (e *emulatedEngine) crash() {
 	e.down = true
 	streams := e.streams
-	e.streams = map[string]*run{}
+	e.streams = map[string]*backendRun{}
 	e.prefixes = map[api.ProgramID]int{}
 	e.running = 0
 	for _, name := range sortedKeys(streams) {
@@ -214,22 +214,22 @@
 
 // execute runs a tool request. It takes effect at once, and again each time the
 // same key is sent.
-func (t *emulatedTool) execute(sent *attempt) *run {
+func (t *emulatedTool) execute(sent *attempt) *backendRun {
 	c := t.cluster
 	key := sent.action.Key
-	begun := &run{output: fmt.Sprintf("<tool %016x>", history.HashText(key, sent.action.Call.Input))}
+	execution := &backendRun{output: fmt.Sprintf("<tool %016x>", history.HashText(key, sent.action.Call.Input))}
 	c.record(history.Event{Started: sent.started(t.machine, 0)})
-	t.outputs[key] = begun.output
+	t.outputs[key] = execution.output
 	if t.hanging {
-		return begun
+		return execution
 	}
 	c.after(c.jitter(meanToolRun), func() {
 		if t.down {
-			begun.end(false)
+			execution.end(false)
 			return
 		}
-		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, begun)})
-		begun.end(true)
+		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, execution)})
+		execution.end(true)
 	})
-	return begun
+	return execution
 }
--- a/emulator/cluster/cluster.go
+++ b/emulator/cluster/cluster.go
@@ -19,11 +19,11 @@
 	queue  eventQueue
 	queued uint64
 
-	log      *platformmodel.Log
-	machines *platformmodel.MachineList
-	store    storeFaults
-	flapping bool
-	cuts     map[zonePair]bool
+	log          *platformmodel.Log
+	machines     *platformmodel.MachineList
+	store        storeFaults
+	flapping     bool
+	blockedLinks map[zonePair]bool
 
 	nodes     []*node
 	engines   []*emulatedEngine
@@ -49,12 +49,12 @@
 		return nil, err
 	}
 	c := &Cluster{
-		config:   config,
-		now:      epoch,
-		random:   rand.New(rand.NewPCG(config.Seed, 0)),
-		log:      platformmodel.NewLog(),
-		machines: platformmodel.NewMachineList(listLag, listExpiry),
-		cuts:     map[zonePair]bool{},
+		config:       config,
+		now:          epoch,
+		random:       rand.New(rand.NewPCG(config.Seed, 0)),
+		log:          platformmodel.NewLog(),
+		machines:     platformmodel.NewMachineList(listLag, listExpiry),
+		blockedLinks: map[zonePair]bool{},
 	}
 	c.record(history.Event{Run: &history.Run{Name: "cluster", Seed: config.Seed}})
 	if err := c.openSettings(); err != nil {
@@ -128,8 +128,8 @@
 
 // transmit sends a message from one zone to another: deliver runs on arrival,
 // or lost runs at once if the link is blocked.
-func (c *Cluster) travel(from, to zone.Name, deliver, lost func()) {
-	if c.cuts[zonePair{from, to}] {
+func (c *Cluster) transmit(from, to zone.Name, deliver, lost func()) {
+	if c.blockedLinks[zonePair{from, to}] {
 		lost()
 		return
 	}
--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -13,19 +13,19 @@
 	"birchwood.example/birchwood/zone"
 )
 
-const atRest = 10 * time.Second
+const startupTime = 10 * time.Second
 
 // startCluster returns a cluster whose partitions have owners.
-func open(seed uint64) *cluster.Cluster {
+func startCluster(seed uint64) *cluster.Cluster {
 	opened, err := cluster.New(cluster.DefaultConfig(seed))
 	Expect(err).NotTo(HaveOccurred())
-	opened.Advance(atRest)
+	opened.Advance(startupTime)
 	return opened
 }
 
 // settleAndCheck settles the cluster, expects that no guarantee was violated, and
 // returns the history.
-func settled(of *cluster.Cluster) []history.Event {
+func settleAndCheck(of *cluster.Cluster) []history.Event {
 	Expect(of.Settle()).To(Succeed())
 	report := history.CheckEvents(of.Events())
 	Expect(report.Findings).To(BeEmpty(), report.String())
@@ -33,12 +33,12 @@
 }
 
 // modelCalls returns a plan of sequential model calls.
-func models(count int) cluster.ProgramPlan {
+func modelCalls(count int) cluster.ProgramPlan {
 	return cluster.ProgramPlan{Branch: cluster.BranchCold, Calls: make([]cluster.CallPlan, count), Pause: time.Second}
 }
 
 // startedAttempts returns the attempts that back ends started.
-func starts(events []history.Event) []*history.Started {
+func startedAttempts(events []history.Event) []*history.Started {
 	var all []*history.Started
 	for _, event := range events {
 		if event.Started != nil {
@@ -49,9 +49,9 @@
 }
 
 // runWithFaults returns the history of a run with several kinds of faults.
-func rough(seed uint64) []history.Event {
-	running := open(seed)
-	running.StartProgram(models(4))
+func runWithFaults(seed uint64) []history.Event {
+	running := startCluster(seed)
+	running.StartProgram(modelCalls(4))
 	running.StartProgram(cluster.ProgramPlan{
 		Branch: cluster.BranchChat, Pipelined: true, Twice: true,
 		Calls: []cluster.CallPlan{{}, {Tool: true}, {Tool: true, Repeatable: true}, {}},
@@ -61,22 +61,22 @@
 	running.Crash(0)
 	running.Advance(2 * time.Second)
 	running.Pause(1)
-	running.Cut(0, 2)
+	running.BlockLink(0, 2)
 	running.Advance(20 * time.Second)
-	running.Wake(1)
-	return settled(running)
+	running.Resume(1)
+	return settleAndCheck(running)
 }
 
 var _ = Describe("Cluster", func() {
 	It("gives the same history for the same seed and the same calls", func() {
-		first := rough(3)
-		Expect(rough(3)).To(Equal(first))
-		Expect(rough(4)).NotTo(Equal(first))
+		first := runWithFaults(3)
+		Expect(runWithFaults(3)).To(Equal(first))
+		Expect(runWithFaults(4)).NotTo(Equal(first))
 	})
 
 	It("answers every call once though nodes die and the store loses answers", func() {
 		finished := 0
-		for _, event := range rough(5) {
+		for _, event := range runWithFaults(5) {
 			if event.Ended != nil && event.Ended.Status == api.StatusSucceeded {
 				finished++
 			}
@@ -85,7 +85,7 @@
 	})
 
 	It("sleeps while nothing happens", func() {
-		quiet := open(1)
+		quiet := startCluster(1)
 		before := quiet.Steps()
 		quiet.Advance(time.Minute)
 		const nodes, perSecond = 3, 60
@@ -93,9 +93,9 @@
 	})
 
 	It("sends a program's history and the new input as the prompt, each once", func() {
-		running := open(1)
-		running.StartProgram(models(3))
-		events := settled(running)
+		running := startCluster(1)
+		running.StartProgram(modelCalls(3))
+		events := settleAndCheck(running)
 		input := func(number string) string { return "[program-1 " + number + "]" }
 		outputs := map[uint64]string{}
 		for _, event := range events {
@@ -103,16 +103,16 @@
 				outputs[event.Finished.Sequence] = event.Finished.Output
 			}
 		}
-		begun := starts(events)
-		Expect(begun).To(HaveLen(3))
-		Expect(begun[0].PromptHash).To(Equal(history.HashText(input("1"))))
-		Expect(begun[2].PromptHash).To(Equal(history.HashText(
+		started := startedAttempts(events)
+		Expect(started).To(HaveLen(3))
+		Expect(started[0].PromptHash).To(Equal(history.HashText(input("1"))))
+		Expect(started[2].PromptHash).To(Equal(history.HashText(
 			input("1"), outputs[1], input("2"), outputs[2], input("3"))))
 	})
 
 	It("binds the next dispatch of a running program to zones that were narrowed", func() {
-		running := open(1)
-		plan := models(12)
+		running := startCluster(1)
+		plan := modelCalls(12)
 		plan.Pause = 3 * time.Second
 		running.StartProgram(plan)
 		running.Advance(5 * time.Second)
@@ -120,7 +120,7 @@
 		running.Advance(2 * time.Second)
 		narrowed := running.Now()
 		after := map[zone.Name]int{}
-		for _, event := range settled(running) {
+		for _, event := range settleAndCheck(running) {
 			if event.Started != nil && event.At.After(narrowed) {
 				after[event.Started.Zone]++
 			}
@@ -130,27 +130,27 @@
 	})
 
 	It("keeps programs going while the store is down for long", func() {
-		running := open(1)
-		running.StartProgram(models(8))
+		running := startCluster(1)
+		running.StartProgram(modelCalls(8))
 		running.Advance(3 * time.Second)
 		running.StoreDown()
 		running.Advance(2 * time.Minute)
-		during := len(starts(running.Events()))
+		during := len(startedAttempts(running.Events()))
 		Expect(during).To(Equal(8))
 		running.StoreUp()
-		settled(running)
+		settleAndCheck(running)
 	})
 
 	It("gives a leaving engine nothing after the bound", func() {
-		running := open(1)
-		plan := models(20)
+		running := startCluster(1)
+		plan := modelCalls(20)
 		running.StartProgram(plan)
 		running.StartProgram(plan)
 		running.StartProgram(plan)
 		running.Advance(3 * time.Second)
 		running.LeaveEngine(0)
 		left := running.Now()
-		for _, event := range settled(running) {
+		for _, event := range settleAndCheck(running) {
 			if event.Started != nil && event.At.Sub(left) > 3*time.Second {
 				Expect(event.Started.Backend).NotTo(Equal(machine.ID("engine-1")))
 			}
@@ -158,15 +158,15 @@
 	})
 
 	It("stops a node as planned without cutting a request", func() {
-		running := open(1)
+		running := startCluster(1)
 		for range 6 {
-			running.StartProgram(models(6))
+			running.StartProgram(modelCalls(6))
 		}
 		running.Advance(2 * time.Second)
 		running.Stop(0)
 		running.Advance(time.Minute)
 		stopped := 0
-		for _, event := range settled(running) {
+		for _, event := range settleAndCheck(running) {
 			if event.Stop != nil && event.Stop.Done {
 				stopped++
 			}
@@ -180,14 +180,14 @@
 		// program. The other nodes hold its mirrors and are outside of the new
 		// zones.
 		for owner, name := range cluster.DefaultConfig(0).Zones {
-			running := open(5)
-			running.StartProgram(models(3))
+			running := startCluster(5)
+			running.StartProgram(modelCalls(3))
 			running.Advance(time.Second)
 			running.Crash(owner)
 			running.ChangeZones(cluster.BranchCold, []zone.Name{name}, owner+1)
 			running.Advance(time.Second)
 			Expect(running.Restart(owner)).To(Succeed())
-			settled(running)
+			settleAndCheck(running)
 		}
 	})
 
@@ -195,13 +195,13 @@
 		const moments, apart = 8, 2 * time.Millisecond
 		for moment := range moments {
 			for owner := range cluster.DefaultConfig(0).Zones {
-				running := open(uint64(moment + 1))
+				running := startCluster(uint64(moment + 1))
 				running.StartProgram(cluster.ProgramPlan{Branch: cluster.BranchCold, Calls: []cluster.CallPlan{{Tool: true}}})
 				running.Advance(time.Duration(moment) * apart)
 				running.Pause(owner)
 				running.ChangeZones(cluster.BranchCold, []zone.Name{"midrand-b"}, owner+1)
 				running.Advance(40 * time.Second)
-				settled(running)
+				settleAndCheck(running)
 			}
 		}
 	})
--- a/emulator/cluster/config.go
+++ b/emulator/cluster/config.go
@@ -71,11 +71,11 @@
 	// dialTimeout is a node's timeout for connecting to an unreachable machine.
 	dialTimeout = time.Second
 	// peerTimeout is how long a node waits for a peer's answer that was lost.
-	peerSilence = 8 * time.Second
+	peerTimeout = 8 * time.Second
 	// streamTimeout is how long a node waits for a stalled stream of a back end.
-	streamSilence = 5 * time.Second
+	streamTimeout = 5 * time.Second
 	// callerTimeout is when a caller abandons a request and sends it again.
-	callerPatience = 45 * time.Second
+	callerTimeout = 45 * time.Second
 	// acceptLossAfter is how long a new owner waits for enough mirrors of the
 	// previous one. It then continues without them and records the possible
 	// loss in the partition's stream, which DeclaredLoss reads.
--- a/emulator/cluster/fault.go
+++ b/emulator/cluster/fault.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// fault records the start or the end of a fault.
-func (c *Cluster) fault(kind history.FaultKind, id machine.ID, begin bool) {
+// recordFault records the start or the end of a fault.
+func (c *Cluster) recordFault(kind history.FaultKind, id machine.ID, begin bool) {
 	c.record(history.Event{Fault: &history.Fault{Kind: kind, Machine: id, Begin: begin}})
 }
 
@@ -21,9 +21,9 @@
 		return
 	}
 	if n.paused {
-		c.fault(history.FaultPause, n.self.ID, false)
+		c.recordFault(history.FaultPause, n.self.ID, false)
 	}
-	c.fault(history.FaultDown, n.self.ID, true)
+	c.recordFault(history.FaultDown, n.self.ID, true)
 	n.crash()
 }
 
@@ -33,7 +33,7 @@
 	if n.running {
 		return nil
 	}
-	c.fault(history.FaultDown, n.self.ID, false)
+	c.recordFault(history.FaultDown, n.self.ID, false)
 	return n.start()
 }
 
@@ -43,18 +43,18 @@
 	if !n.running || n.paused {
 		return
 	}
-	c.fault(history.FaultPause, n.self.ID, true)
+	c.recordFault(history.FaultPause, n.self.ID, true)
 	n.paused = true
 }
 
 // Resume continues a paused process, which first handles everything that
 // arrived during the pause.
-func (c *Cluster) Wake(index int) {
+func (c *Cluster) Resume(index int) {
 	n := c.nodes[index%len(c.nodes)]
 	if !n.running || !n.paused {
 		return
 	}
-	c.fault(history.FaultPause, n.self.ID, false)
+	c.recordFault(history.FaultPause, n.self.ID, false)
 	n.paused = false
 	backlog := n.backlog
 	n.backlog = nil
@@ -76,22 +76,22 @@
 }
 
 // BlockLink blocks the link from one zone to another in this direction only.
-func (c *Cluster) Cut(from, to int) {
-	way := zonePair{c.zone(from), c.zone(to)}
-	if way.from == way.to || c.cuts[way] {
+func (c *Cluster) BlockLink(from, to int) {
+	link := zonePair{c.zone(from), c.zone(to)}
+	if link.from == link.to || c.blockedLinks[link] {
 		return
 	}
-	c.cuts[way] = true
-	c.faultZones(way, true)
+	c.blockedLinks[link] = true
+	c.recordLinkFault(link, true)
 }
 
 // UnblockLinks unblocks every blocked link.
-func (c *Cluster) Mend() {
+func (c *Cluster) UnblockLinks() {
 	for _, from := range c.config.Zones {
 		for _, to := range c.config.Zones {
-			if way := (zonePair{from, to}); c.cuts[way] {
-				delete(c.cuts, way)
-				c.faultZones(way, false)
+			if link := (zonePair{from, to}); c.blockedLinks[link] {
+				delete(c.blockedLinks, link)
+				c.recordLinkFault(link, false)
 			}
 		}
 	}
@@ -100,17 +100,17 @@
 // zone returns the zone with the index, modulo the number of zones.
 func (c *Cluster) zone(index int) zone.Name { return c.config.Zones[index%len(c.config.Zones)] }
 
-// faultZones records the start or end of a blocked link as a fault of every
+// recordLinkFault records the start or end of a blocked link as a fault of every
 // node and engine in both zones.
-func (c *Cluster) faultZones(way zonePair, begin bool) {
+func (c *Cluster) recordLinkFault(link zonePair, begin bool) {
 	for _, n := range c.nodes {
-		if n.self.Zone == way.from || n.self.Zone == way.to {
-			c.fault(history.FaultCut, n.self.ID, begin)
+		if n.self.Zone == link.from || n.self.Zone == link.to {
+			c.recordFault(history.FaultCut, n.self.ID, begin)
 		}
 	}
 	for _, e := range c.engines {
-		if e.machine.Zone == way.from || e.machine.Zone == way.to {
-			c.fault(history.FaultCut, e.machine.ID, begin)
+		if e.machine.Zone == link.from || e.machine.Zone == link.to {
+			c.recordFault(history.FaultCut, e.machine.ID, begin)
 		}
 	}
 }
@@ -134,10 +134,10 @@
 	before := c.store
 	change(&c.store)
 	if before == (storeFaults{}) && c.store != before {
-		c.fault(history.FaultStore, "", true)
+		c.recordFault(history.FaultStore, "", true)
 	}
 	if before != (storeFaults{}) && c.store == (storeFaults{}) {
-		c.fault(history.FaultStore, "", false)
+		c.recordFault(history.FaultStore, "", false)
 	}
 }
 
@@ -145,7 +145,7 @@
 func (c *Cluster) Flap(on bool) {
 	if on != c.flapping {
 		c.flapping = on
-		c.fault(history.FaultList, "", on)
+		c.recordFault(history.FaultList, "", on)
 	}
 }
 
@@ -153,7 +153,7 @@
 func (c *Cluster) CrashEngine(index int) {
 	e := c.engines[index%len(c.engines)]
 	if !e.down {
-		c.fault(history.FaultDown, e.machine.ID, true)
+		c.recordFault(history.FaultDown, e.machine.ID, true)
 		e.crash()
 	}
 }
@@ -164,7 +164,7 @@
 	if e.down {
 		e.down = false
 		c.machines.Announce(c.now, e.machine)
-		c.fault(history.FaultDown, e.machine.ID, false)
+		c.recordFault(history.FaultDown, e.machine.ID, false)
 	}
 }
 
@@ -186,11 +186,11 @@
 
 // Heal ends every fault and restarts every node and engine that is down.
 func (c *Cluster) Heal() error {
-	c.Mend()
+	c.UnblockLinks()
 	c.StoreUp()
 	c.Flap(false)
 	for i := range c.nodes {
-		c.Wake(i)
+		c.Resume(i)
 		if err := c.Restart(i); err != nil {
 			return err
 		}
--- a/emulator/cluster/fuzz.go
+++ b/emulator/cluster/fuzz.go
@@ -56,17 +56,17 @@
 		}
 	}
 	all["pause"] = func(t *rapid.T) { c.Pause(index(t)) }
-	all["wake"] = func(t *rapid.T) { c.Wake(index(t)) }
+	all["wake"] = func(t *rapid.T) { c.Resume(index(t)) }
 	all["stop"] = func(t *rapid.T) { c.Stop(index(t)) }
 	all["cut"] = func(t *rapid.T) {
 		zones := rapid.IntRange(0, len(c.config.Zones)-1)
 		from, to := zones.Draw(t, "from"), zones.Draw(t, "to")
-		c.Cut(from, to)
+		c.BlockLink(from, to)
 		if rapid.Bool().Draw(t, "both ways") {
-			c.Cut(to, from)
+			c.BlockLink(to, from)
 		}
 	}
-	all["mend"] = func(*rapid.T) { c.Mend() }
+	all["mend"] = func(*rapid.T) { c.UnblockLinks() }
 }
 
 // addPlatformFaults adds the faults of the platform.
--- a/emulator/cluster/gateway.go
+++ b/emulator/cluster/gateway.go
@@ -17,33 +17,33 @@
 	owner   *node
 	handle  uint64
 	relayed uint64
-	// reply and lost end the request at the caller; over is set by the first
+	// reply and lost end the request at the caller; ended is set by the first
 	// event that ends it: reply, loss or disconnect.
 	reply func(control.Reply)
 	lost  func()
-	over  bool
+	ended bool
 }
 
 // request sends a caller's request to a node. At most one of reply and lost
 // runs, and none after the caller has called the returned disconnect function.
 // refused means that the connection could not be opened.
-func (c *Cluster) request(at *node, request control.Request, reply func(control.Reply), lost func(refused bool)) (hangUp func()) {
+func (c *Cluster) request(at *node, request control.Request, reply func(control.Reply), lost func(refused bool)) (disconnect func()) {
 	opened := &connection{node: at, reply: reply, lost: func() { lost(false) }}
 	c.requests++
 	opened.id = c.requests
 	c.after(c.jitter(c.config.ClientDelay), func() {
 		if !at.running || at.handedOver {
-			if !opened.over {
-				opened.over = true
+			if !opened.ended {
+				opened.ended = true
 				lost(true)
 			}
 			return
 		}
 		opened.starts = at.starts
-		at.connections[opened.id] = opened.breakOff
+		at.connections[opened.id] = opened.abort
 		at.enqueue(func() { opened.serve(request) })
 	})
-	return opened.hangUp
+	return opened.disconnect
 }
 
 // serve passes the request to the owner of its program: this node's core or
@@ -109,25 +109,25 @@
 					delete(owner.connections, key)
 				}
 				owner.finishStop()
-				c.travel(owner.self.Zone, o.node.self.Zone, func() { o.finish(reply) }, func() { c.after(peerSilence, unknown) })
+				c.transmit(owner.self.Zone, o.node.self.Zone, func() { o.finish(reply) }, func() { c.after(peerTimeout, unknown) })
 			})
 		})
 	}
-	c.travel(o.node.self.Zone, owner.self.Zone, arrive, func() { c.after(dialTimeout, notSent) })
+	c.transmit(o.node.self.Zone, owner.self.Zone, arrive, func() { c.after(dialTimeout, notSent) })
 }
 
 // finish sends the caller the reply, after a pause of the process if there is
 // one.
 func (o *connection) finish(reply control.Reply) {
 	n := o.node
-	if o.over || !n.running || n.starts != o.starts {
+	if o.ended || !n.running || n.starts != o.starts {
 		return
 	}
 	n.enqueue(func() {
-		if o.over {
+		if o.ended {
 			return
 		}
-		o.over = true
+		o.ended = true
 		delete(n.connections, o.id)
 		n.cluster.after(n.cluster.jitter(n.cluster.config.ClientDelay), func() { o.reply(reply) })
 		n.finishStop()
@@ -135,20 +135,20 @@
 }
 
 // abort reports to the caller that its connection was lost.
-func (o *connection) breakOff() {
-	if !o.over {
-		o.over = true
+func (o *connection) abort() {
+	if !o.ended {
+		o.ended = true
 		o.node.cluster.after(o.node.cluster.jitter(o.node.cluster.config.ClientDelay), o.lost)
 	}
 }
 
 // disconnect closes the connection on the caller's side; the request is
 // abandoned at the node that serves it.
-func (o *connection) hangUp() {
-	if o.over {
+func (o *connection) disconnect() {
+	if o.ended {
 		return
 	}
-	o.over = true
+	o.ended = true
 	n := o.node
 	if !n.running || n.starts != o.starts {
 		return
--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -15,7 +15,7 @@
 
 // advanceUntil advances in small steps until the condition holds, and fails after
 // a minute of virtual time.
-func inSmallSteps(of *cluster.Cluster, condition func(events []history.Event) bool) {
+func advanceUntil(of *cluster.Cluster, condition func(events []history.Event) bool) {
 	const step, steps = 200 * time.Microsecond, 300_000
 	for range steps {
 		if condition(of.Events()) {
@@ -58,7 +58,7 @@
 }
 
 // countEnded counts the programs that ended.
-func closings(events []history.Event) int {
+func countEnded(events []history.Event) int {
 	count := 0
 	for _, event := range events {
 		if event.Closed != nil {
@@ -89,7 +89,7 @@
 
 var _ = Describe("Engine memory", func() {
 	It("is freed by the sweep when an engine was out of reach while its programs ended", func() {
-		running := open(2)
+		running := startCluster(2)
 		for range 6 {
 			running.StartProgram(cluster.ProgramPlan{
 				Branch: cluster.BranchCold, Pause: 8 * time.Second, Calls: []cluster.CallPlan{{}, {Tool: true}},
@@ -99,13 +99,13 @@
 		// The first zone is isolated in both directions, so releases from other
 		// zones don't reach its engine.
 		for zone := range 3 {
-			running.Cut(0, zone)
-			running.Cut(zone, 0)
+			running.BlockLink(0, zone)
+			running.BlockLink(zone, 0)
 		}
 		running.Advance(30 * time.Second)
-		events := settled(running)
+		events := settleAndCheck(running)
 		seen, left := orphaned(events)
-		Expect(closings(events)).To(Equal(6))
+		Expect(countEnded(events)).To(Equal(6))
 		Expect(seen).NotTo(BeEmpty(), "no engine ever held memory of a program that was gone")
 		Expect(left).To(BeEmpty())
 	})
@@ -113,17 +113,17 @@
 	It("is freed when the owner dies in the moment in which its program ends", func() {
 		seenInAll := 0
 		for owner := range 3 {
-			running := open(uint64(10 + owner))
+			running := startCluster(uint64(10 + owner))
 			for range 8 {
-				running.StartProgram(models(2))
+				running.StartProgram(modelCalls(2))
 			}
 			for ended := range 4 {
-				inSmallSteps(running, func(events []history.Event) bool { return closings(events) > ended })
+				advanceUntil(running, func(events []history.Event) bool { return countEnded(events) > ended })
 				running.Crash(owner)
 				running.Advance(12 * time.Second)
 				Expect(running.Restart(owner)).To(Succeed())
 			}
-			seen, left := orphaned(settled(running))
+			seen, left := orphaned(settleAndCheck(running))
 			seenInAll += len(seen)
 			Expect(left).To(BeEmpty())
 		}
@@ -138,16 +138,16 @@
 			settings.DropShare = 0.2
 			running, err := cluster.New(settings)
 			Expect(err).NotTo(HaveOccurred())
-			running.Advance(atRest)
+			running.Advance(startupTime)
 			for range 6 {
-				running.StartProgram(models(12))
+				running.StartProgram(modelCalls(12))
 			}
 			running.Advance(4 * time.Second)
 			running.LeaveEngine(int(seed))
 			left := running.Now()
 			leaving := machine.ID([]string{"engine-1", "engine-2", "engine-3", "engine-1"}[seed])
 			before, elsewhere := 0, 0
-			for _, event := range settled(running) {
+			for _, event := range settleAndCheck(running) {
 				switch {
 				case event.Started == nil:
 				case event.Started.Backend == leaving && event.At.Before(left):
@@ -165,8 +165,8 @@
 
 var _ = Describe("Accepted settings", func() {
 	It("are not reverted by nodes that restart while the store is down", func() {
-		running := open(4)
-		plan := models(20)
+		running := startCluster(4)
+		plan := modelCalls(20)
 		plan.Pause = 4 * time.Second
 		running.StartProgram(plan)
 		running.Advance(2 * time.Second)
@@ -181,7 +181,7 @@
 		}
 		running.Advance(40 * time.Second)
 		running.StoreUp()
-		events := settled(running)
+		events := settleAndCheck(running)
 		_, first := highestInForce(events)
 		for _, restarted := range []machine.ID{"node-1", "node-2"} {
 			Expect(first[restarted]).To(HaveLen(2), "a process of %s put nothing in force", restarted)
@@ -198,28 +198,28 @@
 				if from == to {
 					continue
 				}
-				running := open(uint64(50 + 3*from + to))
+				running := startCluster(uint64(50 + 3*from + to))
 				for range 4 {
-					running.StartProgram(models(10))
+					running.StartProgram(modelCalls(10))
 				}
 				running.StartProgram(cluster.ProgramPlan{
 					Branch: cluster.BranchChat, Twice: true, Pause: time.Second,
 					Calls: []cluster.CallPlan{{Tool: true}, {}, {Tool: true}, {}, {Tool: true}, {}},
 				})
 				running.Advance(2 * time.Second)
-				running.Cut(from, to)
+				running.BlockLink(from, to)
 				running.Advance(2 * time.Second)
-				begun := len(starts(running.Events()))
+				startedBefore := len(startedAttempts(running.Events()))
 				running.Advance(38 * time.Second)
-				Expect(len(starts(running.Events()))).To(BeNumerically(">", begun), "nothing ran while %d could not reach %d", from, to)
-				events := settled(running)
+				Expect(len(startedAttempts(running.Events()))).To(BeNumerically(">", startedBefore), "nothing ran while %d could not reach %d", from, to)
+				events := settleAndCheck(running)
 				succeeded := 0
 				for _, event := range events {
 					if event.Ended != nil && event.Ended.Status == api.StatusSucceeded {
 						succeeded++
 					}
 				}
-				Expect(closings(events)).To(Equal(5))
+				Expect(countEnded(events)).To(Equal(5))
 				Expect(succeeded).To(BeNumerically(">=", 40))
 			}
 		}
--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -24,11 +24,11 @@
 	core    *control.Core
 	// starts counts the starts of the process; running and paused are its
 	// state. backlog holds what arrived while the process was paused.
-	starts  uint64
-	running bool
-	paused  bool
-	backlog []func()
-	wake    time.Time
+	starts   uint64
+	running  bool
+	paused   bool
+	backlog  []func()
+	nextWake time.Time
 	// leaving is set when a planned stop starts, handedOver when the core has
 	// handed over everything.
 	leaving    bool
@@ -43,9 +43,9 @@
 	verdicts    map[string]func(contract.Verdict)
 	inForce     contract.Revision
 	// inputs holds the inputs of calls that were sent from this node and have
-	// not ended; endedCalls holds those that succeeded.
-	inputs map[program.CallRef]string
-	texts  map[program.CallRef]api.Call
+	// not ended; succeededCalls holds those that succeeded.
+	inputs         map[program.CallRef]string
+	succeededCalls map[program.CallRef]api.Call
 }
 
 // start starts a new process on the machine.
@@ -72,10 +72,10 @@
 	n.core = core
 	n.running, n.paused, n.leaving, n.handedOver = true, false, false, false
 	n.backlog = nil
-	n.wake = time.Time{}
+	n.nextWake = time.Time{}
 	n.inForce = 0
 	n.inputs = map[program.CallRef]string{}
-	n.texts = map[program.CallRef]api.Call{}
+	n.succeededCalls = map[program.CallRef]api.Call{}
 	n.waiting = map[uint64]func(control.Reply){}
 	n.attempts = map[program.AttemptRef]*attempt{}
 	n.connections = map[uint64]func(){}
@@ -124,7 +124,7 @@
 	for _, action := range n.core.Ready() {
 		n.perform(action)
 	}
-	n.noteInForce()
+	n.recordInForce()
 	n.scheduleWake()
 	n.finishStop()
 }
@@ -133,20 +133,20 @@
 // 1 ms and at most longestSleep from now.
 func (n *node) scheduleWake() {
 	now := n.cluster.now
-	wake := now.Add(longestSleep)
-	if next := n.core.NextWake(); !next.IsZero() && next.Before(wake) {
-		wake = next
+	nextWake := now.Add(longestSleep)
+	if next := n.core.NextWake(); !next.IsZero() && next.Before(nextWake) {
+		nextWake = next
 	}
-	if wake.Before(now.Add(time.Millisecond)) {
-		wake = now.Add(time.Millisecond)
+	if nextWake.Before(now.Add(time.Millisecond)) {
+		nextWake = now.Add(time.Millisecond)
 	}
-	if n.wake.After(now) && !wake.Before(n.wake) {
+	if n.nextWake.After(now) && !nextWake.Before(n.nextWake) {
 		return
 	}
-	n.wake = wake
+	n.nextWake = nextWake
 	starts := n.starts
-	n.cluster.after(wake.Sub(now), func() {
-		if n.running && n.starts == starts && n.wake.Equal(wake) {
+	n.cluster.after(nextWake.Sub(now), func() {
+		if n.running && n.starts == starts && n.nextWake.Equal(nextWake) {
 			n.enqueue(func() { n.step(control.Tick{}) })
 		}
 	})
@@ -154,7 +154,7 @@
 
 // recordInForce records the settings revision by which this node places new
 // work, when it changes.
-func (n *node) noteInForce() {
+func (n *node) recordInForce() {
 	revision := n.core.Tree().Revision()
 	if revision == n.inForce || !n.core.Freshness(n.cluster.now).MayPlace {
 		return
@@ -191,21 +191,21 @@
 	case control.ReleasePrefix:
 		n.releasePrefix(action)
 	default:
-		n.note(action)
+		n.performLocal(action)
 	}
 }
 
 // performLocal executes the actions that complete a request or report an event.
-func (n *node) note(action control.Action) {
+func (n *node) performLocal(action control.Action) {
 	switch action := action.(type) {
 	case control.Answer:
 		n.answer(action.Handle, action.Reply)
 	case control.FetchHistory:
 		n.fetchHistory(action)
 	case control.SettingsVerdict:
-		n.noteVerdict(action.Verdict)
+		n.recordVerdict(action.Verdict)
 	case control.CallFinished:
-		n.noteText(action.Call)
+		n.cacheCall(action.Call)
 		n.cluster.record(history.Event{Ended: &history.Ended{
 			Node: n.self.ID, Program: action.Call.Program, Sequence: action.Call.Sequence, Status: action.Call.Status,
 		}})
@@ -224,7 +224,7 @@
 		return
 	}
 	message := action.Message
-	c.travel(n.self.Zone, peer.self.Zone, func() {
+	c.transmit(n.self.Zone, peer.self.Zone, func() {
 		peer.enqueue(func() { peer.step(control.MessageReceived{Message: message}) })
 	}, func() {})
 }
--- a/emulator/cluster/return_test.go
+++ b/emulator/cluster/return_test.go
@@ -17,10 +17,10 @@
 			settings.DropShare = 0
 			running, err := cluster.New(settings)
 			Expect(err).NotTo(HaveOccurred())
-			running.Advance(atRest)
+			running.Advance(startupTime)
 			running.Stop(stopped)
 			running.Advance(20 * time.Second)
-			begun := len(running.Events())
+			firstEvent := len(running.Events())
 			plan := cluster.ProgramPlan{Branch: cluster.BranchCold, Pause: 50 * time.Millisecond}
 			for range 100 {
 				plan.Calls = append(plan.Calls, cluster.CallPlan{Tool: true})
@@ -31,8 +31,8 @@
 			running.Advance(time.Second)
 			Expect(running.Restart(stopped)).To(Succeed())
 			running.Advance(time.Minute)
-			settled(running)
-			Expect(longestWait(running.Events()[begun:])).To(BeNumerically("<", 2*time.Second))
+			settleAndCheck(running)
+			Expect(longestWait(running.Events()[firstEvent:])).To(BeNumerically("<", 2*time.Second))
 		}
 	})
 })
--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -33,7 +33,7 @@
 }
 
 // recordPlacements records the placements of branches that have changed.
-func (c *Cluster) notePlacements() {
+func (c *Cluster) recordPlacements() {
 	for _, path := range Branches() {
 		resolved, err := c.operators.tree.Resolve(path)
 		if err != nil || c.operators.placements[path] == resolved.Placement {
@@ -84,7 +84,7 @@
 		}
 		c.record(history.Event{Change: recorded})
 	}
-	c.notePlacements()
+	c.recordPlacements()
 	return revision
 }
 
@@ -126,12 +126,12 @@
 }
 
 // recordVerdict records this node's verdict and passes it to a waiting operator.
-func (n *node) noteVerdict(verdict contract.Verdict) {
+func (n *node) recordVerdict(verdict contract.Verdict) {
 	n.cluster.record(history.Event{Verdict: &history.Verdict{
 		Node: n.self.ID, ID: verdict.ID, Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
 	}})
-	if tell, waits := n.verdicts[verdict.ID]; waits {
+	if deliver, waits := n.verdicts[verdict.ID]; waits {
 		delete(n.verdicts, verdict.ID)
-		tell(verdict)
+		deliver(verdict)
 	}
 }
--- a/emulator/cluster/stop_test.go
+++ b/emulator/cluster/stop_test.go
@@ -33,7 +33,7 @@
 			settings.DropShare = 0 // A lost offer delays the takeover until the next owner's timeout.
 			running, err := cluster.New(settings)
 			Expect(err).NotTo(HaveOccurred())
-			running.Advance(atRest)
+			running.Advance(startupTime)
 			plan := cluster.ProgramPlan{Branch: cluster.BranchCold, Pause: 50 * time.Millisecond}
 			for i := range 30 {
 				plan.Calls = append(plan.Calls, cluster.CallPlan{Tool: i%3 == 2})
@@ -44,7 +44,7 @@
 			running.Advance(2 * time.Second)
 			running.Stop(stopped)
 			running.Advance(time.Minute)
-			events := settled(running)
+			events := settleAndCheck(running)
 			ended := map[api.CallStatus]int{}
 			for _, event := range events {
 				if event.Ended != nil {
--- a/emulator/cluster/transcript.go
+++ b/emulator/cluster/transcript.go
@@ -12,21 +12,21 @@
 )
 
 // historyRetryDelay is the delay before a failed read of a history is retried.
-const rereadAfter = 500 * time.Millisecond
+const historyRetryDelay = 500 * time.Millisecond
 
 // readPrompt reads the calls that precede an attempt. It retries until it
 // succeeds or the attempt has ended.
 func (n *node) readPrompt(sent *attempt, done func(calls []api.Call)) {
 	action := sent.action
-	if known, found := n.knownTexts(action.Attempt.Program, action.Prompt); found {
+	if known, found := n.cachedCalls(action.Attempt.Program, action.Prompt); found {
 		done(known)
 		return
 	}
-	n.readTexts(action.Partition, action.Attempt.Program, action.Prompt, func(calls []api.Call, err error) {
+	n.readCalls(action.Partition, action.Attempt.Program, action.Prompt, func(calls []api.Call, err error) {
 		switch {
 		case sent.ended:
 		case err != nil:
-			n.cluster.after(rereadAfter, func() { n.enqueue(func() { n.readPrompt(sent, done) }) })
+			n.cluster.after(historyRetryDelay, func() { n.enqueue(func() { n.readPrompt(sent, done) }) })
 		default:
 			done(calls)
 		}
@@ -36,22 +36,22 @@
 // cacheCall caches a call that was sent from this node and has succeeded, as the
 // daemon does for recently active programs: a prompt then needs no read of the
 // log.
-func (n *node) noteText(call api.Call) {
+func (n *node) cacheCall(call api.Call) {
 	ref := program.CallRef{Program: call.Program, Sequence: call.Sequence}
 	input, sentHere := n.inputs[ref]
 	delete(n.inputs, ref)
 	if sentHere && call.Status == api.StatusSucceeded {
 		call.Input = input
-		n.texts[ref] = call
+		n.succeededCalls[ref] = call
 	}
 }
 
 // cachedCalls returns the calls at the locations if all of them are cached on
 // this node.
-func (n *node) knownTexts(owner api.ProgramID, locations []program.CallLocation) ([]api.Call, bool) {
+func (n *node) cachedCalls(owner api.ProgramID, locations []program.CallLocation) ([]api.Call, bool) {
 	calls := make([]api.Call, len(locations))
 	for i, location := range locations {
-		known, found := n.texts[program.CallRef{Program: owner, Sequence: location.Sequence}]
+		known, found := n.succeededCalls[program.CallRef{Program: owner, Sequence: location.Sequence}]
 		if !found {
 			return nil, false
 		}
@@ -61,7 +61,7 @@
 }
 
 // readCalls reads calls from a partition's stream in one request.
-func (n *node) readTexts(id partition.ID, owner api.ProgramID, locations []program.CallLocation, done func([]api.Call, error)) {
+func (n *node) readCalls(id partition.ID, owner api.ProgramID, locations []program.CallLocation, done func([]api.Call, error)) {
 	if len(locations) == 0 {
 		done(nil, nil)
 		return
@@ -124,7 +124,7 @@
 
 // fetchHistory answers a request with calls read from the log.
 func (n *node) fetchHistory(action control.FetchHistory) {
-	n.readTexts(action.Partition, action.Program, action.Locations, func(calls []api.Call, err error) {
+	n.readCalls(action.Partition, action.Program, action.Locations, func(calls []api.Call, err error) {
 		reply := control.Reply{}
 		switch {
 		case err != nil:
