--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -40,7 +40,7 @@
 	listeners []func(ok bool)
 }
 
-// end tells the listeners.
+// end marks the execution as finished and calls its listeners.
 func (r *backendRun) end(ok bool) {
 	r.finished = true
 	listeners := r.listeners
@@ -50,7 +50,7 @@
 	}
 }
 
-// emulatedEngine is a model engine.
+// emulatedEngine is an emulated model engine.
 type emulatedEngine struct {
 	cluster  *Cluster
 	machine  machine.Machine
--- a/emulator/cluster/config.go
+++ b/emulator/cluster/config.go
@@ -54,7 +54,7 @@
 	findings.Positive(found, "LinkDelay", c.LinkDelay)
 	findings.Positive(found, "ClientDelay", c.ClientDelay)
 	findings.Positive(found, "StoreDelay", c.StoreDelay)
-	found.Require(c.DropShare >= 0 && c.DropShare < 1, "DropShare", "want a share")
+	found.Require(c.DropShare >= 0 && c.DropShare < 1, "DropShare", "want at least 0 and less than 1")
 	return found.Err()
 }
 
--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -63,7 +63,7 @@
 	}}
 	c.appendChange(change, c.now)
 	if verdict, _ := c.operators.tree.Verdict(change.ID); !verdict.Accepted {
-		return fmt.Errorf("cluster: the first settings were refused: %v", verdict.Findings)
+		return fmt.Errorf("cluster: initial settings refused: %v", verdict.Findings)
 	}
 	return nil
 }
--- a/emulator/cluster/storeservice.go
+++ b/emulator/cluster/storeservice.go
@@ -155,7 +155,7 @@
 func encode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic("cluster: no JSON form: " + err.Error())
+		panic("cluster: encode log entry as JSON: " + err.Error())
 	}
 	return text
 }
