--- a/emulator/benchplot/benchplot.go
+++ b/emulator/benchplot/benchplot.go
@@ -1,4 +1,4 @@
-// Package benchplot draws what a bench measured, as SVG files.
+// Package benchplot plots the results of a bench as SVG files.
 package benchplot
 
 import (
@@ -13,19 +13,19 @@
 	"birchwood.example/birchwood/emulator"
 )
 
-// The size of a drawing.
+// The size of a plot.
 const (
 	width  = 8 * vg.Inch
 	height = 5 * vg.Inch
-	// maximumPoints bounds the points of one curve.
+	// targetPoints controls the sampling of long curves, which get from
+	// targetPoints to twice as many points.
 	maximumPoints = 400
 )
 
-// millisecondsPerSecond converts latencies for the axes.
 const millisecondsPerSecond = 1000
 
-// LatencyCDF draws the cumulative distribution of the program latency of each
-// policy into directory/latency-cdf.svg. The result must keep its latencies.
+// LatencyCDF plots the cumulative distribution of the program latency of each
+// policy to directory/latency-cdf.svg. The result must include its latencies.
 func LatencyCDF(directory string, result emulator.BenchResult) error {
 	drawing := plot.New()
 	drawing.Title.Text = fmt.Sprintf("%s, load %g, seed %d", result.Deployment, result.Load, result.Seed)
@@ -41,7 +41,9 @@
 	return save(drawing, directory, "latency-cdf.svg")
 }
 
-// cumulative returns the points of a distribution of sorted latencies.
+// cumulative returns points of the cumulative distribution of sorted latencies in
+// milliseconds, in seconds. Latencies below 1 ms count as 1 ms, because the axis
+// is logarithmic.
 func cumulative(sorted []float64) plotter.XYs {
 	step := max(1, len(sorted)/maximumPoints)
 	var points plotter.XYs
@@ -54,8 +56,8 @@
 	return points
 }
 
-// LoadSweep draws the 95th percentile of the program latency and the goodput
-// against the load, into directory/load-latency.svg and load-goodput.svg. The
+// LoadSweep plots the 95th percentile of the program latency and the goodput
+// against the load, to directory/load-latency.svg and load-goodput.svg. The
 // results must have the same policies in the same order.
 func LoadSweep(directory string, results []emulator.BenchResult) error {
 	if len(results) == 0 {
@@ -90,7 +92,7 @@
 	return save(goodput, directory, "load-goodput.svg")
 }
 
-// sweep returns one policy's value against the load.
+// sweep returns the points of one policy's value against the load.
 func sweep(results []emulator.BenchResult, policy int, value func(emulator.PolicyResult) float64) plotter.XYs {
 	points := make(plotter.XYs, len(results))
 	for i, result := range results {
@@ -99,7 +101,7 @@
 	return points
 }
 
-// addLine adds a curve with its legend.
+// addLine adds a curve with its legend entry; one without points is omitted.
 func addLine(drawing *plot.Plot, index int, name string, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// save writes a drawing.
+// save writes a plot to a file in the directory.
 func save(drawing *plot.Plot, directory, name string) error {
 	return drawing.Save(width, height, filepath.Join(directory, name))
 }
--- a/emulator/standin/answertext.go
+++ b/emulator/standin/answertext.go
@@ -6,21 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerToken is how many bytes of text count as one token; a rest counts
-// as one more.
+// bytesPerToken is the number of bytes of text per token; token counts are
+// rounded up.
 const bytesPerToken = 4
 
-// minimumOutputTokens holds the hash that every answer begins with.
+// minimumOutputTokens is the number of tokens of the hash that every answer
+// begins with.
 const minimumOutputTokens = 4
 
-// tokensOf counts the tokens of a text.
+// tokensOf returns the number of tokens of a text.
 func tokensOf(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
-// answerText is the answer of an engine: a function of the model and the
-// prompt alone, so that a second attempt gives the same answer, and so that a
-// checker can tell an answer that reached another call. It begins with the
-// hash of both in 16 hexadecimal digits; each further token is a word of
-// three letters and a space.
+// answerText is the answer of an engine. It depends only on the model and the
+// prompt, so that a retried attempt gives the same answer and a checker can
+// detect an answer delivered to the wrong call. It begins with the hash of both
+// in 16 hexadecimal digits; each further token is a word of three letters and a
+// space.
 type answerText struct {
 	hash uint64
 }
@@ -34,8 +35,9 @@
 	return answerText{hash: digest.Sum64()}
 }
 
-// tokens is how long the answer is, at most the maximum: drawn evenly from the
-// upper three quarters, by the hash.
+// tokens returns the answer's length in tokens: the hash selects it uniformly
+// from the range of a quarter of the maximum, but at least minimumOutputTokens,
+// to the maximum.
 func (a answerText) tokens(maximum int) int {
 	if maximum <= minimumOutputTokens {
 		return max(maximum, 1)
@@ -44,7 +46,8 @@
 	return lowest + int(a.hash%uint64(maximum-lowest+1))
 }
 
-// slice returns the text of the tokens from one up to another.
+// slice returns the text of the tokens from index from up to, but not
+// including, index to.
 func (a answerText) slice(from, to int) string {
 	text := make([]byte, 0, (to-from)*bytesPerToken)
 	head := fmt.Sprintf("%016x", a.hash)
@@ -58,7 +61,7 @@
 	return string(text)
 }
 
-// appendWord appends the word of one token.
+// appendWord appends the pseudo-random word of one token.
 func (a answerText) appendWord(text []byte, token int) []byte {
 	mixed := (a.hash ^ uint64(token)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	mixed ^= mixed >> 29
--- a/emulator/standin/config.go
+++ b/emulator/standin/config.go
@@ -15,7 +15,7 @@
 
 // Defaults of Config.
 const (
-	// AnyPort makes the system choose a free port on loopback.
+	// AnyPort lets the operating system choose a free port on loopback.
 	AnyPort               = "127.0.0.1:0"
 	defaultMachineLag     = time.Second
 	defaultMachineExpiry  = 5 * time.Second
@@ -25,24 +25,26 @@
 
 // Config describes a set of stand-ins. Zero fields get a default.
 type Config struct {
-	// Seed drives what is random: lost cache events and random faults.
+	// Seed seeds the random choices: lost cache events and faults with a
+	// probability.
 	Seed uint64 `yaml:"seed"`
 	// Platform and Control are the listen addresses, "ip:port".
 	Platform string `yaml:"platform"`
 	Control  string `yaml:"control"`
-	// PlatformZone is the zone that the platform's service counts as standing
-	// in when zones are cut; empty means that no cut of a zone concerns it.
+	// PlatformZone is the zone of the platform's services for FaultNetworkPartition; if
+	// it is empty, blocked links between zones don't affect them.
 	PlatformZone zone.Name `yaml:"platform_zone"`
-	// LogDelay is how long each request to the log service takes.
+	// LogDelay is the delay of each request to the log service.
 	LogDelay time.Duration `yaml:"log_delay"`
-	// MachineLag is how old the shown machine list is; MachineExpiry is how
-	// long an entry lives without renewal.
+	// MachineLag is the age of the machine list that is served; MachineExpiry is
+	// the time after which an entry expires without renewal.
 	MachineLag    time.Duration `yaml:"machine_lag"`
 	MachineExpiry time.Duration `yaml:"machine_expiry"`
-	// WeightTransfer is how long the weight store needs for one model.
+	// WeightTransfer is the time that the weight store takes to transfer the
+	// weights of one model.
 	WeightTransfer time.Duration `yaml:"weight_transfer"`
-	// Recorder gets what the back ends saw, for package history; nil records
-	// nothing.
+	// Recorder records the back ends' events for package history; nil disables
+	// recording.
 	Recorder *history.Recorder `yaml:"-"`
 	Engines  []EngineConfig    `yaml:"engines"`
 	Tools    []ToolConfig      `yaml:"tools"`
@@ -54,11 +56,10 @@
 	Zone    zone.Name  `yaml:"zone"`
 	Address string     `yaml:"address"`
 	Models  []string   `yaml:"models"`
-	// Slots and CacheTokens: zero means the default of package enginemodel.
+	// Slots and CacheTokens default to those of package enginemodel if zero.
 	Slots       int `yaml:"slots"`
 	CacheTokens int `yaml:"cache_tokens"`
-	// Speed is how many times as fast as the default rates the engine
-	// computes. Zero means 1.
+	// Speed multiplies the default rates of the engine. Zero means 1.
 	Speed float64 `yaml:"speed"`
 }
 
@@ -69,11 +70,11 @@
 	Address string     `yaml:"address"`
 	// Kind is "depot-events" or "collections".
 	Kind string `yaml:"kind"`
-	// Delay is how long each run takes.
+	// Delay is the time from a run's effect to its answer.
 	Delay time.Duration `yaml:"delay"`
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns the configuration with defaults for zero fields.
 func (c Config) withDefaults() Config {
 	setDefault(&c.Platform, AnyPort)
 	setDefault(&c.Control, AnyPort)
@@ -99,7 +100,7 @@
 	return c
 }
 
-// setDefault replaces a zero value.
+// setDefault sets a field that has the zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -107,7 +108,7 @@
 	}
 }
 
-// validate collects everything that is wrong, with its place.
+// validate reports all invalid fields with their locations.
 func (c Config) validate() error {
 	var findings []error
 	find := func(place, format string, arguments ...any) {
--- a/emulator/standin/control.go
+++ b/emulator/standin/control.go
@@ -7,12 +7,12 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// faultsBody is the body of the fault routes.
+// faultsBody is the request and response body of the fault routes.
 type faultsBody struct {
 	Faults []Fault `json:"faults"`
 }
 
-// controlRoutes returns the routes of the control address. No fault hides
+// controlRoutes returns the routes of the control address. Faults don't affect
 // them.
 func (s *Set) controlRoutes() *router.Router {
 	routes := router.New()
@@ -33,12 +33,12 @@
 	return routes
 }
 
-// listFaults shows the faults in force.
+// listFaults answers with the active faults.
 func (s *Set) listFaults(ctx *fasthttp.RequestCtx) {
 	answer(ctx, faultsBody{Faults: s.faults.List()})
 }
 
-// addFaults puts faults in force: all of the body, or none when one is wrong.
+// addFaults activates all faults of the body, or none if one is invalid.
 func (s *Set) addFaults(ctx *fasthttp.RequestCtx) {
 	var body faultsBody
 	if !decode(ctx, &body) {
@@ -56,13 +56,13 @@
 	s.listFaults(ctx)
 }
 
-// removeFault ends one fault, or all.
+// removeFault removes one fault, or all if the name is empty.
 func (s *Set) removeFault(ctx *fasthttp.RequestCtx, name string) {
 	s.faults.Remove(name)
 	s.listFaults(ctx)
 }
 
-// leaveBackend makes a back end leave.
+// leaveBackend makes a back end refuse new work and be listed as leaving.
 func (s *Set) leaveBackend(ctx *fasthttp.RequestCtx) {
 	if err := s.Leave(machine.ID(unescape(parameter(ctx, "id")))); err != nil {
 		fail(ctx, fasthttp.StatusNotFound, err)
@@ -71,7 +71,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// restartBackend makes an engine lose its streams and prefixes.
+// restartBackend restarts an engine, which loses its streams and prefixes.
 func (s *Set) restartBackend(ctx *fasthttp.RequestCtx) {
 	if err := s.Restart(machine.ID(unescape(parameter(ctx, "id")))); err != nil {
 		fail(ctx, fasthttp.StatusNotFound, err)
--- a/emulator/standin/engine.go
+++ b/emulator/standin/engine.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// progressInterval is how often streams in progress are served at most.
+	// progressInterval is the minimum time between two updates of the streams
+	// in progress.
 	progressInterval = 5 * time.Millisecond
-	// forgetAfter is how many streams end before what is no longer needed is
-	// looked for.
+	// cleanupInterval is the number of streams that end between two cleanups.
 	forgetAfter = 1000
-	// keptEvents is how many cache events can still be asked for.
+	// maxCacheEvents is the maximum number of stored cache events; when it is
+	// exceeded, the newest half of that number remains.
 	keptEvents = 4096
 )
 
-// runningEngine drives the engine model in real time on a goroutine of its
-// own.
+// runningEngine runs the engine model in real time on its own goroutine.
 type runningEngine struct {
-	// recorder gets what the engine saw; nil records nothing.
+	// recorder records the engine's events; nil disables recording.
 	recorder *history.Recorder
 	config   EngineConfig
 
@@ -41,16 +41,16 @@
 	prefixes map[api.ProgramID]prefixText
 	answers  map[string]startedAnswer
 	ended    int
-	// firstEvent is added to the sequence of the model's cache events.
+	// eventBase is added to the sequence numbers of the model's cache events.
 	firstEvent uint64
 	events     []engine.CacheEvent
 	report     schedule.Load
-	// changed is closed and replaced when streams have moved on.
+	// changed is closed and replaced when streams may have progressed.
 	changed chan struct{}
 	kick    chan struct{}
 }
 
-// startedAnswer is the answer of a stream that was asked for.
+// startedAnswer is the answer of a stream that has been requested.
 type startedAnswer struct {
 	owner api.ProgramID
 	text  answerText
@@ -62,7 +62,7 @@
 	hash   uint64
 }
 
-// newRunningEngine returns an engine at rest.
+// newRunningEngine returns an idle engine.
 func newRunningEngine(config EngineConfig, random *rand.Rand) (*runningEngine, error) {
 	created := &runningEngine{
 		config:  config,
@@ -73,7 +73,7 @@
 	return created, created.reset()
 }
 
-// reset begins with an empty engine: at first, and after a crash.
+// reset initialises an empty engine, at the start and after a crash.
 func (r *runningEngine) reset() error {
 	rates := enginemodel.DefaultConfig(r.config.ID, r.config.Models...).Faster(r.config.Speed)
 	rates.Slots = r.config.Slots
@@ -89,11 +89,11 @@
 	return nil
 }
 
-// restart loses every stream and prefix, as a crash does.
+// restart discards all streams and prefixes, as a crash does.
 func (r *runningEngine) restart() error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	// The sequence goes on with a gap, which tells readers to look anew.
+	// The gap in the sequence makes readers list the prefixes again.
 	r.firstEvent += r.model.EventSequence() + 1
 	if err := r.reset(); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	return r.stepLocked(enginemodel.Event{})
 }
 
-// run lets time pass until closed.
+// run advances the model in real time until closed.
 func (r *runningEngine) run(closed <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -116,7 +116,7 @@
 	}
 }
 
-// tick lets time pass until now and returns how long to sleep.
+// tick advances the model to the present and returns the time to the next tick.
 func (r *runningEngine) tick() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -135,7 +135,7 @@
 	return sleep
 }
 
-// take handles what the model tells. The mutex is held.
+// handleOutputs handles the model's outputs. The mutex must be held.
 func (r *runningEngine) take(now time.Time) {
 	for _, output := range r.model.Ready(now) {
 		switch {
@@ -155,8 +155,9 @@
 	}
 }
 
-// forget drops, now and then, the answers of streams that cannot be resumed
-// any more and the texts of prefixes that are gone. The mutex is held.
+// cleanUp removes, once every cleanupInterval ended streams, the answers of
+// streams that can no longer be resumed and the texts of prefixes that are no
+// longer cached or in use. The mutex must be held.
 func (r *runningEngine) forget() {
 	r.ended++
 	if r.ended%forgetAfter != 0 {
@@ -183,14 +184,14 @@
 	}
 }
 
-// step applies an event now and wakes the driver.
+// step applies an event at the present time and wakes the driver.
 func (r *runningEngine) step(event enginemodel.Event) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.stepLocked(event)
 }
 
-// stepLocked is step with the mutex held.
+// stepLocked is step for callers that hold the mutex.
 func (r *runningEngine) stepLocked(event enginemodel.Event) error {
 	now := time.Now()
 	err := r.model.Step(now, event)
@@ -236,9 +237,9 @@
 	return text, nil
 }
 
-// continues reports whether the prompt begins with the last prompt of its
-// owner; else nothing that is cached for the owner can be used. The mutex is
-// held.
+// continues reports whether the prompt begins with the last prompt of its owner;
+// otherwise the owner's cached prefix can't be used. Without a last prompt it
+// returns true. The mutex must be held.
 func (r *runningEngine) continues(request engine.GenerateRequest) bool {
 	known, ok := r.prefixes[request.Owner]
 	if !ok || known.length == 0 {
@@ -248,8 +249,8 @@
 		xxhash.Sum64String(request.Prompt[:known.length]) == known.hash
 }
 
-// progress returns how far a stream is, and the channel that is closed when
-// streams have moved on.
+// progress returns the progress of a stream, whether the stream is known, and
+// the channel that is closed when streams may have progressed.
 func (r *runningEngine) progress(stream string) (enginemodel.Progress, bool, <-chan struct{}) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -257,7 +258,7 @@
 	return progress, known, r.changed
 }
 
-// eventsAfter returns the kept cache events after a sequence.
+// eventsAfter returns the stored cache events after a sequence number.
 func (r *runningEngine) eventsAfter(after uint64) []engine.CacheEvent {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -270,7 +271,7 @@
 	return events
 }
 
-// lastReport returns the last load report that has arrived.
+// lastReport returns the latest load report of the model.
 func (r *runningEngine) lastReport() schedule.Load {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -285,7 +286,8 @@
 	return r.model.Prefixes()
 }
 
-// setLag changes how late reports and cache events are told.
+// setLag sets the delay of load reports and cache events, or restores the
+// default delays if lagging is false.
 func (r *runningEngine) setLag(lag time.Duration, lagging bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -296,7 +298,8 @@
 	r.model.SetDelays(enginemodel.DefaultReportDelay, enginemodel.DefaultEventDelay)
 }
 
-// exportable returns the owner's prefix, which another engine may import.
+// exportable returns the size in tokens and the text of the owner's prefix, for
+// import by another engine.
 func (r *runningEngine) exportable(owner api.ProgramID) (int, prefixText) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -304,7 +307,7 @@
 	return r.model.Resident(owner), r.prefixes[owner]
 }
 
-// imports receives a prefix that another engine exported.
+// importPrefix starts the import of a prefix from another engine.
 func (r *runningEngine) imports(owner api.ProgramID, tokens int, text prefixText) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -315,14 +318,15 @@
 	return err
 }
 
-// resident returns how much of the owner's prefix is cached.
+// resident returns the number of cached tokens of the owner's prefix, and the
+// channel that is closed when it may have changed.
 func (r *runningEngine) resident(owner api.ProgramID) (int, <-chan struct{}) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.model.Resident(owner), r.changed
 }
 
-// machine is the engine's entry of the machine list.
+// machine returns the engine's entry in the machine list.
 func (r *runningEngine) machine(address string, status machine.Status) machine.Machine {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/emulator/standin/enginehttp.go
+++ b/emulator/standin/enginehttp.go
@@ -17,18 +17,18 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// keepAliveInterval is how often an idle stream gets an empty line, so that a
-// caller that hung up is noticed.
+// keepAliveInterval is the interval at which an idle stream gets an empty line,
+// to detect callers that have disconnected.
 const keepAliveInterval = 500 * time.Millisecond
 
-// engineService serves one engine's routes.
+// engineService serves the HTTP routes of one engine.
 type engineService struct {
 	engine *runningEngine
 	gate   *gate
 	set    *Set
 }
 
-// routes returns the engine's routes behind their faults.
+// routes returns the engine's routes with fault injection.
 func (s *engineService) routes() *router.Router {
 	routes := router.New()
 	routes.POST("/generate", s.gate.guard(s.generate))
@@ -42,7 +42,7 @@
 	return routes
 }
 
-// generate starts or resumes a stream and answers it as lines of JSON.
+// generate starts or resumes a stream and answers with JSON lines.
 func (s *engineService) generate(ctx *fasthttp.RequestCtx) {
 	var request engine.GenerateRequest
 	if !decode(ctx, &request) {
@@ -68,7 +68,8 @@
 	ctx.SetBodyStreamWriter(writer.write)
 }
 
-// statusOf maps the engine's refusals to a status; all say that nothing ran.
+// statusOf maps the engine's refusals to HTTP status codes, all of which mean
+// that nothing ran.
 func statusOf(err error) int {
 	if errors.Is(err, enginemodel.ErrLeaving) {
 		return fasthttp.StatusServiceUnavailable
@@ -84,16 +85,17 @@
 	service *engineService
 	stream  string
 	text    answerText
-	// sent counts the tokens that the caller has; skip the bytes of the next
-	// one that it has already.
+	// sent is the number of whole tokens that the caller has received, skip the
+	// number of bytes of the next token that it has received.
 	sent       int
 	skip       int
 	caller     zone.Name
 	answerLost bool
 }
 
-// write follows the stream until its end, or until the caller hangs up or is
-// cut off. A caller that hangs up does not stop the stream: it may resume.
+// write sends the stream until it ends, or until the caller disconnects or
+// becomes unreachable. A disconnect doesn't stop the stream, because the caller
+// may resume it.
 func (w *streamWriter) write(out *bufio.Writer) {
 	for {
 		progress, known, changed := w.service.engine.progress(w.stream)
@@ -112,8 +114,8 @@
 	}
 }
 
-// chunkBody is one line of a stream: engine.Chunk without what only the last
-// line has.
+// chunkBody is one line of a stream. It encodes engine.Chunk, and omits empty
+// fields, such as those that only the last line has.
 type chunkBody struct {
 	Offset   int           `json:"offset"`
 	Text     string        `json:"text,omitempty"`
@@ -124,7 +126,7 @@
 	Error    string        `json:"error,omitempty"`
 }
 
-// writeProgress writes what the caller does not have yet.
+// writeProgress writes the text that the caller hasn't received yet.
 func (w *streamWriter) writeProgress(out *bufio.Writer, progress enginemodel.Progress) error {
 	if progress.Produced <= w.sent && !progress.Done {
 		return out.Flush()
@@ -160,8 +162,9 @@
 	return out.Flush()
 }
 
-// wait blocks until the stream may have moved on. It reports false when the
-// caller has hung up or the stand-ins are closed.
+// wait blocks until the stream may have progressed or keepAliveInterval has
+// passed. It returns false if the caller has disconnected or the stand-ins are
+// closed.
 func (w *streamWriter) wait(out *bufio.Writer, changed <-chan struct{}) bool {
 	timer := time.NewTimer(keepAliveInterval)
 	defer timer.Stop()
@@ -201,7 +204,8 @@
 	answer(ctx, engine.PrefixesBody{Prefixes: s.engine.listPrefixes()})
 }
 
-// listEvents returns the cache events after the sequence of the query.
+// listEvents answers with the cache events after the sequence number in the
+// query.
 func (s *engineService) listEvents(ctx *fasthttp.RequestCtx) {
 	s.followLag()
 	after, err := ctx.QueryArgs().GetUint("after")
@@ -211,18 +215,19 @@
 	answer(ctx, engine.EventsBody{Events: s.engine.eventsAfter(uint64(after))})
 }
 
-// load returns the last load report.
+// load answers with the latest load report.
 func (s *engineService) load(ctx *fasthttp.RequestCtx) {
 	s.followLag()
 	answer(ctx, s.engine.lastReport())
 }
 
-// followLag applies the lagging fault that is in force, if any.
+// applyLag applies the active lagging fault, if any.
 func (s *engineService) followLag() {
 	s.engine.setLag(s.gate.faults.lag(s.gate.service.name))
 }
 
-// order applies a fenced order. The weights come from the weight store.
+// order applies a fenced load or unload order. The weights of a model to load
+// are transferred from the weight store.
 func (s *engineService) order(ctx *fasthttp.RequestCtx) {
 	var body engine.Order
 	if !decode(ctx, &body) {
@@ -239,8 +244,8 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// imports moves a program's KV cache here from another engine of the set, and
-// answers once it has arrived.
+// importPrefix moves a program's KV cache here from another engine of the set,
+// and answers once it has arrived.
 func (s *engineService) imports(ctx *fasthttp.RequestCtx) {
 	var body engine.ImportBody
 	if !decode(ctx, &body) {
@@ -265,7 +270,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// awaitImport waits until the prefix is cached here.
+// awaitImport waits until the prefix is cached here, at most hungLimit.
 func (s *engineService) awaitImport(owner api.ProgramID) {
 	limit := time.NewTimer(hungLimit)
 	defer limit.Stop()
--- a/emulator/standin/fault.go
+++ b/emulator/standin/fault.go
@@ -12,27 +12,27 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// FaultKind tells what a fault does.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// FaultDown closes the connection before anything happened.
+	// FaultDown closes the connection before the action.
 	FaultDown FaultKind = "down"
-	// FaultUnavailable answers 503 before anything happened.
+	// FaultUnavailable answers 503 without the action.
 	FaultUnavailable FaultKind = "unavailable"
-	// FaultSlow adds Delay before the action.
+	// FaultSlow waits DelayMilliseconds before the action.
 	FaultSlow FaultKind = "slow"
 	// FaultAnswerLost closes the connection after the action took effect.
 	FaultAnswerLost FaultKind = "answer_lost"
 	// FaultHung holds the request, without action or answer, until the fault
-	// is removed; then it closes the connection.
+	// is removed, at most hungLimit; then it closes the connection.
 	FaultHung FaultKind = "hung"
-	// FaultLagging makes the machine list, or an engine's load reports and
-	// cache events, as late as Delay.
+	// FaultLagging sets the delay of the machine list, or of an engine's load
+	// reports and cache events, to DelayMilliseconds.
 	FaultLagging FaultKind = "lagging"
-	// FaultCut holds the requests from zone From to zone To as FaultHung does,
-	// and cuts their answers.
+	// FaultNetworkPartition blocks the link from zone From to zone To: requests hang as with
+	// FaultHung, and answers are interrupted.
 	FaultCut FaultKind = "cut"
 )
 
@@ -45,28 +45,29 @@
 	TargetAll      = "*"
 )
 
-// Fault is one thing that goes wrong until it is removed.
+// Fault is an injected fault, active until it is removed or expires.
 type Fault struct {
-	// Name identifies the fault; adding the same name again replaces it.
+	// Name identifies the fault; adding a fault of the same name replaces it.
 	Name   string    `json:"name"`
 	Kind   FaultKind `json:"kind"`
 	Target string    `json:"target,omitempty"`
-	// From and To are for FaultCut. To may also be a target's name.
+	// From and To are the zones of FaultNetworkPartition. To may also be a target's name.
 	From zone.Name `json:"from,omitempty"`
 	To   zone.Name `json:"to,omitempty"`
-	// TwoWay cuts the way from To to From as well.
+	// TwoWay blocks the link from To to From as well.
 	TwoWay            bool  `json:"two_way,omitempty"`
 	DelayMilliseconds int64 `json:"delay_ms,omitempty"`
-	// Probability is the share of requests that it hits; zero means all.
+	// Probability is the share of requests that are affected; zero means all.
 	Probability float64 `json:"probability,omitempty"`
-	// ForMilliseconds removes the fault by itself; zero means never.
+	// ForMilliseconds is the time after which the fault expires; zero means
+	// never.
 	ForMilliseconds int64 `json:"for_ms,omitempty"`
 }
 
-// delay is the fault's Delay.
+// delay returns DelayMilliseconds as a duration.
 func (f Fault) delay() time.Duration { return time.Duration(f.DelayMilliseconds) * time.Millisecond }
 
-// validate says what is wrong with a fault.
+// validate reports all invalid fields.
 func (f Fault) validate() error {
 	var findings []error
 	if f.Name == "" {
@@ -91,28 +92,28 @@
 	return errors.Join(findings...)
 }
 
-// Faults are the faults in force. It is safe for concurrent use.
+// Faults holds the active faults. It is safe for concurrent use.
 type Faults struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	active map[string]activeFault
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced when a fault is added or removed.
 	changed chan struct{}
 	now     func() time.Time
 }
 
-// activeFault is a fault and its end.
+// activeFault is a fault and its time of expiry; zero means never.
 type activeFault struct {
 	Fault
 	until time.Time
 }
 
-// newFaults returns no faults.
+// newFaults returns an empty set of faults.
 func newFaults(random *rand.Rand, now func() time.Time) *Faults {
 	return &Faults{random: random, active: make(map[string]activeFault), changed: make(chan struct{}), now: now}
 }
 
-// Add puts a fault in force, in place of the one of the same name.
+// Add activates a fault and replaces an active one of the same name.
 func (f *Faults) Add(fault Fault) error {
 	if err := fault.validate(); err != nil {
 		return err
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// Remove ends a fault, or all of them when the name is empty.
+// Remove removes a fault, or all of them if the name is empty.
 func (f *Faults) Remove(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -140,7 +141,7 @@
 	f.wake()
 }
 
-// List returns the faults in force, sorted by name.
+// List returns the active faults, sorted by name.
 func (f *Faults) List() []Fault {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -151,8 +152,8 @@
 	return listed
 }
 
-// live returns the faults that have not ended, sorted by name. The mutex is
-// held.
+// unexpired returns the faults that have not expired, sorted by name, and removes
+// the others. The mutex must be held.
 func (f *Faults) live() []activeFault {
 	var live []activeFault
 	now := f.now()
@@ -167,19 +168,20 @@
 	return live
 }
 
-// wake tells every waiting request to look again. The mutex is held.
+// notify makes every waiting request re-evaluate the faults. The mutex must be
+// held.
 func (f *Faults) wake() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// service names a stand-in and its zone.
+// service is the name and zone of a stand-in.
 type service struct {
 	name string
 	zone zone.Name
 }
 
-// effects are what the faults in force do to one request.
+// effects are the combined effects of the active faults on one request.
 type effects struct {
 	down        bool
 	unavailable bool
@@ -188,8 +190,8 @@
 	delay       time.Duration
 }
 
-// effectsOn returns what happens to a request from the caller's zone, and the
-// channel that is closed at the next change.
+// effectsOn returns the effects on a request from the caller's zone, and the
+// channel that is closed when the faults change.
 func (f *Faults) effectsOn(target service, caller zone.Name) (effects, <-chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -214,8 +216,8 @@
 	return found, f.changed
 }
 
-// concerns reports whether the fault is about requests from the caller's zone
-// to the target.
+// matches reports whether the fault affects requests from the caller's zone to
+// the target.
 func (f Fault) concerns(target service, caller zone.Name) bool {
 	if f.Kind != FaultCut {
 		return f.Target == TargetAll || f.Target == target.name
@@ -223,23 +225,26 @@
 	return f.cuts(caller, target) || f.TwoWay && f.reverseCuts(caller, target)
 }
 
-// cuts reports whether requests from the caller's zone are held.
+// blocks reports whether the link from the caller's zone to the target is
+// blocked.
 func (f Fault) cuts(caller zone.Name, target service) bool {
 	return caller == f.From && (target.zone == f.To || target.name == string(f.To))
 }
 
-// reverseCuts reports whether the other way of a two-way cut is meant.
+// blocksReverse reports whether From and To match in the reverse direction, which
+// TwoWay blocks too.
 func (f Fault) reverseCuts(caller zone.Name, target service) bool {
 	return caller == f.To && target.zone == f.From
 }
 
-// hits draws whether a fault with a probability hits this request.
+// draw decides at random, by the fault's probability, whether it affects a
+// request.
 func (f *Faults) hits(fault Fault) bool {
 	return fault.Probability == 0 || f.random.Float64() < fault.Probability
 }
 
-// isCut reports whether an answer from the target can no longer reach the
-// caller's zone.
+// isUnreachable reports whether an answer from the target can no longer reach the
+// caller's zone: a link between them is blocked or the target is down.
 func (f *Faults) isCut(target service, caller zone.Name) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -253,12 +258,14 @@
 	return false
 }
 
-// cutsAnswer reports whether a one-way cut holds what the target sends.
+// blocksAnswer reports whether the link from the target to the caller's zone is
+// blocked.
 func (f Fault) cutsAnswer(target service, caller zone.Name) bool {
 	return target.zone == f.From && caller == f.To
 }
 
-// lag returns how late the target's reports are by the faults in force.
+// lag returns the delay of the target's reports by the active faults, and whether
+// there is such a fault.
 func (f *Faults) lag(target string) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/emulator/standin/parity_test.go
+++ b/emulator/standin/parity_test.go
@@ -25,14 +25,14 @@
 	parityOutput = 48
 )
 
-// turn is one request of the sequence that both engines get.
+// turn is one request of the sequence that both engines receive.
 type turn struct {
 	owner   api.ProgramID
 	release bool
 	input   int // bytes
 }
 
-// parityTurns are turns of a few programs, more than the cache holds.
+// parityTurns returns turns of five programs whose prefixes exceed the cache.
 func parityTurns() []turn {
 	random := rand.New(rand.NewPCG(paritySeed, 0))
 	turns := make([]turn, 40)
@@ -46,13 +46,13 @@
 	return turns
 }
 
-// observed is what one request shows of the engine.
+// observed is the observable result of one request.
 type observed struct {
 	usage    api.Usage
 	resident int
 }
 
-// evictions are the evicted prefixes that cache events tell of.
+// evictions returns the events of evicted prefixes.
 func evictions(events []engine.CacheEvent) []engine.CacheEvent {
 	var found []engine.CacheEvent
 	for _, event := range events {
@@ -63,7 +63,7 @@
 	return found
 }
 
-// conversation keeps the histories of the programs, as a node does.
+// conversation holds the histories of the programs, as a node does.
 type conversation struct {
 	histories map[api.ProgramID]string
 	sequence  int
@@ -79,7 +79,8 @@
 	}
 }
 
-// parityRates are the rates of the stand-in's engine.
+// parityRates returns the engine model's configuration, equal to that of the
+// stand-in.
 func parityRates() enginemodel.Config {
 	rates := enginemodel.DefaultConfig("engine", model).Faster(paritySpeed)
 	rates.CacheTokens = parityCache
@@ -127,7 +128,8 @@
 	})
 })
 
-// emulate runs one request in virtual time to its end.
+// emulate runs one request to its end in virtual time. It returns the time of the
+// end, the result, and the cache events appended to the given ones.
 func emulate(emulated *enginemodel.Engine, now time.Time, request engine.GenerateRequest, told []engine.CacheEvent) (time.Time, enginemodel.Finished, []engine.CacheEvent) {
 	output := standin.AnswerTokens(request.Model, request.Prompt, request.MaxOutputTokens)
 	Expect(emulated.Step(now, enginemodel.Event{Generate: &enginemodel.Generate{
@@ -147,7 +149,7 @@
 	}
 }
 
-// cacheEvents picks the cache events among an engine's outputs.
+// cacheEvents returns the cache events among an engine's outputs.
 func cacheEvents(outputs []enginemodel.Output) []engine.CacheEvent {
 	var events []engine.CacheEvent
 	for _, output := range outputs {
--- a/emulator/standin/platform.go
+++ b/emulator/standin/platform.go
@@ -31,11 +31,12 @@
 	log      *platformmodel.Log
 	machines *platformmodel.MachineList
 	weights  *platformmodel.WeightStore
-	// own are the stand-ins' engines and tools, renewed at each reading.
+	// own holds the entries of the stand-ins' engines and tool services, which
+	// are renewed at each read of the list.
 	own []machine.Machine
 }
 
-// newPlatformService returns an empty platform.
+// newPlatformService returns a platform with an empty log and machine list.
 func newPlatformService(config Config, faults *Faults) *platformService {
 	return &platformService{
 		config:   config,
@@ -46,7 +47,7 @@
 	}
 }
 
-// routes returns the platform's routes behind their faults.
+// routes returns the platform's routes with fault injection.
 func (p *platformService) routes(closed <-chan struct{}) *router.Router {
 	routes := router.New()
 	guardOf := func(name string, delay time.Duration) *gate {
@@ -64,8 +65,8 @@
 	return routes
 }
 
-// appendBody and the types below are the bodies of the routes. Entries travel
-// as base64 strings.
+// appendBody and the types below are the bodies of the routes. JSON encodes
+// entries as base64 strings.
 type appendBody struct {
 	Entries [][]byte `json:"entries"`
 }
@@ -81,8 +82,8 @@
 
 type machinesBody struct {
 	Machines []machine.Machine `json:"machines,omitempty"`
-	// Version names the list's content. Unchanged is set, and Machines left
-	// out, when the caller already knows this version.
+	// Version identifies the list's content. If the caller already has this
+	// version, Unchanged is set and Machines omitted.
 	Version   string `json:"version"`
 	Unchanged bool   `json:"unchanged,omitempty"`
 }
@@ -91,7 +92,7 @@
 	WaitMilliseconds int64 `json:"wait_ms"`
 }
 
-// append adds entries to a stream.
+// append appends entries to a stream.
 func (p *platformService) append(ctx *fasthttp.RequestCtx) {
 	var body appendBody
 	if !decode(ctx, &body) {
@@ -107,7 +108,7 @@
 	answer(ctx, appendedBody{FirstOffset: first})
 }
 
-// read returns entries of a stream.
+// read answers with entries of a stream, within the limits of one read.
 func (p *platformService) read(ctx *fasthttp.RequestCtx) {
 	from, err := ctx.QueryArgs().GetUint("from")
 	if err != nil {
@@ -123,7 +124,8 @@
 	answer(ctx, readBody{Entries: entries, End: end})
 }
 
-// unescape undoes the escaping of a path part.
+// unescape decodes a percent-encoded path segment; an invalid one is returned
+// unchanged.
 func unescape(part string) string {
 	if plain, err := url.PathUnescape(part); err == nil {
 		return plain
@@ -131,7 +133,7 @@
 	return part
 }
 
-// list shows the machines.
+// list answers with the machine list, or only its version if the caller has it.
 func (p *platformService) list(ctx *fasthttp.RequestCtx) {
 	shown := p.shown(time.Now())
 	version := versionOf(shown)
@@ -142,16 +144,17 @@
 	answer(ctx, machinesBody{Machines: shown, Version: version})
 }
 
-// versionOf names the content of a list.
+// versionOf returns a hash of the list's content.
 func versionOf(listed []machine.Machine) string {
 	encoded, err := json.Marshal(listed)
 	if err != nil {
-		panic("standin: a machine has no JSON form: " + err.Error())
+		panic("standin: encode machine list as JSON: " + err.Error())
 	}
 	return strconv.FormatUint(xxhash.Sum64(encoded), 16)
 }
 
-// shown returns the machine list as it shows at a time.
+// visible renews the stand-ins' entries and returns the machine list as it is
+// visible at a time.
 func (p *platformService) shown(now time.Time) []machine.Machine {
 	lag, lagging := p.faults.lag(TargetMachines)
 	if !lagging {
@@ -182,7 +185,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// withdraw removes a machine.
+// withdraw removes a machine from the list.
 func (p *platformService) withdraw(ctx *fasthttp.RequestCtx) {
 	p.mutex.Lock()
 	p.machines.Withdraw(time.Now(), machine.ID(unescape(parameter(ctx, "id"))))
@@ -190,19 +193,21 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// reserve books a transfer of weights.
+// reserve reserves a transfer of weights and answers with the time until its end.
 func (p *platformService) reserve(ctx *fasthttp.RequestCtx) {
 	answer(ctx, reservedBody{WaitMilliseconds: p.reserveWeights(parameter(ctx, "model")).Milliseconds()})
 }
 
-// reserveWeights books a transfer and returns when it will have ended.
+// reserveWeights reserves a transfer of a model's weights and returns the time
+// until its end.
 func (p *platformService) reserveWeights(model string) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.weights.Reserve(time.Now(), model)
 }
 
-// setOwn lists a stand-in's own machine, in place of its earlier state.
+// setBackend adds the entry of a stand-in's engine or tool service to the machine
+// list, or replaces it.
 func (p *platformService) setOwn(entry machine.Machine) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -216,7 +221,7 @@
 	p.own = append(p.own, entry)
 }
 
-// dropOwn withdraws a stand-in's own machine.
+// removeBackend removes the entry of a stand-in's engine or tool service.
 func (p *platformService) dropOwn(id machine.ID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/emulator/standin/record.go
+++ b/emulator/standin/record.go
@@ -12,9 +12,9 @@
 	"birchwood.example/birchwood/tool"
 )
 
-// attemptOf reads the name of an engine's stream, "program/sequence/attempt",
-// or the key of a tool's run, "program/sequence/caller's key", whose attempt
-// is not known. Other names give false.
+// attemptOf parses the name of an engine's stream, "program/sequence/attempt", or
+// the key of a tool's run, "program/sequence/caller's key". attempt is 0 if the
+// last part isn't a number; found is false for names of another form.
 func attemptOf(name string) (program api.ProgramID, sequence uint64, attempt int, found bool) {
 	parts := strings.SplitN(name, "/", 3)
 	if len(parts) != 3 {
@@ -31,7 +31,7 @@
 	return api.ProgramID(parts[0]), sequence, attempt, true
 }
 
-// recordStart tells the history that an engine began an answer.
+// recordStart records that the engine started an answer.
 func (r *runningEngine) recordStart(request engine.GenerateRequest) {
 	program, sequence, attempt, found := attemptOf(request.Stream)
 	if !found || r.recorder == nil {
@@ -43,8 +43,7 @@
 	}})
 }
 
-// recordEnd tells the history that an engine ended an answer. The mutex is
-// held.
+// recordEnd records that the engine ended an answer. The mutex must be held.
 func (r *runningEngine) recordEnd(ended *enginemodel.Finished) {
 	program, sequence, attempt, found := attemptOf(ended.Stream)
 	if !found || r.recorder == nil {
@@ -60,7 +59,7 @@
 	}})
 }
 
-// recordStart tells the history that a tool's run took effect.
+// recordStart records that a tool's run took effect.
 func (t *toolService) recordStart(request tool.Request) {
 	program, sequence, _, found := attemptOf(request.Key)
 	if !found || t.recorder == nil {
@@ -71,7 +70,7 @@
 	}})
 }
 
-// recordEnd tells the history that a tool's run is answered.
+// recordEnd records the output of a tool's run.
 func (t *toolService) recordEnd(request tool.Request, output string) {
 	program, sequence, _, found := attemptOf(request.Key)
 	if !found || t.recorder == nil {
--- a/emulator/standin/server.go
+++ b/emulator/standin/server.go
@@ -19,18 +19,18 @@
 	writeTimeout     = 5 * time.Minute
 	idleTimeout      = time.Minute
 	maximumBodyBytes = 64 << 20
-	// hungLimit bounds how long a hung request keeps its goroutine.
+	// hungLimit is the maximum time that a hung request occupies its goroutine.
 	hungLimit = time.Minute
 )
 
-// server is one listener and its routes.
+// server is an HTTP server with one listener.
 type server struct {
 	listener net.Listener
 	http     *fasthttp.Server
 	done     chan struct{}
 }
 
-// serve opens the address and serves the routes until close.
+// serve listens on the address and serves the routes until close.
 func serve(address string, routes *router.Router) (*server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -57,33 +57,34 @@
 	return opened, nil
 }
 
-// address is "ip:port" of the listener.
+// address returns the listener's address as "ip:port".
 func (s *server) address() string { return s.listener.Addr().String() }
 
-// close stops the server; requests that run are cut.
+// close stops the server. Running streams and held requests end early, because
+// Set.Close closes the closed channel first.
 func (s *server) close() {
 	_ = s.listener.Close()
 	<-s.done
 	_ = s.http.Shutdown()
 }
 
-// silentLogger drops fasthttp's messages about cut connections: the faults
-// make them.
+// discardLogger discards fasthttp's messages about aborted connections, which
+// injected faults cause.
 type silentLogger struct{}
 
 // Printf implements fasthttp.Logger.
 func (silentLogger) Printf(string, ...any) {}
 
-// gate applies the faults in force to the requests of one service.
+// gate applies the active faults to the requests of one service.
 type gate struct {
 	service service
 	faults  *Faults
 	closed  <-chan struct{}
-	// delay is the service's own time for a request.
+	// delay is added to every request, with or without a fault.
 	delay time.Duration
 }
 
-// guard wraps a handler with the faults.
+// guard wraps a handler with fault injection.
 func (g *gate) guard(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		caller := callerZone(ctx)
@@ -109,7 +110,8 @@
 	}
 }
 
-// hold waits until the fault that hangs the request is removed.
+// waitWhileHung waits until no fault hangs the request any more, at most
+// hungLimit.
 func (g *gate) hold(caller zone.Name, changed <-chan struct{}) {
 	limit := time.NewTimer(hungLimit)
 	defer limit.Stop()
@@ -129,7 +131,7 @@
 	}
 }
 
-// pause waits, unless the stand-ins are closed.
+// pause waits for the delay or until the stand-ins are closed.
 func (g *gate) pause(delay time.Duration) {
 	if delay <= 0 {
 		return
@@ -142,24 +144,24 @@
 	}
 }
 
-// callerZone is the zone that the caller names.
+// callerZone returns the caller's zone from the request header.
 func callerZone(ctx *fasthttp.RequestCtx) zone.Name {
 	return zone.Name(ctx.Request.Header.Peek(httpclient.HeaderZone))
 }
 
-// cutConnection closes the connection without an answer.
+// abortConnection closes the connection without an answer.
 func cutConnection(ctx *fasthttp.RequestCtx) {
 	ctx.Response.ResetBody()
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(connection net.Conn) { _ = connection.Close() })
 }
 
-// errorBody is the body of every answer with an error status.
+// errorBody is the body of answers with an error status.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// answer writes a JSON body.
+// answer answers with a JSON body.
 func answer(ctx *fasthttp.RequestCtx, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -170,7 +172,8 @@
 	ctx.SetBody(encoded)
 }
 
-// fail writes an error status. 4xx and 503 promise that nothing was done.
+// fail answers with an error status. 4xx and 503 guarantee that the action did
+// not take effect.
 func fail(ctx *fasthttp.RequestCtx, status int, cause error) {
 	encoded, _ := json.Marshal(errorBody{Error: cause.Error()})
 	ctx.SetStatusCode(status)
@@ -178,7 +181,8 @@
 	ctx.SetBody(encoded)
 }
 
-// decode reads a JSON body. It answers 400 and reports false when it cannot.
+// decode decodes the JSON body of the request. If the body is invalid, it answers
+// 400 and returns false.
 func decode(ctx *fasthttp.RequestCtx, into any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
 		fail(ctx, fasthttp.StatusBadRequest, err)
@@ -187,7 +191,8 @@
 	return true
 }
 
-// parameter copies a part of the path.
+// parameter returns a copy of a path parameter, because fasthttp reuses the
+// request's memory.
 func parameter(ctx *fasthttp.RequestCtx, name string) string {
 	value, _ := ctx.UserValue(name).(string)
 	return string([]byte(value))
--- a/emulator/standin/set.go
+++ b/emulator/standin/set.go
@@ -20,7 +20,7 @@
 	engines  []*engineService
 	tools    []*toolService
 	servers  []*server
-	// addresses are those of the backends by machine ID.
+	// addresses holds the back ends' listen addresses.
 	addresses      map[machine.ID]string
 	platformServer *server
 	controlServer  *server
@@ -29,7 +29,7 @@
 	drivers        sync.WaitGroup
 }
 
-// Addresses tell where the stand-ins listen, each as "ip:port".
+// Addresses holds the listen addresses of the stand-ins, each as "ip:port".
 type Addresses struct {
 	Platform string                `json:"platform"`
 	Control  string                `json:"control"`
@@ -37,7 +37,7 @@
 	Tools    map[machine.ID]string `json:"tools"`
 }
 
-// Start opens every listener. On an error nothing is left open.
+// Start starts all stand-ins. If it returns an error, no listener is left open.
 func Start(config Config) (*Set, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -59,7 +59,7 @@
 	return set, nil
 }
 
-// open starts every service.
+// open starts all services.
 func (s *Set) open() error {
 	var err error
 	if s.platformServer, err = serve(s.config.Platform, s.platform.routes(s.closed)); err != nil {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// Addresses returns where the stand-ins listen.
+// Addresses returns the listen addresses of the stand-ins.
 func (s *Set) Addresses() Addresses {
 	addresses := Addresses{
 		Platform: s.platformServer.address(),
@@ -137,11 +137,10 @@
 	return addresses
 }
 
-// Faults returns the faults in force, to be changed at will.
+// Faults returns the active faults, through which faults are added and removed.
 func (s *Set) Faults() *Faults { return s.faults }
 
-// ToolRuns returns every run of every tool service, for the checks of a
-// history.
+// ToolRuns returns all runs of each tool service, to check a history against.
 func (s *Set) ToolRuns() map[machine.ID][]platformmodel.ToolRun {
 	runs := make(map[machine.ID][]platformmodel.ToolRun)
 	for _, opened := range s.tools {
@@ -150,7 +149,7 @@
 	return runs
 }
 
-// Leave makes an engine or a tool service refuse new work, and shows it as
+// Leave makes an engine or a tool service refuse new work, and lists it as
 // leaving in the machine list.
 func (s *Set) Leave(id machine.ID) error {
 	for _, opened := range s.engines {
@@ -169,7 +168,7 @@
 	return fmt.Errorf("%w: %q", errUnknownBackend, id)
 }
 
-// Restart makes an engine lose its streams and prefixes, as after a crash.
+// Restart makes an engine lose its streams and prefixes, as in a crash.
 func (s *Set) Restart(id machine.ID) error {
 	for _, opened := range s.engines {
 		if opened.engine.config.ID == id {
@@ -188,7 +187,7 @@
 // Withdraw removes an engine or a tool service from the machine list.
 func (s *Set) Withdraw(id machine.ID) { s.platform.dropOwn(id) }
 
-// findEngine returns the engine of a machine ID or an address, or nil.
+// findEngine returns the engine with the machine ID or address, or nil.
 func (s *Set) findEngine(name string) *runningEngine {
 	for _, opened := range s.engines {
 		id := opened.engine.config.ID
@@ -199,7 +198,7 @@
 	return nil
 }
 
-// Close stops every service and waits until all of them have stopped.
+// Close stops all services and waits until they have stopped.
 func (s *Set) Close() {
 	s.closeOnce.Do(func() {
 		close(s.closed)
--- a/emulator/standin/standin_test.go
+++ b/emulator/standin/standin_test.go
@@ -29,7 +29,7 @@
 	model = "general"
 )
 
-// world is a running set of stand-ins and the adapters of a process in zoneA.
+// harness is a running set of stand-ins and the clients of a process in zoneA.
 type world struct {
 	set      *standin.Set
 	platform *infrahttp.Platform
@@ -37,7 +37,7 @@
 	tools    *toolhttp.Dialer
 }
 
-// start opens two engines and one tool service, 50 times as fast as real.
+// start starts two engines with 50 times the default speed and one tool service.
 func start() *world {
 	set, err := standin.Start(standin.Config{
 		Seed:       1,
@@ -76,12 +76,13 @@
 	return w.tools.Tool(machine.Machine{ID: "depot-1", Address: w.set.Addresses().Tools["depot-1"]})
 }
 
-// fault puts a fault in force.
+// fault activates a fault.
 func (w *world) fault(fault standin.Fault) {
 	Expect(w.set.Faults().Add(fault)).To(Succeed())
 }
 
-// collect generates and returns the whole text with the last chunk.
+// collect sends a generate request and returns the complete text and the last
+// chunk.
 func collect(ctx context.Context, client engine.Client, request engine.GenerateRequest) (string, engine.Chunk, error) {
 	var text strings.Builder
 	var last engine.Chunk
@@ -96,7 +97,7 @@
 	return text.String(), last, err
 }
 
-// freeAddress returns an address where nobody listens.
+// freeAddress returns an address without a listener.
 func freeAddress() string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/emulator/standin/tool.go
+++ b/emulator/standin/tool.go
@@ -14,9 +14,9 @@
 	"birchwood.example/birchwood/tool"
 )
 
-// toolService serves one tool service.
+// toolService is the stand-in of one tool service.
 type toolService struct {
-	// recorder gets what the service saw; nil records nothing.
+	// recorder records the service's events; nil disables recording.
 	recorder *history.Recorder
 	config   ToolConfig
 	gate     *gate
@@ -34,7 +34,8 @@
 	}
 }
 
-// routes returns the service's routes behind their faults.
+// routes returns the service's routes with fault injection; /runs is exempt from
+// faults.
 func (t *toolService) routes() *router.Router {
 	routes := router.New()
 	routes.POST("/run", t.gate.guard(t.run))
@@ -43,7 +44,7 @@
 	return routes
 }
 
-// machine is the service's entry of the machine list.
+// machine returns the service's entry in the machine list.
 func (t *toolService) machine(address string, status machine.Status) machine.Machine {
 	return machine.Machine{
 		ID:      t.config.ID,
@@ -69,7 +70,7 @@
 	Runs []platformmodel.ToolRun `json:"runs"`
 }
 
-// run takes effect, then answers after the service's delay.
+// run executes a request, then answers after the service's delay.
 func (t *toolService) run(ctx *fasthttp.RequestCtx) {
 	var request tool.Request
 	if !decode(ctx, &request) {
@@ -89,7 +90,7 @@
 	answer(ctx, runBody{Output: output})
 }
 
-// runOnce lets the request take effect.
+// execute applies the effect of a request.
 func (t *toolService) runOnce(request tool.Request) (string, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -103,7 +104,7 @@
 	return output, err
 }
 
-// lookup tells whether a key was run.
+// lookup answers whether a key was run, with its output and number of runs.
 func (t *toolService) lookup(ctx *fasthttp.RequestCtx) {
 	key := string(ctx.QueryArgs().Peek("key"))
 	t.mutex.Lock()
@@ -112,19 +113,19 @@
 	answer(ctx, lookupBody{Found: found, Output: run.Output, Count: run.Count})
 }
 
-// listRuns shows every run, for the checks of a history. No fault hides it.
+// listRuns answers with all runs, to check a history against.
 func (t *toolService) listRuns(ctx *fasthttp.RequestCtx) {
 	answer(ctx, runsBody{Runs: t.runs()})
 }
 
-// runs returns every run, sorted by key.
+// runs returns all runs, sorted by key.
 func (t *toolService) runs() []platformmodel.ToolRun {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.state.Runs()
 }
 
-// leave refuses new work from now on.
+// leave makes the service refuse new work.
 func (t *toolService) leave() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
