--- a/emulator/benchplot/benchplot.go
+++ b/emulator/benchplot/benchplot.go
@@ -19,7 +19,7 @@
 	height = 5 * vg.Inch
 	// targetPoints controls the sampling of long curves, which get from
 	// targetPoints to twice as many points.
-	maximumPoints = 400
+	targetPoints = 400
 )
 
 const millisecondsPerSecond = 1000
@@ -45,7 +45,7 @@
 // milliseconds, in seconds. Latencies below 1 ms count as 1 ms, because the axis
 // is logarithmic.
 func cumulative(sorted []float64) plotter.XYs {
-	step := max(1, len(sorted)/maximumPoints)
+	step := max(1, len(sorted)/targetPoints)
 	var points plotter.XYs
 	for i := 0; i < len(sorted); i += step {
 		points = append(points, plotter.XY{
--- a/emulator/standin/config.go
+++ b/emulator/standin/config.go
@@ -111,42 +111,42 @@
 // validate reports all invalid fields with their locations.
 func (c Config) validate() error {
 	var findings []error
-	find := func(place, format string, arguments ...any) {
-		findings = append(findings, fmt.Errorf("%s: "+format, append([]any{place}, arguments...)...))
+	find := func(location, format string, arguments ...any) {
+		findings = append(findings, fmt.Errorf("%s: "+format, append([]any{location}, arguments...)...))
 	}
-	checkAddress := func(place, address string) {
+	checkAddress := func(location, address string) {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			find(place, "want ip:port: %w", err)
+			find(location, "want ip:port: %w", err)
 		}
 	}
 	checkAddress("platform", c.Platform)
 	checkAddress("control", c.Control)
 	ids := make(map[machine.ID]bool)
-	checkMachine := func(place string, id machine.ID, in zone.Name, address string) {
+	checkMachine := func(location string, id machine.ID, in zone.Name, address string) {
 		if id == "" || ids[id] {
-			find(place+".id", "missing or used twice: %q", id)
+			find(location+".id", "missing or used twice: %q", id)
 		}
 		ids[id] = true
 		if err := in.Validate(); err != nil {
-			find(place+".zone", "%w", err)
+			find(location+".zone", "%w", err)
 		}
-		checkAddress(place+".address", address)
+		checkAddress(location+".address", address)
 	}
 	for i, engine := range c.Engines {
-		place := fmt.Sprintf("engines[%d]", i)
-		checkMachine(place, engine.ID, engine.Zone, engine.Address)
+		location := fmt.Sprintf("engines[%d]", i)
+		checkMachine(location, engine.ID, engine.Zone, engine.Address)
 		if len(engine.Models) == 0 {
-			find(place+".models", "want at least one")
+			find(location+".models", "want at least one")
 		}
 		if engine.Speed < 0 || engine.Slots < 0 || engine.CacheTokens < 0 {
-			find(place, "speed, slots and cache_tokens must not be negative")
+			find(location, "speed, slots and cache_tokens must not be negative")
 		}
 	}
 	for i, tool := range c.Tools {
-		place := fmt.Sprintf("tools[%d]", i)
-		checkMachine(place, tool.ID, tool.Zone, tool.Address)
+		location := fmt.Sprintf("tools[%d]", i)
+		checkMachine(location, tool.ID, tool.Zone, tool.Address)
 		if platformmodel.ToolsOf(tool.Kind) == nil {
-			find(place+".kind", "unknown kind %q", tool.Kind)
+			find(location+".kind", "unknown kind %q", tool.Kind)
 		}
 	}
 	return errors.Join(findings...)
--- a/emulator/standin/engine.go
+++ b/emulator/standin/engine.go
@@ -22,10 +22,10 @@
 	// in progress.
 	progressInterval = 5 * time.Millisecond
 	// cleanupInterval is the number of streams that end between two cleanups.
-	forgetAfter = 1000
+	cleanupInterval = 1000
 	// maxCacheEvents is the maximum number of stored cache events; when it is
 	// exceeded, the newest half of that number remains.
-	keptEvents = 4096
+	maxCacheEvents = 4096
 )
 
 // runningEngine runs the engine model in real time on its own goroutine.
@@ -42,12 +42,12 @@
 	answers  map[string]startedAnswer
 	ended    int
 	// eventBase is added to the sequence numbers of the model's cache events.
-	firstEvent uint64
-	events     []engine.CacheEvent
-	report     schedule.Load
+	eventBase uint64
+	events    []engine.CacheEvent
+	report    schedule.Load
 	// changed is closed and replaced when streams may have progressed.
-	changed chan struct{}
-	kick    chan struct{}
+	changed    chan struct{}
+	wakeDriver chan struct{}
 }
 
 // startedAnswer is the answer of a stream that has been requested.
@@ -65,10 +65,10 @@
 // newRunningEngine returns an idle engine.
 func newRunningEngine(config EngineConfig, random *rand.Rand) (*runningEngine, error) {
 	created := &runningEngine{
-		config:  config,
-		random:  random,
-		changed: make(chan struct{}),
-		kick:    make(chan struct{}, 1),
+		config:     config,
+		random:     random,
+		changed:    make(chan struct{}),
+		wakeDriver: make(chan struct{}, 1),
 	}
 	return created, created.reset()
 }
@@ -94,7 +94,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	// The gap in the sequence makes readers list the prefixes again.
-	r.firstEvent += r.model.EventSequence() + 1
+	r.eventBase += r.model.EventSequence() + 1
 	if err := r.reset(); err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	for {
 		select {
 		case <-timer.C:
-		case <-r.kick:
+		case <-r.wakeDriver:
 		case <-closed:
 			return
 		}
@@ -122,7 +122,7 @@
 	defer r.mutex.Unlock()
 	now := time.Now()
 	_ = r.model.Step(now, enginemodel.Event{})
-	r.take(now)
+	r.handleOutputs(now)
 	close(r.changed)
 	r.changed = make(chan struct{})
 	sleep := time.Hour
@@ -136,21 +136,21 @@
 }
 
 // handleOutputs handles the model's outputs. The mutex must be held.
-func (r *runningEngine) take(now time.Time) {
+func (r *runningEngine) handleOutputs(now time.Time) {
 	for _, output := range r.model.Ready(now) {
 		switch {
 		case output.Load != nil:
 			r.report = *output.Load
 		case output.CacheEvent != nil:
 			event := *output.CacheEvent
-			event.Sequence += r.firstEvent
+			event.Sequence += r.eventBase
 			r.events = append(r.events, event)
-			if len(r.events) > keptEvents {
-				r.events = append([]engine.CacheEvent(nil), r.events[len(r.events)-keptEvents/2:]...)
+			if len(r.events) > maxCacheEvents {
+				r.events = append([]engine.CacheEvent(nil), r.events[len(r.events)-maxCacheEvents/2:]...)
 			}
 		case output.Finished != nil:
 			r.recordEnd(output.Finished)
-			r.forget()
+			r.cleanUp()
 		}
 	}
 }
@@ -158,9 +158,9 @@
 // cleanUp removes, once every cleanupInterval ended streams, the answers of
 // streams that can no longer be resumed and the texts of prefixes that are no
 // longer cached or in use. The mutex must be held.
-func (r *runningEngine) forget() {
+func (r *runningEngine) cleanUp() {
 	r.ended++
-	if r.ended%forgetAfter != 0 {
+	if r.ended%cleanupInterval != 0 {
 		return
 	}
 	needed := make(map[api.ProgramID]bool)
@@ -195,9 +195,9 @@
 func (r *runningEngine) stepLocked(event enginemodel.Event) error {
 	now := time.Now()
 	err := r.model.Step(now, event)
-	r.take(now)
+	r.handleOutputs(now)
 	select {
-	case r.kick <- struct{}{}:
+	case r.wakeDriver <- struct{}{}:
 	default:
 	}
 	return err
@@ -308,7 +308,7 @@
 }
 
 // importPrefix starts the import of a prefix from another engine.
-func (r *runningEngine) imports(owner api.ProgramID, tokens int, text prefixText) error {
+func (r *runningEngine) importPrefix(owner api.ProgramID, tokens int, text prefixText) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	err := r.stepLocked(enginemodel.Event{Import: &enginemodel.Import{Owner: owner, Tokens: tokens}})
--- a/emulator/standin/enginehttp.go
+++ b/emulator/standin/enginehttp.go
@@ -38,7 +38,7 @@
 	routes.GET("/events", s.gate.guard(s.listEvents))
 	routes.GET("/load", s.gate.guard(s.load))
 	routes.POST("/order", s.gate.guard(s.order))
-	routes.POST("/import", s.gate.guard(s.imports))
+	routes.POST("/import", s.gate.guard(s.importPrefix))
 	return routes
 }
 
@@ -99,7 +99,7 @@
 func (w *streamWriter) write(out *bufio.Writer) {
 	for {
 		progress, known, changed := w.service.engine.progress(w.stream)
-		if !known || w.service.gate.faults.isCut(w.service.gate.service, w.caller) {
+		if !known || w.service.gate.faults.isUnreachable(w.service.gate.service, w.caller) {
 			return
 		}
 		if w.answerLost && progress.Done {
@@ -207,7 +207,7 @@
 // listEvents answers with the cache events after the sequence number in the
 // query.
 func (s *engineService) listEvents(ctx *fasthttp.RequestCtx) {
-	s.followLag()
+	s.applyLag()
 	after, err := ctx.QueryArgs().GetUint("after")
 	if err != nil {
 		after = 0
@@ -217,12 +217,12 @@
 
 // load answers with the latest load report.
 func (s *engineService) load(ctx *fasthttp.RequestCtx) {
-	s.followLag()
+	s.applyLag()
 	answer(ctx, s.engine.lastReport())
 }
 
 // applyLag applies the active lagging fault, if any.
-func (s *engineService) followLag() {
+func (s *engineService) applyLag() {
 	s.engine.setLag(s.gate.faults.lag(s.gate.service.name))
 }
 
@@ -246,7 +246,7 @@
 
 // importPrefix moves a program's KV cache here from another engine of the set,
 // and answers once it has arrived.
-func (s *engineService) imports(ctx *fasthttp.RequestCtx) {
+func (s *engineService) importPrefix(ctx *fasthttp.RequestCtx) {
 	var body engine.ImportBody
 	if !decode(ctx, &body) {
 		return
@@ -261,7 +261,7 @@
 		fail(ctx, fasthttp.StatusNotFound, fmt.Errorf("owner: nothing cached at %q", body.From))
 		return
 	}
-	if err := s.engine.imports(body.Owner, tokens, text); err != nil {
+	if err := s.engine.importPrefix(body.Owner, tokens, text); err != nil {
 		fail(ctx, statusOf(err), err)
 		return
 	}
--- a/emulator/standin/fault.go
+++ b/emulator/standin/fault.go
@@ -33,7 +33,7 @@
 	FaultLagging FaultKind = "lagging"
 	// FaultNetworkPartition blocks the link from zone From to zone To: requests hang as with
 	// FaultHung, and answers are interrupted.
-	FaultCut FaultKind = "cut"
+	FaultNetworkPartition FaultKind = "cut"
 )
 
 // The targets of the platform's own services. Other targets are machine IDs;
@@ -73,14 +73,14 @@
 	if f.Name == "" {
 		findings = append(findings, errors.New("name: missing"))
 	}
-	kinds := []FaultKind{FaultDown, FaultUnavailable, FaultSlow, FaultAnswerLost, FaultHung, FaultLagging, FaultCut}
+	kinds := []FaultKind{FaultDown, FaultUnavailable, FaultSlow, FaultAnswerLost, FaultHung, FaultLagging, FaultNetworkPartition}
 	if !slices.Contains(kinds, f.Kind) {
 		findings = append(findings, fmt.Errorf("kind: unknown %q", f.Kind))
 	}
-	if f.Kind == FaultCut && (f.From == "" || f.To == "") {
+	if f.Kind == FaultNetworkPartition && (f.From == "" || f.To == "") {
 		findings = append(findings, errors.New("from, to: missing"))
 	}
-	if f.Kind != FaultCut && f.Target == "" {
+	if f.Kind != FaultNetworkPartition && f.Target == "" {
 		findings = append(findings, errors.New("target: missing"))
 	}
 	if f.Probability < 0 || f.Probability > 1 {
@@ -105,7 +105,7 @@
 // activeFault is a fault and its time of expiry; zero means never.
 type activeFault struct {
 	Fault
-	until time.Time
+	expiresAt time.Time
 }
 
 // newFaults returns an empty set of faults.
@@ -122,10 +122,10 @@
 	defer f.mutex.Unlock()
 	added := activeFault{Fault: fault}
 	if fault.ForMilliseconds > 0 {
-		added.until = f.now().Add(time.Duration(fault.ForMilliseconds) * time.Millisecond)
+		added.expiresAt = f.now().Add(time.Duration(fault.ForMilliseconds) * time.Millisecond)
 	}
 	f.active[fault.Name] = added
-	f.wake()
+	f.notify()
 	return nil
 }
 
@@ -138,7 +138,7 @@
 	} else {
 		delete(f.active, name)
 	}
-	f.wake()
+	f.notify()
 }
 
 // List returns the active faults, sorted by name.
@@ -146,7 +146,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	listed := []Fault{}
-	for _, fault := range f.live() {
+	for _, fault := range f.unexpired() {
 		listed = append(listed, fault.Fault)
 	}
 	return listed
@@ -154,23 +154,23 @@
 
 // unexpired returns the faults that have not expired, sorted by name, and removes
 // the others. The mutex must be held.
-func (f *Faults) live() []activeFault {
-	var live []activeFault
+func (f *Faults) unexpired() []activeFault {
+	var unexpired []activeFault
 	now := f.now()
 	for name, fault := range f.active {
-		if !fault.until.IsZero() && !fault.until.After(now) {
+		if !fault.expiresAt.IsZero() && !fault.expiresAt.After(now) {
 			delete(f.active, name)
 			continue
 		}
-		live = append(live, fault)
+		unexpired = append(unexpired, fault)
 	}
-	slices.SortFunc(live, func(a, b activeFault) int { return strings.Compare(a.Name, b.Name) })
-	return live
+	slices.SortFunc(unexpired, func(a, b activeFault) int { return strings.Compare(a.Name, b.Name) })
+	return unexpired
 }
 
 // notify makes every waiting request re-evaluate the faults. The mutex must be
 // held.
-func (f *Faults) wake() {
+func (f *Faults) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -196,8 +196,8 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var found effects
-	for _, fault := range f.live() {
-		if !fault.concerns(target, caller) || !f.hits(fault.Fault) {
+	for _, fault := range f.unexpired() {
+		if !fault.matches(target, caller) || !f.draw(fault.Fault) {
 			continue
 		}
 		switch fault.Kind {
@@ -209,7 +209,7 @@
 			found.delay += fault.delay()
 		case FaultAnswerLost:
 			found.answerLost = true
-		case FaultHung, FaultCut:
+		case FaultHung, FaultNetworkPartition:
 			found.hung = true
 		}
 	}
@@ -218,40 +218,40 @@
 
 // matches reports whether the fault affects requests from the caller's zone to
 // the target.
-func (f Fault) concerns(target service, caller zone.Name) bool {
-	if f.Kind != FaultCut {
+func (f Fault) matches(target service, caller zone.Name) bool {
+	if f.Kind != FaultNetworkPartition {
 		return f.Target == TargetAll || f.Target == target.name
 	}
-	return f.cuts(caller, target) || f.TwoWay && f.reverseCuts(caller, target)
+	return f.blocks(caller, target) || f.TwoWay && f.blocksReverse(caller, target)
 }
 
 // blocks reports whether the link from the caller's zone to the target is
 // blocked.
-func (f Fault) cuts(caller zone.Name, target service) bool {
+func (f Fault) blocks(caller zone.Name, target service) bool {
 	return caller == f.From && (target.zone == f.To || target.name == string(f.To))
 }
 
 // blocksReverse reports whether From and To match in the reverse direction, which
 // TwoWay blocks too.
-func (f Fault) reverseCuts(caller zone.Name, target service) bool {
+func (f Fault) blocksReverse(caller zone.Name, target service) bool {
 	return caller == f.To && target.zone == f.From
 }
 
 // draw decides at random, by the fault's probability, whether it affects a
 // request.
-func (f *Faults) hits(fault Fault) bool {
+func (f *Faults) draw(fault Fault) bool {
 	return fault.Probability == 0 || f.random.Float64() < fault.Probability
 }
 
 // isUnreachable reports whether an answer from the target can no longer reach the
 // caller's zone: a link between them is blocked or the target is down.
-func (f *Faults) isCut(target service, caller zone.Name) bool {
+func (f *Faults) isUnreachable(target service, caller zone.Name) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, fault := range f.live() {
-		isAnswerCut := fault.Kind == FaultCut && (fault.concerns(target, caller) || fault.cutsAnswer(target, caller))
-		isDown := fault.Kind == FaultDown && fault.Probability == 0 && fault.concerns(target, caller)
-		if isAnswerCut || isDown {
+	for _, fault := range f.unexpired() {
+		answerBlocked := fault.Kind == FaultNetworkPartition && (fault.matches(target, caller) || fault.blocksAnswer(target, caller))
+		isDown := fault.Kind == FaultDown && fault.Probability == 0 && fault.matches(target, caller)
+		if answerBlocked || isDown {
 			return true
 		}
 	}
@@ -260,7 +260,7 @@
 
 // blocksAnswer reports whether the link from the target to the caller's zone is
 // blocked.
-func (f Fault) cutsAnswer(target service, caller zone.Name) bool {
+func (f Fault) blocksAnswer(target service, caller zone.Name) bool {
 	return target.zone == f.From && caller == f.To
 }
 
@@ -269,7 +269,7 @@
 func (f *Faults) lag(target string) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, fault := range f.live() {
+	for _, fault := range f.unexpired() {
 		if fault.Kind == FaultLagging && (fault.Target == target || fault.Target == TargetAll) {
 			return fault.delay(), true
 		}
--- a/emulator/standin/parity_test.go
+++ b/emulator/standin/parity_test.go
@@ -102,7 +102,7 @@
 		emulated, err := enginemodel.New(parityRates(), now, rand.New(rand.NewPCG(paritySeed, 1)))
 		Expect(err).NotTo(HaveOccurred())
 
-		talk := conversation{histories: make(map[api.ProgramID]string)}
+		programs := conversation{histories: make(map[api.ProgramID]string)}
 		var expected []engine.CacheEvent
 		for _, next := range parityTurns() {
 			if next.release {
@@ -110,14 +110,14 @@
 				Expect(emulated.Step(now, enginemodel.Event{Release: &enginemodel.Release{Owner: next.owner}})).To(Succeed())
 				continue
 			}
-			request := talk.request(next)
+			request := programs.request(next)
 			text, last, err := collect(ctx, client, request)
 			Expect(err).NotTo(HaveOccurred())
 			var ended enginemodel.Finished
 			now, ended, expected = emulate(emulated, now, request, expected)
 			Expect(observed{last.Usage, last.Resident}).To(Equal(observed{ended.Usage, ended.Resident}), request.Stream)
 			Expect(text).To(HaveLen(4 * ended.Usage.OutputTokens))
-			talk.histories[next.owner] = request.Prompt + text
+			programs.histories[next.owner] = request.Prompt + text
 		}
 		now = now.Add(time.Minute)
 		_ = emulated.Step(now, enginemodel.Event{})
@@ -130,7 +130,7 @@
 
 // emulate runs one request to its end in virtual time. It returns the time of the
 // end, the result, and the cache events appended to the given ones.
-func emulate(emulated *enginemodel.Engine, now time.Time, request engine.GenerateRequest, told []engine.CacheEvent) (time.Time, enginemodel.Finished, []engine.CacheEvent) {
+func emulate(emulated *enginemodel.Engine, now time.Time, request engine.GenerateRequest, events []engine.CacheEvent) (time.Time, enginemodel.Finished, []engine.CacheEvent) {
 	output := standin.AnswerTokens(request.Model, request.Prompt, request.MaxOutputTokens)
 	Expect(emulated.Step(now, enginemodel.Event{Generate: &enginemodel.Generate{
 		Stream: request.Stream, Owner: request.Owner, Model: request.Model,
@@ -140,10 +140,10 @@
 		now = emulated.NextWake()
 		_ = emulated.Step(now, enginemodel.Event{})
 		ready := emulated.Ready(now)
-		told = append(told, cacheEvents(ready)...)
+		events = append(events, cacheEvents(ready)...)
 		for _, output := range ready {
 			if output.Finished != nil {
-				return now, *output.Finished, told
+				return now, *output.Finished, events
 			}
 		}
 	}
--- a/emulator/standin/platform.go
+++ b/emulator/standin/platform.go
@@ -50,17 +50,17 @@
 // routes returns the platform's routes with fault injection.
 func (p *platformService) routes(closed <-chan struct{}) *router.Router {
 	routes := router.New()
-	guardOf := func(name string, delay time.Duration) *gate {
+	newGate := func(name string, delay time.Duration) *gate {
 		return &gate{service: service{name: name, zone: p.config.PlatformZone}, faults: p.faults, closed: closed, delay: delay}
 	}
-	log := guardOf(TargetLog, p.config.LogDelay)
+	log := newGate(TargetLog, p.config.LogDelay)
 	routes.POST("/streams/{stream}", log.guard(p.append))
 	routes.GET("/streams/{stream}", log.guard(p.read))
-	machines := guardOf(TargetMachines, 0)
+	machines := newGate(TargetMachines, 0)
 	routes.GET("/machines", machines.guard(p.list))
 	routes.PUT("/machines/{id}", machines.guard(p.announce))
 	routes.DELETE("/machines/{id}", machines.guard(p.withdraw))
-	weights := guardOf(TargetWeights, 0)
+	weights := newGate(TargetWeights, 0)
 	routes.POST("/weights/{model}/reserve", weights.guard(p.reserve))
 	return routes
 }
@@ -135,13 +135,13 @@
 
 // list answers with the machine list, or only its version if the caller has it.
 func (p *platformService) list(ctx *fasthttp.RequestCtx) {
-	shown := p.shown(time.Now())
-	version := versionOf(shown)
+	visible := p.visible(time.Now())
+	version := versionOf(visible)
 	if string(ctx.QueryArgs().Peek("known")) == version {
 		answer(ctx, machinesBody{Version: version, Unchanged: true})
 		return
 	}
-	answer(ctx, machinesBody{Machines: shown, Version: version})
+	answer(ctx, machinesBody{Machines: visible, Version: version})
 }
 
 // versionOf returns a hash of the list's content.
@@ -155,7 +155,7 @@
 
 // visible renews the stand-ins' entries and returns the machine list as it is
 // visible at a time.
-func (p *platformService) shown(now time.Time) []machine.Machine {
+func (p *platformService) visible(now time.Time) []machine.Machine {
 	lag, lagging := p.faults.lag(TargetMachines)
 	if !lagging {
 		lag = p.config.MachineLag
@@ -208,7 +208,7 @@
 
 // setBackend adds the entry of a stand-in's engine or tool service to the machine
 // list, or replaces it.
-func (p *platformService) setOwn(entry machine.Machine) {
+func (p *platformService) setBackend(entry machine.Machine) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.machines.Announce(time.Now(), entry)
@@ -222,7 +222,7 @@
 }
 
 // removeBackend removes the entry of a stand-in's engine or tool service.
-func (p *platformService) dropOwn(id machine.ID) {
+func (p *platformService) removeBackend(id machine.ID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for i, own := range p.own {
--- a/emulator/standin/server.go
+++ b/emulator/standin/server.go
@@ -47,7 +47,7 @@
 			MaxRequestBodySize:    maximumBodyBytes,
 			NoDefaultServerHeader: true,
 			CloseOnShutdown:       true,
-			Logger:                silentLogger{},
+			Logger:                discardLogger{},
 		},
 	}
 	go func() {
@@ -70,10 +70,10 @@
 
 // discardLogger discards fasthttp's messages about aborted connections, which
 // injected faults cause.
-type silentLogger struct{}
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // gate applies the active faults to the requests of one service.
 type gate struct {
@@ -90,12 +90,12 @@
 		caller := callerZone(ctx)
 		found, changed := g.faults.effectsOn(g.service, caller)
 		if found.hung {
-			g.hold(caller, changed)
-			cutConnection(ctx)
+			g.waitWhileHung(caller, changed)
+			abortConnection(ctx)
 			return
 		}
 		if found.down {
-			cutConnection(ctx)
+			abortConnection(ctx)
 			return
 		}
 		if found.unavailable {
@@ -104,15 +104,15 @@
 		}
 		g.pause(g.delay + found.delay)
 		handler(ctx)
-		if found.answerLost || g.faults.isCut(g.service, caller) {
-			cutConnection(ctx)
+		if found.answerLost || g.faults.isUnreachable(g.service, caller) {
+			abortConnection(ctx)
 		}
 	}
 }
 
 // waitWhileHung waits until no fault hangs the request any more, at most
 // hungLimit.
-func (g *gate) hold(caller zone.Name, changed <-chan struct{}) {
+func (g *gate) waitWhileHung(caller zone.Name, changed <-chan struct{}) {
 	limit := time.NewTimer(hungLimit)
 	defer limit.Stop()
 	for {
@@ -150,7 +150,7 @@
 }
 
 // abortConnection closes the connection without an answer.
-func cutConnection(ctx *fasthttp.RequestCtx) {
+func abortConnection(ctx *fasthttp.RequestCtx) {
 	ctx.Response.ResetBody()
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(connection net.Conn) { _ = connection.Close() })
--- a/emulator/standin/set.go
+++ b/emulator/standin/set.go
@@ -101,7 +101,7 @@
 	s.engines = append(s.engines, opened)
 	s.addresses[config.ID] = listening.address()
 	s.drivers.Go(func() { running.run(s.closed) })
-	s.platform.setOwn(running.machine(listening.address(), machine.StatusLive))
+	s.platform.setBackend(running.machine(listening.address(), machine.StatusLive))
 	return nil
 }
 
@@ -116,7 +116,7 @@
 	s.servers = append(s.servers, listening)
 	s.tools = append(s.tools, opened)
 	s.addresses[config.ID] = listening.address()
-	s.platform.setOwn(opened.machine(listening.address(), machine.StatusLive))
+	s.platform.setBackend(opened.machine(listening.address(), machine.StatusLive))
 	return nil
 }
 
@@ -154,14 +154,14 @@
 func (s *Set) Leave(id machine.ID) error {
 	for _, opened := range s.engines {
 		if opened.engine.config.ID == id {
-			s.platform.setOwn(opened.engine.machine(s.addresses[id], machine.StatusLeaving))
+			s.platform.setBackend(opened.engine.machine(s.addresses[id], machine.StatusLeaving))
 			return opened.engine.step(enginemodel.Event{Leave: true})
 		}
 	}
 	for _, opened := range s.tools {
 		if opened.config.ID == id {
 			opened.leave()
-			s.platform.setOwn(opened.machine(s.addresses[id], machine.StatusLeaving))
+			s.platform.setBackend(opened.machine(s.addresses[id], machine.StatusLeaving))
 			return nil
 		}
 	}
@@ -175,7 +175,7 @@
 			if err := opened.engine.restart(); err != nil {
 				return err
 			}
-			s.platform.setOwn(opened.engine.machine(s.addresses[id], machine.StatusLive))
+			s.platform.setBackend(opened.engine.machine(s.addresses[id], machine.StatusLive))
 			return nil
 		}
 	}
@@ -185,7 +185,7 @@
 var errUnknownBackend = errors.New("no such engine or tool service")
 
 // Withdraw removes an engine or a tool service from the machine list.
-func (s *Set) Withdraw(id machine.ID) { s.platform.dropOwn(id) }
+func (s *Set) Withdraw(id machine.ID) { s.platform.removeBackend(id) }
 
 // findEngine returns the engine with the machine ID or address, or nil.
 func (s *Set) findEngine(name string) *runningEngine {
--- a/emulator/standin/tool.go
+++ b/emulator/standin/tool.go
@@ -80,7 +80,7 @@
 		fail(ctx, fasthttp.StatusBadRequest, fmt.Errorf("key: missing"))
 		return
 	}
-	output, err := t.runOnce(request)
+	output, err := t.execute(request)
 	if err != nil {
 		fail(ctx, fasthttp.StatusBadRequest, err)
 		return
@@ -91,7 +91,7 @@
 }
 
 // execute applies the effect of a request.
-func (t *toolService) runOnce(request tool.Request) (string, error) {
+func (t *toolService) execute(request tool.Request) (string, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.leaving {
