--- a/emulator/cluster/agent.go
+++ b/emulator/cluster/agent.go
@@ -67,7 +67,7 @@
 )
 
 // sendUntilAnswered sends a request, with retries, until it has a final answer,
-// and then calls then once. build creates the request for each node anew,
+// and passes it to then, once. build creates the request for each node anew,
 // because the program ID may depend on the settings that the node has resolved.
 func (a *agent) sendUntilAnswered(sent history.Sent, build func(at *node) (control.Request, bool), then func(control.Reply)) {
 	a.sendWithBackoff(sent, build, then, firstBackoff)
--- a/emulator/cluster/config.go
+++ b/emulator/cluster/config.go
@@ -70,7 +70,7 @@
 	storeTimeout = 2 * time.Second
 	// dialTimeout is a node's timeout for connecting to an unreachable machine.
 	dialTimeout = time.Second
-	// peerTimeout is how long a node waits for a peer's answer that was lost.
+	// peerTimeout is a node's timeout for an answer lost on the way from a peer.
 	peerTimeout = 8 * time.Second
 	// streamTimeout is how long a node waits for a stalled stream of a back end.
 	streamTimeout = 5 * time.Second
--- a/emulator/cluster/doc.go
+++ b/emulator/cluster/doc.go
@@ -8,7 +8,7 @@
 //	c, err := cluster.New(cluster.DefaultConfig(7))
 //	c.StartProgram(cluster.ProgramPlan{...})
 //	c.Advance(3 * time.Second)
-//	c.Crash("node-1")
+//	c.Crash(0)
 //	c.Settle()
 //	report := history.CheckEvents(c.Events())
 //
--- a/emulator/cluster/gateway.go
+++ b/emulator/cluster/gateway.go
@@ -116,8 +116,7 @@
 	c.transmit(o.node.self.Zone, owner.self.Zone, arrive, func() { c.after(dialTimeout, notSent) })
 }
 
-// finish sends the caller the reply, after a pause of the process if there is
-// one.
+// finish sends the caller the reply; a paused process sends it once it resumes.
 func (o *connection) finish(reply control.Reply) {
 	n := o.node
 	if o.ended || !n.running || n.starts != o.starts {
--- a/emulator/cluster/run.go
+++ b/emulator/cluster/run.go
@@ -80,7 +80,7 @@
 	return runs, nil, nil
 }
 
-// runNext reports whether the limits permit another run.
+// mayRun reports whether the limits permit another run.
 func (c FuzzConfig) runNext(runs int, elapsed time.Duration) bool {
 	if c.Runs > 0 && runs >= c.Runs {
 		return false
--- a/emulator/standin/config.go
+++ b/emulator/standin/config.go
@@ -31,8 +31,9 @@
 	// Platform and Control are the listen addresses, "ip:port".
 	Platform string `yaml:"platform"`
 	Control  string `yaml:"control"`
-	// PlatformZone is the zone of the platform's services for FaultNetworkPartition; if
-	// it is empty, blocked links between zones don't affect them.
+	// PlatformZone is the zone of the platform's services for
+	// FaultNetworkPartition; if it is empty, blocked links between zones don't
+	// affect them.
 	PlatformZone zone.Name `yaml:"platform_zone"`
 	// LogDelay is the delay of each request to the log service.
 	LogDelay time.Duration `yaml:"log_delay"`
