--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -24,8 +24,8 @@
 
 // stream returns the name of the attempt's answer stream at an engine.
 func (a *attempt) stream() string {
-	of := a.action.Attempt
-	return fmt.Sprintf("%s/%d/%d", of.Program, of.Sequence, of.Attempt)
+	ref := a.action.Attempt
+	return fmt.Sprintf("%s/%d/%d", ref.Program, ref.Sequence, ref.Attempt)
 }
 
 // startAttempt sends an attempt to its back end, and ends it at its deadline.
@@ -181,17 +181,17 @@
 }
 
 // stopAttempt cancels an attempt; its outcome is still reported.
-func (n *node) stopAttempt(of program.AttemptRef) {
-	if sent, found := n.attempts[of]; found {
+func (n *node) stopAttempt(ref program.AttemptRef) {
+	if sent, found := n.attempts[ref]; found {
 		sent.abort(api.CodeCancelled)
 	}
 }
 
 // started returns the history's record of the attempt's start at a back end.
 func (a *attempt) started(backend machine.Machine, promptHash uint64) *history.Started {
-	of := a.action.Attempt
+	ref := a.action.Attempt
 	return &history.Started{
-		Backend: backend.ID, Zone: backend.Zone, Program: of.Program, Sequence: of.Sequence, Attempt: of.Attempt,
+		Backend: backend.ID, Zone: backend.Zone, Program: ref.Program, Sequence: ref.Sequence, Attempt: ref.Attempt,
 		Kind: a.action.Call.Kind, Repeatable: a.action.Call.Kind == api.CallModel || a.action.Call.Repeatable,
 		PromptHash: promptHash,
 	}
@@ -199,9 +199,9 @@
 
 // finished returns the history's record of the attempt's end at its back end.
 func (a *attempt) finished(outcome history.Outcome, ended *backendRun) *history.Finished {
-	of := a.action.Attempt
+	ref := a.action.Attempt
 	return &history.Finished{
-		Backend: a.action.Backend.ID, Program: of.Program, Sequence: of.Sequence, Attempt: of.Attempt,
+		Backend: a.action.Backend.ID, Program: ref.Program, Sequence: ref.Sequence, Attempt: ref.Attempt,
 		Outcome: outcome, Output: ended.output, Usage: ended.usage,
 	}
 }
--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -25,11 +25,11 @@
 
 // settleAndCheck settles the cluster, expects that no guarantee was violated, and
 // returns the history.
-func settleAndCheck(of *cluster.Cluster) []history.Event {
-	Expect(of.Settle()).To(Succeed())
-	report := history.CheckEvents(of.Events())
+func settleAndCheck(running *cluster.Cluster) []history.Event {
+	Expect(running.Settle()).To(Succeed())
+	report := history.CheckEvents(running.Events())
 	Expect(report.Findings).To(BeEmpty(), report.String())
-	return of.Events()
+	return running.Events()
 }
 
 // modelCalls returns a plan of sequential model calls.
--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -15,13 +15,13 @@
 
 // advanceUntil advances in small steps until the condition holds, and fails after
 // a minute of virtual time.
-func advanceUntil(of *cluster.Cluster, condition func(events []history.Event) bool) {
+func advanceUntil(running *cluster.Cluster, condition func(events []history.Event) bool) {
 	const step, steps = 200 * time.Microsecond, 300_000
 	for range steps {
-		if condition(of.Events()) {
+		if condition(running.Events()) {
 			return
 		}
-		of.Advance(step)
+		running.Advance(step)
 	}
 	Fail("the run never came to this point")
 }
--- a/emulator/cluster/loss.go
+++ b/emulator/cluster/loss.go
@@ -75,8 +75,8 @@
 // events that name only the request.
 func (c *Cluster) excused(event history.Event, declared map[partition.ID]bool, requests map[string]bool) bool {
 	concerns := func(id api.ProgramID) bool {
-		of, err := partition.OfProgram(id)
-		return err == nil && declared[of]
+		partitionID, err := partition.OfProgram(id)
+		return err == nil && declared[partitionID]
 	}
 	switch {
 	case event.Sent != nil:
--- a/emulator/cluster/run.go
+++ b/emulator/cluster/run.go
@@ -61,7 +61,7 @@
 	}
 	begin := time.Now()
 	runs := 0
-	for config.runNext(runs, time.Since(begin)) {
+	for config.mayRun(runs, time.Since(begin)) {
 		seed := config.Seed + uint64(runs)
 		if err := flag.Set("rapid.seed", strconv.FormatUint(seed, 10)); err != nil {
 			return runs, nil, err
@@ -81,7 +81,7 @@
 }
 
 // mayRun reports whether the limits permit another run.
-func (c FuzzConfig) runNext(runs int, elapsed time.Duration) bool {
+func (c FuzzConfig) mayRun(runs int, elapsed time.Duration) bool {
 	if c.Runs > 0 && runs >= c.Runs {
 		return false
 	}
