--- a/emulator/cluster/fuzz.go
+++ b/emulator/cluster/fuzz.go
@@ -8,7 +8,8 @@
 	"birchwood.example/birchwood/history"
 )
 
-// warmUp is the time for a new cluster to discover its machines and claim partitions.
+// warmUp is the time for a new cluster to discover its machines and claim its
+// partitions.
 const warmUp = 8 * time.Second
 
 // Property is the stateful test: after any sequence of actions and faults, once
--- a/emulator/cluster/gateway.go
+++ b/emulator/cluster/gateway.go
@@ -24,9 +24,9 @@
 	ended bool
 }
 
-// request sends a caller's request to a node. At most one of reply and lost
-// runs, and none after the caller has called the returned disconnect function.
-// refused means that the connection could not be opened.
+// request sends a caller's request to a node. Exactly one of reply and lost runs,
+// unless the caller calls the returned disconnect function first. refused means
+// that the connection could not be opened.
 func (c *Cluster) request(at *node, request control.Request, reply func(control.Reply), lost func(refused bool)) (disconnect func()) {
 	opened := &connection{node: at, reply: reply, lost: func() { lost(false) }}
 	c.requests++
--- a/emulator/standin/fault.go
+++ b/emulator/standin/fault.go
@@ -31,8 +31,8 @@
 	// FaultLagging sets the delay of the machine list, or of an engine's load
 	// reports and cache events, to DelayMilliseconds.
 	FaultLagging FaultKind = "lagging"
-	// FaultNetworkPartition blocks the link from zone From to zone To: requests hang as with
-	// FaultHung, and answers are interrupted.
+	// FaultNetworkPartition blocks the link from zone From to zone To: requests
+	// hang as with FaultHung, and answers in progress are interrupted.
 	FaultNetworkPartition FaultKind = "cut"
 )
 
@@ -51,7 +51,8 @@
 	Name   string    `json:"name"`
 	Kind   FaultKind `json:"kind"`
 	Target string    `json:"target,omitempty"`
-	// From and To are the zones of FaultNetworkPartition. To may also be a target's name.
+	// From and To are the zones of FaultNetworkPartition. To may also be a
+	// target's name.
 	From zone.Name `json:"from,omitempty"`
 	To   zone.Name `json:"to,omitempty"`
 	// TwoWay blocks the link from To to From as well.
--- a/emulator/standin/standin_test.go
+++ b/emulator/standin/standin_test.go
@@ -37,7 +37,8 @@
 	tools    *toolhttp.Dialer
 }
 
-// start starts two engines with 50 times the default speed and one tool service.
+// startHarness starts two engines with 50 times the default speed and one tool
+// service.
 func startHarness() *harness {
 	set, err := standin.Start(standin.Config{
 		Seed:       1,
