--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -11,23 +11,24 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// attempt is one attempt at a call, as the node that sent it follows it.
+// attempt is one attempt at a call, as tracked by the node that sent it.
 type attempt struct {
-	node   *node
-	action control.SendAttempt
-	engine *emulatedEngine
-	begun  *run
-	// ended is set once the core has been told the outcome.
+	node      *node
+	action    control.SendAttempt
+	engine    *emulatedEngine
+	execution *backendRun
+	// ended is set once the outcome has been reported to the core or the node
+	// has crashed.
 	ended bool
 }
 
-// stream is the name of the answer at an engine.
+// stream returns the name of the attempt's answer stream at an engine.
 func (a *attempt) stream() string {
-	of := a.action.Attempt
-	return fmt.Sprintf("%s/%d/%d", of.Program, of.Sequence, of.Attempt)
+	ref := a.action.Attempt
+	return fmt.Sprintf("%s/%d/%d", ref.Program, ref.Sequence, ref.Attempt)
 }
 
-// startAttempt sends an attempt to its back end.
+// startAttempt sends an attempt to its back end, and ends it at its deadline.
 func (n *node) startAttempt(action control.SendAttempt) {
 	sent := &attempt{node: n, action: action}
 	n.attempts[action.Attempt] = sent
@@ -58,7 +59,7 @@
 		sent.notSent("the engine is unknown")
 		return
 	}
-	n.reach(target.machine.Zone, sent, func() {
+	n.sendToZone(target.machine.Zone, sent, func() {
 		if target.down {
 			sent.notSent("the engine refused the connection")
 			return
@@ -75,7 +76,7 @@
 		sent.notSent("the tool service is unknown")
 		return
 	}
-	n.reach(target.machine.Zone, sent, func() {
+	n.sendToZone(target.machine.Zone, sent, func() {
 		if target.down {
 			sent.notSent("the tool service refused the connection")
 			return
@@ -84,23 +85,24 @@
 	})
 }
 
-// reach carries a request to a back end's zone. A request whose sender has
-// given it up by then still arrives; one behind a cut was never sent.
-func (n *node) reach(to zone.Name, sent *attempt, arrive func()) {
-	n.cluster.travel(n.self.Zone, to, arrive, func() {
+// sendToZone sends a request to a back end's zone. The request arrives even if
+// the sender has abandoned it by then; on a blocked link it counts as not sent.
+func (n *node) sendToZone(to zone.Name, sent *attempt, arrive func()) {
+	n.cluster.transmit(n.self.Zone, to, arrive, func() {
 		n.cluster.after(dialTimeout, func() { sent.notSent("no connection to the back end") })
 	})
 }
 
-// follow waits for the end of a run, unless the attempt is over.
-func (a *attempt) follow(begun *run, from zone.Name) {
-	a.begun = begun
+// follow subscribes to the end of an execution. If the attempt has already
+// ended, an engine's execution is cancelled instead.
+func (a *attempt) follow(execution *backendRun, from zone.Name) {
+	a.execution = execution
 	arrived := func(ok bool) {
-		a.node.cluster.travel(from, a.node.self.Zone, func() { a.finish(ok) }, func() {
-			a.node.cluster.after(streamSilence, func() { a.abort(api.CodeBackendFailed) })
+		a.node.cluster.transmit(from, a.node.self.Zone, func() { a.finish(ok) }, func() {
+			a.node.cluster.after(streamTimeout, func() { a.abort(api.CodeBackendFailed) })
 		})
 	}
-	if begun.finished {
+	if execution.finished {
 		arrived(true)
 		return
 	}
@@ -108,28 +110,29 @@
 		a.engine.cancel(a)
 		return
 	}
-	begun.listeners = append(begun.listeners, arrived)
+	execution.listeners = append(execution.listeners, arrived)
 }
 
-// finish tells the core how the back end ended the attempt.
+// finish reports the back end's result to the core; ok is false if the
+// execution was interrupted.
 func (a *attempt) finish(ok bool) {
 	if !ok {
 		a.abort(api.CodeBackendFailed)
 		return
 	}
 	ended := control.AttemptEnded{Outcome: program.Outcome{
-		Status: api.StatusSucceeded, Output: a.begun.output, Usage: a.begun.usage,
+		Status: api.StatusSucceeded, Output: a.execution.output, Usage: a.execution.usage,
 	}}
 	if a.engine != nil {
 		load := a.engine.load()
 		ended.Load = &load
-		ended.Resident = a.begun.resident
+		ended.Resident = a.execution.resident
 	}
-	a.tell(ended)
+	a.report(ended)
 }
 
-// abort ends an attempt that may have run: a model call failed, a tool call's
-// outcome is unknown.
+// abort ends an attempt that may have run: a model call counts as failed, a
+// tool call's outcome as unknown.
 func (a *attempt) abort(code api.Code) {
 	if a.ended {
 		return
@@ -141,19 +144,19 @@
 		failure.Ran = api.RanOutcomeUnknown
 	}
 	outcome.Error = failure
-	a.tell(control.AttemptEnded{Outcome: outcome})
+	a.report(control.AttemptEnded{Outcome: outcome})
 	a.disconnect()
 }
 
-// notSent ends an attempt that certainly reached nobody.
+// notSent ends an attempt that certainly did not reach its back end.
 func (a *attempt) notSent(reason string) {
-	a.tell(control.AttemptEnded{Outcome: program.Outcome{
+	a.report(control.AttemptEnded{Outcome: program.Outcome{
 		Status: api.StatusNotRun, Error: api.Refuse(api.CodeBackendFailed, "%s", reason).After(0),
 	}})
 }
 
-// tell posts the outcome to the core, once.
-func (a *attempt) tell(ended control.AttemptEnded) {
+// report posts the outcome to the core, once.
+func (a *attempt) report(ended control.AttemptEnded) {
 	if a.ended {
 		return
 	}
@@ -166,43 +169,44 @@
 	}
 }
 
-// disconnect closes the attempt's connection; an engine then stops the answer
-// if nobody else follows it.
+// disconnect closes the attempt's connection; an engine then cancels the answer,
+// unless it has a new listener by then.
 func (a *attempt) disconnect() {
 	a.ended = true
-	if a.begun == nil || a.engine == nil || a.begun.finished {
+	if a.execution == nil || a.engine == nil || a.execution.finished {
 		return
 	}
-	a.begun.listeners = nil
+	a.execution.listeners = nil
 	a.node.cluster.after(a.node.cluster.jitter(a.node.cluster.config.LinkDelay), func() { a.engine.cancel(a) })
 }
 
-// stopAttempt cancels an attempt; its outcome still follows.
-func (n *node) stopAttempt(of program.AttemptRef) {
-	if sent, found := n.attempts[of]; found {
+// stopAttempt cancels an attempt; its outcome is still reported.
+func (n *node) stopAttempt(ref program.AttemptRef) {
+	if sent, found := n.attempts[ref]; found {
 		sent.abort(api.CodeCancelled)
 	}
 }
 
-// started and finished are the attempt as its back end sees it.
+// started returns the history's record of the attempt's start at a back end.
 func (a *attempt) started(backend machine.Machine, promptHash uint64) *history.AttemptStarted {
-	of := a.action.Attempt
+	ref := a.action.Attempt
 	return &history.AttemptStarted{
-		Backend: backend.ID, Zone: backend.Zone, Program: of.Program, Sequence: of.Sequence, Attempt: of.Attempt,
+		Backend: backend.ID, Zone: backend.Zone, Program: ref.Program, Sequence: ref.Sequence, Attempt: ref.Attempt,
 		Kind: a.action.Call.Kind, Repeatable: a.action.Call.Kind == api.CallModel || a.action.Call.Repeatable,
 		PromptHash: promptHash,
 	}
 }
 
-func (a *attempt) finished(outcome history.Outcome, ended *run) *history.AttemptFinished {
-	of := a.action.Attempt
+// finished returns the history's record of the attempt's end at its back end.
+func (a *attempt) finished(outcome history.Outcome, ended *backendRun) *history.AttemptFinished {
+	ref := a.action.Attempt
 	return &history.AttemptFinished{
-		Backend: a.action.Backend.ID, Program: of.Program, Sequence: of.Sequence, Attempt: of.Attempt,
+		Backend: a.action.Backend.ID, Program: ref.Program, Sequence: ref.Sequence, Attempt: ref.Attempt,
 		Outcome: outcome, Output: ended.output, Usage: ended.usage,
 	}
 }
 
-// lookUp asks a tool service about a key.
+// lookUp queries a tool service for the output stored under a call's key.
 func (n *node) lookUp(action control.LookUpKey) {
 	c := n.cluster
 	answer := n.whileRunning(func(err error) {
@@ -213,33 +217,33 @@
 		n.post(control.LookupReturned{Result: result})
 	})
 	target := c.tool(action.Backend.ID)
-	if target == nil || target.down || c.cuts[zonePair{n.self.Zone, target.machine.Zone}] || c.cuts[zonePair{target.machine.Zone, n.self.Zone}] {
+	if target == nil || target.down || c.blockedLinks[zonePair{n.self.Zone, target.machine.Zone}] || c.blockedLinks[zonePair{target.machine.Zone, n.self.Zone}] {
 		c.after(dialTimeout, func() { answer(errNoAnswer) })
 		return
 	}
 	c.after(c.jitter(2*c.config.LinkDelay), func() { answer(nil) })
 }
 
-// askBackend performs a request to a back end that has no effect, or one that
-// may be repeated.
-func (n *node) askBackend(id machine.ID, at zone.Name, down bool, ask func(err error)) {
+// sendIdempotent sends a back end a request that is read-only or idempotent, and
+// calls done at the node once it was answered or failed.
+func (n *node) sendIdempotent(id machine.ID, at zone.Name, down bool, done func(err error)) {
 	c := n.cluster
-	answer := n.whileRunning(ask)
-	if down || c.cuts[zonePair{n.self.Zone, at}] || c.cuts[zonePair{at, n.self.Zone}] || id == "" {
+	answer := n.whileRunning(done)
+	if down || c.blockedLinks[zonePair{n.self.Zone, at}] || c.blockedLinks[zonePair{at, n.self.Zone}] || id == "" {
 		c.after(dialTimeout, func() { answer(errNoAnswer) })
 		return
 	}
 	c.after(c.jitter(2*c.config.LinkDelay), func() { answer(nil) })
 }
 
-// queryBackend asks for a back end's load.
+// queryBackend requests an engine's load.
 func (n *node) queryBackend(action control.QueryBackend) {
 	target := n.cluster.engine(action.Backend.ID)
 	if target == nil {
 		n.post(control.BackendObserved{Backend: action.Backend.ID})
 		return
 	}
-	n.askBackend(target.machine.ID, target.machine.Zone, target.down, func(err error) {
+	n.sendIdempotent(target.machine.ID, target.machine.Zone, target.down, func(err error) {
 		event := control.BackendObserved{Backend: target.machine.ID, Err: err}
 		if err == nil {
 			load := target.load()
@@ -249,13 +253,13 @@
 	})
 }
 
-// listPrefixes asks an engine for its cached prefixes.
+// listPrefixes requests the list of an engine's cached prefixes.
 func (n *node) listPrefixes(action control.ListPrefixes) {
 	target := n.cluster.engine(action.Backend.ID)
 	if target == nil {
 		return
 	}
-	n.askBackend(target.machine.ID, target.machine.Zone, target.down, func(err error) {
+	n.sendIdempotent(target.machine.ID, target.machine.Zone, target.down, func(err error) {
 		event := control.PrefixesListed{Backend: target.machine.ID, Err: err}
 		if err == nil {
 			event.Prefixes = target.list()
@@ -264,17 +268,18 @@
 	})
 }
 
-// lostReleases is the share of releases that never reach their engine.
-const lostReleases = 0.1
+// lostReleaseShare is the share of release requests that do not reach their
+// engine.
+const lostReleaseShare = 0.1
 
-// releasePrefix frees a program's memory at an engine.
+// releasePrefix asks an engine to drop a program's cached prefix.
 func (n *node) releasePrefix(action control.ReleasePrefix) {
 	target := n.cluster.engine(action.Backend.ID)
 	if target == nil {
 		return
 	}
-	lost := n.cluster.chance(lostReleases)
-	n.askBackend(target.machine.ID, target.machine.Zone, target.down || lost, func(err error) {
+	lost := n.cluster.chance(lostReleaseShare)
+	n.sendIdempotent(target.machine.ID, target.machine.Zone, target.down || lost, func(err error) {
 		if err == nil {
 			delete(target.prefixes, action.Owner)
 		}
--- a/emulator/cluster/guarantees_test.go
+++ b/emulator/cluster/guarantees_test.go
@@ -13,20 +13,21 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// inSmallSteps advances until the condition holds, which must come soon.
-func inSmallSteps(of *cluster.Cluster, condition func(events []history.Event) bool) {
+// advanceUntil advances in small steps until the condition holds, and fails after
+// a minute of virtual time.
+func advanceUntil(running *cluster.Cluster, condition func(events []history.Event) bool) {
 	const step, steps = 200 * time.Microsecond, 300_000
 	for range steps {
-		if condition(of.Events()) {
+		if condition(running.Events()) {
 			return
 		}
-		of.Advance(step)
+		running.Advance(step)
 	}
 	Fail("the run never came to this point")
 }
 
-// orphaned returns the programs that an engine listed after their end, and
-// those that engines still list at the end of the run.
+// orphaned returns the programs whose prefixes an engine listed after the
+// program's end, and those that engines still list at the end of the run.
 func orphaned(events []history.Event) (seen, left map[api.ProgramID]bool) {
 	closed := map[api.ProgramID]bool{}
 	last := map[machine.ID][]api.ProgramID{}
@@ -56,8 +57,8 @@
 	return seen, left
 }
 
-// closings counts the programs that ended.
-func closings(events []history.Event) int {
+// countEnded counts the programs that ended.
+func countEnded(events []history.Event) int {
 	count := 0
 	for _, event := range events {
 		if event.ProgramEnded != nil {
@@ -67,8 +68,8 @@
 	return count
 }
 
-// highestInForce returns each node's newest revision and, apart from it, the
-// first one that each process of the node put in force.
+// highestInForce returns each node's highest revision, and the first revision
+// that each process of the node put in force.
 func highestInForce(events []history.Event) (newest map[machine.ID]uint64, first map[machine.ID][]uint64) {
 	newest, first = map[machine.ID]uint64{}, map[machine.ID][]uint64{}
 	incarnations := map[machine.ID]uint64{}
@@ -88,23 +89,23 @@
 
 var _ = Describe("Engine memory", func() {
 	It("is freed by the sweep when an engine was out of reach while its programs ended", func() {
-		running := open(2)
+		running := startCluster(2)
 		for range 6 {
 			running.StartProgram(cluster.ProgramPlan{
 				Branch: cluster.BranchCold, Pause: 8 * time.Second, Calls: []cluster.CallPlan{{}, {Tool: true}},
 			})
 		}
 		running.Advance(3 * time.Second)
-		// The engine in the first zone hears nobody and is heard by nobody
-		// outside of it: releases from other zones are lost.
+		// The first zone is isolated in both directions, so releases from other
+		// zones don't reach its engine.
 		for zone := range 3 {
-			running.Cut(0, zone)
-			running.Cut(zone, 0)
+			running.BlockLink(0, zone)
+			running.BlockLink(zone, 0)
 		}
 		running.Advance(30 * time.Second)
-		events := settled(running)
+		events := settleAndCheck(running)
 		seen, left := orphaned(events)
-		Expect(closings(events)).To(Equal(6))
+		Expect(countEnded(events)).To(Equal(6))
 		Expect(seen).NotTo(BeEmpty(), "no engine ever held memory of a program that was gone")
 		Expect(left).To(BeEmpty())
 	})
@@ -112,17 +113,17 @@
 	It("is freed when the owner dies in the moment in which its program ends", func() {
 		seenInAll := 0
 		for owner := range 3 {
-			running := open(uint64(10 + owner))
+			running := startCluster(uint64(10 + owner))
 			for range 8 {
-				running.StartProgram(models(2))
+				running.StartProgram(modelCalls(2))
 			}
 			for ended := range 4 {
-				inSmallSteps(running, func(events []history.Event) bool { return closings(events) > ended })
+				advanceUntil(running, func(events []history.Event) bool { return countEnded(events) > ended })
 				running.Crash(owner)
 				running.Advance(12 * time.Second)
 				Expect(running.Restart(owner)).To(Succeed())
 			}
-			seen, left := orphaned(settled(running))
+			seen, left := orphaned(settleAndCheck(running))
 			seenInAll += len(seen)
 			Expect(left).To(BeEmpty())
 		}
@@ -137,16 +138,16 @@
 			settings.DropShare = 0.2
 			running, err := cluster.New(settings)
 			Expect(err).NotTo(HaveOccurred())
-			running.Advance(atRest)
+			running.Advance(startupTime)
 			for range 6 {
-				running.StartProgram(models(12))
+				running.StartProgram(modelCalls(12))
 			}
 			running.Advance(4 * time.Second)
 			running.LeaveEngine(int(seed))
 			left := running.Now()
 			leaving := machine.ID([]string{"engine-1", "engine-2", "engine-3", "engine-1"}[seed])
 			before, elsewhere := 0, 0
-			for _, event := range settled(running) {
+			for _, event := range settleAndCheck(running) {
 				switch {
 				case event.AttemptStarted == nil:
 				case event.AttemptStarted.Backend == leaving && event.At.Before(left):
@@ -164,8 +165,8 @@
 
 var _ = Describe("Accepted settings", func() {
 	It("are not reverted by nodes that restart while the store is down", func() {
-		running := open(4)
-		plan := models(20)
+		running := startCluster(4)
+		plan := modelCalls(20)
 		plan.Pause = 4 * time.Second
 		running.StartProgram(plan)
 		running.Advance(2 * time.Second)
@@ -180,7 +181,7 @@
 		}
 		running.Advance(40 * time.Second)
 		running.StoreUp()
-		events := settled(running)
+		events := settleAndCheck(running)
 		_, first := highestInForce(events)
 		for _, restarted := range []machine.ID{"node-1", "node-2"} {
 			Expect(first[restarted]).To(HaveLen(2), "a process of %s put nothing in force", restarted)
@@ -197,28 +198,28 @@
 				if from == to {
 					continue
 				}
-				running := open(uint64(50 + 3*from + to))
+				running := startCluster(uint64(50 + 3*from + to))
 				for range 4 {
-					running.StartProgram(models(10))
+					running.StartProgram(modelCalls(10))
 				}
 				running.StartProgram(cluster.ProgramPlan{
 					Branch: cluster.BranchChat, Twice: true, Pause: time.Second,
 					Calls: []cluster.CallPlan{{Tool: true}, {}, {Tool: true}, {}, {Tool: true}, {}},
 				})
 				running.Advance(2 * time.Second)
-				running.Cut(from, to)
+				running.BlockLink(from, to)
 				running.Advance(2 * time.Second)
-				begun := len(starts(running.Events()))
+				startedBefore := len(startedAttempts(running.Events()))
 				running.Advance(38 * time.Second)
-				Expect(len(starts(running.Events()))).To(BeNumerically(">", begun), "nothing ran while %d could not reach %d", from, to)
-				events := settled(running)
+				Expect(len(startedAttempts(running.Events()))).To(BeNumerically(">", startedBefore), "nothing ran while %d could not reach %d", from, to)
+				events := settleAndCheck(running)
 				succeeded := 0
 				for _, event := range events {
 					if event.CallEnded != nil && event.CallEnded.Status == api.StatusSucceeded {
 						succeeded++
 					}
 				}
-				Expect(closings(events)).To(Equal(5))
+				Expect(countEnded(events)).To(Equal(5))
 				Expect(succeeded).To(BeNumerically(">=", 40))
 			}
 		}
--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -16,38 +16,39 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// node is one machine of the system, running or not.
+// node is a machine that runs birchwood's node process, running or not.
 type node struct {
 	cluster *Cluster
 	index   int
 	self    machine.Machine
 	core    *control.Core
 	// starts counts the starts of the process; running and paused are its
-	// state. What reaches a paused process waits in its backlog.
-	starts  uint64
-	running bool
-	paused  bool
-	backlog []func()
-	wake    time.Time
-	// leaving is set by a planned stop, handedOver once it is complete.
+	// state. backlog holds what arrived while the process was paused.
+	starts   uint64
+	running  bool
+	paused   bool
+	backlog  []func()
+	nextWake time.Time
+	// leaving is set when a planned stop starts, handedOver when the core has
+	// handed over everything.
 	leaving    bool
 	handedOver bool
 
 	handles  uint64
 	waiting  map[uint64]func(control.Reply)
 	attempts map[program.AttemptRef]*attempt
-	// connections are the callers' requests that this node has not answered;
-	// each value tells the caller that its connection was lost.
+	// connections holds the unanswered requests of callers and of relaying
+	// nodes; each value reports to the sender that its connection was lost.
 	connections map[uint64]func()
 	verdicts    map[string]func(contract.Verdict)
 	inForce     contract.Revision
-	// inputs are those of calls that were sent from here and have not ended;
-	// texts are calls that have.
-	inputs map[program.CallRef]string
-	texts  map[program.CallRef]api.Call
+	// inputs holds the inputs of calls that were sent from this node and have
+	// not ended; succeededCalls holds those that succeeded.
+	inputs         map[program.CallRef]string
+	succeededCalls map[program.CallRef]api.Call
 }
 
-// start begins a new process on the machine.
+// start starts a new process on the machine.
 func (n *node) start() error {
 	n.starts++
 	n.self.Incarnation = uint64(n.cluster.now.Sub(epoch)/time.Millisecond) + n.starts
@@ -71,10 +72,10 @@
 	n.core = core
 	n.running, n.paused, n.leaving, n.handedOver = true, false, false, false
 	n.backlog = nil
-	n.wake = time.Time{}
+	n.nextWake = time.Time{}
 	n.inForce = 0
 	n.inputs = map[program.CallRef]string{}
-	n.texts = map[program.CallRef]api.Call{}
+	n.succeededCalls = map[program.CallRef]api.Call{}
 	n.waiting = map[uint64]func(control.Reply){}
 	n.attempts = map[program.AttemptRef]*attempt{}
 	n.connections = map[uint64]func(){}
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// whileRunning wraps an answer to this process: it is dropped when the process
-// is gone by then, and waits while the process is paused.
+// whileRunning wraps a callback of the present process: it is dropped once the
+// process has ended, and delayed while the process is paused.
 func (n *node) whileRunning(run func(error)) func(error) {
 	starts := n.starts
 	return func(err error) {
@@ -94,7 +95,8 @@
 	}
 }
 
-// enqueue runs a function in the process, now or when it wakes.
+// enqueue runs a function in the process: at once, or when a paused process
+// resumes.
 func (n *node) enqueue(run func()) {
 	switch {
 	case !n.running:
@@ -105,7 +107,7 @@
 	}
 }
 
-// post hands an event to the core, after what happens now.
+// post passes an event to the core, after the event that is being handled.
 func (n *node) post(event control.Event) {
 	starts := n.starts
 	n.cluster.after(0, func() {
@@ -115,42 +117,44 @@
 	})
 }
 
-// step steps the core and performs its actions.
+// step passes an event to the core and performs the resulting actions.
 func (n *node) step(event control.Event) {
 	n.cluster.steps++
 	n.core.Step(n.cluster.now, event)
 	for _, action := range n.core.Ready() {
 		n.perform(action)
 	}
-	n.noteInForce()
+	n.recordInForce()
 	n.scheduleWake()
 	n.finishStop()
 }
 
-// scheduleWake queues the next tick.
+// scheduleWake queues the next tick: when the core asks for it, but at least
+// 1 ms and at most longestSleep from now.
 func (n *node) scheduleWake() {
 	now := n.cluster.now
-	wake := now.Add(longestSleep)
-	if next := n.core.NextWake(); !next.IsZero() && next.Before(wake) {
-		wake = next
+	nextWake := now.Add(longestSleep)
+	if next := n.core.NextWake(); !next.IsZero() && next.Before(nextWake) {
+		nextWake = next
 	}
-	if wake.Before(now.Add(time.Millisecond)) {
-		wake = now.Add(time.Millisecond)
+	if nextWake.Before(now.Add(time.Millisecond)) {
+		nextWake = now.Add(time.Millisecond)
 	}
-	if n.wake.After(now) && !wake.Before(n.wake) {
+	if n.nextWake.After(now) && !nextWake.Before(n.nextWake) {
 		return
 	}
-	n.wake = wake
+	n.nextWake = nextWake
 	starts := n.starts
-	n.cluster.after(wake.Sub(now), func() {
-		if n.running && n.starts == starts && n.wake.Equal(wake) {
+	n.cluster.after(nextWake.Sub(now), func() {
+		if n.running && n.starts == starts && n.nextWake.Equal(nextWake) {
 			n.enqueue(func() { n.step(control.Tick{}) })
 		}
 	})
 }
 
-// noteInForce records the revision that this node places new work by.
-func (n *node) noteInForce() {
+// recordInForce records the settings revision by which this node places new
+// work, when it changes.
+func (n *node) recordInForce() {
 	revision := n.core.Tree().Revision()
 	if revision == n.inForce || !n.core.Freshness(n.cluster.now).MayPlace {
 		return
@@ -161,7 +165,7 @@
 	}})
 }
 
-// perform does one action of the core.
+// perform executes one action of the core.
 func (n *node) perform(action control.Action) {
 	switch action := action.(type) {
 	case control.AppendStream:
@@ -187,21 +191,21 @@
 	case control.ReleasePrefix:
 		n.releasePrefix(action)
 	default:
-		n.note(action)
+		n.performLocal(action)
 	}
 }
 
-// note takes the actions that answer somebody or tell what happened.
-func (n *node) note(action control.Action) {
+// performLocal executes the actions that complete a request or report an event.
+func (n *node) performLocal(action control.Action) {
 	switch action := action.(type) {
 	case control.Answer:
 		n.answer(action.Handle, action.Reply)
 	case control.FetchHistory:
 		n.fetchHistory(action)
 	case control.SettingsVerdict:
-		n.noteVerdict(action.Verdict)
+		n.recordVerdict(action.Verdict)
 	case control.CallFinished:
-		n.noteText(action.Call)
+		n.cacheCall(action.Call)
 		n.cluster.record(history.Event{CallEnded: &history.CallEnded{
 			Node: n.self.ID, Program: action.Call.Program, Sequence: action.Call.Sequence, Status: action.Call.Status,
 		}})
@@ -212,7 +216,7 @@
 	}
 }
 
-// sendMessage carries a control message to a peer, if it arrives.
+// sendMessage sends a control message to a peer; DropShare of them are lost.
 func (n *node) sendMessage(action control.SendMessage) {
 	c := n.cluster
 	peer := c.node(action.To.ID)
@@ -220,12 +224,12 @@
 		return
 	}
 	message := action.Message
-	c.travel(n.self.Zone, peer.self.Zone, func() {
+	c.transmit(n.self.Zone, peer.self.Zone, func() {
 		peer.enqueue(func() { peer.step(control.MessageReceived{Message: message}) })
 	}, func() {})
 }
 
-// answer gives a reply to whoever waits for the handle.
+// answer passes a reply to the request waiting on the handle.
 func (n *node) answer(handle uint64, reply control.Reply) {
 	waiting, found := n.waiting[handle]
 	if !found {
@@ -235,7 +239,7 @@
 	n.cluster.after(0, func() { waiting(reply) })
 }
 
-// crash ends the process without a word.
+// crash ends the process without a handover; its connections are lost.
 func (n *node) crash() {
 	n.running = false
 	n.paused = false
@@ -250,7 +254,7 @@
 }
 
 // finishStop ends the process once a planned stop has handed everything over
-// and every caller has its answer.
+// and every request has been answered.
 func (n *node) finishStop() {
 	if !n.handedOver || len(n.connections) > 0 || len(n.waiting) > 0 {
 		return
--- a/emulator/cluster/transcript.go
+++ b/emulator/cluster/transcript.go
@@ -11,46 +11,47 @@
 	"birchwood.example/birchwood/program"
 )
 
-// rereadAfter is how long a node waits before it reads a history again.
-const rereadAfter = 500 * time.Millisecond
+// historyRetryDelay is the delay before a failed read of a history is retried.
+const historyRetryDelay = 500 * time.Millisecond
 
-// readPrompt reads the calls that precede an attempt. It tries until it can,
-// or until the attempt is over.
+// readPrompt reads the calls that precede an attempt. It retries until it
+// succeeds or the attempt has ended.
 func (n *node) readPrompt(sent *attempt, done func(calls []api.Call)) {
 	action := sent.action
-	if known, found := n.knownTexts(action.Attempt.Program, action.Prompt); found {
+	if known, found := n.cachedCalls(action.Attempt.Program, action.Prompt); found {
 		done(known)
 		return
 	}
-	n.readTexts(action.Partition, action.Attempt.Program, action.Prompt, func(calls []api.Call, err error) {
+	n.readCalls(action.Partition, action.Attempt.Program, action.Prompt, func(calls []api.Call, err error) {
 		switch {
 		case sent.ended:
 		case err != nil:
-			n.cluster.after(rereadAfter, func() { n.enqueue(func() { n.readPrompt(sent, done) }) })
+			n.cluster.after(historyRetryDelay, func() { n.enqueue(func() { n.readPrompt(sent, done) }) })
 		default:
 			done(calls)
 		}
 	})
 }
 
-// noteText keeps a call that was sent and ended on this node, as the daemon
-// does for the programs that ran lately: a prompt then needs no read of the
+// cacheCall caches a call that was sent from this node and has succeeded, as the
+// daemon does for recently active programs: a prompt then needs no read of the
 // log.
-func (n *node) noteText(call api.Call) {
+func (n *node) cacheCall(call api.Call) {
 	ref := program.CallRef{Program: call.Program, Sequence: call.Sequence}
 	input, sentHere := n.inputs[ref]
 	delete(n.inputs, ref)
 	if sentHere && call.Status == api.StatusSucceeded {
 		call.Input = input
-		n.texts[ref] = call
+		n.succeededCalls[ref] = call
 	}
 }
 
-// knownTexts returns the located calls if this node has all of them.
-func (n *node) knownTexts(owner api.ProgramID, locations []program.CallLocation) ([]api.Call, bool) {
+// cachedCalls returns the calls at the locations if all of them are cached on
+// this node.
+func (n *node) cachedCalls(owner api.ProgramID, locations []program.CallLocation) ([]api.Call, bool) {
 	calls := make([]api.Call, len(locations))
 	for i, location := range locations {
-		known, found := n.texts[program.CallRef{Program: owner, Sequence: location.Sequence}]
+		known, found := n.succeededCalls[program.CallRef{Program: owner, Sequence: location.Sequence}]
 		if !found {
 			return nil, false
 		}
@@ -59,8 +60,8 @@
 	return calls, true
 }
 
-// readTexts reads calls back from a partition's stream, in one request.
-func (n *node) readTexts(id partition.ID, owner api.ProgramID, locations []program.CallLocation, done func([]api.Call, error)) {
+// readCalls reads calls from a partition's stream in one request.
+func (n *node) readCalls(id partition.ID, owner api.ProgramID, locations []program.CallLocation, done func([]api.Call, error)) {
 	if len(locations) == 0 {
 		done(nil, nil)
 		return
@@ -82,7 +83,7 @@
 	})
 }
 
-// readCall puts a call together from its two records.
+// readCall assembles a call from the records of its acceptance and its end.
 func (n *node) readCall(id partition.ID, owner api.ProgramID, location program.CallLocation) (api.Call, error) {
 	accepted, ended := location.Accepted, location.Ended
 	if accepted == nil {
@@ -121,9 +122,9 @@
 	return record, err
 }
 
-// fetchHistory replies with calls that are read back from the log.
+// fetchHistory answers a request with calls read from the log.
 func (n *node) fetchHistory(action control.FetchHistory) {
-	n.readTexts(action.Partition, action.Program, action.Locations, func(calls []api.Call, err error) {
+	n.readCalls(action.Partition, action.Program, action.Locations, func(calls []api.Call, err error) {
 		reply := control.Reply{}
 		switch {
 		case err != nil:
--- a/emulator/standin/fault.go
+++ b/emulator/standin/fault.go
@@ -12,28 +12,28 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// FaultKind tells what a fault does.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// FaultDown closes the connection before anything happened.
+	// FaultDown closes the connection before the action.
 	FaultDown FaultKind = "down"
-	// FaultUnavailable answers 503 before anything happened.
+	// FaultUnavailable answers 503 without the action.
 	FaultUnavailable FaultKind = "unavailable"
-	// FaultSlow adds Delay before the action.
+	// FaultSlow waits DelayMilliseconds before the action.
 	FaultSlow FaultKind = "slow"
 	// FaultAnswerLost closes the connection after the action took effect.
 	FaultAnswerLost FaultKind = "answer_lost"
 	// FaultHung holds the request, without action or answer, until the fault
-	// is removed; then it closes the connection.
+	// is removed, at most hungLimit; then it closes the connection.
 	FaultHung FaultKind = "hung"
-	// FaultLagging makes the machine list, or an engine's load reports and
-	// cache events, as late as Delay.
+	// FaultLagging sets the delay of the machine list, or of an engine's load
+	// reports and cache events, to DelayMilliseconds.
 	FaultLagging FaultKind = "lagging"
-	// FaultCut holds the requests from zone From to zone To as FaultHung does,
-	// and cuts their answers.
-	FaultCut FaultKind = "cut"
+	// FaultNetworkPartition blocks the link from zone From to zone To: requests
+	// hang as with FaultHung, and answers in progress are interrupted.
+	FaultNetworkPartition FaultKind = "cut"
 )
 
 // The targets of the platform's own services. Other targets are machine IDs;
@@ -45,41 +45,43 @@
 	TargetAll      = "*"
 )
 
-// Fault is one thing that goes wrong until it is removed.
+// Fault is an injected fault, active until it is removed or expires.
 type Fault struct {
-	// Name identifies the fault; adding the same name again replaces it.
+	// Name identifies the fault; adding a fault of the same name replaces it.
 	Name   string    `json:"name"`
 	Kind   FaultKind `json:"kind"`
 	Target string    `json:"target,omitempty"`
-	// From and To are for FaultCut. To may also be a target's name.
+	// From and To are the zones of FaultNetworkPartition. To may also be a
+	// target's name.
 	From zone.Name `json:"from,omitempty"`
 	To   zone.Name `json:"to,omitempty"`
-	// TwoWay cuts the way from To to From as well.
+	// TwoWay blocks the link from To to From as well.
 	TwoWay            bool  `json:"two_way,omitempty"`
 	DelayMilliseconds int64 `json:"delay_ms,omitempty"`
-	// Probability is the share of requests that it hits; zero means all.
+	// Probability is the share of requests that are affected; zero means all.
 	Probability float64 `json:"probability,omitempty"`
-	// ForMilliseconds removes the fault by itself; zero means never.
+	// ForMilliseconds is the time after which the fault expires; zero means
+	// never.
 	ForMilliseconds int64 `json:"for_ms,omitempty"`
 }
 
-// delay is the fault's Delay.
+// delay returns DelayMilliseconds as a duration.
 func (f Fault) delay() time.Duration { return time.Duration(f.DelayMilliseconds) * time.Millisecond }
 
-// validate says what is wrong with a fault.
+// validate reports all invalid fields.
 func (f Fault) validate() error {
 	var findings []error
 	if f.Name == "" {
 		findings = append(findings, errors.New("name: missing"))
 	}
-	kinds := []FaultKind{FaultDown, FaultUnavailable, FaultSlow, FaultAnswerLost, FaultHung, FaultLagging, FaultCut}
+	kinds := []FaultKind{FaultDown, FaultUnavailable, FaultSlow, FaultAnswerLost, FaultHung, FaultLagging, FaultNetworkPartition}
 	if !slices.Contains(kinds, f.Kind) {
 		findings = append(findings, fmt.Errorf("kind: unknown %q", f.Kind))
 	}
-	if f.Kind == FaultCut && (f.From == "" || f.To == "") {
+	if f.Kind == FaultNetworkPartition && (f.From == "" || f.To == "") {
 		findings = append(findings, errors.New("from, to: missing"))
 	}
-	if f.Kind != FaultCut && f.Target == "" {
+	if f.Kind != FaultNetworkPartition && f.Target == "" {
 		findings = append(findings, errors.New("target: missing"))
 	}
 	if f.Probability < 0 || f.Probability > 1 {
@@ -91,28 +93,28 @@
 	return errors.Join(findings...)
 }
 
-// Faults are the faults in force. It is safe for concurrent use.
+// Faults holds the active faults. It is safe for concurrent use.
 type Faults struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	active map[string]activeFault
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced when a fault is added or removed.
 	changed chan struct{}
 	now     func() time.Time
 }
 
-// activeFault is a fault and its end.
+// activeFault is a fault and its time of expiry; zero means never.
 type activeFault struct {
 	Fault
-	until time.Time
+	expiresAt time.Time
 }
 
-// newFaults returns no faults.
+// newFaults returns an empty set of faults.
 func newFaults(random *rand.Rand, now func() time.Time) *Faults {
 	return &Faults{random: random, active: make(map[string]activeFault), changed: make(chan struct{}), now: now}
 }
 
-// Add puts a fault in force, in place of the one of the same name.
+// Add activates a fault and replaces an active one of the same name.
 func (f *Faults) Add(fault Fault) error {
 	if err := fault.validate(); err != nil {
 		return err
@@ -121,14 +123,14 @@
 	defer f.mutex.Unlock()
 	added := activeFault{Fault: fault}
 	if fault.ForMilliseconds > 0 {
-		added.until = f.now().Add(time.Duration(fault.ForMilliseconds) * time.Millisecond)
+		added.expiresAt = f.now().Add(time.Duration(fault.ForMilliseconds) * time.Millisecond)
 	}
 	f.active[fault.Name] = added
-	f.wake()
+	f.notify()
 	return nil
 }
 
-// Remove ends a fault, or all of them when the name is empty.
+// Remove removes a fault, or all of them if the name is empty.
 func (f *Faults) Remove(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -137,49 +139,50 @@
 	} else {
 		delete(f.active, name)
 	}
-	f.wake()
+	f.notify()
 }
 
-// List returns the faults in force, sorted by name.
+// List returns the active faults, sorted by name.
 func (f *Faults) List() []Fault {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	listed := []Fault{}
-	for _, fault := range f.live() {
+	for _, fault := range f.unexpired() {
 		listed = append(listed, fault.Fault)
 	}
 	return listed
 }
 
-// live returns the faults that have not ended, sorted by name. The mutex is
-// held.
-func (f *Faults) live() []activeFault {
-	var live []activeFault
+// unexpired returns the faults that have not expired, sorted by name, and removes
+// the others. The mutex must be held.
+func (f *Faults) unexpired() []activeFault {
+	var unexpired []activeFault
 	now := f.now()
 	for name, fault := range f.active {
-		if !fault.until.IsZero() && !fault.until.After(now) {
+		if !fault.expiresAt.IsZero() && !fault.expiresAt.After(now) {
 			delete(f.active, name)
 			continue
 		}
-		live = append(live, fault)
+		unexpired = append(unexpired, fault)
 	}
-	slices.SortFunc(live, func(a, b activeFault) int { return strings.Compare(a.Name, b.Name) })
-	return live
+	slices.SortFunc(unexpired, func(a, b activeFault) int { return strings.Compare(a.Name, b.Name) })
+	return unexpired
 }
 
-// wake tells every waiting request to look again. The mutex is held.
-func (f *Faults) wake() {
+// notify makes every waiting request re-evaluate the faults. The mutex must be
+// held.
+func (f *Faults) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// service names a stand-in and its zone.
+// service is the name and zone of a stand-in.
 type service struct {
 	name string
 	zone zone.Name
 }
 
-// effects are what the faults in force do to one request.
+// effects are the combined effects of the active faults on one request.
 type effects struct {
 	down        bool
 	unavailable bool
@@ -188,14 +191,14 @@
 	delay       time.Duration
 }
 
-// effectsOn returns what happens to a request from the caller's zone, and the
-// channel that is closed at the next change.
+// effectsOn returns the effects on a request from the caller's zone, and the
+// channel that is closed when the faults change.
 func (f *Faults) effectsOn(target service, caller zone.Name) (effects, <-chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var found effects
-	for _, fault := range f.live() {
-		if !fault.concerns(target, caller) || !f.hits(fault.Fault) {
+	for _, fault := range f.unexpired() {
+		if !fault.matches(target, caller) || !f.draw(fault.Fault) {
 			continue
 		}
 		switch fault.Kind {
@@ -207,62 +210,67 @@
 			found.delay += fault.delay()
 		case FaultAnswerLost:
 			found.answerLost = true
-		case FaultHung, FaultCut:
+		case FaultHung, FaultNetworkPartition:
 			found.hung = true
 		}
 	}
 	return found, f.changed
 }
 
-// concerns reports whether the fault is about requests from the caller's zone
-// to the target.
-func (f Fault) concerns(target service, caller zone.Name) bool {
-	if f.Kind != FaultCut {
+// matches reports whether the fault affects requests from the caller's zone to
+// the target.
+func (f Fault) matches(target service, caller zone.Name) bool {
+	if f.Kind != FaultNetworkPartition {
 		return f.Target == TargetAll || f.Target == target.name
 	}
-	return f.cuts(caller, target) || f.TwoWay && f.reverseCuts(caller, target)
+	return f.blocks(caller, target) || f.TwoWay && f.blocksReverse(caller, target)
 }
 
-// cuts reports whether requests from the caller's zone are held.
-func (f Fault) cuts(caller zone.Name, target service) bool {
+// blocks reports whether the link from the caller's zone to the target is
+// blocked.
+func (f Fault) blocks(caller zone.Name, target service) bool {
 	return caller == f.From && (target.zone == f.To || target.name == string(f.To))
 }
 
-// reverseCuts reports whether the other way of a two-way cut is meant.
-func (f Fault) reverseCuts(caller zone.Name, target service) bool {
+// blocksReverse reports whether From and To match in the reverse direction, which
+// TwoWay blocks too.
+func (f Fault) blocksReverse(caller zone.Name, target service) bool {
 	return caller == f.To && target.zone == f.From
 }
 
-// hits draws whether a fault with a probability hits this request.
-func (f *Faults) hits(fault Fault) bool {
+// draw decides at random, by the fault's probability, whether it affects a
+// request.
+func (f *Faults) draw(fault Fault) bool {
 	return fault.Probability == 0 || f.random.Float64() < fault.Probability
 }
 
-// isCut reports whether an answer from the target can no longer reach the
-// caller's zone.
-func (f *Faults) isCut(target service, caller zone.Name) bool {
+// isUnreachable reports whether an answer from the target can no longer reach the
+// caller's zone: a link between them is blocked or the target is down.
+func (f *Faults) isUnreachable(target service, caller zone.Name) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, fault := range f.live() {
-		isAnswerCut := fault.Kind == FaultCut && (fault.concerns(target, caller) || fault.cutsAnswer(target, caller))
-		isDown := fault.Kind == FaultDown && fault.Probability == 0 && fault.concerns(target, caller)
-		if isAnswerCut || isDown {
+	for _, fault := range f.unexpired() {
+		answerBlocked := fault.Kind == FaultNetworkPartition && (fault.matches(target, caller) || fault.blocksAnswer(target, caller))
+		isDown := fault.Kind == FaultDown && fault.Probability == 0 && fault.matches(target, caller)
+		if answerBlocked || isDown {
 			return true
 		}
 	}
 	return false
 }
 
-// cutsAnswer reports whether a one-way cut holds what the target sends.
-func (f Fault) cutsAnswer(target service, caller zone.Name) bool {
+// blocksAnswer reports whether the link from the target to the caller's zone is
+// blocked.
+func (f Fault) blocksAnswer(target service, caller zone.Name) bool {
 	return target.zone == f.From && caller == f.To
 }
 
-// lag returns how late the target's reports are by the faults in force.
+// lag returns the delay of the target's reports by the active faults, and whether
+// there is such a fault.
 func (f *Faults) lag(target string) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, fault := range f.live() {
+	for _, fault := range f.unexpired() {
 		if fault.Kind == FaultLagging && (fault.Target == target || fault.Target == TargetAll) {
 			return fault.delay(), true
 		}
