--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -28,7 +28,7 @@
 			"and printed with the command that runs it again. Exits with 1 when a promise was broken.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if config.For <= 0 && config.Runs <= 0 {
+			if config.MaxDuration <= 0 && config.Runs <= 0 {
 				return &ExitError{Code: ExitUsage, Cause: errors.New("want --for or --runs")}
 			}
 			return runFuzz(command, config)
@@ -36,7 +36,7 @@
 	}
 	flags := command.Flags()
 	flags.Uint64Var(&config.Seed, "seed", config.Seed, "the first run's seed; each further run takes the next number")
-	flags.DurationVar(&config.For, "for", 0, "how long to look")
+	flags.DurationVar(&config.MaxDuration, "for", 0, "how long to look")
 	flags.IntVar(&config.Runs, "runs", 0, "how many runs to make at most; 0 means no bound")
 	flags.DurationVar(&config.ShrinkFor, "shrink", config.ShrinkFor, "how long to make a failure smaller")
 	return command
--- a/emulator/cluster/run.go
+++ b/emulator/cluster/run.go
@@ -19,8 +19,8 @@
 	Seed uint64
 	// Runs limits the number of runs, MaxDuration their total time: no run
 	// starts after it. At least one must be set.
-	Runs int
-	For  time.Duration
+	Runs        int
+	MaxDuration time.Duration
 	// MaxShrinkTime limits the time spent on shrinking a failure.
 	ShrinkFor time.Duration
 	// Progress is called after each run with the number of runs; it may be nil.
@@ -85,10 +85,10 @@
 	if c.Runs > 0 && runs >= c.Runs {
 		return false
 	}
-	if c.For > 0 && elapsed >= c.For {
+	if c.MaxDuration > 0 && elapsed >= c.MaxDuration {
 		return false
 	}
-	return c.Runs > 0 || c.For > 0
+	return c.Runs > 0 || c.MaxDuration > 0
 }
 
 // checkOnce runs the property with the current flags and returns the text of a
