--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -19,7 +19,7 @@
 // newFuzzCommand returns the subcommand that searches emulated clusters for
 // broken promises.
 func newFuzzCommand() *cobra.Command {
-	config := cluster.FuzzConfig{Seed: 1, ShrinkFor: 30 * time.Second}
+	config := cluster.FuzzConfig{Seed: 1, MaxShrinkTime: 30 * time.Second}
 	command := &cobra.Command{
 		Use:   "fuzz --for DURATION --seed N",
 		Short: "Look for broken promises in emulated clusters",
@@ -38,7 +38,7 @@
 	flags.Uint64Var(&config.Seed, "seed", config.Seed, "the first run's seed; each further run takes the next number")
 	flags.DurationVar(&config.MaxDuration, "for", 0, "how long to look")
 	flags.IntVar(&config.Runs, "runs", 0, "how many runs to make at most; 0 means no bound")
-	flags.DurationVar(&config.ShrinkFor, "shrink", config.ShrinkFor, "how long to make a failure smaller")
+	flags.DurationVar(&config.MaxShrinkTime, "shrink", config.MaxShrinkTime, "how long to make a failure smaller")
 	return command
 }
 
--- a/emulator/cluster/run.go
+++ b/emulator/cluster/run.go
@@ -22,7 +22,7 @@
 	Runs        int
 	MaxDuration time.Duration
 	// MaxShrinkTime limits the time spent on shrinking a failure.
-	ShrinkFor time.Duration
+	MaxShrinkTime time.Duration
 	// Progress is called after each run with the number of runs; it may be nil.
 	Progress func(runs int)
 }
@@ -52,7 +52,7 @@
 	settings := map[string]string{
 		"rapid.checks":     "1",
 		"rapid.nofailfile": "true",
-		"rapid.shrinktime": config.ShrinkFor.String(),
+		"rapid.shrinktime": config.MaxShrinkTime.String(),
 	}
 	for name, value := range settings {
 		if err := flag.Set(name, value); err != nil {
