--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -12,31 +12,33 @@
 	"birchwood.example/birchwood/contract"
 )
 
-// The headers between nodes. Scope, Hops and Detour count only beside a valid
-// peer token.
+// The headers between nodes. headerScope, headerHops and headerDetour are
+// ignored unless the request has a valid peer token.
 const (
-	// headerScope is the branch of the caller, whom the first node has
-	// authenticated.
+	// headerScope is the branch of the caller, as authenticated by the first
+	// node.
 	headerScope = "X-Birchwood-Scope"
-	// headerHops counts how often the request was passed on. Two nodes that
-	// each believe the other to be the owner would otherwise pass it back and
-	// forth.
+	// headerHops counts how often the request was relayed. Without a limit,
+	// two nodes that each believe the other to be the owner would relay it
+	// back and forth.
 	headerHops = "X-Birchwood-Hops"
-	// headerDetour asks the receiver to pass the request on to the owner,
-	// which the sender cannot reach.
+	// headerDetour asks the receiver to relay the request to the owner, which
+	// the sender cannot reach.
 	headerDetour = "X-Birchwood-Detour"
-	// headerPending marks a 202 answer that ended a slice of a wait.
+	// headerPending marks a 202 answer that ends one slice of a wait while the
+	// call is not terminal yet.
 	headerPending = "X-Birchwood-Pending"
-	// headerOwner is the address of the owner in a not_owner answer.
+	// headerOwner carries the owner's address in a not_owner answer.
 	headerOwner = "X-Birchwood-Owner"
 )
 
 var bearerPrefix = []byte("Bearer ")
 
-// callerID names a bearer token without keeping it.
+// callerID is the SHA-256 hash of a bearer token, so that the token itself is
+// not kept in memory.
 type callerID [sha256.Size]byte
 
-// authenticate fills in who sent the request and how long it may take.
+// authenticate sets the exchange's sender, scope and deadline.
 func (g *Gateway) authenticate(ctx *fasthttp.RequestCtx, request *exchange) *api.Error {
 	if operator, is := ctx.UserValue(operatorKey{}).(operatorRequest); is {
 		request.scope = operator.scope
@@ -66,14 +68,15 @@
 	return nil
 }
 
-// isPeer compares in constant time, so that timing tells nothing about the
-// peer token.
+// isPeer reports whether the token is the peer token. It compares in constant
+// time, so that timing reveals nothing about the peer token.
 func (g *Gateway) isPeer(token []byte) bool {
 	peer := g.service.PeerToken()
 	return peer != "" && subtle.ConstantTimeCompare(token, []byte(peer)) == 1
 }
 
-// authenticatePeer takes over the scope that the first node authenticated.
+// authenticatePeer reads the scope that the first node authenticated, and the
+// other headers of a relayed request.
 func (g *Gateway) authenticatePeer(ctx *fasthttp.RequestCtx, request *exchange) *api.Error {
 	scope, found := bytes.CutPrefix(ctx.Request.Header.Peek(headerScope), []byte("/"))
 	if !found {
--- a/gateway/client_test.go
+++ b/gateway/client_test.go
@@ -12,7 +12,7 @@
 	"birchwood.example/birchwood/api"
 )
 
-// reply is an HTTP answer that was read whole.
+// reply is an HTTP answer with its whole body.
 type reply struct {
 	status int
 	header http.Header
@@ -33,7 +33,7 @@
 	return found
 }
 
-// open sends a request and returns the open response.
+// open sends a request and returns the response with its body unread.
 func open(method, url, token, body string, headers ...string) *http.Response {
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -46,7 +46,7 @@
 	return response
 }
 
-// ask sends a request and reads the answer.
+// ask sends a request and reads the whole answer.
 func ask(method, url, token, body string, headers ...string) reply {
 	response := open(method, url, token, body, headers...)
 	defer func() { _ = response.Body.Close() }()
@@ -58,7 +58,7 @@
 // received is one event of a stream.
 type received struct{ kind, id, data string }
 
-// events reads server-sent events.
+// events reads a stream of server-sent events.
 type events struct {
 	response *http.Response
 	reader   *bufio.Reader
@@ -70,7 +70,7 @@
 	return &events{response: response, reader: bufio.NewReader(response.Body)}
 }
 
-// next returns the next event, leaving comments out.
+// next returns the next event and skips comments.
 func (e *events) next() received {
 	var found received
 	for {
@@ -91,8 +91,8 @@
 	}
 }
 
-// text collects text until the stream ends, starting anew at each restart,
-// and returns it with the last event.
+// text reads the stream to its end, and returns the text since the last restart
+// and the last event.
 func (e *events) text() (string, received) {
 	var text strings.Builder
 	for {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -7,14 +7,14 @@
 	"birchwood.example/birchwood/api"
 )
 
-// Config sets the limits of a Gateway. DefaultConfig returns one that is
-// ready for use.
+// Config holds the settings of a Gateway. DefaultConfig returns a usable one.
 type Config struct {
-	// Node names this node in the ids of refusals.
+	// Node is this node's name, which begins the IDs of its refusals.
 	Node string
 	// MaximumBodyBytes bounds a request's body.
 	MaximumBodyBytes int
-	// MaximumReplyBytes bounds a JSON answer that is relayed.
+	// MaximumReplyBytes bounds a JSON answer or a stream event relayed from
+	// another node.
 	MaximumReplyBytes int
 	// ReadTimeout bounds the time in which a whole request must arrive.
 	ReadTimeout time.Duration
@@ -23,65 +23,68 @@
 	WriteTimeout time.Duration
 	// IdleTimeout closes a connection that sends no further request.
 	IdleTimeout time.Duration
-	// MaximumWait bounds how long a request may wait for its call. It then
-	// gets the call's state, and may ask again.
+	// MaximumWait bounds how long a request may wait for its call. The caller
+	// then gets the call's state, and may ask again.
 	MaximumWait time.Duration
-	// RequestTimeout bounds a request that does not wait for a call, also
-	// when the log service is slow. Its outcome is then unknown, and its key
-	// tells.
+	// RequestTimeout bounds a request that does not wait for a call, even when
+	// the log service is slow. After a time-out the outcome is unknown, and
+	// the caller can repeat the request with the same key to learn it.
 	RequestTimeout time.Duration
-	// WaitSlice is how long the owner lets a relayed request wait at most
-	// before it answers with the call's state; the relay then asks again. It
-	// bounds how long a silent death of the owner goes unnoticed.
+	// WaitSlice is the longest time that the owner lets a relayed request wait
+	// before it answers with the call's state; the relaying node then asks
+	// again. It bounds how long a failure of the owner goes unnoticed if its
+	// connections stay open.
 	WaitSlice time.Duration
-	// DrainGrace bounds how long Shutdown still takes new connections.
+	// DrainGrace bounds how long Shutdown still accepts new connections.
 	DrainGrace time.Duration
-	// KeepAlive is the time between two comments on an idle stream. It bounds
-	// how long a caller that hung up goes unnoticed.
+	// KeepAlive is the time between two comments on an idle stream, and
+	// between two probes of a waiting caller's connection. It bounds how long
+	// a caller's disconnect goes unnoticed.
 	KeepAlive time.Duration
 	// DialTimeout bounds a connection attempt to another node.
 	DialTimeout time.Duration
-	// PeerSilence is how long another node may be silent on a connection
-	// that owes an answer. It exceeds WaitSlice and KeepAlive; zero chooses
-	// it from them.
+	// PeerSilence is how long another node may send nothing on a connection
+	// with a pending answer. It must exceed WaitSlice and KeepAlive; if zero,
+	// it is derived from them.
 	PeerSilence time.Duration
 	// ConnectionsPerPeer bounds the connections to one other node.
 	ConnectionsPerPeer int
-	// Connections bounds the callers' connections.
+	// Connections bounds the connections of callers.
 	Connections int
-	// MaximumHops bounds how often a request is passed on.
+	// MaximumHops bounds how often a request is relayed from node to node.
 	MaximumHops int
-	// MaximumAttempts bounds how often a request is tried while its owner
-	// changes. With the default delays, requests outlast a change of some 20
-	// seconds.
+	// MaximumAttempts bounds how often a request is tried while the program's
+	// owner changes. With the default delays, requests outlast an ownership
+	// change of about 20 seconds.
 	MaximumAttempts int
-	// RetryDelay is the pause before the second attempt. It doubles up to
-	// MaximumRetryDelay, each with a random part.
+	// RetryDelay is the delay before the second attempt. It doubles with each
+	// attempt up to MaximumRetryDelay, with jitter.
 	RetryDelay        time.Duration
 	MaximumRetryDelay time.Duration
-	// RetryRatio is how many retries each request that succeeds earns, and
-	// RetryBurst how many may be saved up: together they bound the
-	// amplification.
+	// RetryRatio is the number of retries that each successful request adds to
+	// the retry budget, and RetryBurst is the budget's capacity. Together they
+	// bound the amplification.
 	RetryRatio float64
 	RetryBurst int
-	// InFlight bounds the requests that are served at once, CallerInFlight
+	// InFlight bounds the requests in flight on this node, CallerInFlight
 	// those of one caller.
 	InFlight       int
 	CallerInFlight int
-	// CallerRate is how many requests a second one caller may send on
-	// average, and CallerBurst how many at once.
+	// CallerRate is the average number of requests per second that one caller
+	// may send, and CallerBurst the number that it may send at once.
 	CallerRate  float64
 	CallerBurst int
-	// Random spreads the retries. It need not be safe for concurrent use.
+	// Random is the source of retry jitter and of the choice of a detour. It
+	// need not be safe for concurrent use.
 	Random *rand.Rand
-	// Observer gets measurements. It may be nil.
+	// Observer receives measurements and refusals. It may be nil.
 	Observer Observer
-	// FindRefusal returns a refusal that the Observer got, for callers that
-	// ask why. It may be nil: this node then keeps none.
+	// FindRefusal returns a refusal that was reported to the Observer, for the
+	// route /v1/refusals/{id}. If nil, this node finds no refusals.
 	FindRefusal func(id string) (Refusal, bool)
 }
 
-// DefaultConfig returns the limits that suit a small machine.
+// DefaultConfig returns settings that suit a small machine.
 func DefaultConfig() Config {
 	return Config{
 		Node:               "node",
@@ -112,10 +115,11 @@
 	}
 }
 
-// silenceMargin is how much longer than its usual pauses a node may be silent.
+// silenceMargin is added to the longest regular interval between bytes from
+// another node to get the default PeerSilence.
 const silenceMargin = 3 * time.Second
 
-// complete chooses what was left to be chosen.
+// complete sets PeerSilence if it is zero.
 func (c *Config) complete() {
 	if c.PeerSilence == 0 {
 		c.PeerSilence = max(c.WaitSlice, c.KeepAlive) + silenceMargin
@@ -151,7 +155,7 @@
 	return nil
 }
 
-// limit is a value that must be positive.
+// limit is a setting whose value must be positive.
 type limit struct {
 	place string
 	value int64
--- a/gateway/deadline.go
+++ b/gateway/deadline.go
@@ -9,15 +9,14 @@
 	"birchwood.example/birchwood/api"
 )
 
-// headerDeadline carries the time that is left for a request, in milliseconds.
-// Callers may set it, and each node that passes a request on does. A remaining
-// time, unlike a point in time, does not depend on the clocks of two machines;
-// the time on the wire is not counted.
+// headerDeadline carries the time that remains for a request, in milliseconds.
+// Callers may set it, and each node that relays a request does. Unlike an
+// absolute time, a remaining time does not depend on synchronized clocks; it
+// doesn't account for the network delay.
 const headerDeadline = "X-Deadline-Ms"
 
 // formatDeadline returns the header's value for a request that is sent now. It
-// reports false when no time is left, in which case the request must not be
-// sent.
+// reports false if no time remains; the request must not be sent then.
 func formatDeadline(now, deadline time.Time) (string, bool) {
 	remaining := deadline.Sub(now).Milliseconds()
 	if remaining <= 0 {
@@ -26,7 +25,7 @@
 	return strconv.FormatInt(min(remaining, api.MaximumMilliseconds), 10), true
 }
 
-// parseDeadline returns the deadline that a header received now stands for.
+// parseDeadline converts the header's value, received now, to a deadline.
 func parseDeadline(now time.Time, text string) (time.Time, *api.Error) {
 	remaining, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || remaining < 1 || remaining > api.MaximumMilliseconds {
@@ -36,8 +35,8 @@
 	return now.Add(time.Duration(remaining) * time.Millisecond), nil
 }
 
-// readDeadline bounds the exchange by the configuration, and by the caller's
-// own bound when it is tighter.
+// readDeadline sets the exchange's deadline: the configured maximum wait, or the
+// header's value if it is shorter.
 func (g *Gateway) readDeadline(ctx *fasthttp.RequestCtx, request *exchange) *api.Error {
 	request.deadline = request.received.Add(g.config.MaximumWait)
 	text := ctx.Request.Header.Peek(headerDeadline)
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// tighten moves the exchange's deadline forward, never back.
+// tighten replaces the exchange's deadline if the given one is earlier.
 func (e *exchange) tighten(deadline time.Time) {
 	if deadline.Before(e.deadline) {
 		e.deadline = deadline
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,53 +1,57 @@
-// Package gateway serves callers over HTTP: it authenticates them, checks
-// their input, finds the owner of a program, relays requests to it, and
-// streams answers. docs/API.md is the callers' view of it.
+// Package gateway implements the callers' HTTP API: it authenticates callers,
+// validates their input, finds the owner of a program, relays requests to the
+// owner, and streams answers. docs/API.md describes the API.
 //
-// # The way of a request
+// # Request processing
 //
 // Each route has a parser, which reads the input into an exchange and collects
 // everything that is wrong with it. Gateway.perform then tries the exchange at
-// the program's owner until it is answered: on this node through Service.Do,
-// or at another node by repeating the HTTP request there with the peer token.
-// The answer is a JSON body, a refusal, or a source of stream events.
+// the program's owner until it gets an answer: on this node through
+// Service.Do, or on another node by repeating the HTTP request there with the
+// peer token. The answer is a JSON body, a refusal, or a source of stream
+// events.
 //
 // # Retries
 //
-// perform is the only layer that retries. A node that got a request from
-// another one reports what it finds, so that attempts do not multiply; a
-// budget shared by all requests, which only success fills, bounds the
-// amplification. Repeating a request
-// is safe although an attempt without an answer may have taken effect, because
-// the owner knows each create and submit by the caller's key, and a repeated
-// cancel or end changes nothing.
+// Only perform retries. A node that received a request from another node
+// returns the result of its single attempt, so that attempts do not multiply.
+// A retry budget that all requests share, and that only successful requests
+// refill, bounds the amplification. Repeating a request is safe although an
+// attempt without an answer may have taken effect: the owner deduplicates
+// creates and submits by the caller's key, and repeating a cancel or end
+// changes nothing.
 //
 // A refusal says "not_run" only when that is certain. Once an attempt may have
-// taken effect, a later refusal is answered as outcome_unknown: the first
-// attempt may still be on its way to a back end. A call whose state or stream
-// the caller has got is such an attempt.
+// taken effect, a later refusal is answered as outcome_unknown, because the
+// first attempt may still be on its way to a back end. An attempt that returned
+// the state of a pending call or opened a stream counts as one that may have
+// taken effect, because its call was admitted.
 //
 // # Waiting and streaming
 //
-// A wait at another node is cut into slices: the owner answers 202 with the
-// call's state after Config.WaitSlice, and perform asks again. So a silent
-// death of the owner, or a change of owner, costs one slice and nothing else.
+// A wait at another node is long polling: the owner answers 202 with the call's
+// state after Config.WaitSlice, and perform asks again. If the owner fails
+// without closing its connections, or ownership changes, only one slice is
+// lost.
 //
 // A stream is a session that outlives its sources. A localSource reads the
 // answer's stream.Buffer while it is generated and the call's durable record
 // afterwards; a remoteSource reads another node's events. When a source is
-// lost, the session opens the next one at the position that the caller has
-// reached, so that the caller gets each byte of the answer once. A new attempt
-// at the call begins with a restart event.
+// lost, the session opens the next one at the caller's position, so that the
+// caller gets each byte of the answer once. A new attempt at the call begins
+// with a restart event.
 //
-// # Hang-ups and limits
+// # Disconnects and limits
 //
-// fasthttp does not tell a handler that the caller hung up. Idle streams carry
-// keep-alive comments, and the write that fails is the hang-up; waits look at
-// the connection as often. Every request has a deadline, every connection and
-// body a bound, and every token a rate and a number of requests in flight.
+// fasthttp does not tell a handler that the caller disconnected. Idle streams
+// send keep-alive comments, and a failed write shows the disconnect; waiting
+// requests probe the connection at the same interval. Every request has a
+// deadline, connections and bodies are limited, and each token has a rate limit
+// and a limit of requests in flight.
 //
-// # Cut zones
+// # Network partitions
 //
-// Two zones can be cut off from each other while a third one reaches both. A
-// path that keeps failing is remembered by a circuit breaker; meanwhile
-// requests take a detour through another node.
+// Two zones can be partitioned from each other while a third one reaches both.
+// A circuit breaker per address records paths that keep failing; while it is
+// open, requests take a detour through another node.
 package gateway
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -20,16 +20,17 @@
 	eventKeepAlive eventKind = ""
 )
 
-// event is one event of an answer's stream. at is the position after it.
+// event is one event of an answer's stream.
 type event struct {
 	kind eventKind
+	// at is the position in the answer after the event.
 	at   position
 	data []byte
 }
 
 // textData is the data of a text event.
 type textData struct {
-	// Offset is where the text begins in the attempt's answer, in bytes.
+	// Offset is the byte offset of Text in the attempt's answer.
 	Offset int    `json:"offset"`
 	Text   string `json:"text"`
 }
@@ -39,12 +40,14 @@
 	Attempt int `json:"attempt"`
 }
 
-// maximumEventText bounds the text of one event, in bytes, so that the write
-// time-out bounds the pace of a slow caller and not the size of its answer.
+// maximumEventText bounds the text of one event, in bytes. As the write time-out
+// is renewed for each event, it then limits how slowly a caller may read, and
+// not how large its answer may be.
 const maximumEventText = 64 << 10
 
-// textEvent carries text that begins at the position, or the first part of it.
-// JSON cannot hold a part of a character: the text must not end inside one.
+// textEvent returns an event with the text that begins at the position, or with
+// its first part. The text must not end within a UTF-8 sequence, as JSON cannot
+// represent a partial character. It reports false if there is no text.
 func textEvent(at position, text string) (event, bool) {
 	if len(text) > maximumEventText {
 		text = text[:maximumEventText]
@@ -58,8 +61,8 @@
 	return event{kind: eventText, at: at, data: data}, true
 }
 
-// wholeCharacters returns the length of the text without a character that is
-// cut at its end.
+// wholeCharacters returns the length of the text without an incomplete UTF-8
+// sequence at its end.
 func wholeCharacters(text string) int {
 	for back := 1; back <= utf8.UTFMax && back <= len(text); back++ {
 		start := len(text) - back
@@ -74,17 +77,18 @@
 	return len(text)
 }
 
-// restartEvent says that the attempt's text begins anew.
+// restartEvent returns the event that begins a new attempt: the caller discards
+// the text so far.
 func restartEvent(attempt int) event {
 	return event{kind: eventRestart, at: position{attempt: attempt}, data: marshal(restartData{Attempt: attempt})}
 }
 
-// errorEvent ends a stream that cannot go on.
+// errorEvent returns the event that ends a stream with an error.
 func errorEvent(refusal *api.Error) event {
 	return event{kind: eventError, data: marshal(api.ErrorBody{Error: refusal})}
 }
 
-// writeTo appends the event's lines to the buffer.
+// writeTo appends the event to the buffer in the server-sent events format.
 func (e event) writeTo(buffer *bytes.Buffer) {
 	if e.kind == eventKeepAlive {
 		buffer.WriteString(": keep-alive\n\n")
@@ -101,7 +105,8 @@
 	buffer.WriteString("\n\n")
 }
 
-// failure returns the error that an error event carries.
+// failure returns the error of an error event. If the event's data can't be
+// decoded, it returns owner_unknown, which lets the stream be reopened.
 func (e event) failure() *api.Error {
 	if failure := api.ErrorIn(e.data); failure != nil {
 		return failure
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -8,46 +8,53 @@
 	"birchwood.example/birchwood/control"
 )
 
-// exchange is one request on its way through the gateway. Everything in it is
-// copied from the request's memory, which fasthttp reuses.
+// exchange is the state of one request while the gateway processes it. All its
+// data is copied from the request's memory, which fasthttp reuses.
 type exchange struct {
 	request control.Request
-	// scope is the caller's branch, and caller names its token in the limits.
+	// scope is the caller's branch, and caller identifies its token for the
+	// limits.
 	scope  contract.Path
 	caller callerID
-	// peer is set when another node's gateway passed the request on.
+	// peer is set when another node's gateway relayed the request; hops counts
+	// how often it was relayed.
 	peer bool
 	hops int
-	// detour is set when the other node cannot reach the owner itself: this
-	// node is to pass the request on.
+	// detour is set when the relaying node cannot reach the owner itself, and
+	// this node is to relay the request to the owner.
 	detour bool
-	// operator is set when this process's operators' server asks.
+	// operator is set when the request comes from the operators' server of
+	// this process.
 	operator bool
-	// received and deadline bound the whole exchange.
+	// received is when the request arrived, and deadline when it must be
+	// answered.
 	received time.Time
 	deadline time.Time
-	// mayHaveRun is set once an attempt may have taken effect, answered or not.
+	// mayHaveRun is set once an attempt may have taken effect, whether or not
+	// it was answered.
 	mayHaveRun bool
-	// attempts is how often the request was tried, once it is over.
+	// attempts is the number of attempts, set once the request is refused.
 	attempts int
-	// stream asks for server-sent events from position on.
+	// stream is set when the caller wants server-sent events, which begin at
+	// position.
 	stream   bool
 	position position
-	// method, uri and body repeat the request to another node.
+	// method, uri and body are used to repeat the request at another node.
 	method string
 	uri    string
 	body   []byte
 }
 
-// position is the place in an answer up to which a caller has its text.
-// Attempt zero means that the caller does not know the attempt.
+// position is the point in an answer up to which a caller has received the
+// text: an attempt and a byte offset in the attempt's answer. Attempt zero
+// means that the attempt is not known.
 type position struct {
 	attempt int
 	offset  int
 }
 
-// changes reports whether the operation has an effect, so that a lost answer
-// leaves its outcome unknown.
+// changes reports whether the operation changes state, in which case a lost
+// answer leaves its outcome unknown.
 func (e *exchange) changes() bool {
 	switch e.request.Operation {
 	case control.OperationCreate, control.OperationSubmit, control.OperationCancel, control.OperationEnd:
@@ -57,12 +64,12 @@
 	}
 }
 
-// waits reports whether the answer is to wait until the call is terminal.
+// waits reports whether to delay the answer until the call is terminal.
 func (e *exchange) waits() bool {
 	return e.request.Wait && !e.stream
 }
 
-// ProgramTrace is the answer to a request for a program's trace.
+// ProgramTrace is the answer of the route /v1/programs/{id}/trace.
 type ProgramTrace struct {
 	Program  api.ProgramID       `json:"program"`
 	Attempts []control.CallTrace `json:"attempts"`
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -28,8 +28,8 @@
 	auditToken  = "audit-secret"
 )
 
-// world is what the nodes of a test share: the durable programs and calls,
-// and who owns them now.
+// world is the state that the nodes of a test share: the durable programs and
+// calls, and the node that owns them.
 type world struct {
 	mutex    sync.Mutex
 	owner    machine.ID
@@ -37,7 +37,7 @@
 	programs map[api.ProgramID]*api.Program
 	calls    map[program.CallRef]*call
 	submits  int
-	waiting  int // requests that have begun to wait for a call
+	waiting  int // number of requests that have begun to wait for a call
 }
 
 // call is one call; done is closed once it is terminal.
@@ -56,7 +56,7 @@
 	}
 }
 
-// find returns the call with the sequence or key. The mutex is held.
+// find returns the call with the sequence or key. The caller holds the mutex.
 func (w *world) find(id api.ProgramID, sequence uint64, key string) *call {
 	for ref, held := range w.calls {
 		if ref.Program == id && (ref.Sequence == sequence || (key != "" && held.state.Key == key)) {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// get waits until the call with the key is known.
+// get waits until the call with the key exists.
 func (w *world) get(id api.ProgramID, key string) *call {
 	var found *call
 	Eventually(func() *call {
@@ -78,28 +78,28 @@
 	return found
 }
 
-// move makes another node the owner, or none.
+// move makes the node the owner. With an empty ID there is no owner.
 func (w *world) move(owner machine.ID) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.owner = owner
 }
 
-// submitted returns how many submits reached an owner.
+// submitted returns the number of submits that reached an owner.
 func (w *world) submitted() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.submits
 }
 
-// waits returns how many requests have begun to wait for a call.
+// waits returns the number of requests that have begun to wait for a call.
 func (w *world) waits() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.waiting
 }
 
-// finish ends the call with the output.
+// finish ends the call successfully with the output.
 func (w *world) finish(held *call, output string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -109,24 +109,25 @@
 	close(held.done)
 }
 
-// node is one node's service.
+// node is the gateway.Service of one node.
 type node struct {
 	world *world
 	id    machine.ID
 	lose  func() *api.Error // overrides the owner's answer to a submit
-	holds int               // programs that a list shows, at least one
+	holds int               // number of programs in a list, at least one
 	hang  bool              // no request is answered
-	// unreadable says that the record of an ended call cannot be read back.
+	// unreadable makes reading the record of an ended call fail.
 	unreadable bool
-	cutFrom    machine.ID // a node that cannot be reached from here
+	cutFrom    machine.ID // the node that this node cannot reach
 	gateway    *gateway.Gateway
 	address    string
 	kill       func()
-	// opened returns how many connections were opened to the node.
+	// opened returns the number of connections that were opened to the node.
 	opened func() int
 }
 
-// trackedListener remembers its connections, to cut them as a death does.
+// trackedListener records its connections, so that kill can close them all as
+// the end of the process would.
 type trackedListener struct {
 	net.Listener
 	mutex sync.Mutex
@@ -298,8 +299,8 @@
 	return n.wait(ctx, request, found)
 }
 
-// wait answers with the call's state, once it is terminal if asked to. The
-// world's mutex is held on entry and exit.
+// wait answers with the call's state. If the request waits, it first waits until
+// the call is terminal. The world's mutex is held on entry and exit.
 func (n *node) wait(ctx context.Context, request control.Request, held *call) control.Reply {
 	if n.unreadable && held.state.Status.Terminal() {
 		return control.Reply{Error: api.Refuse(api.CodeStoreUnavailable, "the history cannot be read back now")}
@@ -320,7 +321,7 @@
 	return control.Reply{Call: &state}
 }
 
-// testConfig has short time-outs.
+// testConfig returns a configuration with short time-outs.
 func testConfig(id machine.ID) gateway.Config {
 	config := gateway.DefaultConfig()
 	config.Node = string(id)
@@ -334,7 +335,7 @@
 	return config
 }
 
-// start serves a node on loopback until the spec ends.
+// start serves a node on a loopback port until the spec ends.
 func (w *world) start(id machine.ID, configure ...func(*gateway.Config)) *node {
 	config := testConfig(id)
 	for _, change := range configure {
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -14,31 +14,31 @@
 	"birchwood.example/birchwood/control"
 )
 
-// Directory is implemented by a Service that knows the other nodes. Without
-// it, lists cover this node alone.
+// Directory is implemented by a Service that can list the other nodes. Without
+// it, lists cover only this node.
 type Directory interface {
-	// Peers returns the other nodes that are believed live.
+	// Peers returns the other nodes that are considered live.
 	Peers() []Route
 }
 
 const (
-	// operationWhy asks why a request was refused.
+	// operationWhy looks up why a request was refused.
 	operationWhy control.Operation = "why"
-	// peersAtOnce bounds the peers that one request asks at the same time.
+	// peersAtOnce bounds the peers that one request queries concurrently.
 	peersAtOnce = 16
 	// maximumPrograms bounds the programs in one list.
 	maximumPrograms = 1000
 )
 
-// peerAnswer is what one node answered.
+// peerAnswer is the answer of one node. The status is zero if there was none.
 type peerAnswer struct {
 	node   Route
 	status int
 	body   []byte
 }
 
-// askPeers passes the request on to every other node at once. Nodes that keep
-// failing are left out: their answers are empty.
+// askPeers relays the request to all other nodes, peersAtOnce at a time. It
+// skips nodes whose circuit breaker is open; their answers are empty.
 func (g *Gateway) askPeers(request *exchange) []peerAnswer {
 	directory, knows := g.service.(Directory)
 	if !knows || request.peer {
@@ -59,7 +59,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // The functions report in answers, and return no error.
+	_ = group.Wait() // Failures are in answers; the functions return no error.
 	return answers
 }
 
@@ -79,7 +79,7 @@
 		all.Programs = append(all.Programs, part.Programs...)
 	}
 	slices.SortFunc(all.Programs, func(a, b api.Program) int { return cmp.Compare(a.ID, b.ID) })
-	// A program that moves between two answers stands in both.
+	// A program that moves between two answers is in both.
 	all.Programs = slices.CompactFunc(all.Programs, func(a, b api.Program) bool { return a.ID == b.ID })
 	if len(all.Programs) > maximumPrograms {
 		all.Programs = all.Programs[:maximumPrograms]
@@ -88,16 +88,17 @@
 	return outcome{answer: answer{status: statusOK, body: marshal(all)}}
 }
 
-// ProgramList is the answer to a request for programs.
+// ProgramList is the answer of the route GET /v1/programs.
 type ProgramList struct {
 	Programs []api.Program `json:"programs"`
 	// Incomplete names the nodes that did not answer.
 	Incomplete []string `json:"incomplete,omitempty"`
-	// Truncated says that there are more programs than fit.
+	// Truncated is set if there are more programs than one list holds.
 	Truncated bool `json:"truncated,omitempty"`
 }
 
-// why answers with a refusal of this node or of another one.
+// why answers with the refusal that has the requested ID, from this node or
+// another one.
 func (g *Gateway) why(request *exchange) outcome {
 	if found, known := g.findRefusal(request.scope, request.request.Key); known {
 		return outcome{answer: answer{status: statusOK, body: marshal(found)}}
@@ -110,7 +111,8 @@
 	return refused(api.Refuse(api.CodeNotFound, "no node keeps refusal %q any more", request.request.Key).At("path id"))
 }
 
-// findRefusal looks for a refusal on the branch or below it.
+// findRefusal returns this node's refusal with the ID if its branch is the scope
+// or below it.
 func (g *Gateway) findRefusal(scope contract.Path, id string) (Refusal, bool) {
 	if g.config.FindRefusal == nil {
 		return Refusal{}, false
--- a/gateway/forward_test.go
+++ b/gateway/forward_test.go
@@ -34,7 +34,7 @@
 	It("carries the time that is left and the nodes it has passed", func() {
 		owner, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(func() { _ = owner.Close() }) // Closed before, unless the test failed.
+		DeferCleanup(func() { _ = owner.Close() }) // Already closed unless the spec failed earlier.
 		shared.mutex.Lock()
 		shared.address["isando-1"] = owner.Addr().String()
 		shared.mutex.Unlock()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -15,7 +15,7 @@
 	"birchwood.example/birchwood/api"
 )
 
-// logPrefix starts each of this part's messages.
+// logPrefix starts each log message of this package.
 const logPrefix = "gateway: "
 
 // Gateway serves callers' requests. It is safe for concurrent use.
@@ -37,7 +37,7 @@
 	refusals atomic.Uint64
 }
 
-// New returns a gateway that serves nothing yet. The error lists everything
+// New returns a gateway that does not serve yet. The error lists everything
 // that is wrong with the configuration.
 func New(config Config, service Service, logger *log.Logger) (*Gateway, error) {
 	config.complete()
@@ -73,7 +73,8 @@
 	return g.router.Handler
 }
 
-// Server returns the server, with every limit set, for the caller to Serve.
+// Server returns the HTTP server with all limits set. The caller starts it with
+// Serve.
 func (g *Gateway) Server() *fasthttp.Server {
 	return g.server
 }
@@ -88,17 +89,18 @@
 	return int(g.inFlight.Load())
 }
 
-// Drain asks callers to open their next connections elsewhere. Nothing that
-// is in flight is cut, and new requests are still served or relayed.
+// Drain makes answers carry "Connection: close", so that callers open their
+// next connections to other nodes. Requests in flight are not interrupted, and
+// new requests are still served or relayed.
 func (g *Gateway) Drain() {
 	g.draining.Store(true)
 }
 
-// Shutdown ends the server without cutting a request. For DrainGrace, or until
-// nothing is in flight, it still takes new connections, so that callers learn
-// from "Connection: close" to go elsewhere. Then it closes the listeners and
-// waits for what is in flight. It returns the context's error when that takes
-// too long.
+// Shutdown stops the server without interrupting requests. For DrainGrace, or
+// until nothing is in flight, it still accepts new connections, so that
+// "Connection: close" directs callers to other nodes. Then it closes the
+// listeners and waits for the requests in flight. It returns the context's
+// error if the context ends first.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	g.Drain()
 	grace, cancel := context.WithTimeout(ctx, g.config.DrainGrace)
@@ -122,11 +124,11 @@
 	}
 }
 
-// drainPoll is how often Shutdown looks at the requests in flight.
+// drainPoll is how often Shutdown checks the number of requests in flight.
 const drainPoll = 5 * time.Millisecond
 
-// routes registers every route. docs/API.md and api/openapi.yaml describe
-// them, which a test holds against this list.
+// routes registers every route. docs/API.md and api/openapi.yaml describe the
+// routes; a test compares the descriptions with this list.
 func (g *Gateway) routes() *router.Router {
 	routes := router.New()
 	routes.RedirectTrailingSlash = false
@@ -151,8 +153,8 @@
 	return routes
 }
 
-// serve wraps a route's parser: it authenticates, parses, performs and
-// answers.
+// serve returns the handler of a route: it authenticates the request, parses
+// it, performs it and writes the answer.
 func (g *Gateway) serve(parse parser) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if g.draining.Load() {
@@ -172,8 +174,8 @@
 	}
 }
 
-// admit authenticates the request and counts it. The returned function ends
-// the count; it is never nil.
+// admit authenticates the request, applies the limits and counts the request as
+// in flight. The returned function, which is never nil, ends the count.
 func (g *Gateway) admit(ctx *fasthttp.RequestCtx, request *exchange) (func(), *api.Error) {
 	g.inFlight.Add(1)
 	g.observer.InFlight(1)
@@ -201,7 +203,8 @@
 	return done, nil
 }
 
-// parse copies what outlives the request's memory and reads the input.
+// parse copies what is needed after fasthttp reuses the request's memory, and
+// reads the input.
 func (g *Gateway) parse(ctx *fasthttp.RequestCtx, request *exchange, parse parser) *api.Error {
 	request.method = string(ctx.Method())
 	request.uri = string(ctx.RequestURI())
@@ -247,7 +250,9 @@
 	g.observer.Answered(request.request.Operation, answer.status, time.Since(request.received))
 }
 
-// refuse answers with an error, gives it an id, and tells the observer.
+// refuse answers with an error, gives the error an ID if it has none, and
+// notifies the observer. Errors for peers are not reported as refusals: the
+// node that the caller asked reports them.
 func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, request *exchange, refusal *api.Error, status int) {
 	named := *refusal
 	if named.ID == "" {
@@ -278,7 +283,8 @@
 	g.refuse(ctx, &exchange{received: time.Now()}, refusal, fasthttp.StatusMethodNotAllowed)
 }
 
-// recovered answers a request whose handler panicked. What it did is unknown.
+// recovered answers a request whose handler panicked. The request's outcome is
+// unknown.
 func (g *Gateway) recovered(ctx *fasthttp.RequestCtx, cause any) {
 	g.logger.Error().Interface("cause", cause).Msg(logPrefix + "A handler panicked.")
 	unknown := &api.Error{
--- a/gateway/input_test.go
+++ b/gateway/input_test.go
@@ -17,8 +17,8 @@
 	"birchwood.example/birchwood/gateway"
 )
 
-// raw sends bytes on a connection of its own and returns the answer. Closing
-// the sending side comes first when cut is set.
+// raw sends bytes on a new connection and returns the answer. If cut is set, it
+// closes the sending side before it reads the answer.
 func raw(address, bytes string, cut bool) reply {
 	conn, err := net.Dial("tcp", address)
 	Expect(err).NotTo(HaveOccurred())
@@ -36,7 +36,7 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(body)}
 }
 
-// head returns the head of a POST to the path.
+// head returns the request line and headers of a POST to the path.
 func head(path string, length int) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n", path, triageToken, length)
 }
@@ -125,8 +125,8 @@
 
 	It("leaves no goroutine and no connection behind", func() {
 		before := runtime.NumGoroutine()
-		// One leak in 26 rounds is noticed, besides the idle connections that
-		// may stay between nodes.
+		// With 650 rounds and a margin of 25, one leak per 26 rounds is
+		// detected. The margin allows for idle connections between nodes.
 		for range 650 {
 			raw(owner.address, head(callsPath, 100)+`{"key":`, true)
 			ask("POST", base+callsPath, triageToken, `{`)
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -24,7 +24,7 @@
 	var owner *node
 	var base string
 
-	// begin starts the owner with changed settings and one program.
+	// begin starts the owner with the changed settings and creates one program.
 	begin := func(configure ...func(*gateway.Config)) {
 		shared = newWorld()
 		owner = shared.start("isando-1", configure...)
@@ -86,7 +86,7 @@
 		const size = 8 << 20
 		go held.buffer.Append(1, 0, strings.Repeat("x", size))
 		for got := 0; got < size; {
-			got += strings.Count(reading.next().data, "x") - 1 // one stands in the name of the field
+			got += strings.Count(reading.next().data, "x") - 1 // the name of the field has one x
 		}
 		Eventually(owner.gateway.InFlight).Should(Equal(1), "the stuck caller is gone")
 		held.buffer.Append(1, size, "end")
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// sweepThreshold is the number of callers above which idle ones are
-	// forgotten.
+	// sweepThreshold is the number of callers from which idle ones are
+	// removed.
 	sweepThreshold = 1024
-	// forgetAfter is how long a caller without requests is remembered. Its
-	// tokens have filled up by then unless the burst is very large.
+	// forgetAfter is how long a caller without requests is kept. By then its
+	// token bucket is full again, unless the burst is very large, so that
+	// removing the caller does not raise its rate.
 	forgetAfter = 5 * time.Minute
-	// minimumReleaseWait and maximumReleaseWait bound the advice given when
-	// too many requests are in flight.
+	// minimumReleaseWait and maximumReleaseWait bound the retry-after time of
+	// a refusal because of too many requests in flight.
 	minimumReleaseWait = 20 * time.Millisecond
 	maximumReleaseWait = 5 * time.Second
-	// holdTimeWeight is the weight of the newest request in the average time
-	// that a request holds its place.
+	// holdTimeWeight is the weight of the latest request in the moving average
+	// of the time that a request is in flight.
 	holdTimeWeight = 0.1
 )
 
-// limits bounds what each caller may have in flight and send in a second.
+// limits enforces each caller's limit of requests in flight and its rate limit.
 type limits struct {
 	mutex   sync.Mutex
 	config  Config
 	callers map[callerID]*caller
-	// holdTime is the average time that a request is in flight, in seconds.
+	// holdTime is the moving average of the time that a request is in flight,
+	// in seconds.
 	holdTime float64
 }
 
@@ -38,15 +40,17 @@
 type caller struct {
 	rate     *rate.Limiter
 	inFlight int
-	last     time.Time
+	// last is when a request of the caller last began or ended.
+	last time.Time
 }
 
 func newLimits(config Config) *limits {
 	return &limits{config: config, callers: make(map[callerID]*caller)}
 }
 
-// acquire takes a place for one request, or refuses with the time after which
-// a place is likely. The returned function gives the place back.
+// acquire counts one request against the caller's limits, or refuses it with
+// the time after which it is likely to be admitted. The returned function ends
+// the request.
 func (l *limits) acquire(id callerID, now time.Time) (func(), *api.Error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -66,7 +70,7 @@
 	return func() { once.Do(func() { l.release(entry, now) }) }, nil
 }
 
-// release gives a place back and learns how long it was held.
+// release ends a request and updates the average time in flight.
 func (l *limits) release(entry *caller, acquired time.Time) {
 	now := time.Now()
 	l.mutex.Lock()
@@ -76,7 +80,8 @@
 	l.holdTime += holdTimeWeight * (now.Sub(acquired).Seconds() - l.holdTime)
 }
 
-// caller returns the state of the token. The mutex is held.
+// caller returns the state of the token, creating it if needed. The calling
+// function holds the mutex.
 func (l *limits) caller(id callerID, now time.Time) *caller {
 	entry, known := l.callers[id]
 	if !known {
@@ -88,7 +93,8 @@
 	return entry
 }
 
-// sweep forgets idle callers. The mutex is held.
+// sweep removes idle callers once there are sweepThreshold of them. The calling
+// function holds the mutex.
 func (l *limits) sweep(now time.Time) {
 	if len(l.callers) < sweepThreshold {
 		return
@@ -100,23 +106,25 @@
 	}
 }
 
-// expectedRelease returns the milliseconds until some request is likely done.
+// expectedRelease returns the expected time until some request on this node
+// ends, in milliseconds.
 func (l *limits) expectedRelease(time.Time) int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.releaseWait(l.config.InFlight)
 }
 
-// releaseWait returns the milliseconds after which one of so many requests is
-// likely done: their average time shared by their number. The mutex is held.
+// releaseWait returns the expected time until one of inFlight requests ends, in
+// milliseconds: the average time in flight divided by their number. The calling
+// function holds the mutex.
 func (l *limits) releaseWait(inFlight int) int64 {
 	wait := time.Duration(l.holdTime / float64(max(1, inFlight)) * float64(time.Second))
 	wait = min(max(wait, minimumReleaseWait), maximumReleaseWait)
 	return ceilMilliseconds(wait)
 }
 
-// ceilMilliseconds rounds up, so that a caller that waits so long is not
-// early.
+// ceilMilliseconds converts to milliseconds and rounds up, so that a caller
+// that waits for that time does not retry too early.
 func ceilMilliseconds(wait time.Duration) int64 {
 	return int64((wait + time.Millisecond - 1) / time.Millisecond)
 }
--- a/gateway/lostanswer_test.go
+++ b/gateway/lostanswer_test.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// hangUpOnRequests reads each request as a whole and closes the connection
-// without an answer, as a node does that dies in that moment.
+// hangUpOnRequests reads each request completely and closes the connection
+// without an answer, like a node that fails after receiving the request.
 func hangUpOnRequests(listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
@@ -80,7 +80,7 @@
 
 	It("is not told that nothing ran when the owner loses the program during the wait", func() {
 		owner.lose = func() *api.Error {
-			shared.owner = "" // The caller holds the mutex.
+			shared.owner = "" // The mutex is held by the caller of lose.
 			return nil
 		}
 		got := ask("POST", programs+"/"+string(triageProgram)+"/calls", triageToken, submitFirst)
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -8,7 +8,7 @@
 	"birchwood.example/birchwood/control"
 )
 
-// Refusal is a request that was answered with an error, as it is kept for
+// Refusal is a request that was answered with an error, as stored for
 // `birchwood why`.
 type Refusal struct {
 	At        time.Time         `json:"at"`
@@ -19,23 +19,24 @@
 	Error     api.Error         `json:"error"`
 }
 
-// Observer gets what the gateway measures. Its methods are called from many
-// goroutines and must return at once.
+// Observer receives the gateway's measurements. Its methods are called
+// concurrently and must not block.
 type Observer interface {
-	// Answered is called once a request, after its answer was written.
+	// Answered is called once per request, after its answer was written, with
+	// the time since the request was received.
 	Answered(operation control.Operation, status int, took time.Duration)
-	// Refused is called for each error answer that this node gave a caller.
+	// Refused is called for each error answer that this node sent to a caller.
 	Refused(refusal Refusal)
-	// FirstText is called when the first text of a streamed answer was
-	// written, with the time since the request came in.
+	// FirstText is called when the first text of a streamed answer is ready
+	// to be written, with the time since the request was received.
 	FirstText(took time.Duration)
-	// Relayed is called for each attempt at another node.
+	// Relayed is called for each request that was sent to another node.
 	Relayed(failed bool)
-	// InFlight is called with +1 and -1 around each request.
+	// InFlight is called with +1 when a request begins and -1 when it ends.
 	InFlight(change int)
 }
 
-// silent is the Observer of a gateway that has none.
+// silent is the default Observer, which does nothing.
 type silent struct{}
 
 func (silent) Answered(control.Operation, int, time.Duration) {}
--- a/gateway/observer_test.go
+++ b/gateway/observer_test.go
@@ -9,7 +9,8 @@
 	"birchwood.example/birchwood/gateway"
 )
 
-// relayCounter counts attempts at other nodes and keeps refusals.
+// relayCounter is an Observer that counts relays to other nodes and stores
+// refusals.
 type relayCounter struct {
 	attempts atomic.Int64
 	mutex    sync.Mutex
--- a/gateway/openapi_test.go
+++ b/gateway/openapi_test.go
@@ -15,7 +15,7 @@
 	"birchwood.example/birchwood/operator"
 )
 
-// routesOf returns "METHOD path" for each route, sorted.
+// routesOf returns "METHOD path" of each route, sorted.
 func routesOf(byMethod ...map[string][]string) []string {
 	var routes []string
 	for _, registered := range byMethod {
--- a/gateway/operate.go
+++ b/gateway/operate.go
@@ -9,12 +9,12 @@
 	"birchwood.example/birchwood/contract"
 )
 
-// operatorKey is the key of the operatorRequest in a request's user values. No
-// header can set it.
+// operatorKey is the key of the operatorRequest in a request's user values.
+// Clients cannot set it, as no header does.
 type operatorKey struct{}
 
-// operatorRequest marks a request that comes from this process's operators'
-// server, which has authenticated it.
+// operatorRequest marks a request from the operators' server of this process,
+// which has authenticated it.
 type operatorRequest struct {
 	scope contract.Path
 	// deadline bounds the request unless it is zero.
@@ -23,7 +23,7 @@
 
 // Operate performs one request of the callers' API for an operator of the
 // branch, on whichever node owns the program, and returns the HTTP status and
-// the JSON body. Streams cannot be asked for.
+// the JSON body. Streams are not supported.
 func (g *Gateway) Operate(ctx context.Context, scope contract.Path, method, uri string, body []byte) (int, []byte) {
 	var request fasthttp.Request
 	request.Header.SetMethod(method)
--- a/gateway/parse.go
+++ b/gateway/parse.go
@@ -18,10 +18,11 @@
 	maximumHistoryLimit = 200
 )
 
-// keyPrefix marks a call that is named by its key in a path.
+// keyPrefix marks a path segment that identifies a call by its key.
 const keyPrefix = "key:"
 
-// parser reads one route's input into the exchange.
+// parser reads one route's input into the exchange. It adds everything that is
+// wrong with the input to the findings; it returns other errors.
 type parser func(ctx *fasthttp.RequestCtx, request *exchange, findings *api.Findings) *api.Error
 
 // parseCreate reads POST /v1/programs.
@@ -172,7 +173,7 @@
 // parseList reads GET /v1/programs.
 func (g *Gateway) parseList(_ *fasthttp.RequestCtx, request *exchange, _ *api.Findings) *api.Error {
 	request.request.Operation = control.OperationList
-	request.request.Limit = maximumPrograms + 1 // One more tells that there are more.
+	request.request.Limit = maximumPrograms + 1 // One more than fits shows that the list is truncated.
 	return nil
 }
 
@@ -186,7 +187,7 @@
 }
 
 // pathProgram reads the {id} of the path: the name of the branch's group, the
-// index of the partition, and 16 digits.
+// index of the partition, and 16 hexadecimal digits, joined by dots.
 func pathProgram(ctx *fasthttp.RequestCtx, findings *api.Findings) api.ProgramID {
 	text, _ := ctx.UserValue("id").(string)
 	parts := strings.Split(text, ".")
@@ -203,7 +204,7 @@
 	return api.ProgramID(strings.Clone(text))
 }
 
-// pathCall reads the {call} of the path: a sequence, or "key:" and a key.
+// pathCall reads the {call} of the path: a sequence number, or "key:" and a key.
 func pathCall(ctx *fasthttp.RequestCtx, findings *api.Findings) (sequence uint64, key string) {
 	text, _ := ctx.UserValue("call").(string)
 	if key, found := strings.CutPrefix(text, keyPrefix); found {
@@ -217,7 +218,7 @@
 	return sequence, ""
 }
 
-// queryBool reads an optional true or false of the query.
+// queryBool reads an optional boolean query parameter, whose default is absent.
 func queryBool(ctx *fasthttp.RequestCtx, name string, absent bool, findings *api.Findings) bool {
 	text := string(ctx.QueryArgs().Peek(name))
 	if text == "" {
@@ -230,7 +231,8 @@
 	return value
 }
 
-// queryNumber reads an optional whole number of the query.
+// queryNumber reads an optional query parameter that is an integer from 0, whose
+// default is absent.
 func queryNumber(ctx *fasthttp.RequestCtx, name string, absent uint64, findings *api.Findings) uint64 {
 	text := string(ctx.QueryArgs().Peek(name))
 	if text == "" {
@@ -243,8 +245,8 @@
 	return value
 }
 
-// lastEvent reads the header that event-stream clients send when they
-// reconnect: the id of the last event that they got, "attempt:offset".
+// lastEvent reads the header that clients of server-sent events send when they
+// reconnect: the ID of the last event that they received, "attempt:offset".
 func lastEvent(ctx *fasthttp.RequestCtx, findings *api.Findings) position {
 	text := string(ctx.Request.Header.Peek("Last-Event-ID"))
 	if text == "" {
@@ -257,7 +259,7 @@
 	return at
 }
 
-// parsePosition reads the id of an event.
+// parsePosition parses an event ID, and reports whether it is valid.
 func parsePosition(text string) (position, bool) {
 	attemptText, offsetText, found := strings.Cut(text, ":")
 	attempt, errAttempt := strconv.ParseUint(attemptText, 10, 31)
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -8,19 +8,21 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// maximumPaths bounds the addresses whose paths are remembered.
+// maximumPaths bounds the number of addresses that have a circuit breaker.
 const maximumPaths = 1024
 
-// pathBreaker opens soon: a detour costs little, and a path that is cut costs
-// each request a time-out.
+// pathBreaker returns the configuration of the circuit breakers. They open
+// after 2 failures: a detour costs little, whereas a blocked path costs each
+// request a time-out.
 func pathBreaker() link.BreakerConfig {
 	config := link.DefaultBreakerConfig()
 	config.Failures = 2
 	return config
 }
 
-// paths remembers which other nodes cannot be reached from here. Zones can be
-// cut off from each other while a third one reaches both.
+// paths tracks which other nodes this node cannot reach, with one circuit
+// breaker per address. Zones can be partitioned from each other while a third
+// one reaches both.
 type paths struct {
 	mutex    sync.Mutex
 	breakers map[string]*link.Breaker
@@ -30,7 +32,7 @@
 	return &paths{breakers: make(map[string]*link.Breaker)}
 }
 
-// allow reports whether the address should be tried directly.
+// allow reports whether to send a request directly to the address.
 func (p *paths) allow(address string, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -38,7 +40,7 @@
 	return !known || breaker.Allow(now)
 }
 
-// report notes whether a request to the address was answered.
+// report records whether a request to the address failed.
 func (p *paths) report(address string, failed bool, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -56,22 +58,23 @@
 	breaker.Success()
 }
 
-// add returns a breaker for an address that failed for the first time. The
-// mutex is held.
+// add creates the breaker of an address that failed for the first time. The
+// caller holds the mutex.
 func (p *paths) add(address string) *link.Breaker {
 	if len(p.breakers) >= maximumPaths {
-		clear(p.breakers) // Addresses of nodes that are long gone.
+		clear(p.breakers) // Most of these addresses belong to nodes that have left.
 	}
 	breaker, err := link.NewBreaker(pathBreaker())
 	if err != nil {
-		panic(err) // The settings are constants.
+		panic(err) // The configuration is constant, so this is a programming error.
 	}
 	p.breakers[address] = breaker
 	return breaker
 }
 
-// reach passes the request on to the owner, through another node when the
-// path to the owner keeps failing.
+// reach relays the request to the owner, through another node if the direct
+// path to the owner keeps failing. A request from a peer is relayed only
+// directly.
 func (g *Gateway) reach(request *exchange, owner Route) outcome {
 	if request.peer || g.paths.allow(owner.Address, time.Now()) {
 		return g.relay(request, owner.Address, false)
@@ -82,7 +85,7 @@
 	return relayFailed(errNotSent)
 }
 
-// detour chooses another node at random.
+// detour picks a random reachable node other than the owner.
 func (g *Gateway) detour(owner machine.ID) (Route, bool) {
 	directory, knows := g.service.(Directory)
 	if !knows {
--- a/gateway/perform.go
+++ b/gateway/perform.go
@@ -11,58 +11,60 @@
 
 // answer is what the caller gets: a JSON body, a refusal, or a stream.
 type answer struct {
-	status   int
-	body     []byte
-	refusal  *api.Error
-	source   source
+	status  int
+	body    []byte
+	refusal *api.Error
+	source  source
+	// attempts is the number of attempts that were made.
 	attempts int
-	// pending: the wait was cut into slices and this one ended; the body is
-	// the call's state.
+	// pending is set when the slice of a wait ended before the call was
+	// terminal; body is then the call's state.
 	pending bool
-	// owner is the address to try in place of this node.
+	// owner is the address of the node to try instead, if known.
 	owner string
 }
 
-// outcome is what became of one attempt.
+// outcome is the result of one attempt.
 type outcome struct {
 	answer
-	// retry: a later attempt, perhaps at another node, may succeed.
+	// retry is set when a later attempt, perhaps at another node, may succeed.
 	retry bool
-	// unknown: the attempt may have taken effect although it was not
-	// answered.
+	// unknown is set when the attempt may have taken effect although it has no
+	// successful answer.
 	unknown bool
 }
 
-// refused returns the outcome of an attempt that was answered with an error.
+// refused returns the outcome of an attempt that ended with an error.
 func refused(refusal *api.Error) outcome {
 	return outcome{answer: answer{refusal: refusal}}
 }
 
-// stateTimeout bounds the look at a call's state after a wait has ended.
+// stateTimeout bounds the query for a call's state after a wait timed out.
 const stateTimeout = 2 * time.Second
 
-// minimumSlice is the least time between two slices of one wait.
+// minimumSlice is the shortest time between the starts of two slices of a wait.
 const minimumSlice = 50 * time.Millisecond
 
-// perform tries the request at its owner until it is answered. It is the only
-// layer that retries: an owner that got the request from a peer reports.
+// perform tries the request at its owner until it is answered, or until the
+// attempts, the retry budget or the time are used up. Requests from peers are
+// tried once: only the node that the caller sent the request to retries.
 //
 // Retrying is safe although an attempt without an answer may have taken
-// effect, because the owner knows the request by its key: a repeated create
-// or submit returns the program or call that the first one made, and a
-// repeated cancel or end changes nothing.
+// effect, because the owner deduplicates requests by key: a repeated create or
+// submit returns the program or call that the first one made, and a repeated
+// cancel or end changes nothing.
 func (g *Gateway) perform(ctx context.Context, request *exchange) answer {
 	hint := ""
 	for attempt := 1; ; {
 		started := time.Now()
 		result := g.attempt(ctx, request, hint)
 		result.attempts = attempt
-		// A wait that is pending and a stream are about a call that was admitted.
+		// The call of a pending wait or an open stream has been admitted.
 		admitted := result.pending || result.source != nil
 		request.mayHaveRun = request.mayHaveRun || result.unknown || admitted
 		switch {
 		case result.pending && !request.peer && wait.Until(ctx, started.Add(minimumSlice)):
-			// The next slice of the wait.
+			// Begin the next slice of the wait; it is not a new attempt.
 		case !result.retry || request.peer:
 			if result.refusal == nil && !request.peer {
 				g.budget.earn()
@@ -77,9 +79,9 @@
 	}
 }
 
-// settle makes the last refusal true for the whole request: once an attempt
-// may have taken effect, "not run" would be a guess. A peer is told the same
-// under the refusal's own code, because it may still try elsewhere.
+// settle adapts the last refusal to the whole request: once an attempt may have
+// taken effect, "not run" is no longer certain, and the outcome is unknown. For
+// a peer the refusal keeps its code, because the peer may retry elsewhere.
 func settle(request *exchange, last answer) answer {
 	if last.refusal == nil {
 		return last
@@ -87,7 +89,7 @@
 	settled := *last.refusal
 	last.refusal = &settled
 	if settled.Code == api.CodeNotOwner && !request.peer {
-		// Which node is not the owner is between nodes.
+		// not_owner is used between nodes only.
 		settled.Code = api.CodeOwnerUnknown
 		settled.Message = "the program's owner changes"
 	}
@@ -104,7 +106,8 @@
 	return last
 }
 
-// attempt performs the request once, here or at the owner.
+// attempt performs the request once, on this node or at the owner. hint, if not
+// empty, is the address of the owner as another node reported it.
 func (g *Gateway) attempt(ctx context.Context, request *exchange, hint string) outcome {
 	switch request.request.Operation {
 	case control.OperationList:
@@ -160,7 +163,7 @@
 	return result
 }
 
-// bound returns how long the owner may take to answer at most.
+// bound returns the time limit for the owner's answer.
 func (g *Gateway) bound(request *exchange) time.Duration {
 	switch {
 	case !request.waits():
@@ -172,9 +175,9 @@
 	}
 }
 
-// complete fills in what the caller may leave out and only the owner knows: a
-// sub-agent's branch is its parent's, and a call that is to be cancelled can
-// be named by its key.
+// complete fills in what the caller may omit and only the owner can look up: the
+// branch of a sub-agent, which defaults to its parent's, and the sequence
+// number of a call to cancel that is identified by its key.
 func (g *Gateway) complete(ctx context.Context, asked *control.Request) *api.Error {
 	look := control.Request{Scope: asked.Scope, Program: asked.Program, Key: asked.Key}
 	switch {
@@ -208,8 +211,9 @@
 	statusAccepted = 202
 )
 
-// refusedLocally tells an error of this node's state machine that a later
-// attempt can mend from one that stands.
+// refusedLocally returns the outcome of an error from the state machine of this
+// node or of the owner. The attempt may be retried only if the program has
+// moved.
 func refusedLocally(refusal *api.Error) outcome {
 	result := refused(refusal)
 	result.retry = hasMoved(refusal)
@@ -217,15 +221,16 @@
 	return result
 }
 
-// hasMoved reports whether an error says that the program is to be found at
-// another node.
+// hasMoved reports whether an error means that another node owns the program,
+// or that its owner is not known.
 func hasMoved(refusal *api.Error) bool {
 	return refusal.Code == api.CodeNotOwner || refusal.Code == api.CodeOwnerUnknown
 }
 
-// callState asks for the state of a call whose wait ended early. A program
-// that moved to another node meanwhile is asked about there; the refusal that
-// says so is about this look, and the call may have been admitted before.
+// callState returns the state of a call whose wait timed out. If the program
+// has moved to another node meanwhile, it returns an error on which perform
+// retries at that node. That error concerns this query only; a submitted call
+// may have been admitted before, so its outcome is unknown.
 func (g *Gateway) callState(asked control.Request) control.Reply {
 	submits := asked.Submit != nil
 	if submits {
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -15,18 +15,18 @@
 	"birchwood.example/birchwood/connection"
 )
 
-// contentTypeEvents is the type of server-sent events.
+// contentTypeEvents is the content type of server-sent events.
 const contentTypeEvents = "text/event-stream"
 
-// The failures before anything of a request was sent.
+// The errors that occur before any byte of a request was sent.
 var (
 	errNotSent = errors.New("no connection to the node")
-	// errIdleClosed: the other node has closed a connection that was kept.
+	// errIdleClosed means that the other node has closed a pooled connection.
 	errIdleClosed = fmt.Errorf("%w: it closed an idle one", errNotSent)
 )
 
 // newPeerClient returns the client for requests to other nodes. It never
-// retries: perform does.
+// retries, because perform does.
 func newPeerClient(config Config) *fasthttp.Client {
 	dialer := &net.Dialer{Timeout: config.DialTimeout}
 	return &fasthttp.Client{
@@ -52,23 +52,26 @@
 	}
 }
 
-// patientConn is a connection to another node. It bounds the silence before
-// each read: a stream may last long, so one deadline for the whole answer
-// would cut it, and a node that died without a word would hold its readers
-// for ever without any. It also looks before it writes: an idle connection
-// that the other node has closed is told apart from one that broke after the
-// request was sent.
+// peerConn is a connection to another node. It sets a read deadline for each
+// read: one deadline for the whole answer would interrupt long streams, and
+// without any, readers would wait forever for a node that failed without closing
+// its connections. It also probes the connection before it writes a request, to
+// distinguish an idle connection that the other node has closed from one that
+// broke after the request was sent.
 type patientConn struct {
 	net.Conn
-	// probe looks at the connection, unless probed is not set.
-	probe   connection.Probe
-	probed  bool
+	// probe checks whether the other node has closed the connection. It is
+	// valid if probed is set.
+	probe  connection.Probe
+	probed bool
+	// silence is the longest time to wait for bytes in one read.
 	silence time.Duration
-	// sending is set between the first write of a request and its answer.
+	// sending is set between the first write of a request and the first byte
+	// of its answer.
 	sending bool
 }
 
-// Read waits for bytes no longer than the silence allows.
+// Read implements net.Conn. It fails if no bytes arrive within silence.
 func (c *patientConn) Read(buffer []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(c.silence)); err != nil {
 		return 0, err
@@ -78,8 +81,8 @@
 	return read, err
 }
 
-// Write sends bytes of a request. It fails with errIdleClosed when the request
-// was not begun and the other node has closed the connection.
+// Write implements net.Conn. It fails with errIdleClosed if nothing of the
+// request was sent yet and the other node has closed the connection.
 func (c *patientConn) Write(buffer []byte) (int, error) {
 	if !c.sending && c.probed && c.probe.Closed() {
 		return 0, errIdleClosed
@@ -88,8 +91,8 @@
 	return c.Conn.Write(buffer)
 }
 
-// relay passes the request on to the node at the address, which is the owner
-// unless it is a detour.
+// relay sends the request to the node at the address. With detour set, that node
+// is not the owner and relays the request to it.
 func (g *Gateway) relay(request *exchange, address string, detour bool) outcome {
 	if request.hops >= g.config.MaximumHops {
 		return refused(api.Refuse(api.CodeOwnerUnknown, "passed on %d times without reaching the owner", request.hops).After(0))
@@ -121,7 +124,8 @@
 	return g.readRelayed(address, incoming)
 }
 
-// fillRelay repeats the caller's request with what this node found out.
+// fillRelay sets up the outgoing request: the caller's request with the headers
+// between nodes.
 func (g *Gateway) fillRelay(outgoing *fasthttp.Request, request *exchange, address string, detour bool) {
 	outgoing.Header.SetMethod(request.method)
 	outgoing.SetRequestURI("http://" + address + request.uri)
@@ -138,7 +142,8 @@
 	outgoing.SetBodyRaw(request.body)
 }
 
-// relayFailed describes an attempt that got no answer.
+// relayFailed returns the outcome of an attempt without an answer. It is
+// certainly without effect only if the request was not sent.
 func relayFailed(err error) outcome {
 	notSent := errors.Is(err, errNotSent) || errors.Is(err, fasthttp.ErrNoFreeConns) ||
 		errors.Is(err, fasthttp.ErrDialTimeout)
@@ -148,8 +153,9 @@
 	return result
 }
 
-// readRelayed reads a JSON answer as a whole, so that one that breaks off can
-// still be asked for again.
+// readRelayed reads the whole JSON answer of another node before any of it is
+// sent to the caller, so that the request can be retried if the connection
+// breaks in between.
 func (g *Gateway) readRelayed(address string, incoming *fasthttp.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(incoming.BodyStream(), int64(g.config.MaximumReplyBytes)))
 	if closeErr := incoming.CloseBodyStream(); err == nil {
@@ -177,7 +183,7 @@
 	return result
 }
 
-// String returns the position as an event's id.
+// String formats the position as an event ID, "attempt:offset".
 func (p position) String() string {
 	return strconv.Itoa(p.attempt) + ":" + strconv.Itoa(p.offset)
 }
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -28,7 +28,7 @@
 		Expect(ask("POST", programs, triageToken, createTriage).status).To(Equal(200))
 	})
 
-	// submitInBackground waits for the first call's answer.
+	// submitInBackground submits the first call, and delivers its answer.
 	submitInBackground := func() <-chan reply {
 		answered := make(chan reply, 1)
 		go func() {
@@ -91,7 +91,7 @@
 			Expect(last.kind).To(Equal("end"))
 			return first.opened() - before
 		}
-		readStream() // It may use the connection of the submit.
+		readStream() // May use the connection of the submit.
 		Eventually(readStream).Should(BeZero())
 	})
 
--- a/gateway/respond.go
+++ b/gateway/respond.go
@@ -12,17 +12,18 @@
 
 const contentTypeJSON = "application/json"
 
-// millisecondsPerSecond converts for the Retry-After header.
+// millisecondsPerSecond converts to the unit of the Retry-After header.
 const millisecondsPerSecond = 1000
 
-// writeJSON answers with a body that is JSON already.
+// writeJSON answers with a JSON-encoded body.
 func writeJSON(ctx *fasthttp.RequestCtx, status int, body []byte) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType(contentTypeJSON)
 	ctx.Response.SetBodyRaw(body)
 }
 
-// writeError answers with an error and, where a retry can help, says when.
+// writeError answers with an error, and with a Retry-After header if the error
+// has a retry-after time.
 func writeError(ctx *fasthttp.RequestCtx, refusal *api.Error, status int) {
 	if refusal.RetryAfterMilliseconds > 0 {
 		seconds := (refusal.RetryAfterMilliseconds + millisecondsPerSecond - 1) / millisecondsPerSecond
@@ -34,7 +35,7 @@
 	writeJSON(ctx, status, marshal(api.ErrorBody{Error: refusal}))
 }
 
-// marshal encodes a value whose type always can be.
+// marshal encodes a value of a type that can always be encoded.
 func marshal(value any) []byte {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return body
 }
 
-// replyBody chooses the part of the reply that answers the request.
+// replyBody encodes the part of the reply that answers the request.
 func replyBody(request *control.Request, reply *control.Reply) []byte {
 	switch {
 	case reply.Call != nil:
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -9,8 +9,9 @@
 	"birchwood.example/birchwood/retry"
 )
 
-// retryBudget is a retry.Budget that all requests share. Only requests that
-// succeed earn retries, so that an outage is met by the savings alone.
+// retryBudget is a retry.Budget that all requests share. Only successful
+// requests refill it, so that during an outage no more retries are sent than
+// the budget holds at its start.
 type retryBudget struct {
 	mutex  sync.Mutex
 	budget *retry.Budget
@@ -24,22 +25,22 @@
 	return &retryBudget{budget: budget}, err
 }
 
-// earn counts one request that succeeded.
+// earn adds the retries for one successful request to the budget.
 func (b *retryBudget) earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.budget.Success()
 }
 
-// spend takes one retry and reports whether there was one.
+// spend takes one retry from the budget and reports whether there was one.
 func (b *retryBudget) spend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.budget.Withdraw()
 }
 
-// pause waits before the next attempt. It reports false when the exchange's
-// time is over.
+// pause waits for the delay between the given attempt and the next one. It
+// reports false if the context ended first.
 func (g *Gateway) pause(ctx context.Context, attempt int) bool {
 	backoff := retry.Backoff{Minimum: g.config.RetryDelay, Maximum: g.config.MaximumRetryDelay, Random: g.random}
 	return wait.For(ctx, backoff.Delay(attempt))
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// headerBytes bounds a request's line and headers.
+	// headerBytes bounds the request line and headers together, in bytes.
 	headerBytes = 16 << 10
-	// discardLimit, discardTimeout and discardPause bound how much of an
-	// oversized body is read away, in bytes, in all and without a byte, so
-	// that the refusal is not lost in a connection reset.
+	// discardLimit (in bytes), discardTimeout (in all) and discardPause
+	// (without receiving a byte) bound how much of an oversized body is read
+	// and discarded. Discarding it keeps the refusal from being lost in a
+	// connection reset.
 	discardLimit   = 8 << 20
 	discardTimeout = 2 * time.Second
 	discardPause   = 200 * time.Millisecond
-	// idleWorkerKeepAlives is how many keep-alive times an idle goroutine of
-	// the server is kept for the next connection.
+	// idleWorkerKeepAlives is how long an idle goroutine of the server is kept
+	// for the next connection, in multiples of Config.KeepAlive.
 	idleWorkerKeepAlives = 5
 )
 
 // newServer returns the server with every time-out and size limit set. The
-// write time-out bounds a whole JSON answer; streams renew it for each event.
+// write time-out bounds a whole JSON answer; streams renew it on each read of
+// an event.
 func (g *Gateway) newServer() *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:               g.router.Handler,
@@ -55,9 +57,9 @@
 	g.refuse(ctx, &exchange{received: time.Now()}, refusal, refusal.Code.HTTPStatus())
 }
 
-// ReadError tells why a request could not be read. What the caller is still
-// sending of an oversized one is read away first, so that the caller gets to
-// read the refusal.
+// ReadError returns the refusal for a request that could not be read. If the
+// request was too large, it first discards what the caller is still sending, so
+// that the caller can read the refusal.
 func ReadError(conn net.Conn, err error, maximumBody int) *api.Error {
 	refusal := classifyReadError(err, maximumBody)
 	if refusal.Code == api.CodeBodyTooLarge {
@@ -66,7 +68,7 @@
 	return refusal
 }
 
-// classifyReadError tells apart why a request could not be read.
+// classifyReadError maps a read error to a refusal.
 func classifyReadError(err error, maximumBody int) *api.Error {
 	var small *fasthttp.ErrSmallBuffer
 	var network net.Error
@@ -84,7 +86,8 @@
 	}
 }
 
-// discardBody reads what the caller is still sending, within bounds.
+// discardBody reads and discards what the caller is still sending, within the
+// discard limits.
 func discardBody(conn net.Conn) {
 	over := time.Now().Add(discardTimeout)
 	buffer := make([]byte, headerBytes)
@@ -98,7 +101,7 @@
 	}
 }
 
-// serverLogger passes the server's own messages on.
+// serverLogger writes fasthttp's own messages to the gateway's log.
 type serverLogger struct{ gateway *Gateway }
 
 // Printf implements fasthttp.Logger.
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -11,29 +11,32 @@
 	"birchwood.example/birchwood/stream"
 )
 
-// Route says which node owns a program's partition, as far as this node knows.
+// Route is the owner of a program's partition, as far as this node knows, or
+// another node of the cluster.
 type Route struct {
+	// Local is set if this node is the owner.
 	Local   bool
 	Owner   machine.ID
 	Address string
 }
 
-// Service is what the gateway needs of its node.
+// Service is the node's interface for the gateway.
 type Service interface {
-	// Caller returns the branch that a bearer token is tied to, or why the
-	// token is not accepted.
+	// Authenticate returns the branch that a bearer token is assigned to, or
+	// why the token is not accepted.
 	Caller(token string) (contract.Path, *api.Error)
-	// NewProgram returns the id that a branch and key always name.
+	// ProgramID returns the program ID that is derived from a branch and key.
 	NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error)
-	// Route finds the owner. The error says that no owner is known now.
+	// Route finds the owner of a program. It returns an error if no owner is
+	// known at present.
 	Route(id api.ProgramID) (Route, *api.Error)
 	// Do performs the request on this node. Its error code is
 	// CodeNotOwner when another node owns the program.
 	Do(ctx context.Context, request control.Request) control.Reply
-	// Stream returns the answer that is being generated on this node. It
-	// should know a call's buffer from its admission on, so that the first
-	// text is seen at once; until it does, the gateway asks again and again.
+	// Stream returns the buffer of an answer that is being generated on this
+	// node. The buffer should exist from the call's admission on, so that the
+	// first text is streamed without delay; until it exists, the gateway polls.
 	Stream(call program.CallRef) (*stream.Buffer, bool)
-	// PeerToken authenticates nodes to each other.
+	// PeerToken returns the token with which nodes authenticate to each other.
 	PeerToken() string
 }
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -14,11 +14,11 @@
 )
 
 // session is one caller's stream of an answer. It outlives its sources: when
-// the owner is lost, it goes on at the new owner from the caller's position.
+// the owner is lost, it continues at the new owner from the caller's position.
 //
-// It is the body of the response: the server reads an event, writes it to the
-// caller and comes back for the next one, all on the connection's goroutine, so
-// that no event waits for a second one to run.
+// It implements the response's body stream: the server reads an event, writes
+// it to the caller and reads the next one, all on the connection's goroutine,
+// so that no event waits for another goroutine to be scheduled.
 type session struct {
 	gateway  *Gateway
 	lifetime context.Context
@@ -28,14 +28,14 @@
 	done     func()
 	accepted bool
 	hasText  bool
-	// unread is what the server has not read of the events so far, and over is
-	// set once there will be no more.
+	// unread holds the encoded events that the server has not read yet, and
+	// over is set after the last event.
 	unread bytes.Buffer
 	over   bool
 }
 
-// startStream answers with server-sent events until the lifetime ends. done is
-// called once the stream is over.
+// startStream answers with server-sent events until the stream or the lifetime
+// context ends. done is called when the stream is closed.
 func (g *Gateway) startStream(lifetime context.Context, ctx *fasthttp.RequestCtx, request *exchange, first source, done func()) {
 	ctx.SetStatusCode(statusOK)
 	ctx.SetContentType(contentTypeEvents)
@@ -44,8 +44,8 @@
 	ctx.SetBodyStream(s, -1)
 }
 
-// Read implements io.Reader. It waits for the next event, unless some of the
-// last one is unread, and gives the caller the write time-out for it.
+// Read implements io.Reader. It waits for the next event unless a part of the
+// last one is unread, and renews the connection's write deadline.
 func (s *session) Read(buffer []byte) (int, error) {
 	for s.unread.Len() == 0 {
 		if s.over {
@@ -58,7 +58,7 @@
 }
 
 // Close implements io.Closer. The server calls it when it has written the whole
-// stream, and when a write failed because the caller hung up.
+// stream, and when a write failed because the caller disconnected.
 func (s *session) Close() error {
 	s.source.close()
 	s.gateway.observer.Answered(s.request.request.Operation, statusOK, time.Since(s.request.received))
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// advance waits for the next event and makes it ready to be read.
+// advance waits for the next event and adds it to the unread ones.
 func (s *session) advance() {
 	next, err := s.source.next(s.lifetime, s.request.position)
 	if err != nil {
@@ -80,8 +80,8 @@
 	s.over = next.kind == eventEnd || next.kind == eventError
 }
 
-// add makes one event ready and moves the caller's position past it. The
-// caller's stream is accepted once, also when its sources change.
+// add appends one event to the unread ones and moves the caller's position past
+// it. Only the first source's accepted event is sent to the caller.
 func (s *session) add(next event) {
 	if next.kind == eventAccepted {
 		if s.accepted {
@@ -99,8 +99,8 @@
 	}
 }
 
-// recover finds the next event after the source failed: a keep-alive while
-// the stream goes on elsewhere, or the error that ends it.
+// recover returns the event to send after the source failed: a keep-alive if
+// the stream continues from another source, or the error that ends it.
 func (s *session) recover(ctx context.Context, cause error) (event, error) {
 	var refusal *api.Error
 	switch {
@@ -126,7 +126,8 @@
 	return errorEvent(timedOut()), nil
 }
 
-// timedOut ends a stream whose time is over while its call goes on.
+// timedOut returns the error that ends a stream at its deadline. The call itself
+// continues.
 func timedOut() *api.Error {
 	return &api.Error{
 		Code:    api.CodeTimeout,
@@ -136,7 +137,7 @@
 	}
 }
 
-// noSource stands in while a session has no source.
+// noSource is the source of a session between two sources.
 type noSource struct{}
 
 func (noSource) next(context.Context, position) (event, error) { return event{}, errSourceLost }
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -17,44 +17,47 @@
 	"birchwood.example/birchwood/stream"
 )
 
-// errSourceLost says that the owner stopped answering, or is the owner no
-// longer: the stream goes on from another source.
+// errSourceLost means that the owner stopped answering or no longer owns the
+// program. The stream can continue from another source.
 var errSourceLost = errors.New("the stream's owner was lost")
 
-// source yields the events of one call's answer from a position on.
+// source returns the events of one call's answer from a position on.
 type source interface {
-	// next waits for the next event; it yields a keep-alive after a while
-	// without any. An error ends the source.
+	// next waits for the next event. It returns a keep-alive if there is none
+	// for some time. After an error the source can't be used any more.
 	next(ctx context.Context, from position) (event, error)
-	// close releases what the source holds. The owner then stops sending.
+	// close releases the source's resources and makes the owner stop sending.
 	close()
 }
 
-// bufferPoll is how often the buffer of a call is looked for that this node
-// does not know yet.
+// bufferPoll is how often a localSource looks up the call's buffer until it
+// exists.
 const bufferPoll = 20 * time.Millisecond
 
 // localSource reads an answer on the node that owns its program: from the
 // buffer while the call runs, and then from the call's durable record, which
-// comes with the end of the buffer or is asked for.
+// comes either with the end of the buffer or from the service.
 type localSource struct {
 	gateway *Gateway
 	scope   contract.Path
 	call    program.CallRef
-	// first is sent before anything else; it is nil afterwards.
+	// first is the call's state for the accepted event; nil once that event
+	// was returned.
 	first *api.Call
-	// buffer is nil until it is known, and again once it is drawn.
+	// buffer is nil until it is found, and again after it was read to its end.
 	buffer *stream.Buffer
-	// drawn says that no buffer is to be looked for any more.
+	// drawn is set when no buffer has to be looked up: it was read to its end,
+	// or the call has none.
 	drawn bool
-	// ended delivers the call once it is terminal. It is nil until it is asked for.
+	// ended delivers the reply to the request for the terminal call. It is nil
+	// while no such request is pending; cancel cancels the request.
 	ended  chan control.Reply
 	cancel context.CancelFunc
-	// final is the call once it is terminal.
+	// final is the terminal call; nil until it is known.
 	final *api.Call
 }
 
-// openLocal starts a stream of the call on this node.
+// openLocal opens a stream of the call from this node.
 func (g *Gateway) openLocal(request *exchange, call *api.Call) outcome {
 	if call == nil {
 		return refused(api.Refuse(api.CodeNotFound, "no such call"))
@@ -93,8 +96,9 @@
 	}
 }
 
-// step makes one move towards the next event. idle ends with the next
-// keep-alive, lifetime with the stream.
+// step performs one step towards the next event and reports whether it found
+// one. The context idle ends when the next keep-alive is due, lifetime with the
+// stream.
 func (s *localSource) step(lifetime, idle context.Context, from position) (event, bool, error) {
 	if s.final != nil {
 		return s.fromRecord(from), true, nil
@@ -112,7 +116,8 @@
 	return event{}, false, s.awaitEnd(lifetime, idle)
 }
 
-// fromBuffer waits for text that is being generated.
+// fromBuffer waits for text in the buffer, and returns the event for it. At the
+// end of the buffer it stores the final call, if the buffer has it.
 func (s *localSource) fromBuffer(ctx context.Context, from position) (event, bool) {
 	if from.attempt == 0 {
 		from.attempt = s.buffer.Attempt()
@@ -141,8 +146,8 @@
 	return next, found
 }
 
-// awaitEnd waits until the call is terminal, or until it is time to look for
-// its buffer again.
+// awaitEnd waits until the call is terminal, or until the call's buffer is to be
+// looked up again or a keep-alive is due.
 func (s *localSource) awaitEnd(lifetime, idle context.Context) error {
 	var poll <-chan time.Time
 	if !s.drawn {
@@ -159,9 +164,9 @@
 	return nil
 }
 
-// askForEnd asks for the call once it is terminal. It does so before the first
-// text: whoever asks after the end has the call read back from the log, which
-// costs reads and fails while the log service is down.
+// askForEnd requests the call once it is terminal. It does so before the first
+// text, because a request after the end makes the owner read the call back from
+// the log, which costs reads and fails while the log service is down.
 func (s *localSource) askForEnd(lifetime context.Context) {
 	waiting, cancel := context.WithCancel(lifetime)
 	ended := make(chan control.Reply, 1)
@@ -177,7 +182,7 @@
 	s.cancel = cancel
 }
 
-// takeEnd reads what askForEnd got.
+// takeEnd handles the reply to askForEnd's request.
 func (s *localSource) takeEnd(lifetime context.Context, reply control.Reply) error {
 	s.cancel()
 	s.ended = nil
@@ -194,9 +199,9 @@
 	}
 }
 
-// fromRecord serves the answer from the call's durable record: the rest of
-// the text, the whole of it if the caller's text is of another attempt, and
-// then the end.
+// fromRecord returns the next event from the call's durable record: the rest of
+// the text, then the end event. If the caller's text is of another attempt, it
+// restarts with the whole text.
 func (s *localSource) fromRecord(from position) event {
 	call := s.final
 	if from.attempt != 0 && from.attempt != call.Attempt && call.Output != "" {
@@ -210,7 +215,7 @@
 	return event{kind: eventEnd, at: from, data: marshal(call)}
 }
 
-// close implements source: nobody waits for the call's end any more.
+// close implements source. It cancels the wait for the call's end.
 func (s *localSource) close() { s.cancel() }
 
 // remoteSource reads an answer from the node that owns its program.
@@ -218,14 +223,14 @@
 	gateway  *Gateway
 	response *fasthttp.Response
 	reader   *bufio.Reader
-	// ended is set once the owner has sent its last event.
+	// ended is set once the owner's last event was received.
 	ended bool
 }
 
-// eventBytes is the size of the buffer for an event's lines.
+// eventBytes is the size of a reader's buffer for the lines of events.
 const eventBytes = 4 << 10
 
-// eventReaders holds readers for reuse.
+// eventReaders is a pool of readers.
 var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBytes) }}
 
 func newRemoteSource(g *Gateway, response *fasthttp.Response) *remoteSource {
@@ -256,7 +261,7 @@
 	}
 }
 
-// readField reads one line of an event.
+// readField parses one line of an event.
 func readField(next *event, line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(": "))
 	switch string(name) {
@@ -271,7 +276,8 @@
 	}
 }
 
-// checked turns the owner's report that it lost the program into a loss.
+// checked returns errSourceLost for an error event that reports a change of
+// owner, and other events unchanged.
 func checked(ctx context.Context, next event) (event, error) {
 	if next.kind == eventKeepAlive {
 		return next, ctx.Err()
@@ -286,10 +292,11 @@
 	return next, nil
 }
 
-// close implements source. A stream that is not over loses its connection, so
-// that the owner notices. One that is over is read to its end in the
-// background, so that the connection serves the next request: only the mark of
-// the end is still to come, and the silence allowed to a node bounds the wait.
+// close implements source. If the stream has not ended, it closes the
+// connection, so that the owner stops sending. Otherwise it reads the response
+// to its end in the background, so that the connection can be reused: only the
+// end of the chunked body is still to come, and Config.PeerSilence bounds the
+// wait for it.
 func (s *remoteSource) close() {
 	if !s.ended {
 		s.release()
@@ -301,7 +308,8 @@
 	}()
 }
 
-// release gives back what the source holds; nothing reads from it any more.
+// release returns the reader and the response to their pools. The source must
+// not be read afterwards.
 func (s *remoteSource) release() {
 	s.reader.Reset(nil)
 	eventReaders.Put(s.reader)
