--- a/api/api.go
+++ b/api/api.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// ProgramID names a program and its partition: "<branch, with "~" for
-// "/">.<partition index>.<16 hexadecimal digits>".
+// ProgramID identifies a program and its partition. Its form is "<branch, with
+// "~" for "/">.<partition index>.<16 hexadecimal digits>".
 type ProgramID string
 
-// CallKind tells which sort of back end serves a call.
+// CallKind is the kind of back end that serves a call.
 type CallKind string
 
 // The kinds of call.
@@ -34,26 +34,28 @@
 	return s != StatusWaiting && s != StatusRunning
 }
 
-// CreateProgram asks for a new program on a branch of the settings tree.
+// CreateProgram is the request to create a program on a branch of the settings
+// tree.
 type CreateProgram struct {
 	// Branch is the path of the branch, such as "koudeketting/triage".
 	Branch string `json:"branch"`
 	// Key is the caller's idempotency key: the same branch and key always
-	// name the same program.
+	// identify the same program.
 	Key string `json:"key"`
-	// BudgetTokens lowers the contract's token budget. Zero keeps it.
+	// BudgetTokens lowers the token budget below the contract's. Zero means
+	// the contract's budget.
 	BudgetTokens int64 `json:"budget_tokens,omitempty"`
-	// DeadlineMilliseconds bounds the whole program's time, from its creation.
-	// Zero keeps the contract's.
+	// DeadlineMilliseconds bounds the program's lifetime from its creation.
+	// Zero means the contract's limit.
 	DeadlineMilliseconds int64 `json:"deadline_ms,omitempty"`
 }
 
-// SubmitCall asks for one call of a program.
+// SubmitCall is the request to make one call of a program.
 type SubmitCall struct {
 	// Key is the caller's idempotency key, unique within the program.
 	Key string `json:"key"`
-	// Sequence is the call's place in the program's order, from 1. Zero means
-	// the next free place.
+	// Sequence is the call's sequence number in the program, from 1. Zero
+	// means the next free one.
 	Sequence uint64   `json:"sequence,omitempty"`
 	Kind     CallKind `json:"kind"`
 	// Model and MaxOutputTokens are for model calls.
@@ -61,26 +63,28 @@
 	MaxOutputTokens int    `json:"max_output_tokens,omitempty"`
 	// Tool is the name of the tool, for tool calls.
 	Tool string `json:"tool,omitempty"`
-	// Repeatable says that running the call twice does no harm. Model calls
-	// are always repeatable.
+	// Repeatable means that running the call more than once is harmless. Model
+	// calls are always repeatable.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// Input is what this call adds to the program's history. A model call's
-	// prompt is the program's whole history followed by its Input.
+	// Input is the text that this call adds to the program's history. A model
+	// call's prompt is the program's whole history followed by Input.
 	Input string `json:"input"`
-	// TimeoutMilliseconds bounds the call. Zero keeps the contract's.
+	// TimeoutMilliseconds bounds the call's time. Zero means the contract's
+	// limit.
 	TimeoutMilliseconds int64 `json:"timeout_ms,omitempty"`
-	// Stream asks for server-sent events in place of one JSON answer.
+	// Stream requests server-sent events instead of one JSON answer.
 	Stream bool `json:"stream,omitempty"`
 }
 
-// Usage counts what a call cost.
+// Usage is the number of tokens that a call used. CachedTokens are the prompt
+// tokens that the engine had cached.
 type Usage struct {
 	PromptTokens int `json:"prompt_tokens"`
 	CachedTokens int `json:"cached_tokens"`
 	OutputTokens int `json:"output_tokens"`
 }
 
-// Call is a call as callers see it.
+// Call is the state of a call as shown to callers.
 type Call struct {
 	Program  ProgramID  `json:"program"`
 	Sequence uint64     `json:"sequence"`
@@ -95,7 +99,7 @@
 	Error    *Error     `json:"error,omitempty"`
 }
 
-// Program is a program as callers see it.
+// Program is the state of a program as shown to callers.
 type Program struct {
 	ID             ProgramID `json:"id"`
 	Branch         string    `json:"branch"`
@@ -110,10 +114,11 @@
 	CreatedAt      time.Time `json:"created_at"`
 }
 
-// History is a part of a program's calls in their order.
+// History is a range of a program's calls, in order.
 type History struct {
 	Program ProgramID `json:"program"`
 	Calls   []Call    `json:"calls"`
-	// Next is the sequence to ask for next; zero when there is no more.
+	// Next is the sequence number from which the next range begins; zero if
+	// there are no more calls.
 	Next uint64 `json:"next,omitempty"`
 }
--- a/api/decode.go
+++ b/api/decode.go
@@ -10,21 +10,22 @@
 	"unicode/utf8"
 )
 
-// maximumFindings bounds how much of a wrong input is reported.
+// maximumFindings bounds the number of findings for one input.
 const maximumFindings = 20
 
-// Findings collects what is wrong with one input.
+// Findings lists what is wrong with one input.
 type Findings []Finding
 
-// Add records that the input is wrong at the place, such as "$.calls[0].key".
+// Add adds a finding at a location such as "$.calls[0].key", unless the list is
+// full.
 func (f *Findings) Add(place, format string, arguments ...any) {
 	if len(*f) < maximumFindings {
 		*f = append(*f, Finding{Place: place, Message: fmt.Sprintf(format, arguments...)})
 	}
 }
 
-// Error returns nil when nothing was found, and otherwise one bad_request
-// error that carries everything.
+// Error returns nil if there are no findings, and otherwise a bad_request error
+// with all of them.
 func (f Findings) Error() *Error {
 	if len(f) == 0 {
 		return nil
@@ -37,10 +38,10 @@
 	return refusal
 }
 
-// Decode reads one JSON object into the struct that target points to. Unlike
-// json.Unmarshal it goes on after a mistake and collects all of them: fields
-// of a wrong type, unknown fields and repeated fields, each with its place.
-// Text that is not JSON at all is reported with its line and column.
+// Decode decodes one JSON object into the struct that target points to. Unlike
+// json.Unmarshal it continues after an error and returns all of them with their
+// locations: fields of a wrong type, unknown fields and repeated fields. For
+// invalid JSON it returns the line and column of the first error.
 func Decode(body []byte, target any) Findings {
 	var findings Findings
 	if place, message := checkSyntax(body); message != "" {
@@ -51,8 +52,8 @@
 	return findings
 }
 
-// checkSyntax returns the place and the description of the first mistake in
-// the text, or an empty message.
+// checkSyntax returns the location and the description of the first syntax error
+// in the text. If there is none, the message is empty.
 func checkSyntax(body []byte) (place, message string) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return "$", "the body is empty; want one JSON object"
@@ -85,7 +86,8 @@
 	return valid
 }
 
-// position describes a byte offset as line and column, both from 1.
+// position formats a byte offset as line and column, both from 1. Columns count
+// bytes.
 func position(body []byte, offset int) string {
 	before := body[:min(offset, len(body))]
 	line := bytes.Count(before, []byte("\n")) + 1
@@ -93,7 +95,7 @@
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// decodeValue reads raw, which is valid JSON, into value.
+// decodeValue decodes raw, which is valid JSON, into value.
 func decodeValue(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
 	_, decodesItself := value.Addr().Interface().(json.Unmarshaler)
 	switch {
@@ -115,7 +117,7 @@
 	return string(bytes.TrimSpace(raw)) == "null"
 }
 
-// decodeWhole leaves the value to the standard decoder.
+// decodeWhole decodes the value with encoding/json.
 func decodeWhole(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
 	err := json.Unmarshal(raw, value.Addr().Interface())
 	var wrongType *json.UnmarshalTypeError
@@ -127,7 +129,7 @@
 	}
 }
 
-// describeKind names a Go type the way a JSON author would.
+// describeKind describes a Go type in terms of JSON.
 func describeKind(kind reflect.Type) string {
 	switch kind.Kind() {
 	case reflect.Bool:
@@ -143,7 +145,7 @@
 	}
 }
 
-// decodeArray reads each element with its index in the place.
+// decodeArray decodes each element, with its index as part of the location.
 func decodeArray(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
 	var elements []json.RawMessage
 	if err := json.Unmarshal(raw, &elements); err != nil {
@@ -157,7 +159,7 @@
 	value.Set(slice)
 }
 
-// decodeObject reads each member into the field of its JSON name.
+// decodeObject decodes each member into the field with its JSON name.
 func decodeObject(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if open, _ := decoder.Token(); open != json.Delim('{') {
@@ -186,7 +188,7 @@
 	}
 }
 
-// fieldByName finds the struct field with the JSON name, spelled exactly.
+// fieldByName returns the struct field with exactly this JSON name.
 func fieldByName(value reflect.Value, name string) (reflect.Value, bool) {
 	kind := value.Type()
 	for i := range kind.NumField() {
--- a/api/decode_test.go
+++ b/api/decode_test.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// TestDecodeReadsWhatIsEncoded holds that what callers can express arrives as
-// it was sent, and passes the checks.
+// TestDecodeReadsWhatIsEncoded checks that an encoded request decodes to the
+// same value and passes validation.
 func TestDecodeReadsWhatIsEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := api.SubmitCall{
@@ -37,9 +37,9 @@
 	})
 }
 
-// TestDecodeAgreesWithTheStandardDecoder holds that no broken input is taken
-// for a good one: whatever passes is JSON that the standard decoder reads in
-// the same way.
+// TestDecodeAgreesWithTheStandardDecoder guards against accepting invalid input:
+// any input that Decode accepts must decode to the same value with
+// encoding/json.
 func TestDecodeAgreesWithTheStandardDecoder(t *testing.T) {
 	pieces := []string{"{", "}", "[", "]", ",", ":", `"key"`, `"branch"`, `"budget_tokens"`, `"p"`, "1", "-1e9", "null", "true", " ", "\n", "\xff", `"\ud800"`}
 	rapid.Check(t, func(t *rapid.T) {
--- a/api/doc.go
+++ b/api/doc.go
@@ -1,4 +1,4 @@
-// Package api holds the types that callers see: programs, calls, answers and
-// errors, in their JSON form. The gateway, the control state machine, the load
-// tool and the command line share them. docs/API.md describes the routes.
+// Package api defines the JSON types of the callers' API: programs, calls,
+// answers and errors. The gateway, the control state machine, the load tool and
+// the command line use them. docs/API.md describes the routes.
 package api
--- a/api/error.go
+++ b/api/error.go
@@ -5,24 +5,25 @@
 	"fmt"
 )
 
-// Ran says whether the refused or failed request can have taken effect.
+// Ran states whether a refused or failed request may have taken effect.
 type Ran string
 
-// What is known of a request that has no successful answer.
+// The values of Ran.
 const (
-	// RanNotRun: nothing was sent to a back end, and nothing can be any more.
+	// RanNotRun means that nothing was sent to a back end, and nothing will be.
 	RanNotRun Ran = "not_run"
-	// RanOutcomeUnknown: the request may have taken effect. Ask again with
-	// the same key.
+	// RanOutcomeUnknown means that the request may have taken effect. The
+	// caller should repeat it with the same key.
 	RanOutcomeUnknown Ran = "outcome_unknown"
-	// RanFailed: the back end ran the request and reported a failure.
+	// RanFailed means that the back end ran the request and reported a
+	// failure.
 	RanFailed Ran = "failed"
 )
 
-// Code is the stable name of an error.
+// Code identifies the kind of an error. Codes are stable.
 type Code string
 
-// The codes that callers can rely on. docs/API.md explains each.
+// The codes of errors, explained in docs/API.md.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeBodyTooLarge     Code = "body_too_large"
@@ -51,32 +52,33 @@
 	CodeConflict         Code = "conflict"
 )
 
-// Error is what a caller gets in place of an answer.
+// Error is the answer to a refused or failed request.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Ran says whether the request can have taken effect.
+	// Ran states whether the request may have taken effect.
 	Ran Ran `json:"ran"`
-	// Retry says whether the same request, with the same key, may succeed.
+	// Retry is set if the same request, with the same key, may succeed later.
 	Retry bool `json:"retry"`
-	// RetryAfterMilliseconds is how long to wait first. Zero: at once.
+	// RetryAfterMilliseconds is how long to wait before a retry. Zero means
+	// that the caller may retry at once.
 	RetryAfterMilliseconds int64 `json:"retry_after_ms,omitempty"`
-	// Place is the part of the input that is wrong, such as "$.model".
+	// Location is the part of the input that is wrong, such as "$.model".
 	Place string `json:"place,omitempty"`
-	// ID names this refusal; `birchwood why ID` explains it.
+	// ID identifies this refusal; `birchwood why ID` explains it.
 	ID string `json:"id,omitempty"`
-	// Findings lists everything that is wrong with the input when there is
-	// more than one thing; Message and Place are then the first of them.
+	// Findings lists everything that is wrong with the input if there is more
+	// than one finding; Message and Location are then those of the first.
 	Findings []Finding `json:"findings,omitempty"`
 }
 
-// Finding is one thing that is wrong with an input, with its place.
+// Finding is one thing that is wrong with an input, and its location.
 type Finding struct {
 	Place   string `json:"place"`
 	Message string `json:"message"`
 }
 
-// Error makes Error usable as a Go error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s (%s)", e.Code, e.Message, e.Ran)
 }
@@ -86,25 +88,27 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, arguments...), Ran: RanNotRun}
 }
 
-// At returns a copy that names the wrong part of the input.
+// WithLocation returns a copy with the location of the wrong part of the input.
 func (e Error) At(place string) *Error {
 	e.Place = place
 	return &e
 }
 
-// After returns a copy that invites a retry after the given milliseconds.
+// WithRetryAfter returns a copy that asks for a retry after the given time in
+// milliseconds.
 func (e Error) After(milliseconds int64) *Error {
 	e.Retry = true
 	e.RetryAfterMilliseconds = milliseconds
 	return &e
 }
 
-// ErrorBody is the JSON form of every answer that is an error.
+// ErrorBody is the JSON body of every error answer.
 type ErrorBody struct {
 	Error *Error `json:"error"`
 }
 
-// ErrorIn returns the error that a JSON body carries, or nil if it is none.
+// DecodeError returns the error in a JSON body, or nil if the body is not an
+// ErrorBody.
 func ErrorIn(body []byte) *Error {
 	var decoded ErrorBody
 	if json.Unmarshal(body, &decoded) != nil {
--- a/api/openapi_test.go
+++ b/api/openapi_test.go
@@ -16,7 +16,7 @@
 	"birchwood.example/birchwood/api"
 )
 
-// description is the part of openapi.yaml that the tests read.
+// description is the part of openapi.yaml that the tests use.
 type description struct {
 	Components struct {
 		Schemas map[string]struct {
--- a/api/status.go
+++ b/api/status.go
@@ -1,7 +1,7 @@
 package api
 
-// The HTTP statuses of errors, as RFC 9110 numbers them. They stand here so
-// that packages which embed the types need no HTTP package.
+// The HTTP statuses of errors, from RFC 9110. They are defined here so that
+// packages that use the types don't depend on an HTTP package.
 const (
 	statusBadRequest            = 400
 	statusUnauthorized          = 401
@@ -19,8 +19,8 @@
 	statusGatewayTimeout        = 504
 )
 
-// statuses maps each code to its HTTP status. docs/API.md holds the same
-// table, and a test compares the two.
+// statuses maps each code to its HTTP status. A test compares it with the table
+// in docs/API.md.
 var statuses = map[Code]int{
 	CodeBadRequest:       statusBadRequest,
 	CodeBodyTooLarge:     statusRequestEntityTooLarge,
@@ -49,8 +49,8 @@
 	CodeConflict:         statusConflict,
 }
 
-// HTTPStatus returns the HTTP status that goes with the code. An unknown code
-// is an internal error.
+// HTTPStatus returns the HTTP status of the code. An unknown code is an internal
+// error.
 func (c Code) HTTPStatus() int {
 	if status, known := statuses[c]; known {
 		return status
@@ -58,7 +58,7 @@
 	return statusInternalServerError
 }
 
-// Codes returns every known code and its HTTP status.
+// Codes returns all codes and their HTTP statuses.
 func Codes() map[Code]int {
 	codes := make(map[Code]int, len(statuses))
 	for code, status := range statuses {
--- a/api/validate.go
+++ b/api/validate.go
@@ -5,23 +5,24 @@
 	"strings"
 )
 
-// Limits of the callers' input.
+// Limits on the callers' input.
 const (
 	// MaximumKeyLength bounds idempotency keys, in bytes.
 	MaximumKeyLength = 128
 	// MaximumNameLength bounds the names of models, tools and branches, in
 	// bytes.
 	MaximumNameLength = 256
-	// MaximumOutputTokens bounds what a call may ask for.
+	// MaximumOutputTokens bounds SubmitCall.MaxOutputTokens.
 	MaximumOutputTokens = 1 << 20
-	// MaximumMilliseconds bounds time-outs and deadlines: 30 days.
+	// MaximumMilliseconds bounds time-outs and deadlines. It is 30 days.
 	MaximumMilliseconds = 30 * 24 * 60 * 60 * 1000
 )
 
-// validKey keeps keys usable as one segment of a path.
+// validKey matches keys that can be used as one segment of a URL path.
 var validKey = regexp.MustCompile(`^[A-Za-z0-9._:~@=+,-]+$`)
 
-// CheckKey reports what is wrong with an idempotency key.
+// CheckKey adds what is wrong with an idempotency key to the findings. place is
+// the key's location in the input.
 func CheckKey(key, place string, findings *Findings) {
 	switch {
 	case key == "":
@@ -33,7 +34,7 @@
 	}
 }
 
-// Validate reports what is wrong with the request.
+// Validate adds what is wrong with the request to the findings.
 func (c *CreateProgram) Validate(findings *Findings) {
 	if c.Branch == "" {
 		findings.Add("$.branch", "a branch is required")
@@ -41,8 +42,8 @@
 	c.ValidateAgent(findings)
 }
 
-// ValidateAgent reports what is wrong with the request for a sub-agent, whose
-// branch may be left out: it is then its parent's.
+// ValidateAgent adds what is wrong with the request for a sub-agent to the
+// findings. The branch may be omitted; it then is the parent's.
 func (c *CreateProgram) ValidateAgent(findings *Findings) {
 	checkBranch(c.Branch, findings)
 	CheckKey(c.Key, "$.key", findings)
@@ -61,7 +62,7 @@
 	}
 }
 
-// Validate reports what is wrong with the request.
+// Validate adds what is wrong with the request to the findings.
 func (s *SubmitCall) Validate(findings *Findings) {
 	CheckKey(s.Key, "$.key", findings)
 	switch s.Kind {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine is the client's view of a model engine: generate, cancel,
-// release, cache events, load and fenced orders. The HTTP adapter is
-// package enginehttp, and the stand-in engine is in package emulator/standin.
+// Package engine defines the client interface of model engines: generation,
+// cancellation, release of cached prefixes, cache events, load and fenced
+// orders. Package enginehttp implements it over HTTP, and package
+// emulator/standin has an engine for tests.
 package engine
 
 import (
@@ -12,24 +13,24 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// GenerateRequest asks for one answer. The engine names the stream by Stream:
-// the same name asked again resumes the same stream.
+// GenerateRequest is a request for one answer. Stream identifies the answer's
+// stream: a repeated request with the same Stream resumes it.
 type GenerateRequest struct {
 	// Stream is "<program>/<sequence>/<attempt>".
 	Stream string `json:"stream"`
-	// Owner is the program whose prefix the engine keeps for the next turn.
+	// Owner is the program whose prefix the engine caches for its next call.
 	Owner    api.ProgramID `json:"owner"`
 	Model    string        `json:"model"`
 	Prompt   string        `json:"prompt"`
 	Priority int           `json:"priority"`
-	// MaxOutputTokens is where the engine cuts the answer.
+	// MaxOutputTokens is the length at which the engine truncates the answer.
 	MaxOutputTokens int `json:"max_output_tokens"`
-	// ResumeFrom is the byte offset of the answer to start at.
+	// ResumeFrom is the byte offset in the answer from which to send it.
 	ResumeFrom int `json:"resume_from,omitempty"`
 }
 
-// Chunk is a part of an answer. The last one has Done set, with the usage and
-// the engine's load.
+// Chunk is a part of an answer. The last one has Done set, and carries the usage
+// and the engine's load.
 type Chunk struct {
 	// Offset is the byte offset of Text in the answer.
 	Offset int           `json:"offset"`
@@ -37,21 +38,23 @@
 	Done   bool          `json:"done,omitempty"`
 	Usage  api.Usage     `json:"usage"`
 	Load   schedule.Load `json:"load"`
-	// Resident is how many tokens of the program's prefix stay cached.
+	// ResidentTokens is the number of tokens of the program's prefix that stay
+	// in the engine's cache.
 	Resident int    `json:"resident,omitempty"`
 	Error    string `json:"error,omitempty"`
 }
 
-// Prefix is one cached prefix as an engine lists it.
+// Prefix is an entry of an engine's list of cached prefixes.
 type Prefix struct {
 	Owner  api.ProgramID `json:"owner"`
 	Tokens int           `json:"tokens"`
-	// IdleFor is how long nothing has used it.
+	// IdleFor is the time since the prefix was last used.
 	IdleFor time.Duration `json:"idle_for"`
 }
 
-// CacheEvent says that an engine added or evicted a prefix. Events come late;
-// a step in Sequence of more than one is a gap.
+// CacheEvent reports that an engine added or evicted a prefix. Events are
+// delayed. Sequence increases by one per event; a larger step means that events
+// are missing.
 type CacheEvent struct {
 	Sequence uint64        `json:"sequence"`
 	Owner    api.ProgramID `json:"owner"`
@@ -60,9 +63,9 @@
 }
 
 // Order tells an engine to load or unload a model ("name", "name@version" or
-// "name@version+adapter"), or to change its role. Fence grows with each
-// order's issuer; an engine refuses an order whose fence is lower than the
-// highest it has seen.
+// "name@version+adapter"), or to change its role. Fence is a fencing token that
+// increases whenever the issuer of orders changes; an engine refuses an order
+// with a lower Fence than the highest one it has received.
 type Order struct {
 	Fence  uint64 `json:"fence"`
 	Load   string `json:"load,omitempty"`
@@ -71,10 +74,10 @@
 	Role string `json:"role,omitempty"`
 }
 
-// Client talks to one engine.
+// Client sends requests to one engine.
 type Client interface {
-	// Generate calls receive for each chunk until the last. It returns a
-	// *NotSentError when nothing reached the engine.
+	// Generate calls receive for each chunk up to the last. It returns a
+	// *NotSentError if the request certainly had no effect at the engine.
 	Generate(ctx context.Context, request GenerateRequest, receive func(Chunk) error) error
 	Cancel(ctx context.Context, stream string) error
 	Release(ctx context.Context, owner api.ProgramID) error
@@ -82,19 +85,20 @@
 	Events(ctx context.Context, after uint64) ([]CacheEvent, error)
 	Load(ctx context.Context) (schedule.Load, error)
 	Order(ctx context.Context, order Order) error
-	// Import asks the engine to fetch a program's KV cache from another.
+	// Import makes the engine fetch a program's KV cache from another engine.
 	Import(ctx context.Context, owner api.ProgramID, from string) error
 }
 
-// Dialer returns the client of a back end.
+// Dialer returns clients of back ends.
 type Dialer interface {
 	Engine(backend machine.Machine) Client
 }
 
-// NotSentError says that the request certainly never reached the back end.
+// NotSentError means that the request certainly had no effect at the back end:
+// it was not sent, or the back end refused it.
 type NotSentError struct{ Cause error }
 
-// Error describes the failure.
+// Error implements the error interface.
 func (e *NotSentError) Error() string { return "not sent: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
--- a/engine/enginehttp/enginehttp.go
+++ b/engine/enginehttp/enginehttp.go
@@ -1,6 +1,6 @@
-// Package enginehttp reaches model engines over HTTP/1.1: requests in JSON,
-// answers that stream as lines of JSON. docs/STANDINS.md describes the
-// routes.
+// Package enginehttp implements the client of model engines over HTTP/1.1.
+// Requests are JSON, and streamed answers are JSON lines. docs/STANDINS.md
+// describes the routes.
 package enginehttp
 
 import (
@@ -18,15 +18,15 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// Dialer returns the clients of engines, one per address. It is safe for
-// concurrent use.
+// Dialer returns clients of engines, one per address. It is safe for concurrent
+// use.
 type Dialer struct{ pool *httpclient.Pool }
 
 var _ engine.Dialer = (*Dialer)(nil)
 
-// NewDialer returns a dialer without clients. The options hold for every one of
-// them; their Address is not used, and their Timeout bounds a request whose
-// context has no deadline, a whole stream included.
+// NewDialer returns a dialer whose clients all use the options, except Address.
+// Timeout bounds a request whose context has no deadline, including a whole
+// stream.
 func NewDialer(options httpclient.Options) *Dialer {
 	return &Dialer{pool: httpclient.NewPool(options)}
 }
@@ -36,20 +36,21 @@
 	return &client{http: d.pool.Client(backend.Address)}
 }
 
-// Close closes the idle connections of every client.
+// Close closes the idle connections of all clients.
 func (d *Dialer) Close() { d.pool.Close() }
 
-// client talks to one engine.
+// client is the client of one engine.
 type client struct {
 	http *httpclient.Client
 }
 
-// ErrCutShort says that a stream ended before its last chunk. The answer can
-// be resumed from the offset that was received.
+// ErrCutShort means that a stream ended before its last chunk. The answer can be
+// resumed from the end of the received text.
 var ErrCutShort = errors.New("engine: stream ended before the last chunk")
 
-// Generate implements engine.Client. A refusal (4xx, or 503) is reported as
-// *engine.NotSentError, because the engine promises that it did nothing.
+// Generate implements engine.Client. It returns a *engine.NotSentError for a
+// refusal (4xx, or 503), because these statuses mean that the request had no
+// effect at the engine.
 func (c *client) Generate(ctx context.Context, request engine.GenerateRequest, receive func(engine.Chunk) error) error {
 	done := false
 	err := c.http.Lines(ctx, "/generate", request, func(line []byte) error {
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// generateError turns the client's error into the one that engine.Client
-// promises.
+// generateError converts an httpclient error to the one specified by
+// engine.Client.
 func generateError(err error) error {
 	var notSent *httpclient.NotSentError
 	if errors.As(err, &notSent) {
@@ -119,7 +120,8 @@
 	return c.http.Do(ctx, fasthttp.MethodPost, "/order", order, nil)
 }
 
-// Import implements engine.Client. It returns once the cache has arrived.
+// Import implements engine.Client. It returns once the engine has received the
+// KV cache.
 func (c *client) Import(ctx context.Context, owner api.ProgramID, from string) error {
 	return c.http.Do(ctx, fasthttp.MethodPost, "/import", engine.ImportBody{Owner: owner, From: from}, nil)
 }
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -1,7 +1,6 @@
-// Package infra holds the small interfaces through which a node reaches
-// the platform: the log service, the machine list and the weight store. An
-// adapter implements them for one platform; nothing of its wire format shows
-// above this package.
+// Package infra defines the interfaces through which a node uses the platform:
+// the log service, the machine list and the weight store. An adapter implements
+// them for one platform; other packages do not depend on its wire format.
 package infra
 
 import (
@@ -11,24 +10,25 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// ErrNotAppended marks an append that certainly took no effect: the service
-// refused it, or it never left this process. Any other error of Append leaves
-// the outcome unknown.
+// ErrNotAppended means that an append certainly had no effect: the service
+// refused it, or it was not sent. With any other error of Append the outcome is
+// unknown.
 var ErrNotAppended = errors.New("log service: not appended")
 
 // Log is the platform's append-only log service.
 type Log interface {
-	// Append adds the entries to the end of the stream, in order and without
-	// gaps, and returns the offset of the first. Offsets start at zero.
+	// Append appends the entries to the stream, in order and without gaps, and
+	// returns the offset of the first. Offsets start at zero.
 	Append(ctx context.Context, stream string, entries [][]byte) (firstOffset uint64, err error)
 	// Read returns up to maximum entries from the offset on, and the stream's
-	// end: the offset that the next append would get. A stream that was never
-	// written to is empty.
+	// end, which is the offset of the next entry to be appended. A stream that
+	// was never written to is empty.
 	Read(ctx context.Context, stream string, from uint64, maximum int) (entries [][]byte, end uint64, err error)
 }
 
-// MachineList is the platform's list of machines, which lags.
+// MachineList is the platform's list of machines. It may be out of date.
 type MachineList interface {
+	// Machines returns the list.
 	Machines(ctx context.Context) ([]machine.Machine, error)
 	// Announce registers this machine or renews its entry.
 	Announce(ctx context.Context, self machine.Machine) error
@@ -36,9 +36,9 @@
 	Withdraw(ctx context.Context, id machine.ID) error
 }
 
-// WeightStore tells the state of the rate-limited store of model weights.
+// WeightStore is the rate-limited store of model weights.
 type WeightStore interface {
-	// Reserve asks to load a model's weights and returns how long the
-	// transfer waits for the store's rate limit.
+	// Reserve reserves a transfer of a model's weights, and returns how long
+	// the transfer is delayed by the store's rate limit.
 	Reserve(ctx context.Context, model string) (waitMilliseconds int64, err error)
 }
--- a/infra/infrahttp/infrahttp.go
+++ b/infra/infrahttp/infrahttp.go
@@ -1,6 +1,6 @@
-// Package infrahttp reaches the platform over HTTP/1.1 with JSON: the log
-// service, the machine list and the weight store. docs/STANDINS.md describes
-// the routes. One value of each type serves any number of goroutines.
+// Package infrahttp implements the clients of the platform's log service,
+// machine list and weight store over HTTP/1.1 with JSON. docs/STANDINS.md
+// describes the routes. All types are safe for concurrent use.
 package infrahttp
 
 import (
@@ -18,12 +18,12 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Platform is the platform's log service, machine list and weight store at
-// one address.
+// Platform is the client of the platform's log service, machine list and weight
+// store at one address.
 type Platform struct {
 	client *httpclient.Client
-	// listed is the machine list as it came last, and fullLists how often it
-	// came whole.
+	// listed is the last machine list received, and fullLists the number of
+	// times that the platform sent the whole list.
 	listed    atomic.Pointer[machinesAnswer]
 	fullLists atomic.Uint64
 }
@@ -34,7 +34,7 @@
 	_ infra.WeightStore = (*Platform)(nil)
 )
 
-// New returns the platform at an address. It opens no connection yet.
+// New returns a client of the platform. It does not connect yet.
 func New(options httpclient.Options) *Platform {
 	return &Platform{client: httpclient.New(options)}
 }
@@ -42,8 +42,8 @@
 // Close closes the idle connections.
 func (p *Platform) Close() { p.client.Close() }
 
-// appendRequest and the types below are the bodies of the wire protocol.
-// Entries travel as base64 strings.
+// appendRequest and the types below are the JSON bodies of the protocol. Entries
+// are encoded as base64 strings.
 type appendRequest struct {
 	Entries [][]byte `json:"entries"`
 }
@@ -67,12 +67,12 @@
 	WaitMilliseconds int64 `json:"wait_ms"`
 }
 
-// errIncomplete marks an answer without its required field. What the request
-// did is unknown then.
+// errIncomplete means that an answer lacks a required field. The outcome of the
+// request is then unknown.
 var errIncomplete = errors.New("platform: incomplete answer")
 
-// Append implements infra.Log. The error wraps infra.ErrNotAppended
-// when no connection was had or the service refused the request.
+// Append implements infra.Log. The error wraps infra.ErrNotAppended if the
+// request was not sent or the service refused it.
 func (p *Platform) Append(ctx context.Context, stream string, entries [][]byte) (uint64, error) {
 	var answer appendAnswer
 	path := "/streams/" + url.PathEscape(stream)
@@ -86,7 +86,8 @@
 	return *answer.FirstOffset, nil
 }
 
-// appendError adds infra.ErrNotAppended where it is certain.
+// appendError wraps the error with infra.ErrNotAppended if the request certainly
+// had no effect.
 func appendError(err error) error {
 	var notSent *httpclient.NotSentError
 	if errors.As(err, &notSent) {
@@ -112,8 +113,8 @@
 	return answer.Entries, *answer.End, nil
 }
 
-// Machines implements infra.MachineList. It names the version that it holds,
-// so that an unchanged list costs a short answer and not the whole list.
+// Machines implements infra.MachineList. The request has the version of the last
+// list received, so that the platform needs not send an unchanged list again.
 func (p *Platform) Machines(ctx context.Context) ([]machine.Machine, error) {
 	held := p.listed.Load()
 	path := "/machines"
@@ -132,7 +133,8 @@
 	return slices.Clone(answer.Machines), nil
 }
 
-// FullLists returns how often the machine list came whole.
+// FullListFetches returns the number of times that the platform sent the whole
+// machine list.
 func (p *Platform) FullLists() uint64 { return p.fullLists.Load() }
 
 // Announce implements infra.MachineList.
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream holds the answers that are being generated, so that callers
-// can attach at any byte offset while tokens arrive. Traffic goroutines write
-// and read it; the control state machine does not.
+// Package stream buffers answers while they are being generated, so that callers
+// can attach at any byte offset while tokens arrive. The goroutines that serve
+// requests and back ends use the buffers; the control state machine does not.
 package stream
 
 import (
@@ -18,6 +18,7 @@
 	attempt int
 	closed  bool
 	final   *api.Call
+	// changed is closed, and replaced, at each change.
 	changed chan struct{}
 }
 
@@ -26,8 +27,8 @@
 	return &Buffer{changed: make(chan struct{})}
 }
 
-// Restart drops the text and begins the next attempt. Text of older attempts
-// is refused from then on.
+// Restart discards the text and begins the given attempt, unless it is not newer
+// than the present one. From then on, Append rejects text of older attempts.
 func (b *Buffer) Restart(attempt int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -39,9 +40,9 @@
 	b.wake()
 }
 
-// Append adds the text that stands at the byte offset of the attempt's
-// answer. Text that is already there is skipped, and text of another attempt,
-// or after a gap, is dropped; Append reports whether it was taken.
+// Append adds the text at the byte offset of the attempt's answer. It skips what
+// the buffer already has, and rejects text of another attempt, text after a gap
+// and text after Close. It reports whether the text was accepted.
 func (b *Buffer) Append(attempt, offset int, text string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -57,11 +58,12 @@
 	return true
 }
 
-// Close marks the answer as complete: readers get the rest and then stop.
+// Close marks the answer as complete: readers get the remaining text and the
+// end.
 func (b *Buffer) Close() { b.finish(nil) }
 
-// Finish is Close with the call as it was recorded: its record must be durable.
-// Readers that attached while it ran thus need not read it back.
+// Finish is like Close, and passes the terminal call to readers, so that they
+// need not read it back from the log. The call's record must be durable.
 func (b *Buffer) Finish(call api.Call) { b.finish(&call) }
 
 func (b *Buffer) finish(final *api.Call) {
@@ -75,22 +77,23 @@
 	b.wake()
 }
 
-// Part is what a reader gets: text of an attempt from Offset on.
+// Part is a piece of an attempt's answer, from the byte offset Offset on.
 type Part struct {
 	Attempt int
 	Offset  int
 	Text    string
-	Closed  bool
-	// Final is the recorded call, which is not to be changed, once the buffer
-	// is closed; nil if it must be asked for.
+	// Closed is set if the buffer is closed, so that Text ends the answer.
+	Closed bool
+	// Final is the terminal call once the buffer was closed by Finish, and nil
+	// otherwise. It must not be modified.
 	Final *api.Call
 }
 
-// Next waits until there is text after the offset of the attempt, or a newer
-// attempt, or the end. A reader whose attempt is older gets the newer one
-// from its beginning. A reader whose attempt is newer than the buffer's (it
-// was served by another node before) waits until the buffer catches up. Next
-// returns the context's error when ctx ends first.
+// Next waits for text after the offset of the attempt, for a newer attempt, or
+// for the end. A reader of an older attempt gets the newer one from its
+// beginning. A reader whose attempt is newer than the buffer's, because another
+// node served it before, waits until the buffer reaches that attempt. Next
+// returns the context's error if ctx ends first.
 func (b *Buffer) Next(ctx context.Context, attempt, offset int) (Part, error) {
 	for {
 		part, changed, ready := b.poll(attempt, offset)
@@ -105,14 +108,15 @@
 	}
 }
 
-// Attempt returns the attempt that the text belongs to; zero before the first.
+// Attempt returns the current attempt; zero before the first.
 func (b *Buffer) Attempt() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.attempt
 }
 
-// poll returns what Next would return now, or the channel to wait on.
+// poll returns the part for Next, or, if there is none yet, the channel that is
+// closed at the next change.
 func (b *Buffer) poll(attempt, offset int) (Part, <-chan struct{}, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -127,7 +131,7 @@
 	return Part{}, b.changed, false
 }
 
-// wake tells every waiting reader to look again. The mutex is held.
+// wake wakes all waiting readers. The caller holds the mutex.
 func (b *Buffer) wake() {
 	close(b.changed)
 	b.changed = make(chan struct{})
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -12,14 +12,14 @@
 	"birchwood.example/birchwood/stream"
 )
 
-// reader collects an answer the way a caller does: it drops its text when a
-// newer attempt begins.
+// reader collects an answer as a caller does: it discards its text when a newer
+// attempt begins.
 type reader struct {
 	attempt int
 	text    strings.Builder
 }
 
-// take adds a part and reports whether it fits onto what the reader has.
+// take adds a part and reports whether it directly follows the reader's text.
 func (r *reader) take(part stream.Part) bool {
 	if part.Attempt != r.attempt {
 		r.attempt = part.Attempt
@@ -32,7 +32,7 @@
 	return true
 }
 
-// drain reads until the end.
+// drain reads to the end of the buffer and reports whether all parts fitted.
 func (r *reader) drain(buffer *stream.Buffer) bool {
 	for {
 		part, err := buffer.Next(context.Background(), r.attempt, r.text.Len())
@@ -45,8 +45,9 @@
 	}
 }
 
-// step makes one random move of a writer that repeats itself, skips text and
-// is mixed with late text of older attempts. The text of attempt n is known.
+// step performs one random operation of a writer: it appends text, repeats text,
+// leaves a gap, sends late text of an older attempt, or restarts. answers[n] is
+// the whole text of attempt n.
 func step(t *rapid.T, buffer *stream.Buffer, attempt, written *int, answers []string) {
 	answer := answers[*attempt]
 	switch rapid.SampledFrom([]string{"append", "append", "append", "again", "gap", "late", "restart"}).Draw(t, "move") {
@@ -79,9 +80,9 @@
 	}
 }
 
-// TestReadersGetTheWholeAnswer holds that readers that attach at any moment,
-// some while the writer writes, end up with the last attempt's text, whole
-// and once.
+// TestReadersGetTheWholeAnswer checks that readers that attach at any time, some
+// while the writer appends, get the last attempt's text completely and without
+// duplicates.
 func TestReadersGetTheWholeAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		answers := append([]string{""}, rapid.SliceOfN(rapid.StringN(0, 40, 120), 1, 4).Draw(t, "answers")...)
@@ -113,8 +114,8 @@
 	})
 }
 
-// TestNextWaitsForABufferThatIsBehind holds that a reader whose text came from
-// another node, of a newer attempt, is not given older text.
+// TestNextWaitsForABufferThatIsBehind guards against sending a reader text of an
+// older attempt than the one that it has received from another node.
 func TestNextWaitsForABufferThatIsBehind(t *testing.T) {
 	buffer := stream.NewBuffer()
 	buffer.Restart(1)
--- a/tool/tool.go
+++ b/tool/tool.go
@@ -1,5 +1,6 @@
-// Package tool is the client's view of a tool service: run one request under
-// a key, and look a key up. The HTTP adapter is package toolhttp.
+// Package tool defines the client interface of tool services: run one request
+// under a key, and look up the result of a key. Package toolhttp implements it
+// over HTTP.
 package tool
 
 import (
@@ -8,31 +9,34 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// Request is one run of a tool.
+// Request is a request to run a tool once.
 type Request struct {
-	// Key identifies the request at the service, for Lookup.
+	// Key identifies the request in Lookup.
 	Key   string `json:"key"`
 	Tool  string `json:"tool"`
 	Input string `json:"input"`
 }
 
-// Client talks to one tool service.
+// Client sends requests to one tool service.
 type Client interface {
-	// Run returns the output. The error is a *engine.NotSentError when
-	// nothing reached the service, a *FailedError when the service answered
-	// that it failed, and any other when the outcome is unknown.
+	// Run runs the tool and returns its output. The error is an
+	// *engine.NotSentError if the request did not reach the service, and a
+	// *FailedError if the service reported that the run failed. With any other
+	// error the outcome is unknown.
 	Run(ctx context.Context, request Request) (output string, err error)
-	// Lookup asks whether the service has run the key, and for its output.
+	// Lookup reports whether the service has run the request with the key, and
+	// returns its output.
 	Lookup(ctx context.Context, key string) (output string, found bool, err error)
 }
 
-// Dialer returns the client of a tool service.
+// Dialer returns clients of tool services.
 type Dialer interface {
 	Tool(backend machine.Machine) Client
 }
 
-// FailedError is the service's own word that the run failed, without effect.
+// FailedError means that the service reported that the run failed and had no
+// effect.
 type FailedError struct{ Message string }
 
-// Error describes the failure.
+// Error implements the error interface.
 func (e *FailedError) Error() string { return "tool failed: " + e.Message }
--- a/tool/toolhttp/toolhttp.go
+++ b/tool/toolhttp/toolhttp.go
@@ -1,5 +1,5 @@
-// Package toolhttp reaches tool services over HTTP/1.1 with JSON.
-// docs/STANDINS.md describes the routes.
+// Package toolhttp implements the client of tool services over HTTP/1.1 with
+// JSON. docs/STANDINS.md describes the routes.
 package toolhttp
 
 import (
@@ -15,15 +15,14 @@
 	"birchwood.example/birchwood/tool"
 )
 
-// Dialer returns the clients of tool services, one per address. It is safe
-// for concurrent use.
+// Dialer returns clients of tool services, one per address. It is safe for
+// concurrent use.
 type Dialer struct{ pool *httpclient.Pool }
 
 var _ tool.Dialer = (*Dialer)(nil)
 
-// NewDialer returns a dialer without clients. The options hold for every one of
-// them; their Address is not used, and their Timeout bounds a request whose
-// context has no deadline.
+// NewDialer returns a dialer whose clients all use the options, except Address.
+// Timeout bounds a request whose context has no deadline.
 func NewDialer(options httpclient.Options) *Dialer {
 	return &Dialer{pool: httpclient.NewPool(options)}
 }
@@ -33,10 +32,10 @@
 	return &client{http: d.pool.Client(backend.Address)}
 }
 
-// Close closes the idle connections of every client.
+// Close closes the idle connections of all clients.
 func (d *Dialer) Close() { d.pool.Close() }
 
-// client talks to one tool service.
+// client is the client of one tool service.
 type client struct {
 	http *httpclient.Client
 }
@@ -50,13 +49,13 @@
 	Output string `json:"output"`
 }
 
-// errIncomplete marks an answer without its required field. What the request
-// did is unknown then.
+// errIncomplete means that an answer lacks a required field. The outcome of the
+// request is then unknown.
 var errIncomplete = errors.New("tool service: incomplete answer")
 
-// Run implements tool.Client. A status of 4xx, or 503, is the service's word
-// that the run failed without effect; any other failure after a connection
-// was made leaves the outcome unknown.
+// Run implements tool.Client. A status of 4xx, or 503, means that the run failed
+// without effect. After any other failure with an established connection the
+// outcome is unknown.
 func (c *client) Run(ctx context.Context, request tool.Request) (string, error) {
 	var answer runAnswer
 	err := c.http.Do(ctx, fasthttp.MethodPost, "/run", request, &answer)
@@ -69,7 +68,7 @@
 	return *answer.Output, nil
 }
 
-// runError turns the client's error into the one that tool.Client promises.
+// runError converts an httpclient error to the one specified by tool.Client.
 func runError(err error) error {
 	var notSent *httpclient.NotSentError
 	if errors.As(err, &notSent) {
