--- a/engine/engine.go
+++ b/engine/engine.go
@@ -64,8 +64,8 @@
 
 // Order tells an engine to load or unload a model ("name", "name@version" or
 // "name@version+adapter"), or to change its role. Fence is a fencing token that
-// increases whenever the issuer of orders changes; an engine refuses an order
-// with a lower Fence than the highest one it has received.
+// increases with each order; an engine refuses an order with a lower Fence than
+// the highest one it has received.
 type Order struct {
 	Fence  uint64 `json:"fence"`
 	Load   string `json:"load,omitempty"`
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -22,7 +22,7 @@
 var (
 	errNotSent = errors.New("no connection to the node")
 	// errIdleClosed means that the other node has closed a pooled connection.
-	errIdleClosed = fmt.Errorf("%w: it closed an idle one", errNotSent)
+	errIdleClosed = fmt.Errorf("%w: idle connection closed by the node", errNotSent)
 )
 
 // newPeerClient returns the client for requests to other nodes. It never
@@ -172,7 +172,7 @@
 	}
 	failure := api.ErrorIn(body)
 	if failure == nil {
-		return relayFailed(errors.New("not an answer of a gateway"))
+		return relayFailed(errors.New("error answer without an error body"))
 	}
 	if failure.Code == api.CodeUnauthorized {
 		g.logger.Warn().Str("node", address).Msg(logPrefix + "A node refused this node's peer token.")
--- a/operator/authenticate.go
+++ b/operator/authenticate.go
@@ -18,14 +18,15 @@
 type actor struct {
 	// scope is the branch on which, and below which, the operator acts.
 	scope contract.Path
-	// name tells operators apart in the history of the settings.
+	// name identifies the operator in the history of the settings.
 	name string
 }
 
-// tokenDigits is how much of a token's hash names its holder.
+// tokenDigits is the number of hexadecimal digits of a token's hash in the name
+// of its holder.
 const tokenDigits = 8
 
-// authenticate finds the branch that the request's bearer token acts on.
+// authenticate returns the operator that the request's bearer token identifies.
 func (s *Server) authenticate(ctx *fasthttp.RequestCtx) (actor, *api.Error) {
 	token, found := bytes.CutPrefix(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization), bearerPrefix)
 	if !found || len(token) == 0 {
@@ -43,7 +44,7 @@
 	return actor{scope: scope, name: "operator " + hashed[:tokenDigits]}, nil
 }
 
-// onWholeTree refuses operators of a branch what concerns every branch.
+// onWholeTree returns an error unless the operator acts on the whole tree.
 func (a actor) onWholeTree() *api.Error {
 	if a.scope == contract.Root {
 		return nil
@@ -51,8 +52,8 @@
 	return api.Refuse(api.CodeForbidden, "only operators of the whole tree may do this; this token acts on %s", a.scope)
 }
 
-// branch reads the branch of the query, which must be the operator's or
-// below it. Absent, it is the operator's.
+// branch reads a branch from the query, which must be the operator's branch or
+// below it. The default is the operator's branch.
 func (a actor) branch(ctx *fasthttp.RequestCtx, name string) (contract.Path, *api.Error) {
 	if !ctx.QueryArgs().Has(name) {
 		return a.scope, nil
@@ -67,7 +68,7 @@
 	return path, nil
 }
 
-// outside refuses a branch that is not the operator's.
+// outside returns the error for a branch outside of the operator's.
 func (a actor) outside(path contract.Path) *api.Error {
 	return api.Refuse(api.CodeForbidden, "branch %s is outside of %s, which this token acts on", path, a.scope)
 }
--- a/operator/contexts.go
+++ b/operator/contexts.go
@@ -7,27 +7,28 @@
 	"birchwood.example/birchwood/api"
 )
 
-// maximumContexts bounds the programs whose context is remembered.
+// maximumContexts bounds the number of programs that contexts tracks.
 const maximumContexts = 1 << 17
 
-// contexts remembers what the last call of each running program left in an
-// engine's cache, to tell what the next one finds of it. It is safe for
-// concurrent use.
+// contexts tracks how many context tokens the last call of each running program
+// left in an engine's cache, to measure how many of them the next call finds
+// there. It is safe for concurrent use.
 type contexts struct {
 	mutex sync.Mutex
 	held  map[api.ProgramID]heldContext
 }
 
-// heldContext is the context that a call left in an engine.
+// heldContext is the context that a call left in an engine's cache, and when the
+// call ended.
 type heldContext struct {
 	tokens int
 	since  time.Time
 }
 
-// finished notes a call that ended. It returns how many of its prompt tokens
-// were computed again although an earlier call had computed them, and the
-// token-seconds for which those were held in vain. The latter is an upper
-// bound: the engine may have evicted them at any time in between.
+// finished records a call that ended. It returns the number of its prompt tokens
+// that were recomputed although an earlier call had computed them, and the
+// token-seconds for which these were cached without use. The latter is an upper
+// bound, because the engine may have evicted them at any time in between.
 func (c *contexts) finished(call api.Call, now time.Time) (recomputed int, idle float64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -43,8 +44,8 @@
 	return recomputed, float64(recomputed) * now.Sub(before.since).Seconds()
 }
 
-// forget drops a program that ended. It returns the token-seconds for which
-// its last context was held in vain.
+// forget removes a program that ended. It returns the token-seconds for which
+// its last context was cached without use.
 func (c *contexts) forget(id api.ProgramID, now time.Time) float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/operator/export_test.go
+++ b/operator/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// SetClock makes the metrics read the time from the function.
+// SetClock sets the function from which the metrics read the time.
 func (m *Metrics) SetClock(now func() time.Time) { m.now = now }
--- a/operator/fake_test.go
+++ b/operator/fake_test.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// fakePrograms answers with what it was asked.
+// fakePrograms answers each request with its own parameters.
 type fakePrograms struct{}
 
 func (fakePrograms) Operate(_ context.Context, scope contract.Path, method, uri string, body []byte) (int, []byte) {
@@ -84,7 +84,7 @@
 // asker sends requests to a served operator.Server.
 type asker struct{ client *http.Client }
 
-// serve serves the node over memory until the spec ends.
+// serve serves the node over an in-memory listener until the spec ends.
 func serve(node *fakeNode, metrics *operator.Metrics, refusals *operator.RefusalLog) asker {
 	config := operator.DefaultConfig()
 	config.BootstrapToken = "bootstrap"
@@ -102,7 +102,7 @@
 	return asker{&http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
 }
 
-// ask sends one request and returns the status and the body.
+// ask sends one request and returns the answer's status and body.
 func (a asker) ask(method, path, token, body string) (int, string) {
 	request, err := http.NewRequest(method, "http://operator"+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -117,7 +117,7 @@
 	return response.StatusCode, string(text)
 }
 
-// scrape returns the metrics in their text form.
+// scrape returns the metrics in the text format.
 func scrape(metrics *operator.Metrics) string {
 	served := serve(&fakeNode{tree: contract.NewTree()}, metrics, operator.NewRefusalLog(1))
 	status, body := served.ask("GET", "/metrics", "", "")
--- a/operator/machines.go
+++ b/operator/machines.go
@@ -11,7 +11,7 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// draining is the answer to a request to drain a machine.
+// draining is the answer of the routes that drain a machine.
 type draining struct {
 	Draining machine.ID `json:"draining"`
 }
@@ -25,7 +25,7 @@
 	return nodes, nil
 }
 
-// BackendState is a back end, and whether operators have taken it out of use.
+// BackendState is a back end, and whether operators have drained it.
 type BackendState struct {
 	machine.Machine
 	Drained bool `json:"drained"`
@@ -67,7 +67,7 @@
 	return nil, noMachine(id)
 }
 
-// drainBackend takes a back end out of use.
+// drainBackend stops sending new work to a back end.
 func (s *Server) drainBackend(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	if refusal := who.onWholeTree(); refusal != nil {
 		return nil, refusal
@@ -85,7 +85,7 @@
 	return nil, noMachine(id)
 }
 
-// drained answers with what became of the request to drain a machine.
+// drained returns the answer to a request to drain a machine.
 func drained(id machine.ID, err error) (any, *api.Error) {
 	if err != nil {
 		return nil, failed(err)
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -22,14 +22,16 @@
 	labelDirection = "direction"
 )
 
-// latencyBuckets are for times that callers feel, in seconds.
+// latencyBuckets are the histogram buckets of latencies that callers observe and
+// of log appends, in seconds.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 30, 60, 120, 300, 900}
 
-// stepBuckets are for the control goroutine's steps, in seconds.
+// stepBuckets are the histogram buckets of the control goroutine's steps, in
+// seconds.
 var stepBuckets = []float64{10e-6, 25e-6, 50e-6, 100e-6, 250e-6, 500e-6, 1e-3, 2.5e-3, 10e-3, 50e-3, 250e-3}
 
-// Metrics holds everything that a node measures. Its methods are safe for
-// concurrent use. docs/operate/metrics.md explains each metric.
+// Metrics holds the metrics of a node. It is safe for concurrent use.
+// docs/operate/metrics.md explains each metric.
 type Metrics struct {
 	registry *prometheus.Registry
 
@@ -56,35 +58,36 @@
 	snapshot atomic.Pointer[func() Snapshot]
 }
 
-// Snapshot is what is read from the node at each scrape.
+// Snapshot holds the values that are read from the node at each scrape.
 type Snapshot struct {
 	OwnedPartitions    int
 	Programs           int
 	RunningCalls       int
 	UnconfirmedRecords int
-	// StalledPartitions are those whose recovery waits for mirrors.
+	// StalledPartitions is the number of partitions whose recovery waits for
+	// mirrors.
 	StalledPartitions int
-	// ControlBytesSent and ControlBytesReceived count control messages between
-	// nodes since the start.
+	// ControlBytesSent and ControlBytesReceived count the bytes of control
+	// messages between nodes since the process started.
 	ControlBytesSent     int64
 	ControlBytesReceived int64
 	// SettingsAge is the time since the settings were last known to be the
 	// newest.
 	SettingsAge time.Duration
-	// SettingsMayPlace says whether the settings are fresh enough for new
-	// work.
+	// SettingsAllowNewWork is set if the settings are fresh enough to start
+	// new work.
 	SettingsMayPlace bool
-	// Members counts machines by kind and status.
+	// Members is the number of machines by kind and status.
 	Members map[Member]int
 }
 
-// Member is a kind and status of machines.
+// Member is a kind and a status of machines.
 type Member struct {
 	Kind   string
 	Status string
 }
 
-// NewMetrics returns metrics that are all zero, in a registry of their own.
+// NewMetrics returns metrics that are all zero, in a separate registry.
 func NewMetrics() *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), now: time.Now}
 	m.declareUsers()
@@ -102,7 +105,7 @@
 	return m
 }
 
-// declareUsers declares the users' own measures.
+// declareUsers declares the metrics of program latency and wasted cache.
 func (m *Metrics) declareUsers() {
 	m.programLatency = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "birchwood_program_latency_seconds",
@@ -115,7 +118,7 @@
 		"Estimate: context tokens that no later call found cached, times the seconds since the call that left them.")
 }
 
-// declareCalls declares what calls cost and how they end.
+// declareCalls declares the metrics of the cost and the results of calls.
 func (m *Metrics) declareCalls() {
 	m.promptTokens = counter("birchwood_prompt_tokens_total", "Prompt tokens of ended calls.")
 	m.cachedTokens = counter("birchwood_prompt_cached_tokens_total", "Prompt tokens of ended calls that an engine had cached.")
@@ -131,7 +134,7 @@
 		"Requests that this node's state machine refused, by code, relayed ones included.", labelCode)
 }
 
-// declareNode declares the state of the node itself.
+// declareNode declares the metrics of the node itself.
 func (m *Metrics) declareNode() {
 	m.controlStep = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "birchwood_control_step_seconds",
@@ -149,7 +152,7 @@
 	})
 }
 
-// declareGateway declares what callers ask of this node.
+// declareGateway declares the metrics of requests at this node.
 func (m *Metrics) declareGateway() {
 	m.requests = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "birchwood_request_seconds",
@@ -177,7 +180,7 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 }
 
-// resultOf is the value of the result label.
+// resultOf returns the value of the label labelResult.
 func resultOf(failed bool) string {
 	if failed {
 		return "failed"
@@ -185,15 +188,15 @@
 	return "ok"
 }
 
-// ControlStep measures one event on the control goroutine.
+// ControlStep records the time of one event on the control goroutine.
 func (m *Metrics) ControlStep(took time.Duration) { m.controlStep.Observe(took.Seconds()) }
 
-// StoreAppend measures one append to the log service.
+// StoreAppend records the time and the result of one append to the log service.
 func (m *Metrics) StoreAppend(took time.Duration, err error) {
 	m.storeAppend.WithLabelValues(resultOf(err != nil)).Observe(took.Seconds())
 }
 
-// FirstToken measures the time from sending an attempt to its first token.
+// FirstToken records the time from sending an attempt to its first token.
 func (m *Metrics) FirstToken(took time.Duration) { m.firstToken.Observe(took.Seconds()) }
 
 // CallFinished counts a call that ended on this node.
@@ -210,7 +213,7 @@
 	m.idleTokenSeconds.Add(idle)
 }
 
-// ProgramFinished measures a program that ended on this node.
+// ProgramFinished records a program that ended on this node.
 func (m *Metrics) ProgramFinished(program api.Program, latency time.Duration) {
 	m.programLatency.WithLabelValues(program.Branch).Observe(latency.Seconds())
 	m.idleTokenSeconds.Add(m.contexts.forget(program.ID, m.now()))
@@ -224,21 +227,21 @@
 // SettingsRevision sets the revision of the settings in force.
 func (m *Metrics) SettingsRevision(revision uint64) { m.settingsRevision.Set(float64(revision)) }
 
-// Answered measures one request of a caller or peer.
+// Answered records the time and the status of one request of a caller or peer.
 func (m *Metrics) Answered(operation control.Operation, status int, took time.Duration) {
 	class := [...]string{"", "1xx", "2xx", "3xx", "4xx", "5xx"}[min(max(status/100, 0), 5)]
 	m.requests.WithLabelValues(string(operation), class).Observe(took.Seconds())
 }
 
-// Relayed counts one attempt at another node.
+// Relayed counts one request that was sent to another node.
 func (m *Metrics) Relayed(failed bool) { m.relayed.WithLabelValues(resultOf(failed)).Inc() }
 
-// InFlight counts requests that are being served.
+// InFlight changes the number of requests that are being served.
 func (m *Metrics) InFlight(change int) { m.requestsInFlight.Add(float64(change)) }
 
-// RequestRefused counts an error that a caller got.
+// RequestRefused counts an error answer to a caller.
 func (m *Metrics) RequestRefused(code api.Code) { m.refusals.WithLabelValues(string(code)).Inc() }
 
-// ReadAtScrape sets where the snapshot of the node comes from. The function
-// is called from the scrape's goroutine.
+// SetSnapshotSource sets the function that returns the node's snapshot. It is
+// called at each scrape, on the scrape's goroutine.
 func (m *Metrics) ReadAtScrape(read func() Snapshot) { m.snapshot.Store(&read) }
--- a/operator/page_test.go
+++ b/operator/page_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// namesIn returns the metrics that match the pattern in the files.
+// namesIn returns the names in the files that match the pattern.
 func namesIn(pattern string, files ...string) []string {
 	var names []string
 	for _, file := range files {
--- a/operator/partitions.go
+++ b/operator/partitions.go
@@ -9,13 +9,13 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// accepted is the answer to a request to accept a loss.
+// accepted is the answer of the route that accepts the loss of records.
 type accepted struct {
 	Accepted partition.ID `json:"accepted"`
 }
 
 // listPartitions answers with the partitions that this node owns or is taking
-// over, and with what a stalled recovery waits for.
+// over, including what a stalled recovery waits for.
 func (s *Server) listPartitions(ctx context.Context, _ *fasthttp.RequestCtx, _ actor) (any, *api.Error) {
 	owned, err := s.service.Owned(ctx)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return owned, nil
 }
 
-// acceptLoss lets a stalled recovery of this node go on. It refuses one that
-// is not stalled, so that a mistaken name accepts nothing.
+// acceptLoss lets a stalled recovery on this node continue. It refuses a
+// partition whose recovery is not stalled, so that a mistyped ID has no effect.
 func (s *Server) acceptLoss(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	if refusal := who.onWholeTree(); refusal != nil {
 		return nil, refusal
--- a/operator/programs.go
+++ b/operator/programs.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/contract"
 )
 
-// listPrograms answers with the programs of a branch, on every node.
+// listPrograms answers with the programs of a branch on all nodes.
 func (s *Server) listPrograms(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	branch, refusal := who.branch(request, "branch")
 	if refusal != nil {
@@ -19,8 +19,8 @@
 	return s.operate(ctx, branch, fasthttp.MethodGet, "/v1/programs", nil), nil
 }
 
-// program returns the handler that passes a request about one program on to
-// the node that owns it.
+// program returns the handler that forwards a request about one program to the
+// node that owns it. part is the rest of the route after the program's ID.
 func (s *Server) program(part string) handler {
 	return func(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 		id, refusal := pathSegment(request)
@@ -35,13 +35,13 @@
 	}
 }
 
-// operate asks the callers' API in the operator's name.
+// operate performs a request of the callers' API on behalf of the operator.
 func (s *Server) operate(ctx context.Context, scope contract.Path, method, uri string, body []byte) httpAnswer {
 	status, answered := s.programs.Operate(ctx, scope, method, uri, body)
 	return httpAnswer{status: status, body: answered}
 }
 
-// why answers with what is known of a refusal.
+// why answers with the refusal that has the ID, from this node or another one.
 func (s *Server) why(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	id, wrong := pathSegment(request)
 	if wrong != nil {
@@ -57,8 +57,8 @@
 	return nil, api.Refuse(api.CodeNotFound, "no node keeps refusal %q any more", id).At("path id")
 }
 
-// pathSegment reads the {id} of the path. It becomes part of another path, so
-// that it must not hold more than one segment.
+// pathSegment reads the {id} of the path. As it becomes part of another path, it
+// must be a single segment.
 func pathSegment(request *fasthttp.RequestCtx) (string, *api.Error) {
 	text, _ := request.UserValue("id").(string)
 	var findings api.Findings
--- a/operator/refusals.go
+++ b/operator/refusals.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/gateway"
 )
 
-// RefusalLog keeps the last refusals of this node, so that operators can ask
-// why a caller was refused. It is safe for concurrent use.
+// RefusalLog stores the last refusals of this node, so that operators can look
+// up why a caller was refused. It is safe for concurrent use.
 type RefusalLog struct {
 	mutex sync.Mutex
 	ring  []gateway.Refusal
@@ -17,12 +17,12 @@
 	byID  map[string]int
 }
 
-// NewRefusalLog returns a log that keeps the last size refusals.
+// NewRefusalLog returns a log that stores the last size refusals, at least one.
 func NewRefusalLog(size int) *RefusalLog {
 	return &RefusalLog{ring: make([]gateway.Refusal, max(1, size)), byID: make(map[string]int)}
 }
 
-// Add keeps a refusal and forgets the oldest one when there is no room.
+// Add stores a refusal, in place of the oldest one if the log is full.
 func (l *RefusalLog) Add(refusal gateway.Refusal) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -32,7 +32,7 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// Find returns the refusal with the id, if it is still kept.
+// Find returns the refusal with the ID, if it is still stored.
 func (l *RefusalLog) Find(id string) (gateway.Refusal, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -43,7 +43,8 @@
 	return l.ring[index], true
 }
 
-// Observer measures the gateway's work and keeps its refusals.
+// Observer records the gateway's measurements in Metrics and its refusals in
+// Refusals.
 type Observer struct {
 	Metrics  *Metrics
 	Refusals *RefusalLog
--- a/operator/respond.go
+++ b/operator/respond.go
@@ -10,8 +10,8 @@
 
 const contentTypeJSON = "application/json"
 
-// httpAnswer is an answer with a status of its own; body is set when it is
-// JSON already.
+// httpAnswer is an answer with its own HTTP status. If body is set, it is the
+// encoded JSON; otherwise value is encoded.
 type httpAnswer struct {
 	status int
 	value  any
@@ -28,7 +28,7 @@
 	ctx.Response.SetBodyRaw(a.body)
 }
 
-// writeJSON answers with a value whose type can always be encoded.
+// writeJSON answers with a value of a type that can always be encoded.
 func writeJSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -12,11 +12,11 @@
 	"birchwood.example/birchwood/api"
 )
 
-// maximumScrapes bounds the scrapes that are served at once.
+// maximumScrapes bounds the number of concurrent scrapes.
 const maximumScrapes = 4
 
-// handler answers one route of the operators' API: with a value, or with an
-// error.
+// handler handles one route of the operators' API. It returns a value to encode
+// as JSON, an httpAnswer, or an error.
 type handler func(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error)
 
 // routes registers every route. docs/API.md describes them.
@@ -57,7 +57,8 @@
 	return routes
 }
 
-// serve authenticates the operator, bounds the time, and writes the answer.
+// serve returns the HTTP handler of a route: it authenticates the operator,
+// limits the time to Config.RequestTimeout, and writes the answer.
 func (s *Server) serve(handle handler) fasthttp.RequestHandler {
 	return func(request *fasthttp.RequestCtx) {
 		ctx, cancel := context.WithTimeout(context.Background(), s.config.RequestTimeout)
@@ -86,7 +87,8 @@
 	writeError(ctx, unknown)
 }
 
-// failed describes an error of the node: it could not be asked in time.
+// failed converts an error of the node's Service to an answer: the node did not
+// respond in time.
 func failed(err error) *api.Error {
 	return api.Refuse(api.CodeTimeout, "%v", err).After(time.Second.Milliseconds())
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -13,27 +13,29 @@
 	"birchwood.example/birchwood/gateway"
 )
 
-// logPrefix starts each of this part's messages.
+// logPrefix starts each log message of this package.
 const logPrefix = "operator: "
 
-// Config sets up a Server.
+// Config holds the settings of a Server.
 type Config struct {
-	// BootstrapToken acts on the whole settings tree. Empty: there is none.
+	// BootstrapToken is the bearer token that acts on the whole settings tree.
+	// If empty, there is none.
 	BootstrapToken string
 	// MaximumBodyBytes bounds a request's body.
 	MaximumBodyBytes int
 	ReadTimeout      time.Duration
 	WriteTimeout     time.Duration
 	IdleTimeout      time.Duration
-	// Connections bounds the connections that are open at once.
+	// Connections bounds the number of open connections.
 	Connections int
-	// RequestTimeout bounds one request, such as the wait for a verdict.
+	// RequestTimeout bounds one request, including the wait for the verdict on
+	// a settings change.
 	RequestTimeout time.Duration
-	// HealthTimeout bounds the look at the node's health.
+	// HealthTimeout bounds a check of the node's health or readiness.
 	HealthTimeout time.Duration
 }
 
-// DefaultConfig returns the limits that suit a small machine.
+// DefaultConfig returns settings that suit a small machine.
 func DefaultConfig() Config {
 	return Config{
 		MaximumBodyBytes: 1 << 20,
@@ -80,8 +82,8 @@
 	server    *fasthttp.Server
 }
 
-// New returns a server that serves nothing yet. The error lists everything
-// that is wrong with the configuration.
+// New returns a server that does not serve yet. The error lists everything that
+// is wrong with the configuration.
 func New(config Config, service Service, programs Programs, metrics *Metrics, refusals *RefusalLog, logger *log.Logger) (*Server, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -116,13 +118,14 @@
 // Handler returns the handler of all routes.
 func (s *Server) Handler() fasthttp.RequestHandler { return s.router.Handler }
 
-// Server returns the HTTP server, with every limit set, to Serve.
+// Server returns the HTTP server with all limits set. The caller starts it with
+// Serve.
 func (s *Server) Server() *fasthttp.Server { return s.server }
 
 // Routes returns the registered paths by method.
 func (s *Server) Routes() map[string][]string { return s.router.List() }
 
-// Shutdown ends the server once its requests are answered.
+// Shutdown stops the server after the requests in flight are answered.
 func (s *Server) Shutdown(ctx context.Context) error { return s.server.ShutdownWithContext(ctx) }
 
 // badRequest answers a request that could not be read as HTTP.
@@ -131,7 +134,8 @@
 	writeError(ctx, gateway.ReadError(ctx.Conn(), err, s.config.MaximumBodyBytes))
 }
 
-// healthz answers whether the process works: its control goroutine answers.
+// healthz answers whether the process is healthy, which means that its control
+// goroutine responds.
 func (s *Server) healthz(ctx *fasthttp.RequestCtx) {
 	bounded, cancel := context.WithTimeout(context.Background(), s.config.HealthTimeout)
 	defer cancel()
@@ -142,7 +146,7 @@
 	writeJSON(ctx, fasthttp.StatusOK, health{OK: true})
 }
 
-// readyz answers whether callers should be sent here.
+// readyz answers whether callers should send requests to this node.
 func (s *Server) readyz(ctx *fasthttp.RequestCtx) {
 	bounded, cancel := context.WithTimeout(context.Background(), s.config.HealthTimeout)
 	defer cancel()
@@ -154,13 +158,13 @@
 	writeJSON(ctx, status, health{OK: len(findings) == 0, Findings: findings})
 }
 
-// health is the answer of the health routes.
+// health is the answer of the routes /healthz and /readyz.
 type health struct {
 	OK       bool     `json:"ok"`
 	Findings []string `json:"findings,omitempty"`
 }
 
-// serverLogger passes the server's own messages on.
+// serverLogger writes fasthttp's own messages to the server's log.
 type serverLogger struct{ logger *log.Logger }
 
 // Printf implements fasthttp.Logger.
--- a/operator/service.go
+++ b/operator/service.go
@@ -10,44 +10,48 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// Service is what the operators' server needs of its node. Its methods are
-// called from many goroutines.
+// Service is the node's interface for the operators' server. Its methods are
+// called concurrently.
 type Service interface {
 	Partitions
 
-	// Alive returns an error when the control goroutine does not answer.
+	// Alive returns an error if the control goroutine does not respond.
 	Alive(ctx context.Context) error
-	// NotReady lists why callers should not be sent here, such as "leaving"
-	// or "no settings yet". Empty: ready.
+	// NotReady returns the reasons why callers should not send requests to
+	// this node, such as "leaving" or "no settings yet". It is empty if the
+	// node is ready.
 	NotReady(ctx context.Context) []string
 
-	// Settings returns the tree in force on this node.
+	// Settings returns the settings tree in force on this node.
 	Settings() *contract.Tree
-	// Freshness says how sure the node is of its settings.
+	// Freshness returns how recently the node's settings were confirmed as the
+	// newest.
 	Freshness(ctx context.Context) (contract.Freshness, error)
-	// ChangeSettings appends the change and waits for its verdict. An error
-	// leaves open whether the change counts: the same change, with the same
-	// id, may be sent again.
+	// ChangeSettings appends the change to the log and waits for its verdict.
+	// After an error it is unknown whether the change takes effect; the same
+	// change, with the same ID, may be sent again.
 	ChangeSettings(ctx context.Context, change contract.Change) (contract.Verdict, error)
-	// SettingsStatus tells which revision each node holds, as far as it is
-	// known here.
+	// SettingsStatus returns the revision that each node holds, as far as this
+	// node knows.
 	SettingsStatus(ctx context.Context) ([]NodeSettings, error)
 
 	// Nodes and Backends return the machines that this node knows.
 	Nodes(ctx context.Context) ([]NodeState, error)
 	Backends(ctx context.Context) ([]machine.Machine, error)
-	// DrainNode begins the planned stop of a node. It does not wait for it.
+	// DrainNode begins the planned stop of a node, without waiting for its
+	// end.
 	DrainNode(ctx context.Context, id machine.ID) error
-	// DrainBackend sends no new work to a back end any more.
+	// DrainBackend stops sending new work to a back end.
 	DrainBackend(ctx context.Context, id machine.ID) error
 }
 
-// Partitions is what operators see of the partitions of one node.
+// Partitions gives operators access to the partitions of one node.
 type Partitions interface {
-	// Owned describes the partitions that the node owns or is taking over.
+	// PartitionStatuses returns the status of each partition that the node
+	// owns or is taking over.
 	Owned(ctx context.Context) ([]control.PartitionStatus, error)
-	// AcceptLoss lets a stalled recovery go on without the mirrors that have
-	// lost what they held.
+	// AcceptLoss lets a stalled recovery continue without the mirrors that
+	// have lost their records.
 	AcceptLoss(ctx context.Context, id partition.ID) error
 }
 
@@ -59,18 +63,20 @@
 	Operate(ctx context.Context, scope contract.Path, method, uri string, body []byte) (int, []byte)
 }
 
-// NodeSettings is what is known of one node's settings.
+// NodeSettings is the state of the settings on one node, as last reported.
 type NodeSettings struct {
 	Node     machine.ID        `json:"node"`
 	Revision contract.Revision `json:"revision"`
-	// Behind says that the node holds older settings than another one.
+	// Behind is set if the node holds older settings than another node.
 	Behind bool `json:"behind"`
-	// HeardAgo is the time since the node was heard.
+	// ReportAge is the time since the node's last report was received.
 	HeardAgo time.Duration `json:"heard_ago"`
 }
 
-// NodeState is a node and, for the one that answers, what it owns.
+// NodeState describes a node.
 type NodeState struct {
 	machine.Machine
+	// OwnedPartitions is the number of partitions that the node owns. It is
+	// set only for the node that answers the request.
 	OwnedPartitions int `json:"owned_partitions,omitempty"`
 }
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -14,7 +14,9 @@
 	"birchwood.example/birchwood/contract"
 )
 
-// Limits of what one answer lists.
+// Limits of the settings routes. defaultHistory and maximumHistory bound the
+// changes in one answer, maximumEffects the effects in one preview, and
+// maximumNameBytes the name of an actor.
 const (
 	defaultHistory   = 20
 	maximumHistory   = 1000
@@ -22,7 +24,8 @@
 	maximumNameBytes = 64
 )
 
-// Settings is a branch's settings: the effective values with their origin.
+// Settings holds the settings of a branch: the effective values with the
+// branches that they come from.
 type Settings struct {
 	Path     contract.Path          `json:"path"`
 	Revision contract.Revision      `json:"revision"`
@@ -30,18 +33,18 @@
 	Branches []contract.Path        `json:"branches"`
 }
 
-// Preview is what a change would do.
+// Preview describes the effects of a change that is not applied yet.
 type Preview struct {
 	Effects []contract.Effect `json:"effects"`
-	// Total counts the branches that it would change; Effects lists the first
-	// of them.
+	// Total is the number of branches that the change affects; Effects holds
+	// the first maximumEffects of them.
 	Total    int                `json:"total"`
 	Findings []contract.Finding `json:"findings,omitempty"`
-	// Revision is the one that the preview was made on.
+	// Revision is the settings revision that the preview is based on.
 	Revision contract.Revision `json:"revision"`
 }
 
-// SettingsStatus tells which nodes hold which settings.
+// SettingsStatus lists the settings revision of each node.
 type SettingsStatus struct {
 	Freshness contract.Freshness `json:"freshness"`
 	Nodes     []NodeSettings     `json:"nodes"`
@@ -61,7 +64,8 @@
 	return Settings{Path: path, Revision: tree.Revision(), Values: values, Branches: tree.Branches(path)}, nil
 }
 
-// explainSettings answers with each value and the branch that it comes from.
+// explainSettings answers with each value of a branch's settings and the branch
+// that it comes from.
 func (s *Server) explainSettings(_ context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	path, refusal := who.branch(request, "path")
 	if refusal != nil {
@@ -74,8 +78,8 @@
 	return values, nil
 }
 
-// settingsHistory answers with the accepted changes that concern a branch.
-// Only the edits on the operator's own branch are shown.
+// settingsHistory answers with the accepted changes that concern a branch. It
+// shows only edits of the operator's branch and those below it.
 func (s *Server) settingsHistory(_ context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	path, refusal := who.branch(request, "path")
 	if refusal != nil {
@@ -94,8 +98,8 @@
 	return shown, nil
 }
 
-// editsWithin leaves out the edits of other branches, whose tokens and limits
-// are not the operator's to see.
+// editsWithin returns the edits of the scope and the branches below it. The
+// operator is not allowed to see the tokens and limits of other branches.
 func editsWithin(scope contract.Path, edits []contract.Edit) []contract.Edit {
 	var within []contract.Edit
 	for _, edit := range edits {
@@ -136,7 +140,7 @@
 	return differences, nil
 }
 
-// settingsStatus answers with the nodes and the revisions that they hold.
+// settingsStatus answers with the settings revision of each node.
 func (s *Server) settingsStatus(ctx context.Context, _ *fasthttp.RequestCtx, _ actor) (any, *api.Error) {
 	freshness, err := s.service.Freshness(ctx)
 	if err != nil {
@@ -149,7 +153,7 @@
 	return SettingsStatus{Freshness: freshness, Nodes: nodes}, nil
 }
 
-// previewSettings answers with what a change would do, without sending it.
+// previewSettings answers with the effects of a change, without applying it.
 func (s *Server) previewSettings(_ context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	change, refusal := readChange(request, who)
 	if refusal != nil {
@@ -160,8 +164,8 @@
 	return Preview{Effects: effects, Total: total, Findings: findings, Revision: tree.Revision()}, nil
 }
 
-// changeSettings sends a change and answers with its verdict: 200 when it was
-// accepted, and 409 when it lost to another one or is wrong.
+// changeSettings submits a change and answers with its verdict: 200 if it was
+// accepted, and 409 if it conflicts with another change or is invalid.
 func (s *Server) changeSettings(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 	change, refusal := readChange(request, who)
 	if refusal != nil {
@@ -185,8 +189,9 @@
 	return httpAnswer{status: status, value: verdict}, nil
 }
 
-// readChange reads a change and holds it against the operator's branch. An
-// absent id is made up, but only a caller's own can be sent again.
+// readChange reads a change and checks that it edits only the operator's branch
+// and those below it. It generates an ID if the change has none; only a change
+// whose ID the operator chose can be safely sent again.
 func readChange(request *fasthttp.RequestCtx, who actor) (contract.Change, *api.Error) {
 	var change contract.Change
 	findings := api.Decode(request.PostBody(), &change)
@@ -211,7 +216,8 @@
 	return change, nil
 }
 
-// signed adds to the name that an operator gave who the token belongs to.
+// signed returns the actor of a change: the name that the operator gave, followed
+// by the name derived from the operator's token.
 func signed(name string, who actor) string {
 	if name == "" {
 		return who.name
@@ -219,12 +225,13 @@
 	return name + " (" + who.name + ")"
 }
 
-// unknownBranch turns the tree's error into an answer.
+// unknownBranch converts the settings tree's error to an answer.
 func unknownBranch(err error) *api.Error {
 	return api.Refuse(api.CodeUnknownBranch, "%v", err).At("query path")
 }
 
-// queryNumber reads an optional whole number of the query.
+// queryNumber reads an optional query parameter that is an integer from 0, whose
+// default is absent.
 func queryNumber(request *fasthttp.RequestCtx, name string, absent uint64) (uint64, *api.Error) {
 	text := string(request.QueryArgs().Peek(name))
 	if text == "" {
--- a/operator/snapshot.go
+++ b/operator/snapshot.go
@@ -24,8 +24,8 @@
 	return prometheus.NewDesc(name, help, labels, nil)
 }
 
-// snapshotCollector reads the node's snapshot at each scrape. It reports
-// nothing until ReadAtScrape was called.
+// snapshotCollector collects the node's snapshot at each scrape. It collects
+// nothing until SetSnapshotSource is called.
 type snapshotCollector struct{ metrics *Metrics }
 
 // Describe implements prometheus.Collector.
