--- a/api/decode.go
+++ b/api/decode.go
@@ -59,13 +59,13 @@
 		return "$", "the body is empty; want one JSON object"
 	}
 	if !utf8.Valid(body) {
-		return position(body, validPrefix(body)), "the body is not valid UTF-8"
+		return lineAndColumn(body, validPrefix(body)), "the body is not valid UTF-8"
 	}
 	var raw json.RawMessage
 	err := json.Unmarshal(body, &raw)
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		return position(body, int(syntax.Offset)-1), "not valid JSON: " + syntax.Error()
+		return lineAndColumn(body, int(syntax.Offset)-1), "not valid JSON: " + syntax.Error()
 	}
 	if err != nil {
 		return "$", "not valid JSON: " + err.Error()
@@ -86,9 +86,9 @@
 	return valid
 }
 
-// position formats a byte offset as line and column, both from 1. Columns count
+// lineAndColumn formats a byte offset as line and column, both from 1. Columns count
 // bytes.
-func position(body []byte, offset int) string {
+func lineAndColumn(body []byte, offset int) string {
 	before := body[:min(offset, len(body))]
 	line := bytes.Count(before, []byte("\n")) + 1
 	column := len(before) - bytes.LastIndexByte(before, '\n')
@@ -100,7 +100,7 @@
 	_, decodesItself := value.Addr().Interface().(json.Unmarshaler)
 	switch {
 	case decodesItself || isNull(raw):
-		decodeWhole(raw, value, place, findings)
+		decodeStandard(raw, value, place, findings)
 	case value.Kind() == reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
 		decodeValue(raw, value.Elem(), place, findings)
@@ -109,7 +109,7 @@
 	case value.Kind() == reflect.Slice:
 		decodeArray(raw, value, place, findings)
 	default:
-		decodeWhole(raw, value, place, findings)
+		decodeStandard(raw, value, place, findings)
 	}
 }
 
@@ -117,8 +117,8 @@
 	return string(bytes.TrimSpace(raw)) == "null"
 }
 
-// decodeWhole decodes the value with encoding/json.
-func decodeWhole(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+// decodeStandard decodes the value with encoding/json.
+func decodeStandard(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
 	err := json.Unmarshal(raw, value.Addr().Interface())
 	var wrongType *json.UnmarshalTypeError
 	switch {
--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -45,7 +45,7 @@
 		request.operator = true
 		request.deadline = request.received.Add(g.config.MaximumWait)
 		if !operator.deadline.IsZero() {
-			request.tighten(operator.deadline)
+			request.shortenDeadline(operator.deadline)
 		}
 		return nil
 	}
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -119,8 +119,8 @@
 // another node to get the default PeerSilence.
 const silenceMargin = 3 * time.Second
 
-// complete sets PeerSilence if it is zero.
-func (c *Config) complete() {
+// setDefaults sets PeerSilence if it is zero.
+func (c *Config) setDefaults() {
 	if c.PeerSilence == 0 {
 		c.PeerSilence = max(c.WaitSlice, c.KeepAlive) + silenceMargin
 	}
--- a/gateway/deadline.go
+++ b/gateway/deadline.go
@@ -47,12 +47,12 @@
 	if refusal != nil {
 		return refusal
 	}
-	request.tighten(deadline)
+	request.shortenDeadline(deadline)
 	return nil
 }
 
-// tighten replaces the exchange's deadline if the given one is earlier.
-func (e *exchange) tighten(deadline time.Time) {
+// shortenDeadline replaces the exchange's deadline if the given one is earlier.
+func (e *exchange) shortenDeadline(deadline time.Time) {
 	if deadline.Before(e.deadline) {
 		e.deadline = deadline
 	}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -53,9 +53,9 @@
 	offset  int
 }
 
-// changes reports whether the operation changes state, in which case a lost
+// mutates reports whether the operation changes state, in which case a lost
 // answer leaves its outcome unknown.
-func (e *exchange) changes() bool {
+func (e *exchange) mutates() bool {
 	switch e.request.Operation {
 	case control.OperationCreate, control.OperationSubmit, control.OperationCancel, control.OperationEnd:
 		return true
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -24,8 +24,8 @@
 const (
 	// operationWhy looks up why a request was refused.
 	operationWhy control.Operation = "why"
-	// peersAtOnce bounds the peers that one request queries concurrently.
-	peersAtOnce = 16
+	// peerConcurrency bounds the peers that one request queries concurrently.
+	peerConcurrency = 16
 	// maximumPrograms bounds the programs in one list.
 	maximumPrograms = 1000
 )
@@ -37,9 +37,9 @@
 	body   []byte
 }
 
-// askPeers relays the request to all other nodes, peersAtOnce at a time. It
+// queryPeers relays the request to all other nodes, peerConcurrency at a time. It
 // skips nodes whose circuit breaker is open; their answers are empty.
-func (g *Gateway) askPeers(request *exchange) []peerAnswer {
+func (g *Gateway) queryPeers(request *exchange) []peerAnswer {
 	directory, knows := g.service.(Directory)
 	if !knows || request.peer {
 		return nil
@@ -47,7 +47,7 @@
 	peers := directory.Peers()
 	answers := make([]peerAnswer, len(peers))
 	var group errgroup.Group
-	group.SetLimit(peersAtOnce)
+	group.SetLimit(peerConcurrency)
 	for i, peer := range peers {
 		answers[i].node = peer
 		if !g.paths.allow(peer.Address, time.Now()) {
@@ -67,10 +67,10 @@
 func (g *Gateway) list(ctx context.Context, request *exchange) outcome {
 	reply := g.service.Do(ctx, request.request)
 	if reply.Error != nil {
-		return refusedLocally(reply.Error)
+		return refusedByOwner(reply.Error)
 	}
 	all := ProgramList{Programs: append([]api.Program{}, reply.Programs...)}
-	for _, answered := range g.askPeers(request) {
+	for _, answered := range g.queryPeers(request) {
 		var part ProgramList
 		if answered.status != statusOK || json.Unmarshal(answered.body, &part) != nil {
 			all.Incomplete = append(all.Incomplete, string(answered.node.Owner))
@@ -103,7 +103,7 @@
 	if found, known := g.findRefusal(request.scope, request.request.Key); known {
 		return outcome{answer: answer{status: statusOK, body: marshal(found)}}
 	}
-	for _, answered := range g.askPeers(request) {
+	for _, answered := range g.queryPeers(request) {
 		if answered.status == statusOK {
 			return outcome{answer: answer{status: statusOK, body: answered.body}}
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,7 +40,7 @@
 // New returns a gateway that does not serve yet. The error lists everything
 // that is wrong with the configuration.
 func New(config Config, service Service, logger *log.Logger) (*Gateway, error) {
-	config.complete()
+	config.setDefaults()
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 		random:   rand.New(&lockedSource{source: config.Random}),
 	}
 	if g.observer == nil {
-		g.observer = silent{}
+		g.observer = noopObserver{}
 	}
 	g.refusals.Store(uint64(time.Now().UnixMilli()))
 	g.router = g.routes()
@@ -114,7 +114,7 @@
 
 // awaitIdle waits until nothing is in flight or the context ends.
 func (g *Gateway) awaitIdle(ctx context.Context) {
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for g.inFlight.Load() > 0 && ctx.Err() == nil {
 		select {
@@ -124,8 +124,8 @@
 	}
 }
 
-// drainPoll is how often Shutdown checks the number of requests in flight.
-const drainPoll = 5 * time.Millisecond
+// drainPollInterval is how often Shutdown checks the number of requests in flight.
+const drainPollInterval = 5 * time.Millisecond
 
 // routes registers every route. docs/API.md and api/openapi.yaml describe the
 // routes; a test compares the descriptions with this list.
@@ -136,7 +136,7 @@
 	routes.HandleOPTIONS = false
 	routes.NotFound = g.routeNotFound
 	routes.MethodNotAllowed = g.methodNotAllowed
-	routes.PanicHandler = g.recovered
+	routes.PanicHandler = g.handlePanic
 
 	routes.POST("/v1/programs", g.serve(g.parseCreate))
 	routes.GET("/v1/programs", g.serve(g.parseList))
@@ -222,7 +222,7 @@
 func (g *Gateway) answer(ctx *fasthttp.RequestCtx, request *exchange, done func()) {
 	bounded, cancel := context.WithDeadline(context.Background(), request.deadline)
 	if request.waits() {
-		stop := g.watchHangUp(bounded, cancel, ctx.Conn())
+		stop := g.watchDisconnect(bounded, cancel, ctx.Conn())
 		defer stop()
 	}
 	answer := g.perform(bounded, request)
@@ -283,9 +283,9 @@
 	g.refuse(ctx, &exchange{received: time.Now()}, refusal, fasthttp.StatusMethodNotAllowed)
 }
 
-// recovered answers a request whose handler panicked. The request's outcome is
+// handlePanic answers a request whose handler panicked. The request's outcome is
 // unknown.
-func (g *Gateway) recovered(ctx *fasthttp.RequestCtx, cause any) {
+func (g *Gateway) handlePanic(ctx *fasthttp.RequestCtx, cause any) {
 	g.logger.Error().Interface("cause", cause).Msg(logPrefix + "A handler panicked.")
 	unknown := &api.Error{
 		Code:    api.CodeOutcomeUnknown,
--- a/gateway/hangup.go
+++ b/gateway/hangup.go
@@ -8,12 +8,12 @@
 	"birchwood.example/birchwood/connection"
 )
 
-// watchHangUp cancels the wait once the caller has closed its connection, and
+// watchDisconnect cancels the wait once the caller has closed its connection, and
 // returns a function that stops watching. fasthttp does not check a connection
 // while a handler runs, so a disconnected caller would occupy a goroutine until
 // the call ends. The call itself continues: the caller may ask for it again by
 // its key.
-func (g *Gateway) watchHangUp(ctx context.Context, cancel context.CancelFunc, conn net.Conn) func() {
+func (g *Gateway) watchDisconnect(ctx context.Context, cancel context.CancelFunc, conn net.Conn) func() {
 	probe, has := connection.NewProbe(conn)
 	if !has {
 		return func() {}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// sweepThreshold is the number of callers from which idle ones are
+	// removeIdleThreshold is the number of callers from which idle ones are
 	// removed.
-	sweepThreshold = 1024
-	// forgetAfter is how long a caller without requests is kept. By then its
+	removeIdleThreshold = 1024
+	// idleCallerTTL is how long a caller without requests is kept. By then its
 	// token bucket is full again, unless the burst is very large, so that
 	// removing the caller does not raise its rate.
-	forgetAfter = 5 * time.Minute
+	idleCallerTTL = 5 * time.Minute
 	// minimumReleaseWait and maximumReleaseWait bound the retry-after time of
 	// a refusal because of too many requests in flight.
 	minimumReleaseWait = 20 * time.Millisecond
 	maximumReleaseWait = 5 * time.Second
-	// holdTimeWeight is the weight of the latest request in the moving average
+	// inFlightTimeWeight is the weight of the latest request in the moving average
 	// of the time that a request is in flight.
-	holdTimeWeight = 0.1
+	inFlightTimeWeight = 0.1
 )
 
 // limits enforces each caller's limit of requests in flight and its rate limit.
@@ -31,17 +31,17 @@
 	mutex   sync.Mutex
 	config  Config
 	callers map[callerID]*caller
-	// holdTime is the moving average of the time that a request is in flight,
+	// inFlightSeconds is the moving average of the time that a request is in flight,
 	// in seconds.
-	holdTime float64
+	inFlightSeconds float64
 }
 
 // caller is the state of one bearer token.
 type caller struct {
 	rate     *rate.Limiter
 	inFlight int
-	// last is when a request of the caller last began or ended.
-	last time.Time
+	// lastActive is when a request of the caller last began or ended.
+	lastActive time.Time
 }
 
 func newLimits(config Config) *limits {
@@ -76,8 +76,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	entry.inFlight--
-	entry.last = now
-	l.holdTime += holdTimeWeight * (now.Sub(acquired).Seconds() - l.holdTime)
+	entry.lastActive = now
+	l.inFlightSeconds += inFlightTimeWeight * (now.Sub(acquired).Seconds() - l.inFlightSeconds)
 }
 
 // caller returns the state of the token, creating it if needed. The calling
@@ -85,22 +85,22 @@
 func (l *limits) caller(id callerID, now time.Time) *caller {
 	entry, known := l.callers[id]
 	if !known {
-		l.sweep(now)
+		l.removeIdle(now)
 		entry = &caller{rate: rate.NewLimiter(rate.Limit(l.config.CallerRate), l.config.CallerBurst)}
 		l.callers[id] = entry
 	}
-	entry.last = now
+	entry.lastActive = now
 	return entry
 }
 
-// sweep removes idle callers once there are sweepThreshold of them. The calling
+// removeIdle removes idle callers once there are removeIdleThreshold of them. The calling
 // function holds the mutex.
-func (l *limits) sweep(now time.Time) {
-	if len(l.callers) < sweepThreshold {
+func (l *limits) removeIdle(now time.Time) {
+	if len(l.callers) < removeIdleThreshold {
 		return
 	}
 	for id, entry := range l.callers {
-		if entry.inFlight == 0 && now.Sub(entry.last) > forgetAfter {
+		if entry.inFlight == 0 && now.Sub(entry.lastActive) > idleCallerTTL {
 			delete(l.callers, id)
 		}
 	}
@@ -118,7 +118,7 @@
 // milliseconds: the average time in flight divided by their number. The calling
 // function holds the mutex.
 func (l *limits) releaseWait(inFlight int) int64 {
-	wait := time.Duration(l.holdTime / float64(max(1, inFlight)) * float64(time.Second))
+	wait := time.Duration(l.inFlightSeconds / float64(max(1, inFlight)) * float64(time.Second))
 	wait = min(max(wait, minimumReleaseWait), maximumReleaseWait)
 	return ceilMilliseconds(wait)
 }
--- a/gateway/limits_internal_test.go
+++ b/gateway/limits_internal_test.go
@@ -39,13 +39,13 @@
 
 	It("forget idle callers, so that their number stays bounded", func() {
 		limits := newLimits(config)
-		for i := range sweepThreshold {
+		for i := range removeIdleThreshold {
 			release, refusal := limits.acquire(callerID{byte(i), byte(i >> 8)}, start)
 			Expect(refusal).To(BeNil())
 			release()
-			limits.callers[callerID{byte(i), byte(i >> 8)}].last = start
+			limits.callers[callerID{byte(i), byte(i >> 8)}].lastActive = start
 		}
-		_, _ = limits.acquire(callerID{9, 9, 9}, start.Add(2*forgetAfter))
+		_, _ = limits.acquire(callerID{9, 9, 9}, start.Add(2*idleCallerTTL))
 		Expect(limits.callers).To(HaveLen(1))
 	})
 })
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -36,11 +36,11 @@
 	InFlight(change int)
 }
 
-// silent is the default Observer, which does nothing.
-type silent struct{}
+// noopObserver is the default Observer, which does nothing.
+type noopObserver struct{}
 
-func (silent) Answered(control.Operation, int, time.Duration) {}
-func (silent) Refused(Refusal)                                {}
-func (silent) FirstText(time.Duration)                        {}
-func (silent) Relayed(bool)                                   {}
-func (silent) InFlight(int)                                   {}
+func (noopObserver) Answered(control.Operation, int, time.Duration) {}
+func (noopObserver) Refused(Refusal)                                {}
+func (noopObserver) FirstText(time.Duration)                        {}
+func (noopObserver) Relayed(bool)                                   {}
+func (noopObserver) InFlight(int)                                   {}
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -11,10 +11,10 @@
 // maximumPaths bounds the number of addresses that have a circuit breaker.
 const maximumPaths = 1024
 
-// pathBreaker returns the configuration of the circuit breakers. They open
+// breakerConfig returns the configuration of the circuit breakers. They open
 // after 2 failures: a detour costs little, whereas a blocked path costs each
 // request a time-out.
-func pathBreaker() link.BreakerConfig {
+func breakerConfig() link.BreakerConfig {
 	config := link.DefaultBreakerConfig()
 	config.Failures = 2
 	return config
@@ -64,7 +64,7 @@
 	if len(p.breakers) >= maximumPaths {
 		clear(p.breakers) // Most of these addresses belong to nodes that have left.
 	}
-	breaker, err := link.NewBreaker(pathBreaker())
+	breaker, err := link.NewBreaker(breakerConfig())
 	if err != nil {
 		panic(err) // The configuration is constant, so this is a programming error.
 	}
@@ -72,10 +72,10 @@
 	return breaker
 }
 
-// reach relays the request to the owner, through another node if the direct
+// relayToOwner relays the request to the owner, through another node if the direct
 // path to the owner keeps failing. A request from a peer is relayed only
 // directly.
-func (g *Gateway) reach(request *exchange, owner Route) outcome {
+func (g *Gateway) relayToOwner(request *exchange, owner Route) outcome {
 	if request.peer || g.paths.allow(owner.Address, time.Now()) {
 		return g.relay(request, owner.Address, false)
 	}
--- a/gateway/perform.go
+++ b/gateway/perform.go
@@ -39,11 +39,11 @@
 	return outcome{answer: answer{refusal: refusal}}
 }
 
-// stateTimeout bounds the query for a call's state after a wait timed out.
-const stateTimeout = 2 * time.Second
+// stateQueryTimeout bounds the query for a call's state after a wait timed out.
+const stateQueryTimeout = 2 * time.Second
 
-// minimumSlice is the shortest time between the starts of two slices of a wait.
-const minimumSlice = 50 * time.Millisecond
+// minimumSliceInterval is the shortest time between the starts of two slices of a wait.
+const minimumSliceInterval = 50 * time.Millisecond
 
 // perform tries the request at its owner until it is answered, or until the
 // attempts, the retry budget or the time are used up. Requests from peers are
@@ -63,14 +63,14 @@
 		admitted := result.pending || result.source != nil
 		request.mayHaveRun = request.mayHaveRun || result.unknown || admitted
 		switch {
-		case result.pending && !request.peer && wait.Until(ctx, started.Add(minimumSlice)):
+		case result.pending && !request.peer && wait.Until(ctx, started.Add(minimumSliceInterval)):
 			// Begin the next slice of the wait; it is not a new attempt.
 		case !result.retry || request.peer:
 			if result.refusal == nil && !request.peer {
 				g.budget.earn()
 			}
 			return settle(request, result.answer)
-		case attempt >= g.config.MaximumAttempts || !g.budget.spend() || !g.pause(ctx, attempt):
+		case attempt >= g.config.MaximumAttempts || !g.budget.spend() || !g.waitRetryDelay(ctx, attempt):
 			return settle(request, result.answer)
 		default:
 			attempt++
@@ -93,7 +93,7 @@
 		settled.Code = api.CodeOwnerUnknown
 		settled.Message = "the program's owner changes"
 	}
-	if !request.mayHaveRun || !request.changes() || settled.Ran != api.RanNotRun {
+	if !request.mayHaveRun || !request.mutates() || settled.Ran != api.RanNotRun {
 		return last
 	}
 	settled.Ran = api.RanOutcomeUnknown
@@ -121,7 +121,7 @@
 	route, refusal := g.service.Route(request.request.Program)
 	switch {
 	case refusal != nil:
-		return refusedLocally(refusal)
+		return refusedByOwner(refusal)
 	case route.Local:
 		return g.local(ctx, request)
 	case request.peer && !request.detour:
@@ -129,7 +129,7 @@
 		result.owner = route.Address
 		return result
 	default:
-		return g.reach(request, route)
+		return g.relayToOwner(request, route)
 	}
 }
 
@@ -137,17 +137,17 @@
 func (g *Gateway) local(ctx context.Context, request *exchange) outcome {
 	asked := request.request
 	asked.Wait = request.waits()
-	if refusal := g.complete(ctx, &asked); refusal != nil {
-		return refusedLocally(refusal)
+	if refusal := g.resolve(ctx, &asked); refusal != nil {
+		return refusedByOwner(refusal)
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, g.bound(request))
+	waitCtx, cancel := context.WithTimeout(ctx, g.answerTimeout(request))
 	defer cancel()
 	reply := g.service.Do(waitCtx, asked)
 	if reply.Error != nil && asked.Wait && waitCtx.Err() != nil {
-		reply = g.callState(asked)
+		reply = g.queryCallState(asked)
 	}
 	if reply.Error != nil {
-		return refusedLocally(reply.Error)
+		return refusedByOwner(reply.Error)
 	}
 	if request.stream {
 		return g.openLocal(request, reply.Call)
@@ -163,8 +163,8 @@
 	return result
 }
 
-// bound returns the time limit for the owner's answer.
-func (g *Gateway) bound(request *exchange) time.Duration {
+// answerTimeout returns the time limit for the owner's answer.
+func (g *Gateway) answerTimeout(request *exchange) time.Duration {
 	switch {
 	case !request.waits():
 		return g.config.RequestTimeout
@@ -175,10 +175,10 @@
 	}
 }
 
-// complete fills in what the caller may omit and only the owner can look up: the
+// resolve fills in what the caller may omit and only the owner can look up: the
 // branch of a sub-agent, which defaults to its parent's, and the sequence
 // number of a call to cancel that is identified by its key.
-func (g *Gateway) complete(ctx context.Context, asked *control.Request) *api.Error {
+func (g *Gateway) resolve(ctx context.Context, asked *control.Request) *api.Error {
 	look := control.Request{Scope: asked.Scope, Program: asked.Program, Key: asked.Key}
 	switch {
 	case asked.Parent != "" && asked.Create.Branch == "":
@@ -211,27 +211,27 @@
 	statusAccepted = 202
 )
 
-// refusedLocally returns the outcome of an error from the state machine of this
+// refusedByOwner returns the outcome of an error from the state machine of this
 // node or of the owner. The attempt may be retried only if the program has
 // moved.
-func refusedLocally(refusal *api.Error) outcome {
+func refusedByOwner(refusal *api.Error) outcome {
 	result := refused(refusal)
-	result.retry = hasMoved(refusal)
+	result.retry = ownerChanged(refusal)
 	result.unknown = refusal.Ran == api.RanOutcomeUnknown
 	return result
 }
 
-// hasMoved reports whether an error means that another node owns the program,
+// ownerChanged reports whether an error means that another node owns the program,
 // or that its owner is not known.
-func hasMoved(refusal *api.Error) bool {
+func ownerChanged(refusal *api.Error) bool {
 	return refusal.Code == api.CodeNotOwner || refusal.Code == api.CodeOwnerUnknown
 }
 
-// callState returns the state of a call whose wait timed out. If the program
+// queryCallState returns the state of a call whose wait timed out. If the program
 // has moved to another node meanwhile, it returns an error on which perform
 // retries at that node. That error concerns this query only; a submitted call
 // may have been admitted before, so its outcome is unknown.
-func (g *Gateway) callState(asked control.Request) control.Reply {
+func (g *Gateway) queryCallState(asked control.Request) control.Reply {
 	submits := asked.Submit != nil
 	if submits {
 		asked.Key = asked.Submit.Key
@@ -240,13 +240,13 @@
 	asked.Operation = control.OperationCall
 	asked.Submit = nil
 	asked.Wait = false
-	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), stateQueryTimeout)
 	defer cancel()
 	reply := g.service.Do(ctx, asked)
 	if reply.Error == nil {
 		return reply
 	}
-	if hasMoved(reply.Error) {
+	if ownerChanged(reply.Error) {
 		moved := *reply.Error
 		if submits {
 			moved.Ran = api.RanOutcomeUnknown
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -47,7 +47,7 @@
 				return nil, errNotSent
 			}
 			probe, probed := connection.NewProbe(conn)
-			return &patientConn{Conn: conn, probe: probe, probed: probed, silence: config.PeerSilence}, nil
+			return &peerConn{Conn: conn, probe: probe, probed: probed, silence: config.PeerSilence}, nil
 		},
 	}
 }
@@ -58,7 +58,7 @@
 // its connections. It also probes the connection before it writes a request, to
 // distinguish an idle connection that the other node has closed from one that
 // broke after the request was sent.
-type patientConn struct {
+type peerConn struct {
 	net.Conn
 	// probe checks whether the other node has closed the connection. It is
 	// valid if probed is set.
@@ -66,28 +66,28 @@
 	probed bool
 	// silence is the longest time to wait for bytes in one read.
 	silence time.Duration
-	// sending is set between the first write of a request and the first byte
+	// requestInProgress is set between the first write of a request and the first byte
 	// of its answer.
-	sending bool
+	requestInProgress bool
 }
 
 // Read implements net.Conn. It fails if no bytes arrive within silence.
-func (c *patientConn) Read(buffer []byte) (int, error) {
+func (c *peerConn) Read(buffer []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(c.silence)); err != nil {
 		return 0, err
 	}
 	read, err := c.Conn.Read(buffer)
-	c.sending = c.sending && read == 0
+	c.requestInProgress = c.requestInProgress && read == 0
 	return read, err
 }
 
 // Write implements net.Conn. It fails with errIdleClosed if nothing of the
 // request was sent yet and the other node has closed the connection.
-func (c *patientConn) Write(buffer []byte) (int, error) {
-	if !c.sending && c.probed && c.probe.Closed() {
+func (c *peerConn) Write(buffer []byte) (int, error) {
+	if !c.requestInProgress && c.probed && c.probe.Closed() {
 		return 0, errIdleClosed
 	}
-	c.sending = true
+	c.requestInProgress = true
 	return c.Conn.Write(buffer)
 }
 
@@ -178,7 +178,7 @@
 		g.logger.Warn().Str("node", address).Msg(logPrefix + "A node refused this node's peer token.")
 		return relayFailed(errNotSent)
 	}
-	result = refusedLocally(failure)
+	result = refusedByOwner(failure)
 	result.owner = string(incoming.Header.Peek(headerOwner))
 	return result
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// headerBytes bounds the request line and headers together, in bytes.
-	headerBytes = 16 << 10
-	// discardLimit (in bytes), discardTimeout (in all) and discardPause
+	// maximumHeaderBytes bounds the request line and headers together, in bytes.
+	maximumHeaderBytes = 16 << 10
+	// discardBytes, discardTimeout (in all) and discardReadTimeout
 	// (without receiving a byte) bound how much of an oversized body is read
 	// and discarded. Discarding it keeps the refusal from being lost in a
 	// connection reset.
-	discardLimit   = 8 << 20
-	discardTimeout = 2 * time.Second
-	discardPause   = 200 * time.Millisecond
+	discardBytes       = 8 << 20
+	discardTimeout     = 2 * time.Second
+	discardReadTimeout = 200 * time.Millisecond
 	// idleWorkerKeepAlives is how long an idle goroutine of the server is kept
 	// for the next connection, in multiples of Config.KeepAlive.
 	idleWorkerKeepAlives = 5
@@ -35,7 +35,7 @@
 		ErrorHandler:          g.badRequest,
 		Name:                  "birchwood",
 		Concurrency:           g.config.Connections,
-		ReadBufferSize:        headerBytes,
+		ReadBufferSize:        maximumHeaderBytes,
 		ReadTimeout:           g.config.ReadTimeout,
 		WriteTimeout:          g.config.WriteTimeout,
 		IdleTimeout:           g.config.IdleTimeout,
@@ -76,7 +76,7 @@
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return api.Refuse(api.CodeBodyTooLarge, "the body is larger than %d bytes", maximumBody).At("body")
 	case errors.As(err, &small):
-		return api.Refuse(api.CodeBodyTooLarge, "the headers are larger than %d bytes", headerBytes).At("headers")
+		return api.Refuse(api.CodeBodyTooLarge, "the headers are larger than %d bytes", maximumHeaderBytes).At("headers")
 	case errors.As(err, &network) && network.Timeout():
 		return api.Refuse(api.CodeTimeout, "the request did not arrive in time").After(0)
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
@@ -90,9 +90,9 @@
 // discard limits.
 func discardBody(conn net.Conn) {
 	over := time.Now().Add(discardTimeout)
-	buffer := make([]byte, headerBytes)
-	for discarded := 0; discarded < discardLimit && time.Now().Before(over); {
-		_ = conn.SetReadDeadline(time.Now().Add(discardPause))
+	buffer := make([]byte, maximumHeaderBytes)
+	for discarded := 0; discarded < discardBytes && time.Now().Before(over); {
+		_ = conn.SetReadDeadline(time.Now().Add(discardReadTimeout))
 		read, err := conn.Read(buffer)
 		discarded += read
 		if err != nil {
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -31,7 +31,7 @@
 	// unread holds the encoded events that the server has not read yet, and
 	// over is set after the last event.
 	unread bytes.Buffer
-	over   bool
+	ended  bool
 }
 
 // startStream answers with server-sent events until the stream or the lifetime
@@ -48,7 +48,7 @@
 // last one is unread, and renews the connection's write deadline.
 func (s *session) Read(buffer []byte) (int, error) {
 	for s.unread.Len() == 0 {
-		if s.over {
+		if s.ended {
 			return 0, io.EOF
 		}
 		s.advance()
@@ -73,11 +73,11 @@
 		next, err = s.recover(s.lifetime, err)
 	}
 	if err != nil {
-		s.over = true
+		s.ended = true
 		return
 	}
 	s.add(next)
-	s.over = next.kind == eventEnd || next.kind == eventError
+	s.ended = next.kind == eventEnd || next.kind == eventError
 }
 
 // add appends one event to the unread ones and moves the caller's position past
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -30,9 +30,9 @@
 	close()
 }
 
-// bufferPoll is how often a localSource looks up the call's buffer until it
+// bufferPollInterval is how often a localSource looks up the call's buffer until it
 // exists.
-const bufferPoll = 20 * time.Millisecond
+const bufferPollInterval = 20 * time.Millisecond
 
 // localSource reads an answer on the node that owns its program: from the
 // buffer while the call runs, and then from the call's durable record, which
@@ -41,18 +41,18 @@
 	gateway *Gateway
 	scope   contract.Path
 	call    program.CallRef
-	// first is the call's state for the accepted event; nil once that event
+	// initial is the call's state for the accepted event; nil once that event
 	// was returned.
-	first *api.Call
+	initial *api.Call
 	// buffer is nil until it is found, and again after it was read to its end.
 	buffer *stream.Buffer
-	// drawn is set when no buffer has to be looked up: it was read to its end,
+	// bufferDone is set when no buffer has to be looked up: it was read to its end,
 	// or the call has none.
-	drawn bool
-	// ended delivers the reply to the request for the terminal call. It is nil
+	bufferDone bool
+	// endReply delivers the reply to the request for the terminal call. It is nil
 	// while no such request is pending; cancel cancels the request.
-	ended  chan control.Reply
-	cancel context.CancelFunc
+	endReply chan control.Reply
+	cancel   context.CancelFunc
 	// final is the terminal call; nil until it is known.
 	final *api.Call
 }
@@ -63,12 +63,12 @@
 		return refused(api.Refuse(api.CodeNotFound, "no such call"))
 	}
 	opened := &localSource{
-		gateway: g,
-		scope:   request.scope,
-		call:    program.CallRef{Program: call.Program, Sequence: call.Sequence},
-		first:   call,
-		drawn:   call.Kind == api.CallTool,
-		cancel:  func() {},
+		gateway:    g,
+		scope:      request.scope,
+		call:       program.CallRef{Program: call.Program, Sequence: call.Sequence},
+		initial:    call,
+		bufferDone: call.Kind == api.CallTool,
+		cancel:     func() {},
 	}
 	if call.Status.Terminal() {
 		opened.final = call
@@ -78,9 +78,9 @@
 
 // next implements source.
 func (s *localSource) next(ctx context.Context, from position) (event, error) {
-	if s.first != nil {
-		accepted := event{kind: eventAccepted, data: marshal(s.first)}
-		s.first = nil
+	if s.initial != nil {
+		accepted := event{kind: eventAccepted, data: marshal(s.initial)}
+		s.initial = nil
 		return accepted, nil
 	}
 	idle, cancel := context.WithTimeout(ctx, s.gateway.config.KeepAlive)
@@ -103,10 +103,10 @@
 	if s.final != nil {
 		return s.fromRecord(from), true, nil
 	}
-	if s.ended == nil {
-		s.askForEnd(lifetime)
+	if s.endReply == nil {
+		s.requestEnd(lifetime)
 	}
-	if s.buffer == nil && !s.drawn {
+	if s.buffer == nil && !s.bufferDone {
 		s.buffer, _ = s.gateway.service.Stream(s.call)
 	}
 	if s.buffer != nil {
@@ -132,7 +132,7 @@
 	buffer := s.buffer
 	if part.Closed {
 		s.buffer = nil
-		s.drawn = true
+		s.bufferDone = true
 		s.final = part.Final
 	}
 	if part.Attempt < from.attempt {
@@ -150,26 +150,26 @@
 // looked up again or a keep-alive is due.
 func (s *localSource) awaitEnd(lifetime, idle context.Context) error {
 	var poll <-chan time.Time
-	if !s.drawn {
-		timer := time.NewTimer(bufferPoll)
+	if !s.bufferDone {
+		timer := time.NewTimer(bufferPollInterval)
 		defer timer.Stop()
 		poll = timer.C
 	}
 	select {
-	case reply := <-s.ended:
-		return s.takeEnd(lifetime, reply)
+	case reply := <-s.endReply:
+		return s.handleEnd(lifetime, reply)
 	case <-poll:
 	case <-idle.Done():
 	}
 	return nil
 }
 
-// askForEnd requests the call once it is terminal. It does so before the first
+// requestEnd requests the call once it is terminal. It does so before the first
 // text, because a request after the end makes the owner read the call back from
 // the log, which costs reads and fails while the log service is down.
-func (s *localSource) askForEnd(lifetime context.Context) {
+func (s *localSource) requestEnd(lifetime context.Context) {
 	waiting, cancel := context.WithCancel(lifetime)
-	ended := make(chan control.Reply, 1)
+	endReply := make(chan control.Reply, 1)
 	request := control.Request{
 		Operation: control.OperationCall,
 		Scope:     s.scope,
@@ -177,15 +177,15 @@
 		Sequence:  s.call.Sequence,
 		Wait:      true,
 	}
-	go func() { ended <- s.gateway.service.Do(waiting, request) }()
-	s.ended = ended
+	go func() { endReply <- s.gateway.service.Do(waiting, request) }()
+	s.endReply = endReply
 	s.cancel = cancel
 }
 
-// takeEnd handles the reply to askForEnd's request.
-func (s *localSource) takeEnd(lifetime context.Context, reply control.Reply) error {
+// handleEnd handles the reply to requestEnd's request.
+func (s *localSource) handleEnd(lifetime context.Context, reply control.Reply) error {
 	s.cancel()
-	s.ended = nil
+	s.endReply = nil
 	switch {
 	case reply.Error == nil && reply.Call != nil && reply.Call.Status.Terminal():
 		s.final = reply.Call
@@ -227,11 +227,11 @@
 	ended bool
 }
 
-// eventBytes is the size of a reader's buffer for the lines of events.
-const eventBytes = 4 << 10
+// eventBufferBytes is the size of a reader's buffer for the lines of events.
+const eventBufferBytes = 4 << 10
 
 // eventReaders is a pool of readers.
-var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBytes) }}
+var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBufferBytes) }}
 
 func newRemoteSource(g *Gateway, response *fasthttp.Response) *remoteSource {
 	reader := eventReaders.Get().(*bufio.Reader)
@@ -255,7 +255,7 @@
 		line = bytes.TrimSuffix(line, []byte("\n"))
 		if len(line) == 0 {
 			s.ended = next.kind == eventEnd || next.kind == eventError
-			return checked(ctx, next)
+			return detectOwnerLoss(ctx, next)
 		}
 		readField(&next, line)
 	}
@@ -276,9 +276,9 @@
 	}
 }
 
-// checked returns errSourceLost for an error event that reports a change of
+// detectOwnerLoss returns errSourceLost for an error event that reports a change of
 // owner, and other events unchanged.
-func checked(ctx context.Context, next event) (event, error) {
+func detectOwnerLoss(ctx context.Context, next event) (event, error) {
 	if next.kind == eventKeepAlive {
 		return next, ctx.Err()
 	}
--- a/operator/authenticate.go
+++ b/operator/authenticate.go
@@ -44,8 +44,8 @@
 	return actor{scope: scope, name: "operator " + hashed[:tokenDigits]}, nil
 }
 
-// onWholeTree returns an error unless the operator acts on the whole tree.
-func (a actor) onWholeTree() *api.Error {
+// requireWholeTree returns an error unless the operator acts on the whole tree.
+func (a actor) requireWholeTree() *api.Error {
 	if a.scope == contract.Root {
 		return nil
 	}
@@ -63,12 +63,12 @@
 		return "", api.Refuse(api.CodeBadRequest, "%v", err).At("query " + name)
 	}
 	if !path.Within(a.scope) {
-		return "", a.outside(path).At("query " + name)
+		return "", a.outOfScope(path).At("query " + name)
 	}
 	return path, nil
 }
 
-// outside returns the error for a branch outside of the operator's.
-func (a actor) outside(path contract.Path) *api.Error {
+// outOfScope returns the error for a branch outside of the operator's.
+func (a actor) outOfScope(path contract.Path) *api.Error {
 	return api.Refuse(api.CodeForbidden, "branch %s is outside of %s, which this token acts on", path, a.scope)
 }
--- a/operator/machines.go
+++ b/operator/machines.go
@@ -20,7 +20,7 @@
 func (s *Server) listNodes(ctx context.Context, _ *fasthttp.RequestCtx, _ actor) (any, *api.Error) {
 	nodes, err := s.service.Nodes(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	return nodes, nil
 }
@@ -35,7 +35,7 @@
 func (s *Server) listBackends(ctx context.Context, _ *fasthttp.RequestCtx, _ actor) (any, *api.Error) {
 	backends, err := s.service.Backends(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	root, err := s.service.Settings().Resolve(contract.Root)
 	if err != nil {
@@ -51,49 +51,49 @@
 
 // drainNode begins the planned stop of a node.
 func (s *Server) drainNode(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
-	if refusal := who.onWholeTree(); refusal != nil {
+	if refusal := who.requireWholeTree(); refusal != nil {
 		return nil, refusal
 	}
 	nodes, err := s.service.Nodes(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	id := pathMachine(request)
 	for _, node := range nodes {
 		if node.ID == id {
-			return drained(id, s.service.DrainNode(ctx, id))
+			return drainAnswer(id, s.service.DrainNode(ctx, id))
 		}
 	}
-	return nil, noMachine(id)
+	return nil, unknownMachine(id)
 }
 
 // drainBackend stops sending new work to a back end.
 func (s *Server) drainBackend(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
-	if refusal := who.onWholeTree(); refusal != nil {
+	if refusal := who.requireWholeTree(); refusal != nil {
 		return nil, refusal
 	}
 	backends, err := s.service.Backends(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	id := pathMachine(request)
 	for _, backend := range backends {
 		if backend.ID == id {
-			return drained(id, s.service.DrainBackend(ctx, id))
+			return drainAnswer(id, s.service.DrainBackend(ctx, id))
 		}
 	}
-	return nil, noMachine(id)
+	return nil, unknownMachine(id)
 }
 
-// drained returns the answer to a request to drain a machine.
-func drained(id machine.ID, err error) (any, *api.Error) {
+// drainAnswer returns the answer to a request to drain a machine.
+func drainAnswer(id machine.ID, err error) (any, *api.Error) {
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	return draining{Draining: id}, nil
 }
 
-func noMachine(id machine.ID) *api.Error {
+func unknownMachine(id machine.ID) *api.Error {
 	return api.Refuse(api.CodeNotFound, "no machine %q is known here", id).At("path id")
 }
 
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -90,7 +90,7 @@
 // NewMetrics returns metrics that are all zero, in a separate registry.
 func NewMetrics() *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), now: time.Now}
-	m.declareUsers()
+	m.declarePrograms()
 	m.declareCalls()
 	m.declareNode()
 	m.declareGateway()
@@ -105,8 +105,8 @@
 	return m
 }
 
-// declareUsers declares the metrics of program latency and wasted cache.
-func (m *Metrics) declareUsers() {
+// declarePrograms declares the metrics of program latency and wasted cache.
+func (m *Metrics) declarePrograms() {
 	m.programLatency = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "birchwood_program_latency_seconds",
 		Help:    "Time from a program's creation to its end.",
@@ -180,8 +180,8 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 }
 
-// resultOf returns the value of the label labelResult.
-func resultOf(failed bool) string {
+// resultLabel returns the value of the label labelResult.
+func resultLabel(failed bool) string {
 	if failed {
 		return "failed"
 	}
@@ -193,7 +193,7 @@
 
 // StoreAppend records the time and the result of one append to the log service.
 func (m *Metrics) StoreAppend(took time.Duration, err error) {
-	m.storeAppend.WithLabelValues(resultOf(err != nil)).Observe(took.Seconds())
+	m.storeAppend.WithLabelValues(resultLabel(err != nil)).Observe(took.Seconds())
 }
 
 // FirstToken records the time from sending an attempt to its first token.
@@ -208,7 +208,7 @@
 	m.promptTokens.Add(float64(call.Usage.PromptTokens))
 	m.cachedTokens.Add(float64(call.Usage.CachedTokens))
 	m.outputTokens.Add(float64(call.Usage.OutputTokens))
-	recomputed, idle := m.contexts.finished(call, m.now())
+	recomputed, idle := m.contexts.callEnded(call, m.now())
 	m.recomputedTokens.Add(float64(recomputed))
 	m.idleTokenSeconds.Add(idle)
 }
@@ -216,7 +216,7 @@
 // ProgramFinished records a program that ended on this node.
 func (m *Metrics) ProgramFinished(program api.Program, latency time.Duration) {
 	m.programLatency.WithLabelValues(program.Branch).Observe(latency.Seconds())
-	m.idleTokenSeconds.Add(m.contexts.forget(program.ID, m.now()))
+	m.idleTokenSeconds.Add(m.contexts.programEnded(program.ID, m.now()))
 }
 
 // Refused counts a request that this node's state machine refused.
@@ -234,7 +234,7 @@
 }
 
 // Relayed counts one request that was sent to another node.
-func (m *Metrics) Relayed(failed bool) { m.relayed.WithLabelValues(resultOf(failed)).Inc() }
+func (m *Metrics) Relayed(failed bool) { m.relayed.WithLabelValues(resultLabel(failed)).Inc() }
 
 // InFlight changes the number of requests that are being served.
 func (m *Metrics) InFlight(change int) { m.requestsInFlight.Add(float64(change)) }
--- a/operator/partitions.go
+++ b/operator/partitions.go
@@ -9,8 +9,8 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// accepted is the answer of the route that accepts the loss of records.
-type accepted struct {
+// acceptLossAnswer is the answer of the route that accepts the loss of records.
+type acceptLossAnswer struct {
 	Accepted partition.ID `json:"accepted"`
 }
 
@@ -19,7 +19,7 @@
 func (s *Server) listPartitions(ctx context.Context, _ *fasthttp.RequestCtx, _ actor) (any, *api.Error) {
 	owned, err := s.service.Owned(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	return owned, nil
 }
@@ -27,7 +27,7 @@
 // acceptLoss lets a stalled recovery on this node continue. It refuses a
 // partition whose recovery is not stalled, so that a mistyped ID has no effect.
 func (s *Server) acceptLoss(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
-	if refusal := who.onWholeTree(); refusal != nil {
+	if refusal := who.requireWholeTree(); refusal != nil {
 		return nil, refusal
 	}
 	id, err := partition.Parse(string(pathMachine(request)))
@@ -36,16 +36,16 @@
 	}
 	owned, err := s.service.Owned(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	for _, status := range owned {
 		if status.Partition != id || status.Stall == nil {
 			continue
 		}
 		if err := s.service.AcceptLoss(ctx, id); err != nil {
-			return nil, failed(err)
+			return nil, serviceError(err)
 		}
-		return accepted{Accepted: id}, nil
+		return acceptLossAnswer{Accepted: id}, nil
 	}
 	return nil, api.Refuse(api.CodeConflict, "the recovery of partition %s does not wait on this node", id).At("path id")
 }
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -28,7 +28,7 @@
 	routes.NotFound = func(ctx *fasthttp.RequestCtx) {
 		writeError(ctx, api.Refuse(api.CodeNotFound, "no such route").At("path"))
 	}
-	routes.PanicHandler = s.recovered
+	routes.PanicHandler = s.handlePanic
 
 	scrape := promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{MaxRequestsInFlight: maximumScrapes})
 	routes.GET("/metrics", fasthttpadaptor.NewFastHTTPHandler(scrape))
@@ -49,10 +49,10 @@
 	routes.GET("/v1/operator/partitions", s.serve(s.listPartitions))
 	routes.POST("/v1/operator/partitions/{id}/accept-loss", s.serve(s.acceptLoss))
 	routes.GET("/v1/operator/programs", s.serve(s.listPrograms))
-	routes.GET("/v1/operator/programs/{id}", s.serve(s.program("")))
-	routes.GET("/v1/operator/programs/{id}/history", s.serve(s.program("/history")))
-	routes.GET("/v1/operator/programs/{id}/trace", s.serve(s.program("/trace")))
-	routes.POST("/v1/operator/programs/{id}/end", s.serve(s.program("/end")))
+	routes.GET("/v1/operator/programs/{id}", s.serve(s.forwardProgram("")))
+	routes.GET("/v1/operator/programs/{id}/history", s.serve(s.forwardProgram("/history")))
+	routes.GET("/v1/operator/programs/{id}/trace", s.serve(s.forwardProgram("/trace")))
+	routes.POST("/v1/operator/programs/{id}/end", s.serve(s.forwardProgram("/end")))
 	routes.GET("/v1/operator/why/{id}", s.serve(s.why))
 	return routes
 }
@@ -80,15 +80,15 @@
 	}
 }
 
-// recovered answers a request whose handler panicked.
-func (s *Server) recovered(ctx *fasthttp.RequestCtx, cause any) {
+// handlePanic answers a request whose handler panicked.
+func (s *Server) handlePanic(ctx *fasthttp.RequestCtx, cause any) {
 	s.logger.Error().Interface("cause", cause).Msg(logPrefix + "A handler panicked.")
 	unknown := &api.Error{Code: api.CodeOutcomeUnknown, Message: "the request failed inside", Ran: api.RanOutcomeUnknown}
 	writeError(ctx, unknown)
 }
 
-// failed converts an error of the node's Service to an answer: the node did not
+// serviceError converts an error of the node's Service to an answer: the node did not
 // respond in time.
-func failed(err error) *api.Error {
+func serviceError(err error) *api.Error {
 	return api.Refuse(api.CodeTimeout, "%v", err).After(time.Second.Milliseconds())
 }
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -144,11 +144,11 @@
 func (s *Server) settingsStatus(ctx context.Context, _ *fasthttp.RequestCtx, _ actor) (any, *api.Error) {
 	freshness, err := s.service.Freshness(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	nodes, err := s.service.SettingsStatus(ctx)
 	if err != nil {
-		return nil, failed(err)
+		return nil, serviceError(err)
 	}
 	return SettingsStatus{Freshness: freshness, Nodes: nodes}, nil
 }
@@ -203,7 +203,7 @@
 	}
 	for i, edit := range change.Edits {
 		if !edit.Path.Within(who.scope) {
-			return change, who.outside(edit.Path).At(fmt.Sprintf("$.edits[%d].path", i))
+			return change, who.outOfScope(edit.Path).At(fmt.Sprintf("$.edits[%d].path", i))
 		}
 	}
 	if change.ID == "" {
@@ -212,13 +212,13 @@
 	if change.At.IsZero() {
 		change.At = time.Now().UTC()
 	}
-	change.Actor = signed(change.Actor, who)
+	change.Actor = actorName(change.Actor, who)
 	return change, nil
 }
 
-// signed returns the actor of a change: the name that the operator gave, followed
+// actorName returns the actor of a change: the name that the operator gave, followed
 // by the name derived from the operator's token.
-func signed(name string, who actor) string {
+func actorName(name string, who actor) string {
 	if name == "" {
 		return who.name
 	}
