--- a/api/decode.go
+++ b/api/decode.go
@@ -86,8 +86,8 @@
 	return valid
 }
 
-// lineAndColumn formats a byte offset as line and column, both from 1. Columns count
-// bytes.
+// lineAndColumn formats a byte offset as line and column, both from 1. Columns
+// count bytes.
 func lineAndColumn(body []byte, offset int) string {
 	before := body[:min(offset, len(body))]
 	line := bytes.Count(before, []byte("\n")) + 1
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// drainPollInterval is how often Shutdown checks the number of requests in flight.
+// drainPollInterval is how often Shutdown checks the number of requests in
+// flight.
 const drainPollInterval = 5 * time.Millisecond
 
 // routes registers every route. docs/API.md and api/openapi.yaml describe the
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -21,8 +21,8 @@
 	// a refusal because of too many requests in flight.
 	minimumReleaseWait = 20 * time.Millisecond
 	maximumReleaseWait = 5 * time.Second
-	// inFlightTimeWeight is the weight of the latest request in the moving average
-	// of the time that a request is in flight.
+	// inFlightTimeWeight is the weight of the latest request in the moving
+	// average of the time that a request is in flight.
 	inFlightTimeWeight = 0.1
 )
 
@@ -31,8 +31,8 @@
 	mutex   sync.Mutex
 	config  Config
 	callers map[callerID]*caller
-	// inFlightSeconds is the moving average of the time that a request is in flight,
-	// in seconds.
+	// inFlightSeconds is the moving average of the time that a request is in
+	// flight, in seconds.
 	inFlightSeconds float64
 }
 
@@ -93,8 +93,8 @@
 	return entry
 }
 
-// removeIdle removes idle callers once there are removeIdleThreshold of them. The calling
-// function holds the mutex.
+// removeIdle removes idle callers once there are removeIdleThreshold of them.
+// The calling function holds the mutex.
 func (l *limits) removeIdle(now time.Time) {
 	if len(l.callers) < removeIdleThreshold {
 		return
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -72,8 +72,8 @@
 	return breaker
 }
 
-// relayToOwner relays the request to the owner, through another node if the direct
-// path to the owner keeps failing. A request from a peer is relayed only
+// relayToOwner relays the request to the owner, through another node if the
+// direct path to the owner keeps failing. A request from a peer is relayed only
 // directly.
 func (g *Gateway) relayToOwner(request *exchange, owner Route) outcome {
 	if request.peer || g.paths.allow(owner.Address, time.Now()) {
--- a/gateway/perform.go
+++ b/gateway/perform.go
@@ -42,7 +42,8 @@
 // stateQueryTimeout bounds the query for a call's state after a wait timed out.
 const stateQueryTimeout = 2 * time.Second
 
-// minimumSliceInterval is the shortest time between the starts of two slices of a wait.
+// minimumSliceInterval is the shortest time between the starts of two slices of
+// a wait.
 const minimumSliceInterval = 50 * time.Millisecond
 
 // perform tries the request at its owner until it is answered, or until the
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -66,8 +66,8 @@
 	probed bool
 	// silence is the longest time to wait for bytes in one read.
 	silence time.Duration
-	// requestInProgress is set between the first write of a request and the first byte
-	// of its answer.
+	// requestInProgress is set between the first write of a request and the
+	// first byte of its answer.
 	requestInProgress bool
 }
 
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -39,8 +39,8 @@
 	return b.budget.Withdraw()
 }
 
-// waitRetryDelay waits for the delay between the given attempt and the next one. It
-// reports false if the context ended first.
+// waitRetryDelay waits for the delay between the given attempt and the next
+// one. It reports false if the context ended first.
 func (g *Gateway) waitRetryDelay(ctx context.Context, attempt int) bool {
 	backoff := retry.Backoff{Minimum: g.config.RetryDelay, Maximum: g.config.MaximumRetryDelay, Random: g.random}
 	return wait.For(ctx, backoff.Delay(attempt))
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -30,8 +30,8 @@
 	close()
 }
 
-// bufferPollInterval is how often a localSource looks up the call's buffer until it
-// exists.
+// bufferPollInterval is how often a localSource looks up the call's buffer
+// until it exists.
 const bufferPollInterval = 20 * time.Millisecond
 
 // localSource reads an answer on the node that owns its program: from the
@@ -46,8 +46,8 @@
 	initial *api.Call
 	// buffer is nil until it is found, and again after it was read to its end.
 	buffer *stream.Buffer
-	// bufferDone is set when no buffer has to be looked up: it was read to its end,
-	// or the call has none.
+	// bufferDone is set when no buffer has to be looked up: it was read to its
+	// end, or the call has none.
 	bufferDone bool
 	// endReply delivers the reply to the request for the terminal call. It is nil
 	// while no such request is pending; cancel cancels the request.
@@ -276,8 +276,8 @@
 	}
 }
 
-// detectOwnerLoss returns errSourceLost for an error event that reports a change of
-// owner, and other events unchanged.
+// detectOwnerLoss returns errSourceLost for an error event that reports a
+// change of owner, and other events unchanged.
 func detectOwnerLoss(ctx context.Context, next event) (event, error) {
 	if next.kind == eventKeepAlive {
 		return next, ctx.Err()
--- a/operator/contexts.go
+++ b/operator/contexts.go
@@ -18,8 +18,8 @@
 	byProgram map[api.ProgramID]cachedContext
 }
 
-// cachedContext is the context that a call left in an engine's cache, and when the
-// call ended.
+// cachedContext is the context that a call left in an engine's cache, and when
+// the call ended.
 type cachedContext struct {
 	tokens int
 	since  time.Time
@@ -44,8 +44,8 @@
 	return recomputed, float64(recomputed) * now.Sub(before.since).Seconds()
 }
 
-// programEnded removes a program that ended. It returns the token-seconds for which
-// its last context was cached without use.
+// programEnded removes a program that ended. It returns the token-seconds for
+// which its last context was cached without use.
 func (c *contexts) programEnded(id api.ProgramID, now time.Time) float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/operator/programs.go
+++ b/operator/programs.go
@@ -19,8 +19,9 @@
 	return s.operate(ctx, branch, fasthttp.MethodGet, "/v1/programs", nil), nil
 }
 
-// forwardProgram returns the handler that forwards a request about one program to the
-// node that owns it. part is the rest of the route after the program's ID.
+// forwardProgram returns the handler that forwards a request about one program
+// to the node that owns it. part is the rest of the route after the program's
+// ID.
 func (s *Server) forwardProgram(part string) handler {
 	return func(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error) {
 		id, refusal := pathSegment(request)
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -87,8 +87,8 @@
 	writeError(ctx, unknown)
 }
 
-// serviceError converts an error of the node's Service to an answer: the node did not
-// respond in time.
+// serviceError converts an error of the node's Service to an answer: the node
+// did not respond in time.
 func serviceError(err error) *api.Error {
 	return api.Refuse(api.CodeTimeout, "%v", err).After(time.Second.Milliseconds())
 }
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -216,8 +216,8 @@
 	return change, nil
 }
 
-// actorName returns the actor of a change: the name that the operator gave, followed
-// by the name derived from the operator's token.
+// actorName returns the actor of a change: the name that the operator gave,
+// followed by the name derived from the operator's token.
 func actorName(name string, who actor) string {
 	if name == "" {
 		return who.name
