--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -34,9 +34,9 @@
 
 var bearerPrefix = []byte("Bearer ")
 
-// callerID is the SHA-256 hash of a bearer token, so that the token itself is
+// tokenHash is the SHA-256 hash of a bearer token, so that the token itself is
 // not kept in memory.
-type callerID [sha256.Size]byte
+type tokenHash [sha256.Size]byte
 
 // authenticate sets the exchange's sender, scope and deadline.
 func (g *Gateway) authenticate(ctx *fasthttp.RequestCtx, request *exchange) *api.Error {
@@ -64,7 +64,7 @@
 		return refusal
 	}
 	request.scope = scope
-	request.caller = sha256.Sum256(token)
+	request.callerToken = sha256.Sum256(token)
 	return nil
 }
 
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("A caller that keeps its connection", func() {
 	It("is asked to close it once the node drains, and not before", func() {
-		shared := newWorld()
+		shared := newCluster()
 		owner := shared.start("midrand-1")
 		connection, err := net.Dial("tcp", owner.address)
 		Expect(err).NotTo(HaveOccurred())
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -12,10 +12,10 @@
 // data is copied from the request's memory, which fasthttp reuses.
 type exchange struct {
 	request control.Request
-	// scope is the caller's branch, and caller identifies its token for the
-	// limits.
-	scope  contract.Path
-	caller callerID
+	// scope is the caller's branch, and callerToken the hash of its
+	// bearer token, which identifies the caller in the limits.
+	scope       contract.Path
+	callerToken tokenHash
 	// peer is set when another node's gateway relayed the request; hops counts
 	// how often it was relayed.
 	peer bool
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -28,9 +28,9 @@
 	auditToken  = "audit-secret"
 )
 
-// world is the state that the nodes of a test share: the durable programs and
+// cluster is the state that the nodes of a test share: the durable programs and
 // calls, and the node that owns them.
-type world struct {
+type cluster struct {
 	mutex    sync.Mutex
 	owner    machine.ID
 	address  map[machine.ID]string
@@ -48,8 +48,8 @@
 	done   chan struct{}
 }
 
-func newWorld() *world {
-	return &world{
+func newCluster() *cluster {
+	return &cluster{
 		address:  make(map[machine.ID]string),
 		programs: make(map[api.ProgramID]*api.Program),
 		calls:    make(map[program.CallRef]*call),
@@ -57,7 +57,7 @@
 }
 
 // find returns the call with the sequence or key. The caller holds the mutex.
-func (w *world) find(id api.ProgramID, sequence uint64, key string) *call {
+func (w *cluster) find(id api.ProgramID, sequence uint64, key string) *call {
 	for ref, held := range w.calls {
 		if ref.Program == id && (ref.Sequence == sequence || (key != "" && held.state.Key == key)) {
 			return held
@@ -67,7 +67,7 @@
 }
 
 // get waits until the call with the key exists.
-func (w *world) get(id api.ProgramID, key string) *call {
+func (w *cluster) get(id api.ProgramID, key string) *call {
 	var found *call
 	Eventually(func() *call {
 		w.mutex.Lock()
@@ -79,28 +79,28 @@
 }
 
 // move makes the node the owner. With an empty ID there is no owner.
-func (w *world) move(owner machine.ID) {
+func (w *cluster) move(owner machine.ID) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.owner = owner
 }
 
 // submitted returns the number of submits that reached an owner.
-func (w *world) submitted() int {
+func (w *cluster) submitted() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.submits
 }
 
 // waits returns the number of requests that have begun to wait for a call.
-func (w *world) waits() int {
+func (w *cluster) waits() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.waiting
 }
 
 // finish ends the call successfully with the output.
-func (w *world) finish(held *call, output string) {
+func (w *cluster) finish(held *call, output string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	held.state.Status = api.StatusSucceeded
@@ -111,17 +111,17 @@
 
 // node is the gateway.Service of one node.
 type node struct {
-	world *world
-	id    machine.ID
-	lose  func() *api.Error // overrides the owner's answer to a submit
-	holds int               // number of programs in a list, at least one
-	hang  bool              // no request is answered
+	cluster      *cluster
+	id           machine.ID
+	submitError  func() *api.Error // overrides the owner's answer to a submit
+	listSize     int               // number of programs in a list, at least one
+	unresponsive bool              // no request is answered
 	// unreadable makes reading the record of an ended call fail.
-	unreadable bool
-	cutFrom    machine.ID // the node that this node cannot reach
-	gateway    *gateway.Gateway
-	address    string
-	kill       func()
+	unreadable  bool
+	unreachable machine.ID // the node that this node cannot reach
+	gateway     *gateway.Gateway
+	address     string
+	kill        func()
 	// opened returns the number of connections that were opened to the node.
 	opened func() int
 }
@@ -177,14 +177,14 @@
 }
 
 func (n *node) Route(api.ProgramID) (gateway.Route, *api.Error) {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
-	if n.world.owner == "" {
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	if n.cluster.owner == "" {
 		return gateway.Route{}, api.Refuse(api.CodeOwnerUnknown, "no owner").After(10)
 	}
-	owner := n.world.owner
-	address := n.world.address[owner]
-	if n.cutFrom == owner {
+	owner := n.cluster.owner
+	address := n.cluster.address[owner]
+	if n.unreachable == owner {
 		address = "127.0.0.1:1"
 	}
 	return gateway.Route{Local: owner == n.id, Owner: owner, Address: address}, nil
@@ -193,10 +193,10 @@
 func (n *node) PeerToken() string { return peerToken }
 
 func (n *node) Peers() []gateway.Route {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
 	var peers []gateway.Route
-	for id, address := range n.world.address {
+	for id, address := range n.cluster.address {
 		if id != n.id {
 			peers = append(peers, gateway.Route{Owner: id, Address: address})
 		}
@@ -205,9 +205,9 @@
 }
 
 func (n *node) Stream(ref program.CallRef) (*stream.Buffer, bool) {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
-	held := n.world.calls[ref]
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	held := n.cluster.calls[ref]
 	if held == nil || held.state.Status.Terminal() {
 		return nil, false
 	}
@@ -215,27 +215,27 @@
 }
 
 func (n *node) Do(ctx context.Context, request control.Request) control.Reply {
-	if n.hang {
+	if n.unresponsive {
 		<-ctx.Done()
 		return control.Reply{Error: &api.Error{Code: api.CodeTimeout, Ran: api.RanOutcomeUnknown, Retry: true}}
 	}
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
 	if request.Operation == control.OperationList {
 		programs := []api.Program{{ID: api.ProgramID(n.id), Branch: string(request.Scope)}}
-		for len(programs) < min(n.holds, request.Limit) {
+		for len(programs) < min(n.listSize, request.Limit) {
 			id := api.ProgramID(fmt.Sprintf("%s-%d", n.id, len(programs)))
 			programs = append(programs, api.Program{ID: id, Branch: string(request.Scope)})
 		}
 		return control.Reply{Programs: programs}
 	}
-	if n.world.owner != n.id {
+	if n.cluster.owner != n.id {
 		return control.Reply{Error: api.Refuse(api.CodeNotOwner, "not the owner")}
 	}
 	if request.Operation == control.OperationCreate {
 		return n.create(request)
 	}
-	held := n.world.programs[request.Program]
+	held := n.cluster.programs[request.Program]
 	if held == nil || !gatewayWithin(request.Scope, held.Branch) {
 		return control.Reply{Error: api.Refuse(api.CodeNotFound, "no program %s", request.Program)}
 	}
@@ -243,7 +243,7 @@
 	case control.OperationSubmit:
 		return n.submit(ctx, request)
 	case control.OperationCall, control.OperationCancel:
-		found := n.world.find(request.Program, request.Sequence, request.Key)
+		found := n.cluster.find(request.Program, request.Sequence, request.Key)
 		if found == nil {
 			return control.Reply{Error: api.Refuse(api.CodeNotFound, "no such call")}
 		}
@@ -262,25 +262,25 @@
 }
 
 func (n *node) create(request control.Request) control.Reply {
-	held := n.world.programs[request.Program]
+	held := n.cluster.programs[request.Program]
 	if held == nil {
 		held = &api.Program{ID: request.Program, Branch: request.Create.Branch, Key: request.Create.Key, Parent: request.Parent}
-		n.world.programs[request.Program] = held
+		n.cluster.programs[request.Program] = held
 	}
 	return control.Reply{Program: held}
 }
 
 // submit admits the call or finds the one with the same key.
 func (n *node) submit(ctx context.Context, request control.Request) control.Reply {
-	n.world.submits++
-	if n.lose != nil {
-		if lost := n.lose(); lost != nil {
+	n.cluster.submits++
+	if n.submitError != nil {
+		if lost := n.submitError(); lost != nil {
 			return control.Reply{Error: lost}
 		}
 	}
-	found := n.world.find(request.Program, 0, request.Submit.Key)
+	found := n.cluster.find(request.Program, 0, request.Submit.Key)
 	if found == nil {
-		sequence := uint64(len(n.world.calls) + 1)
+		sequence := uint64(len(n.cluster.calls) + 1)
 		found = &call{
 			state: api.Call{
 				Program: request.Program, Sequence: sequence, Key: request.Submit.Key,
@@ -291,7 +291,7 @@
 			done:   make(chan struct{}),
 		}
 		found.buffer.Restart(1)
-		n.world.calls[program.CallRef{Program: request.Program, Sequence: sequence}] = found
+		n.cluster.calls[program.CallRef{Program: request.Program, Sequence: sequence}] = found
 	}
 	if found.body.Input != request.Submit.Input {
 		return control.Reply{Error: api.Refuse(api.CodeKeyReused, "the key has another body").At("$.key")}
@@ -300,19 +300,19 @@
 }
 
 // wait answers with the call's state. If the request waits, it first waits until
-// the call is terminal. The world's mutex is held on entry and exit.
+// the call is terminal. The cluster's mutex is held on entry and exit.
 func (n *node) wait(ctx context.Context, request control.Request, held *call) control.Reply {
 	if n.unreadable && held.state.Status.Terminal() {
 		return control.Reply{Error: api.Refuse(api.CodeStoreUnavailable, "the history cannot be read back now")}
 	}
 	if request.Wait {
-		n.world.waiting++
-		n.world.mutex.Unlock()
+		n.cluster.waiting++
+		n.cluster.mutex.Unlock()
 		select {
 		case <-held.done:
 		case <-ctx.Done():
 		}
-		n.world.mutex.Lock()
+		n.cluster.mutex.Lock()
 		if ctx.Err() != nil {
 			return control.Reply{Error: &api.Error{Code: api.CodeTimeout, Ran: api.RanOutcomeUnknown}}
 		}
@@ -336,12 +336,12 @@
 }
 
 // start serves a node on a loopback port until the spec ends.
-func (w *world) start(id machine.ID, configure ...func(*gateway.Config)) *node {
+func (w *cluster) start(id machine.ID, configure ...func(*gateway.Config)) *node {
 	config := testConfig(id)
 	for _, change := range configure {
 		change(&config)
 	}
-	started := &node{world: w, id: id}
+	started := &node{cluster: w, id: id}
 	served, err := gateway.New(config, started, &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}})
 	Expect(err).NotTo(HaveOccurred())
 	started.gateway = served
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -12,12 +12,12 @@
 )
 
 var _ = Describe("A fleet", func() {
-	var shared *world
+	var shared *cluster
 	var first, second *node
 	var kept *relayCounter
 
 	BeforeEach(func() {
-		shared = newWorld()
+		shared = newCluster()
 		first = shared.start("isando-1")
 		kept = &relayCounter{}
 		second = shared.start("isando-2", func(config *gateway.Config) {
@@ -51,8 +51,8 @@
 	})
 
 	It("says when there are more programs than a list holds", func() {
-		first.holds = 600
-		second.holds = 600
+		first.listSize = 600
+		second.listSize = 600
 		got := ask("GET", "http://"+first.address+"/v1/programs", triageToken, "")
 		programs, _ := listed([]byte(got.body))
 		Expect(programs).To(HaveLen(1000))
--- a/gateway/forward_test.go
+++ b/gateway/forward_test.go
@@ -16,13 +16,13 @@
 )
 
 var _ = Describe("A request that is passed on", func() {
-	var shared *world
+	var shared *cluster
 	var entry *node
 	var relayed *relayCounter
 	const path = "/v1/programs/" + string(triageProgram)
 
 	BeforeEach(func() {
-		shared = newWorld()
+		shared = newCluster()
 		relayed = &relayCounter{}
 		entry = shared.start("midrand-1", func(config *gateway.Config) { config.Observer = relayed })
 		shared.start("isando-1")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -196,7 +196,7 @@
 		return done, api.Refuse(api.CodeOverloaded, "this node serves as many requests as it can").
 			After(g.limits.expectedRelease(request.received))
 	}
-	released, refusal := g.limits.acquire(request.caller, request.received)
+	released, refusal := g.limits.acquire(request.callerToken, request.received)
 	if refusal != nil {
 		return done, refusal
 	}
@@ -255,11 +255,11 @@
 // notifies the observer. Errors for peers are not reported as refusals: the
 // node that the caller asked reports them.
 func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, request *exchange, refusal *api.Error, status int) {
-	named := *refusal
-	if named.ID == "" {
-		named.ID = g.config.Node + "-" + strconv.FormatUint(g.refusals.Add(1), 36)
+	identified := *refusal
+	if identified.ID == "" {
+		identified.ID = g.config.Node + "-" + strconv.FormatUint(g.refusals.Add(1), 36)
 	}
-	writeError(ctx, &named, status)
+	writeError(ctx, &identified, status)
 	g.observer.Answered(request.request.Operation, status, time.Since(request.received))
 	if request.peer {
 		return
@@ -270,7 +270,7 @@
 		Branch:    request.scope,
 		Program:   request.request.Program,
 		Attempts:  request.attempts,
-		Error:     named,
+		Error:     identified,
 	})
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -18,12 +18,12 @@
 )
 
 var _ = Describe("A caller at the owner", func() {
-	var shared *world
+	var shared *cluster
 	var owner *node
 	var programs, calls string
 
 	BeforeEach(func() {
-		shared = newWorld()
+		shared = newCluster()
 		owner = shared.start("isando-1")
 		shared.owner = "isando-1"
 		programs = "http://" + owner.address + "/v1/programs"
--- a/gateway/input_test.go
+++ b/gateway/input_test.go
@@ -17,9 +17,9 @@
 	"birchwood.example/birchwood/gateway"
 )
 
-// raw sends bytes on a new connection and returns the answer. If cut is set, it
-// closes the sending side before it reads the answer.
-func raw(address, bytes string, cut bool) reply {
+// sendRaw sends bytes on a new connection and returns the answer. If cut is
+// set, it closes the sending side before it reads the answer.
+func sendRaw(address, bytes string, cut bool) reply {
 	conn, err := net.Dial("tcp", address)
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
@@ -43,12 +43,12 @@
 
 var _ = Describe("Bad input", func() {
 	const callsPath = "/v1/programs/" + string(triageProgram) + "/calls"
-	var shared *world
+	var shared *cluster
 	var owner *node
 	var base string
 
 	BeforeEach(func() {
-		shared = newWorld()
+		shared = newCluster()
 		owner = shared.start("isando-1", func(config *gateway.Config) {
 			config.MaximumBodyBytes = 4096
 			config.ReadTimeout = 200 * time.Millisecond
@@ -105,7 +105,7 @@
 	})
 
 	It("that ends before its body does is told so", func() {
-		got := raw(owner.address, head(callsPath, 100)+`{"key":`, true)
+		got := sendRaw(owner.address, head(callsPath, 100)+`{"key":`, true)
 		Expect(got.status).To(Equal(400))
 		Expect(got.error().Code).To(Equal(api.CodeBodyCutShort))
 		Expect(got.error().Retry).To(BeTrue())
@@ -113,12 +113,12 @@
 
 	It("that is larger than every buffer on the way is still answered", func() {
 		const size = 7 << 20
-		got := raw(owner.address, head(callsPath, size)+strings.Repeat("x", size), false)
+		got := sendRaw(owner.address, head(callsPath, size)+strings.Repeat("x", size), false)
 		Expect(got.error().Code).To(Equal(api.CodeBodyTooLarge))
 	})
 
 	It("that comes too slowly is cut off with an answer", func() {
-		got := raw(owner.address, head(callsPath, 100)+`{"key":`, false)
+		got := sendRaw(owner.address, head(callsPath, 100)+`{"key":`, false)
 		Expect(got.error().Code).To(Equal(api.CodeTimeout))
 		Expect(got.error().Ran).To(Equal(api.RanNotRun))
 	})
@@ -128,7 +128,7 @@
 		// With 650 rounds and a margin of 25, one leak per 26 rounds is
 		// detected. The margin allows for idle connections between nodes.
 		for range 650 {
-			raw(owner.address, head(callsPath, 100)+`{"key":`, true)
+			sendRaw(owner.address, head(callsPath, 100)+`{"key":`, true)
 			ask("POST", base+callsPath, triageToken, `{`)
 			ask("GET", base+"/v1/programs", "wrong", "")
 		}
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -20,13 +20,13 @@
 
 var _ = Describe("A gateway", func() {
 	const callsPath = "/v1/programs/" + string(triageProgram) + "/calls"
-	var shared *world
+	var shared *cluster
 	var owner *node
 	var base string
 
 	// begin starts the owner with the changed settings and creates one program.
 	begin := func(configure ...func(*gateway.Config)) {
-		shared = newWorld()
+		shared = newCluster()
 		owner = shared.start("isando-1", configure...)
 		shared.move("isando-1")
 		base = "http://" + owner.address
@@ -142,7 +142,7 @@
 
 	It("answers a request that the node does not get to, and says that its outcome is unknown", func() {
 		begin(func(config *gateway.Config) { config.RequestTimeout = 30 * time.Millisecond })
-		owner.hang = true
+		owner.unresponsive = true
 		got := ask("POST", base+callsPath+"?wait=false", triageToken, submitFirst)
 		Expect(got.error().Code).To(Equal(api.CodeTimeout))
 		Expect(got.error().Ran).To(Equal(api.RanOutcomeUnknown))
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -30,7 +30,7 @@
 type limits struct {
 	mutex   sync.Mutex
 	config  Config
-	callers map[callerID]*caller
+	callers map[tokenHash]*caller
 	// inFlightSeconds is the moving average of the time that a request is in
 	// flight, in seconds.
 	inFlightSeconds float64
@@ -45,13 +45,13 @@
 }
 
 func newLimits(config Config) *limits {
-	return &limits{config: config, callers: make(map[callerID]*caller)}
+	return &limits{config: config, callers: make(map[tokenHash]*caller)}
 }
 
 // acquire counts one request against the caller's limits, or refuses it with
 // the time after which it is likely to be admitted. The returned function ends
 // the request.
-func (l *limits) acquire(id callerID, now time.Time) (func(), *api.Error) {
+func (l *limits) acquire(id tokenHash, now time.Time) (func(), *api.Error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	entry := l.caller(id, now)
@@ -82,7 +82,7 @@
 
 // caller returns the state of the token, creating it if needed. The calling
 // function holds the mutex.
-func (l *limits) caller(id callerID, now time.Time) *caller {
+func (l *limits) caller(id tokenHash, now time.Time) *caller {
 	entry, known := l.callers[id]
 	if !known {
 		l.removeIdle(now)
--- a/gateway/lostanswer_test.go
+++ b/gateway/lostanswer_test.go
@@ -11,9 +11,9 @@
 	"birchwood.example/birchwood/api"
 )
 
-// hangUpOnRequests reads each request completely and closes the connection
+// closeWithoutAnswer reads each request completely and closes the connection
 // without an answer, like a node that fails after receiving the request.
-func hangUpOnRequests(listener net.Listener) {
+func closeWithoutAnswer(listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
 		if err != nil {
@@ -28,7 +28,7 @@
 
 var _ = Describe("A caller whose owner dies with the request", func() {
 	It("is told that the outcome is unknown, not that nothing ran", func() {
-		shared := newWorld()
+		shared := newCluster()
 		entry := shared.start("midrand-1")
 		shared.start("isando-1")
 		shared.move("isando-1")
@@ -37,7 +37,7 @@
 		dying, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(dying.Close)
-		go hangUpOnRequests(dying)
+		go closeWithoutAnswer(dying)
 		shared.mutex.Lock()
 		shared.address["isando-1"] = dying.Addr().String()
 		shared.mutex.Unlock()
@@ -50,12 +50,12 @@
 })
 
 var _ = Describe("A caller whose call was admitted while it waited", func() {
-	var shared *world
+	var shared *cluster
 	var owner *node
 	var programs string
 
 	BeforeEach(func() {
-		shared = newWorld()
+		shared = newCluster()
 		entry := shared.start("midrand-1")
 		owner = shared.start("isando-1")
 		shared.move("isando-1")
@@ -65,7 +65,7 @@
 
 	It("is not told that nothing ran when a later slice of the wait is refused", func() {
 		slices := 0
-		owner.lose = func() *api.Error {
+		owner.submitError = func() *api.Error {
 			slices++
 			if slices == 1 {
 				return nil
@@ -79,7 +79,7 @@
 	})
 
 	It("is not told that nothing ran when the owner loses the program during the wait", func() {
-		owner.lose = func() *api.Error {
+		owner.submitError = func() *api.Error {
 			shared.owner = "" // The mutex is held by the caller of lose.
 			return nil
 		}
@@ -92,7 +92,7 @@
 
 var _ = Describe("A caller that streams the answer of an admitted call", func() {
 	It("is not told that nothing ran when no owner can be found any more", func() {
-		shared := newWorld()
+		shared := newCluster()
 		entry := shared.start("midrand-1")
 		owner := shared.start("isando-1")
 		shared.move("isando-1")
--- a/gateway/perform.go
+++ b/gateway/perform.go
@@ -136,16 +136,16 @@
 
 // local performs the request on this node.
 func (g *Gateway) local(ctx context.Context, request *exchange) outcome {
-	asked := request.request
-	asked.Wait = request.waits()
-	if refusal := g.resolve(ctx, &asked); refusal != nil {
+	command := request.request
+	command.Wait = request.waits()
+	if refusal := g.resolve(ctx, &command); refusal != nil {
 		return refusedByOwner(refusal)
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, g.answerTimeout(request))
 	defer cancel()
-	reply := g.service.Do(waitCtx, asked)
-	if reply.Error != nil && asked.Wait && waitCtx.Err() != nil {
-		reply = g.queryCallState(asked)
+	reply := g.service.Do(waitCtx, command)
+	if reply.Error != nil && command.Wait && waitCtx.Err() != nil {
+		reply = g.queryCallState(command)
 	}
 	if reply.Error != nil {
 		return refusedByOwner(reply.Error)
@@ -153,11 +153,11 @@
 	if request.stream {
 		return g.openLocal(request, reply.Call)
 	}
-	result := outcome{answer: answer{status: statusOK, body: replyBody(&asked, &reply)}}
-	if reply.Call != nil && !reply.Call.Status.Terminal() && asked.Operation == control.OperationSubmit {
+	result := outcome{answer: answer{status: statusOK, body: replyBody(&command, &reply)}}
+	if reply.Call != nil && !reply.Call.Status.Terminal() && command.Operation == control.OperationSubmit {
 		result.status = statusAccepted
 	}
-	if reply.Call != nil && !reply.Call.Status.Terminal() && asked.Wait {
+	if reply.Call != nil && !reply.Call.Status.Terminal() && command.Wait {
 		result.status = statusAccepted
 		result.pending = true
 	}
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -13,12 +13,12 @@
 )
 
 var _ = Describe("A caller at another node than the owner", func() {
-	var shared *world
+	var shared *cluster
 	var entry, first, second *node
 	var programs, calls string
 
 	BeforeEach(func() {
-		shared = newWorld()
+		shared = newCluster()
 		entry = shared.start("midrand-1")
 		first = shared.start("isando-1")
 		second = shared.start("isando-2")
@@ -114,7 +114,7 @@
 
 	It("is not told that nothing ran when an earlier attempt may have run", func() {
 		refusals := 0
-		first.lose = func() *api.Error {
+		first.submitError = func() *api.Error {
 			refusals++
 			if refusals == 1 {
 				return &api.Error{Code: api.CodeNotOwner, Ran: api.RanOutcomeUnknown, Retry: true}
@@ -134,7 +134,7 @@
 	})
 
 	It("reaches an owner that is cut off from its own node through a third one", func() {
-		entry.cutFrom = "isando-1"
+		entry.unreachable = "isando-1"
 		stream := openEvents("POST", calls, triageToken, streamFirst)
 		defer stream.close()
 		Expect(stream.next().kind).To(Equal("accepted"))
@@ -168,7 +168,7 @@
 
 var _ = Describe("Retries", func() {
 	It("are bounded in number over all requests while no node owns a program", func() {
-		shared := newWorld()
+		shared := newCluster()
 		counter := &relayCounter{}
 		entry := shared.start("midrand-1", func(config *gateway.Config) {
 			config.RetryRatio = 0.1
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -89,9 +89,9 @@
 // discardBody reads and discards what the caller is still sending, within the
 // discard limits.
 func discardBody(conn net.Conn) {
-	over := time.Now().Add(discardTimeout)
+	deadline := time.Now().Add(discardTimeout)
 	buffer := make([]byte, maximumHeaderBytes)
-	for discarded := 0; discarded < discardBytes && time.Now().Before(over); {
+	for discarded := 0; discarded < discardBytes && time.Now().Before(deadline); {
 		_ = conn.SetReadDeadline(time.Now().Add(discardReadTimeout))
 		read, err := conn.Read(buffer)
 		discarded += read
--- a/gateway/source_test.go
+++ b/gateway/source_test.go
@@ -9,7 +9,7 @@
 
 var _ = Describe("A stream that is attached while its call runs", func() {
 	It("ends with the call that its buffer brings, without asking for it", func() {
-		shared := newWorld()
+		shared := newCluster()
 		owner := shared.start("isando-1")
 		shared.move("isando-1")
 		programs := "http://" + owner.address + "/v1/programs"
--- a/operator/api_test.go
+++ b/operator/api_test.go
@@ -22,7 +22,7 @@
 var _ = Describe("The operators' API", func() {
 	var node *fakeNode
 	var refusals *operator.RefusalLog
-	var served asker
+	var served apiClient
 
 	// ask sends a request and decodes the answer.
 	ask := func(method, path, token, body string, into any) int {
--- a/operator/fake_test.go
+++ b/operator/fake_test.go
@@ -22,17 +22,17 @@
 
 // fakeNode is the Service of the tests.
 type fakeNode struct {
-	tree     *contract.Tree
-	changes  []contract.Change
-	stuck    bool
-	findings []string
-	drained  []machine.ID
-	owned    []control.PartitionStatus
-	accepted []partition.ID
+	tree         *contract.Tree
+	changes      []contract.Change
+	unresponsive bool
+	findings     []string
+	drained      []machine.ID
+	owned        []control.PartitionStatus
+	accepted     []partition.ID
 }
 
 func (n *fakeNode) Alive(context.Context) error {
-	if n.stuck {
+	if n.unresponsive {
 		return errors.New("the control goroutine does not answer")
 	}
 	return nil
@@ -81,11 +81,11 @@
 	return http.StatusOK, []byte(`{"asked":"` + string(scope) + " " + method + " " + uri + " " + strings.ReplaceAll(string(body), `"`, "'") + `"}`)
 }
 
-// asker sends requests to a served operator.Server.
-type asker struct{ client *http.Client }
+// apiClient sends requests to a served operator.Server.
+type apiClient struct{ client *http.Client }
 
 // serve serves the node over an in-memory listener until the spec ends.
-func serve(node *fakeNode, metrics *operator.Metrics, refusals *operator.RefusalLog) asker {
+func serve(node *fakeNode, metrics *operator.Metrics, refusals *operator.RefusalLog) apiClient {
 	config := operator.DefaultConfig()
 	config.BootstrapToken = "bootstrap"
 	quiet := &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
@@ -99,11 +99,11 @@
 		Eventually(finished).Should(Receive())
 	})
 	dial := func(context.Context, string, string) (net.Conn, error) { return listener.Dial() }
-	return asker{&http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
+	return apiClient{&http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
 }
 
 // ask sends one request and returns the answer's status and body.
-func (a asker) ask(method, path, token, body string) (int, string) {
+func (a apiClient) ask(method, path, token, body string) (int, string) {
 	request, err := http.NewRequest(method, "http://operator"+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	if token != "" {
@@ -131,7 +131,7 @@
 		served := serve(node, operator.NewMetrics(), operator.NewRefusalLog(1))
 		status, _ := served.ask("GET", "/healthz", "", "")
 		Expect(status).To(Equal(http.StatusOK))
-		node.stuck = true
+		node.unresponsive = true
 		node.findings = []string{"leaving"}
 		status, _ = served.ask("GET", "/healthz", "", "")
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
--- a/operator/machines.go
+++ b/operator/machines.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// draining is the answer of the routes that drain a machine.
-type draining struct {
+// drainBody is the answer of the routes that drain a machine.
+type drainBody struct {
 	Draining machine.ID `json:"draining"`
 }
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, serviceError(err)
 	}
-	return draining{Draining: id}, nil
+	return drainBody{Draining: id}, nil
 }
 
 func unknownMachine(id machine.ID) *api.Error {
--- a/operator/refusals.go
+++ b/operator/refusals.go
@@ -11,10 +11,10 @@
 // RefusalLog stores the last refusals of this node, so that operators can look
 // up why a caller was refused. It is safe for concurrent use.
 type RefusalLog struct {
-	mutex sync.Mutex
-	ring  []gateway.Refusal
-	next  int
-	byID  map[string]int
+	mutex     sync.Mutex
+	ring      []gateway.Refusal
+	nextIndex int
+	byID      map[string]int
 }
 
 // NewRefusalLog returns a log that stores the last size refusals, at least one.
@@ -26,10 +26,10 @@
 func (l *RefusalLog) Add(refusal gateway.Refusal) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.byID, l.ring[l.next].Error.ID)
-	l.ring[l.next] = refusal
-	l.byID[refusal.Error.ID] = l.next
-	l.next = (l.next + 1) % len(l.ring)
+	delete(l.byID, l.ring[l.nextIndex].Error.ID)
+	l.ring[l.nextIndex] = refusal
+	l.byID[refusal.Error.ID] = l.nextIndex
+	l.nextIndex = (l.nextIndex + 1) % len(l.ring)
 }
 
 // Find returns the refusal with the ID, if it is still stored.
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -19,8 +19,8 @@
 	text    strings.Builder
 }
 
-// take adds a part and reports whether it directly follows the reader's text.
-func (r *reader) take(part stream.Part) bool {
+// add adds a part and reports whether it directly follows the reader's text.
+func (r *reader) add(part stream.Part) bool {
 	if part.Attempt != r.attempt {
 		r.attempt = part.Attempt
 		r.text.Reset()
@@ -32,11 +32,11 @@
 	return true
 }
 
-// drain reads to the end of the buffer and reports whether all parts fitted.
-func (r *reader) drain(buffer *stream.Buffer) bool {
+// readAll reads to the end of the buffer and reports whether all parts fitted.
+func (r *reader) readAll(buffer *stream.Buffer) bool {
 	for {
 		part, err := buffer.Next(context.Background(), r.attempt, r.text.Len())
-		if err != nil || !r.take(part) {
+		if err != nil || !r.add(part) {
 			return false
 		}
 		if part.Closed {
@@ -90,7 +90,7 @@
 		var group sync.WaitGroup
 		readers := make([]reader, rapid.IntRange(1, 4).Draw(t, "readers"))
 		whole := make([]bool, len(readers))
-		attach := func(i int) { group.Go(func() { whole[i] = readers[i].drain(buffer) }) }
+		attach := func(i int) { group.Go(func() { whole[i] = readers[i].readAll(buffer) }) }
 		attempt, written := 1, 0
 		buffer.Restart(attempt)
 		started := 0
