--- a/api/decode.go
+++ b/api/decode.go
@@ -18,9 +18,9 @@
 
 // Add adds a finding at a location such as "$.calls[0].key", unless the list is
 // full.
-func (f *Findings) Add(place, format string, arguments ...any) {
+func (f *Findings) Add(location, format string, arguments ...any) {
 	if len(*f) < maximumFindings {
-		*f = append(*f, Finding{Place: place, Message: fmt.Sprintf(format, arguments...)})
+		*f = append(*f, Finding{Place: location, Message: fmt.Sprintf(format, arguments...)})
 	}
 }
 
@@ -44,8 +44,8 @@
 // invalid JSON it returns the line and column of the first error.
 func Decode(body []byte, target any) Findings {
 	var findings Findings
-	if place, message := checkSyntax(body); message != "" {
-		findings.Add(place, "%s", message)
+	if location, message := checkSyntax(body); message != "" {
+		findings.Add(location, "%s", message)
 		return findings
 	}
 	decodeValue(body, reflect.ValueOf(target).Elem(), "$", &findings)
@@ -54,7 +54,7 @@
 
 // checkSyntax returns the location and the description of the first syntax error
 // in the text. If there is none, the message is empty.
-func checkSyntax(body []byte) (place, message string) {
+func checkSyntax(body []byte) (location, message string) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return "$", "the body is empty; want one JSON object"
 	}
@@ -96,20 +96,20 @@
 }
 
 // decodeValue decodes raw, which is valid JSON, into value.
-func decodeValue(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+func decodeValue(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	_, decodesItself := value.Addr().Interface().(json.Unmarshaler)
 	switch {
 	case decodesItself || isNull(raw):
-		decodeStandard(raw, value, place, findings)
+		decodeStandard(raw, value, location, findings)
 	case value.Kind() == reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		decodeValue(raw, value.Elem(), place, findings)
+		decodeValue(raw, value.Elem(), location, findings)
 	case value.Kind() == reflect.Struct:
-		decodeObject(raw, value, place, findings)
+		decodeObject(raw, value, location, findings)
 	case value.Kind() == reflect.Slice:
-		decodeArray(raw, value, place, findings)
+		decodeArray(raw, value, location, findings)
 	default:
-		decodeStandard(raw, value, place, findings)
+		decodeStandard(raw, value, location, findings)
 	}
 }
 
@@ -118,14 +118,14 @@
 }
 
 // decodeStandard decodes the value with encoding/json.
-func decodeStandard(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+func decodeStandard(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	err := json.Unmarshal(raw, value.Addr().Interface())
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &wrongType):
-		findings.Add(place, "want %s, got %s", describeKind(value.Type()), wrongType.Value)
+		findings.Add(location, "want %s, got %s", describeKind(value.Type()), wrongType.Value)
 	case err != nil:
-		findings.Add(place, "%s", err.Error())
+		findings.Add(location, "%s", err.Error())
 	}
 }
 
@@ -146,24 +146,24 @@
 }
 
 // decodeArray decodes each element, with its index as part of the location.
-func decodeArray(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+func decodeArray(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	var elements []json.RawMessage
 	if err := json.Unmarshal(raw, &elements); err != nil {
-		findings.Add(place, "want an array")
+		findings.Add(location, "want an array")
 		return
 	}
 	slice := reflect.MakeSlice(value.Type(), len(elements), len(elements))
 	for i, element := range elements {
-		decodeValue(element, slice.Index(i), fmt.Sprintf("%s[%d]", place, i), findings)
+		decodeValue(element, slice.Index(i), fmt.Sprintf("%s[%d]", location, i), findings)
 	}
 	value.Set(slice)
 }
 
 // decodeObject decodes each member into the field with its JSON name.
-func decodeObject(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+func decodeObject(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if open, _ := decoder.Token(); open != json.Delim('{') {
-		findings.Add(place, "want an object")
+		findings.Add(location, "want an object")
 		return
 	}
 	seen := make(map[string]bool)
@@ -172,17 +172,17 @@
 		name, _ := token.(string)
 		var member json.RawMessage
 		if err := decoder.Decode(&member); err != nil {
-			findings.Add(place+"."+name, "%s", err.Error())
+			findings.Add(location+"."+name, "%s", err.Error())
 			return
 		}
 		field, known := fieldByName(value, name)
 		switch {
 		case !known:
-			findings.Add(place+"."+name, "unknown field")
+			findings.Add(location+"."+name, "unknown field")
 		case seen[name]:
-			findings.Add(place+"."+name, "repeated field")
+			findings.Add(location+"."+name, "repeated field")
 		default:
-			decodeValue(member, field, place+"."+name, findings)
+			decodeValue(member, field, location+"."+name, findings)
 		}
 		seen[name] = true
 	}
--- a/api/error.go
+++ b/api/error.go
@@ -89,8 +89,8 @@
 }
 
 // WithLocation returns a copy with the location of the wrong part of the input.
-func (e Error) At(place string) *Error {
-	e.Place = place
+func (e Error) At(location string) *Error {
+	e.Place = location
 	return &e
 }
 
--- a/api/validate.go
+++ b/api/validate.go
@@ -21,16 +21,16 @@
 // validKey matches keys that can be used as one segment of a URL path.
 var validKey = regexp.MustCompile(`^[A-Za-z0-9._:~@=+,-]+$`)
 
-// CheckKey adds what is wrong with an idempotency key to the findings. place is
-// the key's location in the input.
-func CheckKey(key, place string, findings *Findings) {
+// CheckKey adds what is wrong with the idempotency key at the location in the
+// input to the findings.
+func CheckKey(key, location string, findings *Findings) {
 	switch {
 	case key == "":
-		findings.Add(place, "a key is required")
+		findings.Add(location, "a key is required")
 	case len(key) > MaximumKeyLength:
-		findings.Add(place, "longer than %d bytes", MaximumKeyLength)
+		findings.Add(location, "longer than %d bytes", MaximumKeyLength)
 	case !validKey.MatchString(key):
-		findings.Add(place, "want letters, digits and . _ : ~ @ = + , - only")
+		findings.Add(location, "want letters, digits and . _ : ~ @ = + , - only")
 	}
 }
 
@@ -98,17 +98,17 @@
 	}
 }
 
-func checkName(name, place string, findings *Findings) {
+func checkName(name, location string, findings *Findings) {
 	switch {
 	case name == "":
-		findings.Add(place, "a name is required")
+		findings.Add(location, "a name is required")
 	case len(name) > MaximumNameLength:
-		findings.Add(place, "longer than %d bytes", MaximumNameLength)
+		findings.Add(location, "longer than %d bytes", MaximumNameLength)
 	}
 }
 
-func checkMilliseconds(milliseconds int64, place string, findings *Findings) {
+func checkMilliseconds(milliseconds int64, location string, findings *Findings) {
 	if milliseconds < 0 || milliseconds > MaximumMilliseconds {
-		findings.Add(place, "want 0 to %d", int64(MaximumMilliseconds))
+		findings.Add(location, "want 0 to %d", int64(MaximumMilliseconds))
 	}
 }
--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -40,7 +40,7 @@
 
 // authenticate sets the exchange's sender, scope and deadline.
 func (g *Gateway) authenticate(ctx *fasthttp.RequestCtx, request *exchange) *api.Error {
-	if operator, is := ctx.UserValue(operatorKey{}).(operatorRequest); is {
+	if operator, ok := ctx.UserValue(operatorKey{}).(operatorRequest); ok {
 		request.scope = operator.scope
 		request.operator = true
 		request.deadline = request.received.Add(g.config.MaximumWait)
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -137,7 +137,7 @@
 	}
 	for _, limit := range c.limits() {
 		if limit.value <= 0 {
-			findings.Add(limit.place, "want more than 0")
+			findings.Add(limit.key, "want more than 0")
 		}
 	}
 	if c.PeerSilence <= c.WaitSlice || c.PeerSilence <= c.KeepAlive {
@@ -157,7 +157,7 @@
 
 // limit is a setting whose value must be positive.
 type limit struct {
-	place string
+	key   string
 	value int64
 }
 
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -40,8 +40,8 @@
 // queryPeers relays the request to all other nodes, peerConcurrency at a time. It
 // skips nodes whose circuit breaker is open; their answers are empty.
 func (g *Gateway) queryPeers(request *exchange) []peerAnswer {
-	directory, knows := g.service.(Directory)
-	if !knows || request.peer {
+	directory, ok := g.service.(Directory)
+	if !ok || request.peer {
 		return nil
 	}
 	peers := directory.Peers()
--- a/gateway/hangup.go
+++ b/gateway/hangup.go
@@ -14,8 +14,8 @@
 // the call ends. The call itself continues: the caller may ask for it again by
 // its key.
 func (g *Gateway) watchDisconnect(ctx context.Context, cancel context.CancelFunc, conn net.Conn) func() {
-	probe, has := connection.NewProbe(conn)
-	if !has {
+	probe, ok := connection.NewProbe(conn)
+	if !ok {
 		return func() {}
 	}
 	stopped := make(chan struct{})
--- a/gateway/lostanswer_test.go
+++ b/gateway/lostanswer_test.go
@@ -80,7 +80,7 @@
 
 	It("is not told that nothing ran when the owner loses the program during the wait", func() {
 		owner.submitError = func() *api.Error {
-			shared.owner = "" // The mutex is held by the caller of lose.
+			shared.owner = "" // The mutex is held by the caller of submitError.
 			return nil
 		}
 		got := ask("POST", programs+"/"+string(triageProgram)+"/calls", triageToken, submitFirst)
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -87,8 +87,8 @@
 
 // detour picks a random reachable node other than the owner.
 func (g *Gateway) detour(owner machine.ID) (Route, bool) {
-	directory, knows := g.service.(Directory)
-	if !knows {
+	directory, ok := g.service.(Directory)
+	if !ok {
 		return Route{}, false
 	}
 	var others []Route
--- a/gateway/perform.go
+++ b/gateway/perform.go
@@ -179,29 +179,29 @@
 // resolve fills in what the caller may omit and only the owner can look up: the
 // branch of a sub-agent, which defaults to its parent's, and the sequence
 // number of a call to cancel that is identified by its key.
-func (g *Gateway) resolve(ctx context.Context, asked *control.Request) *api.Error {
-	look := control.Request{Scope: asked.Scope, Program: asked.Program, Key: asked.Key}
+func (g *Gateway) resolve(ctx context.Context, command *control.Request) *api.Error {
+	lookup := control.Request{Scope: command.Scope, Program: command.Program, Key: command.Key}
 	switch {
-	case asked.Parent != "" && asked.Create.Branch == "":
-		look.Operation = control.OperationDescribe
-		look.Program = asked.Parent
-	case asked.Operation == control.OperationCancel && asked.Key != "":
-		look.Operation = control.OperationCall
+	case command.Parent != "" && command.Create.Branch == "":
+		lookup.Operation = control.OperationDescribe
+		lookup.Program = command.Parent
+	case command.Operation == control.OperationCancel && command.Key != "":
+		lookup.Operation = control.OperationCall
 	default:
 		return nil
 	}
-	reply := g.service.Do(ctx, look)
+	reply := g.service.Do(ctx, lookup)
 	switch {
 	case reply.Error != nil:
 		found := *reply.Error
 		found.Ran = api.RanNotRun
 		return &found
 	case reply.Program != nil:
-		create := *asked.Create
+		create := *command.Create
 		create.Branch = reply.Program.Branch
-		asked.Create = &create
+		command.Create = &create
 	case reply.Call != nil:
-		asked.Sequence = reply.Call.Sequence
+		command.Sequence = reply.Call.Sequence
 	}
 	return nil
 }
@@ -232,18 +232,18 @@
 // has moved to another node meanwhile, it returns an error on which perform
 // retries at that node. That error concerns this query only; a submitted call
 // may have been admitted before, so its outcome is unknown.
-func (g *Gateway) queryCallState(asked control.Request) control.Reply {
-	submits := asked.Submit != nil
+func (g *Gateway) queryCallState(command control.Request) control.Reply {
+	submits := command.Submit != nil
 	if submits {
-		asked.Key = asked.Submit.Key
-		asked.Sequence = 0
+		command.Key = command.Submit.Key
+		command.Sequence = 0
 	}
-	asked.Operation = control.OperationCall
-	asked.Submit = nil
-	asked.Wait = false
+	command.Operation = control.OperationCall
+	command.Submit = nil
+	command.Wait = false
 	ctx, cancel := context.WithTimeout(context.Background(), stateQueryTimeout)
 	defer cancel()
-	reply := g.service.Do(ctx, asked)
+	reply := g.service.Do(ctx, command)
 	if reply.Error == nil {
 		return reply
 	}
--- a/infra/infrahttp/infrahttp.go
+++ b/infra/infrahttp/infrahttp.go
@@ -22,9 +22,9 @@
 // store at one address.
 type Platform struct {
 	client *httpclient.Client
-	// listed is the last machine list received, and fullLists the number of
+	// lastList is the last machine list received, and fullLists the number of
 	// times that the platform sent the whole list.
-	listed    atomic.Pointer[machinesAnswer]
+	lastList  atomic.Pointer[machinesAnswer]
 	fullLists atomic.Uint64
 }
 
@@ -116,20 +116,20 @@
 // Machines implements infra.MachineList. The request has the version of the last
 // list received, so that the platform needs not send an unchanged list again.
 func (p *Platform) Machines(ctx context.Context) ([]machine.Machine, error) {
-	held := p.listed.Load()
+	cached := p.lastList.Load()
 	path := "/machines"
-	if held != nil {
-		path += "?known=" + url.QueryEscape(held.Version)
+	if cached != nil {
+		path += "?known=" + url.QueryEscape(cached.Version)
 	}
 	answer := &machinesAnswer{}
 	if err := p.client.Do(ctx, fasthttp.MethodGet, path, nil, answer); err != nil {
 		return nil, err
 	}
-	if answer.Unchanged && held != nil {
-		return slices.Clone(held.Machines), nil
+	if answer.Unchanged && cached != nil {
+		return slices.Clone(cached.Machines), nil
 	}
 	p.fullLists.Add(1)
-	p.listed.Store(answer)
+	p.lastList.Store(answer)
 	return slices.Clone(answer.Machines), nil
 }
 
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -72,7 +72,7 @@
 			writeError(request, refusal)
 			return
 		}
-		if answered, is := value.(httpAnswer); is {
+		if answered, ok := value.(httpAnswer); ok {
 			answered.write(request)
 			return
 		}
--- a/operator/server.go
+++ b/operator/server.go
@@ -51,9 +51,9 @@
 // validate collects everything that is wrong with the configuration.
 func (c *Config) validate() error {
 	var findings api.Findings
-	positive := func(place string, value int64) {
+	positive := func(key string, value int64) {
 		if value <= 0 {
-			findings.Add(place, "want more than 0")
+			findings.Add(key, "want more than 0")
 		}
 	}
 	positive("maximum_body_bytes", int64(c.MaximumBodyBytes))
