--- a/gateway/session.go
+++ b/gateway/session.go
@@ -29,7 +29,7 @@
 	accepted bool
 	hasText  bool
 	// unread holds the encoded events that the server has not read yet, and
-	// over is set after the last event.
+	// ended is set after the last event.
 	unread bytes.Buffer
 	ended  bool
 }
