--- a/operator/service.go
+++ b/operator/service.go
@@ -69,7 +69,7 @@
 	Revision contract.Revision `json:"revision"`
 	// Behind is set if the node holds older settings than another node.
 	Behind bool `json:"behind"`
-	// HeardAgo is the time since the node's last report was received.
+	// ReportAge is the time since the node's last report was received.
 	HeardAgo time.Duration `json:"heard_ago"`
 }
 
