--- a/api/validate.go
+++ b/api/validate.go
@@ -5,35 +5,36 @@
 	"strings"
 )
 
-// Limits of the callers' input.
+// Limits on the callers' input.
 const (
 	// MaximumKeyLength bounds idempotency keys, in bytes.
 	MaximumKeyLength = 128
 	// MaximumNameLength bounds the names of models, tools and branches, in
 	// bytes.
 	MaximumNameLength = 256
-	// MaximumOutputTokens bounds what a call may ask for.
+	// MaximumOutputTokens bounds SubmitCall.MaxOutputTokens.
 	MaximumOutputTokens = 1 << 20
-	// MaximumMilliseconds bounds time-outs and deadlines: 30 days.
+	// MaximumMilliseconds bounds time-outs and deadlines. It is 30 days.
 	MaximumMilliseconds = 30 * 24 * 60 * 60 * 1000
 )
 
-// validKey keeps keys usable as one segment of a path.
+// validKey matches keys that can be used as one segment of a URL path.
 var validKey = regexp.MustCompile(`^[A-Za-z0-9._:~@=+,-]+$`)
 
-// CheckKey reports what is wrong with an idempotency key.
-func CheckKey(key, place string, findings *Findings) {
+// CheckKey adds what is wrong with the idempotency key at the location in the
+// input to the findings.
+func CheckKey(key, location string, findings *Findings) {
 	switch {
 	case key == "":
-		findings.Add(place, "a key is required")
+		findings.Add(location, "a key is required")
 	case len(key) > MaximumKeyLength:
-		findings.Add(place, "longer than %d bytes", MaximumKeyLength)
+		findings.Add(location, "longer than %d bytes", MaximumKeyLength)
 	case !validKey.MatchString(key):
-		findings.Add(place, "want letters, digits and . _ : ~ @ = + , - only")
+		findings.Add(location, "want letters, digits and . _ : ~ @ = + , - only")
 	}
 }
 
-// Validate reports what is wrong with the request.
+// Validate adds what is wrong with the request to the findings.
 func (c *CreateProgram) Validate(findings *Findings) {
 	if c.Branch == "" {
 		findings.Add("$.branch", "a branch is required")
@@ -41,8 +42,8 @@
 	c.ValidateAgent(findings)
 }
 
-// ValidateAgent reports what is wrong with the request for a sub-agent, whose
-// branch may be left out: it is then its parent's.
+// ValidateAgent adds what is wrong with the request for a sub-agent to the
+// findings. The branch may be omitted; it then is the parent's.
 func (c *CreateProgram) ValidateAgent(findings *Findings) {
 	checkBranch(c.Branch, findings)
 	CheckKey(c.Key, "$.key", findings)
@@ -61,7 +62,7 @@
 	}
 }
 
-// Validate reports what is wrong with the request.
+// Validate adds what is wrong with the request to the findings.
 func (s *SubmitCall) Validate(findings *Findings) {
 	CheckKey(s.Key, "$.key", findings)
 	switch s.Kind {
@@ -97,17 +98,17 @@
 	}
 }
 
-func checkName(name, place string, findings *Findings) {
+func checkName(name, location string, findings *Findings) {
 	switch {
 	case name == "":
-		findings.Add(place, "a name is required")
+		findings.Add(location, "a name is required")
 	case len(name) > MaximumNameLength:
-		findings.Add(place, "longer than %d bytes", MaximumNameLength)
+		findings.Add(location, "longer than %d bytes", MaximumNameLength)
 	}
 }
 
-func checkMilliseconds(milliseconds int64, place string, findings *Findings) {
+func checkMilliseconds(milliseconds int64, location string, findings *Findings) {
 	if milliseconds < 0 || milliseconds > MaximumMilliseconds {
-		findings.Add(place, "want 0 to %d", int64(MaximumMilliseconds))
+		findings.Add(location, "want 0 to %d", int64(MaximumMilliseconds))
 	}
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// headerBytes bounds a request's line and headers.
-	headerBytes = 16 << 10
-	// discardLimit, discardTimeout and discardPause bound how much of an
-	// oversized body is read away, in bytes, in all and without a byte, so
-	// that the refusal is not lost in a connection reset.
-	discardLimit   = 8 << 20
-	discardTimeout = 2 * time.Second
-	discardPause   = 200 * time.Millisecond
-	// idleWorkerKeepAlives is how many keep-alive times an idle goroutine of
-	// the server is kept for the next connection.
+	// maximumHeaderBytes bounds the request line and headers together, in bytes.
+	maximumHeaderBytes = 16 << 10
+	// discardBytes, discardTimeout (in all) and discardReadTimeout
+	// (without receiving a byte) bound how much of an oversized body is read
+	// and discarded. Discarding it keeps the refusal from being lost in a
+	// connection reset.
+	discardBytes       = 8 << 20
+	discardTimeout     = 2 * time.Second
+	discardReadTimeout = 200 * time.Millisecond
+	// idleWorkerKeepAlives is how long an idle goroutine of the server is kept
+	// for the next connection, in multiples of Config.KeepAlive.
 	idleWorkerKeepAlives = 5
 )
 
 // newServer returns the server with every time-out and size limit set. The
-// write time-out bounds a whole JSON answer; streams renew it for each event.
+// write time-out bounds a whole JSON answer; streams renew it on each read of
+// an event.
 func (g *Gateway) newServer() *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:               g.router.Handler,
 		ErrorHandler:          g.badRequest,
 		Name:                  "birchwood",
 		Concurrency:           g.config.Connections,
-		ReadBufferSize:        headerBytes,
+		ReadBufferSize:        maximumHeaderBytes,
 		ReadTimeout:           g.config.ReadTimeout,
 		WriteTimeout:          g.config.WriteTimeout,
 		IdleTimeout:           g.config.IdleTimeout,
@@ -55,9 +57,9 @@
 	g.refuse(ctx, &exchange{received: time.Now()}, refusal, refusal.Code.HTTPStatus())
 }
 
-// ReadError tells why a request could not be read. What the caller is still
-// sending of an oversized one is read away first, so that the caller gets to
-// read the refusal.
+// ReadError returns the refusal for a request that could not be read. If the
+// request was too large, it first discards what the caller is still sending, so
+// that the caller can read the refusal.
 func ReadError(conn net.Conn, err error, maximumBody int) *api.Error {
 	refusal := classifyReadError(err, maximumBody)
 	if refusal.Code == api.CodeBodyTooLarge {
@@ -66,7 +68,7 @@
 	return refusal
 }
 
-// classifyReadError tells apart why a request could not be read.
+// classifyReadError maps a read error to a refusal.
 func classifyReadError(err error, maximumBody int) *api.Error {
 	var small *fasthttp.ErrSmallBuffer
 	var network net.Error
@@ -74,7 +76,7 @@
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return api.Refuse(api.CodeBodyTooLarge, "the body is larger than %d bytes", maximumBody).At("body")
 	case errors.As(err, &small):
-		return api.Refuse(api.CodeBodyTooLarge, "the headers are larger than %d bytes", headerBytes).At("headers")
+		return api.Refuse(api.CodeBodyTooLarge, "the headers are larger than %d bytes", maximumHeaderBytes).At("headers")
 	case errors.As(err, &network) && network.Timeout():
 		return api.Refuse(api.CodeTimeout, "the request did not arrive in time").After(0)
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
@@ -84,12 +86,13 @@
 	}
 }
 
-// discardBody reads what the caller is still sending, within bounds.
+// discardBody reads and discards what the caller is still sending, within the
+// discard limits.
 func discardBody(conn net.Conn) {
-	over := time.Now().Add(discardTimeout)
-	buffer := make([]byte, headerBytes)
-	for discarded := 0; discarded < discardLimit && time.Now().Before(over); {
-		_ = conn.SetReadDeadline(time.Now().Add(discardPause))
+	deadline := time.Now().Add(discardTimeout)
+	buffer := make([]byte, maximumHeaderBytes)
+	for discarded := 0; discarded < discardBytes && time.Now().Before(deadline); {
+		_ = conn.SetReadDeadline(time.Now().Add(discardReadTimeout))
 		read, err := conn.Read(buffer)
 		discarded += read
 		if err != nil {
@@ -98,7 +101,7 @@
 	}
 }
 
-// serverLogger passes the server's own messages on.
+// serverLogger writes fasthttp's own messages to the gateway's log.
 type serverLogger struct{ gateway *Gateway }
 
 // Printf implements fasthttp.Logger.
