--- a/command/settings_status.go
+++ b/command/settings_status.go
@@ -19,7 +19,7 @@
 			printRow(writer, "this node is", string(status.Freshness.State)+": "+status.Freshness.Reason)
 			printRow(writer, "NODE", "REVISION", "BEHIND", "HEARD")
 			for _, node := range status.Nodes {
-				printRow(writer, node.Node, node.Revision, yesNo(node.Behind), node.HeardAgo.Round(time.Millisecond).String()+" ago")
+				printRow(writer, node.Node, node.Revision, yesNo(node.Behind), node.ReportAge.Round(time.Millisecond).String()+" ago")
 			}
 		},
 	}.command(flags)
--- a/operator/service.go
+++ b/operator/service.go
@@ -70,7 +70,7 @@
 	// Behind is set if the node holds older settings than another node.
 	Behind bool `json:"behind"`
 	// ReportAge is the time since the node's last report was received.
-	HeardAgo time.Duration `json:"heard_ago"`
+	ReportAge time.Duration `json:"heard_ago"`
 }
 
 // NodeState describes a node.
