--- a/contract/peers.go
+++ b/contract/peers.go
@@ -18,7 +18,7 @@
 	Behind bool
 	// ReportAge is the time since the node's last report was received; zero
 	// for this node.
-	HeardAgo time.Duration
+	ReportAge time.Duration
 }
 
 // Peers returns the known settings positions of all nodes, this node first.
@@ -27,10 +27,10 @@
 	var peers []PeerSettings
 	for _, peer := range f.peers {
 		peers = append(peers, PeerSettings{
-			Node:     peer.report.Peer,
-			Revision: Revision(peer.report.Position),
-			Behind:   peer.report.Position < f.known,
-			HeardAgo: now.Sub(peer.receivedAt),
+			Node:      peer.report.Peer,
+			Revision:  Revision(peer.report.Position),
+			Behind:    peer.report.Position < f.known,
+			ReportAge: now.Sub(peer.receivedAt),
 		})
 	}
 	slices.SortFunc(peers, func(a, b PeerSettings) int { return cmp.Compare(a.Node, b.Node) })
