--- a/api/error.go
+++ b/api/error.go
@@ -64,7 +64,7 @@
 	// that the caller may retry at once.
 	RetryAfterMilliseconds int64 `json:"retry_after_ms,omitempty"`
 	// Location is the part of the input that is wrong, such as "$.model".
-	Place string `json:"place,omitempty"`
+	Location string `json:"place,omitempty"`
 	// ID identifies this refusal; `birchwood why ID` explains it.
 	ID string `json:"id,omitempty"`
 	// Findings lists everything that is wrong with the input if there is more
@@ -90,7 +90,7 @@
 
 // WithLocation returns a copy with the location of the wrong part of the input.
 func (e Error) At(location string) *Error {
-	e.Place = location
+	e.Location = location
 	return &e
 }
 
--- a/command/why.go
+++ b/command/why.go
@@ -36,7 +36,7 @@
 	printRow(writer, "message", refusal.Error.Message)
 	printRow(writer, "ran", refusal.Error.Ran)
 	printRow(writer, "retry", yesNo(refusal.Error.Retry))
-	printRow(writer, "place", orDash(refusal.Error.Place))
+	printRow(writer, "place", orDash(refusal.Error.Location))
 	for _, finding := range refusal.Error.Findings {
 		printRow(writer, "finding", finding.Place+": "+finding.Message)
 	}
--- a/gateway/deadline_internal_test.go
+++ b/gateway/deadline_internal_test.go
@@ -26,7 +26,7 @@
 
 	DescribeTable("is refused when it is", func(text string) {
 		_, refusal := parseDeadline(start, text)
-		Expect(refusal.Place).To(ContainSubstring(headerDeadline))
+		Expect(refusal.Location).To(ContainSubstring(headerDeadline))
 	},
 		Entry("missing", ""), Entry("zero", "0"), Entry("negative", "-1"),
 		Entry("not a number", "1s"), Entry("beyond the maximum", "2592000001"))
--- a/gateway/input_test.go
+++ b/gateway/input_test.go
@@ -65,7 +65,7 @@
 			Expect(got.status).To(Equal(status), got.body)
 			refusal := got.error()
 			Expect(refusal.Code).To(Equal(code))
-			Expect(refusal.Place).To(Equal(place), refusal.Message)
+			Expect(refusal.Location).To(Equal(place), refusal.Message)
 			Expect(refusal.Ran).To(Equal(api.RanNotRun))
 			Expect(refusal.ID).To(HavePrefix("isando-1-"))
 		},
--- a/gateway/perform.go
+++ b/gateway/perform.go
@@ -101,7 +101,7 @@
 	settled.Retry = true
 	if !request.peer {
 		settled.Code = api.CodeOutcomeUnknown
-		settled.Place = ""
+		settled.Location = ""
 		settled.Message = "the owner was lost after the request was sent; ask again with the same key (last: " + settled.Message + ")"
 	}
 	return last
--- a/operator/api_test.go
+++ b/operator/api_test.go
@@ -75,7 +75,7 @@
 		Expect(entries).To(HaveLen(2))
 		Expect(entries[1].Edits).To(BeEmpty(), "the root's edit lists other operators' values")
 		Expect(refusalOf("GET", "settings?path=", triageOperator, "").Code).To(Equal(api.CodeForbidden))
-		Expect(refusalOf("POST", "settings", triageOperator, change("c3", 2, "audit", `{"priority":9}`)).Place).To(Equal("$.edits[0].path"))
+		Expect(refusalOf("POST", "settings", triageOperator, change("c3", 2, "audit", `{"priority":9}`)).Location).To(Equal("$.edits[0].path"))
 		Expect(refusalOf("POST", "nodes/isando-1/drain", triageOperator, "").Code).To(Equal(api.CodeForbidden))
 		Expect(node.drained).To(BeEmpty())
 	})
--- a/program/calls_test.go
+++ b/program/calls_test.go
@@ -83,7 +83,7 @@
 			d.submit("p", modelCall("a"))
 			refusal := d.refused(submitCommand("p", call))
 			Expect(refusal.Code).To(Equal(code))
-			Expect(refusal.Place).To(Equal(place))
+			Expect(refusal.Location).To(Equal(place))
 			Expect(refusal.Ran).To(Equal(api.RanNotRun))
 		},
 		Entry("no key", modelCall(""), api.CodeBadRequest, "$.key"),
--- a/program/dispatch.go
+++ b/program/dispatch.go
@@ -99,7 +99,7 @@
 	if final.Retry {
 		wait := max(time.Millisecond, time.Duration(final.RetryAfterMilliseconds)*time.Millisecond)
 		refusal := notRun(final.Code, wait, "%s", final.Message)
-		refusal.Place, refusal.ID = final.Place, final.ID
+		refusal.Location, refusal.ID = final.Location, final.ID
 		return refusal
 	}
 	final.Ran = api.RanNotRun
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -318,9 +318,9 @@
 		other.Create.Request.BudgetTokens = 1
 		refusal := d.refused(other)
 		Expect(refusal.Code).To(Equal(api.CodeKeyReused))
-		Expect(refusal.Place).To(Equal("$.budget_tokens"))
+		Expect(refusal.Location).To(Equal("$.budget_tokens"))
 		other.Create.Request.Key = "other"
-		Expect(d.refused(other).Place).To(Equal("$.key"))
+		Expect(d.refused(other).Location).To(Equal("$.key"))
 		d.step(endCommand("p"))
 		Expect(d.step(createCommand("p")).Program.Ended).To(BeTrue())
 	})
