--- a/api/decode.go
+++ b/api/decode.go
@@ -20,7 +20,7 @@
 // full.
 func (f *Findings) Add(location, format string, arguments ...any) {
 	if len(*f) < maximumFindings {
-		*f = append(*f, Finding{Place: location, Message: fmt.Sprintf(format, arguments...)})
+		*f = append(*f, Finding{Location: location, Message: fmt.Sprintf(format, arguments...)})
 	}
 }
 
@@ -30,7 +30,7 @@
 	if len(f) == 0 {
 		return nil
 	}
-	refusal := Refuse(CodeBadRequest, "%s: %s", f[0].Place, f[0].Message).At(f[0].Place)
+	refusal := Refuse(CodeBadRequest, "%s: %s", f[0].Location, f[0].Message).At(f[0].Location)
 	if len(f) > 1 {
 		refusal.Message += fmt.Sprintf(" (and %d more)", len(f)-1)
 		refusal.Findings = f
--- a/api/error.go
+++ b/api/error.go
@@ -74,8 +74,8 @@
 
 // Finding is one thing that is wrong with an input, and its location.
 type Finding struct {
-	Place   string `json:"place"`
-	Message string `json:"message"`
+	Location string `json:"place"`
+	Message  string `json:"message"`
 }
 
 // Error implements the error interface.
--- a/command/operator_client.go
+++ b/command/operator_client.go
@@ -133,7 +133,7 @@
 func (e *refusedError) Error() string {
 	text := fmt.Sprintf("%s: %s (%s)", e.refusal.Code, e.refusal.Message, e.refusal.Ran)
 	for _, finding := range e.refusal.Findings {
-		text += fmt.Sprintf("\n  %s: %s", finding.Place, finding.Message)
+		text += fmt.Sprintf("\n  %s: %s", finding.Location, finding.Message)
 	}
 	return text
 }
--- a/command/why.go
+++ b/command/why.go
@@ -38,6 +38,6 @@
 	printRow(writer, "retry", yesNo(refusal.Error.Retry))
 	printRow(writer, "place", orDash(refusal.Error.Location))
 	for _, finding := range refusal.Error.Findings {
-		printRow(writer, "finding", finding.Place+": "+finding.Message)
+		printRow(writer, "finding", finding.Location+": "+finding.Message)
 	}
 }
--- a/gateway/input_test.go
+++ b/gateway/input_test.go
@@ -97,7 +97,7 @@
 		got := ask("POST", base+callsPath, triageToken, `{"kind":"model","model":7,"input":true,"colour":1}`)
 		var places []string
 		for _, finding := range got.error().Findings {
-			places = append(places, finding.Place)
+			places = append(places, finding.Location)
 		}
 		Expect(places).To(Equal([]string{"$.model", "$.input", "$.colour"}))
 		got = ask("POST", base+callsPath, triageToken, `{"kind":"model","timeout_ms":-1,"input":""}`)
