--- a/api/decode.go
+++ b/api/decode.go
@@ -30,7 +30,7 @@
 	if len(f) == 0 {
 		return nil
 	}
-	refusal := Refuse(CodeBadRequest, "%s: %s", f[0].Location, f[0].Message).At(f[0].Location)
+	refusal := Refuse(CodeBadRequest, "%s: %s", f[0].Location, f[0].Message).WithLocation(f[0].Location)
 	if len(f) > 1 {
 		refusal.Message += fmt.Sprintf(" (and %d more)", len(f)-1)
 		refusal.Findings = f
--- a/api/error.go
+++ b/api/error.go
@@ -89,7 +89,7 @@
 }
 
 // WithLocation returns a copy with the location of the wrong part of the input.
-func (e Error) At(location string) *Error {
+func (e Error) WithLocation(location string) *Error {
 	e.Location = location
 	return &e
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -29,7 +29,7 @@
 	}
 	id, err := partition.OfProgram(request.Program)
 	if err != nil {
-		c.reject(handle, api.Refuse(api.CodeNotFound, "%v", err).At("$.program"))
+		c.reject(handle, api.Refuse(api.CodeNotFound, "%v", err).WithLocation("$.program"))
 		return
 	}
 	owned := c.partitions[id]
@@ -132,7 +132,7 @@
 func (c *Core) serve(now time.Time, owned *ownedPartition, handle uint64, request Request) {
 	if request.Operation != OperationCreate && !c.inScope(owned, request) {
 		c.confirmOwnership(now, owned, request.Program)
-		refusal := api.Refuse(api.CodeNotFound, "no program %s", request.Program).At("$.program")
+		refusal := api.Refuse(api.CodeNotFound, "no program %s", request.Program).WithLocation("$.program")
 		c.answerDurably(now, owned, handle, Reply{Error: refusal})
 		return
 	}
@@ -219,20 +219,20 @@
 func (c *Core) create(now time.Time, owned *ownedPartition, handle uint64, request Request) {
 	branch := contract.Path(request.Create.Branch)
 	if request.Parent != "" && !c.parentInScope(owned, request) {
-		c.reject(handle, api.Refuse(api.CodeNotFound, "no program %s", request.Parent).At("$.parent"))
+		c.reject(handle, api.Refuse(api.CodeNotFound, "no program %s", request.Parent).WithLocation("$.parent"))
 		return
 	}
 	if !branch.Within(request.Scope) {
-		c.reject(handle, api.Refuse(api.CodeForbidden, "branch %q is outside of the token's branch", branch).At("$.branch"))
+		c.reject(handle, api.Refuse(api.CodeForbidden, "branch %q is outside of the token's branch", branch).WithLocation("$.branch"))
 		return
 	}
 	if partition.GroupOf(string(branch)) != owned.id.Group {
-		c.reject(handle, api.Refuse(api.CodeBadRequest, "a sub-agent runs on its parent's branch, %q", owned.id.Group.Branch()).At("$.branch"))
+		c.reject(handle, api.Refuse(api.CodeBadRequest, "a sub-agent runs on its parent's branch, %q", owned.id.Group.Branch()).WithLocation("$.branch"))
 		return
 	}
 	resolved, err := c.Tree().Resolve(branch)
 	if err != nil {
-		c.reject(handle, api.Refuse(api.CodeUnknownBranch, "%v", err).At("$.branch"))
+		c.reject(handle, api.Refuse(api.CodeUnknownBranch, "%v", err).WithLocation("$.branch"))
 		return
 	}
 	c.command(now, owned, handle, program.Command{
--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -51,7 +51,7 @@
 	}
 	token, found := bytes.CutPrefix(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization), bearerPrefix)
 	if !found || len(token) == 0 {
-		return api.Refuse(api.CodeUnauthorized, "a bearer token is required").At("header Authorization")
+		return api.Refuse(api.CodeUnauthorized, "a bearer token is required").WithLocation("header Authorization")
 	}
 	if refusal := g.readDeadline(ctx, request); refusal != nil {
 		return refusal
@@ -80,11 +80,11 @@
 func (g *Gateway) authenticatePeer(ctx *fasthttp.RequestCtx, request *exchange) *api.Error {
 	scope, found := bytes.CutPrefix(ctx.Request.Header.Peek(headerScope), []byte("/"))
 	if !found {
-		return api.Refuse(api.CodeBadRequest, "want a branch after a slash").At("header " + headerScope)
+		return api.Refuse(api.CodeBadRequest, "want a branch after a slash").WithLocation("header " + headerScope)
 	}
 	hops, err := strconv.Atoi(string(ctx.Request.Header.Peek(headerHops)))
 	if err != nil || hops < 1 {
-		return api.Refuse(api.CodeBadRequest, "want a number from 1").At("header " + headerHops)
+		return api.Refuse(api.CodeBadRequest, "want a number from 1").WithLocation("header " + headerHops)
 	}
 	request.peer = true
 	request.scope = contract.Path(scope)
--- a/gateway/deadline.go
+++ b/gateway/deadline.go
@@ -30,7 +30,7 @@
 	remaining, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || remaining < 1 || remaining > api.MaximumMilliseconds {
 		return time.Time{}, api.Refuse(api.CodeBadRequest, "want 1 to %d milliseconds", int64(api.MaximumMilliseconds)).
-			At("header " + headerDeadline)
+			WithLocation("header " + headerDeadline)
 	}
 	return now.Add(time.Duration(remaining) * time.Millisecond), nil
 }
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -166,7 +166,7 @@
 	case auditToken:
 		return "koudeketting/audit", nil
 	}
-	return "", api.Refuse(api.CodeUnauthorized, "the bearer token is not known").At("header Authorization")
+	return "", api.Refuse(api.CodeUnauthorized, "the bearer token is not known").WithLocation("header Authorization")
 }
 
 func (n *node) NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error) {
@@ -294,7 +294,7 @@
 		n.cluster.calls[program.CallRef{Program: request.Program, Sequence: sequence}] = found
 	}
 	if found.body.Input != request.Submit.Input {
-		return control.Reply{Error: api.Refuse(api.CodeKeyReused, "the key has another body").At("$.key")}
+		return control.Reply{Error: api.Refuse(api.CodeKeyReused, "the key has another body").WithLocation("$.key")}
 	}
 	return n.wait(ctx, request, found)
 }
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -108,7 +108,7 @@
 			return outcome{answer: answer{status: statusOK, body: answered.body}}
 		}
 	}
-	return refused(api.Refuse(api.CodeNotFound, "no node keeps refusal %q any more", request.request.Key).At("path id"))
+	return refused(api.Refuse(api.CodeNotFound, "no node keeps refusal %q any more", request.request.Key).WithLocation("path id"))
 }
 
 // findRefusal returns this node's refusal with the ID if its branch is the scope
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -275,12 +275,12 @@
 }
 
 func (g *Gateway) routeNotFound(ctx *fasthttp.RequestCtx) {
-	refusal := api.Refuse(api.CodeNotFound, "no such route").At("path")
+	refusal := api.Refuse(api.CodeNotFound, "no such route").WithLocation("path")
 	g.refuse(ctx, &exchange{received: time.Now()}, refusal, fasthttp.StatusNotFound)
 }
 
 func (g *Gateway) methodNotAllowed(ctx *fasthttp.RequestCtx) {
-	refusal := api.Refuse(api.CodeBadRequest, "the route does not know method %s", ctx.Method()).At("method")
+	refusal := api.Refuse(api.CodeBadRequest, "the route does not know method %s", ctx.Method()).WithLocation("method")
 	g.refuse(ctx, &exchange{received: time.Now()}, refusal, fasthttp.StatusMethodNotAllowed)
 }
 
--- a/gateway/parse.go
+++ b/gateway/parse.go
@@ -35,7 +35,7 @@
 	if len(*findings) > 0 {
 		return nil
 	}
-	unknown := api.Refuse(api.CodeUnknownBranch, "no branch %q on the caller's branch", create.Branch).At("$.branch")
+	unknown := api.Refuse(api.CodeUnknownBranch, "no branch %q on the caller's branch", create.Branch).WithLocation("$.branch")
 	if !contract.Path(create.Branch).Within(request.scope) {
 		return unknown
 	}
@@ -61,11 +61,11 @@
 		return nil
 	}
 	if create.Branch != "" && !contract.Path(create.Branch).Within(request.scope) {
-		return api.Refuse(api.CodeUnknownBranch, "no branch %q on the caller's branch", create.Branch).At("$.branch")
+		return api.Refuse(api.CodeUnknownBranch, "no branch %q on the caller's branch", create.Branch).WithLocation("$.branch")
 	}
 	program, err := partition.NewChildID(parent, create.Key)
 	if err != nil {
-		return api.Refuse(api.CodeNotFound, "%v", err).At("$.id")
+		return api.Refuse(api.CodeNotFound, "%v", err).WithLocation("$.id")
 	}
 	request.request.Operation = control.OperationCreate
 	request.request.Parent = parent
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -74,15 +74,15 @@
 	var network net.Error
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return api.Refuse(api.CodeBodyTooLarge, "the body is larger than %d bytes", maximumBody).At("body")
+		return api.Refuse(api.CodeBodyTooLarge, "the body is larger than %d bytes", maximumBody).WithLocation("body")
 	case errors.As(err, &small):
-		return api.Refuse(api.CodeBodyTooLarge, "the headers are larger than %d bytes", maximumHeaderBytes).At("headers")
+		return api.Refuse(api.CodeBodyTooLarge, "the headers are larger than %d bytes", maximumHeaderBytes).WithLocation("headers")
 	case errors.As(err, &network) && network.Timeout():
 		return api.Refuse(api.CodeTimeout, "the request did not arrive in time").After(0)
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
-		return api.Refuse(api.CodeBodyCutShort, "the connection ended before the request did").At("body").After(0)
+		return api.Refuse(api.CodeBodyCutShort, "the connection ended before the request did").WithLocation("body").After(0)
 	default:
-		return api.Refuse(api.CodeBadRequest, "not a valid HTTP request").At("headers")
+		return api.Refuse(api.CodeBadRequest, "not a valid HTTP request").WithLocation("headers")
 	}
 }
 
--- a/node/service.go
+++ b/node/service.go
@@ -24,7 +24,7 @@
 	}
 	scope, known := tree.Caller(contract.HashToken(token))
 	if !known {
-		return "", api.Refuse(api.CodeUnauthorized, "the bearer token is not known").At("header Authorization")
+		return "", api.Refuse(api.CodeUnauthorized, "the bearer token is not known").WithLocation("header Authorization")
 	}
 	return scope, nil
 }
@@ -45,10 +45,10 @@
 	}
 	resolved, err := tree.Resolve(branch)
 	if err != nil {
-		return "", api.Refuse(api.CodeUnknownBranch, "%v", err).At("$.branch")
+		return "", api.Refuse(api.CodeUnknownBranch, "%v", err).WithLocation("$.branch")
 	}
 	if resolved.Placement == "" {
-		return "", api.Refuse(api.CodeNoPermittedPlace, "branch %q permits no zone", branch).At("$.branch")
+		return "", api.Refuse(api.CodeNoPermittedPlace, "branch %q permits no zone", branch).WithLocation("$.branch")
 	}
 	return partition.NewProgramID(string(branch), n.config.Control.PartitionsPerBranch, key), nil
 }
@@ -57,7 +57,7 @@
 func (n *Node) Route(id api.ProgramID) (gateway.Route, *api.Error) {
 	partitionID, err := partition.OfProgram(id)
 	if err != nil {
-		return gateway.Route{}, api.Refuse(api.CodeNotFound, "%v", err).At("$.program")
+		return gateway.Route{}, api.Refuse(api.CodeNotFound, "%v", err).WithLocation("$.program")
 	}
 	owner, ok := n.routing.Load().Owner(partitionID)
 	if !ok {
--- a/operator/authenticate.go
+++ b/operator/authenticate.go
@@ -30,7 +30,7 @@
 func (s *Server) authenticate(ctx *fasthttp.RequestCtx) (actor, *api.Error) {
 	token, found := bytes.CutPrefix(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization), bearerPrefix)
 	if !found || len(token) == 0 {
-		return actor{}, api.Refuse(api.CodeUnauthorized, "an operator's bearer token is required").At("header Authorization")
+		return actor{}, api.Refuse(api.CodeUnauthorized, "an operator's bearer token is required").WithLocation("header Authorization")
 	}
 	hash := sha256.Sum256(token)
 	if s.config.BootstrapToken != "" && subtle.ConstantTimeCompare(hash[:], s.bootstrap[:]) == 1 {
@@ -39,7 +39,7 @@
 	hashed := contract.HashToken(string(token))
 	scope, known := s.service.Settings().Operator(hashed)
 	if !known {
-		return actor{}, api.Refuse(api.CodeUnauthorized, "no operator has this token").At("header Authorization")
+		return actor{}, api.Refuse(api.CodeUnauthorized, "no operator has this token").WithLocation("header Authorization")
 	}
 	return actor{scope: scope, name: "operator " + hashed[:tokenDigits]}, nil
 }
@@ -60,10 +60,10 @@
 	}
 	path := contract.Path(strings.Trim(string(ctx.QueryArgs().Peek(name)), "/"))
 	if err := path.Validate(); err != nil {
-		return "", api.Refuse(api.CodeBadRequest, "%v", err).At("query " + name)
+		return "", api.Refuse(api.CodeBadRequest, "%v", err).WithLocation("query " + name)
 	}
 	if !path.Within(a.scope) {
-		return "", a.outOfScope(path).At("query " + name)
+		return "", a.outOfScope(path).WithLocation("query " + name)
 	}
 	return path, nil
 }
--- a/operator/machines.go
+++ b/operator/machines.go
@@ -94,7 +94,7 @@
 }
 
 func unknownMachine(id machine.ID) *api.Error {
-	return api.Refuse(api.CodeNotFound, "no machine %q is known here", id).At("path id")
+	return api.Refuse(api.CodeNotFound, "no machine %q is known here", id).WithLocation("path id")
 }
 
 // pathMachine reads the {id} of the path.
--- a/operator/partitions.go
+++ b/operator/partitions.go
@@ -32,7 +32,7 @@
 	}
 	id, err := partition.Parse(string(pathMachine(request)))
 	if err != nil {
-		return nil, api.Refuse(api.CodeBadRequest, "%v", err).At("path id")
+		return nil, api.Refuse(api.CodeBadRequest, "%v", err).WithLocation("path id")
 	}
 	owned, err := s.service.Owned(ctx)
 	if err != nil {
@@ -47,5 +47,5 @@
 		}
 		return acceptLossAnswer{Accepted: id}, nil
 	}
-	return nil, api.Refuse(api.CodeConflict, "the recovery of partition %s does not wait on this node", id).At("path id")
+	return nil, api.Refuse(api.CodeConflict, "the recovery of partition %s does not wait on this node", id).WithLocation("path id")
 }
--- a/operator/programs.go
+++ b/operator/programs.go
@@ -55,7 +55,7 @@
 	if status, body := s.programs.Operate(ctx, who.scope, fasthttp.MethodGet, "/v1/refusals/"+id, nil); status == fasthttp.StatusOK {
 		return httpAnswer{status: status, body: body}, nil
 	}
-	return nil, api.Refuse(api.CodeNotFound, "no node keeps refusal %q any more", id).At("path id")
+	return nil, api.Refuse(api.CodeNotFound, "no node keeps refusal %q any more", id).WithLocation("path id")
 }
 
 // pathSegment reads the {id} of the path. As it becomes part of another path, it
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -26,7 +26,7 @@
 	routes.RedirectFixedPath = false
 	routes.HandleOPTIONS = false
 	routes.NotFound = func(ctx *fasthttp.RequestCtx) {
-		writeError(ctx, api.Refuse(api.CodeNotFound, "no such route").At("path"))
+		writeError(ctx, api.Refuse(api.CodeNotFound, "no such route").WithLocation("path"))
 	}
 	routes.PanicHandler = s.handlePanic
 
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -133,7 +133,7 @@
 	case errors.As(err, &unknown):
 		return nil, unknownBranch(err)
 	case err != nil:
-		return nil, api.Refuse(api.CodeBadRequest, "%v", err).At("query from, to")
+		return nil, api.Refuse(api.CodeBadRequest, "%v", err).WithLocation("query from, to")
 	case differences == nil:
 		differences = []contract.Difference{}
 	}
@@ -203,7 +203,7 @@
 	}
 	for i, edit := range change.Edits {
 		if !edit.Path.Within(who.scope) {
-			return change, who.outOfScope(edit.Path).At(fmt.Sprintf("$.edits[%d].path", i))
+			return change, who.outOfScope(edit.Path).WithLocation(fmt.Sprintf("$.edits[%d].path", i))
 		}
 	}
 	if change.ID == "" {
@@ -227,7 +227,7 @@
 
 // unknownBranch converts the settings tree's error to an answer.
 func unknownBranch(err error) *api.Error {
-	return api.Refuse(api.CodeUnknownBranch, "%v", err).At("query path")
+	return api.Refuse(api.CodeUnknownBranch, "%v", err).WithLocation("query path")
 }
 
 // queryNumber reads an optional query parameter that is an integer from 0, whose
@@ -239,7 +239,7 @@
 	}
 	value, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, api.Refuse(api.CodeBadRequest, "want a whole number from 0").At("query " + name)
+		return 0, api.Refuse(api.CodeBadRequest, "want a whole number from 0").WithLocation("query " + name)
 	}
 	return value, nil
 }
--- a/program/create.go
+++ b/program/create.go
@@ -66,7 +66,7 @@
 func (t *transition) allocateBudget(id api.ProgramID, create Create, created *Created) *api.Error {
 	parent, ok := t.store.programs[create.Parent]
 	if !ok {
-		return api.Refuse(api.CodeNotFound, "the parent %s is not known", create.Parent).At("$.parent")
+		return api.Refuse(api.CodeNotFound, "the parent %s is not known", create.Parent).WithLocation("$.parent")
 	}
 	if parent.closed {
 		return programEnded(parent.closedReason)
@@ -75,7 +75,7 @@
 		return t.refuseTurns(parent)
 	}
 	if parent.depth >= t.store.config.MaximumDepth {
-		return api.Refuse(api.CodeLimitReached, "sub-agents may be %d deep at most", t.store.config.MaximumDepth).At("$.parent")
+		return api.Refuse(api.CodeLimitReached, "sub-agents may be %d deep at most", t.store.config.MaximumDepth).WithLocation("$.parent")
 	}
 	tokens := create.Request.BudgetTokens
 	if tokens <= 0 {
@@ -83,7 +83,7 @@
 	}
 	if tokens > parent.budget.free() {
 		return api.Refuse(api.CodeBudgetExhausted, "the parent has %d tokens free, the sub-agent asks for %d", parent.budget.free(), tokens).
-			At("$.budget_tokens")
+			WithLocation("$.budget_tokens")
 	}
 	created.Parent = create.Parent
 	created.AllocatedTokens = tokens
--- a/program/errors.go
+++ b/program/errors.go
@@ -16,11 +16,11 @@
 )
 
 func programNotFound(id api.ProgramID) *api.Error {
-	return api.Refuse(api.CodeNotFound, "program %s is not known", id).At("$.program")
+	return api.Refuse(api.CodeNotFound, "program %s is not known", id).WithLocation("$.program")
 }
 
 func callNotFound(id api.ProgramID, sequence uint64) *api.Error {
-	return api.Refuse(api.CodeNotFound, "program %s has no call %d", id, sequence).At("$.sequence")
+	return api.Refuse(api.CodeNotFound, "program %s has no call %d", id, sequence).WithLocation("$.sequence")
 }
 
 func programEnded(reason string) *api.Error {
@@ -28,7 +28,7 @@
 }
 
 func keyReused(place string, format string, arguments ...any) *api.Error {
-	return api.Refuse(api.CodeKeyReused, format, arguments...).At(place)
+	return api.Refuse(api.CodeKeyReused, format, arguments...).WithLocation(place)
 }
 
 // staleDispatch is the error for the dispatch of a call that no longer waits for
--- a/program/submit.go
+++ b/program/submit.go
@@ -15,7 +15,7 @@
 func (t *transition) submit(p *programState, submit Submit) *api.Error {
 	request := submit.Request
 	if request.Key == "" {
-		return api.Refuse(api.CodeBadRequest, "a call needs a key").At("$.key")
+		return api.Refuse(api.CodeBadRequest, "a call needs a key").WithLocation("$.key")
 	}
 	hash := bodyHash(request)
 	if sequence := p.findKey(request.Key); sequence > 0 {
@@ -40,7 +40,7 @@
 	if accepted.ReservedTokens > p.budget.free() {
 		t.store.stats.Refused++
 		return api.Refuse(api.CodeBudgetExhausted, "the call may cost %d tokens, the program has %d left",
-			accepted.ReservedTokens, p.budget.free()).At("$.max_output_tokens")
+			accepted.ReservedTokens, p.budget.free()).WithLocation("$.max_output_tokens")
 	}
 	t.record(Record{Program: p.id, Accepted: accepted})
 	t.advance(p)
@@ -116,17 +116,17 @@
 	switch request.Kind {
 	case api.CallModel:
 		if !slices.Contains(terms.Models, request.Model) {
-			return api.Refuse(api.CodeUnknownModel, "the contract does not permit model %q", request.Model).At("$.model")
+			return api.Refuse(api.CodeUnknownModel, "the contract does not permit model %q", request.Model).WithLocation("$.model")
 		}
 		if outputCap(request, terms) <= 0 {
-			return api.Refuse(api.CodeBadRequest, "neither the call nor the contract caps the output").At("$.max_output_tokens")
+			return api.Refuse(api.CodeBadRequest, "neither the call nor the contract caps the output").WithLocation("$.max_output_tokens")
 		}
 	case api.CallTool:
 		if !slices.Contains(terms.Tools, request.Tool) {
-			return api.Refuse(api.CodeUnknownTool, "the contract does not permit tool %q", request.Tool).At("$.tool")
+			return api.Refuse(api.CodeUnknownTool, "the contract does not permit tool %q", request.Tool).WithLocation("$.tool")
 		}
 	default:
-		return api.Refuse(api.CodeBadRequest, "kind %q: want %q or %q", request.Kind, api.CallModel, api.CallTool).At("$.kind")
+		return api.Refuse(api.CodeBadRequest, "kind %q: want %q or %q", request.Kind, api.CallModel, api.CallTool).WithLocation("$.kind")
 	}
 	return nil
 }
@@ -138,12 +138,12 @@
 		return nil
 	}
 	if p.entry(sequence) != nil {
-		return api.Refuse(api.CodeConflict, "place %d is taken by a call with another key", sequence).At("$.sequence")
+		return api.Refuse(api.CodeConflict, "place %d is taken by a call with another key", sequence).WithLocation("$.sequence")
 	}
 	last := p.headSequence + uint64(t.store.config.MaximumQueuedCalls) - 1
 	if sequence > last {
 		return api.Refuse(api.CodeConflict, "place %d is too far ahead: %d is missing, and %d is the last that may wait for it",
-			sequence, p.headSequence, last).At("$.sequence")
+			sequence, p.headSequence, last).WithLocation("$.sequence")
 	}
 	return nil
 }
