--- a/api/error.go
+++ b/api/error.go
@@ -96,7 +96,7 @@
 
 // WithRetryAfter returns a copy that asks for a retry after the given time in
 // milliseconds.
-func (e Error) After(milliseconds int64) *Error {
+func (e Error) WithRetryAfter(milliseconds int64) *Error {
 	e.Retry = true
 	e.RetryAfterMilliseconds = milliseconds
 	return &e
--- a/control/apply.go
+++ b/control/apply.go
@@ -190,10 +190,10 @@
 // narrowed without this node having read it.
 func (c *Core) checkSend(now time.Time, owned *ownedPartition, backend machine.Machine) *api.Error {
 	if !c.follower.Freshness(now).MayPlace {
-		return api.Refuse(api.CodeSettingsStale, "the settings may have changed since the choice").After(0)
+		return api.Refuse(api.CodeSettingsStale, "the settings may have changed since the choice").WithRetryAfter(0)
 	}
 	if !c.placement(owned.id).Contains(backend.Zone) {
-		return api.Refuse(api.CodeNoPermittedPlace, "back end %s is no longer permitted", backend.ID).After(0)
+		return api.Refuse(api.CodeNoPermittedPlace, "back end %s is no longer permitted", backend.ID).WithRetryAfter(0)
 	}
 	return nil
 }
@@ -291,7 +291,7 @@
 		Message: fmt.Sprintf("this node does not own partition %s", id),
 		Ran:     api.RanOutcomeUnknown,
 	}
-	return refusal.After(int64(notOwnerRetryAfter / time.Millisecond))
+	return refusal.WithRetryAfter(int64(notOwnerRetryAfter / time.Millisecond))
 }
 
 // notOwnerRetryAfter is the retry-after delay of CodeNotOwner.
--- a/control/requests.go
+++ b/control/requests.go
@@ -89,7 +89,7 @@
 		}
 		if !now.Before(request.until) {
 			refusal := api.Refuse(api.CodeOwnerUnknown, "partition %s has no owner yet", request.id)
-			c.reject(request.handle, refusal.After(int64(time.Second/time.Millisecond)))
+			c.reject(request.handle, refusal.WithRetryAfter(int64(time.Second/time.Millisecond)))
 			continue
 		}
 		remaining = append(remaining, request)
@@ -209,7 +209,7 @@
 		return nil
 	}
 	refusal := api.Refuse(api.CodeStoreUnavailable, "the log service does not take records and the mirrors are full")
-	return refusal.After(int64(storeRetryAfter / time.Millisecond))
+	return refusal.WithRetryAfter(int64(storeRetryAfter / time.Millisecond))
 }
 
 // storeRetryAfter is the retry-after delay of CodeStoreUnavailable.
--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -151,7 +151,7 @@
 // notSent ends an attempt that certainly did not reach its back end.
 func (a *attempt) notSent(reason string) {
 	a.report(control.AttemptEnded{Outcome: program.Outcome{
-		Status: api.StatusNotRun, Error: api.Refuse(api.CodeBackendFailed, "%s", reason).After(0),
+		Status: api.StatusNotRun, Error: api.Refuse(api.CodeBackendFailed, "%s", reason).WithRetryAfter(0),
 	}})
 }
 
--- a/emulator/cluster/gateway.go
+++ b/emulator/cluster/gateway.go
@@ -58,7 +58,7 @@
 	owner, known := n.core.Routing().Owner(id)
 	switch {
 	case !known:
-		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "no owner is known").After(ownerRetry)})
+		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "no owner is known").WithRetryAfter(ownerRetry)})
 	case owner.ID == n.self.ID:
 		o.handle = n.open(request, o.finish)
 	default:
@@ -83,7 +83,7 @@
 func (o *connection) relay(request control.Request, owner *node) {
 	c := o.node.cluster
 	notSent := func() {
-		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "the owner does not answer").After(ownerRetry)})
+		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "the owner does not answer").WithRetryAfter(ownerRetry)})
 	}
 	if owner == nil {
 		notSent()
@@ -91,7 +91,7 @@
 	}
 	unknown := func() {
 		refusal := &api.Error{Code: api.CodeOutcomeUnknown, Message: "the owner was lost", Ran: api.RanOutcomeUnknown}
-		o.finish(control.Reply{Error: refusal.After(0)})
+		o.finish(control.Reply{Error: refusal.WithRetryAfter(0)})
 	}
 	arrive := func() {
 		if !owner.running || owner.handedOver {
--- a/emulator/cluster/transcript.go
+++ b/emulator/cluster/transcript.go
@@ -130,7 +130,7 @@
 		case err != nil:
 			refusal := api.Refuse(api.CodeStoreUnavailable, "the history cannot be read back now: %v", err)
 			refusal.Ran = api.RanOutcomeUnknown
-			reply.Error = refusal.After(1000)
+			reply.Error = refusal.WithRetryAfter(1000)
 		case action.Single:
 			reply.Call = &calls[0]
 		default:
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -180,7 +180,7 @@
 	n.cluster.mutex.Lock()
 	defer n.cluster.mutex.Unlock()
 	if n.cluster.owner == "" {
-		return gateway.Route{}, api.Refuse(api.CodeOwnerUnknown, "no owner").After(10)
+		return gateway.Route{}, api.Refuse(api.CodeOwnerUnknown, "no owner").WithRetryAfter(10)
 	}
 	owner := n.cluster.owner
 	address := n.cluster.address[owner]
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -194,7 +194,7 @@
 	}
 	if g.inFlight.Load() > int64(g.config.InFlight) {
 		return done, api.Refuse(api.CodeOverloaded, "this node serves as many requests as it can").
-			After(g.limits.expectedRelease(request.received))
+			WithRetryAfter(g.limits.expectedRelease(request.received))
 	}
 	released, refusal := g.limits.acquire(request.callerToken, request.received)
 	if refusal != nil {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -57,13 +57,13 @@
 	entry := l.caller(id, now)
 	if entry.inFlight >= l.config.CallerInFlight {
 		return nil, api.Refuse(api.CodeLimitReached, "%d requests of this token are in flight", entry.inFlight).
-			After(l.releaseWait(entry.inFlight))
+			WithRetryAfter(l.releaseWait(entry.inFlight))
 	}
 	reservation := entry.rate.ReserveN(now, 1)
 	if delay := reservation.DelayFrom(now); delay > 0 {
 		reservation.CancelAt(now)
 		return nil, api.Refuse(api.CodeLimitReached, "this token may send %g requests a second", l.config.CallerRate).
-			After(ceilMilliseconds(delay))
+			WithRetryAfter(ceilMilliseconds(delay))
 	}
 	entry.inFlight++
 	var once sync.Once
--- a/gateway/lostanswer_test.go
+++ b/gateway/lostanswer_test.go
@@ -70,7 +70,7 @@
 			if slices == 1 {
 				return nil
 			}
-			return api.Refuse(api.CodeOverloaded, "too much to do").After(70)
+			return api.Refuse(api.CodeOverloaded, "too much to do").WithRetryAfter(70)
 		}
 		got := ask("POST", programs+"/"+string(triageProgram)+"/calls", triageToken, submitFirst)
 		Expect(slices).To(Equal(2))
--- a/gateway/perform.go
+++ b/gateway/perform.go
@@ -126,7 +126,7 @@
 	case route.Local:
 		return g.local(ctx, request)
 	case request.peer && !request.detour:
-		result := refused(api.Refuse(api.CodeNotOwner, "node %s owns the program", route.Owner).After(0))
+		result := refused(api.Refuse(api.CodeNotOwner, "node %s owns the program", route.Owner).WithRetryAfter(0))
 		result.owner = route.Address
 		return result
 	default:
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -95,11 +95,11 @@
 // is not the owner and relays the request to it.
 func (g *Gateway) relay(request *exchange, address string, detour bool) outcome {
 	if request.hops >= g.config.MaximumHops {
-		return refused(api.Refuse(api.CodeOwnerUnknown, "passed on %d times without reaching the owner", request.hops).After(0))
+		return refused(api.Refuse(api.CodeOwnerUnknown, "passed on %d times without reaching the owner", request.hops).WithRetryAfter(0))
 	}
 	remaining, left := formatDeadline(time.Now(), request.deadline)
 	if !left {
-		return refused(api.Refuse(api.CodeTimeout, "no time was left to ask the owner").After(0))
+		return refused(api.Refuse(api.CodeTimeout, "no time was left to ask the owner").WithRetryAfter(0))
 	}
 	outgoing := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(outgoing)
@@ -147,7 +147,7 @@
 func relayFailed(err error) outcome {
 	notSent := errors.Is(err, errNotSent) || errors.Is(err, fasthttp.ErrNoFreeConns) ||
 		errors.Is(err, fasthttp.ErrDialTimeout)
-	result := refused(api.Refuse(api.CodeOwnerUnknown, "the owner does not answer").After(0))
+	result := refused(api.Refuse(api.CodeOwnerUnknown, "the owner does not answer").WithRetryAfter(0))
 	result.retry = true
 	result.unknown = !notSent
 	return result
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -119,7 +119,7 @@
 			if refusals == 1 {
 				return &api.Error{Code: api.CodeNotOwner, Ran: api.RanOutcomeUnknown, Retry: true}
 			}
-			return api.Refuse(api.CodeOverloaded, "too much to do").After(70)
+			return api.Refuse(api.CodeOverloaded, "too much to do").WithRetryAfter(70)
 		}
 		got := ask("POST", calls, triageToken, submitFirst)
 		Expect(refusals).To(Equal(2))
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -78,9 +78,9 @@
 	case errors.As(err, &small):
 		return api.Refuse(api.CodeBodyTooLarge, "the headers are larger than %d bytes", maximumHeaderBytes).WithLocation("headers")
 	case errors.As(err, &network) && network.Timeout():
-		return api.Refuse(api.CodeTimeout, "the request did not arrive in time").After(0)
+		return api.Refuse(api.CodeTimeout, "the request did not arrive in time").WithRetryAfter(0)
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
-		return api.Refuse(api.CodeBodyCutShort, "the connection ended before the request did").WithLocation("body").After(0)
+		return api.Refuse(api.CodeBodyCutShort, "the connection ended before the request did").WithLocation("body").WithRetryAfter(0)
 	default:
 		return api.Refuse(api.CodeBadRequest, "not a valid HTTP request").WithLocation("headers")
 	}
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -111,7 +111,7 @@
 	case !errors.Is(cause, errSourceLost):
 		return event{}, cause
 	case s.request.peer:
-		return errorEvent(api.Refuse(api.CodeNotOwner, "this node lost the program").After(0)), nil
+		return errorEvent(api.Refuse(api.CodeNotOwner, "this node lost the program").WithRetryAfter(0)), nil
 	}
 	s.source.close()
 	s.source = noSource{}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -157,7 +157,7 @@
 		fake := &gateway{probes: 1, describesRefused: 20}
 		fake.answer = func(request api.SubmitCall, _ int) (string, *api.Error) {
 			if fake.described <= fake.describesRefused+1 { // Until the poll that ends the gap has completed.
-				return "", api.Refuse(api.CodeOverloaded, "not now").After(1)
+				return "", api.Refuse(api.CodeOverloaded, "not now").WithRetryAfter(1)
 			}
 			return ownAnswer(request), nil
 		}
@@ -169,7 +169,7 @@
 	It("asks again by key after a refusal, and counts it", func() {
 		result := runAgainst(&gateway{answer: func(request api.SubmitCall, attempts int) (string, *api.Error) {
 			if attempts < 3 {
-				return "", api.Refuse(api.CodeOverloaded, "not now").After(1)
+				return "", api.Refuse(api.CodeOverloaded, "not now").WithRetryAfter(1)
 			}
 			return ownAnswer(request), nil
 		}})
@@ -186,7 +186,7 @@
 			Expect(result.WrongAnswers).To(Equal(wrong), result.String())
 		},
 		Entry("a call is never answered", &gateway{answer: func(api.SubmitCall, int) (string, *api.Error) {
-			return "", api.Refuse(api.CodeOverloaded, "never").After(100)
+			return "", api.Refuse(api.CodeOverloaded, "never").WithRetryAfter(100)
 		}}, 1, 0),
 		Entry("an answer belongs to another prompt", &gateway{answer: func(request api.SubmitCall, _ int) (string, *api.Error) {
 			request.Input += "!"
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -96,7 +96,7 @@
 func classify(err error, otherwise api.CallStatus) (api.CallStatus, *api.Error) {
 	var notSent *engine.NotSentError
 	if errors.As(err, &notSent) {
-		return api.StatusNotRun, api.Refuse(api.CodeBackendFailed, "%v", err).After(0)
+		return api.StatusNotRun, api.Refuse(api.CodeBackendFailed, "%v", err).WithRetryAfter(0)
 	}
 	var failed *tool.FailedError
 	if errors.As(err, &failed) {
@@ -131,7 +131,7 @@
 	prompt, err := n.transcripts.prompt(ctx, action.Partition, action.Attempt.CallRef, action.Call.Input, action.Prompt)
 	if err != nil {
 		ended.Outcome.Status = api.StatusNotRun
-		ended.Outcome.Error = api.Refuse(api.CodeStoreUnavailable, "the program's history cannot be read: %v", err).After(0)
+		ended.Outcome.Error = api.Refuse(api.CodeStoreUnavailable, "the program's history cannot be read: %v", err).WithRetryAfter(0)
 		return ended
 	}
 	n.importBeforeSend(ctx, action)
--- a/node/history.go
+++ b/node/history.go
@@ -40,7 +40,7 @@
 			// The call has ended; only its outcome cannot be read now.
 			refusal.Ran = api.RanOutcomeUnknown
 		}
-		return control.Reply{Error: refusal.After(storeRetryMilliseconds)}
+		return control.Reply{Error: refusal.WithRetryAfter(storeRetryMilliseconds)}
 	}
 	if action.Single {
 		return control.Reply{Call: &calls[0]}
--- a/node/service.go
+++ b/node/service.go
@@ -33,7 +33,7 @@
 // just started and has no settings.
 func noSettingsError() *api.Error {
 	refusal := api.Refuse(api.CodeSettingsStale, "this node has just started and has no settings yet")
-	return refusal.After(ownerRetryMilliseconds)
+	return refusal.WithRetryAfter(ownerRetryMilliseconds)
 }
 
 // NewProgram returns the program ID for a branch and key. The same branch and
@@ -62,7 +62,7 @@
 	owner, ok := n.routing.Load().Owner(partitionID)
 	if !ok {
 		refusal := api.Refuse(api.CodeOwnerUnknown, "no live node may own partition %s", partitionID)
-		return gateway.Route{}, refusal.After(ownerRetryMilliseconds)
+		return gateway.Route{}, refusal.WithRetryAfter(ownerRetryMilliseconds)
 	}
 	return gateway.Route{Local: owner.ID == n.config.Control.Self.ID, Owner: owner.ID, Address: owner.Address}, nil
 }
@@ -92,7 +92,7 @@
 // have been recorded; a retry with the same key shows whether it was.
 func noReplyError(err error) *api.Error {
 	refusal := &api.Error{Code: codeOf(err), Message: "the reply did not come in time", Ran: api.RanOutcomeUnknown}
-	return refusal.After(0)
+	return refusal.WithRetryAfter(0)
 }
 
 // Stream returns the buffer of an answer that is being generated on this node.
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -90,5 +90,5 @@
 // serviceError converts an error of the node's Service to an answer: the node
 // did not respond in time.
 func serviceError(err error) *api.Error {
-	return api.Refuse(api.CodeTimeout, "%v", err).After(time.Second.Milliseconds())
+	return api.Refuse(api.CodeTimeout, "%v", err).WithRetryAfter(time.Second.Milliseconds())
 }
--- a/program/calls_test.go
+++ b/program/calls_test.go
@@ -215,7 +215,7 @@
 	It("that the scheduler refuses end as not run, and the next one has its turn", func() {
 		d.submit("p", modelCall("a"))
 		d.submit("p", modelCall("b"))
-		refusal := api.Refuse(api.CodeNoPermittedPlace, "no engine in the permitted zones").After(700)
+		refusal := api.Refuse(api.CodeNoPermittedPlace, "no engine in the permitted zones").WithRetryAfter(700)
 		d.step(program.Command{Refuse: &program.Refusal{Call: ref("p", 1), Error: refusal}})
 		answer := d.effect(program.EffectAnswer, ref("p", 1)).Answer
 		Expect(answer.Status).To(Equal(api.StatusNotRun))
--- a/program/create.go
+++ b/program/create.go
@@ -23,7 +23,7 @@
 	if !t.store.ensureCapacity() {
 		t.store.stats.Refused++
 		return api.Refuse(api.CodeOverloaded, "the partition holds %d programs, its maximum", len(t.store.programs)).
-			After(fullRetryAfter.Milliseconds())
+			WithRetryAfter(fullRetryAfter.Milliseconds())
 	}
 	created := Created{
 		Branch:               create.Request.Branch,
--- a/program/property_test.go
+++ b/program/property_test.go
@@ -228,7 +228,7 @@
 func (h *harness) refuse(t *rapid.T) {
 	call := drawCall(t, h.scheduled)
 	delete(h.scheduled, call)
-	refusal := program.Refusal{Call: call, Error: api.Refuse(api.CodeOverloaded, "no room").After(100)}
+	refusal := program.Refusal{Call: call, Error: api.Refuse(api.CodeOverloaded, "no room").WithRetryAfter(100)}
 	_, _ = h.step(program.Command{Refuse: &refusal})
 }
 
--- a/program/submit.go
+++ b/program/submit.go
@@ -106,7 +106,7 @@
 		return refusal
 	}
 	if len(p.live) >= t.store.config.MaximumQueuedCalls {
-		return api.Refuse(api.CodeOverloaded, "%d calls of the program have not ended", len(p.live)).After(queueRetryAfter.Milliseconds())
+		return api.Refuse(api.CodeOverloaded, "%d calls of the program have not ended", len(p.live)).WithRetryAfter(queueRetryAfter.Milliseconds())
 	}
 	return nil
 }
--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -92,7 +92,7 @@
 	retry := s.nextRetryAfter(now, call, expectedWait-limit)
 	refusal := api.Refuse(api.CodeOverloaded, "%s: the hold would take %v, more than %v",
 		request.Tenant, expectedWait.Round(time.Millisecond), limit.Round(time.Millisecond))
-	return refusal.After(retry.Milliseconds())
+	return refusal.WithRetryAfter(retry.Milliseconds())
 }
 
 // priorStartInterval returns the time between two starts if all slots of the
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -204,7 +204,7 @@
 		return noBackendError(call.request)
 	}
 	refusal := api.Refuse(api.CodeOverloaded, "held for %v without a free back end", now.Sub(call.request.Enqueued))
-	return refusal.After(s.nextRetryAfter(now, call, 0).Milliseconds())
+	return refusal.WithRetryAfter(s.nextRetryAfter(now, call, 0).Milliseconds())
 }
 
 func (s *Scheduler) refuse(now time.Time, request Request, refusal *api.Error) {
