--- a/emulator/standin/parity_test.go
+++ b/emulator/standin/parity_test.go
@@ -115,7 +115,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			var ended enginemodel.Finished
 			now, ended, expected = emulate(emulated, now, request, expected)
-			Expect(observed{last.Usage, last.Resident}).To(Equal(observed{ended.Usage, ended.Resident}), request.Stream)
+			Expect(observed{last.Usage, last.ResidentTokens}).To(Equal(observed{ended.Usage, ended.Resident}), request.Stream)
 			Expect(text).To(HaveLen(4 * ended.Usage.OutputTokens))
 			programs.histories[next.owner] = request.Prompt + text
 		}
--- a/emulator/standin/standin_test.go
+++ b/emulator/standin/standin_test.go
@@ -213,7 +213,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(last.Done).To(BeTrue())
 		Expect(last.Usage).To(Equal(api.Usage{PromptTokens: 600, OutputTokens: len(text) / 4}))
-		Expect(last.Resident).To(Equal(600 + len(text)/4))
+		Expect(last.ResidentTokens).To(Equal(600 + len(text)/4))
 		resumed := request
 		resumed.ResumeFrom = 7
 		rest, _, err := collect(ctx, h.engine("engine-1"), resumed)
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -40,8 +40,8 @@
 	Load   schedule.Load `json:"load"`
 	// ResidentTokens is the number of tokens of the program's prefix that stay
 	// in the engine's cache.
-	Resident int    `json:"resident,omitempty"`
-	Error    string `json:"error,omitempty"`
+	ResidentTokens int    `json:"resident,omitempty"`
+	Error          string `json:"error,omitempty"`
 }
 
 // Prefix is an entry of an engine's list of cached prefixes.
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -147,7 +147,7 @@
 	ended.Load = &answer.last.Load
 	ended.Load.Backend = action.Backend.ID
 	ended.Load.At = time.Now()
-	ended.Resident = answer.last.Resident
+	ended.Resident = answer.last.ResidentTokens
 	return ended
 }
 
