--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -169,7 +169,7 @@
 	return "", api.Refuse(api.CodeUnauthorized, "the bearer token is not known").WithLocation("header Authorization")
 }
 
-func (n *node) NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error) {
+func (n *node) ProgramID(branch contract.Path, key string) (api.ProgramID, *api.Error) {
 	if branch != "koudeketting/triage" && branch != "koudeketting/audit" {
 		return "", api.Refuse(api.CodeUnknownBranch, "no branch %s", branch)
 	}
--- a/gateway/parse.go
+++ b/gateway/parse.go
@@ -39,7 +39,7 @@
 	if !contract.Path(create.Branch).Within(request.scope) {
 		return unknown
 	}
-	program, refusal := g.service.NewProgram(contract.Path(create.Branch), create.Key)
+	program, refusal := g.service.ProgramID(contract.Path(create.Branch), create.Key)
 	if refusal != nil && refusal.Code == api.CodeUnknownBranch {
 		return unknown
 	}
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -26,7 +26,7 @@
 	// why the token is not accepted.
 	Caller(token string) (contract.Path, *api.Error)
 	// ProgramID returns the program ID that is derived from a branch and key.
-	NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error)
+	ProgramID(branch contract.Path, key string) (api.ProgramID, *api.Error)
 	// Route finds the owner of a program. It returns an error if no owner is
 	// known at present.
 	Route(id api.ProgramID) (Route, *api.Error)
--- a/node/service.go
+++ b/node/service.go
@@ -36,9 +36,9 @@
 	return refusal.WithRetryAfter(ownerRetryMilliseconds)
 }
 
-// NewProgram returns the program ID for a branch and key. The same branch and
+// ProgramID returns the program ID for a branch and key. The same branch and
 // key always give the same ID.
-func (n *Node) NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error) {
+func (n *Node) ProgramID(branch contract.Path, key string) (api.ProgramID, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
 		return "", noSettingsError()
--- a/node/service_test.go
+++ b/node/service_test.go
@@ -17,7 +17,7 @@
 		_, refusal := started.Caller("token")
 		Expect(refusal.Code).To(Equal(api.CodeSettingsStale))
 		Expect(refusal.Retry).To(BeTrue())
-		_, refusal = started.NewProgram("demo", "key")
+		_, refusal = started.ProgramID("demo", "key")
 		Expect(refusal.Code).To(Equal(api.CodeSettingsStale))
 		Expect(refusal.Retry).To(BeTrue())
 
