--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -59,7 +59,7 @@
 	if g.isPeer(token) {
 		return g.authenticatePeer(ctx, request)
 	}
-	scope, refusal := g.service.Caller(string(token))
+	scope, refusal := g.service.Authenticate(string(token))
 	if refusal != nil {
 		return refusal
 	}
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-func (n *node) Caller(token string) (contract.Path, *api.Error) {
+func (n *node) Authenticate(token string) (contract.Path, *api.Error) {
 	switch token {
 	case triageToken:
 		return "koudeketting/triage", nil
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -24,7 +24,7 @@
 type Service interface {
 	// Authenticate returns the branch that a bearer token is assigned to, or
 	// why the token is not accepted.
-	Caller(token string) (contract.Path, *api.Error)
+	Authenticate(token string) (contract.Path, *api.Error)
 	// ProgramID returns the program ID that is derived from a branch and key.
 	ProgramID(branch contract.Path, key string) (api.ProgramID, *api.Error)
 	// Route finds the owner of a program. It returns an error if no owner is
--- a/node/service.go
+++ b/node/service.go
@@ -15,9 +15,9 @@
 
 var _ gateway.Service = (*Node)(nil)
 
-// Caller returns the branch that lists a caller's bearer token. A node without
+// Authenticate returns the branch that lists a caller's bearer token. A node without
 // settings cannot check any token, so its refusal permits a retry.
-func (n *Node) Caller(token string) (contract.Path, *api.Error) {
+func (n *Node) Authenticate(token string) (contract.Path, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
 		return "", noSettingsError()
--- a/node/service_test.go
+++ b/node/service_test.go
@@ -14,7 +14,7 @@
 		started := &Node{}
 		tree := contract.NewTree()
 		started.tree.Store(tree)
-		_, refusal := started.Caller("token")
+		_, refusal := started.Authenticate("token")
 		Expect(refusal.Code).To(Equal(api.CodeSettingsStale))
 		Expect(refusal.Retry).To(BeTrue())
 		_, refusal = started.ProgramID("demo", "key")
@@ -25,10 +25,10 @@
 			{Path: contract.Root, Values: contract.Values{Zones: []zone.Name{"north"}}},
 			{Path: "demo", Values: contract.Values{CallerTokens: []string{contract.HashToken("token")}}},
 		}})
-		scope, refusal := started.Caller("token")
+		scope, refusal := started.Authenticate("token")
 		Expect(refusal).To(BeNil())
 		Expect(scope).To(Equal(contract.Path("demo")))
-		_, refusal = started.Caller("another")
+		_, refusal = started.Authenticate("another")
 		Expect(refusal.Code).To(Equal(api.CodeUnauthorized))
 		Expect(refusal.Retry).To(BeFalse())
 	})
