--- a/development/system_test.go
+++ b/development/system_test.go
@@ -206,7 +206,7 @@
 		Expect(zoneOf(system, second.Backend)).To(Equal(zone.Name("south")))
 		Eventually(func(g Gomega) {
 			for _, started := range system.Nodes {
-				partitions, err := started.Process.Node.Owned(context.Background())
+				partitions, err := started.Process.Node.PartitionStatuses(context.Background())
 				g.Expect(err).NotTo(HaveOccurred())
 				for _, owned := range partitions {
 					if owned.Partition.Group.Branch() == "demo/north-only" {
--- a/node/owned.go
+++ b/node/owned.go
@@ -7,8 +7,8 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// Owned describes the partitions that this node owns or is taking over.
-func (n *Node) Owned(context.Context) ([]control.PartitionStatus, error) {
+// PartitionStatuses describes the partitions that this node owns or is taking over.
+func (n *Node) PartitionStatuses(context.Context) ([]control.PartitionStatus, error) {
 	var statuses []control.PartitionStatus
 	err := n.query(func(core *control.Core) { statuses = core.Owned() })
 	return statuses, err
--- a/operator/fake_test.go
+++ b/operator/fake_test.go
@@ -59,7 +59,9 @@
 	n.drained = append(n.drained, id)
 	return nil
 }
-func (n *fakeNode) Owned(context.Context) ([]control.PartitionStatus, error) { return n.owned, nil }
+func (n *fakeNode) PartitionStatuses(context.Context) ([]control.PartitionStatus, error) {
+	return n.owned, nil
+}
 
 func (n *fakeNode) AcceptLoss(_ context.Context, id partition.ID) error {
 	n.accepted = append(n.accepted, id)
--- a/operator/partitions.go
+++ b/operator/partitions.go
@@ -17,7 +17,7 @@
 // listPartitions answers with the partitions that this node owns or is taking
 // over, including what a stalled recovery waits for.
 func (s *Server) listPartitions(ctx context.Context, _ *fasthttp.RequestCtx, _ actor) (any, *api.Error) {
-	owned, err := s.service.Owned(ctx)
+	owned, err := s.service.PartitionStatuses(ctx)
 	if err != nil {
 		return nil, serviceError(err)
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, api.Refuse(api.CodeBadRequest, "%v", err).WithLocation("path id")
 	}
-	owned, err := s.service.Owned(ctx)
+	owned, err := s.service.PartitionStatuses(ctx)
 	if err != nil {
 		return nil, serviceError(err)
 	}
--- a/operator/service.go
+++ b/operator/service.go
@@ -49,7 +49,7 @@
 type Partitions interface {
 	// PartitionStatuses returns the status of each partition that the node
 	// owns or is taking over.
-	Owned(ctx context.Context) ([]control.PartitionStatus, error)
+	PartitionStatuses(ctx context.Context) ([]control.PartitionStatus, error)
 	// AcceptLoss lets a stalled recovery continue without the mirrors that
 	// have lost their records.
 	AcceptLoss(ctx context.Context, id partition.ID) error
