--- a/node/wire.go
+++ b/node/wire.go
@@ -189,7 +189,7 @@
 	file *config.File, node *Node, callers *gateway.Gateway, transport *linkhttp.Transport,
 	metrics *operator.Metrics, refusals *operator.RefusalLog, logger *log.Logger,
 ) (*operator.Server, error) {
-	metrics.ReadAtScrape(func() operator.Snapshot {
+	metrics.SetSnapshotSource(func() operator.Snapshot {
 		snapshot := node.snapshot()
 		traffic := transport.Counters()
 		snapshot.ControlBytesSent = traffic.BytesSent
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -244,4 +244,4 @@
 
 // SetSnapshotSource sets the function that returns the node's snapshot. It is
 // called at each scrape, on the scrape's goroutine.
-func (m *Metrics) ReadAtScrape(read func() Snapshot) { m.snapshot.Store(&read) }
+func (m *Metrics) SetSnapshotSource(read func() Snapshot) { m.snapshot.Store(&read) }
--- a/operator/metrics_test.go
+++ b/operator/metrics_test.go
@@ -34,7 +34,7 @@
 	It("tells nothing of the node before it is asked to, and the snapshot after", func() {
 		metrics := operator.NewMetrics()
 		Expect(scrape(metrics)).NotTo(ContainSubstring("birchwood_owned_partitions"))
-		metrics.ReadAtScrape(func() operator.Snapshot {
+		metrics.SetSnapshotSource(func() operator.Snapshot {
 			return operator.Snapshot{OwnedPartitions: 3, ControlBytesSent: 9, Members: map[operator.Member]int{{Kind: "node", Status: "live"}: 2}}
 		})
 		Expect(scrape(metrics)).To(And(
