--- a/node/operator.go
+++ b/node/operator.go
@@ -130,7 +130,7 @@
 			}
 		}
 		freshness := core.Freshness(now)
-		snapshot.SettingsMayPlace = freshness.MayPlace
+		snapshot.SettingsAllowNewWork = freshness.MayPlace
 		snapshot.SettingsAge = now.Sub(freshness.ConfirmedAt)
 		snapshot.Members = make(map[operator.Member]int)
 		for _, known := range core.Machines() {
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -76,7 +76,7 @@
 	SettingsAge time.Duration
 	// SettingsAllowNewWork is set if the settings are fresh enough to start
 	// new work.
-	SettingsMayPlace bool
+	SettingsAllowNewWork bool
 	// Members is the number of machines by kind and status.
 	Members map[Member]int
 }
--- a/operator/snapshot.go
+++ b/operator/snapshot.go
@@ -59,7 +59,7 @@
 	gauge(stalled, float64(snapshot.StalledPartitions))
 	gauge(settingsAge, snapshot.SettingsAge.Seconds())
 	mayPlace := 0.0
-	if snapshot.SettingsMayPlace {
+	if snapshot.SettingsAllowNewWork {
 		mayPlace = 1
 	}
 	gauge(settingsMayPlace, mayPlace)
