--- a/emulator/standin/standin_test.go
+++ b/emulator/standin/standin_test.go
@@ -187,17 +187,17 @@
 			listed, err := h.platform.Machines(ctx)
 			return len(listed), err
 		}).Should(Equal(3))
-		fullLists := h.platform.FullLists()
+		fullLists := h.platform.FullListFetches()
 		for range 5 {
 			listed, err := h.platform.Machines(ctx)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(listed).To(HaveLen(3))
 		}
-		Expect(h.platform.FullLists()).To(Equal(fullLists))
+		Expect(h.platform.FullListFetches()).To(Equal(fullLists))
 		Expect(h.set.Leave("depot-1")).To(Succeed())
 		Eventually(func() (uint64, error) {
 			_, err := h.platform.Machines(ctx)
-			return h.platform.FullLists(), err
+			return h.platform.FullListFetches(), err
 		}).Should(Equal(fullLists + 1))
 	})
 })
--- a/infra/infrahttp/infrahttp.go
+++ b/infra/infrahttp/infrahttp.go
@@ -135,7 +135,7 @@
 
 // FullListFetches returns the number of times that the platform sent the whole
 // machine list.
-func (p *Platform) FullLists() uint64 { return p.fullLists.Load() }
+func (p *Platform) FullListFetches() uint64 { return p.fullLists.Load() }
 
 // Announce implements infra.MachineList.
 func (p *Platform) Announce(ctx context.Context, self machine.Machine) error {
