--- a/api/error.go
+++ b/api/error.go
@@ -109,7 +109,7 @@
 
 // DecodeError returns the error in a JSON body, or nil if the body is not an
 // ErrorBody.
-func ErrorIn(body []byte) *Error {
+func DecodeError(body []byte) *Error {
 	var decoded ErrorBody
 	if json.Unmarshal(body, &decoded) != nil {
 		return nil
--- a/command/operator_client.go
+++ b/command/operator_client.go
@@ -103,7 +103,7 @@
 	if !errors.As(err, &status) {
 		return nil, false
 	}
-	refusal := api.ErrorIn([]byte(status.Body))
+	refusal := api.DecodeError([]byte(status.Body))
 	return refusal, refusal != nil
 }
 
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -108,7 +108,7 @@
 // failure returns the error of an error event. If the event's data can't be
 // decoded, it returns owner_unknown, which lets the stream be reopened.
 func (e event) failure() *api.Error {
-	if failure := api.ErrorIn(e.data); failure != nil {
+	if failure := api.DecodeError(e.data); failure != nil {
 		return failure
 	}
 	return api.Refuse(api.CodeOwnerUnknown, "the owner's stream broke off")
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -170,7 +170,7 @@
 	if status < fasthttp.StatusBadRequest {
 		return result
 	}
-	failure := api.ErrorIn(body)
+	failure := api.DecodeError(body)
 	if failure == nil {
 		return relayFailed(errors.New("error answer without an error body"))
 	}
--- a/load/caller.go
+++ b/load/caller.go
@@ -113,7 +113,7 @@
 	if !errors.As(err, &status) {
 		return err
 	}
-	if refusal := api.ErrorIn([]byte(status.Body)); refusal != nil {
+	if refusal := api.DecodeError([]byte(status.Body)); refusal != nil {
 		return refusal
 	}
 	return err
@@ -280,7 +280,7 @@
 	case "restart":
 		f.text = nil
 	case "error":
-		if refusal := api.ErrorIn(value); refusal != nil {
+		if refusal := api.DecodeError(value); refusal != nil {
 			return refusal
 		}
 		return errIncomplete
