--- a/api/decode.go
+++ b/api/decode.go
@@ -10,26 +10,27 @@
 	"unicode/utf8"
 )
 
-// maximumFindings bounds how much of a wrong input is reported.
+// maximumFindings bounds the number of findings for one input.
 const maximumFindings = 20
 
-// Findings collects what is wrong with one input.
+// Findings lists what is wrong with one input.
 type Findings []Finding
 
-// Add records that the input is wrong at the place, such as "$.calls[0].key".
-func (f *Findings) Add(place, format string, arguments ...any) {
+// Add adds a finding at a location such as "$.calls[0].key", unless the list is
+// full.
+func (f *Findings) Add(location, format string, arguments ...any) {
 	if len(*f) < maximumFindings {
-		*f = append(*f, Finding{Place: place, Message: fmt.Sprintf(format, arguments...)})
+		*f = append(*f, Finding{Location: location, Message: fmt.Sprintf(format, arguments...)})
 	}
 }
 
-// Error returns nil when nothing was found, and otherwise one bad_request
-// error that carries everything.
+// Error returns nil if there are no findings, and otherwise a bad_request error
+// with all of them.
 func (f Findings) Error() *Error {
 	if len(f) == 0 {
 		return nil
 	}
-	refusal := Refuse(CodeBadRequest, "%s: %s", f[0].Place, f[0].Message).At(f[0].Place)
+	refusal := Refuse(CodeBadRequest, "%s: %s", f[0].Location, f[0].Message).WithLocation(f[0].Location)
 	if len(f) > 1 {
 		refusal.Message += fmt.Sprintf(" (and %d more)", len(f)-1)
 		refusal.Findings = f
@@ -37,34 +38,34 @@
 	return refusal
 }
 
-// Decode reads one JSON object into the struct that target points to. Unlike
-// json.Unmarshal it goes on after a mistake and collects all of them: fields
-// of a wrong type, unknown fields and repeated fields, each with its place.
-// Text that is not JSON at all is reported with its line and column.
+// Decode decodes one JSON object into the struct that target points to. Unlike
+// json.Unmarshal it continues after an error and returns all of them with their
+// locations: fields of a wrong type, unknown fields and repeated fields. For
+// invalid JSON it returns the line and column of the first error.
 func Decode(body []byte, target any) Findings {
 	var findings Findings
-	if place, message := checkSyntax(body); message != "" {
-		findings.Add(place, "%s", message)
+	if location, message := checkSyntax(body); message != "" {
+		findings.Add(location, "%s", message)
 		return findings
 	}
 	decodeValue(body, reflect.ValueOf(target).Elem(), "$", &findings)
 	return findings
 }
 
-// checkSyntax returns the place and the description of the first mistake in
-// the text, or an empty message.
-func checkSyntax(body []byte) (place, message string) {
+// checkSyntax returns the location and the description of the first syntax error
+// in the text. If there is none, the message is empty.
+func checkSyntax(body []byte) (location, message string) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return "$", "the body is empty; want one JSON object"
 	}
 	if !utf8.Valid(body) {
-		return position(body, validPrefix(body)), "the body is not valid UTF-8"
+		return lineAndColumn(body, validPrefix(body)), "the body is not valid UTF-8"
 	}
 	var raw json.RawMessage
 	err := json.Unmarshal(body, &raw)
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		return position(body, int(syntax.Offset)-1), "not valid JSON: " + syntax.Error()
+		return lineAndColumn(body, int(syntax.Offset)-1), "not valid JSON: " + syntax.Error()
 	}
 	if err != nil {
 		return "$", "not valid JSON: " + err.Error()
@@ -85,29 +86,30 @@
 	return valid
 }
 
-// position describes a byte offset as line and column, both from 1.
-func position(body []byte, offset int) string {
+// lineAndColumn formats a byte offset as line and column, both from 1. Columns
+// count bytes.
+func lineAndColumn(body []byte, offset int) string {
 	before := body[:min(offset, len(body))]
 	line := bytes.Count(before, []byte("\n")) + 1
 	column := len(before) - bytes.LastIndexByte(before, '\n')
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// decodeValue reads raw, which is valid JSON, into value.
-func decodeValue(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+// decodeValue decodes raw, which is valid JSON, into value.
+func decodeValue(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	_, decodesItself := value.Addr().Interface().(json.Unmarshaler)
 	switch {
 	case decodesItself || isNull(raw):
-		decodeWhole(raw, value, place, findings)
+		decodeStandard(raw, value, location, findings)
 	case value.Kind() == reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		decodeValue(raw, value.Elem(), place, findings)
+		decodeValue(raw, value.Elem(), location, findings)
 	case value.Kind() == reflect.Struct:
-		decodeObject(raw, value, place, findings)
+		decodeObject(raw, value, location, findings)
 	case value.Kind() == reflect.Slice:
-		decodeArray(raw, value, place, findings)
+		decodeArray(raw, value, location, findings)
 	default:
-		decodeWhole(raw, value, place, findings)
+		decodeStandard(raw, value, location, findings)
 	}
 }
 
@@ -115,19 +117,19 @@
 	return string(bytes.TrimSpace(raw)) == "null"
 }
 
-// decodeWhole leaves the value to the standard decoder.
-func decodeWhole(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+// decodeStandard decodes the value with encoding/json.
+func decodeStandard(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	err := json.Unmarshal(raw, value.Addr().Interface())
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &wrongType):
-		findings.Add(place, "want %s, got %s", describeKind(value.Type()), wrongType.Value)
+		findings.Add(location, "want %s, got %s", describeKind(value.Type()), wrongType.Value)
 	case err != nil:
-		findings.Add(place, "%s", err.Error())
+		findings.Add(location, "%s", err.Error())
 	}
 }
 
-// describeKind names a Go type the way a JSON author would.
+// describeKind describes a Go type in terms of JSON.
 func describeKind(kind reflect.Type) string {
 	switch kind.Kind() {
 	case reflect.Bool:
@@ -143,25 +145,25 @@
 	}
 }
 
-// decodeArray reads each element with its index in the place.
-func decodeArray(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+// decodeArray decodes each element, with its index as part of the location.
+func decodeArray(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	var elements []json.RawMessage
 	if err := json.Unmarshal(raw, &elements); err != nil {
-		findings.Add(place, "want an array")
+		findings.Add(location, "want an array")
 		return
 	}
 	slice := reflect.MakeSlice(value.Type(), len(elements), len(elements))
 	for i, element := range elements {
-		decodeValue(element, slice.Index(i), fmt.Sprintf("%s[%d]", place, i), findings)
+		decodeValue(element, slice.Index(i), fmt.Sprintf("%s[%d]", location, i), findings)
 	}
 	value.Set(slice)
 }
 
-// decodeObject reads each member into the field of its JSON name.
-func decodeObject(raw json.RawMessage, value reflect.Value, place string, findings *Findings) {
+// decodeObject decodes each member into the field with its JSON name.
+func decodeObject(raw json.RawMessage, value reflect.Value, location string, findings *Findings) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if open, _ := decoder.Token(); open != json.Delim('{') {
-		findings.Add(place, "want an object")
+		findings.Add(location, "want an object")
 		return
 	}
 	seen := make(map[string]bool)
@@ -170,23 +172,23 @@
 		name, _ := token.(string)
 		var member json.RawMessage
 		if err := decoder.Decode(&member); err != nil {
-			findings.Add(place+"."+name, "%s", err.Error())
+			findings.Add(location+"."+name, "%s", err.Error())
 			return
 		}
 		field, known := fieldByName(value, name)
 		switch {
 		case !known:
-			findings.Add(place+"."+name, "unknown field")
+			findings.Add(location+"."+name, "unknown field")
 		case seen[name]:
-			findings.Add(place+"."+name, "repeated field")
+			findings.Add(location+"."+name, "repeated field")
 		default:
-			decodeValue(member, field, place+"."+name, findings)
+			decodeValue(member, field, location+"."+name, findings)
 		}
 		seen[name] = true
 	}
 }
 
-// fieldByName finds the struct field with the JSON name, spelled exactly.
+// fieldByName returns the struct field with exactly this JSON name.
 func fieldByName(value reflect.Value, name string) (reflect.Value, bool) {
 	kind := value.Type()
 	for i := range kind.NumField() {
--- a/command/backend.go
+++ b/command/backend.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/operator"
 )
 
-// newBackendCommand returns the verbs on back ends.
+// newBackendCommand returns the subcommands for back ends.
 func newBackendCommand() *cobra.Command {
 	flags := &operatorFlags{}
 	command := &cobra.Command{Use: "backend", Short: "See and drain back ends"}
@@ -21,26 +21,27 @@
 }
 
 func newBackendListCommand(flags *operatorFlags) *cobra.Command {
-	return verb[[]operator.BackendState]{
+	return operatorCommand[[]operator.BackendState]{
 		use:       "list",
 		short:     "List the back ends that the asked node knows",
 		arguments: cobra.NoArgs,
-		ask:       getting[[]operator.BackendState](fixed("/backends")),
-		text:      printBackends,
+		fetch:     fetchPath[[]operator.BackendState](constantPath("/backends")),
+		printText: printBackends,
 	}.command(flags)
 }
 
 func printBackends(writer io.Writer, backends []operator.BackendState) {
-	row(writer, "ID", "KIND", "ZONE", "ADDRESS", "STATUS", "SERVES", "SLOTS", "CACHE TOKENS")
+	printRow(writer, "ID", "KIND", "ZONE", "ADDRESS", "STATUS", "SERVES", "SLOTS", "CACHE TOKENS")
 	for _, backend := range backends {
 		serves := strings.Join(append(backend.Models, backend.Tools...), ",")
-		row(writer, backend.ID, backend.Kind, backend.Zone, backend.Address, statusOf(backend), orDash(serves),
+		printRow(writer, backend.ID, backend.Kind, backend.Zone, backend.Address, displayStatus(backend), orDash(serves),
 			backend.Slots, backend.CacheTokens)
 	}
 }
 
-// statusOf tells whether a back end gets new work.
-func statusOf(backend operator.BackendState) machine.Status {
+// displayStatus returns the status to show: "drained" for a drained back end,
+// whatever its machine status is.
+func displayStatus(backend operator.BackendState) machine.Status {
 	if backend.Drained {
 		return "drained"
 	}
--- a/command/bench.go
+++ b/command/bench.go
@@ -30,9 +30,9 @@
 }
 
 // errViolations makes bench exit with 1 after it has printed its result.
-var errViolations = errors.New("a policy's run broke an invariant")
+var errViolations = errors.New("at least one policy's run violated an invariant")
 
-// allPolicies is the value of --policy that compares every policy.
+// allPolicies is the value of --policy that selects all policies.
 const allPolicies = "all"
 
 // newBenchCommand returns the command that measures scheduling policies.
@@ -50,20 +50,20 @@
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return runBench(command, flags) },
 	}
-	set := command.Flags()
-	set.StringVar(&flags.deployment, "deployment", flags.deployment, "koudeketting, qasr or letter")
-	set.StringVar(&flags.policy, "policy", flags.policy, "birchwood, round-robin, least-loaded, sticky or all")
-	set.Uint64Var(&flags.seed, "seed", flags.seed, "seed of the arrivals and of every random choice")
-	set.IntVar(&flags.programs, "programs", flags.programs, "how many programs arrive")
-	set.Float64Var(&flags.load, "load", flags.load, "arrival rate as a share of the capacity")
-	set.StringVar(&flags.faults, "faults", flags.faults, "YAML `file` with the faults of the run")
-	set.StringVar(&flags.output, "output", flags.output, "text or json")
-	set.IntVar(&flags.nodes, "nodes-per-zone", flags.nodes, "nodes that decide in each zone; 0 means the deployment's, at most 3")
-	set.StringVar(&flags.plot, "plot", flags.plot, "`directory` for plots of the latency and of a load sweep")
+	flagSet := command.Flags()
+	flagSet.StringVar(&flags.deployment, "deployment", flags.deployment, "koudeketting, qasr or letter")
+	flagSet.StringVar(&flags.policy, "policy", flags.policy, "birchwood, round-robin, least-loaded, sticky or all")
+	flagSet.Uint64Var(&flags.seed, "seed", flags.seed, "seed of the arrivals and of every random choice")
+	flagSet.IntVar(&flags.programs, "programs", flags.programs, "how many programs arrive")
+	flagSet.Float64Var(&flags.load, "load", flags.load, "arrival rate as a share of the capacity")
+	flagSet.StringVar(&flags.faults, "faults", flags.faults, "YAML `file` with the faults of the run")
+	flagSet.StringVar(&flags.output, "output", flags.output, "text or json")
+	flagSet.IntVar(&flags.nodes, "nodes-per-zone", flags.nodes, "nodes that decide in each zone; 0 means the deployment's, at most 3")
+	flagSet.StringVar(&flags.plot, "plot", flags.plot, "`directory` for plots of the latency and of a load sweep")
 	return command
 }
 
-// runBench measures and prints.
+// runBench runs the policies and prints the result.
 func runBench(command *cobra.Command, flags benchFlags) error {
 	config, err := benchConfig(flags)
 	if err != nil {
@@ -85,11 +85,11 @@
 	if err := printBench(command.OutOrStdout(), result, flags.output); err != nil {
 		return &ExitError{Code: ExitUsage, Cause: err}
 	}
-	return violationsOf(result)
+	return violationError(result)
 }
 
-// violationsOf returns an error when a run broke an invariant.
-func violationsOf(result emulator.BenchResult) error {
+// violationError returns an error if a run violated an invariant.
+func violationError(result emulator.BenchResult) error {
 	for _, policy := range result.Policies {
 		if policy.Violations > 0 {
 			return &ExitError{Code: ExitFailure, Cause: errViolations}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// benchConfig turns the flags into a configuration.
+// benchConfig returns the configuration that the flags describe.
 func benchConfig(flags benchFlags) (emulator.BenchConfig, error) {
 	deployment, err := workload.ByName(flags.deployment)
 	if err != nil {
@@ -127,13 +127,13 @@
 	}, nil
 }
 
-// faultsFile is the form of the file of --faults.
+// faultsFile is the content of the file that --faults names.
 type faultsFile struct {
 	Faults []emulator.Fault `yaml:"faults"`
 }
 
-// readFaults reads the faults of a file; no name means none. Unknown keys are
-// refused, with their line.
+// readFaults reads the faults of a file, or none if the name is empty. An
+// unknown key is an error that names its line.
 func readFaults(name string) ([]emulator.Fault, error) {
 	if name == "" {
 		return nil, nil
@@ -150,7 +150,7 @@
 	return content.Faults, nil
 }
 
-// printBench writes the result in the wanted form.
+// printBench writes the result as text or JSON.
 func printBench(writer io.Writer, result emulator.BenchResult, output string) error {
 	if output == "json" {
 		encoder := json.NewEncoder(writer)
@@ -160,7 +160,7 @@
 	return printBenchText(writer, result)
 }
 
-// printBenchText writes a table of the policies, one of the kinds of program,
+// printBenchText writes a table of the policies, a table of the program kinds,
 // and the violations.
 func printBenchText(writer io.Writer, result emulator.BenchResult) error {
 	fmt.Fprintf(writer, "deployment %s, seed %d, load %g of %.2f programs/s, %d programs\n\n",
@@ -169,7 +169,7 @@
 	fmt.Fprintln(table, "policy\tp50 s\tp95 s\tp99 s\twaiting p95 s\trecomputed tok\tidle KV tok-s\tgoodput/s\toffered/s\trefused\tmoves\tviolations\t")
 	for _, policy := range result.Policies {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.0f\t%.3f\t%.3f\t%d\t%d\t%d\t\n",
-			policy.Policy, secondsOf(policy.Latency), fmt.Sprintf("%.2f", policy.Waiting.P95/millisecondsPerSecond),
+			policy.Policy, latencyCells(policy.Latency), fmt.Sprintf("%.2f", policy.Waiting.P95/millisecondsPerSecond),
 			policy.Wasted.RecomputedTokens, policy.Wasted.IdleTokenSeconds, policy.Goodput, policy.Offered,
 			policy.Refused, policy.Moves, policy.Violations)
 	}
@@ -182,7 +182,7 @@
 	for _, policy := range result.Policies {
 		for _, kind := range policy.Kinds {
 			fmt.Fprintf(kinds, "%s\t%s\t%d\t%d\t%d\t%d\t%s\t\n", policy.Policy, kind.Kind, kind.Programs,
-				kind.Completed, kind.InTime, kind.Refused, secondsOf(kind.Latency))
+				kind.Completed, kind.InTime, kind.Refused, latencyCells(kind.Latency))
 		}
 	}
 	if err := kinds.Flush(); err != nil {
@@ -196,20 +196,22 @@
 	return nil
 }
 
-// millisecondsPerSecond converts the latencies for the tables.
+// millisecondsPerSecond converts latencies in milliseconds to seconds.
 const millisecondsPerSecond = 1000
 
-// secondsOf returns the percentiles as three cells of a table.
-func secondsOf(latency emulator.Percentiles) string {
+// latencyCells returns the percentiles, in seconds, as three table cells.
+func latencyCells(latency emulator.Percentiles) string {
 	return fmt.Sprintf("%.2f\t%.2f\t%.2f", latency.P50/millisecondsPerSecond,
 		latency.P95/millisecondsPerSecond, latency.P99/millisecondsPerSecond)
 }
 
-// sweepLoads are the loads of the sweep that --plot draws.
+// sweepLoads are the loads of the sweep that --plot draws, as shares of the
+// capacity.
 var sweepLoads = []float64{0.2, 0.4, 0.6, 0.8, 1, 1.5, 2, 3}
 
-// plotBench draws the result and a load sweep, if a directory is named. Every
-// load of the sweep lasts as long: it takes programs in proportion.
+// plotBench draws the result and a load sweep if a directory is given. The
+// number of programs is proportional to the load, so that each run of the
+// sweep covers the same span of arrivals.
 func plotBench(config emulator.BenchConfig, result emulator.BenchResult, directory string, bar *progressBar) error {
 	if directory == "" {
 		return nil
--- a/command/edgecommand/edge.go
+++ b/command/edgecommand/edge.go
@@ -1,6 +1,6 @@
-// Package edgecommand is the command that runs one node on the users' platform.
-// It links what a node needs and no more: `birchwood edge` and the program
-// birchwood-edge, which has a machine to itself, share it.
+// Package edgecommand implements the command that runs one node on the users'
+// platform. `birchwood edge` and the binary birchwood-edge, which has a machine to
+// itself, share it. It imports only what a node needs.
 package edgecommand
 
 import (
@@ -32,11 +32,11 @@
 			if path == "" {
 				return &exit.Error{Code: exit.Usage, Cause: fmt.Errorf("no settings file: want --settings or %s", platform.SettingsVariable)}
 			}
-			switchedOff, err := edge.ParseMechanisms("--without", without)
+			disabled, err := edge.ParseMechanisms("--without", without)
 			if err != nil {
 				return &exit.Error{Code: exit.Usage, Cause: err}
 			}
-			return runEdge(command.Context(), path, switchedOff)
+			return runEdge(command.Context(), path, disabled)
 		},
 	}
 	command.Flags().StringVar(&path, "settings", "", "the settings file, in place of the one that "+platform.SettingsVariable+" names")
@@ -44,21 +44,21 @@
 	return command
 }
 
-// runEdge runs a node until SIGTERM or SIGINT. SIGHUP reads the settings again.
+// runEdge runs a node until SIGTERM or SIGINT. SIGHUP reloads the settings.
 func runEdge(parent context.Context, path string, without []edge.Mechanism) error {
-	// Signals may come at any time from the process's start on; one that is not asked
-	// for ends it.
-	signals := make(chan os.Signal, signalsWaiting)
+	// Register before loading the settings: a signal may arrive at any time, and
+	// an unhandled SIGHUP would end the process.
+	signals := make(chan os.Signal, signalQueueLength)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
 		return &exit.Error{Code: exit.Usage, Cause: err}
 	}
 	settings.Disabled = without
-	lines := &decisionWriter{}
-	logger, flush := newDecisionLogger(settings.Node, lines)
+	decisions := &decisionWriter{}
+	logger, flush := newDecisionLogger(settings.Node, decisions)
 	defer flush()
-	settings.LogLinesDropped = lines.dropped.Load
+	settings.LogLinesDropped = decisions.dropped.Load
 	node, err := edge.New(settings, platform.NewAdapter(settings), logger)
 	if err != nil {
 		return &exit.Error{Code: exit.Failure, Cause: err}
@@ -69,7 +69,7 @@
 	for {
 		select {
 		case err := <-node.Failed():
-			return &exit.Error{Code: exit.Failure, Cause: fmt.Errorf("serving ended: %w", err)}
+			return &exit.Error{Code: exit.Failure, Cause: fmt.Errorf("node stopped serving: %w", err)}
 		case <-parent.Done():
 			return nil
 		case received := <-signals:
@@ -82,14 +82,14 @@
 	}
 }
 
-// signalsWaiting bounds the signals that wait to be handled.
-const signalsWaiting = 8
+// signalQueueLength is the number of signals that can wait to be handled.
+const signalQueueLength = 8
 
-// reloadEdge reads the settings file again and logs what it found.
+// reloadEdge reloads the settings file and logs which settings changed.
 func reloadEdge(node *edge.Node, path string, logger *log.Logger) {
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
-		logger.Error().Err(err).Msg("settings: not reloaded")
+		logger.Error().Err(err).Msg("settings: reload failed, keeping the present settings")
 		return
 	}
 	changed := node.Reload(settings)
--- a/command/explain.go
+++ b/command/explain.go
@@ -12,9 +12,10 @@
 	"github.com/spf13/cobra"
 )
 
-// newExplainCommand returns the verb that leads from a request to its cause.
+// newExplainCommand returns the subcommand that prints the log lines relevant
+// to the outcome of a request.
 func newExplainCommand() *cobra.Command {
-	span := explainSpan
+	span := defaultExplainSpan
 	command := &cobra.Command{
 		Use:   "explain REQUEST-ID",
 		Short: "Show what decided a request's end, from nodes' logs on standard input",
@@ -27,13 +28,14 @@
 	return command
 }
 
-// explainSpan is how far back causes are looked for.
-const explainSpan = 10 * time.Second
+// defaultExplainSpan is the time before the end of a request from which related
+// log lines are shown.
+const defaultExplainSpan = 10 * time.Second
 
-// maximumLogLine bounds one line of a log.
-const maximumLogLine = 1 << 20
+// maxLogLineBytes is the maximum length of a log line.
+const maxLogLineBytes = 1 << 20
 
-// logLine is one line of a node's log. Fields that it does not have are empty.
+// logLine is one line of a node's log. Fields missing from the line are zero.
 type logLine struct {
 	Time      time.Time `json:"time"`
 	Level     string    `json:"level"`
@@ -42,34 +44,36 @@
 	Request   string    `json:"request"`
 	Partition *int      `json:"partition"`
 	Replica   string    `json:"replica"`
-	// Counted is the node that counted the request to its tenant's limit.
+	// Counted is the node that counted the request towards its tenant's limit.
 	Counted string `json:"counted"`
-	// Evacuated is the zone whose evacuation the line tells of.
+	// Evacuated is the zone whose evacuation the line reports.
 	Evacuated string `json:"evacuated"`
 	raw       []byte
 }
 
-// explain prints the lines about a request, and before them those about what
-// it rested on: its partition's owner, its replica, the configuration, the node
-// that handled it with what it knew of evacuated zones, and the node that counted it to its tenant's limit.
+// explain prints, in order of time, the lines about a request and those about
+// what affected it: its partition's owner, its replica, the configuration, the
+// node that handled it, and the node that counted it towards its tenant's
+// limit. The latter must lie within the span before the request's last line,
+// except for lines about evacuated zones, whose age is not limited.
 func explain(input io.Reader, output io.Writer, request string, span time.Duration) error {
 	lines, err := readLog(input)
 	if err != nil {
 		return err
 	}
-	var own []logLine
+	var requestLines []logLine
 	for _, line := range lines {
 		if line.Request == request {
-			own = append(own, line)
+			requestLines = append(requestLines, line)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return &ExitError{Code: ExitFailure, Cause: fmt.Errorf("no line about request %q in %d lines", request, len(lines))}
 	}
-	last := own[len(own)-1]
+	last := requestLines[len(requestLines)-1]
 	for _, line := range lines {
 		recent := !line.Time.After(last.Time) && (last.Time.Sub(line.Time) <= span || line.Evacuated != "")
-		if line.Request == request || (recent && line.Request == "" && concerns(line, own)) {
+		if line.Request == request || (recent && line.Request == "" && affectsRequest(line, requestLines)) {
 			if _, err := fmt.Fprintf(output, "%s\n", line.raw); err != nil {
 				return err
 			}
@@ -78,37 +82,38 @@
 	return nil
 }
 
-// concerns reports whether a line tells of something that a request rested on.
-func concerns(line logLine, own []logLine) bool {
-	for _, about := range own {
+// affectsRequest reports whether a line is about a partition, replica or node
+// that one of the request's own lines names.
+func affectsRequest(line logLine, requestLines []logLine) bool {
+	for _, requestLine := range requestLines {
 		switch {
 		case line.Partition != nil:
-			if about.Partition != nil && *line.Partition == *about.Partition {
+			if requestLine.Partition != nil && *line.Partition == *requestLine.Partition {
 				return true
 			}
 		case line.Replica != "":
-			if line.Replica == about.Replica {
+			if line.Replica == requestLine.Replica {
 				return true
 			}
-		case line.Node == about.Node || line.Node == about.Counted && about.Counted != "":
+		case line.Node == requestLine.Node || line.Node == requestLine.Counted && requestLine.Counted != "":
 			return true
 		}
 	}
 	return false
 }
 
-// readLog reads JSON lines, each from its first brace on, in order of time.
-// Other lines are passed over.
+// readLog reads JSON lines and sorts them by time. It ignores the text before
+// the first brace of a line, and lines without a JSON object or a time.
 func readLog(input io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(make([]byte, 0, maximumLogLine/16), maximumLogLine)
+	scanner.Buffer(make([]byte, 0, maxLogLineBytes/16), maxLogLineBytes)
 	for scanner.Scan() {
-		begin := bytes.IndexByte(scanner.Bytes(), '{')
-		if begin < 0 {
+		start := bytes.IndexByte(scanner.Bytes(), '{')
+		if start < 0 {
 			continue
 		}
-		line := logLine{raw: slices.Clone(scanner.Bytes()[begin:])}
+		line := logLine{raw: slices.Clone(scanner.Bytes()[start:])}
 		if json.Unmarshal(line.raw, &line) == nil && !line.Time.IsZero() {
 			lines = append(lines, line)
 		}
--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -10,16 +10,16 @@
 	"birchwood.example/birchwood/emulator/cluster"
 )
 
-// errFuzzFailed makes fuzz exit with a failure after it has printed it.
+// errFuzzFailed makes fuzz exit with 1 after it has printed the failure.
 var errFuzzFailed = errors.New("a run broke a promise")
 
-// progressEvery is after how many runs fuzz says how far it is.
-const progressEvery = 100
+// progressIntervalRuns is the number of runs between two progress messages.
+const progressIntervalRuns = 100
 
-// newFuzzCommand returns the command that looks for broken promises in
-// emulated clusters.
+// newFuzzCommand returns the subcommand that searches emulated clusters for
+// broken promises.
 func newFuzzCommand() *cobra.Command {
-	config := cluster.FuzzConfig{Seed: 1, ShrinkFor: 30 * time.Second}
+	config := cluster.FuzzConfig{Seed: 1, MaxShrinkTime: 30 * time.Second}
 	command := &cobra.Command{
 		Use:   "fuzz --for DURATION --seed N",
 		Short: "Look for broken promises in emulated clusters",
@@ -28,7 +28,7 @@
 			"and printed with the command that runs it again. Exits with 1 when a promise was broken.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if config.For <= 0 && config.Runs <= 0 {
+			if config.MaxDuration <= 0 && config.Runs <= 0 {
 				return &ExitError{Code: ExitUsage, Cause: errors.New("want --for or --runs")}
 			}
 			return runFuzz(command, config)
@@ -36,18 +36,19 @@
 	}
 	flags := command.Flags()
 	flags.Uint64Var(&config.Seed, "seed", config.Seed, "the first run's seed; each further run takes the next number")
-	flags.DurationVar(&config.For, "for", 0, "how long to look")
+	flags.DurationVar(&config.MaxDuration, "for", 0, "how long to look")
 	flags.IntVar(&config.Runs, "runs", 0, "how many runs to make at most; 0 means no bound")
-	flags.DurationVar(&config.ShrinkFor, "shrink", config.ShrinkFor, "how long to make a failure smaller")
+	flags.DurationVar(&config.MaxShrinkTime, "shrink", config.MaxShrinkTime, "how long to make a failure smaller")
 	return command
 }
 
-// runFuzz runs until a failure or the bounds.
+// runFuzz runs clusters until a failure or until a bound is reached, and prints
+// the outcome.
 func runFuzz(command *cobra.Command, config cluster.FuzzConfig) error {
-	begin := time.Now()
+	start := time.Now()
 	config.Progress = func(runs int) {
-		if runs%progressEvery == 0 {
-			_, _ = fmt.Fprintf(command.ErrOrStderr(), "%d runs in %s\n", runs, time.Since(begin).Round(time.Second))
+		if runs%progressIntervalRuns == 0 {
+			_, _ = fmt.Fprintf(command.ErrOrStderr(), "%d runs in %s\n", runs, time.Since(start).Round(time.Second))
 		}
 	}
 	runs, failure, err := cluster.Fuzz(config)
@@ -57,7 +58,7 @@
 	output := command.OutOrStdout()
 	if failure == nil {
 		_, err := fmt.Fprintf(output, "%d runs from seed %d in %s: no promise was broken\n",
-			runs, config.Seed, time.Since(begin).Round(time.Second))
+			runs, config.Seed, time.Since(start).Round(time.Second))
 		return err
 	}
 	_, _ = fmt.Fprintf(output, "%s\n\nrun %d failed; again: %s\n", failure.Text, runs, failure.Replay)
--- a/command/load.go
+++ b/command/load.go
@@ -19,11 +19,11 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// tokenVariable is the environment variable that holds the caller's token.
-const tokenVariable = "BIRCHWOOD_TOKEN"
+// tokenEnvironmentVariable names the environment variable with the caller's token.
+const tokenEnvironmentVariable = "BIRCHWOOD_TOKEN"
 
-// errUnanswered makes load exit with a failure after it has printed its result.
-var errUnanswered = errors.New("calls were left unanswered, answered wrongly or run twice")
+// errFailedCalls makes load exit with 1 after it has printed its result.
+var errFailedCalls = errors.New("some calls got no answer, got a wrong answer or ran twice")
 
 // loadFlags are the flags of the load command.
 type loadFlags struct {
@@ -47,38 +47,38 @@
 	probes      int
 }
 
-// newLoadCommand returns the load tool.
+// newLoadCommand returns the subcommand that generates load.
 func newLoadCommand() *cobra.Command {
 	flags := loadFlags{}
 	command := &cobra.Command{
 		Use:   "load --target ADDRESS --deployment NAME --programs N --seed S",
 		Short: "Run a deployment's agent programs against real nodes",
 		Long: "Starts agent programs at their intended times, whether or not earlier ones have ended, and\n" +
-			"measures what their callers feel. The caller's token is taken from --token, else from " + tokenVariable + ",\n" +
+			"measures what their callers feel. The caller's token is taken from --token, else from " + tokenEnvironmentVariable + ",\n" +
 			"else it is the example token of the deployment's settings. Exits with 1 when a call was left\n" +
 			"unanswered or got a wrong answer.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return runLoad(command, flags) },
 	}
-	set := command.Flags()
-	set.StringSliceVar(&flags.targets, "target", nil, "gateways, ip:port, separated by commas")
-	set.StringSliceVar(&flags.operators, "operator", nil, "operators' addresses, to read the nodes' control traffic from")
-	set.StringSliceVar(&flags.tools, "tool-service", nil, "stand-in tool services, to ask afterwards what they ran")
-	set.StringSliceVar(&flags.engines, "engine", nil, "stand-in engines, to ask afterwards what they hold")
-	set.StringVar(&flags.deployment, "deployment", "koudeketting", strings.Join(workload.Names(), ", "))
-	set.IntVar(&flags.programs, "programs", 100, "how many programs to start")
-	set.Uint64Var(&flags.seed, "seed", 1, "the seed of the programs")
-	set.Float64Var(&flags.rate, "rate", 2, "programs that start in a second")
-	set.Float64Var(&flags.speed, "speed", 1, "how many times shorter the pauses of people are")
-	set.StringToStringVar(&flags.tokens, "token", nil, "bearer tokens, BRANCH=TOKEN; an empty branch stands for all")
-	set.StringVar(&flags.branch, "branch", "", "start every program on this branch instead")
-	set.StringVar(&flags.model, "model", "", "use this model in every call instead")
-	set.DurationVar(&flags.callTimeout, "call-timeout", 3*time.Minute, "how long a call is asked for, retries included")
-	set.DurationVar(&flags.stopAfter, "stop-after", 0, "when programs make no further step and are ended; 0 means never")
-	set.IntVar(&flags.probes, "probes", 0, "how many programs stand by, to measure how long they are without an owner")
-	set.StringVar(&flags.record, "record", "", "write the history to this file, for verify")
-	set.StringVar(&flags.output, "output", "text", "text or json")
-	set.BoolVar(&flags.anyAnswer, "any-answer", false, "accept answers of engines that are not the stand-ins")
+	flagSet := command.Flags()
+	flagSet.StringSliceVar(&flags.targets, "target", nil, "gateways, ip:port, separated by commas")
+	flagSet.StringSliceVar(&flags.operators, "operator", nil, "operators' addresses, to read the nodes' control traffic from")
+	flagSet.StringSliceVar(&flags.tools, "tool-service", nil, "stand-in tool services, to ask afterwards what they ran")
+	flagSet.StringSliceVar(&flags.engines, "engine", nil, "stand-in engines, to ask afterwards what they hold")
+	flagSet.StringVar(&flags.deployment, "deployment", "koudeketting", strings.Join(workload.Names(), ", "))
+	flagSet.IntVar(&flags.programs, "programs", 100, "how many programs to start")
+	flagSet.Uint64Var(&flags.seed, "seed", 1, "the seed of the programs")
+	flagSet.Float64Var(&flags.rate, "rate", 2, "programs that start in a second")
+	flagSet.Float64Var(&flags.speed, "speed", 1, "how many times shorter the pauses of people are")
+	flagSet.StringToStringVar(&flags.tokens, "token", nil, "bearer tokens, BRANCH=TOKEN; an empty branch stands for all")
+	flagSet.StringVar(&flags.branch, "branch", "", "start every program on this branch instead")
+	flagSet.StringVar(&flags.model, "model", "", "use this model in every call instead")
+	flagSet.DurationVar(&flags.callTimeout, "call-timeout", 3*time.Minute, "how long a call is asked for, retries included")
+	flagSet.DurationVar(&flags.stopAfter, "stop-after", 0, "when programs make no further step and are ended; 0 means never")
+	flagSet.IntVar(&flags.probes, "probes", 0, "how many programs stand by, to measure how long they are without an owner")
+	flagSet.StringVar(&flags.record, "record", "", "write the history to this file, for verify")
+	flagSet.StringVar(&flags.output, "output", "text", "text or json")
+	flagSet.BoolVar(&flags.anyAnswer, "any-answer", false, "accept answers of engines that are not the stand-ins")
 	if err := command.MarkFlagRequired("target"); err != nil {
 		panic(err)
 	}
@@ -108,13 +108,14 @@
 		return &ExitError{Code: ExitFailure, Cause: err}
 	}
 	if result.Failed() {
-		return &ExitError{Code: ExitFailure, Cause: errUnanswered}
+		return &ExitError{Code: ExitFailure, Cause: errFailedCalls}
 	}
 	return nil
 }
 
-// openRecord opens a file for a history, and returns what closes it. Without a
-// name there is no recorder, which records nothing.
+// openRecord creates a file and returns a recorder that writes a history to it,
+// and a function that closes the file. Without a name it returns a nil
+// recorder, which records nothing.
 func openRecord(name string) (*history.Recorder, func(), error) {
 	if name == "" {
 		return nil, func() {}, nil
@@ -127,7 +128,8 @@
 	return recorder, func() { _ = errors.Join(recorder.Flush(), file.Close()) }, nil
 }
 
-// contextOf returns the command's context, which is nil outside of Execute.
+// contextOf returns the command's context, or the background context when the
+// command runs outside of Execute and has none.
 func contextOf(command *cobra.Command) context.Context {
 	if ctx := command.Context(); ctx != nil {
 		return ctx
@@ -135,7 +137,7 @@
 	return context.Background()
 }
 
-// config turns the flags into a run.
+// config returns the configuration that the flags describe.
 func (f loadFlags) config() (load.Config, error) {
 	if f.output != "text" && f.output != "json" {
 		return load.Config{}, fmt.Errorf("output %q: want text or json", f.output)
@@ -154,21 +156,21 @@
 	return load.Config{
 		Targets: f.targets, Operators: f.operators, ToolServices: f.tools, Engines: f.engines, Deployment: deployment,
 		Programs: f.programs, Seed: f.seed, Rate: f.rate, Speed: f.speed, Tokens: tokens,
-		Branch: contract.Path(f.branch), Model: f.model, CallTimeout: f.callTimeout, StopAfter: f.stopAfter, AnyAnswer: f.anyAnswer,
+		Branch: contract.Path(f.branch), Model: f.model, CallTimeout: f.callTimeout, StopAfter: f.stopAfter, SkipAnswerCheck: f.anyAnswer,
 		Probes: f.probes,
 	}, nil
 }
 
-// defaultToken is the environment's token, else the example token that the
-// settings in config/ give the deployment.
+// defaultToken returns the token from the environment or, if there is none, the
+// example token in the deployment's settings in config/.
 func (f loadFlags) defaultToken() string {
-	if token := os.Getenv(tokenVariable); token != "" {
+	if token := os.Getenv(tokenEnvironmentVariable); token != "" {
 		return token
 	}
 	return f.deployment + "-example-token"
 }
 
-// printLoad writes the result in the wanted form.
+// printLoad writes the result as text or JSON.
 func printLoad(command *cobra.Command, result load.Result, output string) error {
 	if output == "text" {
 		_, err := fmt.Fprint(command.OutOrStdout(), result)
--- a/command/operator_ask.go
+++ b/command/operator_ask.go
@@ -7,48 +7,51 @@
 	"github.com/spf13/cobra"
 )
 
-// verb describes a verb that asks a node for one value and prints it.
-type verb[T any] struct {
+// operatorCommand is a subcommand that requests one value from a node and prints
+// it.
+type operatorCommand[T any] struct {
 	use       string
 	short     string
 	long      string
 	arguments cobra.PositionalArgs
-	// ask gets the value.
-	ask func(ctx context.Context, client *operatorClient, arguments []string) (T, error)
-	// text writes the value for people.
-	text func(writer io.Writer, value T)
+	// fetch requests the value.
+	fetch func(ctx context.Context, client *operatorClient, arguments []string) (T, error)
+	// printText writes the value as text.
+	printText func(writer io.Writer, value T)
 }
 
-// command returns the verb as a command.
-func (v verb[T]) command(flags *operatorFlags) *cobra.Command {
+// command returns the cobra command.
+func (v operatorCommand[T]) command(flags *operatorFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   v.use,
 		Short: v.short,
 		Long:  v.long,
 		Args:  v.arguments,
 		RunE: func(command *cobra.Command, arguments []string) error {
-			client, err := flags.open(command)
+			client, err := flags.newClient(command)
 			if err != nil {
 				return err
 			}
-			value, err := v.ask(command.Context(), client, arguments)
+			value, err := v.fetch(command.Context(), client, arguments)
 			if err != nil {
 				return err
 			}
-			return client.print(value, func(writer io.Writer) { v.text(writer, value) })
+			return client.print(value, func(writer io.Writer) { v.printText(writer, value) })
 		},
 	}
 }
 
-// getting returns an ask that gets the path of the arguments.
-func getting[T any](path func(arguments []string) string) func(context.Context, *operatorClient, []string) (T, error) {
+// fetchPath returns a fetch function that sends a GET request to the path for the
+// arguments.
+func fetchPath[T any](path func(arguments []string) string) func(context.Context, *operatorClient, []string) (T, error) {
 	return func(ctx context.Context, client *operatorClient, arguments []string) (value T, err error) {
 		err = client.get(ctx, path(arguments), &value)
 		return value, err
 	}
 }
 
-// fixed returns the same path for all arguments.
-func fixed(path string) func([]string) string {
+// constantPath returns a function that returns the path whatever its arguments
+// are.
+func constantPath(path string) func([]string) string {
 	return func([]string) string { return path }
 }
--- a/config/reference.go
+++ b/config/reference.go
@@ -8,26 +8,27 @@
 
 //go:generate go run ../internal/settingsdoc -output ../docs/SETTINGS.md
 
-// Setting describes one key of a settings file, for the reference page.
+// Setting describes one key of a settings file for the reference page.
 type Setting struct {
 	// Path is the YAML path, with "[]" for each item of a list.
 	Path string
-	// Kind is its type in words, and Range what is accepted.
+	// Kind is the type and Range the accepted values, both in words.
 	Kind  string
 	Range string
-	// Default is the value when the file leaves the key out; empty when there
-	// is none.
+	// Default is the value if the file leaves the key out, or empty if there is
+	// none.
 	Default string
 	Help    string
 }
 
-// Reference returns every key of a process's settings file, in its order.
+// Reference returns every key of a process's settings file, in the order of
+// File's fields.
 func Reference() []Setting {
-	return describe(reflect.ValueOf(Defaults()).Elem(), "")
+	return describeSection(reflect.ValueOf(Defaults()).Elem(), "")
 }
 
-// describe lists the keys of one section.
-func describe(section reflect.Value, prefix string) []Setting {
+// describeSection returns the keys of one section and of the sections in it.
+func describeSection(section reflect.Value, prefix string) []Setting {
 	var settings []Setting
 	for index := range section.NumField() {
 		field := section.Type().Field(index)
@@ -36,10 +37,10 @@
 			continue
 		}
 		value := section.Field(index)
-		setting := Setting{Path: prefix + name, Kind: kindName(field.Type), Range: rangeOf(field), Help: field.Tag.Get("help")}
+		setting := Setting{Path: prefix + name, Kind: kindName(field.Type), Range: acceptedRange(field), Help: field.Tag.Get("help")}
 		if nested, path, isNested := nestedSection(value, setting.Path); isNested {
 			settings = append(settings, setting)
-			settings = append(settings, describe(nested, path)...)
+			settings = append(settings, describeSection(nested, path)...)
 			continue
 		}
 		if !value.IsZero() {
@@ -50,24 +51,25 @@
 	return settings
 }
 
-// nestedSection returns a section, or an item of a list of sections, with its
-// defaults.
+// nestedSection returns the section that a value is or points to, or an item of
+// a list of sections, with its defaults and the path prefix of its keys. It
+// reports false for any other value.
 func nestedSection(value reflect.Value, path string) (reflect.Value, string, bool) {
 	kind := value.Type()
 	switch {
 	case kind.Kind() == reflect.Struct:
 		return value, path + ".", true
 	case kind.Kind() == reflect.Pointer && kind.Elem().Kind() == reflect.Struct:
-		return newValue(kind.Elem()).Elem(), path + ".", true
+		return newWithDefaults(kind.Elem()).Elem(), path + ".", true
 	case kind.Kind() == reflect.Slice && kind.Elem().Kind() == reflect.Struct:
-		return newValue(kind.Elem()).Elem(), path + "[].", true
+		return newWithDefaults(kind.Elem()).Elem(), path + "[].", true
 	default:
 		return reflect.Value{}, "", false
 	}
 }
 
-// rangeOf tells in words what the validator's rules accept.
-func rangeOf(field reflect.StructField) string {
+// acceptedRange describes the values that the validator's rules accept.
+func acceptedRange(field reflect.StructField) string {
 	var words []string
 	rules, _, _ := strings.Cut(field.Tag.Get("validate"), ",dive")
 	for rule := range strings.SplitSeq(rules, ",") {
@@ -80,9 +82,9 @@
 		case "zone", "machine":
 			words = append(words, "lower-case letters, digits, inner hyphens")
 		case "min":
-			words = append(words, "at least "+bound(field.Type, parameter))
+			words = append(words, "at least "+boundWithUnit(field.Type, parameter))
 		case "max":
-			words = append(words, "at most "+bound(field.Type, parameter))
+			words = append(words, "at most "+boundWithUnit(field.Type, parameter))
 		case "gt":
 			words = append(words, "more than "+parameter)
 		case "oneof":
@@ -92,8 +94,8 @@
 	return strings.Join(words, "; ")
 }
 
-// bound adds the unit of a bound.
-func bound(of reflect.Type, parameter string) string {
+// boundWithUnit returns a bound with the unit that its type implies.
+func boundWithUnit(of reflect.Type, parameter string) string {
 	switch of.Kind() {
 	case reflect.Slice:
 		return parameter + " items"
--- a/config/validate.go
+++ b/config/validate.go
@@ -12,30 +12,30 @@
 	"birchwood.example/birchwood/zone"
 )
 
-var validMachine = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
+var machineIDPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
 
-// checks holds the validator with this package's own rules. It caches what
-// it learns about types and is safe for concurrent use.
-var checks = newChecks()
+// fileValidator is the validator with this package's additional rules. It
+// caches struct metadata and is safe for concurrent use.
+var fileValidator = newFileValidator()
 
-func newChecks() *validator.Validate {
-	created := validator.New(validator.WithRequiredStructEnabled())
-	created.RegisterTagNameFunc(yamlName)
+func newFileValidator() *validator.Validate {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(yamlName)
 	rules := map[string]func(string) bool{
 		"address": func(text string) bool { return checkAddress(text) == nil },
 		"zone":    func(text string) bool { return zone.Name(text).Validate() == nil },
-		"machine": validMachine.MatchString,
+		"machine": machineIDPattern.MatchString,
 	}
 	for name, accept := range rules {
-		err := created.RegisterValidation(name, func(field validator.FieldLevel) bool { return accept(field.Field().String()) })
+		err := validate.RegisterValidation(name, func(field validator.FieldLevel) bool { return accept(field.Field().String()) })
 		if err != nil {
-			panic(err) // a rule's name is wrong, whatever the input
+			panic(err) // only an invalid rule name can cause this
 		}
 	}
-	return created
+	return validate
 }
 
-// checkAddress accepts an IP number with a port.
+// checkAddress accepts an IP address with a port other than 0.
 func checkAddress(text string) error {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -47,13 +47,13 @@
 	return nil
 }
 
-// Validate returns everything that is wrong with the values.
+// Validate returns all findings on the values.
 func (f *File) Validate() []Finding {
 	var findings []Finding
-	if err := checks.Struct(f); err != nil {
-		for _, wrong := range err.(validator.ValidationErrors) {
-			path := rootPath + strings.TrimPrefix(wrong.Namespace(), "File")
-			findings = append(findings, f.source.finding(path, "%s", explainRule(wrong)))
+	if err := fileValidator.Struct(f); err != nil {
+		for _, violation := range err.(validator.ValidationErrors) {
+			path := rootPath + strings.TrimPrefix(violation.Namespace(), "File")
+			findings = append(findings, f.source.finding(path, "%s", ruleMessage(violation)))
 		}
 	}
 	findings = append(findings, f.checkSections()...)
@@ -63,46 +63,47 @@
 	return findings
 }
 
-// explainRule tells what a rule of the validator wanted.
-func explainRule(wrong validator.FieldError) string {
-	switch wrong.Tag() {
+// ruleMessage describes the validator rule that a field violates.
+func ruleMessage(violation validator.FieldError) string {
+	switch violation.Tag() {
 	case "required":
 		return "missing"
 	case "address":
-		return checkAddress(fmt.Sprint(wrong.Value())).Error()
+		return checkAddress(fmt.Sprint(violation.Value())).Error()
 	case "zone", "machine":
-		return fmt.Sprintf("%q: want lower-case letters, digits and inner hyphens", wrong.Value())
+		return fmt.Sprintf("%q: want lower-case letters, digits and inner hyphens", violation.Value())
 	case "unique":
-		if wrong.Param() == "" {
-			return "an item stands twice"
+		if violation.Param() == "" {
+			return "duplicate item"
 		}
-		return fmt.Sprintf("two items have the same %s", strings.ToLower(wrong.Param()))
+		return fmt.Sprintf("two items have the same %s", strings.ToLower(violation.Param()))
 	case "oneof":
-		return fmt.Sprintf("%q: want one of %s", wrong.Value(), wrong.Param())
+		return fmt.Sprintf("%q: want one of %s", violation.Value(), violation.Param())
 	case "min", "max":
-		return explainBound(wrong)
+		return boundMessage(violation)
 	case "gt":
-		return fmt.Sprintf("%v: want more than %s", wrong.Value(), wrong.Param())
+		return fmt.Sprintf("%v: want more than %s", violation.Value(), violation.Param())
 	case "nefield":
-		return fmt.Sprintf("%q: want another value than that of %s", wrong.Value(), strings.ToLower(wrong.Param()))
+		return fmt.Sprintf("%q: must differ from the value of %s", violation.Value(), strings.ToLower(violation.Param()))
 	default:
-		return fmt.Sprintf("%v: breaks the rule %s %s", wrong.Value(), wrong.Tag(), wrong.Param())
+		return fmt.Sprintf("%v: breaks the rule %s %s", violation.Value(), violation.Tag(), violation.Param())
 	}
 }
 
-func explainBound(wrong validator.FieldError) string {
-	bound := map[string]string{"min": "at least", "max": "at most"}[wrong.Tag()]
-	switch wrong.Kind() {
+func boundMessage(violation validator.FieldError) string {
+	bound := map[string]string{"min": "at least", "max": "at most"}[violation.Tag()]
+	switch violation.Kind() {
 	case reflect.String:
-		return fmt.Sprintf("want %s %s characters", bound, wrong.Param())
+		return fmt.Sprintf("want %s %s characters", bound, violation.Param())
 	case reflect.Slice:
-		return fmt.Sprintf("want %s %s items", bound, wrong.Param())
+		return fmt.Sprintf("want %s %s items", bound, violation.Param())
 	default:
-		return fmt.Sprintf("%v: want %s %s", wrong.Value(), bound, wrong.Param())
+		return fmt.Sprintf("%v: want %s %s", violation.Value(), bound, violation.Param())
 	}
 }
 
-// checkSections finds sections that need each other.
+// checkSections reports missing sections: node or standin, and those that node
+// requires.
 func (f *File) checkSections() []Finding {
 	var findings []Finding
 	missing := func(path string) { findings = append(findings, f.source.finding(path, "missing")) }
@@ -121,7 +122,7 @@
 	return findings
 }
 
-// checkZones finds names of zones that the list of zones lacks.
+// checkZones reports references to zones that are not in the list of zones.
 func (f *File) checkZones() []Finding {
 	known := map[zone.Name]bool{}
 	for _, zone := range f.Zones {
@@ -152,19 +153,19 @@
 	return findings
 }
 
-// checkAddresses finds two listeners on one address.
+// checkAddresses reports listeners that share an address.
 func (f *File) checkAddresses() []Finding {
 	var findings []Finding
-	users := map[string]string{}
+	pathByAddress := map[string]string{}
 	listen := func(address, path string) {
 		if address == "" {
 			return
 		}
-		if earlier, used := users[address]; used {
+		if earlier, used := pathByAddress[address]; used {
 			findings = append(findings, f.source.finding(path, "address %s is also that of %s", address, earlier))
 			return
 		}
-		users[address] = path
+		pathByAddress[address] = path
 	}
 	if f.Node != nil {
 		listen(f.Node.Listen, "$.node.listen")
@@ -184,7 +185,7 @@
 	return findings
 }
 
-// checkAdvertise finds an address that other machines cannot connect to.
+// checkAdvertise reports an unspecified address, to which peers cannot connect.
 func (f *File) checkAdvertise() []Finding {
 	path := "$.node.advertise"
 	if f.Node.Advertise == "" {
@@ -197,7 +198,7 @@
 	return []Finding{f.source.finding(path, "%q: peers cannot connect to the unspecified address; set node.advertise", f.Node.Address())}
 }
 
-// checkTimings finds timings that contradict each other.
+// checkTimings reports timings that contradict each other.
 func (f *File) checkTimings() []Finding {
 	var findings []Finding
 	if f.Timings.SettingsFreshness < 2*f.Timings.SettingsPoll {
--- a/emulator/broken_test.go
+++ b/emulator/broken_test.go
@@ -12,17 +12,19 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// brokenPolicy is a baseline with one promise broken on purpose.
+// brokenPolicy is a baseline policy that deliberately violates one invariant.
 type brokenPolicy struct {
 	schedule.Policy
 	machines []machine.Machine
 	setOnce  bool
-	// frozen keeps the first list of machines.
+	// frozen makes the policy ignore all machine lists but the first.
 	frozen bool
+	// change, if set, alters the decisions of the baseline.
 	change func(*brokenPolicy, []schedule.Decision) []schedule.Decision
 }
 
-// SetBackends keeps the machines, for policies that choose on their own.
+// SetBackends stores the machines for isPlacementOn and passes them to the
+// baseline.
 func (b *brokenPolicy) SetBackends(now time.Time, machines []machine.Machine) {
 	if b.frozen && b.setOnce {
 		return
@@ -32,7 +34,7 @@
 	b.Policy.SetBackends(now, machines)
 }
 
-// Ready breaks the decisions of the baseline.
+// Ready returns the decisions of the baseline after change.
 func (b *brokenPolicy) Ready(now time.Time) []schedule.Decision {
 	decisions := b.Policy.Ready(now)
 	if b.change != nil {
@@ -41,9 +43,8 @@
 	return decisions
 }
 
-// isPlace reports whether a decision sends a call to one of the machines of a
-// kind.
-func (b *brokenPolicy) isPlace(decision schedule.Decision, kind machine.Kind) bool {
+// isPlacementOn reports whether a decision places a call on a machine of the kind.
+func (b *brokenPolicy) isPlacementOn(decision schedule.Decision, kind machine.Kind) bool {
 	for _, each := range b.machines {
 		if each.ID == decision.Backend {
 			return decision.Action == schedule.ActionPlace && each.Kind == kind
@@ -52,22 +53,22 @@
 	return false
 }
 
-// ignoreZones places every call at the first machine of the kind it needs.
+// ignoreZones places every tool call on depot-events-1, whatever its zone.
 func ignoreZones(b *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 	for i, decision := range decisions {
-		if b.isPlace(decision, machine.KindTool) {
+		if b.isPlacementOn(decision, machine.KindTool) {
 			decisions[i].Backend = "depot-events-1"
 		}
 	}
 	return decisions
 }
 
-// placeTwice sends every call twice.
+// placeTwice emits every decision twice.
 func placeTwice(_ *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 	return append(decisions, decisions...)
 }
 
-// refuseAfterPlace refuses what it has sent.
+// refuseAfterPlace refuses every call that it has just placed.
 func refuseAfterPlace(_ *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 	all := decisions
 	for _, decision := range decisions {
@@ -78,8 +79,8 @@
 	return all
 }
 
-// forget returns a policy's change that loses one call in seven.
-func forget() func(*brokenPolicy, []schedule.Decision) []schedule.Decision {
+// dropEverySeventh returns a change that drops every seventh decision.
+func dropEverySeventh() func(*brokenPolicy, []schedule.Decision) []schedule.Decision {
 	count := 0
 	return func(_ *brokenPolicy, decisions []schedule.Decision) []schedule.Decision {
 		var kept []schedule.Decision
@@ -99,7 +100,7 @@
 				config.Policies = []string{"broken"}
 				config.Programs = 80
 				config.Faults = []emulator.Fault{{At: 2 * time.Second, Kind: emulator.FaultLeave, Target: "engine-001"}}
-				config.Tune = func(tuned *schedule.Config) { tuned.MaximumHold = time.Minute }
+				config.TuneScheduler = func(tuned *schedule.Config) { tuned.MaximumHold = time.Minute }
 				config.NewPolicy = func(_ string, tuned schedule.Config) (schedule.Policy, error) {
 					baseline, err := schedule.NewBaseline(schedule.BaselineRoundRobin, tuned)
 					return &brokenPolicy{Policy: baseline, frozen: frozen, change: change}, err
@@ -111,7 +112,7 @@
 		Entry("calls outside the permitted zones", "place", false, ignoreZones),
 		Entry("calls sent twice", "at most once", false, placeTwice),
 		Entry("not_run for what was sent", "true not_run", false, refuseAfterPlace),
-		Entry("calls that are never answered", "every call answered", false, forget()),
+		Entry("calls that are never answered", "every call answered", false, dropEverySeventh()),
 		Entry("work for a back end that leaves", "leaving", true, nil),
 	)
 
--- a/emulator/cluster/backend.go
+++ b/emulator/cluster/backend.go
@@ -11,17 +11,17 @@
 	"birchwood.example/birchwood/schedule"
 )
 
-// The models and tools of every emulated cluster.
+// The model and the tool that every emulated cluster serves.
 const (
 	modelName = "birch-8b"
 	toolName  = "issue_plan_receipt"
 )
 
-// bytesPerToken is how nodes count tokens by default.
+// bytesPerToken is the nodes' default ratio for estimating token counts.
 const bytesPerToken = 4
 
-// The shapes of the emulated back ends. Their speed matters little here; the
-// bench has a model of engines for that.
+// Capacities and mean run times of the emulated back ends. These tests don't
+// depend on realistic speeds; the bench has a detailed engine model.
 const (
 	engineSlots       = 8
 	engineCacheTokens = 100_000
@@ -29,18 +29,19 @@
 	meanToolRun       = 150 * time.Millisecond
 )
 
-// run is one attempt that a back end has begun.
-type run struct {
+// backendRun is the execution of an attempt at a back end.
+type backendRun struct {
 	output   string
 	usage    api.Usage
 	resident int
 	finished bool
-	// listeners are told how the run ended; ok is false when it was cut.
+	// listeners are called when the execution ends; ok is false if it was
+	// interrupted.
 	listeners []func(ok bool)
 }
 
-// end tells the listeners.
-func (r *run) end(ok bool) {
+// end marks the execution as finished and calls its listeners.
+func (r *backendRun) end(ok bool) {
 	r.finished = true
 	listeners := r.listeners
 	r.listeners = nil
@@ -49,33 +50,33 @@
 	}
 }
 
-// emulatedEngine is a model engine.
+// emulatedEngine is an emulated model engine.
 type emulatedEngine struct {
 	cluster  *Cluster
 	machine  machine.Machine
 	down     bool
-	streams  map[string]*run
+	streams  map[string]*backendRun
 	running  int
 	prefixes map[api.ProgramID]int
 }
 
-// emulatedTool is a tool service.
+// emulatedTool is an emulated tool service.
 type emulatedTool struct {
 	cluster *Cluster
 	machine machine.Machine
 	down    bool
-	// hanging: requests take effect and are never answered.
+	// hanging means that requests take effect and are never answered.
 	hanging bool
 	outputs map[string]string
 }
 
-// addBackends adds the engines and tool services, which renew their entries in
-// the machine list.
+// addBackends adds the engines and tool services and starts the renewal of
+// their entries in the machine list.
 func (c *Cluster) addBackends() {
 	for i, name := range c.config.Zones {
 		for k := range c.config.EnginesPerZone {
 			added := &emulatedEngine{
-				cluster: c, streams: map[string]*run{}, prefixes: map[api.ProgramID]int{},
+				cluster: c, streams: map[string]*backendRun{}, prefixes: map[api.ProgramID]int{},
 				machine: machine.Machine{
 					ID:   machine.ID(fmt.Sprintf("engine-%d", i*c.config.EnginesPerZone+k+1)),
 					Kind: machine.KindEngine, Zone: name, Address: fmt.Sprintf("10.0.1.%d:7000", i*c.config.EnginesPerZone+k+1),
@@ -97,7 +98,8 @@
 	}
 }
 
-// renew keeps a back end in the machine list while it runs.
+// renew renews a back end's entry in the machine list every renewPeriod while
+// the back end is up.
 func (c *Cluster) renew(entry *machine.Machine, down *bool) {
 	if !*down {
 		c.machines.Announce(c.now, *entry)
@@ -125,59 +127,58 @@
 	return nil
 }
 
-// tokensOf counts the tokens of a text as the nodes do.
+// tokensOf estimates the tokens of a text as the nodes do.
 func tokensOf(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
-// generate begins an answer, or joins the one of the same stream.
-func (e *emulatedEngine) generate(sent *attempt, prompt string) *run {
+// generate starts an answer, or returns the existing one of the same stream.
+func (e *emulatedEngine) generate(sent *attempt, prompt string) *backendRun {
 	stream := sent.stream()
 	if known, found := e.streams[stream]; found {
 		return known
 	}
 	c := e.cluster
 	owner := sent.action.Attempt.Program
-	begun := &run{output: answerText(prompt, sent.action.Call.MaxOutputTokens)}
+	execution := &backendRun{output: answerText(prompt, sent.action.Call.MaxOutputTokens)}
 	promptTokens := tokensOf(prompt)
-	begun.usage = api.Usage{
+	execution.usage = api.Usage{
 		PromptTokens: promptTokens,
 		CachedTokens: min(e.prefixes[owner], promptTokens),
-		OutputTokens: tokensOf(begun.output),
+		OutputTokens: tokensOf(execution.output),
 	}
-	begun.resident = promptTokens + begun.usage.OutputTokens
-	e.streams[stream] = begun
+	execution.resident = promptTokens + execution.usage.OutputTokens
+	e.streams[stream] = execution
 	e.running++
-	c.record(history.Event{Started: sent.started(e.machine, history.HashText(prompt))})
+	c.record(history.Event{AttemptStarted: sent.started(e.machine, history.HashText(prompt))})
 	c.after(c.jitter(meanGeneration), func() {
-		if begun.finished {
+		if execution.finished {
 			return
 		}
 		e.running--
-		e.prefixes[owner] = begun.resident
-		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, begun)})
-		begun.end(true)
+		e.prefixes[owner] = execution.resident
+		c.record(history.Event{AttemptFinished: sent.finished(history.OutcomeSucceeded, execution)})
+		execution.end(true)
 	})
-	return begun
+	return execution
 }
 
-// cancel stops a stream that nobody follows any more. What it computed stays
-// cached.
+// cancel stops an unfinished stream without listeners. The prompt stays cached.
 func (e *emulatedEngine) cancel(sent *attempt) {
-	begun, found := e.streams[sent.stream()]
-	if !found || begun.finished || len(begun.listeners) > 0 {
+	execution, found := e.streams[sent.stream()]
+	if !found || execution.finished || len(execution.listeners) > 0 {
 		return
 	}
 	e.running--
-	e.prefixes[sent.action.Attempt.Program] = begun.usage.PromptTokens
-	e.cluster.record(history.Event{Finished: sent.finished(history.OutcomeCancelled, &run{usage: api.Usage{}})})
-	begun.finished = true
+	e.prefixes[sent.action.Attempt.Program] = execution.usage.PromptTokens
+	e.cluster.record(history.Event{AttemptFinished: sent.finished(history.OutcomeCancelled, &backendRun{usage: api.Usage{}})})
+	execution.finished = true
 	delete(e.streams, sent.stream())
 }
 
-// crash loses all streams and prefixes.
+// crash stops the engine: all streams and cached prefixes are lost.
 func (e *emulatedEngine) crash() {
 	e.down = true
 	streams := e.streams
-	e.streams = map[string]*run{}
+	e.streams = map[string]*backendRun{}
 	e.prefixes = map[api.ProgramID]int{}
 	e.running = 0
 	for _, name := range sortedKeys(streams) {
@@ -187,46 +188,48 @@
 	}
 }
 
-// load is the engine's report.
+// load returns the engine's load report.
 func (e *emulatedEngine) load() schedule.Load {
 	return schedule.Load{Backend: e.machine.ID, At: e.cluster.now, Running: e.running}
 }
 
-// list returns the cached prefixes, and records them.
+// list returns the cached prefixes and records them in the history.
 func (e *emulatedEngine) list() []engine.Prefix {
 	var listed []engine.Prefix
-	held := &history.Held{Backend: e.machine.ID}
+	held := &history.EngineCache{Backend: e.machine.ID}
 	for _, owner := range sortedKeys(e.prefixes) {
 		listed = append(listed, engine.Prefix{Owner: owner, Tokens: e.prefixes[owner]})
 		held.Programs = append(held.Programs, owner)
 	}
-	e.cluster.record(history.Event{Held: held})
+	e.cluster.record(history.Event{EngineCache: held})
 	return listed
 }
 
-// answerText is the engine's answer: its hash names the prompt.
+// answerText returns the engine's answer, the hash of the prompt, truncated to
+// the maximum number of tokens.
 func answerText(prompt string, maximumTokens int) string {
 	text := fmt.Sprintf("<%016x>", history.HashText(prompt))
 	return text[:min(len(text), max(1, maximumTokens)*bytesPerToken)]
 }
 
-// execute runs a tool request: it takes effect at once, as often as it comes.
-func (t *emulatedTool) execute(sent *attempt) *run {
+// execute runs a tool request. It takes effect at once, and again each time the
+// same key is sent.
+func (t *emulatedTool) execute(sent *attempt) *backendRun {
 	c := t.cluster
 	key := sent.action.Key
-	begun := &run{output: fmt.Sprintf("<tool %016x>", history.HashText(key, sent.action.Call.Input))}
-	c.record(history.Event{Started: sent.started(t.machine, 0)})
-	t.outputs[key] = begun.output
+	execution := &backendRun{output: fmt.Sprintf("<tool %016x>", history.HashText(key, sent.action.Call.Input))}
+	c.record(history.Event{AttemptStarted: sent.started(t.machine, 0)})
+	t.outputs[key] = execution.output
 	if t.hanging {
-		return begun
+		return execution
 	}
 	c.after(c.jitter(meanToolRun), func() {
 		if t.down {
-			begun.end(false)
+			execution.end(false)
 			return
 		}
-		c.record(history.Event{Finished: sent.finished(history.OutcomeSucceeded, begun)})
-		begun.end(true)
+		c.record(history.Event{AttemptFinished: sent.finished(history.OutcomeSucceeded, execution)})
+		execution.end(true)
 	})
-	return begun
+	return execution
 }
--- a/emulator/cluster/gateway.go
+++ b/emulator/cluster/gateway.go
@@ -6,46 +6,48 @@
 	"birchwood.example/birchwood/partition"
 )
 
-// connection is one caller's request at a node.
+// connection is a caller's request at the node that received it.
 type connection struct {
 	node   *node
 	starts uint64
 	id     uint64
-	// owner is the node that the request was relayed to, and handle what it
-	// waits for there or here. relayed names the request among the owner's
-	// connections.
+	// owner is the node that the request was relayed to, if any. handle is the
+	// request's handle at the core that serves it. relayed is its key in the
+	// owner's connections.
 	owner   *node
 	handle  uint64
 	relayed uint64
-	// reply and lost end the request; over is set by whichever came first.
+	// reply and lost end the request at the caller; ended is set by the first
+	// event that ends it: reply, loss or disconnect.
 	reply func(control.Reply)
 	lost  func()
-	over  bool
+	ended bool
 }
 
-// request sends a caller's request to a node. Exactly one of reply and lost
-// runs, unless the returned function, with which the caller hangs up, is called
-// first. refused says that no connection was had.
-func (c *Cluster) request(at *node, request control.Request, reply func(control.Reply), lost func(refused bool)) (hangUp func()) {
+// request sends a caller's request to a node. Exactly one of reply and lost runs,
+// unless the caller calls the returned disconnect function first. refused means
+// that the connection could not be opened.
+func (c *Cluster) request(at *node, request control.Request, reply func(control.Reply), lost func(refused bool)) (disconnect func()) {
 	opened := &connection{node: at, reply: reply, lost: func() { lost(false) }}
 	c.requests++
 	opened.id = c.requests
 	c.after(c.jitter(c.config.ClientDelay), func() {
 		if !at.running || at.handedOver {
-			if !opened.over {
-				opened.over = true
+			if !opened.ended {
+				opened.ended = true
 				lost(true)
 			}
 			return
 		}
 		opened.starts = at.starts
-		at.connections[opened.id] = opened.breakOff
+		at.connections[opened.id] = opened.abort
 		at.enqueue(func() { opened.serve(request) })
 	})
-	return opened.hangUp
+	return opened.disconnect
 }
 
-// serve finds the owner of the request's program.
+// serve passes the request to the owner of its program: this node's core or
+// another node.
 func (o *connection) serve(request control.Request) {
 	n := o.node
 	id, err := partition.OfProgram(request.Program)
@@ -56,7 +58,7 @@
 	owner, known := n.core.Routing().Owner(id)
 	switch {
 	case !known:
-		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "no owner is known").After(ownerRetry)})
+		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "no owner is known").WithRetryAfter(ownerRetry)})
 	case owner.ID == n.self.ID:
 		o.handle = n.open(request, o.finish)
 	default:
@@ -64,10 +66,11 @@
 	}
 }
 
-// ownerRetry is when to ask again while no owner is known, in milliseconds.
+// ownerRetry is the retry delay for callers while no owner is known or
+// reachable, in milliseconds.
 const ownerRetry = 500
 
-// open hands a request to the core and returns its handle.
+// open passes a request to the core and returns its handle.
 func (n *node) open(request control.Request, reply func(control.Reply)) uint64 {
 	n.handles++
 	handle := n.handles
@@ -76,11 +79,11 @@
 	return handle
 }
 
-// relay passes the request on to the owner, and waits for its reply.
+// relay forwards the request to the owner and waits for its reply.
 func (o *connection) relay(request control.Request, owner *node) {
 	c := o.node.cluster
 	notSent := func() {
-		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "the owner does not answer").After(ownerRetry)})
+		o.finish(control.Reply{Error: api.Refuse(api.CodeOwnerUnknown, "the owner does not answer").WithRetryAfter(ownerRetry)})
 	}
 	if owner == nil {
 		notSent()
@@ -88,7 +91,7 @@
 	}
 	unknown := func() {
 		refusal := &api.Error{Code: api.CodeOutcomeUnknown, Message: "the owner was lost", Ran: api.RanOutcomeUnknown}
-		o.finish(control.Reply{Error: refusal.After(0)})
+		o.finish(control.Reply{Error: refusal.WithRetryAfter(0)})
 	}
 	arrive := func() {
 		if !owner.running || owner.handedOver {
@@ -106,44 +109,45 @@
 					delete(owner.connections, key)
 				}
 				owner.finishStop()
-				c.travel(owner.self.Zone, o.node.self.Zone, func() { o.finish(reply) }, func() { c.after(peerSilence, unknown) })
+				c.transmit(owner.self.Zone, o.node.self.Zone, func() { o.finish(reply) }, func() { c.after(peerTimeout, unknown) })
 			})
 		})
 	}
-	c.travel(o.node.self.Zone, owner.self.Zone, arrive, func() { c.after(dialTimeout, notSent) })
+	c.transmit(o.node.self.Zone, owner.self.Zone, arrive, func() { c.after(dialTimeout, notSent) })
 }
 
-// finish answers the caller, once the process can.
+// finish sends the caller the reply; a paused process sends it once it resumes.
 func (o *connection) finish(reply control.Reply) {
 	n := o.node
-	if o.over || !n.running || n.starts != o.starts {
+	if o.ended || !n.running || n.starts != o.starts {
 		return
 	}
 	n.enqueue(func() {
-		if o.over {
+		if o.ended {
 			return
 		}
-		o.over = true
+		o.ended = true
 		delete(n.connections, o.id)
 		n.cluster.after(n.cluster.jitter(n.cluster.config.ClientDelay), func() { o.reply(reply) })
 		n.finishStop()
 	})
 }
 
-// breakOff tells the caller that its connection is gone.
-func (o *connection) breakOff() {
-	if !o.over {
-		o.over = true
+// abort reports to the caller that its connection was lost.
+func (o *connection) abort() {
+	if !o.ended {
+		o.ended = true
 		o.node.cluster.after(o.node.cluster.jitter(o.node.cluster.config.ClientDelay), o.lost)
 	}
 }
 
-// hangUp is the caller closing its connection: the node stops waiting.
-func (o *connection) hangUp() {
-	if o.over {
+// disconnect closes the connection on the caller's side; the request is
+// abandoned at the node that serves it.
+func (o *connection) disconnect() {
+	if o.ended {
 		return
 	}
-	o.over = true
+	o.ended = true
 	n := o.node
 	if !n.running || n.starts != o.starts {
 		return
--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -11,7 +11,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The branches that programs run on. The depot keeps an exception of its own.
+// The branches that programs run on. BranchDepot has zones of its own, below
+// BranchCold.
 const (
 	BranchCold  contract.Path = "cold"
 	BranchDepot contract.Path = "cold/depot"
@@ -21,31 +22,31 @@
 // Branches lists the branches that programs run on.
 func Branches() []contract.Path { return []contract.Path{BranchCold, BranchDepot, BranchChat} }
 
-// operators are the people who change the settings.
+// operators emulates the operators who change the settings.
 type operators struct {
 	tree    *contract.Tree
 	changes int
-	// recorded are the changes that the history was told of.
+	// recorded holds the IDs of the changes that are in the history.
 	recorded map[string]bool
-	// placements are those that the history was told last.
+	// placements holds the last placement of each branch in the history.
 	placements map[contract.Path]zone.Placement
 }
 
-// notePlacements tells the history the placements that a change has brought.
-func (c *Cluster) notePlacements() {
+// recordPlacements records the placements of branches that have changed.
+func (c *Cluster) recordPlacements() {
 	for _, path := range Branches() {
 		resolved, err := c.operators.tree.Resolve(path)
 		if err != nil || c.operators.placements[path] == resolved.Placement {
 			continue
 		}
 		c.operators.placements[path] = resolved.Placement
-		c.record(history.Event{Placed: &history.Placed{
+		c.record(history.Event{PlacementSet: &history.PlacementSet{
 			Branch: string(path), Placement: resolved.Placement, Since: c.now,
 		}})
 	}
 }
 
-// openSettings puts the first settings in the stream.
+// openSettings appends the initial settings to the settings stream.
 func (c *Cluster) openSettings() error {
 	c.operators = operators{
 		tree: contract.NewTree(), recorded: map[string]bool{}, placements: map[contract.Path]zone.Placement{},
@@ -62,33 +63,33 @@
 	}}
 	c.appendChange(change, c.now)
 	if verdict, _ := c.operators.tree.Verdict(change.ID); !verdict.Accepted {
-		return fmt.Errorf("cluster: the first settings were refused: %v", verdict.Findings)
+		return fmt.Errorf("cluster: initial settings refused: %v", verdict.Findings)
 	}
 	return nil
 }
 
-// appendChange adds a change to the settings stream and folds it at once, so
-// that the history knows the verdict and when it took effect.
+// appendChange appends a change to the settings stream and applies it at once,
+// to record in the history the verdict and the time it took effect.
 func (c *Cluster) appendChange(change contract.Change, sentAt time.Time) uint64 {
 	text := encode(change)
 	revision := c.log.Append(contract.StreamName, [][]byte{text}) + 1
 	verdict := c.operators.tree.ApplyBytes(contract.Revision(revision), text)
 	if !c.operators.recorded[change.ID] {
 		c.operators.recorded[change.ID] = true
-		recorded := &history.Change{
-			ID: change.ID, SentAt: sentAt, Based: uint64(change.Based), Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
+		recorded := &history.SettingsChange{
+			ID: change.ID, SentAt: sentAt, BaseRevision: uint64(change.Based), Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
 		}
 		for _, edit := range change.Edits {
 			recorded.Paths = append(recorded.Paths, string(edit.Path))
 		}
-		c.record(history.Event{Change: recorded})
+		c.record(history.Event{SettingsChange: recorded})
 	}
-	c.notePlacements()
+	c.recordPlacements()
 	return revision
 }
 
-// ChangeZones lets an operator set a branch's zones through a node. The change
-// is based on what that node knows.
+// ChangeZones changes a branch's zones as an operator would, through a node. The
+// change is based on the revision that this node has.
 func (c *Cluster) ChangeZones(path contract.Path, zones []zone.Name, through int) {
 	c.operators.changes++
 	change := contract.Change{
@@ -106,7 +107,7 @@
 }
 
 // changeSettings appends a change, as the node's operator interface does, and
-// notes the verdict that the operator gets.
+// records the verdict that the operator gets.
 func (n *node) changeSettings(change contract.Change) {
 	c := n.cluster
 	sentAt := c.now
@@ -124,13 +125,13 @@
 	})
 }
 
-// noteVerdict records what this node decided, and tells a waiting operator.
-func (n *node) noteVerdict(verdict contract.Verdict) {
+// recordVerdict records this node's verdict and passes it to a waiting operator.
+func (n *node) recordVerdict(verdict contract.Verdict) {
 	n.cluster.record(history.Event{Verdict: &history.Verdict{
 		Node: n.self.ID, ID: verdict.ID, Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
 	}})
-	if tell, waits := n.verdicts[verdict.ID]; waits {
+	if deliver, waits := n.verdicts[verdict.ID]; waits {
 		delete(n.verdicts, verdict.ID)
-		tell(verdict)
+		deliver(verdict)
 	}
 }
--- a/emulator/cluster/stop_test.go
+++ b/emulator/cluster/stop_test.go
@@ -11,7 +11,7 @@
 	"birchwood.example/birchwood/history"
 )
 
-// longestWait is the longest time between a request and its answer.
+// longestWait returns the longest time between a request and its answer.
 func longestWait(events []history.Event) time.Duration {
 	sent := map[string]time.Time{}
 	longest := time.Duration(0)
@@ -30,10 +30,10 @@
 	It("hands programs over while they run, so that no call waits until a death is noticed", func() {
 		for stopped := range 6 {
 			settings := cluster.DefaultConfig(uint64(70 + stopped))
-			settings.DropShare = 0 // A lost offer is made up for by the next owner's patience.
+			settings.DropShare = 0 // A lost offer delays the takeover until the next owner's timeout.
 			running, err := cluster.New(settings)
 			Expect(err).NotTo(HaveOccurred())
-			running.Advance(atRest)
+			running.Advance(startupTime)
 			plan := cluster.ProgramPlan{Branch: cluster.BranchCold, Pause: 50 * time.Millisecond}
 			for i := range 30 {
 				plan.Calls = append(plan.Calls, cluster.CallPlan{Tool: i%3 == 2})
@@ -44,11 +44,11 @@
 			running.Advance(2 * time.Second)
 			running.Stop(stopped)
 			running.Advance(time.Minute)
-			events := settled(running)
+			events := settleAndCheck(running)
 			ended := map[api.CallStatus]int{}
 			for _, event := range events {
-				if event.Ended != nil {
-					ended[event.Ended.Status]++
+				if event.CallEnded != nil {
+					ended[event.CallEnded.Status]++
 				}
 				Expect(event.Lost == nil || event.Lost.NotSent).To(BeTrue(), "a connection was cut")
 			}
--- a/emulator/enginemodel/engine_test.go
+++ b/emulator/enginemodel/engine_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// driver runs an engine in virtual time and keeps what it tells.
+// driver runs an engine in virtual time and collects its outputs.
 type driver struct {
 	engine   *enginemodel.Engine
 	config   enginemodel.Config
@@ -29,7 +29,8 @@
 	imported []enginemodel.Imported
 }
 
-// newDriver returns a small engine without load reports, changed as wanted.
+// newDriver returns a driver for an engine without load reports and event loss.
+// change, if set, adjusts its configuration.
 func newDriver(change func(*enginemodel.Config)) *driver {
 	config := enginemodel.DefaultConfig("e", model)
 	config.ReportPeriod = 0
@@ -44,13 +45,13 @@
 	return &driver{engine: created, config: config, now: start, finished: make(map[string]enginemodel.Finished)}
 }
 
-// step applies an event and keeps what the engine tells.
+// step applies an event and collects the outputs.
 func (d *driver) step(event enginemodel.Event) error {
 	err := d.engine.Step(d.now, event)
 	for _, output := range d.engine.Ready(d.now) {
 		switch {
 		case output.Finished != nil:
-			if _, twice := d.finished[output.Finished.Stream]; twice {
+			if _, duplicate := d.finished[output.Finished.Stream]; duplicate {
 				panic("finished twice: " + output.Finished.Stream)
 			}
 			d.finished[output.Finished.Stream] = *output.Finished
@@ -64,7 +65,7 @@
 	return err
 }
 
-// runUntil lets time pass, waking the engine only when it asks for it.
+// runUntil advances the time, calling Step only at the times of NextWake.
 func (d *driver) runUntil(until time.Time) {
 	for {
 		next := d.engine.NextWake()
@@ -80,14 +81,14 @@
 	_ = d.step(enginemodel.Event{})
 }
 
-// run lets the engine run until it has nothing more to do.
+// run advances the time until the engine has no further wake.
 func (d *driver) run() {
 	for next := d.engine.NextWake(); !next.IsZero(); next = d.engine.NextWake() {
 		d.runUntil(next)
 	}
 }
 
-// generate returns an event that asks for a stream.
+// generate returns an event that starts a stream.
 func generate(stream string, owner api.ProgramID, prompt, output int) enginemodel.Event {
 	return enginemodel.Event{Generate: &enginemodel.Generate{
 		Stream: stream, Owner: owner, Model: model, PromptTokens: prompt, OutputTokens: output, MaxOutputTokens: output,
@@ -95,8 +96,8 @@
 }
 
 var _ = Describe("Continuous batching", func() {
-	// batch runs equal calls of different programs together and returns how
-	// long all of them took.
+	// batch runs equal calls of different programs concurrently and returns the
+	// time until the last has finished.
 	batch := func(count int) time.Duration {
 		d := newDriver(nil)
 		for i := range count {
@@ -172,7 +173,7 @@
 		Expect(d.finished["p/2"].Usage).To(Equal(api.Usage{PromptTokens: 1200, CachedTokens: 1050, OutputTokens: 50}))
 		Expect(d.finished["p/2"].Resident).To(Equal(1250))
 		fresh := generate("p/3", "p", 1300, 50)
-		fresh.Generate.Fresh = true
+		fresh.Generate.IgnoreCache = true
 		Expect(d.step(fresh)).To(Succeed())
 		d.run()
 		Expect(d.finished["p/3"].Usage.CachedTokens).To(BeZero())
@@ -189,9 +190,9 @@
 		d.run()
 		Expect(d.finished["a/2"].Usage.CachedTokens).To(Equal(800))
 		var evicted []api.ProgramID
-		for _, told := range d.events {
-			if told.Evicted {
-				evicted = append(evicted, told.Owner)
+		for _, event := range d.events {
+			if event.Evicted {
+				evicted = append(evicted, event.Owner)
 			}
 		}
 		Expect(evicted).To(Equal([]api.ProgramID{"b"}))
@@ -251,7 +252,7 @@
 		d := newDriver(func(c *enginemodel.Config) { c.MaximumModels = 2 })
 		Expect(d.step(order(enginemodel.Order{Fence: 1, Load: "general@2+farm"}))).To(MatchError(enginemodel.ErrModelNotLoaded))
 		Expect(d.step(order(enginemodel.Order{Fence: 1, Load: "general@2", WeightsIn: 8 * time.Second}))).To(Succeed())
-		Expect(d.step(order(enginemodel.Order{Fence: 2, Load: "third"}))).To(MatchError(enginemodel.ErrNoRoom))
+		Expect(d.step(order(enginemodel.Order{Fence: 2, Load: "third"}))).To(MatchError(enginemodel.ErrTooManyModels))
 		d.runUntil(start.Add(7 * time.Second))
 		Expect(d.engine.Models()).To(Equal([]string{model}))
 		d.runUntil(start.Add(8 * time.Second))
@@ -271,8 +272,8 @@
 	})
 })
 
-// randomEvent draws an event among few programs and streams, so that they
-// meet.
+// randomEvent draws an event among few programs and streams, so that events often
+// concern the same ones.
 func randomEvent(t *rapid.T, step int) enginemodel.Event {
 	owner := api.ProgramID(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "owner"))
 	stream := fmt.Sprintf("%s/%d", owner, rapid.IntRange(max(0, step-6), step).Draw(t, "stream"))
@@ -290,7 +291,7 @@
 	return event
 }
 
-// checkMemory verifies that the KV memory and the slots are never exceeded.
+// checkMemory verifies that the engine exceeds neither its KV memory nor its slots.
 func checkMemory(t *rapid.T, d *driver) {
 	load := d.engine.Load()
 	if load.CachedTokens > d.config.CacheTokens || load.Running > d.config.Slots {
@@ -302,31 +303,31 @@
 	It("keeps within memory and slots, ends each stream once, and does not depend on how often time is passed", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			small := func(c *enginemodel.Config) { c.Slots, c.CacheTokens, c.StreamRetention = 3, 3000, time.Hour }
-			seldom, often := newDriver(small), newDriver(small)
-			wanted := make(map[string]bool)
+			coarse, fine := newDriver(small), newDriver(small)
+			accepted := make(map[string]bool)
 			for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-				until := seldom.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "wait")) * time.Millisecond)
-				seldom.runUntil(until)
-				for often.now.Before(until) {
-					often.runUntil(minTime(until, often.now.Add(7*time.Millisecond)))
+				until := coarse.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "wait")) * time.Millisecond)
+				coarse.runUntil(until)
+				for fine.now.Before(until) {
+					fine.runUntil(minTime(until, fine.now.Add(7*time.Millisecond)))
 				}
 				event := randomEvent(t, step)
-				first, second := seldom.step(event), often.step(event)
+				first, second := coarse.step(event), fine.step(event)
 				if fmt.Sprint(first) != fmt.Sprint(second) {
 					t.Fatalf("one refuses: %v, %v", first, second)
 				}
 				if event.Generate != nil && first == nil {
-					wanted[event.Generate.Stream] = true
+					accepted[event.Generate.Stream] = true
 				}
-				checkMemory(t, seldom)
+				checkMemory(t, coarse)
 			}
-			seldom.run()
-			often.run()
-			if len(seldom.finished) != len(wanted) {
-				t.Fatalf("%d streams ended of %d", len(seldom.finished), len(wanted))
+			coarse.run()
+			fine.run()
+			if len(coarse.finished) != len(accepted) {
+				t.Fatalf("%d streams ended of %d", len(coarse.finished), len(accepted))
 			}
-			if fmt.Sprint(seldom.order, seldom.finished, seldom.events) != fmt.Sprint(often.order, often.finished, often.events) {
-				t.Fatalf("the runs differ:\n%v\n%v", seldom.finished, often.finished)
+			if fmt.Sprint(coarse.order, coarse.finished, coarse.events) != fmt.Sprint(fine.order, fine.finished, fine.events) {
+				t.Fatalf("the runs differ:\n%v\n%v", coarse.finished, fine.finished)
 			}
 		})
 	})
--- a/emulator/enginemodel/memory.go
+++ b/emulator/enginemodel/memory.go
@@ -8,7 +8,8 @@
 	"birchwood.example/birchwood/engine"
 )
 
-// resident is how many tokens of the owner's prefix are cached.
+// resident returns the number of cached tokens of the owner's prefix that no
+// running sequence uses.
 func (e *Engine) resident(owner api.ProgramID) int {
 	if held := e.cache.get(owner); held != nil {
 		return held.tokens
@@ -16,19 +17,20 @@
 	return 0
 }
 
-// release drops the owner's prefix, if no running sequence holds it.
+// release drops the owner's prefix, unless a running sequence uses it.
 func (e *Engine) release(owner api.ProgramID) {
 	dropped := e.cache.take(owner)
 	if dropped == nil {
 		return
 	}
 	e.countIdle(dropped)
-	e.tellCache(engine.CacheEvent{Owner: owner, Tokens: dropped.tokens, Evicted: true})
-	e.interrupt()
+	e.emitCacheEvent(engine.CacheEvent{Owner: owner, Tokens: dropped.tokens, Evicted: true})
+	e.endRun()
 }
 
-// keep caches a prefix for the owner, unless a longer one is there.
-func (e *Engine) keep(owner api.ProgramID, tokens int) {
+// cachePrefix caches a prefix for the owner. If a longer one is cached, its length
+// is kept.
+func (e *Engine) cachePrefix(owner api.ProgramID, tokens int) {
 	if tokens <= 0 {
 		return
 	}
@@ -36,11 +38,11 @@
 		tokens = max(tokens, held.tokens)
 	}
 	e.cache.put(&prefix{owner: owner, tokens: tokens, used: e.clock})
-	e.tellCache(engine.CacheEvent{Owner: owner, Tokens: tokens})
+	e.emitCacheEvent(engine.CacheEvent{Owner: owner, Tokens: tokens})
 }
 
-// makeRoom evicts the least recently used prefixes until tokens more fit. It
-// reports false, and evicts nothing, when they cannot fit.
+// makeRoom evicts the least recently used prefixes until the number of tokens
+// fits. It reports false, and evicts nothing, if that is not possible.
 func (e *Engine) makeRoom(tokens int) bool {
 	if e.reserved+tokens > e.config.CacheTokens {
 		return false
@@ -49,17 +51,17 @@
 		victim := e.cache.take(e.cache.oldest().owner)
 		e.countIdle(victim)
 		e.stats.Evictions++
-		e.tellCache(engine.CacheEvent{Owner: victim.owner, Tokens: victim.tokens, Evicted: true})
+		e.emitCacheEvent(engine.CacheEvent{Owner: victim.owner, Tokens: victim.tokens, Evicted: true})
 	}
 	return true
 }
 
-// countIdle adds the time since the last use of a prefix that goes unused.
+// countIdle adds a dropped prefix that was not used again to the idle KV memory.
 func (e *Engine) countIdle(dropped *prefix) {
 	e.stats.IdleTokenSeconds += float64(dropped.tokens) * e.clock.Sub(dropped.used).Seconds()
 }
 
-// startImport begins to receive a prefix.
+// startImport starts the transfer of a prefix to this engine.
 func (e *Engine) startImport(request Import) error {
 	if e.leaving {
 		return ErrLeaving
@@ -71,29 +73,30 @@
 		return ErrTooLong
 	}
 	e.reserved += request.Tokens
-	e.imports[request.Owner] = &arriving{tokens: request.Tokens}
+	e.imports[request.Owner] = &pendingImport{tokens: request.Tokens}
 	e.addTimer(timer{at: e.clock.Add(e.config.TransferTime(request.Tokens)), kind: timerImported, owner: request.Owner})
 	return nil
 }
 
-// endImport caches what has arrived and queues the streams that waited.
+// endImport caches the imported prefix and queues the streams that waited for it.
 func (e *Engine) endImport(owner api.ProgramID) {
 	transfer := e.imports[owner]
 	delete(e.imports, owner)
 	e.reserved -= transfer.tokens
 	e.stats.ImportedTokens += int64(transfer.tokens)
-	e.keep(owner, transfer.tokens)
+	e.cachePrefix(owner, transfer.tokens)
 	for _, parked := range transfer.parked {
 		heap.Push(&e.waiting, parked)
 	}
 	e.outputs.add(Output{At: e.clock, Imported: &Imported{Owner: owner, Tokens: transfer.tokens}})
-	e.interrupt()
+	e.endRun()
 }
 
-// tellCache emits a cache event, late, or loses it.
-func (e *Engine) tellCache(event engine.CacheEvent) {
-	e.events++
-	event.Sequence = e.events
+// emitCacheEvent emits a cache event after EventDelay, or loses it with the
+// probability EventLoss. A lost event still takes a sequence number.
+func (e *Engine) emitCacheEvent(event engine.CacheEvent) {
+	e.eventSequence++
+	event.Sequence = e.eventSequence
 	if e.config.EventLoss > 0 && e.random.Float64() < e.config.EventLoss {
 		return
 	}
--- a/emulator/fault.go
+++ b/emulator/fault.go
@@ -12,36 +12,38 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// FaultKind tells what a fault of a bench does.
+// FaultKind is the kind of a fault that a bench injects.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// FaultCrash stops a back end without notice; its streams break.
+	// FaultCrash stops a back end without notice, which interrupts its streams.
 	FaultCrash FaultKind = "crash"
-	// FaultLeave lets a back end leave: the machine list shows it, and it
-	// takes no new work.
+	// FaultLeave makes a back end leave: the machine list shows it as leaving,
+	// and it accepts no new work.
 	FaultLeave FaultKind = "leave"
-	// FaultCut loses the messages between the zones From and To.
-	FaultCut FaultKind = "cut"
+	// FaultNetworkPartition drops all messages between the zones From and To.
+	FaultNetworkPartition FaultKind = "cut"
 	// FaultSlowLinks adds Delay to every message between zones.
 	FaultSlowLinks FaultKind = "slow_links"
-	// FaultLagging makes an engine's reports and cache events later by Delay;
-	// without Target, those of every engine.
-	FaultLagging FaultKind = "lagging"
-	// FaultHungTool makes a tool service take requests without an answer.
+	// FaultDelayedReports adds Delay to the load reports and cache events of the
+	// engine Target, or of every engine without Target.
+	FaultDelayedReports FaultKind = "lagging"
+	// FaultHungTool makes a tool service accept requests without running or
+	// answering them.
 	FaultHungTool FaultKind = "hung_tool"
-	// FaultLostReleases loses the messages that release prefixes.
+	// FaultLostReleases drops the messages that release prefixes of ended
+	// programs.
 	FaultLostReleases FaultKind = "lost_releases"
-	// FaultFlood adds arrivals on Branch, Rate programs a second.
+	// FaultFlood adds arrivals on Branch at Rate programs per second.
 	FaultFlood FaultKind = "flood"
-	// FaultLostAnswers lets a tool service act and lose its answers.
+	// FaultLostAnswers makes a tool service run requests and drops its answers.
 	FaultLostAnswers FaultKind = "lost_answers"
 )
 
-// Fault is one thing that goes wrong in a bench. It ends after For, if that is
-// set; a crashed engine is then back, empty. A leave lasts to the end, and a
-// flood must have an end.
+// Fault is a fault that a bench injects at the time At. It ends after For, if that
+// is set: a crashed engine then restarts with an empty cache. FaultLeave lasts
+// until the end of the run. FaultFlood requires For.
 type Fault struct {
 	At     time.Duration `yaml:"at"`
 	For    time.Duration `yaml:"for"`
@@ -55,7 +57,7 @@
 	Rate   float64       `yaml:"rate"`
 }
 
-// validate says what is wrong with a fault.
+// validate returns all findings on the fault as one error.
 func (f Fault) validate(deployment workload.Deployment) error {
 	var findings []error
 	if f.At < 0 || f.For < 0 || f.Delay < 0 {
@@ -71,17 +73,17 @@
 		if !tools {
 			findings = append(findings, fmt.Errorf("target: no tool service %q", f.Target))
 		}
-	case FaultLagging:
+	case FaultDelayedReports:
 		if f.Target != "" && !engines {
 			findings = append(findings, fmt.Errorf("target: no engine %q", f.Target))
 		}
-	case FaultCut:
+	case FaultNetworkPartition:
 		if f.From == "" || f.To == "" {
 			findings = append(findings, errors.New("from, to: missing"))
 		}
 	case FaultFlood:
 		if _, found := deployment.Branch(f.Branch); !found || f.Rate <= 0 || f.For <= 0 {
-			findings = append(findings, errors.New("branch, rate, for: want a known branch, a rate and an end"))
+			findings = append(findings, errors.New("branch, rate, for: want a known branch, a positive rate and a positive duration"))
 		}
 	case FaultSlowLinks, FaultLostReleases:
 	default:
@@ -90,7 +92,7 @@
 	return errors.Join(findings...)
 }
 
-// hasMachine reports whether a machine is among others.
+// hasMachine reports whether the list contains a machine with the ID.
 func hasMachine(machines []machine.Machine, id machine.ID) bool {
 	for _, each := range machines {
 		if each.ID == id {
@@ -100,7 +102,7 @@
 	return false
 }
 
-// scheduleFaults plans the beginning and the end of every fault.
+// scheduleFaults schedules the start and the end of every fault.
 func (s *simulation) scheduleFaults() {
 	for i, fault := range s.config.Faults {
 		if fault.Kind == FaultFlood {
@@ -114,48 +116,48 @@
 	}
 }
 
-// applyFault begins or ends a fault.
+// applyFault starts or ends a fault.
 func (s *simulation) applyFault(fault Fault, begins bool) {
 	delta := 1
 	if !begins {
 		delta = -1
 	}
 	switch fault.Kind {
-	case FaultCut:
-		s.links.cuts[way{fault.From, fault.To}] += delta
-		s.links.cuts[way{fault.To, fault.From}] += delta
+	case FaultNetworkPartition:
+		s.links.blocked[direction{fault.From, fault.To}] += delta
+		s.links.blocked[direction{fault.To, fault.From}] += delta
 	case FaultSlowLinks:
-		s.links.extra += time.Duration(delta) * fault.Delay
-	case FaultLagging:
+		s.links.extraDelay += time.Duration(delta) * fault.Delay
+	case FaultDelayedReports:
 		for _, host := range s.engines {
 			if fault.Target == "" || fault.Target == host.machine.ID {
-				host.reportsLate += time.Duration(delta) * fault.Delay
+				host.reportDelay += time.Duration(delta) * fault.Delay
 			}
 		}
 	case FaultLostReleases:
-		s.losesReleases = begins
+		s.dropsReleases = begins
 	case FaultHungTool:
 		s.toolByID[fault.Target].hung = begins
 	case FaultLostAnswers:
-		s.toolByID[fault.Target].losesAnswers = begins
+		s.toolByID[fault.Target].dropsAnswers = begins
 	case FaultCrash, FaultLeave:
 		if begins {
 			s.stopBackend(fault)
 		} else {
-			s.returnBackend(fault)
+			s.restartBackend(fault)
 		}
 	}
 }
 
-// scheduleFlood adds the arrivals of one branch, on top of the configured
-// programs.
+// scheduleFlood schedules the arrivals of a flood on one branch, in addition to
+// the configured programs.
 func (s *simulation) scheduleFlood(fault Fault, index uint64) {
-	share := s.shareOf(fault.Branch)
+	share := s.arrivalShare(fault.Branch)
 	if share == 0 {
 		return
 	}
 	generator := s.config.Deployment.Generate(workload.Options{
-		Seed:              s.config.Seed + floodSeed + index,
+		Seed:              s.config.Seed + floodSeedOffset + index,
 		ProgramsPerSecond: fault.Rate / share,
 		BurstProbability:  -1,
 	})
@@ -173,11 +175,12 @@
 	}
 }
 
-// floodSeed keeps a flood's programs apart from those of the run.
-const floodSeed = 1 << 32
+// floodSeedOffset is added to the seed so that a flood draws other programs than
+// the run.
+const floodSeedOffset = 1 << 32
 
-// shareOf is the share of the arrivals that start on a branch.
-func (s *simulation) shareOf(branch contract.Path) float64 {
+// arrivalShare returns the share of the arrivals that belong to a branch.
+func (s *simulation) arrivalShare(branch contract.Path) float64 {
 	share, total := 0.0, 0.0
 	for _, profile := range s.config.Deployment.Profiles {
 		total += profile.Share
@@ -190,13 +193,14 @@
 	return share / total
 }
 
-// returnBackend brings a crashed back end back, empty.
-func (s *simulation) returnBackend(fault Fault) {
+// restartBackend restarts a crashed back end with empty state. It does nothing for
+// a back end that left.
+func (s *simulation) restartBackend(fault Fault) {
 	if fault.Kind != FaultCrash {
 		return
 	}
 	if host := s.engineByID[fault.Target]; host != nil {
-		host.gone = host.start() != nil
+		host.unlisted = host.start() != nil
 		host.machine.Models = host.model.Models()
 	}
 	if host := s.toolByID[fault.Target]; host != nil {
@@ -207,12 +211,12 @@
 	s.announceMachines()
 }
 
-// stopBackend crashes a back end or lets it leave.
+// stopBackend makes a back end crash or leave.
 func (s *simulation) stopBackend(fault Fault) {
 	if host := s.engineByID[fault.Target]; host != nil {
 		if fault.Kind == FaultCrash {
 			host.crash()
-			host.gone = true
+			host.unlisted = true
 		} else {
 			host.machine.Status = machine.StatusLeaving
 			host.leavingSince = s.clock.now
@@ -228,8 +232,9 @@
 	s.announceMachines()
 }
 
-// zoneOf is the zone of the back end that a call was sent to.
-func (s *simulation) zoneOf(sent *call) zone.Name {
+// backendZone returns the zone of the back end that a call was sent to, empty for
+// an unknown one.
+func (s *simulation) backendZone(sent *call) zone.Name {
 	if host := s.engineByID[sent.backend]; host != nil {
 		return host.machine.Zone
 	}
--- a/emulator/standin/parity_test.go
+++ b/emulator/standin/parity_test.go
@@ -25,14 +25,14 @@
 	parityOutput = 48
 )
 
-// turn is one request of the sequence that both engines get.
+// turn is one request of the sequence that both engines receive.
 type turn struct {
 	owner   api.ProgramID
 	release bool
 	input   int // bytes
 }
 
-// parityTurns are turns of a few programs, more than the cache holds.
+// parityTurns returns turns of five programs whose prefixes exceed the cache.
 func parityTurns() []turn {
 	random := rand.New(rand.NewPCG(paritySeed, 0))
 	turns := make([]turn, 40)
@@ -46,13 +46,13 @@
 	return turns
 }
 
-// observed is what one request shows of the engine.
+// observed is the observable result of one request.
 type observed struct {
 	usage    api.Usage
 	resident int
 }
 
-// evictions are the evicted prefixes that cache events tell of.
+// evictions returns the events of evicted prefixes.
 func evictions(events []engine.CacheEvent) []engine.CacheEvent {
 	var found []engine.CacheEvent
 	for _, event := range events {
@@ -63,7 +63,7 @@
 	return found
 }
 
-// conversation keeps the histories of the programs, as a node does.
+// conversation holds the histories of the programs, as a node does.
 type conversation struct {
 	histories map[api.ProgramID]string
 	sequence  int
@@ -79,7 +79,8 @@
 	}
 }
 
-// parityRates are the rates of the stand-in's engine.
+// parityRates returns the engine model's configuration, equal to that of the
+// stand-in.
 func parityRates() enginemodel.Config {
 	rates := enginemodel.DefaultConfig("engine", model).Faster(paritySpeed)
 	rates.CacheTokens = parityCache
@@ -101,7 +102,7 @@
 		emulated, err := enginemodel.New(parityRates(), now, rand.New(rand.NewPCG(paritySeed, 1)))
 		Expect(err).NotTo(HaveOccurred())
 
-		talk := conversation{histories: make(map[api.ProgramID]string)}
+		programs := conversation{histories: make(map[api.ProgramID]string)}
 		var expected []engine.CacheEvent
 		for _, next := range parityTurns() {
 			if next.release {
@@ -109,14 +110,14 @@
 				Expect(emulated.Step(now, enginemodel.Event{Release: &enginemodel.Release{Owner: next.owner}})).To(Succeed())
 				continue
 			}
-			request := talk.request(next)
+			request := programs.request(next)
 			text, last, err := collect(ctx, client, request)
 			Expect(err).NotTo(HaveOccurred())
 			var ended enginemodel.Finished
 			now, ended, expected = emulate(emulated, now, request, expected)
-			Expect(observed{last.Usage, last.Resident}).To(Equal(observed{ended.Usage, ended.Resident}), request.Stream)
+			Expect(observed{last.Usage, last.ResidentTokens}).To(Equal(observed{ended.Usage, ended.Resident}), request.Stream)
 			Expect(text).To(HaveLen(4 * ended.Usage.OutputTokens))
-			talk.histories[next.owner] = request.Prompt + text
+			programs.histories[next.owner] = request.Prompt + text
 		}
 		now = now.Add(time.Minute)
 		_ = emulated.Step(now, enginemodel.Event{})
@@ -127,8 +128,9 @@
 	})
 })
 
-// emulate runs one request in virtual time to its end.
-func emulate(emulated *enginemodel.Engine, now time.Time, request engine.GenerateRequest, told []engine.CacheEvent) (time.Time, enginemodel.Finished, []engine.CacheEvent) {
+// emulate runs one request to its end in virtual time. It returns the time of the
+// end, the result, and the cache events appended to the given ones.
+func emulate(emulated *enginemodel.Engine, now time.Time, request engine.GenerateRequest, events []engine.CacheEvent) (time.Time, enginemodel.Finished, []engine.CacheEvent) {
 	output := standin.AnswerTokens(request.Model, request.Prompt, request.MaxOutputTokens)
 	Expect(emulated.Step(now, enginemodel.Event{Generate: &enginemodel.Generate{
 		Stream: request.Stream, Owner: request.Owner, Model: request.Model,
@@ -138,16 +140,16 @@
 		now = emulated.NextWake()
 		_ = emulated.Step(now, enginemodel.Event{})
 		ready := emulated.Ready(now)
-		told = append(told, cacheEvents(ready)...)
+		events = append(events, cacheEvents(ready)...)
 		for _, output := range ready {
 			if output.Finished != nil {
-				return now, *output.Finished, told
+				return now, *output.Finished, events
 			}
 		}
 	}
 }
 
-// cacheEvents picks the cache events among an engine's outputs.
+// cacheEvents returns the cache events among an engine's outputs.
 func cacheEvents(outputs []enginemodel.Output) []engine.CacheEvent {
 	var events []engine.CacheEvent
 	for _, output := range outputs {
--- a/gateway/lostanswer_test.go
+++ b/gateway/lostanswer_test.go
@@ -11,9 +11,9 @@
 	"birchwood.example/birchwood/api"
 )
 
-// hangUpOnRequests reads each request as a whole and closes the connection
-// without an answer, as a node does that dies in that moment.
-func hangUpOnRequests(listener net.Listener) {
+// closeWithoutAnswer reads each request completely and closes the connection
+// without an answer, like a node that fails after receiving the request.
+func closeWithoutAnswer(listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
 		if err != nil {
@@ -28,7 +28,7 @@
 
 var _ = Describe("A caller whose owner dies with the request", func() {
 	It("is told that the outcome is unknown, not that nothing ran", func() {
-		shared := newWorld()
+		shared := newCluster()
 		entry := shared.start("midrand-1")
 		shared.start("isando-1")
 		shared.move("isando-1")
@@ -37,7 +37,7 @@
 		dying, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(dying.Close)
-		go hangUpOnRequests(dying)
+		go closeWithoutAnswer(dying)
 		shared.mutex.Lock()
 		shared.address["isando-1"] = dying.Addr().String()
 		shared.mutex.Unlock()
@@ -50,12 +50,12 @@
 })
 
 var _ = Describe("A caller whose call was admitted while it waited", func() {
-	var shared *world
+	var shared *cluster
 	var owner *node
 	var programs string
 
 	BeforeEach(func() {
-		shared = newWorld()
+		shared = newCluster()
 		entry := shared.start("midrand-1")
 		owner = shared.start("isando-1")
 		shared.move("isando-1")
@@ -65,12 +65,12 @@
 
 	It("is not told that nothing ran when a later slice of the wait is refused", func() {
 		slices := 0
-		owner.lose = func() *api.Error {
+		owner.submitError = func() *api.Error {
 			slices++
 			if slices == 1 {
 				return nil
 			}
-			return api.Refuse(api.CodeOverloaded, "too much to do").After(70)
+			return api.Refuse(api.CodeOverloaded, "too much to do").WithRetryAfter(70)
 		}
 		got := ask("POST", programs+"/"+string(triageProgram)+"/calls", triageToken, submitFirst)
 		Expect(slices).To(Equal(2))
@@ -79,8 +79,8 @@
 	})
 
 	It("is not told that nothing ran when the owner loses the program during the wait", func() {
-		owner.lose = func() *api.Error {
-			shared.owner = "" // The caller holds the mutex.
+		owner.submitError = func() *api.Error {
+			shared.owner = "" // The mutex is held by the caller of submitError.
 			return nil
 		}
 		got := ask("POST", programs+"/"+string(triageProgram)+"/calls", triageToken, submitFirst)
@@ -92,7 +92,7 @@
 
 var _ = Describe("A caller that streams the answer of an admitted call", func() {
 	It("is not told that nothing ran when no owner can be found any more", func() {
-		shared := newWorld()
+		shared := newCluster()
 		entry := shared.start("midrand-1")
 		owner := shared.start("isando-1")
 		shared.move("isando-1")
--- a/history/calls.go
+++ b/history/calls.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/api"
 )
 
-// checkCalls verifies what must hold for each call: order, at most once, true
-// refusals and whole answers.
+// checkCalls verifies the invariants of calls: order, at-most-once, not-run and
+// answer.
 func (c *checker) checkCalls() {
 	for _, program := range c.programs {
 		c.checkOrder(program)
@@ -22,19 +22,20 @@
 	c.checkAnswered()
 }
 
-// checkOrder: a call starts only after every earlier call that started is
-// over. It is enough to compare neighbours among the calls that started.
-func (c *checker) checkOrder(program *programFacts) {
+// checkOrder verifies that a call starts only after every earlier call of the
+// program has ended. It is enough to compare each started call with the
+// started call before it.
+func (c *checker) checkOrder(program *programRecords) {
 	var previous *call
 	for _, each := range program.calls {
 		if len(each.started) == 0 {
 			continue
 		}
 		if previous != nil {
-			over := previous.over()
+			endRecord := previous.endRecord()
 			start := each.started[0]
-			if over == nil || start.At.Before(over.At) {
-				c.report(InvariantOrder, []*record{start, previous.started[0], over},
+			if endRecord == nil || start.At.Before(endRecord.At) {
+				c.report(InvariantOrder, []*record{start, previous.started[0], endRecord},
 					"call %d of program %s started before call %d was over",
 					each.ref.sequence, program.id, previous.ref.sequence)
 			}
@@ -43,8 +44,8 @@
 	}
 }
 
-// checkAtMostOnce: a call that may not be repeated starts at most once, at
-// whichever back end.
+// checkAtMostOnce verifies that a call that may not be repeated starts at most
+// once, over all back ends.
 func (c *checker) checkAtMostOnce(each *call) {
 	if len(each.started) < 2 {
 		return
@@ -57,55 +58,56 @@
 		each.ref.sequence, each.ref.program, len(each.started))
 }
 
-// repeatable reports whether the call may run twice: as those who submitted it
-// said, who know it, else as a back end was told.
+// repeatable reports whether the call may run more than once. The submit
+// requests decide; without any recorded, the attempts' own flag does.
 func (c *call) repeatable() bool {
-	asked := false
+	submitted := false
 	for _, exchange := range c.exchanges {
 		if sent := exchange.sent.Sent; sent.Operation == OperationSubmit {
 			if !sent.Repeatable && sent.Kind != api.CallModel {
 				return false
 			}
-			asked = true
+			submitted = true
 		}
 	}
-	if asked {
+	if submitted {
 		return true
 	}
 	return slices.ContainsFunc(c.started, func(r *record) bool {
-		return r.Started.Repeatable || r.Started.Kind == api.CallModel
+		return r.AttemptStarted.Repeatable || r.AttemptStarted.Kind == api.CallModel
 	})
 }
 
-// checkNotRun: a back end's start of a call needs a request, sent before it,
-// that was not answered as not run.
+// checkNotRun verifies that before each start of a call at a back end, a
+// request was sent that was not refused as not run.
 func (c *checker) checkNotRun(each *call) {
 	if len(each.exchanges) == 0 {
 		return
 	}
 	for _, start := range each.started {
 		var refusals []*record
-		licensed := false
+		allowed := false
 		for _, exchange := range each.exchanges {
 			if exchange.sent.Sent.Operation != OperationSubmit || exchange.sent.At.After(start.At) {
 				continue
 			}
 			if !exchange.refused() {
-				licensed = true
+				allowed = true
 				break
 			}
 			refusals = append(refusals, exchange.got)
 		}
-		if !licensed && len(refusals) > 0 {
+		if !allowed && len(refusals) > 0 {
 			c.report(InvariantNotRun, append(refusals, start),
 				"call %d of program %s was refused as not run, and started at %s",
-				each.ref.sequence, each.ref.program, start.Started.Backend)
+				each.ref.sequence, each.ref.program, start.AttemptStarted.Backend)
 		}
 	}
 }
 
-// checkAnswers: a successful answer is, from its offset on, the whole output
-// of an attempt at this very call; every caller of the call gets the same.
+// checkAnswers verifies that a successful answer is, from its offset on, the
+// complete output of an attempt at this call, and that every caller of the
+// call gets the same output.
 func (c *checker) checkAnswers(each *call) {
 	var first *record
 	for _, exchange := range each.exchanges {
@@ -129,16 +131,17 @@
 	}
 }
 
-// produced reports whether a back end's attempt at the call ended with the
-// answer. A back end whose end was not seen proves nothing.
+// produced reports whether a successful attempt at the call has the answer as
+// its output. It also returns true if no successful attempt was recorded, as
+// the end of an attempt may go unrecorded.
 func (c *call) produced(got *Got) bool {
 	complete := 0
 	for _, r := range c.finished {
-		if r.Finished.Outcome != OutcomeSucceeded {
+		if r.AttemptFinished.Outcome != OutcomeSucceeded {
 			continue
 		}
 		complete++
-		output := r.Finished.Output
+		output := r.AttemptFinished.Output
 		if got.Offset <= len(output) && output[got.Offset:] == got.Output {
 			return true
 		}
@@ -146,33 +149,34 @@
 	return complete == 0
 }
 
-// checkAnswered: in a settled run every request has an answer, unless its
-// connection was lost and a later request asked for the same again.
+// checkAnswered verifies that in a settled run every request has an answer,
+// unless the caller hung up, or its connection was lost and an identical
+// request was answered after that.
 func (c *checker) checkAnswered() {
 	if !c.settled {
 		return
 	}
-	type question struct {
+	type operationKey struct {
 		operation Operation
 		program   api.ProgramID
 		branch    string
 		key       string
 	}
-	answered := map[question]time.Time{}
-	about := func(each *exchange) question {
+	answered := map[operationKey]time.Time{}
+	keyOf := func(each *exchange) operationKey {
 		sent := each.sent.Sent
-		return question{sent.Operation, sent.Program, sent.Branch, sent.Key}
+		return operationKey{sent.Operation, sent.Program, sent.Branch, sent.Key}
 	}
 	for _, each := range c.exchanges {
 		if each.got != nil {
-			answered[about(each)] = each.got.At
+			answered[keyOf(each)] = each.got.At
 		}
 	}
 	for _, each := range c.exchanges {
 		if each.got != nil || each.lost != nil && each.lost.Lost.HungUp {
 			continue
 		}
-		if at, found := answered[about(each)]; found && each.lost != nil && at.After(each.lost.At) {
+		if at, found := answered[keyOf(each)]; found && each.lost != nil && at.After(each.lost.At) {
 			continue
 		}
 		c.report(InvariantAnswer, []*record{each.sent, each.lost},
--- a/history/index.go
+++ b/history/index.go
@@ -8,26 +8,26 @@
 	"birchwood.example/birchwood/api"
 )
 
-// record is an event with its place in the files.
+// record is an event with its line number over all files.
 type record struct {
 	Event
 	line int
 }
 
-// exchange is a request with what became of it.
+// exchange is a request with its answer or its lost connection, if recorded.
 type exchange struct {
 	sent *record
 	got  *record
 	lost *record
 }
 
-// callRef names a call within a history.
+// callRef identifies a call within a history.
 type callRef struct {
 	program  api.ProgramID
 	sequence uint64
 }
 
-// call is what is known of one call of one program.
+// call holds the records about one call of a program.
 type call struct {
 	ref       callRef
 	exchanges []*exchange
@@ -36,40 +36,40 @@
 	ended     []*record
 }
 
-// programFacts is what is known of one program.
-type programFacts struct {
-	id     api.ProgramID
-	opened []*record
-	closed *record
-	reads  []*record
-	// calls are in the order of their sequence.
+// programRecords holds the records about one program.
+type programRecords struct {
+	id              api.ProgramID
+	created         []*record
+	acknowledgedEnd *record
+	reads           []*record
+	// calls are sorted by sequence number.
 	calls []*call
 }
 
-// index arranges a history for the checks.
+// index groups the records of a history for the checks.
 type index struct {
 	run       Run
 	records   []record
 	end       time.Time
 	settled   bool
 	exchanges []*exchange
-	programs  []*programFacts
-	byProgram map[api.ProgramID]*programFacts
+	programs  []*programRecords
+	byProgram map[api.ProgramID]*programRecords
 	byCall    map[callRef]*call
 	held      []*record
 	streams   []*record
-	// placed are the placements of each branch, in order.
-	placed   map[string][]*record
-	changes  []*record
-	verdicts []*record
-	inForce  []*record
-	faults   []*record
-	leaving  []*record
-	stops    []*record
-	gaps     []*record
+	// placements holds the placements of each branch in order of time.
+	placements   map[string][]*record
+	changes      []*record
+	verdicts     []*record
+	inForce      []*record
+	faults       []*record
+	leaving      []*record
+	plannedStops []*record
+	gaps         []*record
 }
 
-// The default bounds of the promises.
+// The default bounds of the invariants.
 const (
 	defaultLeavingBound  = 3 * time.Second
 	defaultSettingsBound = 17 * time.Second
@@ -77,20 +77,20 @@
 	defaultMoveBound     = 60 * time.Second
 )
 
-// newIndex sorts the records by time and arranges them.
+// newIndex sorts the records by time and groups them.
 func newIndex(records []record) *index {
 	slices.SortStableFunc(records, func(a, b record) int { return a.At.Compare(b.At) })
 	x := &index{
-		records:   records,
-		byProgram: map[api.ProgramID]*programFacts{},
-		byCall:    map[callRef]*call{},
-		placed:    map[string][]*record{},
+		records:    records,
+		byProgram:  map[api.ProgramID]*programRecords{},
+		byCall:     map[callRef]*call{},
+		placements: map[string][]*record{},
 	}
 	requests := map[string]*exchange{}
 	for i := range records {
 		x.add(&records[i], requests)
 	}
-	x.placeExchanges()
+	x.assignExchanges()
 	for _, program := range x.programs {
 		slices.SortFunc(program.calls, func(a, b *call) int { return cmp.Compare(a.ref.sequence, b.ref.sequence) })
 	}
@@ -101,7 +101,7 @@
 	return x
 }
 
-// add files one record.
+// add indexes one record.
 func (x *index) add(r *record, requests map[string]*exchange) {
 	x.end = r.At
 	switch {
@@ -122,48 +122,48 @@
 			each.lost = r
 		}
 	default:
-		x.addObserved(r)
+		x.addProgramRecord(r)
 	}
 }
 
-// addObserved files what others than callers saw.
-func (x *index) addObserved(r *record) {
+// addProgramRecord indexes a record about the state of a program or a call.
+func (x *index) addProgramRecord(r *record) {
 	switch {
 	case r.Read != nil:
 		program := x.program(r.Read.Program)
 		program.reads = append(program.reads, r)
-	case r.Started != nil:
-		each := x.call(callRef{r.Started.Program, r.Started.Sequence})
+	case r.AttemptStarted != nil:
+		each := x.call(callRef{r.AttemptStarted.Program, r.AttemptStarted.Sequence})
 		each.started = append(each.started, r)
-	case r.Finished != nil:
-		each := x.call(callRef{r.Finished.Program, r.Finished.Sequence})
+	case r.AttemptFinished != nil:
+		each := x.call(callRef{r.AttemptFinished.Program, r.AttemptFinished.Sequence})
 		each.finished = append(each.finished, r)
-	case r.Ended != nil:
-		each := x.call(callRef{r.Ended.Program, r.Ended.Sequence})
+	case r.CallEnded != nil:
+		each := x.call(callRef{r.CallEnded.Program, r.CallEnded.Sequence})
 		each.ended = append(each.ended, r)
-	case r.Opened != nil:
-		program := x.program(r.Opened.Program)
-		program.opened = append(program.opened, r)
-	case r.Closed != nil:
-		program := x.program(r.Closed.Program)
-		if program.closed == nil {
-			program.closed = r
+	case r.ProgramCreated != nil:
+		program := x.program(r.ProgramCreated.Program)
+		program.created = append(program.created, r)
+	case r.ProgramEnded != nil:
+		program := x.program(r.ProgramEnded.Program)
+		if program.acknowledgedEnd == nil {
+			program.acknowledgedEnd = r
 		}
 	default:
-		x.addSurroundings(r)
+		x.addEnvironmentRecord(r)
 	}
 }
 
-// addSurroundings files what concerns machines and settings.
-func (x *index) addSurroundings(r *record) {
+// addEnvironmentRecord indexes a record about machines, placements or settings.
+func (x *index) addEnvironmentRecord(r *record) {
 	switch {
-	case r.Held != nil:
+	case r.EngineCache != nil:
 		x.held = append(x.held, r)
-	case r.Placed != nil:
-		x.placed[r.Placed.Branch] = append(x.placed[r.Placed.Branch], r)
+	case r.PlacementSet != nil:
+		x.placements[r.PlacementSet.Branch] = append(x.placements[r.PlacementSet.Branch], r)
 	case r.Stream != nil:
 		x.streams = append(x.streams, r)
-	case r.Change != nil:
+	case r.SettingsChange != nil:
 		x.changes = append(x.changes, r)
 	case r.Verdict != nil:
 		x.verdicts = append(x.verdicts, r)
@@ -173,17 +173,17 @@
 		x.faults = append(x.faults, r)
 	case r.Leaving != nil:
 		x.leaving = append(x.leaving, r)
-	case r.Stop != nil:
-		x.stops = append(x.stops, r)
+	case r.PlannedStop != nil:
+		x.plannedStops = append(x.plannedStops, r)
 	case r.Gap != nil:
 		x.gaps = append(x.gaps, r)
 	}
 }
 
-// placeExchanges files each request about a call with its call: by the
-// sequence that it named or was answered, else by the sequence that another
-// request of the same key has.
-func (x *index) placeExchanges() {
+// assignExchanges assigns each submit and attach request to its call: by the
+// sequence number in the answer or the request, or else by the sequence number
+// of another request with the same key.
+func (x *index) assignExchanges() {
 	type keyRef struct {
 		program api.ProgramID
 		key     string
@@ -204,13 +204,14 @@
 			sequence = byKey[keyRef{sent.Program, sent.Key}]
 		}
 		if sequence != 0 {
-			placed := x.call(callRef{sent.Program, sequence})
-			placed.exchanges = append(placed.exchanges, each)
+			target := x.call(callRef{sent.Program, sequence})
+			target.exchanges = append(target.exchanges, each)
 		}
 	}
 }
 
-// sequence is the place in the program's order that the request got or named.
+// sequence returns the call's sequence number from the answer or, if that has
+// none, from the request.
 func (e *exchange) sequence() uint64 {
 	if e.got != nil && e.got.Got.Sequence != 0 {
 		return e.got.Got.Sequence
@@ -226,52 +227,52 @@
 	return e.got.Got.Ran == api.RanNotRun || e.got.Got.Status == api.StatusNotRun
 }
 
-// succeeded reports whether the request has a successful answer.
+// succeeded reports whether the request was answered with success.
 func (e *exchange) succeeded() bool {
 	return e.got != nil && e.got.Got.Status == api.StatusSucceeded
 }
 
-// program returns the facts of a program, new ones at first.
-func (x *index) program(id api.ProgramID) *programFacts {
-	facts, found := x.byProgram[id]
+// program returns the entry of a program and creates it if necessary.
+func (x *index) program(id api.ProgramID) *programRecords {
+	entry, found := x.byProgram[id]
 	if !found {
-		facts = &programFacts{id: id}
-		x.byProgram[id] = facts
-		x.programs = append(x.programs, facts)
+		entry = &programRecords{id: id}
+		x.byProgram[id] = entry
+		x.programs = append(x.programs, entry)
 	}
-	return facts
+	return entry
 }
 
-// call returns the facts of a call, new ones at first.
+// call returns the entry of a call and creates it if necessary.
 func (x *index) call(ref callRef) *call {
-	facts, found := x.byCall[ref]
+	entry, found := x.byCall[ref]
 	if !found {
-		facts = &call{ref: ref}
-		x.byCall[ref] = facts
+		entry = &call{ref: ref}
+		x.byCall[ref] = entry
 		program := x.program(ref.program)
-		program.calls = append(program.calls, facts)
+		program.calls = append(program.calls, entry)
 	}
-	return facts
+	return entry
 }
 
-// over returns the record that first shows the call's end, as a back end, a
-// node or a caller saw it.
-func (c *call) over() *record {
+// endRecord returns the earliest record that shows the end of the call, from a
+// back end, a node or a caller. It returns nil if there is none.
+func (c *call) endRecord() *record {
 	var first *record
-	earlier := func(r *record) {
+	consider := func(r *record) {
 		if first == nil || r.At.Before(first.At) {
 			first = r
 		}
 	}
 	for _, r := range c.finished {
-		earlier(r)
+		consider(r)
 	}
 	for _, r := range c.ended {
-		earlier(r)
+		consider(r)
 	}
 	for _, each := range c.exchanges {
 		if each.got != nil && each.got.Got.Status.Terminal() && each.got.Got.Status != "" {
-			earlier(each.got)
+			consider(each.got)
 		}
 	}
 	return first
--- a/internal/guarantees/guarantees_test.go
+++ b/internal/guarantees/guarantees_test.go
@@ -1,5 +1,6 @@
-// Package guarantees holds docs/GUARANTEES.md to the tree: each test that the
-// page names exists, and the page names what the checkers' own tests break.
+// Package guarantees checks docs/GUARANTEES.md against the code: every test
+// that the page names exists, and the page lists the broken histories that the
+// checkers' own tests contain.
 package guarantees_test
 
 import (
@@ -22,15 +23,16 @@
 )
 
 var (
-	// heldBy is a line that names a test: "- `package`: `name of the test`".
-	heldBy = regexp.MustCompile("(?m)^- `([a-z/]+)`: `([^`]+)`")
-	// brokenBy is a row of the checkers' tables, with the entry of the test.
-	brokenBy = regexp.MustCompile("(?m)^\\| `([a-z -]+)` \\| `([^`]+)` \\|$")
+	// testReference matches a line that names a test: "- `package`: `name of the test`".
+	testReference = regexp.MustCompile("(?m)^- `([a-z/]+)`: `([^`]+)`")
+	// brokenHistoryRow matches a table row with an invariant and the test entry that
+	// violates it.
+	brokenHistoryRow = regexp.MustCompile("(?m)^\\| `([a-z -]+)` \\| `([^`]+)` \\|$")
 )
 
-// containers are the functions of ginkgo whose first argument names tests. A
-// pending or focused form is none of them.
-var containers = map[string]bool{"It": true, "Entry": true, "DescribeTable": true, "Describe": true, "Context": true}
+// testDeclarations are the Ginkgo functions whose first argument is a test's text.
+// Pending and focused forms do not count.
+var testDeclarations = map[string]bool{"It": true, "Entry": true, "DescribeTable": true, "Describe": true, "Context": true}
 
 func readPage(t *testing.T) string {
 	t.Helper()
@@ -41,8 +43,8 @@
 	return string(text)
 }
 
-// namesIn returns the names of all tests in a package's test files.
-func namesIn(t *testing.T, folder string) map[string]bool {
+// testNamesIn returns the names of all tests in a package's test files.
+func testNamesIn(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(root, folder, "*_test.go"))
 	if err != nil || len(files) == 0 {
@@ -64,8 +66,8 @@
 	return names
 }
 
-// testName returns the name of the test, or of the fuzz target with its seeds, that a
-// piece of code declares.
+// testName returns the name of the test or fuzz target that a node declares. A
+// fuzz target counts because `go test` runs its seeds.
 func testName(node ast.Node) (string, bool) {
 	switch node := node.(type) {
 	case *ast.FuncDecl:
@@ -77,7 +79,7 @@
 			function = selector.Sel
 		}
 		called, ok := function.(*ast.Ident)
-		if !ok || !containers[called.Name] || len(node.Args) == 0 {
+		if !ok || !testDeclarations[called.Name] || len(node.Args) == 0 {
 			return "", false
 		}
 		literal, ok := node.Args[0].(*ast.BasicLit)
@@ -93,22 +95,22 @@
 func TestEveryNamedTestExists(t *testing.T) {
 	text := readPage(t)
 	known := map[string]map[string]bool{}
-	named := heldBy.FindAllStringSubmatch(text, -1)
-	for _, match := range named {
+	references := testReference.FindAllStringSubmatch(text, -1)
+	for _, match := range references {
 		folder, name := match[1], match[2]
 		if known[folder] == nil {
-			known[folder] = namesIn(t, folder)
+			known[folder] = testNamesIn(t, folder)
 		}
 		if !known[folder][name] {
 			t.Errorf("%s: package %s has no test %q", page, folder, name)
 		}
 	}
-	if lines := strings.Count(text, "\n- `"); lines != len(named) {
-		t.Errorf("%s: %d lines begin with a name, and %d of them name a test", page, lines, len(named))
+	if lines := strings.Count(text, "\n- `"); lines != len(references) {
+		t.Errorf("%s: %d lines begin with a name, and %d of them name a test", page, lines, len(references))
 	}
 }
 
-// TestEveryGuaranteeNamesTests: a section without a test is a claim alone.
+// TestEveryGuaranteeNamesTests guards against guarantees that no test supports.
 func TestEveryGuaranteeNamesTests(t *testing.T) {
 	_, guarantees, _ := strings.Cut(readPage(t), "\n# Guarantees\n")
 	guarantees, _, _ = strings.Cut(guarantees, "\n# ")
@@ -124,35 +126,36 @@
 				t.Errorf("%s: %q has no part %q", page, title, strings.TrimSpace(part))
 			}
 		}
-		if !heldBy.MatchString(body) {
+		if !testReference.MatchString(body) {
 			t.Errorf("%s: %q names no test", page, title)
 		}
 	}
 }
 
-// TestEveryInvariantHasABrokenHistory: the page's table is the checker's own.
+// TestEveryInvariantHasABrokenHistory checks that the page's table lists the
+// same invariants and broken histories as the tests of package history.
 func TestEveryInvariantHasABrokenHistory(t *testing.T) {
-	shown := map[string][]string{}
-	for _, match := range brokenBy.FindAllStringSubmatch(readPage(t), -1) {
-		shown[match[1]] = append(shown[match[1]], match[2])
+	tableEntries := map[string][]string{}
+	for _, match := range brokenHistoryRow.FindAllStringSubmatch(readPage(t), -1) {
+		tableEntries[match[1]] = append(tableEntries[match[1]], match[2])
 	}
-	names := namesIn(t, "history")
-	onPage := map[string]bool{}
+	names := testNamesIn(t, "history")
+	pageEntries := map[string]bool{}
 	for _, invariant := range history.Invariants() {
-		if len(shown[string(invariant)]) == 0 {
+		if len(tableEntries[string(invariant)]) == 0 {
 			t.Errorf("%s: no broken history for %q", page, invariant)
 		}
-		for _, entry := range shown[string(invariant)] {
-			onPage[string(invariant)+": "+entry] = true
+		for _, entry := range tableEntries[string(invariant)] {
+			pageEntries[string(invariant)+": "+entry] = true
 		}
 	}
 	for name := range names {
 		invariant, _, found := strings.Cut(name, ": ")
-		if found && len(shown[invariant]) > 0 && !onPage[name] {
+		if found && len(tableEntries[invariant]) > 0 && !pageEntries[name] {
 			t.Errorf("%s: the table lacks %q", page, name)
 		}
 	}
-	for name := range onPage {
+	for name := range pageEntries {
 		if !names[name] {
 			t.Errorf("%s: package history has no entry %q", page, name)
 		}
@@ -160,14 +163,14 @@
 }
 
 var (
-	metric = regexp.MustCompile(`birchwood_[a-z_]+`)
-	verb   = regexp.MustCompile("`(birchwood(?: [a-z][a-z-]*){1,2})")
-	listed = regexp.MustCompile("(?m)^\\| `(birchwood [a-z -]+)`")
+	metricName    = regexp.MustCompile(`birchwood_[a-z_]+`)
+	commandName   = regexp.MustCompile("`(birchwood(?: [a-z][a-z-]*){1,2})")
+	listedCommand = regexp.MustCompile("(?m)^\\| `(birchwood [a-z -]+)`")
 )
 
-// TestOperatorsPagesNameWhatExists: metrics as docs/operate/metrics.md explains
-// them, and verbs as docs/CLI.md lists them; both pages are held to the code by
-// tests of their own.
+// TestOperatorsPagesNameWhatExists checks that the operators' pages name only
+// metrics that docs/operate/metrics.md explains and subcommands that docs/CLI.md
+// lists. Other tests check these two pages against the code.
 func TestOperatorsPagesNameWhatExists(t *testing.T) {
 	read := func(path string) string {
 		text, err := os.ReadFile(path)
@@ -176,9 +179,9 @@
 		}
 		return string(text)
 	}
-	explained := read(filepath.Join(root, "docs/operate/metrics.md"))
+	metricsPage := read(filepath.Join(root, "docs/operate/metrics.md"))
 	verbs := map[string]bool{}
-	for _, match := range listed.FindAllStringSubmatch(read(filepath.Join(root, "docs/CLI.md")), -1) {
+	for _, match := range listedCommand.FindAllStringSubmatch(read(filepath.Join(root, "docs/CLI.md")), -1) {
 		verbs[match[1]] = true
 	}
 	pages, err := filepath.Glob(filepath.Join(root, "docs/operate/*.md"))
@@ -187,14 +190,14 @@
 	}
 	for _, path := range pages {
 		text := read(path)
-		for _, name := range metric.FindAllString(text, -1) {
-			if !strings.Contains(explained, "`"+name+"`") {
+		for _, name := range metricName.FindAllString(text, -1) {
+			if !strings.Contains(metricsPage, "`"+name+"`") {
 				t.Errorf("%s names the metric %s, which is not explained", path, name)
 			}
 		}
-		for _, match := range verb.FindAllStringSubmatch(text, -1) {
-			one := strings.Join(strings.Fields(match[1])[:2], " ")
-			if !verbs[match[1]] && !verbs[one] {
+		for _, match := range commandName.FindAllStringSubmatch(text, -1) {
+			topCommand := strings.Join(strings.Fields(match[1])[:2], " ")
+			if !verbs[match[1]] && !verbs[topCommand] {
 				t.Errorf("%s names the verb %q, which docs/CLI.md does not list", path, match[1])
 			}
 		}
--- a/internal/layout/links_test.go
+++ b/internal/layout/links_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// nodeModules are the modules that the program of a node on the users' platform
-// links: what is linked there costs memory on every machine.
+// nodeModules lists exactly the modules that birchwood-edge links. Each one costs
+// memory on every machine of the users' platform.
 var nodeModules = []string{
 	"birchwood.example/birchwood",
 	"github.com/BurntSushi/toml",
@@ -30,8 +30,9 @@
 	"golang.org/x/sys",
 }
 
-// notOnNodes are packages of this module that a node has no use for.
-var notOnNodes = []string{"schedule", "control", "node", "emulator", "gateway", "operator", "workload", "history", "platform/standin", "command"}
+// forbiddenOnNodes lists packages of this module that birchwood-edge must not
+// link, because it does not use them.
+var forbiddenOnNodes = []string{"schedule", "control", "node", "emulator", "gateway", "operator", "workload", "history", "platform/standin", "command"}
 
 func TestNodeLinksWhatItUses(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.Module.Path}} {{.ImportPath}}{{end}}", "./cmd/birchwood-edge")
@@ -49,7 +50,7 @@
 		if !slices.Contains(modules, name) {
 			modules = append(modules, name)
 		}
-		if own, isOwn := strings.CutPrefix(path, module); isOwn && slices.Contains(notOnNodes, own) {
+		if own, isOwn := strings.CutPrefix(path, module); isOwn && slices.Contains(forbiddenOnNodes, own) {
 			t.Errorf("the program of a node links %s", path)
 		}
 	}
--- a/load/agent.go
+++ b/load/agent.go
@@ -15,32 +15,36 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// agent runs one program.
+// agent runs one program as its caller.
 type agent struct {
 	*caller
 	program *workload.Program
 	id      api.ProgramID
-	// transcript is the history as the caller knows it; known is false once a
-	// call ended in a way that leaves its part open.
-	transcript strings.Builder
-	known      bool
-	sequence   uint64
-	// calls are the calls that succeeded, to compare with the history.
+	// transcript is the program's history as the caller knows it.
+	// transcriptKnown is false after a refused call, as it is then uncertain
+	// whether the call is part of the history.
+	transcript      strings.Builder
+	transcriptKnown bool
+	sequence        uint64
+	// calls are the successful calls, to be compared with the history.
 	calls []api.Call
-	// cachedTokens is how much of the history engines have computed.
+	// cachedTokens is the length of the part of the history that engines have
+	// computed, in tokens.
 	cachedTokens int
-	// output is the length of the last answer, handed to a parent.
+	// output is the length of the last answer in tokens. A parent adds it to
+	// its next input.
 	output int
 	paused time.Duration
 	hungUp bool
-	// stopBy is when no further step is made; stopped is set when it came.
-	stopBy  time.Time
-	stopped bool
-	fork    func() *caller
+	// stopBy is the time from which no further step is made, or zero. stopped
+	// is set when the program ended for this reason.
+	stopBy    time.Time
+	stopped   bool
+	newCaller func() *caller
 }
 
-// run performs the program's steps and its end. The error says that something
-// was never answered.
+// run creates the program, performs its steps and ends it. It returns an error
+// if a request remained unanswered.
 func (a *agent) run(ctx context.Context, parent api.ProgramID, budget int64) error {
 	branch := a.program.Branch
 	if a.config.Branch != "" {
@@ -49,10 +53,10 @@
 	request := api.CreateProgram{Branch: string(branch), Key: a.program.ID, BudgetTokens: budget}
 	created, err := a.create(ctx, request, parent)
 	if err != nil {
-		return a.unlessRefused("create", err)
+		return a.ignoreRefusal("create", err)
 	}
 	a.id = created.ID
-	a.config.Recorder.Record(history.Event{At: time.Now(), Opened: &history.Opened{
+	a.config.Recorder.Record(history.Event{At: time.Now(), ProgramCreated: &history.ProgramCreated{
 		Program: created.ID, Branch: created.Branch, Parent: parent, BudgetTokens: created.BudgetTokens,
 	}})
 	if err := a.steps(ctx); err != nil || a.hungUp {
@@ -61,7 +65,7 @@
 	return a.finish(ctx)
 }
 
-// steps performs one step after another.
+// steps performs the program's steps in order.
 func (a *agent) steps(ctx context.Context) error {
 	step, more := a.program.Next(workload.Result{})
 	for more {
@@ -78,7 +82,7 @@
 	return nil
 }
 
-// perform does one step.
+// perform performs one step.
 func (a *agent) perform(ctx context.Context, step workload.Step) (workload.Result, error) {
 	switch step.Kind {
 	case workload.StepModel, workload.StepTool:
@@ -91,7 +95,7 @@
 	return workload.Result{}, fmt.Errorf("unknown step %q", step.Kind)
 }
 
-// pause waits as people do.
+// pause waits for the duration of a user's pause, divided by Speed.
 func (a *agent) pause(ctx context.Context, length time.Duration) error {
 	length = time.Duration(float64(length) / a.config.Speed)
 	a.paused += length
@@ -125,11 +129,11 @@
 		return workload.Result{}, err
 	}
 	if refusal != nil {
-		a.known = false
+		a.transcriptKnown = false
 		return workload.Result{Status: api.StatusNotRun, Code: refusal.Code}, nil
 	}
 	a.sequence = result.call.Sequence
-	a.account(request, result)
+	a.recordAnswer(request, result)
 	outcome := workload.Result{Status: result.call.Status}
 	if result.call.Error != nil {
 		outcome.Code = result.call.Error.Code
@@ -137,9 +141,9 @@
 	return outcome, nil
 }
 
-// request is the call of a step. The stand-ins draw an answer's length evenly
-// from the upper three quarters of its cap, so the cap is chosen to give the
-// step's length on average.
+// request returns the call of a step. The stand-ins draw the length of an
+// answer uniformly from the upper three quarters of its cap, so a cap of 8/5 of
+// the step's output length gives this length on average.
 func (a *agent) request(step workload.Step) api.SubmitCall {
 	request := api.SubmitCall{
 		Key:        fmt.Sprintf("call-%d", a.sequence+1),
@@ -155,18 +159,19 @@
 		if a.config.Model != "" {
 			request.Model = a.config.Model
 		}
-		request.MaxOutputTokens = max(minimumCap, step.OutputTokens*8/5)
+		request.MaxOutputTokens = max(minimumOutputCap, step.OutputTokens*8/5)
 	}
 	return request
 }
 
-// minimumCap is the shortest answer that holds its whole hash, in tokens.
-const minimumCap = 8
+// minimumOutputCap is the smallest output cap, in tokens. A shorter answer may
+// not contain the complete hash.
+const minimumOutputCap = 8
 
-// bytesPerToken is how the nodes count the tokens of a text.
+// bytesPerToken is the text length that nodes count as one token.
 const bytesPerToken = 4
 
-// inputText is a text of the given length that no other call has.
+// inputText returns a text of the given length that is unique to the call.
 func inputText(program string, sequence uint64, tokens int) string {
 	head := fmt.Sprintf("[%s#%d] ", program, sequence)
 	length := max(len(head), tokens*bytesPerToken)
@@ -174,8 +179,8 @@
 	return head + filler[:length-len(head)]
 }
 
-// account checks an answer and counts what it cost.
-func (a *agent) account(request api.SubmitCall, result answered) {
+// recordAnswer checks a call's answer and adds its usage to the totals.
+func (a *agent) recordAnswer(request api.SubmitCall, result answered) {
 	call := result.call
 	a.totals.callEnded(call)
 	if call.Status != api.StatusSucceeded {
@@ -186,33 +191,33 @@
 		a.totals.firstText(a.program.Kind, result.firstText)
 		a.countCache(call.Usage)
 	}
-	if a.known && !a.config.AnyAnswer && !belongs(request, a.transcript.String(), call.Output) {
-		a.totals.wrong(fmt.Errorf("program %s, call %d: the answer belongs to another call or history", a.id, call.Sequence))
+	if a.transcriptKnown && !a.config.SkipAnswerCheck && !answerMatches(request, a.transcript.String(), call.Output) {
+		a.totals.wrongAnswer(fmt.Errorf("program %s, call %d: the answer belongs to another call or history", a.id, call.Sequence))
 	}
 	a.transcript.WriteString(request.Input)
 	a.transcript.WriteString(call.Output)
 	a.output = call.Usage.OutputTokens
 }
 
-// countCache counts the tokens that an engine computed again although one had
-// computed them for this program before.
+// countCache counts the prompt tokens that were computed again although an
+// engine had already computed them for this program.
 func (a *agent) countCache(usage api.Usage) {
 	recomputed := min(a.cachedTokens, usage.PromptTokens) - usage.CachedTokens
 	a.totals.prompt(usage, max(0, recomputed))
 	a.cachedTokens = usage.PromptTokens + usage.OutputTokens
 }
 
-// childBudget is the part of its free budget that a parent gives each
-// sub-agent: one part in this many.
-const childBudget = 8
+// childBudgetDivisor determines the budget of a sub-agent: the parent's unused
+// budget divided by this number.
+const childBudgetDivisor = 8
 
-// spawn runs sub-agents side by side and waits for all.
+// spawn runs sub-agents concurrently and waits for all of them.
 func (a *agent) spawn(ctx context.Context, step workload.Step) (workload.Result, error) {
 	described, err := a.describe(ctx, a.id)
 	if err != nil {
-		return workload.Result{}, a.unlessRefused("describe", err)
+		return workload.Result{}, a.ignoreRefusal("describe", err)
 	}
-	share := (described.BudgetTokens - described.SpentTokens - described.ReservedTokens) / childBudget
+	share := (described.BudgetTokens - described.SpentTokens - described.ReservedTokens) / childBudgetDivisor
 	if share <= 0 {
 		return workload.Result{}, nil
 	}
@@ -221,7 +226,7 @@
 	var group sync.WaitGroup
 	for i, child := range step.Children {
 		group.Go(func() {
-			each := &agent{caller: a.fork(), program: child, known: true, fork: a.fork, stopBy: a.stopBy}
+			each := &agent{caller: a.newCaller(), program: child, transcriptKnown: true, newCaller: a.newCaller, stopBy: a.stopBy}
 			failures[i] = each.run(ctx, a.id, share)
 			outputs[i] = each.output
 		})
@@ -234,26 +239,27 @@
 	return result, errors.Join(failures...)
 }
 
-// finish reads the history back, compares it, and ends the program.
+// finish compares the program's history with the calls made, then ends the
+// program.
 func (a *agent) finish(ctx context.Context) error {
 	calls, err := a.readHistory(ctx, a.id)
 	if err != nil {
-		return a.unlessRefused("history", err)
+		return a.ignoreRefusal("history", err)
 	}
-	if err := sameCalls(a.calls, calls); err != nil {
-		a.totals.wrong(fmt.Errorf("program %s: %w", a.id, err))
+	if err := compareCalls(a.calls, calls); err != nil {
+		a.totals.wrongAnswer(fmt.Errorf("program %s: %w", a.id, err))
 	}
 	if err := a.end(ctx, a.id); err != nil {
-		return a.unlessRefused("end", err)
+		return a.ignoreRefusal("end", err)
 	}
 	a.totals.programEnded(a.id)
-	a.config.Recorder.Record(history.Event{At: time.Now(), Closed: &history.Closed{Program: a.id}})
+	a.config.Recorder.Record(history.Event{At: time.Now(), ProgramEnded: &history.ProgramEnded{Program: a.id}})
 	return nil
 }
 
-// unlessRefused counts a request that was never answered. A refusal is an
-// answer.
-func (a *agent) unlessRefused(operation string, err error) error {
+// ignoreRefusal returns nil for a refusal, since a refusal is an answer. It
+// counts any other error as an unanswered request and returns it.
+func (a *agent) ignoreRefusal(operation string, err error) error {
 	var refusal *api.Error
 	if errors.As(err, &refusal) {
 		return nil
@@ -262,19 +268,20 @@
 	return err
 }
 
-// sameCalls reports the first call that the history lacks or shows otherwise.
-func sameCalls(expected, read []api.Call) error {
-	shown := map[uint64]api.Call{}
+// compareCalls returns an error for the first expected call that the history that
+// was read lacks or contains with a different key, input or output.
+func compareCalls(expected, read []api.Call) error {
+	bySequence := map[uint64]api.Call{}
 	for _, call := range read {
-		shown[call.Sequence] = call
+		bySequence[call.Sequence] = call
 	}
 	for _, call := range expected {
-		held, found := shown[call.Sequence]
+		actual, found := bySequence[call.Sequence]
 		if !found {
-			return fmt.Errorf("its history lost call %d", call.Sequence)
+			return fmt.Errorf("call %d is missing from the history", call.Sequence)
 		}
-		if held.Key != call.Key || held.Input != call.Input || held.Output != call.Output {
-			return fmt.Errorf("its history shows other texts at call %d", call.Sequence)
+		if actual.Key != call.Key || actual.Input != call.Input || actual.Output != call.Output {
+			return fmt.Errorf("call %d has a different key, input or output in the history", call.Sequence)
 		}
 	}
 	return nil
--- a/load/run.go
+++ b/load/run.go
@@ -13,24 +13,25 @@
 	"birchwood.example/birchwood/workload"
 )
 
-// runner holds what the agents of one run share.
+// runner is the state that the agents of one run share.
 type runner struct {
-	config  Config
-	totals  *totals
-	ids     atomic.Uint64
-	mutex   sync.Mutex
-	clients map[clientKey]*httpclient.Client
-	done    int
+	config        Config
+	totals        *totals
+	lastRequestID atomic.Uint64
+	mutex         sync.Mutex
+	clients       map[clientKey]*httpclient.Client
+	done          int
 }
 
-// clientKey names a client: one for each target and token.
+// clientKey identifies a client. There is one for each target and token.
 type clientKey struct {
 	address string
 	token   string
 }
 
-// Run performs the run. The error says that the configuration is wrong or the
-// context ended; what went wrong with calls is in the Result.
+// Run performs one load run. It returns an error if the configuration is
+// invalid, the context ended or a tool service could not be queried. Failures
+// of calls are in the Result.
 func Run(ctx context.Context, config Config) (Result, error) {
 	if err := config.validate(); err != nil {
 		return Result{}, err
@@ -49,32 +50,33 @@
 	seconds := time.Since(begin).Seconds()
 	controlBytes := ratesBetween(before, r.controlBytes(), seconds)
 	toolErr := r.readToolRuns(ctx)
-	release, held := r.awaitRelease(ctx)
+	release, left := r.awaitRelease(ctx)
 	r.config.Recorder.Record(history.Event{At: time.Now(), RunEnded: &history.RunEnded{Settled: ctx.Err() == nil}})
 	result := r.totals.summary()
 	result.Deployment = config.Deployment.Name
 	result.Seed = config.Seed
 	result.Seconds = seconds
 	result.ControlBytes = controlBytes
-	result.ReleaseSeconds, result.HeldAfter = release.Seconds(), held
+	result.ReleaseSeconds, result.PrefixesLeft = release.Seconds(), left
 	return result, errors.Join(ctx.Err(), toolErr)
 }
 
-// recordPlacements tells the history where each branch's data may be, which
-// holds as long as nobody changes the deployment's settings.
+// recordPlacements records the placement of each branch. The records are valid
+// as long as the deployment's settings do not change during the run.
 func (r *runner) recordPlacements() {
 	if r.config.Branch != "" {
 		return
 	}
 	for _, branch := range r.config.Deployment.Branches {
 		now := time.Now()
-		r.config.Recorder.Record(history.Event{At: now, Placed: &history.Placed{
+		r.config.Recorder.Record(history.Event{At: now, PlacementSet: &history.PlacementSet{
 			Branch: string(branch.Path), Placement: r.config.Deployment.Placement(branch.Path), Since: now,
 		}})
 	}
 }
 
-// start starts each program at its time and waits until all have ended.
+// start starts each program at its intended time and waits until all started
+// programs have ended.
 func (r *runner) start(ctx context.Context, begin time.Time) {
 	generator := r.config.Deployment.Generate(workload.Options{
 		Seed: r.config.Seed, ProgramsPerSecond: r.config.Rate,
@@ -89,21 +91,21 @@
 		case <-ctx.Done():
 			return
 		}
-		each := &agent{program: program, known: true}
+		started := &agent{program: program, transcriptKnown: true}
 		if r.config.StopAfter > 0 {
-			each.stopBy = begin.Add(r.config.StopAfter)
+			started.stopBy = begin.Add(r.config.StopAfter)
 		}
-		group.Go(func() { r.runProgram(ctx, each, intended, i) })
+		group.Go(func() { r.runProgram(ctx, started, intended, i) })
 	}
 }
 
-// runProgram runs one program and measures it.
-func (r *runner) runProgram(ctx context.Context, each *agent, intended time.Time, number int) {
-	each.fork = func() *caller { return r.caller(each.program.Branch, number) }
-	each.caller = each.fork()
-	err := each.run(ctx, "", 0)
-	if err == nil && !each.hungUp && !each.stopped {
-		r.totals.finished(each.program.Kind, time.Since(intended)-each.paused)
+// runProgram runs one program and records its latency.
+func (r *runner) runProgram(ctx context.Context, running *agent, intended time.Time, number int) {
+	running.newCaller = func() *caller { return r.caller(running.program.Branch, number) }
+	running.caller = running.newCaller()
+	err := running.run(ctx, "", 0)
+	if err == nil && !running.hungUp && !running.stopped {
+		r.totals.finished(running.program.Kind, time.Since(intended)-running.paused)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -113,19 +115,20 @@
 	}
 }
 
-// caller returns the caller of a program, which starts at its own target.
+// caller returns the caller of a program. The program's number selects the
+// first target.
 func (r *runner) caller(branch contract.Path, number int) *caller {
 	token := r.config.token(branch)
-	each := &caller{config: &r.config, names: r.config.Targets, totals: r.totals, ids: &r.ids}
-	each.at = number % len(r.config.Targets)
+	created := &caller{config: &r.config, addresses: r.config.Targets, totals: r.totals, lastRequestID: &r.lastRequestID}
+	created.targetIndex = number % len(r.config.Targets)
 	for _, address := range r.config.Targets {
-		each.targets = append(each.targets, r.client(address, token))
+		created.targets = append(created.targets, r.client(address, token))
 	}
-	return each
+	return created
 }
 
-// client returns the client of a target, which all callers with the token
-// share.
+// client returns the client for a target and token. Callers with the same
+// target and token share it.
 func (r *runner) client(address, token string) *httpclient.Client {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -138,7 +141,7 @@
 	return r.clients[key]
 }
 
-// close closes the idle connections.
+// close closes all clients.
 func (r *runner) close() {
 	for _, client := range r.clients {
 		client.Close()
--- a/load/totals.go
+++ b/load/totals.go
@@ -18,25 +18,26 @@
 	significantDigits   = 3
 )
 
-// keptErrors is how many unanswered or wrong answers are described.
-const keptErrors = 20
+// maxErrors is the maximum number of errors whose texts are kept.
+const maxErrors = 20
 
-// totals collects what the agents measure. It is safe for concurrent use.
+// totals collects the measurements of all agents. It is safe for concurrent
+// use.
 type totals struct {
-	mutex     sync.Mutex
-	latencies map[workload.Kind]*hdrhistogram.Histogram
-	all       *hdrhistogram.Histogram
-	first     *hdrhistogram.Histogram
-	gaps      *hdrhistogram.Histogram
-	absences  *hdrhistogram.Histogram
-	result    Result
-	// tools are the tool calls that were made, ended the programs whose end
-	// was acknowledged.
+	mutex          sync.Mutex
+	latencyByKind  map[workload.Kind]*hdrhistogram.Histogram
+	programLatency *hdrhistogram.Histogram
+	firstTokens    *hdrhistogram.Histogram
+	interruptions  *hdrhistogram.Histogram
+	unavailability *hdrhistogram.Histogram
+	result         Result
+	// tools are the tool calls that were made. ended contains the programs
+	// whose end was acknowledged.
 	tools map[program.CallRef]*toolCall
 	ended map[api.ProgramID]bool
 }
 
-// toolCall is a tool call that was made.
+// toolCall is a tool call with the number of its runs.
 type toolCall struct {
 	repeatable bool
 	runs       int
@@ -44,14 +45,14 @@
 
 func newTotals() *totals {
 	return &totals{
-		latencies: map[workload.Kind]*hdrhistogram.Histogram{},
-		all:       newHistogram(),
-		first:     newHistogram(),
-		gaps:      newHistogram(),
-		absences:  newHistogram(),
-		tools:     map[program.CallRef]*toolCall{},
-		ended:     map[api.ProgramID]bool{},
-		result:    Result{Refusals: map[string]int{}, Statuses: map[string]int{}, Kinds: map[string]Latency{}},
+		latencyByKind:  map[workload.Kind]*hdrhistogram.Histogram{},
+		programLatency: newHistogram(),
+		firstTokens:    newHistogram(),
+		interruptions:  newHistogram(),
+		unavailability: newHistogram(),
+		tools:          map[program.CallRef]*toolCall{},
+		ended:          map[api.ProgramID]bool{},
+		result:         Result{Refusals: map[string]int{}, Statuses: map[string]int{}, Kinds: map[string]Latency{}},
 	}
 }
 
@@ -78,15 +79,16 @@
 	t.result.LostConnections++
 }
 
-// interrupted counts a request that had to be asked again: from its first
-// sending that failed until now, when it has its answer.
+// interrupted records the time from the first failed request of an operation
+// until now, when its final answer was received. A zero time means that no
+// request failed.
 func (t *totals) interrupted(since time.Time) {
 	if since.IsZero() {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	record(t.gaps, time.Since(since))
+	record(t.interruptions, time.Since(since))
 }
 
 func (t *totals) callEnded(call api.Call) {
@@ -108,19 +110,20 @@
 func (t *totals) firstText(_ workload.Kind, after time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	record(t.first, after)
+	record(t.firstTokens, after)
 }
 
-// toolCalled notes that a tool call is made.
+// toolCalled records a tool call.
 func (t *totals) toolCalled(call program.CallRef, repeatable bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tools[call] = &toolCall{repeatable: repeatable}
 }
 
-// ran counts the runs of a tool call that a service tells, and with them the
-// calls of this load that may not be repeated and ran twice.
-func (t *totals) ran(ref program.CallRef, runs int) {
+// addToolRuns adds the runs of a tool call that a service reports. A
+// non-repeatable call of this run is counted as a duplicate when its runs
+// exceed one.
+func (t *totals) addToolRuns(ref program.CallRef, runs int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	call, found := t.tools[ref]
@@ -134,7 +137,7 @@
 	}
 }
 
-// programEnded notes that a program's end was acknowledged.
+// programEnded records that a program's end was acknowledged.
 func (t *totals) programEnded(id api.ProgramID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -152,57 +155,58 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.result.Unanswered++
-	t.keep(err)
+	t.addError(err)
 }
 
-func (t *totals) wrong(err error) {
+func (t *totals) wrongAnswer(err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.result.WrongAnswers++
-	t.keep(err)
+	t.addError(err)
 }
 
-// keep describes an error while there is room. The mutex is held.
-func (t *totals) keep(err error) {
-	if len(t.result.Errors) < keptErrors {
+// addError stores the text of an error, up to maxErrors. The caller must hold the
+// mutex.
+func (t *totals) addError(err error) {
+	if len(t.result.Errors) < maxErrors {
 		t.result.Errors = append(t.result.Errors, err.Error())
 	}
 }
 
-// finished counts a program that ran to its end.
+// finished records a program that ran to its end.
 func (t *totals) finished(kind workload.Kind, latency time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.result.Programs++
-	if t.latencies[kind] == nil {
-		t.latencies[kind] = newHistogram()
+	if t.latencyByKind[kind] == nil {
+		t.latencyByKind[kind] = newHistogram()
 	}
-	record(t.latencies[kind], latency)
-	record(t.all, latency)
+	record(t.latencyByKind[kind], latency)
+	record(t.programLatency, latency)
 }
 
-// record adds a time, cut to the histogram's range.
+// record adds a value, clamped to the histogram's range.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	microseconds := min(max(value.Microseconds(), lowestMicroseconds), highestMicroseconds)
 	_ = histogram.RecordValue(microseconds)
 }
 
-// summary returns the result so far.
+// summary returns the result of the measurements so far.
 func (t *totals) summary() Result {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	result := t.result
-	result.ProgramLatency = latencyOf(t.all)
-	result.FirstToken = latencyOf(t.first)
-	result.Absence = latencyOf(t.absences)
-	result.Interruption = latencyOf(t.gaps)
-	for kind, histogram := range t.latencies {
+	result.ProgramLatency = latencyOf(t.programLatency)
+	result.FirstToken = latencyOf(t.firstTokens)
+	result.Unavailability = latencyOf(t.unavailability)
+	result.Interruption = latencyOf(t.interruptions)
+	for kind, histogram := range t.latencyByKind {
 		result.Kinds[string(kind)] = latencyOf(histogram)
 	}
 	return result
 }
 
-// latencyOf reads the quantiles of a histogram.
+// latencyOf returns the quantiles of a histogram.
 func latencyOf(histogram *hdrhistogram.Histogram) Latency {
 	milliseconds := func(quantile float64) float64 {
 		return float64(histogram.ValueAtQuantile(quantile)) / 1000
--- a/node/service.go
+++ b/node/service.go
@@ -15,16 +15,16 @@
 
 var _ gateway.Service = (*Node)(nil)
 
-// Caller returns the branch that lists a caller's bearer token. A node without
+// Authenticate returns the branch that lists a caller's bearer token. A node without
 // settings cannot check any token, so its refusal permits a retry.
-func (n *Node) Caller(token string) (contract.Path, *api.Error) {
+func (n *Node) Authenticate(token string) (contract.Path, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
 		return "", noSettingsError()
 	}
 	scope, known := tree.Caller(contract.HashToken(token))
 	if !known {
-		return "", api.Refuse(api.CodeUnauthorized, "the bearer token is not known").At("header Authorization")
+		return "", api.Refuse(api.CodeUnauthorized, "the bearer token is not known").WithLocation("header Authorization")
 	}
 	return scope, nil
 }
@@ -33,22 +33,22 @@
 // just started and has no settings.
 func noSettingsError() *api.Error {
 	refusal := api.Refuse(api.CodeSettingsStale, "this node has just started and has no settings yet")
-	return refusal.After(ownerRetryMilliseconds)
+	return refusal.WithRetryAfter(ownerRetryMilliseconds)
 }
 
-// NewProgram returns the program ID for a branch and key. The same branch and
+// ProgramID returns the program ID for a branch and key. The same branch and
 // key always give the same ID.
-func (n *Node) NewProgram(branch contract.Path, key string) (api.ProgramID, *api.Error) {
+func (n *Node) ProgramID(branch contract.Path, key string) (api.ProgramID, *api.Error) {
 	tree := n.tree.Load()
 	if tree.Revision() == 0 {
 		return "", noSettingsError()
 	}
 	resolved, err := tree.Resolve(branch)
 	if err != nil {
-		return "", api.Refuse(api.CodeUnknownBranch, "%v", err).At("$.branch")
+		return "", api.Refuse(api.CodeUnknownBranch, "%v", err).WithLocation("$.branch")
 	}
 	if resolved.Placement == "" {
-		return "", api.Refuse(api.CodeNoPermittedPlace, "branch %q permits no zone", branch).At("$.branch")
+		return "", api.Refuse(api.CodeNoPermittedPlace, "branch %q permits no zone", branch).WithLocation("$.branch")
 	}
 	return partition.NewProgramID(string(branch), n.config.Control.PartitionsPerBranch, key), nil
 }
@@ -57,12 +57,12 @@
 func (n *Node) Route(id api.ProgramID) (gateway.Route, *api.Error) {
 	partitionID, err := partition.OfProgram(id)
 	if err != nil {
-		return gateway.Route{}, api.Refuse(api.CodeNotFound, "%v", err).At("$.program")
+		return gateway.Route{}, api.Refuse(api.CodeNotFound, "%v", err).WithLocation("$.program")
 	}
 	owner, ok := n.routing.Load().Owner(partitionID)
 	if !ok {
 		refusal := api.Refuse(api.CodeOwnerUnknown, "no live node may own partition %s", partitionID)
-		return gateway.Route{}, refusal.After(ownerRetryMilliseconds)
+		return gateway.Route{}, refusal.WithRetryAfter(ownerRetryMilliseconds)
 	}
 	return gateway.Route{Local: owner.ID == n.config.Control.Self.ID, Owner: owner.ID, Address: owner.Address}, nil
 }
@@ -92,7 +92,7 @@
 // have been recorded; a retry with the same key shows whether it was.
 func noReplyError(err error) *api.Error {
 	refusal := &api.Error{Code: codeOf(err), Message: "the reply did not come in time", Ran: api.RanOutcomeUnknown}
-	return refusal.After(0)
+	return refusal.WithRetryAfter(0)
 }
 
 // Stream returns the buffer of an answer that is being generated on this node.
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -12,11 +12,11 @@
 	"birchwood.example/birchwood/api"
 )
 
-// maximumScrapes bounds the scrapes that are served at once.
+// maximumScrapes bounds the number of concurrent scrapes.
 const maximumScrapes = 4
 
-// handler answers one route of the operators' API: with a value, or with an
-// error.
+// handler handles one route of the operators' API. It returns a value to encode
+// as JSON, an httpAnswer, or an error.
 type handler func(ctx context.Context, request *fasthttp.RequestCtx, who actor) (any, *api.Error)
 
 // routes registers every route. docs/API.md describes them.
@@ -26,9 +26,9 @@
 	routes.RedirectFixedPath = false
 	routes.HandleOPTIONS = false
 	routes.NotFound = func(ctx *fasthttp.RequestCtx) {
-		writeError(ctx, api.Refuse(api.CodeNotFound, "no such route").At("path"))
+		writeError(ctx, api.Refuse(api.CodeNotFound, "no such route").WithLocation("path"))
 	}
-	routes.PanicHandler = s.recovered
+	routes.PanicHandler = s.handlePanic
 
 	scrape := promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{MaxRequestsInFlight: maximumScrapes})
 	routes.GET("/metrics", fasthttpadaptor.NewFastHTTPHandler(scrape))
@@ -49,15 +49,16 @@
 	routes.GET("/v1/operator/partitions", s.serve(s.listPartitions))
 	routes.POST("/v1/operator/partitions/{id}/accept-loss", s.serve(s.acceptLoss))
 	routes.GET("/v1/operator/programs", s.serve(s.listPrograms))
-	routes.GET("/v1/operator/programs/{id}", s.serve(s.program("")))
-	routes.GET("/v1/operator/programs/{id}/history", s.serve(s.program("/history")))
-	routes.GET("/v1/operator/programs/{id}/trace", s.serve(s.program("/trace")))
-	routes.POST("/v1/operator/programs/{id}/end", s.serve(s.program("/end")))
+	routes.GET("/v1/operator/programs/{id}", s.serve(s.forwardProgram("")))
+	routes.GET("/v1/operator/programs/{id}/history", s.serve(s.forwardProgram("/history")))
+	routes.GET("/v1/operator/programs/{id}/trace", s.serve(s.forwardProgram("/trace")))
+	routes.POST("/v1/operator/programs/{id}/end", s.serve(s.forwardProgram("/end")))
 	routes.GET("/v1/operator/why/{id}", s.serve(s.why))
 	return routes
 }
 
-// serve authenticates the operator, bounds the time, and writes the answer.
+// serve returns the HTTP handler of a route: it authenticates the operator,
+// limits the time to Config.RequestTimeout, and writes the answer.
 func (s *Server) serve(handle handler) fasthttp.RequestHandler {
 	return func(request *fasthttp.RequestCtx) {
 		ctx, cancel := context.WithTimeout(context.Background(), s.config.RequestTimeout)
@@ -71,7 +72,7 @@
 			writeError(request, refusal)
 			return
 		}
-		if answered, is := value.(httpAnswer); is {
+		if answered, ok := value.(httpAnswer); ok {
 			answered.write(request)
 			return
 		}
@@ -79,14 +80,15 @@
 	}
 }
 
-// recovered answers a request whose handler panicked.
-func (s *Server) recovered(ctx *fasthttp.RequestCtx, cause any) {
+// handlePanic answers a request whose handler panicked.
+func (s *Server) handlePanic(ctx *fasthttp.RequestCtx, cause any) {
 	s.logger.Error().Interface("cause", cause).Msg(logPrefix + "A handler panicked.")
 	unknown := &api.Error{Code: api.CodeOutcomeUnknown, Message: "the request failed inside", Ran: api.RanOutcomeUnknown}
 	writeError(ctx, unknown)
 }
 
-// failed describes an error of the node: it could not be asked in time.
-func failed(err error) *api.Error {
-	return api.Refuse(api.CodeTimeout, "%v", err).After(time.Second.Milliseconds())
+// serviceError converts an error of the node's Service to an answer: the node
+// did not respond in time.
+func serviceError(err error) *api.Error {
+	return api.Refuse(api.CodeTimeout, "%v", err).WithRetryAfter(time.Second.Milliseconds())
 }
--- a/workload/deployments.go
+++ b/workload/deployments.go
@@ -10,14 +10,14 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// The shape of an engine, the same in every deployment.
+// The capacity of an engine in all deployments.
 const (
 	engineSlots       = 16
 	engineCacheTokens = 120_000
 )
 
-// Koudeketting is the cold chain in Gauteng: three zones close to one
-// another, with clients about as close.
+// Koudeketting is a cold-chain operator in Gauteng. It has three zones with
+// low delays between them, and similar delays to the clients.
 func Koudeketting() Deployment {
 	zones := sameRegion("gauteng", "midrand-a", "midrand-b", "isando")
 	models := []string{"veld-8b", "veld-70b"}
@@ -47,8 +47,8 @@
 	}
 }
 
-// Qasr is the collections desk in Amman: four zones very close to one
-// another, with clients several times farther away.
+// Qasr is a collections desk in Amman. It has four zones with very low delays
+// between them, and delays to the clients that are several times higher.
 func Qasr() Deployment {
 	zones := sameRegion("amman", "abdali", "sweileh", "marka", "khalda")
 	models := []string{"dinar-8b", "dinar-32b"}
@@ -77,33 +77,33 @@
 	}
 }
 
-// The design size: what birchwood is built towards.
+// The design size, the largest deployment that birchwood is built for.
 const (
-	letterReplicas     = 600
-	letterTenants      = 600
-	letterModels       = 29
-	letterZones        = 10
-	letterRegions      = 3
-	letterNodesPerZone = 39
-	letterToolServices = 30
+	designReplicas     = 600
+	designTenants      = 600
+	designModels       = 29
+	designZones        = 10
+	designRegions      = 3
+	designNodesPerZone = 39
+	designToolServices = 30
 )
 
-// Letter is the design size: 99,000 programs under way, 600 replicas, 600
-// tenants, 29 models, 10 zones of 3 regions and 390 nodes.
-func Letter() Deployment {
-	zones := make([]zone.Zone, letterZones)
+// DesignSize is the deployment of the design size: 99,000 started programs, 600
+// replicas, 600 tenants, 29 models, 10 zones in 3 regions and 390 nodes.
+func DesignSize() Deployment {
+	zones := make([]zone.Zone, designZones)
 	for i := range zones {
-		region := i % letterRegions
+		region := i % designRegions
 		zones[i] = zone.Zone{
-			Name:   zone.Name(fmt.Sprintf("r%d-z%d", region+1, i/letterRegions+1)),
+			Name:   zone.Name(fmt.Sprintf("r%d-z%d", region+1, i/designRegions+1)),
 			Region: zone.Region(fmt.Sprintf("region-%d", region+1)),
 		}
 	}
-	models := make([]string, letterModels)
+	models := make([]string, designModels)
 	for i := range models {
 		models[i] = fmt.Sprintf("model-%02d", i+1)
 	}
-	branches := letterBranches(zones)
+	branches := designBranches(zones)
 	return Deployment{
 		Name:         "letter",
 		Zones:        zones,
@@ -111,20 +111,21 @@
 		ZoneDelay:    800 * time.Microsecond,
 		RegionDelay:  20 * time.Millisecond,
 		ClientDelay:  3 * time.Millisecond,
-		NodesPerZone: letterNodesPerZone,
+		NodesPerZone: designNodesPerZone,
 		Models:       models,
-		Replicas:     replicas(letterReplicas, zones, models, 2),
-		Tools:        tools(letterToolServices, "tools", zones, slices.Concat(depotTools(), collectionsTools())...),
+		Replicas:     replicas(designReplicas, zones, models, 2),
+		Tools:        tools(designToolServices, "tools", zones, slices.Concat(depotTools(), collectionsTools())...),
 		Branches:     branches,
-		Profiles:     letterProfiles(models, branches),
+		Profiles:     designProfiles(models, branches),
 	}
 }
 
-// letterBranches gives each tenant the zones of one region, its home.
-func letterBranches(zones []zone.Zone) []Branch {
-	branches := make([]Branch, letterTenants)
+// designBranches returns one branch for each tenant, with the zones of one
+// region, the tenant's home region.
+func designBranches(zones []zone.Zone) []Branch {
+	branches := make([]Branch, designTenants)
 	for i := range branches {
-		home := zones[i%letterRegions].Region
+		home := zones[i%designRegions].Region
 		var permitted []zone.Name
 		for _, each := range zones {
 			if each.Region == home {
@@ -142,7 +143,7 @@
 	return branches
 }
 
-// sameRegion returns zones of one region.
+// sameRegion returns zones in one region.
 func sameRegion(region zone.Region, names ...zone.Name) []zone.Zone {
 	zones := make([]zone.Zone, len(names))
 	for i, name := range names {
@@ -151,12 +152,13 @@
 	return zones
 }
 
-// replicas spreads engines over the zones. Each loads modelsEach models; the
-// models shift from zone to zone, so that each zone serves as many as it can.
-func replicas(count int, zones []zone.Zone, models []string, modelsEach int) []machine.Machine {
+// replicas distributes engines over the zones. Each engine loads
+// modelsPerEngine models. The first model shifts with the zone and with each
+// engine in a zone, so that each zone serves as many models as possible.
+func replicas(count int, zones []zone.Zone, models []string, modelsPerEngine int) []machine.Machine {
 	machines := make([]machine.Machine, count)
 	for i := range machines {
-		loaded := make([]string, modelsEach)
+		loaded := make([]string, modelsPerEngine)
 		for k := range loaded {
 			loaded[k] = models[(i/len(zones)+i%len(zones)+k)%len(models)]
 		}
@@ -173,7 +175,7 @@
 	return machines
 }
 
-// tools spreads tool services over the zones; each answers every name.
+// tools distributes tool services over the zones. Each serves all named tools.
 func tools(count int, prefix string, zones []zone.Zone, names ...string) []machine.Machine {
 	machines := make([]machine.Machine, count)
 	for i := range machines {
@@ -188,12 +190,12 @@
 	return machines
 }
 
-// depotTools are the tools that a depot event service answers.
+// depotTools returns the tools of a depot event service.
 func depotTools() []string {
 	return []string{toolRecordSealBreak, toolAcknowledgeAlarm, toolReadLogger}
 }
 
-// collectionsTools are the tools that a collections back end answers.
+// collectionsTools returns the tools of a collections back end.
 func collectionsTools() []string {
 	return []string{toolPlanReceipt, toolSendLetter, toolReadAccount}
 }
--- a/workload/generator.go
+++ b/workload/generator.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Options choose a stream of programs.
+// Options are the parameters of a Generator.
 type Options struct {
 	Seed uint64
-	// ProgramsPerSecond is the mean rate of arrivals, bursts included.
+	// ProgramsPerSecond is the mean rate of program starts, bursts included.
 	ProgramsPerSecond float64
-	// BurstProbability is the chance that an arrival is a burst of BurstSize
-	// programs of one kind within BurstSpread, as when one cold room fails or
-	// a bill run goes out. Zero takes the defaults; a negative one means none.
+	// BurstProbability is the probability that an arrival is a burst of
+	// BurstSize programs of one kind within BurstSpread, for example when a
+	// cold room fails or a billing run is sent out. Zero values mean the
+	// defaults; a negative BurstProbability means no bursts.
 	BurstProbability float64
 	BurstSize        int
 	BurstSpread      time.Duration
 }
 
-// The defaults of Options: one arrival in fifty is a burst of eight.
+// The defaults of Options: one arrival in 50 is a burst of 8 programs.
 const (
 	defaultBurstProbability = 0.02
 	defaultBurstSize        = 8
@@ -33,12 +34,12 @@
 	random     *rand.Rand
 	clock      time.Duration
 	count      int
-	// burst holds programs whose start is not reached yet, sorted by it.
-	burst []*Program
-	next  *Program
+	// burstPrograms contains the remaining programs of bursts, sorted by start.
+	burstPrograms []*Program
+	next          *Program
 }
 
-// Generate starts a stream of programs.
+// Generate returns a new Generator of the deployment's programs.
 func (d *Deployment) Generate(options Options) *Generator {
 	if options.BurstProbability == 0 {
 		options.BurstProbability = defaultBurstProbability
@@ -59,11 +60,11 @@
 // Next returns the program with the next intended start.
 func (g *Generator) Next() *Program {
 	if g.next == nil {
-		g.next = g.arrive()
+		g.next = g.drawArrival()
 	}
-	if len(g.burst) > 0 && g.burst[0].Start <= g.next.Start {
-		program := g.burst[0]
-		g.burst = g.burst[1:]
+	if len(g.burstPrograms) > 0 && g.burstPrograms[0].Start <= g.next.Start {
+		program := g.burstPrograms[0]
+		g.burstPrograms = g.burstPrograms[1:]
 		return program
 	}
 	program := g.next
@@ -80,43 +81,43 @@
 	return programs
 }
 
-// arrive draws the next Poisson arrival, and the rest of its burst if it is
-// the first of one.
-func (g *Generator) arrive() *Program {
+// drawArrival draws the next Poisson arrival. If the arrival is a burst, it
+// also draws the burst's other programs.
+func (g *Generator) drawArrival() *Program {
 	gap := g.random.ExpFloat64() / g.arrivalRate()
 	g.clock += time.Duration(gap * float64(time.Second))
-	profile := g.pick()
-	first := g.draw(profile, g.clock)
+	profile := g.drawProfile()
+	first := g.drawProgram(profile, g.clock)
 	if g.random.Float64() < g.options.BurstProbability {
 		g.drawBurst(profile)
 	}
 	return first
 }
 
-// arrivalRate is the rate of arrivals that, with their bursts, gives the
-// wanted rate of programs.
+// arrivalRate returns the rate of arrivals that results in ProgramsPerSecond
+// when bursts are included.
 func (g *Generator) arrivalRate() float64 {
 	extra := max(0, g.options.BurstProbability) * float64(g.options.BurstSize-1)
 	return g.options.ProgramsPerSecond / (1 + extra)
 }
 
-// drawBurst adds the programs that follow the first of a burst.
+// drawBurst draws the programs of a burst after the first.
 func (g *Generator) drawBurst(profile *Profile) {
 	for range g.options.BurstSize - 1 {
 		delay := time.Duration(g.random.Float64() * float64(g.options.BurstSpread))
-		program := g.draw(profile, g.clock+delay)
-		at := len(g.burst)
-		for at > 0 && g.burst[at-1].Start > program.Start {
+		program := g.drawProgram(profile, g.clock+delay)
+		at := len(g.burstPrograms)
+		for at > 0 && g.burstPrograms[at-1].Start > program.Start {
 			at--
 		}
-		g.burst = append(g.burst, nil)
-		copy(g.burst[at+1:], g.burst[at:])
-		g.burst[at] = program
+		g.burstPrograms = append(g.burstPrograms, nil)
+		copy(g.burstPrograms[at+1:], g.burstPrograms[at:])
+		g.burstPrograms[at] = program
 	}
 }
 
-// draw makes one program that starts at the given time.
-func (g *Generator) draw(profile *Profile, start time.Duration) *Program {
+// drawProgram draws one program that starts at the given time.
+func (g *Generator) drawProgram(profile *Profile, start time.Duration) *Program {
 	g.count++
 	id := fmt.Sprintf("%s-%d-%d", g.deployment.Name, g.options.Seed, g.count)
 	source := rand.New(rand.NewPCG(g.random.Uint64(), g.random.Uint64()))
@@ -125,16 +126,16 @@
 	return program
 }
 
-// pick draws a profile by its share.
-func (g *Generator) pick() *Profile {
+// drawProfile draws a profile with probability proportional to its share.
+func (g *Generator) drawProfile() *Profile {
 	total := 0.0
 	for i := range g.deployment.Profiles {
 		total += g.deployment.Profiles[i].Share
 	}
-	rest := g.random.Float64() * total
+	remaining := g.random.Float64() * total
 	for i := range g.deployment.Profiles {
-		rest -= g.deployment.Profiles[i].Share
-		if rest < 0 {
+		remaining -= g.deployment.Profiles[i].Share
+		if remaining < 0 {
 			return &g.deployment.Profiles[i]
 		}
 	}
--- a/workload/script.go
+++ b/workload/script.go
@@ -7,21 +7,21 @@
 	"birchwood.example/birchwood/api"
 )
 
-// script draws the steps of one program. Each turn is a model call, then the
-// turn's tool calls, sub-agents and pause, in this order.
+// script draws the steps of one program. Each turn is a model call, followed
+// by the turn's tool calls, sub-agents and pause, in this order.
 type script struct {
-	profile *Profile
-	random  *rand.Rand
-	model   string
-	turns   int // model calls in all
-	turn    int // model calls drawn so far
-	pending []Step
-	carried int // tokens that sub-agents handed back, for the next input
-	spawned int
-	over    bool
+	profile     *Profile
+	random      *rand.Rand
+	model       string
+	turns       int // total number of model calls
+	turn        int // number of model calls drawn so far
+	pending     []Step
+	childTokens int // output tokens of sub-agents to add to the next input
+	spawned     int
+	ended       bool
 }
 
-// newProgram draws the shape of a program that nothing is known of yet.
+// newProgram draws a program with its model, branch and number of turns.
 func newProgram(id string, profile *Profile, random *rand.Rand) *Program {
 	script := &script{
 		profile: profile,
@@ -40,27 +40,29 @@
 	}
 }
 
-// next gives the step after the result of the one before.
+// next returns the next step, given the result of the previous one. It returns
+// false if there are no more steps.
 func (s *script) next(program *Program, result Result) (Step, bool) {
-	s.carried += result.ChildOutputTokens
-	if s.over || result.HungUp || stops(result) {
-		s.over = true
+	s.childTokens += result.ChildOutputTokens
+	if s.ended || result.HungUp || endsProgram(result) {
+		s.ended = true
 		return Step{}, false
 	}
 	if len(s.pending) > 0 {
 		return s.pop(), true
 	}
 	if s.turn >= s.turns && !program.Runaway {
-		s.over = true
+		s.ended = true
 		return Step{}, false
 	}
 	s.drawTurn(program)
 	return s.pop(), true
 }
 
-// stops reports whether the caller gives up after the result. A failed or
-// unknown tool call does not stop it: the agent goes on and says so.
-func stops(result Result) bool {
+// endsProgram reports whether the program ends after the result. A failed call
+// or one with an unknown outcome does not end it, unless the budget is
+// exhausted or the program has already ended.
+func endsProgram(result Result) bool {
 	switch result.Status {
 	case "", api.StatusSucceeded, api.StatusFailed, api.StatusOutcomeUnknown:
 		return result.Code == api.CodeBudgetExhausted || result.Code == api.CodeProgramEnded
@@ -68,14 +70,14 @@
 	return true
 }
 
-// pop takes the first pending step.
+// pop removes and returns the first pending step.
 func (s *script) pop() Step {
 	step := s.pending[0]
 	s.pending = s.pending[1:]
 	return step
 }
 
-// drawTurn draws one model call and what follows it.
+// drawTurn draws the steps of one turn.
 func (s *script) drawTurn(program *Program) {
 	s.turn++
 	last := s.turn == s.turns
@@ -107,12 +109,12 @@
 	step := Step{
 		Kind:         StepModel,
 		Model:        s.model,
-		InputTokens:  input.tokens(s.random) + s.carried,
+		InputTokens:  input.tokens(s.random) + s.childTokens,
 		OutputTokens: min(s.profile.Output.tokens(s.random), s.profile.OutputCap),
 		OutputCap:    s.profile.OutputCap,
 		Repeatable:   true,
 	}
-	s.carried = 0
+	s.childTokens = 0
 	if s.random.Float64() < s.profile.HangUpProbability {
 		step.HangUpAfter = s.profile.HangUpSeconds.duration(s.random)
 	}
@@ -134,7 +136,7 @@
 	}
 }
 
-// spawnStep draws sub-agents, which are programs on the parent's branch.
+// spawnStep draws sub-agents, with the parent's branch and model.
 func (s *script) spawnStep(parent *Program) Step {
 	count := 1 + s.random.IntN(s.profile.MaximumSubAgents)
 	children := make([]*Program, count)
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -13,20 +13,21 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// run plays the programs in turn, one step of each at a time when interleaved,
-// and returns what every program did.
+// run executes the programs and returns the steps of each program as text.
+// Interleaved programs take turns after each step; others run one after
+// another.
 func run(programs []*workload.Program, interleaved bool) map[string]string {
 	traces := map[string]*strings.Builder{}
 	live := programs
 	for _, program := range programs {
 		traces[program.ID] = &strings.Builder{}
 	}
-	const stepsAtMost = 300
-	for range stepsAtMost {
+	const maxSteps = 300
+	for range maxSteps {
 		for i, program := range live {
 			steps := 1
 			if !interleaved {
-				steps = stepsAtMost
+				steps = maxSteps
 			}
 			for range steps {
 				step, more := program.Next(workload.Result{Status: api.StatusSucceeded})
