--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -49,8 +49,8 @@
 const maxNewUtilisation = 1.1
 
 const (
-	// maxWait is the longest wait for a slot: a caller that is told to retry instead is
-	// back by then.
+	// maxWait is the longest wait for a slot: a caller that is refused instead has retried
+	// by then.
 	maxWait = 500 * time.Millisecond
 	// deadlineWaitFraction is the fraction of the time to the turn's deadline that it may
 	// wait: the rest is for running the turn and for a second try elsewhere.
--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -23,7 +23,7 @@
 	CauseUnproven
 	// CauseBudgetHeld: other turns of the program have reserved the rest of its budget.
 	CauseBudgetHeld
-	// CauseLimit: the charge owner, which counts the tenant's requests against its limit,
+	// CauseLimit: the counting node, which counts the tenant's requests against its limit,
 	// does not answer.
 	CauseLimit
 	// CauseFull: the replicas are full.
@@ -76,7 +76,7 @@
 	// maxWaitFraction is the largest fraction of the caller's time left that it waits: the
 	// rest is for the next try and one more. Clients wait for no longer than that either.
 	maxWaitFraction = 1. / 3
-	// minRetryAfter is the shortest delay that callers are told: no cause ends sooner.
+	// minRetryAfter is the shortest retry delay of a refusal: no cause ends sooner.
 	minRetryAfter = 50 * time.Millisecond
 	// minSpreadFraction is the smallest fraction of the delay over which retries are
 	// spread, so that callers that were refused together do not retry together.
@@ -103,7 +103,7 @@
 	RecentRefusals, ServiceRate float64
 	// Left is the time until the request's deadline.
 	Left time.Duration
-	// Begun says that the request's program has started.
+	// Begun reports that the request's program has started.
 	Begun bool
 	// Urgency is the rank of the request, from 0 (most urgent) to LeastUrgency.
 	Urgency int
@@ -175,8 +175,8 @@
 	recent      meter
 }
 
-// causeExpiry is the time after its last refusal from which on a cause counts as ended.
-// While it lasts, callers of all kinds come several times per second.
+// causeExpiry is the time after its last refusal from which on a cause counts as ended. A
+// cause that lasts leads to several refusals per second.
 const causeExpiry = time.Second
 
 // ObserveRefusal records a refusal and fills in what is known of its cause: for how long
@@ -202,7 +202,7 @@
 func (r *RefusalTracker) ServiceRate(now time.Time) float64 { return r.served.rate(now) }
 
 // meterSpan is the interval over which a meter counts, and meterSpans the number of
-// intervals kept: the service rate before an outage is remembered for as long.
+// intervals kept: the service rate before an outage is retained for as long.
 const (
 	meterSpan  = time.Second
 	meterSpans = 16
--- a/dispatch/comeback_test.go
+++ b/dispatch/comeback_test.go
@@ -11,8 +11,8 @@
 // epoch is the start time of simulations.
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestRetryAfterIsBounded checks that no caller is told to wait for longer than it
-// tolerates, whatever the cause, or to retry at once.
+// TestRetryAfterIsBounded checks that no caller gets a retry delay of 0, or one longer
+// than it tolerates, whatever the cause.
 func TestRetryAfterIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	draws := rand.New(rand.NewPCG(1, 2))
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -8,9 +8,9 @@
 // SchedulingState is what decides the order of competing turns: what the turn's program
 // has done and still needs.
 type SchedulingState struct {
-	// Begun says that the program has started.
+	// Begun reports that the program has started.
 	Begun bool
-	// Left is the time until the program should finish, and HasFinish says whether its
+	// Left is the time until the program should finish, and HasFinish reports whether its
 	// client gave such a time.
 	Left      time.Duration
 	HasFinish bool
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -27,7 +27,7 @@
 	// between the tokens.
 	SlowdownPerRequest = 0.05
 	// DefaultPrefillRatio is the time to prefill one token in units of the time to
-	// generate one, used until a service's own ratio is learned.
+	// generate one, used until a service's own ratio is measured.
 	DefaultPrefillRatio = 1.0 / 200
 	// loadUncertainty is how far the actual load may be from the known one, as a fraction
 	// of the slots: other nodes choose replicas at the same time.
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -31,7 +31,7 @@
 }
 
 // maxTenantFraction is the fraction of a queue that the turns of one tenant may occupy, so
-// that a tenant that sends many times its usual load leaves places to others.
+// that a tenant that sends many times its usual load leaves space for others.
 const maxTenantFraction = 0.5
 
 // Queue holds the turns that wait for a slot at one node, and serves them in the order of
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -7,7 +7,7 @@
 )
 
 // simulation simulates programs of four turns at replicas that all nodes share, in steps
-// of virtual time. Nodes learn what others sent only every loadReportInterval.
+// of virtual time. Nodes receive the loads caused by others only every loadReportInterval.
 type simulation struct {
 	random     *rand.Rand
 	now        time.Time
@@ -165,8 +165,8 @@
 	}
 }
 
-// refuse refuses a turn, whose caller retries after the delay that it is told. Every
-// second refusal, the caller sends it as a new request instead, at most twice.
+// refuse refuses a turn, whose caller retries after the returned delay. Every second
+// refusal, the caller sends it as a new request instead, at most twice.
 func (c *simulation) refuse(turn *simTurn, cause Cause, ends time.Duration) {
 	turn.tries++
 	if turn.tries >= 6 {
--- a/dispatch/share.go
+++ b/dispatch/share.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// usageTTL is how long a report of a tenant's programs is valid: the charge owner
+	// usageTTL is how long a report of a tenant's programs is valid: the counting node
 	// sends one with each of the tenant's requests.
 	usageTTL = time.Second
 	// minPrograms is how many programs a tenant may run in excess of its share and of
 	// chance variation: the shares of small tenants are fractions of a program.
 	minPrograms = 2
-	// levelTTL is how long a computed level is reused: computing it goes over all tenants,
-	// and few programs begin or end meanwhile.
+	// levelTTL is how long a computed level is reused: computing it iterates over all
+	// tenants, and few programs begin or end meanwhile.
 	levelTTL = 50 * time.Millisecond
 	// maxTenants bounds the tenants that are tracked: several times those in use.
 	maxTenants = 4096
--- a/dispatch/share_test.go
+++ b/dispatch/share_test.go
@@ -58,7 +58,7 @@
 	simTenants      = 73
 	simProgramSlots = 300
 	simHotTenant    = 1
-	// simReportInterval is the interval at which nodes learn of changes.
+	// simReportInterval is the interval at which nodes receive changes.
 	simReportInterval = 100 * time.Millisecond
 	shareStep         = 10 * time.Millisecond
 )
--- a/dispatch/slack.go
+++ b/dispatch/slack.go
@@ -20,7 +20,7 @@
 // String returns the name of the progress in logs.
 func (s Progress) String() string { return [...]string{"lost", "ahead", "even", "behind"}[s] }
 
-// Slack learns how much time programs of each route usually have left at each stage, and
+// Slack tracks how much time programs of each route usually have left at each stage, and
 // compares programs with it. It is not safe for concurrent use.
 type Slack struct {
 	// routes holds the usual time left of each route, by stage.
--- a/dispatch/slack_test.go
+++ b/dispatch/slack_test.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// trained returns a Slack that saw programs with three seconds left at one stage.
+// trained returns a Slack that observed programs with three seconds left at one stage.
 func trained() *dispatch.Slack {
 	slack := dispatch.NewSlack()
 	for range 20 {
--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -3,9 +3,9 @@
 import "time"
 
 // RemainingTimeEstimator estimates how much longer programs take, from earlier ones that
-// this node saw. The time that a client grants its program at the first turn indicates the
-// program's size; the time per turn is learned by route. It is not safe for concurrent
-// use.
+// this node observed. The time that a client grants its program at the first turn
+// indicates the program's size; the time per turn is estimated by route. It is not safe
+// for concurrent use.
 type RemainingTimeEstimator struct {
 	programs map[string]*trackedProgram
 	routes   map[string]*routeSums
@@ -16,7 +16,7 @@
 type trackedProgram struct {
 	route string
 	// granted is the time that the client granted at the first turn; 0 if this node did
-	// not see that turn, or the client gave none.
+	// not observe that turn, or the client gave none.
 	granted time.Duration
 	turns   int
 	// began is when the first turn came, and last when the latest turn came or ended.
@@ -74,8 +74,8 @@
 }
 
 // Remaining returns how much longer a program is expected to take, including the turn that
-// began last; 0 if unknown. If this node did not see the first turn of the program, the
-// result covers only the present turn.
+// began last; 0 if unknown. If this node did not observe the first turn of the program,
+// the result covers only the present turn.
 func (u *RemainingTimeEstimator) Remaining(route, program string) time.Duration {
 	sums := u.routes[route]
 	if sums == nil || sums.programs < minRoutePrograms {
@@ -89,7 +89,8 @@
 	return time.Duration(turnsLeft * sums.took / sums.turns * float64(time.Second))
 }
 
-// sweep removes the programs that have ended and learns from them.
+// sweep removes the programs that have ended, and adds those observed from their first
+// turn to the sums of their routes.
 func (u *RemainingTimeEstimator) sweep(now time.Time) {
 	if now.Sub(u.sweptAt) < sweepInterval {
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// learn adds an ended program that this node saw from its first turn.
+// learn adds an ended program that this node observed from its first turn.
 func (u *RemainingTimeEstimator) learn(now time.Time, tracked *trackedProgram) {
 	sums := u.routes[tracked.route]
 	if sums == nil {
