--- a/tenant/account.go
+++ b/tenant/account.go
@@ -24,8 +24,7 @@
 	RetriesAsNew bool
 }
 
-// DefaultConfig returns the settings used where the operator sets none. They are those of
-// the users' deployments.
+// DefaultConfig returns the settings used where the operator sets none.
 func DefaultConfig() Config {
 	return Config{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 }
@@ -35,7 +34,7 @@
 const coldReplicaIdle = 20 * time.Second
 
 // ColdReplicaConfig returns the settings for limiting requests to cold replicas, used
-// where the operator sets none. They are those of the users' deployments.
+// where the operator sets none.
 func ColdReplicaConfig() Config {
 	return Config{Window: time.Second, Overrun: 0.5, Slack: 5, IdleAfter: coldReplicaIdle}
 }
@@ -43,7 +42,7 @@
 const (
 	// overdraftFraction is the fraction of the accepted overrun by which started programs
 	// may overdraw an account. The rest is for requests that two nodes count separately
-	// while an account moves from one charge owner to the next.
+	// while an account moves from one counting node to the next.
 	overdraftFraction = 0.25
 	// bucketSlackFraction is the fraction of Config.Slack that the bucket holds, besides
 	// the fraction Config.Overrun of a window's limit. The bucket's content may be granted
@@ -69,12 +68,12 @@
 
 // Times of an account.
 const (
-	// grantTTL is how long a grant or a refused program is remembered: a grant so that it
+	// grantTTL is how long a grant or a refused program is retained: a grant so that it
 	// counts once if it is requested again, and can be refunded. It is longer than a
 	// request may take to be refused.
 	grantTTL = 4 * time.Second
-	// openingGrace is how long a new account takes unknown programs for started ones: the
-	// previous charge owner knew them.
+	// openingGrace is how long a new account treats unknown programs as started ones: the
+	// previous counting node may have granted their first requests.
 	openingGrace = 2500 * time.Millisecond
 	// shortageMemory is how long after an account was empty new programs have to fit
 	// beside the started ones: about as long as a program lasts.
@@ -84,13 +83,13 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// Request asks to count one request of a tenant against its limit.
+// Request describes one request of a tenant that is to be counted against its limit.
 type Request struct {
 	// ID uniquely identifies the request; repeats of it have the same ID.
 	ID string `json:"id"`
 	// Program is the program of the request, or "".
 	Program string `json:"program,omitempty"`
-	// Route is the route of the request, by which the needs of programs are learned.
+	// Route is the route of the request, by which the needs of programs are estimated.
 	Route string `json:"route,omitempty"`
 	// Limit is the tenant's limit in the configuration of the given Version.
 	Limit   Limit  `json:"limit"`
@@ -119,7 +118,7 @@
 	balance float64
 	at      time.Time
 	window  *window
-	// cautiousUntil is when the last grant of a previous charge owner leaves the window.
+	// cautiousUntil is when the last grant of a previous counting node leaves the window.
 	cautiousUntil time.Time
 	// programs are the started programs, and granted the times of recent grants by request
 	// ID.
@@ -140,15 +139,15 @@
 	requests float64
 	firstAt  time.Time
 	lastAt   time.Time
-	// inherited says that the program had started before the account was opened, and
+	// inherited reports that the program had started before the account was opened, and
 	// refused that one of its requests was refused. In both cases its requests do not show
 	// what programs need.
 	inherited bool
 	refused   bool
 }
 
-// newAccount opens an account of a tenant for which this node has been the only charge
-// owner since the given time.
+// newAccount opens an account of a tenant for which this node has been the only counting
+// node since the given time.
 func newAccount(now, since time.Time, config *Config, request *Request) *account {
 	return &account{
 		limit: request.Limit, version: request.Version, opened: now, at: since, window: newWindow(now, config.Window),
@@ -177,7 +176,7 @@
 }
 
 // cautiousRate returns how many requests the account earns per second while the window may
-// hold grants of a previous charge owner. That node may have granted the limit of a
+// hold grants of a previous counting node. That node may have granted the limit of a
 // window, the last part of it as fast as its bucket let it: the faster, the more recently.
 // What is granted here meanwhile has to fit into the accepted overrun.
 func (a *account) cautiousRate(config *Config) float64 {
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -5,13 +5,13 @@
 // sweepPeriod is the interval between sweeps of the accounts.
 const sweepPeriod = 500 * time.Millisecond
 
-// Limiter holds the accounts of the tenants for which a node is the charge owner. It is
+// Limiter holds the accounts of the tenants for which a node is the counting node. It is
 // not safe for concurrent use.
 type Limiter struct {
 	config   Config
 	accounts map[string]*account
 	costs    map[string]*cost
-	// countingSince is the time since which this node has been the only charge owner of
+	// countingSince is the time since which this node has been the only counting node of
 	// the accounts that are opened from now on. A new account starts with what was earned
 	// since then.
 	countingSince time.Time
@@ -29,11 +29,11 @@
 // unreachable nodes, which may count separately.
 func (b *Limiter) SetShare(share float64) { b.share = min(max(share, 0), 1) }
 
-// NodeLost records that a node was lost that counted for tenants which this node counts
-// for from now on. It may have granted all that their accounts held.
+// NodeLost records the loss of the previous counting node of some tenants that this node
+// counts for from now on. The lost node may have granted all that their accounts held.
 func (b *Limiter) NodeLost(now time.Time) { b.countingSince = now }
 
-// Retain drops the accounts that another node counts for by now.
+// Retain drops the accounts of tenants that now have another counting node.
 func (b *Limiter) Retain(owned func(tenant string) bool) {
 	for name := range b.accounts {
 		if !owned(name) {
@@ -129,7 +129,7 @@
 // that started programs still need, are more than the account is expected to hold. Started
 // programs take half of a program's span on average until they end, during which the
 // account earns more requests. Unless the account was empty recently, the needs are
-// ignored: most programs finish within the limit, and making one wait for nothing makes it
+// ignored: most programs finish within the limit, and an unnecessary wait makes a program
 // late.
 func (b *Limiter) retryAfterNew(now time.Time, acct *account, request *Request) time.Duration {
 	needs := b.costOf(request.Route)
--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -18,7 +18,7 @@
 
 const windowLimit = 100
 
-// establishedLimiter returns a Limiter whose node has been the only charge owner for
+// establishedLimiter returns a Limiter whose node has been the only counting node for
 // longer than a window.
 func establishedLimiter() *tenant.Limiter {
 	return tenant.NewLimiter(begun.Add(-time.Minute), tenant.DefaultConfig())
--- a/tenant/cost.go
+++ b/tenant/cost.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// What programs of a route need is learned from those that have ended. The initial values
-// are averages over all kinds of programs of the users' shifted deployment.
+// The need of a route's programs is estimated from those that have ended. The initial
+// values are averages over programs of all kinds.
 const (
 	initialRequests = 8.0
 	initialSpan     = 2 * time.Second
--- a/tenant/scope.go
+++ b/tenant/scope.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Scope is the namespace of the ids in a request: the same id under two tenants denotes
+// Scope is the namespace of the IDs in a request: the same ID under two tenants denotes
 // two things, neither of which the other tenant can reach. The zero Scope is that of a
 // configuration without tenants.
 type Scope struct {
@@ -23,18 +23,18 @@
 func PublicScope() Scope { return Scope{scoped: true} }
 
 const (
-	// separator follows the tenant's name in a qualified id. No name contains it, since
+	// separator follows the tenant's name in a qualified ID. No name contains it, since
 	// NewDirectory allows no control characters.
 	separator = "\x1f"
-	// maxTextBytes bounds the length of a qualified id. A key of the log, with what
-	// precedes and follows the id, has at most 255 bytes; a longer one would be truncated
+	// maxTextBytes bounds the length of a qualified ID. A key of the log, with what
+	// precedes and follows the ID, has at most 255 bytes; a longer one would be truncated
 	// and denote something else.
 	maxTextBytes = 230
 )
 
-// Qualify returns the text that denotes an id of the scope on all nodes; for the zero
-// Scope this is the id itself. Different ids and different scopes yield different texts,
-// and only the zero Scope yields the plain id. The empty id, which denotes nothing, stays
+// Qualify returns the text that denotes an ID of the scope on all nodes; for the zero
+// Scope this is the ID itself. Different IDs and different scopes yield different texts,
+// and only the zero Scope yields the plain ID. The empty ID, which denotes nothing, stays
 // empty.
 //
 // An id that is too long for a key, or contains the separator itself, is replaced by its
@@ -54,7 +54,7 @@
 	return separator + separator + hex.EncodeToString(digest[:])
 }
 
-// Unscoped returns the text that denoted an id before ids had a scope, or "" if it is the
+// Unscoped returns the text that denoted an ID before IDs had a scope, or "" if it is the
 // same as that of Qualify.
 func (s Scope) Unscoped(id string) string {
 	if !s.scoped {
--- a/tenant/scope_test.go
+++ b/tenant/scope_test.go
@@ -54,7 +54,7 @@
 	})
 })
 
-// FuzzScope checks that different ids and scopes never yield the same text.
+// FuzzScope checks that different IDs and scopes never yield the same text.
 func FuzzScope(f *testing.F) {
 	f.Add("one", "id", "two", "id")
 	f.Add("one", "id", "", "one\x1fid")
