--- a/coordinator/asking_test.go
+++ b/coordinator/asking_test.go
@@ -10,8 +10,8 @@
 )
 
 var _ = Describe("A node that joins", func() {
-	// inherited returns how many partitions the new node took from owners that did not hand
-	// them over cleanly, and how many it took in all.
+	// inherited returns how many partitions the new node took over from owners that did not
+	// hand them over cleanly, and how many it took over in all.
 	inherited := func(withoutAsking bool) (inherited, taken int) {
 		world := newFleetWith(5, 4, 12, func(config *coordinator.Config) {
 			config.SkipHandover = withoutAsking
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -416,7 +416,8 @@
 			config.Ledger.OwnershipProofTTL = 8 * time.Second
 		})
 		world.run(settled)
-		// Once one program was admitted, the log says that programs may start unrecorded.
+		// Once one program was admitted, the log states that programs may start
+		// unrecorded.
 		before := turn("before")
 		before.Turn.Program = "before"
 		reply(world, world.owners(0)[0], world.ask(world.owners(0)[0], 0, coordinator.Request{Admit: before}))
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -61,7 +61,7 @@
 	// GrantFullLimits has nodes grant the full limits even if known but unreachable nodes
 	// may be counting in another network partition, to show which guarantees that breaks.
 	GrantFullLimits bool
-	// DisableGathering has nodes of a large fleet learn loads from statuses only, to
+	// DisableGathering has nodes of a large fleet receive loads in statuses only, to
 	// measure what collectors gain.
 	DisableGathering bool
 	// Random selects the recipients of statuses, and makes all other random choices.
@@ -116,9 +116,9 @@
 	startedAt    time.Time
 	listRead     bool
 	leaving      bool
-	// storeReachable says whether this node reaches the store, and storeReachableSince
+	// storeReachable reports whether this node reaches the store, and storeReachableSince
 	// since when without interruption. lastStoreAnswer is when the store last answered, and
-	// storeCallsFailing says that calls have failed since then.
+	// storeCallsFailing is set if calls have failed since then.
 	storeReachable      bool
 	storeCallsFailing   bool
 	storeReachableSince time.Time
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -10,10 +10,10 @@
 // # Ownership of partitions
 //
 // Of the live nodes that reach the log, the one that ranks first for a partition takes it
-// over: it claims a new epoch, which fences the former owner, and then reads the newest
+// over: it claims a new epoch, which fences the previous owner, and then reads the newest
 // record of each key, page by page. It starts to serve once it has read all accounts.
-// Requests that need records not yet read are held for a bounded time. Other nodes learn of
-// the takeover and wait for it as long as it makes progress.
+// Requests that need records not yet read are held for a bounded time. Other nodes are
+// notified of the takeover and wait for it as long as it makes progress.
 //
 // Before it claims, the node requests a handover from the present owner (Handover). The
 // owner closes its ledger, releases the partition once all its records are in the log, and
@@ -57,9 +57,9 @@
 // (FreshnessMessage). A proof is dated from when its request was sent, so that delays never
 // make it appear more recent than it is.
 //
-// # Answers from former owners
+// # Answers from previous owners
 //
-// A former owner that does not know yet that it was replaced still answers requests. The
+// A previous owner that has not noticed its replacement yet still answers requests. The
 // tokens that it grants lie below marks that the new owner counts as used, so that budgets
 // are not exceeded. It replies that a turn is not stored only after an append, if necessary
 // an empty one, has proven that its epoch is still in force.
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -22,11 +22,11 @@
 // NodesDiscovered carries some nodes of the fleet.
 type NodesDiscovered struct{ Nodes []machine.Machine }
 
-// StoreContact says whether this node reached the store recently, and when last.
+// StoreContact reports whether this node reached the store recently, and when last.
 type StoreContact struct {
 	Reached bool
 	Last    time.Time
-	// Failing says that calls to the store have failed since its last answer.
+	// Failing is set if calls to the store have failed since its last answer.
 	Failing bool
 }
 
@@ -74,7 +74,7 @@
 	Epoch     ownership.Epoch
 }
 
-// Outcome says how a takeover or an append ended.
+// Outcome is how a takeover or an append ended.
 type Outcome int
 
 // Outcomes of takeovers and appends.
@@ -285,7 +285,7 @@
 	Reason   string
 	Accounts int
 	Turns    int
-	// Inherited says that the former owner did not hand the partition over cleanly, and may
-	// have started programs that the log does not contain.
+	// Inherited reports that the previous owner did not hand the partition over cleanly,
+	// and may have started programs that the log does not contain.
 	Inherited bool
 }
--- a/coordinator/gathering.go
+++ b/coordinator/gathering.go
@@ -57,7 +57,7 @@
 }
 
 // briefSelf returns only this node's ID and zone. Gather messages are frequent, and their
-// receivers know the rest.
+// receivers have the rest.
 func (c *Core) briefSelf() machine.Machine {
 	return machine.Machine{ID: c.self().ID, Zone: c.self().Zone}
 }
--- a/coordinator/gathering_test.go
+++ b/coordinator/gathering_test.go
@@ -86,7 +86,8 @@
 		})
 		runLoads(world, 3*time.Second)
 		Expect(world.nodes[collector].gatherMessages).To(BeZero())
-		// Nodes that try the silent collector again receive no totals for a few reports.
+		// Nodes that try the unresponsive collector again receive no totals for a few
+		// reports.
 		heard := reportedRequests(world)
 		Expect(heard[len(heard)-1]).To(Equal(gatherNodes - 2))
 		Expect(world.nodes["node-01"].totals.Nodes).To(BeNumerically("<", gatherNodes-1))
--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -13,14 +13,14 @@
 // partition requests it, and the owner releases it once all its records are in the log.
 type Handover struct {
 	Partition int `json:"partition"`
-	// Released is false in a request. In an answer it says that the sender does not, or no
-	// longer does, serve the partition, and Retained that it continues to.
+	// Released is false in a request. In an answer it reports that the sender does not, or
+	// no longer does, serve the partition, and Retained that it continues to.
 	Released bool `json:"given,omitempty"`
 	Retained bool `json:"kept,omitempty"`
-	// Clean says that the sender of Released was the owner, and that all its records are in
-	// the log.
+	// Clean reports that the sender of Released was the owner, and that all its records are
+	// in the log.
 	Clean bool `json:"ordered,omitempty"`
-	// Epoch is the highest epoch that the sender of an answer knows.
+	// Epoch is the highest epoch known to the sender of an answer.
 	Epoch ownership.Epoch `json:"epoch,omitempty"`
 }
 
@@ -36,13 +36,13 @@
 // handover is the state of a partition's change of owner on this node.
 type handover struct {
 	// requestedAt is when this node requested the partition. unanswered holds the nodes
-	// that have not answered, and repeated says that they were sent the request twice.
+	// that have not answered, and repeated reports that they were sent the request twice.
 	// released is set once all nodes have answered.
 	requestedAt time.Time
 	unanswered  map[machine.ID]machine.Machine
 	repeated    bool
 	released    bool
-	// clean says that the owner itself released the partition.
+	// clean reports that the owner itself released the partition.
 	clean bool
 	// successor is the node to which this node, as the owner, releases the partition once
 	// flushPosition is durable.
@@ -116,8 +116,8 @@
 	}
 }
 
-// lostNodeGrace is how long after its loss a node is still asked for its partitions before
-// they are claimed. It may be alive and wrongly declared dead.
+// lostNodeGrace is how long after its loss a node still gets handover requests before its
+// partitions are claimed. It may be alive and wrongly declared dead.
 const lostNodeGrace = 3 * time.Second
 
 // presumedOwner returns the node that serves the partition by the newest record, or else
@@ -142,8 +142,8 @@
 	return c.membership.Lookup(machine.ID(ownership.TopNode(index, others)))
 }
 
-// notifySuccessors notifies the node that ranks first after this one for each of its
-// partitions that it cannot reach the store.
+// notifySuccessors sends this node's status, which reports that it cannot reach the store,
+// to the next-ranked node of each of its partitions.
 func (c *Core) notifySuccessors(now time.Time) {
 	notified := make(map[machine.ID]bool)
 	for _, p := range c.partitions {
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -203,7 +203,7 @@
 	f.storeChangedAt = f.now
 }
 
-// reaches reports whether a node believes that it reaches the store.
+// reaches reports whether a node considers the store reachable.
 func (f *fleet) reaches(node *member) bool {
 	down := f.storeDown
 	if f.now.Sub(f.storeChangedAt) < node.noticeLag {
--- a/coordinator/isolation.go
+++ b/coordinator/isolation.go
@@ -24,8 +24,9 @@
 	r.byZone[sender.Zone] = now
 }
 
-// isolationTimeout is the time without messages after which this node considers itself cut
-// off. The failure detector cannot decide this: it declares no deaths while nobody answers.
+// isolationTimeout is the time without messages after which this node considers itself
+// partitioned off. The failure detector cannot decide this: it declares no deaths while
+// nobody answers.
 const isolationTimeout = 1500 * time.Millisecond
 
 // failingIsolationTimeout replaces isolationTimeout if calls to the store have failed for
@@ -33,8 +34,8 @@
 // compared with the time that clients have left. Either sign alone has other causes.
 const failingIsolationTimeout = 700 * time.Millisecond
 
-// silenceTimeout returns the time without messages after which a zone is considered cut
-// off, and whether this node cannot reach the store.
+// silenceTimeout returns the time without messages after which a zone is considered
+// partitioned off, and whether this node cannot reach the store.
 func (c *Core) silenceTimeout(now time.Time) (timeout time.Duration, storeUnreachable bool) {
 	if c.storeCallsFailing && now.Sub(c.lastStoreAnswer) >= failingIsolationTimeout {
 		return failingIsolationTimeout, true
@@ -59,7 +60,7 @@
 }
 
 // countZones counts the known zones, and those from which a message arrived within the
-// timeout. This node's own zone counts as heard.
+// timeout. This node's own zone always counts as one of the latter.
 func (c *Core) countZones(now time.Time, timeout time.Duration) (known, heard int) {
 	seen := make(map[zone.Name]bool)
 	for _, node := range c.sortedNodes {
--- a/coordinator/owners.go
+++ b/coordinator/owners.go
@@ -18,9 +18,9 @@
 	Node      machine.ID      `json:"node"`
 	// Revision counts the owner's changes to the record within its epoch.
 	Revision int `json:"revision,omitempty"`
-	// StoreUnreachable says that the owner cannot reach the store.
+	// StoreUnreachable reports that the owner cannot reach the store.
 	StoreUnreachable bool `json:"unable,omitempty"`
-	// TakingOver says that the owner's claim is in the log, and that the owner is still
+	// TakingOver reports that the owner's claim is in the log, and that the owner is still
 	// reading the records it needs to serve. Each further revision shows progress.
 	TakingOver bool `json:"taking,omitempty"`
 }
@@ -39,7 +39,7 @@
 	receivedAt time.Time
 	// sendsLeft is how many more times the record is to be sent.
 	sendsLeft int
-	// denied says that the recorded owner itself reported that it does not serve.
+	// denied is set if the recorded owner itself reported that it does not serve.
 	denied bool
 }
 
@@ -66,7 +66,7 @@
 		return
 	}
 	if record.Epoch > known.Epoch {
-		// The nodes that were asked for the partition no longer have it.
+		// The nodes that received a handover request no longer own the partition.
 		c.partitions[record.Partition].handover.resetRequest()
 	}
 	*known = knownOwner{Owner: record, receivedAt: now, sendsLeft: c.ownerSends()}
--- a/coordinator/partition.go
+++ b/coordinator/partition.go
@@ -31,7 +31,7 @@
 	ledger         *ledger.Ledger
 	appendSequence uint64
 	appendInFlight bool
-	// logFull says that the log had no space for the append in progress.
+	// logFull reports that the log had no space for the append in progress.
 	logFull      bool
 	appendSentAt time.Time
 	nextClaimAt  time.Time
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -12,7 +12,7 @@
 type peerState struct {
 	receivedAt time.Time
 	status     Status
-	// direct says that the peer reported the status itself, not through another node.
+	// direct is set if the peer reported the status itself, not through another node.
 	direct bool
 	// storeUnreachableSince is when the peer first reported that it cannot reach the store;
 	// zero while it reaches it.
@@ -128,7 +128,7 @@
 }
 
 // statusPeers returns the other nodes that are not dead. Leaving nodes are included because
-// they need to learn who took over their partitions.
+// they need the records of the new owners of their partitions.
 func (c *Core) statusPeers() []machine.Machine {
 	return slices.DeleteFunc(c.membership.All(), func(node machine.Machine) bool {
 		return node.ID == c.self().ID || node.Kind != machine.KindNode || node.Status == machine.StatusDead
@@ -170,13 +170,13 @@
 
 // storeRecoveryGrace is how long after this node reached the store again it may still
 // consider others unable to reach it: while their old statuses are valid, and until they
-// notice the recovery.
+// detect the recovery.
 const storeRecoveryGrace = peerStateLifetime + time.Second
 
-// reachesStore reports whether a node may own partitions. A peer that reports that it
-// cannot reach the store may still own them while the store may be unavailable to all:
-// until this node has had an answer from the store after that report, and for
-// storeRecoveryGrace after the store came back.
+// reachesStore reports whether a node may own partitions. A peer that reports that it cannot
+// reach the store may still own them while the store may be unavailable to all: until this
+// node has had an answer from the store after that report, and for storeRecoveryGrace after
+// the store became reachable again.
 func (c *Core) reachesStore(now time.Time, node machine.ID) bool {
 	if node == c.self().ID {
 		return c.storeReachable
--- a/coordinator/proof.go
+++ b/coordinator/proof.go
@@ -6,9 +6,9 @@
 	"birchwood.example/birchwood/machine"
 )
 
-// FreshnessMessage says when the sender's configuration was last proven to be the newest,
+// FreshnessMessage states when the sender's configuration was last proven to be the newest,
 // or requests such a proof. A node accepts a proof only in answer to a request of its own,
-// and dates it from when it sent the request, since it cannot know how long the answer was
+// and dates it from when it sent the request, since it is unknown how long the answer was
 // in transit or waited unread at a node that was paused.
 type FreshnessMessage struct {
 	// Number correlates an answer with its request. A proof that accompanies the answer to
@@ -33,7 +33,7 @@
 
 // freshness is what this node can prove about the age of its configuration.
 type freshness struct {
-	// needed says that the configuration contains keys, so that its age matters.
+	// needed reports that the configuration contains keys, so that its age matters.
 	needed bool
 	// provenAt is when version was proven to be the newest; zero before the first proof.
 	provenAt time.Time
@@ -78,8 +78,8 @@
 	})
 }
 
-// freshnessPeer selects the peer to query: in turns, a random reader of this zone, since
-// those read the configuration often, or any random peer.
+// freshnessPeer selects the peer to query. It alternates between a random reader of this
+// zone, since those read the configuration often, and a random peer.
 func (c *Core) freshnessPeer(now time.Time) (machine.Machine, bool) {
 	peers := c.Readers()
 	if c.freshness.queryNumber%2 == 1 {
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -53,16 +53,16 @@
 	Decision tenant.Decision
 }
 
-// ChargeStatus says how a Charge ended.
+// ChargeStatus is how a Charge ended.
 type ChargeStatus string
 
 // Statuses of a charge.
 const (
 	// ChargeGranted permits the request to run.
 	ChargeGranted ChargeStatus = "granted"
-	// ChargeRefused says that the request exceeds the limit.
+	// ChargeRefused means that the request exceeds the limit.
 	ChargeRefused ChargeStatus = "refused"
-	// ChargeUnknown says that no counting node answered in time.
+	// ChargeUnknown means that no counting node answered in time.
 	ChargeUnknown ChargeStatus = "unknown"
 )
 
@@ -73,8 +73,8 @@
 	Number uint64           `json:"number,omitempty"`
 	Ask    *Charge          `json:"ask,omitempty"`
 	Answer *tenant.Decision `json:"answer,omitempty"`
-	// NotOwner says that the requested node is not the counting node of the account. Owner,
-	// if set, is the counting node in its view.
+	// NotOwner reports that the requested node is not the counting node of the account.
+	// Owner, if set, is the counting node in its view.
 	NotOwner bool       `json:"not_owner,omitempty"`
 	Owner    machine.ID `json:"owner,omitempty"`
 	// Leaving are nodes that reported to the requester that they are leaving, and so no
@@ -110,7 +110,8 @@
 type pendingCharge struct {
 	id     uint64
 	charge Charge
-	// requestedAt is when the charge was first requested, and deadline when it is given up.
+	// requestedAt is when the charge was first requested, and deadline when it ends as
+	// ChargeUnknown.
 	requestedAt time.Time
 	deadline    time.Time
 	resendAt    time.Time
@@ -359,7 +360,8 @@
 	return machine.ID(ownership.TopNode(accountRankKey(key), candidates))
 }
 
-// tickCharges resends unanswered charges, and gives up those past their deadline.
+// tickCharges resends unanswered charges, and ends those past their deadline as
+// ChargeUnknown.
 func (c *Core) tickCharges(now time.Time) {
 	c.updateCountingNodes(now)
 	if len(c.chargeState.pending) == 0 {
--- a/coordinator/rank.go
+++ b/coordinator/rank.go
@@ -8,7 +8,7 @@
 	"birchwood.example/birchwood/ownership"
 )
 
-// ranking says which nodes should own each partition, for one set of candidates.
+// ranking holds which nodes should own each partition, for one set of candidates.
 type ranking struct {
 	candidates []ownership.Node
 	// preferred holds the preference list of each partition: the node that should own it
@@ -34,18 +34,17 @@
 
 const (
 	// preferredPerPartition is how many nodes may take a partition over. The first one may
-	// have lost the store as well without the others knowing. With a third of all nodes cut
-	// off, all three of a partition are cut off once in 27 times.
+	// have lost the store as well before the others are notified. If a third of all nodes
+	// are partitioned off, so are all three of one partition in 27.
 	preferredPerPartition = 3
 	// successionDelay times its rank is how long a preferred node waits while a partition
-	// has no owner, until it asks the nodes that rank before it whether they are taking it
-	// over.
+	// has no owner, before it sends handover requests to the nodes that rank before it.
 	successionDelay = 300 * time.Millisecond
 )
 
 // stableRankingPeriod is how long the candidates must be unchanged before the node that
-// ranks first takes over a partition that another one serves. While many nodes come back,
-// the first rank changes often, and each takeover reads the partition anew.
+// ranks first takes over a partition that another one serves. While many nodes return, the
+// first rank changes often, and each takeover reads the partition anew.
 const stableRankingPeriod = time.Second
 
 // shouldOwn reports whether this node should own the partition: it ranks first, or the
--- a/coordinator/redirect_test.go
+++ b/coordinator/redirect_test.go
@@ -16,8 +16,8 @@
 const (
 	restartNodes   = 60
 	restartTenants = 40
-	// stopInterval is the time between two stops. A node ends drainTime after it was told
-	// to stop, and is started again after downTime.
+	// stopInterval is the time between two stops. A node exits drainTime after its stop
+	// begins, and is started again after downTime.
 	stopInterval = 300 * time.Millisecond
 	drainTime    = 3 * time.Second
 	downTime     = 500 * time.Millisecond
--- a/coordinator/request.go
+++ b/coordinator/request.go
@@ -14,17 +14,17 @@
 	Find   *FindRequest       `json:"find,omitempty"`
 }
 
-// AdmitRequest asks whether a turn may run.
+// AdmitRequest requests a decision on whether a turn may run.
 type AdmitRequest struct {
 	Turn ledger.Turn `json:"turn"`
 	// Previous is the stored turn that the turn continues, or "". The reply contains its
 	// chain.
 	Previous string `json:"previous,omitempty"`
-	// HasChain says that the requester already has the chain.
+	// HasChain reports that the requester already has the chain.
 	HasChain bool `json:"has_chain,omitempty"`
 }
 
-// AwaitRequest asks for a reply once a position is durable.
+// AwaitRequest requests a reply once a position is durable.
 type AwaitRequest struct {
 	Epoch    ownership.Epoch `json:"epoch"`
 	Position uint64          `json:"position"`
@@ -33,8 +33,8 @@
 // KeepRequest stores a complete turn and settles it.
 type KeepRequest struct {
 	Turn ledger.StoredTurn `json:"turn"`
-	// HasBase says that the turn contains its base, the chain of the previous turn. Without
-	// it the owner replies with ReplyAbsent if it does not hold the previous turn.
+	// HasBase reports that the turn contains its base, the chain of the previous turn.
+	// Without it the owner replies with ReplyAbsent if it does not hold the previous turn.
 	HasBase bool `json:"has_base,omitempty"`
 	// RefuseWhenStalled has the owner refuse the turn while appends are stalled, instead of
 	// settling it now and storing it at some later time.
@@ -42,7 +42,7 @@
 	Settlement        ledger.Settlement `json:"settlement"`
 }
 
-// FindRequest asks for the chain of a stored turn.
+// FindRequest requests the chain of a stored turn.
 type FindRequest struct {
 	Turn string `json:"turn"`
 	// Unscoped is the turn's ID if it was stored before IDs were scoped by tenant, or "".
@@ -62,21 +62,21 @@
 const (
 	// ReplyDone answers the request.
 	ReplyDone ReplyStatus = "done"
-	// ReplyNotOwner says that this node does not serve the partition, and that the request
+	// ReplyNotOwner means that this node does not serve the partition, and that the request
 	// had no effect. The requester tries the owner.
 	ReplyNotOwner ReplyStatus = "not_owner"
-	// ReplyLost says that this node lost the partition while it processed the request. The
+	// ReplyLost means that this node lost the partition while it processed the request. The
 	// request's records may have become durable.
 	ReplyLost ReplyStatus = "lost"
-	// ReplyAbsent says that the turn is certainly not stored here.
+	// ReplyAbsent means that the turn is certainly not stored here.
 	ReplyAbsent ReplyStatus = "absent"
-	// ReplyUnscoped says that the turn was stored here before IDs were scoped, so that its
+	// ReplyUnscoped means that the turn was stored here before IDs were scoped, so that its
 	// tenant is unknown. It is returned to nobody.
 	ReplyUnscoped ReplyStatus = "unowned"
-	// ReplyStalled says that the log does not accept records at present, and that the
+	// ReplyStalled means that the log does not accept records at present, and that the
 	// request had no effect.
 	ReplyStalled ReplyStatus = "stalled"
-	// ReplyFull says that the log is full, and that the request had no effect.
+	// ReplyFull means that the log is full, and that the request had no effect.
 	ReplyFull ReplyStatus = "full"
 )
 
@@ -84,8 +84,8 @@
 type Reply struct {
 	ID     uint64      `json:"-"`
 	Status ReplyStatus `json:"status"`
-	// Scoped says that the owner also looked for an unscoped turn. A turn with an Unscoped
-	// ID is proven absent only then.
+	// Scoped reports that the owner also looked for an unscoped turn. A turn with an
+	// Unscoped ID is proven absent only then.
 	Scoped bool `json:"scoped,omitempty"`
 	// Epoch is the owner's epoch, which an AwaitRequest refers to.
 	Epoch ownership.Epoch `json:"epoch,omitempty"`
@@ -93,7 +93,7 @@
 	Owner     *Owner            `json:"owner,omitempty"`
 	Admission *ledger.Admission `json:"admission,omitempty"`
 	Chain     []byte            `json:"chain,omitempty"`
-	// Stalled says that a turn was admitted although an append of the partition has been
+	// Stalled reports that a turn was admitted although an append of the partition has been
 	// unanswered for too long.
 	Stalled bool `json:"stalled,omitempty"`
 }
--- a/coordinator/roles.go
+++ b/coordinator/roles.go
@@ -25,8 +25,8 @@
 	RemoteCollectors []machine.Machine
 	// Near is the number of nodes in this node's zone, including itself.
 	Near int
-	// MayOwnPartition says that this node is in the preference list of a partition, and so
-	// has to notice quickly when it can no longer reach the store.
+	// MayOwnPartition reports that this node is in the preference list of a partition, and
+	// so has to detect quickly when it can no longer reach the store.
 	MayOwnPartition bool
 }
 
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -15,13 +15,13 @@
 	// progressInterval is the least time between two published records of one takeover's
 	// progress, so that many takeovers leave space for other records in the statuses.
 	progressInterval = 500 * time.Millisecond
-	// fencedBackoff is how long a fenced node first waits before it checks whether the
-	// owner that fenced it still appends. The wait doubles up to maxFencedBackoff. It ends
-	// once the node learns of that owner.
+	// fencedBackoff is how long a fenced node first waits before it checks whether the owner
+	// that fenced it still appends. The wait doubles up to maxFencedBackoff. It ends once
+	// the node receives that owner's record.
 	fencedBackoff    = 3 * time.Second
 	maxFencedBackoff = 24 * time.Second
 	// keepaliveInterval is the time after which an owner without appends makes one, so that
-	// a node in another network partition sees that it is alive. It is well below
+	// a node in another network partition detects that it is alive. It is well below
 	// fencedBackoff.
 	keepaliveInterval = time.Second
 	// recentLossWindow is how long a lost node counts as recently lost, and for how long
@@ -34,11 +34,11 @@
 
 // takeover is the progress of a takeover.
 type takeover struct {
-	// claimed says that the claim of the takeover in progress is in the log.
+	// claimed reports that the claim of the takeover in progress is in the log.
 	claimed bool
-	// forced says that no owner released the partition cleanly.
+	// forced reports that no owner released the partition cleanly.
 	forced bool
-	// turnsPending says that stored turns are still to be read.
+	// turnsPending reports that stored turns are still to be read.
 	turnsPending bool
 	// progressAt is when the takeover last made progress, and publishedAt when peers were
 	// last notified of it.
@@ -97,8 +97,8 @@
 	p.contested = contested{active: true, epoch: p.highestEpoch, backoff: fencedBackoff, refusals: p.contested.refusals}
 }
 
-// zoneSilenceTimeout is the time without messages after which a zone counts as cut off. The
-// failure detector declares its nodes dead one by one, and later.
+// zoneSilenceTimeout is the time without messages after which a zone counts as partitioned
+// off. The failure detector declares its nodes dead one by one, and later.
 const zoneSilenceTimeout = 500 * time.Millisecond
 
 // likelyMinority reports whether more nodes were recently lost than are left. This node may
@@ -265,8 +265,8 @@
 	c.serveHeld(now, p)
 }
 
-// startServing starts to serve a partition whose accounts are known. turnsPending says that
-// stored turns are still to be read.
+// startServing starts to serve a partition whose accounts are known. turnsPending reports
+// that stored turns are still to be read.
 func (c *Core) startServing(now time.Time, p *partition, turnsPending bool) {
 	p.contested = contested{}
 	p.ledger.RetainFor(c.loads.RetainFor)
