--- a/ledger/account.go
+++ b/ledger/account.go
@@ -20,8 +20,8 @@
 type Turn struct {
 	ID      string `json:"id"`
 	Program string `json:"program"`
-	// Unscoped is the id of an account that may be the program's, opened before program
-	// ids were scoped by tenant, or "".
+	// Unscoped is the ID of an account that may be the program's, opened before program
+	// IDs were scoped by tenant, or "".
 	Unscoped string `json:"unscoped,omitempty"`
 	// Session identifies the sequence of turns that the turn belongs to.
 	Session string `json:"session,omitempty"`
@@ -33,8 +33,8 @@
 	Timeout time.Duration `json:"within"`
 	// Retain is how long the program's account is retained after its last turn.
 	Retain time.Duration `json:"retain"`
-	// StoreOnSuccess says that the turn is stored if it succeeds. The account's record is
-	// then appended together with it.
+	// StoreOnSuccess reports that the turn is stored if it succeeds. The account's record
+	// is then appended together with it.
 	StoreOnSuccess bool `json:"keeps,omitempty"`
 }
 
@@ -54,10 +54,10 @@
 	// turns, both without this turn.
 	SettledTokens int `json:"settled"`
 	OpenTokens    int `json:"open"`
-	// NewProgram says that, as far as this owner knows, no turn of the program has been
-	// served yet.
+	// NewProgram reports that, as far as this owner knows, no turn of the program has
+	// been served yet.
 	NewProgram bool `json:"fresh,omitempty"`
-	// Repeated says that the same turn was already open.
+	// Repeated reports that the same turn was already open.
 	Repeated bool `json:"-"`
 }
 
@@ -67,7 +67,7 @@
 	// part of it that counts turns at their maximum because their use is unknown.
 	settledTokens  int
 	presumedTokens int
-	// open holds the turns that are admitted and not settled, by id. uncertain holds the
+	// open holds the turns that are admitted and not settled, by ID. uncertain holds the
 	// turns that a previous owner may have granted without a record, by grant number.
 	open      map[string]reservation
 	uncertain map[uint64]reservation
@@ -77,9 +77,9 @@
 	lastGrant         uint64
 	lastRecordedGrant uint64
 	// assumedTokens is the part of settledTokens that was assumed to be used under a
-	// previous owner. mayHaveBegunBefore says that the program may have begun there
-	// without a record in the log. restored says that the account was restored from the
-	// log.
+	// previous owner. mayHaveBegunBefore reports that the program may have started there
+	// without a record in the log. restored reports that the account was restored from
+	// the log.
 	assumedTokens      int
 	mayHaveBegunBefore bool
 	restored           bool
@@ -117,8 +117,8 @@
 	grant     uint64
 	maxTokens int
 	expires   time.Time
-	// presumed says that the time to settle the turn is over: it counts as settled at its
-	// maximum.
+	// presumed reports that the time to settle the turn is over: it counts as settled at
+	// its maximum.
 	presumed bool
 }
 
@@ -268,7 +268,7 @@
 	}
 }
 
-// unscopedTokens returns what the account under the unscoped id may have used. That
+// unscopedTokens returns what the account under the unscoped ID may have used. That
 // account may belong to the program or to another tenant's program of the same name. So
 // its tokens are not granted again, but they never make the verdict VerdictExhausted.
 func (l *Ledger) unscopedTokens(now time.Time, turn Turn) int {
--- a/ledger/cover.go
+++ b/ledger/cover.go
@@ -15,11 +15,11 @@
 	// size. With more open turns the record only limits tokens.
 	maxListedTurns = 64
 	// takeoverSettlementSlack is how long after its timeout a turn may be settled at an
-	// owner that did not grant it: nodes retry a settlement for that long, and look for
+	// owner that did not grant it: nodes retry a settlement for that long, and search for
 	// the new owner meanwhile.
 	takeoverSettlementSlack = 6 * time.Second
 	// lateSettlementWindow is how long a turn that was counted at its maximum is
-	// remembered, so that a later settlement still corrects the count.
+	// retained, so that a later settlement still corrects the count.
 	lateSettlementWindow = 30 * time.Second
 )
 
--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -23,7 +23,7 @@
 // slots: turns that may be granted without another record. It is written where every turn
 // causes an append anyway, as stored turns do, and where the budget is too small to raise
 // a mark ahead of need. A new owner counts the listed turns and the slots as uncertain,
-// at their maximum, until they are settled: a listed turn by its id, a slot by its grant
+// at their maximum, until they are settled: a listed turn by its ID, a slot by its grant
 // number. Until the time to settle them is over, a turn that does not fit gets
 // VerdictBusy and is to be retried.
 //
@@ -34,7 +34,7 @@
 // # Programs without a record in the log
 //
 // If UnrecordedShare is set, a program may use that share of its budget and one turn
-// before its first record is durable, so that programs can begin, and often finish, while
+// before its first record is durable, so that programs can start, and often finish, while
 // the log accepts no appends. If the share is smaller than one turn, only the one turn is
 // allowed. The owner first writes an open record that announces this (Open).
 //
@@ -48,7 +48,7 @@
 //
 // # Stored turns
 //
-// A stored turn holds its input, its output and the id of the turn that it continues. The
+// A stored turn holds its input, its output and the ID of the turn that it continues. The
 // chain of a turn is what an engine has to read before the next input. A turn and its
 // chain are stored for the retention time of its route.
 package ledger
--- a/ledger/encoding.go
+++ b/ledger/encoding.go
@@ -20,7 +20,7 @@
 	OutputBytes int `json:"output_bytes,omitempty"`
 }
 
-// errTurnTruncated says that a stored turn's record is shorter than its header
+// errTurnTruncated reports that a stored turn's record is shorter than its header
 // states.
 var errTurnTruncated = errors.New("ledger: turn record is truncated")
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -14,7 +14,7 @@
 	MarkAheadShare float64
 	MarkAheadTurns int
 	// UnrecordedShare is the share of its budget that a program may use, in addition to
-	// one turn, before its first record is durable, so that programs can begin while the
+	// one turn, before its first record is durable, so that programs can start while the
 	// log accepts no appends. A new owner assumes that programs without a record have
 	// used as much, unless the previous owner released the partition. 0 makes every
 	// program wait for the log.
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -28,25 +28,25 @@
 })
 
 // ownerModel simulates one program at successive owners of its partition. Owners fail,
-// release the partition, or live on without noticing that they were replaced. Turns are
+// release the partition, or continue without noticing that they were replaced. Turns are
 // settled at any owner, late, twice, or never.
 type ownerModel struct {
 	random *rand.Rand
 	now    time.Time
 	stored storedLog
-	// current is the owner according to the log; previous are replaced owners that live
-	// on.
+	// current is the owner according to the log; previous are replaced owners that
+	// continue.
 	current  *ledger.Ledger
 	previous []*ledger.Ledger
 	logDown  bool
-	// batchUnanswered says that the log has a batch of the current owner that the owner
-	// does not know to be committed yet.
+	// batchUnanswered reports that the log has a batch of the current owner whose commit
+	// was not reported to the owner yet.
 	batchUnanswered bool
-	// storeShare is the share of turns that are stored. variedTurns says that turns
+	// storeShare is the share of turns that are stored. variedTurns reports that turns
 	// differ in size, and singleRecordBatches that each batch holds one record.
 	storeShare float64
-	// restoredAccount says that the current owner restored the program's account from the
-	// log, with no assumed use.
+	// restoredAccount reports that the current owner restored the program's account from
+	// the log, with no assumed use.
 	restoredAccount     bool
 	variedTurns         bool
 	singleRecordBatches bool
@@ -113,7 +113,7 @@
 	}
 }
 
-// takeOver replaces the owner. The previous one lives on half of the time.
+// takeOver replaces the owner. The previous one continues half of the time.
 func (m *ownerModel) takeOver() {
 	if m.random.IntN(2) == 0 {
 		m.previous = append(m.previous, m.current)
@@ -145,7 +145,8 @@
 	}
 }
 
-// any returns the owner according to the log, or one that does not know its successor.
+// any returns the owner according to the log, or one that has not noticed its
+// replacement.
 func (m *ownerModel) any() *ledger.Ledger {
 	if len(m.previous) > 0 && m.random.IntN(3) == 0 {
 		return m.previous[m.random.IntN(len(m.previous))]
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -17,7 +17,7 @@
 	Value []byte
 }
 
-// The prefixes of keys, each followed by an id. A part's key ends with its number.
+// The prefixes of keys, each followed by an ID. A part's key ends with its number.
 const (
 	accountPrefix = "account/"
 	partPrefix    = "part/"
@@ -29,7 +29,7 @@
 	Mark int `json:"mark"`
 	// Assumed is the part of the mark that was assumed to be used under a previous owner.
 	Assumed int `json:"assumed,omitempty"`
-	// NoneAssumed says that Assumed stands for 0: the program may have begun under a
+	// NoneAssumed reports that Assumed stands for 0: the program may have started under a
 	// previous owner, and only its extra turn counts as used there. Owners that read a
 	// former format recognise such programs by an Assumed above 0.
 	NoneAssumed bool `json:"none_assumed,omitempty"`
--- a/ledger/space_test.go
+++ b/ledger/space_test.go
@@ -12,7 +12,7 @@
 )
 
 // The load of these tests: that of one partition out of partitionCount, by programs that
-// begin with a large input and continue with small ones.
+// start with a large input and continue with small ones.
 const (
 	partitionCount  = 24
 	turnsPerSecond  = 300.0 / partitionCount
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -7,12 +7,12 @@
 )
 
 // openKey is the key of the open record, which exists while an owner may let programs
-// begin that have no record in the log.
+// start that have no record in the log.
 const openKey = "open"
 
 // The values of the open record. An owner writes openValue if its predecessor released
 // the partition, and openAfterFailureValue if its predecessor failed: programs of both
-// may then have begun without a record.
+// may then have started without a record.
 const (
 	openValue             = "1"
 	openAfterFailureValue = "2"
@@ -26,11 +26,11 @@
 	// confirmedAt is the latest time at which the log has confirmed that this owner was
 	// in force.
 	confirmedAt time.Time
-	// inheritedOpen says that a previous owner's open record was found: programs without
-	// a record may have begun there.
+	// inheritedOpen reports that a previous owner's open record was found: programs
+	// without a record may have started there.
 	inheritedOpen bool
-	// inheritedTwice says that the previous owner had itself replaced a failed one, and
-	// that programs of both may have begun without a record.
+	// inheritedTwice reports that the previous owner had itself replaced a failed one,
+	// and that programs of both may have started without a record.
 	inheritedTwice bool
 	// openPosition is the proposal of this owner's own open record; 0 if there is none,
 	// as when the previous owner's is still in the log.
@@ -41,7 +41,7 @@
 }
 
 // Open begins the ownership. It is called after FinishRestore. From then on programs may
-// begin before their first record is durable, if the configuration allows it.
+// start before their first record is durable, if the configuration allows it.
 func (l *Ledger) Open(now time.Time) {
 	if l.config.UnrecordedShare <= 0 {
 		return
@@ -78,7 +78,7 @@
 }
 
 // Close releases the partition: it lowers marks to the tokens of settled and open turns,
-// and lets no more programs begin without a record. Once all proposals are durable, the
+// and lets no more programs start without a record. Once all proposals are durable, the
 // log holds the complete state for the next owner.
 func (l *Ledger) Close(now time.Time) {
 	l.lowerMarks()
@@ -111,8 +111,8 @@
 	}
 	if l.ownership.inheritedOpen && now.Sub(l.ownership.since) <= l.returnWindow(l.ownership.retention) {
 		if l.ownership.openPosition > 0 {
-			// All programs that began here have a record; those of the previous owner may
-			// not.
+			// All programs that started here have a record; those of the previous owner
+			// may not.
 			l.propose(openKey, []byte(openValue))
 		}
 		return
@@ -120,11 +120,11 @@
 	l.propose(openKey, nil)
 }
 
-// Inherited reports whether programs without a record in the log may have
-// begun under a previous owner.
+// Inherited reports whether programs without a record in the log may have started under a
+// previous owner.
 func (l *Ledger) Inherited() bool { return l.ownership.inheritedOpen }
 
-// returnWindow returns how long after a takeover a program may still return that began
+// returnWindow returns how long after a takeover a program may still return that started
 // under a previous owner.
 func (l *Ledger) returnWindow(retention time.Duration) time.Duration {
 	return max(retention, l.ownership.retention) + l.config.RetentionSlack
@@ -143,8 +143,9 @@
 	return assumedTokens
 }
 
-// mayHaveBegun reports whether a program without a record may have begun under a previous
-// owner. Its extra turn then counts as used there, even if nothing else is assumed.
+// mayHaveBegun reports whether a program without a record may have started under a
+// previous owner. Its extra turn then counts as used there, even if nothing else is
+// assumed.
 func (l *Ledger) mayHaveBegun(now time.Time, turn Turn) bool {
 	return l.ownership.inheritedOpen && !l.ownership.since.IsZero() && now.Sub(l.ownership.since) <= l.returnWindow(turn.Retain)
 }
@@ -163,7 +164,7 @@
 func (l *Ledger) unrecordedTokens(turn Turn) int { return budgetShare(turn, l.config.UnrecordedShare) }
 
 // budgetShare returns a share of a turn's budget, or 0 if it does not hold the turn:
-// counted as used, it would leave a small budget no room for a turn.
+// counted as used, it would leave no turn in a small budget.
 func budgetShare(turn Turn, share float64) int {
 	tokens := int(share * float64(turn.Budget))
 	if tokens < turn.MaxTokens {
--- a/ledger/unrecorded_test.go
+++ b/ledger/unrecorded_test.go
@@ -22,7 +22,7 @@
 	return config
 }
 
-// open returns the ledger of a new owner that may let programs begin without a record.
+// open returns the ledger of a new owner that may let programs start without a record.
 func (s storedLog) open(now time.Time) *ledger.Ledger {
 	l := s.restoreWith(now, unrecordedConfig())
 	l.ConfirmOwnership(now)
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -127,7 +127,7 @@
 	return eligible
 }
 
-// compareScored orders nodes by descending score, and equal scores by id.
+// compareScored orders nodes by descending score, and equal scores by ID.
 func compareScored(left, right scoredNode) int {
 	return cmp.Or(cmp.Compare(right.score, left.score), cmp.Compare(left.id, right.id))
 }
