--- a/replica/cold.go
+++ b/replica/cold.go
@@ -35,8 +35,8 @@
 	utilisationAtColdRate = 2
 )
 
-// coldState is what this node knows about one replica being cold. The replica counts as cold
-// until the time until; source tells where that came from.
+// coldState tracks the cold status of one replica. The replica counts as cold until the time
+// until; source tells where that came from.
 type coldState struct {
 	until  time.Time
 	source string
@@ -46,8 +46,8 @@
 	received bool
 	// reportedCold is the state that ColdTransitions last reported.
 	reportedCold bool
-	// pausedUntil is until when the replica gets no requests, because the node that counts its
-	// requests reported that it has reached its cold rate.
+	// pausedUntil is until when the replica gets no requests, because its counting node
+	// reported that it has reached its cold rate.
 	pausedUntil time.Time
 }
 
--- a/replica/doc.go
+++ b/replica/doc.go
@@ -16,6 +16,6 @@
 // grows with the load (window.go). Nodes of a group hold only a Subset of the replicas and
 // follow its changes through a View (subset.go, view.go).
 //
-// A LatencyTracker learns the latencies of calls per route and derives the time after which an
+// A LatencyTracker tracks the latencies of calls per route and derives the time after which an
 // unanswered call should be sent again.
 package replica
--- a/replica/doubt.go
+++ b/replica/doubt.go
@@ -3,9 +3,9 @@
 import "time"
 
 // DeferRemoval keeps an unlisted replica in the set until the given time, since the list may
-// lack it although it is alive. If the replica is listed again it stays. The first deadline
-// stands if DeferRemoval is called again. It reports whether the removal is deferred; it is not
-// for a draining or unknown replica.
+// lack it although it is alive. If the replica is listed again, it stays. If DeferRemoval is
+// called again, the first deadline remains. It reports whether the removal is deferred; it is
+// not for a draining or unknown replica.
 func (s *Set) DeferRemoval(id ID, until time.Time) bool {
 	known := s.byID[id]
 	if known == nil || known.entry.Status != StatusReady {
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -287,7 +287,7 @@
 }
 
 // TestNodesWithSameInformationSpreadTurns guards against many nodes selecting the same replica
-// because they have the same information. Each select call stands for one node.
+// because they have the same information. Each select call represents one node.
 func TestNodesWithSameInformationSpreadTurns(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
--- a/replica/paces.go
+++ b/replica/paces.go
@@ -10,7 +10,7 @@
 
 const (
 	// tokenTimeMaximumAge is the maximum age of a measurement that is reported to other nodes.
-	// Older ones say nothing about the present.
+	// Older ones do not reflect the present state.
 	tokenTimeMaximumAge = 2 * time.Second
 	// tokenTimePeriod is the minimum time between two updates of a service's token times.
 	tokenTimePeriod = 100 * time.Millisecond
--- a/replica/scale_test.go
+++ b/replica/scale_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// scaleSet returns a set of count replicas as one of 984 nodes sees it, with reports of one in
+// scaleSet returns a set of count replicas as held by one of 984 nodes, with reports of one in
 // twenty of its peers about some of them.
 func scaleSet(count int) *replica.Set {
 	now := time.Unix(1000, 0)
--- a/replica/set.go
+++ b/replica/set.go
@@ -158,7 +158,7 @@
 	summaryRequests float64
 	summary         uint64
 	cache           *cache
-	// faults counts errors, time-outs and failures as of faultsAt. It decays exponentially.
+	// faults counts errors, timeouts and failures as of faultsAt. It decays exponentially.
 	faults   float64
 	faultsAt time.Time
 	// failures counts consecutive failures. The replica is avoided until suspectUntil.
@@ -210,10 +210,10 @@
 // SetNodes sets the number of nodes that send requests to the replicas, including this one.
 func (s *Set) SetNodes(nodeCount int) { s.nodeCount = max(1, nodeCount) }
 
-// Put adds a replica or updates its entry. It reports whether anything changed that other nodes
-// should be told. A cold time that merely runs down is no change. Entries of an earlier
-// incarnation are ignored. A replica that restarted, or that now serves another service, starts
-// without the state of its predecessor.
+// Put adds a replica or updates its entry. It reports whether anything changed that should be
+// announced to other nodes. A cold time that merely runs down is no change. Entries of an
+// earlier incarnation are ignored. A replica that restarted, or that now serves another
+// service, starts without the state of its predecessor.
 func (s *Set) Put(now time.Time, entry Entry) (changed bool) {
 	status := entry.Cold
 	entry.Cold = ColdStatus{}
--- a/replica/shared_test.go
+++ b/replica/shared_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestSharedParts checks that parts shared by many programs are distinguished from the
-// histories of single programs, and that both are forgotten.
+// histories of single programs, and that both expire.
 func TestSharedParts(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -20,7 +20,7 @@
 	for node := range 20 {
 		set := replica.NewSet(replica.DefaultConfig("a"))
 		for index := range 2_000 {
-			// Each node learns of the replicas in a different order.
+			// Each node receives the replicas in a different order.
 			set.Put(now, scaleEntry((index+node*97)%2_000))
 		}
 		set.SetNodes(100)
