--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -102,13 +102,13 @@
 		}
 		delete(u.programs, id)
 		if tracked.granted > 0 {
-			u.learn(now, tracked)
+			u.addEnded(now, tracked)
 		}
 	}
 }
 
-// learn adds an ended program that this node observed from its first turn.
-func (u *RemainingTimeEstimator) learn(now time.Time, tracked *trackedProgram) {
+// addEnded adds an ended program that this node observed from its first turn.
+func (u *RemainingTimeEstimator) addEnded(now time.Time, tracked *trackedProgram) {
 	sums := u.routes[tracked.route]
 	if sums == nil {
 		if len(u.routes) >= maxTrackedRoutes {
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -77,12 +77,12 @@
 	lastGrant         uint64
 	lastRecordedGrant uint64
 	// assumedTokens is the part of settledTokens that was assumed to be used under a
-	// previous owner. mayHaveBegunBefore reports that the program may have started there
+	// previous owner. mayHaveStartedBefore reports that the program may have started there
 	// without a record in the log. restored reports that the account was restored from
 	// the log.
-	assumedTokens      int
-	mayHaveBegunBefore bool
-	restored           bool
+	assumedTokens        int
+	mayHaveStartedBefore bool
+	restored             bool
 	// newest is what the newest record allows, which was proposed at recordPosition.
 	// common is what every record of this owner allows, and durable what the log is
 	// certain to allow.
@@ -189,7 +189,7 @@
 // may run one more turn if the mark leaves any of the budget. If use under a previous
 // owner is assumed, that extra turn is already counted there.
 func (l *Ledger) tokenLimit(turn Turn, acct *account) int {
-	if l.config.ExtraTurnAfterFailure && acct.restored && !acct.mayHaveBegunBefore {
+	if l.config.ExtraTurnAfterFailure && acct.restored && !acct.mayHaveStartedBefore {
 		return turn.Budget + turn.MaxTokens - 1
 	}
 	return turn.Budget
@@ -235,7 +235,7 @@
 // owner whose records were lost.
 func (l *Ledger) openAccount(now time.Time, turn Turn) *account {
 	acct := newAccount()
-	acct.assumedTokens, acct.mayHaveBegunBefore = l.assumedTokens(now, turn), l.mayHaveBegun(now, turn)
+	acct.assumedTokens, acct.mayHaveStartedBefore = l.assumedTokens(now, turn), l.mayHaveStarted(now, turn)
 	acct.addPresumed(acct.assumedTokens)
 	acct.lastGrant = uint64(max(0, now.UnixMicro()))
 	l.accounts[turn.Program] = acct
--- a/ledger/cover.go
+++ b/ledger/cover.go
@@ -131,7 +131,7 @@
 // record returns the part of a record that owners of all formats read.
 func (a *account) record(mark int) accountValue {
 	record := accountValue{Mark: mark, Assumed: a.assumedTokens, RetentionMS: a.retention.Milliseconds()}
-	if a.mayHaveBegunBefore && a.assumedTokens == 0 {
+	if a.mayHaveStartedBefore && a.assumedTokens == 0 {
 		record.Assumed, record.NoneAssumed = 1, true
 	}
 	return record
@@ -143,7 +143,7 @@
 func restoreAccount(now time.Time, value *accountValue) *account {
 	acct := newAccount()
 	acct.restored, acct.lastActive = true, now
-	acct.mayHaveBegunBefore = value.Assumed > 0
+	acct.mayHaveStartedBefore = value.Assumed > 0
 	if !value.NoneAssumed {
 		acct.assumedTokens = value.Assumed
 	}
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -133,7 +133,7 @@
 // assumedTokens returns what a program without a record may have used under a previous
 // owner.
 func (l *Ledger) assumedTokens(now time.Time, turn Turn) int {
-	if !l.mayHaveBegun(now, turn) {
+	if !l.mayHaveStarted(now, turn) {
 		return 0
 	}
 	assumedTokens := l.unrecordedTokens(turn)
@@ -143,10 +143,10 @@
 	return assumedTokens
 }
 
-// mayHaveBegun reports whether a program without a record may have started under a
+// mayHaveStarted reports whether a program without a record may have started under a
 // previous owner. Its extra turn then counts as used there, even if nothing else is
 // assumed.
-func (l *Ledger) mayHaveBegun(now time.Time, turn Turn) bool {
+func (l *Ledger) mayHaveStarted(now time.Time, turn Turn) bool {
 	return l.ownership.inheritedOpen && !l.ownership.since.IsZero() && now.Sub(l.ownership.since) <= l.returnWindow(turn.Retain)
 }
 
@@ -190,7 +190,7 @@
 // record.
 func (l *Ledger) unrecordedLimit(turn Turn, acct *account) int {
 	switch {
-	case !acct.mayHaveBegunBefore:
+	case !acct.mayHaveStartedBefore:
 		return l.unrecordedTokens(turn) + turn.MaxTokens
 	case l.ownership.inheritedTwice:
 		return 0
@@ -216,7 +216,7 @@
 	if state.since.IsZero() || state.released || now.Sub(state.confirmedAt) > l.config.OwnershipProofTTL {
 		return false
 	}
-	if state.inheritedOpen && !acct.mayHaveBegunBefore {
+	if state.inheritedOpen && !acct.mayHaveStartedBefore {
 		// The previous owner's open record is still in the log and covers as much.
 		return true
 	}
