--- a/tenant/book_test.go
+++ b/tenant/book_test.go
@@ -124,7 +124,7 @@
 		Expect(busiestWindow(high, 5*time.Second)).To(BeNumerically("~", 200, 10))
 	})
 
-	DescribeTable("starts empty after the loss of another charge owner, and both stay within the accepted overrun",
+	DescribeTable("starts empty after the loss of another counting node, and both stay within the accepted overrun",
 		func(limit tenant.Limit) {
 			// The first node grants all it can until it is lost, and the second all it can
 			// from then on; both count for 0.4 s.
