--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -144,8 +144,8 @@
 	if r.ServiceRate <= 0 {
 		return least
 	}
-	ramp := time.Duration(r.RecentRefusals / r.ServiceRate * float64(time.Second))
-	return min(max(ramp, least), max(maxSpread, least))
+	serveTime := time.Duration(r.RecentRefusals / r.ServiceRate * float64(time.Second))
+	return min(max(serveTime, least), max(maxSpread, least))
 }
 
 // LeastUrgency is the rank of the least urgent requests, here and at replicas.
--- a/dispatch/late_test.go
+++ b/dispatch/late_test.go
@@ -31,10 +31,10 @@
 // replica, waits there for a slot, and is repeated when it is late. Its work is the same
 // however often it is sent.
 type toolFleet struct {
-	random *rand.Rand
-	guard  bool
-	queue  toolEvents
-	now    time.Duration
+	random       *rand.Rand
+	limitRepeats bool
+	queue        toolEvents
+	now          time.Duration
 	// free holds the times at which the slots of each replica become free.
 	free    [toolReplicas][toolSlots]time.Duration
 	times   []time.Duration
@@ -119,7 +119,7 @@
 	heap.Push(&f.queue, toolEvent{arrived + toolLateAfter, func() {
 		other := f.leastLoaded()
 		late := LateCall{Utilisation: float64(f.inFlight(other)) / toolSlots, Left: time.Second}
-		if f.budget >= 1 && (!f.guard || DecideRepeat(&late) == RepeatSent) {
+		if f.budget >= 1 && (!f.limitRepeats || DecideRepeat(&late) == RepeatSent) {
 			f.budget--
 			f.repeats++
 			ends = min(ends, f.send(other, work))
@@ -129,8 +129,8 @@
 }
 
 // simulateTools simulates calls for 10 s, with a burst in the middle.
-func simulateTools(guard bool, usual, burst float64) *toolFleet {
-	fleet := &toolFleet{random: rand.New(rand.NewPCG(11, 3)), guard: guard}
+func simulateTools(limitRepeats bool, usual, burst float64) *toolFleet {
+	fleet := &toolFleet{random: rand.New(rand.NewPCG(11, 3)), limitRepeats: limitRepeats}
 	var arrive func()
 	arrive = func() {
 		rate := usual
@@ -164,10 +164,10 @@
 // replica is full, late calls are not repeated.
 func TestRepeatsDuringOverload(t *testing.T) {
 	g := NewWithT(t)
-	before, guarded := simulateTools(false, 2000, 11000), simulateTools(true, 2000, 11000)
-	t.Logf("repeats %d and %d of %d calls, mean %v and %v", before.repeats, guarded.repeats, len(before.times), meanTime(before.times), meanTime(guarded.times))
-	g.Expect(guarded.repeats).To(BeNumerically("<", before.repeats/2))
-	g.Expect(meanTime(guarded.times)).To(BeNumerically("<", meanTime(before.times)*95/100))
-	calm, calmGuarded := simulateTools(false, 2000, 2000), simulateTools(true, 2000, 2000)
-	g.Expect(calmGuarded.repeats).To(Equal(calm.repeats))
+	before, limited := simulateTools(false, 2000, 11000), simulateTools(true, 2000, 11000)
+	t.Logf("repeats %d and %d of %d calls, mean %v and %v", before.repeats, limited.repeats, len(before.times), meanTime(before.times), meanTime(limited.times))
+	g.Expect(limited.repeats).To(BeNumerically("<", before.repeats/2))
+	g.Expect(meanTime(limited.times)).To(BeNumerically("<", meanTime(before.times)*95/100))
+	normal, normalLimited := simulateTools(false, 2000, 2000), simulateTools(true, 2000, 2000)
+	g.Expect(normalLimited.repeats).To(Equal(normal.repeats))
 }
--- a/dispatch/length.go
+++ b/dispatch/length.go
@@ -52,16 +52,16 @@
 // most the turn's limit; 0 if nothing is known. The two are averaged because a hint is
 // right in the median but often far off.
 func (l *Lengths) Expected(route string, hint, limit int) int {
-	usual := 0.0
+	routeMean := 0.0
 	if stats := l.routes[route]; stats != nil {
-		usual = math.Exp(stats.meanLog)
+		routeMean = math.Exp(stats.meanLog)
 	}
 	expected := float64(max(0, hint))
 	switch {
 	case hint <= 0:
-		expected = usual
-	case usual > 0:
-		expected = math.Sqrt(expected * usual)
+		expected = routeMean
+	case routeMean > 0:
+		expected = math.Sqrt(expected * routeMean)
 	}
 	if limit > 0 {
 		expected = min(expected, float64(limit))
--- a/ledger/exact_test.go
+++ b/ledger/exact_test.go
@@ -218,7 +218,7 @@
 })
 
 var _ = Describe("A small budget whose turns are not stored", func() {
-	unkept := func(id string) ledger.Turn {
+	unstored := func(id string) ledger.Turn {
 		request := smallTurn(id)
 		request.StoreOnSuccess = false
 		return request
@@ -229,7 +229,7 @@
 		for index := range 10 {
 			l := stored.open(start)
 			id := strconv.Itoa(index)
-			admission := l.Admit(start, unkept(id))
+			admission := l.Admit(start, unstored(id))
 			Expect(admission.Verdict).To(Equal(ledger.VerdictGranted), "turn %d: %+v", index, admission)
 			stored.store(l)
 			l.Settle(start, settlementOf(id, admission, 30))
@@ -242,7 +242,7 @@
 		l := stored.serving(start)
 		for index := range 6 {
 			id := strconv.Itoa(index)
-			admission := l.Admit(start, unkept(id))
+			admission := l.Admit(start, unstored(id))
 			Expect(admission.Verdict).To(Equal(ledger.VerdictGranted), "turn %d: %+v", index, admission)
 			stored.store(l)
 			l = stored.open(start)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -165,9 +165,9 @@
 			}
 		}
 	}
-	for id, kept := range l.turns {
-		if now.Sub(kept.expires) > l.config.RetentionSlack {
-			l.removeTurn(id, kept)
+	for id, entry := range l.turns {
+		if now.Sub(entry.expires) > l.config.RetentionSlack {
+			l.removeTurn(id, entry)
 		}
 	}
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -96,11 +96,11 @@
 // HoldsChain reports whether the ledger holds a stored turn and all turns before it.
 func (l *Ledger) HoldsChain(id string) bool {
 	for id != "" {
-		kept := l.turns[id]
-		if kept == nil {
+		entry := l.turns[id]
+		if entry == nil {
 			return false
 		}
-		id = kept.Previous
+		id = entry.Previous
 	}
 	return true
 }
@@ -176,9 +176,9 @@
 // stored; the turns of a chain expire with its last one. RetentionSlack covers
 // differences between clocks.
 func (l *Ledger) expireRestored() {
-	for _, kept := range l.turns {
-		if due := time.UnixMilli(kept.StoredAtMS).Add(kept.retention()); kept.StoredAtMS > 0 && due.Before(kept.expires) {
-			kept.expires = due
+	for _, entry := range l.turns {
+		if due := time.UnixMilli(entry.StoredAtMS).Add(entry.retention()); entry.StoredAtMS > 0 && due.Before(entry.expires) {
+			entry.expires = due
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.turns)) {
@@ -189,8 +189,8 @@
 // Size estimates how many bytes the newest records of the ledger take in the log.
 func (l *Ledger) Size() int {
 	size := len(l.accounts) * accountRecordBytes
-	for id, kept := range l.turns {
-		size += len(turnPrefix) + len(id) + turnOverheadBytes + len(kept.Base) + len(kept.Input) + len(kept.Output)
+	for id, entry := range l.turns {
+		size += len(turnPrefix) + len(id) + turnOverheadBytes + len(entry.Base) + len(entry.Input) + len(entry.Output)
 	}
 	return size
 }
@@ -210,8 +210,8 @@
 		return false
 	}
 	number, err := strconv.Atoi(name[split+1:])
-	kept := l.turns[name[:split]]
-	return err == nil && kept != nil && number < kept.Parts
+	entry := l.turns[name[:split]]
+	return err == nil && entry != nil && number < entry.Parts
 }
 
 // joinParts returns the concatenated parts of a turn.
@@ -247,10 +247,10 @@
 }
 
 // removeTurn removes a turn and proposes the removal of its records.
-func (l *Ledger) removeTurn(id string, kept *turnEntry) {
+func (l *Ledger) removeTurn(id string, entry *turnEntry) {
 	delete(l.turns, id)
 	l.propose(turnPrefix+id, nil)
-	for number := range kept.Parts {
+	for number := range entry.Parts {
 		l.propose(partKey(id, number), nil)
 	}
 }
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -22,8 +22,8 @@
 	It("does not depend on the order of the nodes", func() {
 		for partition := range 50 {
 			all := nodes(3)
-			turned := []ownership.Node{all[2], all[0], all[1]}
-			Expect(ownership.TopNode(partition, all)).To(Equal(ownership.TopNode(partition, turned)))
+			rotated := []ownership.Node{all[2], all[0], all[1]}
+			Expect(ownership.TopNode(partition, all)).To(Equal(ownership.TopNode(partition, rotated)))
 		}
 	})
 
@@ -78,11 +78,11 @@
 			all = append(all, ownership.Node{ID: fmt.Sprintf("node-%d", index), Zone: []string{"a", "b"}[index/10]})
 		}
 		for partition := range 100 {
-			heirs := ownership.PreferenceList(partition, all, 3)
+			preferences := ownership.PreferenceList(partition, all, 3)
 			first := ownership.TopNodes(partition, all, 3)
-			Expect(heirs[:2]).To(Equal(first[:2]))
+			Expect(preferences[:2]).To(Equal(first[:2]))
 			zones := map[bool]bool{}
-			for _, id := range heirs {
+			for _, id := range preferences {
 				zones[id == "node-10" || id == "node-11"] = true
 			}
 			Expect(zones).To(HaveLen(2))
--- a/replica/pace_replay_test.go
+++ b/replica/pace_replay_test.go
@@ -30,7 +30,7 @@
 // replayTurn is one turn of a session.
 type replayTurn struct {
 	session, node, number int
-	missing, tokens       float64
+	uncached, tokens      float64
 	arrived, sent, first  time.Time
 	load, expected        int
 }
@@ -48,13 +48,13 @@
 	left := float64(replayTick) / 1e6 / (e.token * slowdown)
 	running := e.turns[:min(len(e.turns), replaySlots)]
 	for _, turn := range running {
-		read := min(turn.missing, left/replayPrefill)
-		turn.missing -= read
-		left -= read * replayPrefill
+		prefilled := min(turn.uncached, left/replayPrefill)
+		turn.uncached -= prefilled
+		left -= prefilled * replayPrefill
 	}
 	each := left / (1 + replaySlowdown*float64(len(running)))
 	for _, turn := range slices.Clone(running) {
-		if turn.missing > 0 {
+		if turn.uncached > 0 {
 			continue
 		}
 		if turn.first.IsZero() {
@@ -120,7 +120,7 @@
 	engine := r.engine(choice.Entry.ID)
 	turn.sent, turn.load, turn.expected, turn.tokens = now, choice.Load, choice.UncachedTokens, replayTokens
 	for _, part := range parts {
-		turn.missing += float64(max(0, part.Tokens-engine.cached[part.ID]))
+		turn.uncached += float64(max(0, part.Tokens-engine.cached[part.ID]))
 		engine.cached[part.ID] = part.Tokens
 	}
 	engine.turns = append(engine.turns, turn)
@@ -219,16 +219,16 @@
 			g := NewWithT(t)
 			baseline := newReplay(replica.SelectionFactors{TokenTimes: true})
 			before := baseline.run(load, 12*time.Second, even)
-			paced := newReplay(replica.SelectionFactors{})
-			after := paced.run(load, 12*time.Second, even)
+			withTokenTimes := newReplay(replica.SelectionFactors{})
+			after := withTokenTimes.run(load, 12*time.Second, even)
 			t.Logf("former: %d turns, %v, %v, fast %.1f slow %.1f; paced: %d turns, %v, %v, fast %.1f slow %.1f",
 				len(before), quantile(before, .5), quantile(before, .9), baseline.mean(0), baseline.mean(1),
-				len(after), quantile(after, .5), quantile(after, .9), paced.mean(0), paced.mean(1))
+				len(after), quantile(after, .5), quantile(after, .9), withTokenTimes.mean(0), withTokenTimes.mean(1))
 			g.Expect(quantile(after, .5)).To(BeNumerically("<=", quantile(before, .5)*95/100))
 			g.Expect(quantile(after, .9)).To(BeNumerically("<=", quantile(before, .9)*85/100))
 			g.Expect(len(after)).To(BeNumerically(">=", len(before)*97/100))
 			if load < 1 {
-				g.Expect(paced.mean(0)).To(BeNumerically("<", replaySlots*3/4), "the fast ones are overrun")
+				g.Expect(withTokenTimes.mean(0)).To(BeNumerically("<", replaySlots*3/4), "the fast ones are overrun")
 			}
 		})
 	}
@@ -252,21 +252,21 @@
 	t.Helper()
 	g := NewWithT(t)
 	baseline := newReplay(replica.SelectionFactors{TokenTimes: true}).run(load, 12*time.Second, speed)
-	paced := newReplay(replica.SelectionFactors{}).run(load, 12*time.Second, speed)
-	t.Logf("former %v %v, paced %v %v", quantile(baseline, .5), quantile(baseline, .9), quantile(paced, .5), quantile(paced, .9))
-	g.Expect(quantile(paced, .9)).To(BeNumerically("<", quantile(baseline, .9)))
-	g.Expect(quantile(paced, .5)).To(BeNumerically("<", quantile(baseline, .5)))
+	withTokenTimes := newReplay(replica.SelectionFactors{}).run(load, 12*time.Second, speed)
+	t.Logf("former %v %v, paced %v %v", quantile(baseline, .5), quantile(baseline, .9), quantile(withTokenTimes, .5), quantile(withTokenTimes, .9))
+	g.Expect(quantile(withTokenTimes, .9)).To(BeNumerically("<", quantile(baseline, .9)))
+	g.Expect(quantile(withTokenTimes, .5)).To(BeNumerically("<", quantile(baseline, .5)))
 }
 
 // TestPlacementWithTemporarySlowdowns slows each engine for 0.6 s at a time, 15 % of the time.
 func TestPlacementWithTemporarySlowdowns(t *testing.T) {
-	spells := func(engine int, at time.Duration) float64 {
-		if spell := uint64(at/(600*time.Millisecond)) * 2654435761 >> 7; (spell+uint64(engine)*37)%100 < 15 {
+	slowdownAt := func(engine int, at time.Duration) float64 {
+		if mixed := uint64(at/(600*time.Millisecond)) * 2654435761 >> 7; (mixed+uint64(engine)*37)%100 < 15 {
 			return 2.5
 		}
 		return 1
 	}
-	expectFaster(t, 0.5, spells)
+	expectFaster(t, 0.5, slowdownAt)
 }
 
 // unevenSet returns a set of count replicas, the first fast of which are twice as fast.
@@ -341,12 +341,12 @@
 	}
 	set.SetNodes(2)
 	set.SetPeer(replayStart, "other", loads)
-	for _, haste := range []int{-1, 0, 1} {
+	for _, bias := range []int{-1, 0, 1} {
 		for range 400 {
-			choice, err := set.Select(replayStart, &replica.Request{Service: "model", ExpectedTokens: 200, Draw: random.Float64(), SpeedBias: haste})
+			choice, err := set.Select(replayStart, &replica.Request{Service: "model", ExpectedTokens: 200, Draw: random.Float64(), SpeedBias: bias})
 			g.Expect(err).NotTo(HaveOccurred())
 			if choice.Entry.ID < "r04" {
-				fast[haste]++
+				fast[bias]++
 			}
 		}
 	}
--- a/replica/places_test.go
+++ b/replica/places_test.go
@@ -128,7 +128,7 @@
 })
 
 var _ = Describe("Homes of a request", func() {
-	homes := func(regions ...zone.Region) zone.Constraint {
+	constraintTo := func(regions ...zone.Region) zone.Constraint {
 		return zone.Constraint{}.Restrict(zone.Topology{"here": "home", "near": "home", "far": "away"}, regions)
 	}
 
@@ -137,18 +137,18 @@
 		for range 100 {
 			set.Began(start, "far", &replica.Request{})
 		}
-		request := replica.Request{Service: "s", Preferred: "here", Constraint: homes("away")}
+		request := replica.Request{Service: "s", Preferred: "here", Constraint: constraintTo("away")}
 		Expect(chosen(set, start, request)).To(Equal(map[replica.ID]bool{"far": true}))
 		request.Only = "here"
 		_, err := set.Select(start, &request)
 		Expect(err).To(MatchError(replica.ErrOutsideRegions))
-		Expect(set.MinUtilisation(start, &replica.Request{Service: "s", Constraint: homes("away")})).To(Equal(25.0))
+		Expect(set.MinUtilisation(start, &replica.Request{Service: "s", Constraint: constraintTo("away")})).To(Equal(25.0))
 	})
 
 	It("without a ready replica have an error of their own", func() {
 		set := newZones(replica.SelectionFactors{})
 		set.Remove("far")
-		_, err := set.Select(start, &replica.Request{Service: "s", Constraint: homes("away")})
+		_, err := set.Select(start, &replica.Request{Service: "s", Constraint: constraintTo("away")})
 		Expect(err).To(MatchError(replica.ErrOutsideRegions))
 	})
 })
