--- a/coordinator/asking_test.go
+++ b/coordinator/asking_test.go
@@ -12,9 +12,9 @@
 var _ = Describe("A node that joins", func() {
 	// inherited returns how many partitions the new node took over from owners that did not
 	// hand them over cleanly, and how many it took over in all.
-	inherited := func(withoutAsking bool) (inherited, taken int) {
+	inherited := func(skipHandover bool) (inherited, taken int) {
 		world := newFleetWith(5, 4, 12, func(config *coordinator.Config) {
-			config.SkipHandover = withoutAsking
+			config.SkipHandover = skipHandover
 			config.Ledger.UnrecordedShare = 1.0 / 3
 			config.Ledger.OwnershipProofTTL = 8 * time.Second
 		})
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -32,9 +32,9 @@
 func serveAll(world *fleet) {
 	for partition := range world.partitions {
 		for _, owner := range world.owners(partition) {
-			asked := turn(fmt.Sprintf("turn-%d-%d", partition, world.nextID))
-			asked.Turn.Program = asked.Turn.ID
-			reply(world, owner, world.ask(owner, partition, coordinator.Request{Admit: asked}))
+			request := turn(fmt.Sprintf("turn-%d-%d", partition, world.nextID))
+			request.Turn.Program = request.Turn.ID
+			reply(world, owner, world.ask(owner, partition, coordinator.Request{Admit: request}))
 		}
 	}
 	world.run(100 * time.Millisecond)
@@ -74,9 +74,9 @@
 			world.kill(owner)
 			world.run(2 * time.Second)
 			Expect(world.owners(0)).To(HaveLen(1))
-			heir := world.owners(0)[0]
-			Expect(heir).NotTo(Equal(owner))
-			again := reply(world, heir, world.ask(heir, 0, coordinator.Request{Admit: turn("b")}))
+			successor := world.owners(0)[0]
+			Expect(successor).NotTo(Equal(owner))
+			again := reply(world, successor, world.ask(successor, 0, coordinator.Request{Admit: turn("b")}))
 			Expect(again.Admission.SettledTokens).To(BeNumerically(">=", 100))
 		}
 	})
@@ -143,10 +143,10 @@
 		owner := world.owners(0)[0]
 		world.nodes[owner].core.Step(world.now, coordinator.Leave{})
 		world.run(time.Second)
-		heir := world.owners(0)[0]
+		successor := world.owners(0)[0]
 		world.kill(owner)
 		world.run(time.Second)
-		world.nodes[heir].frozen = true
+		world.nodes[successor].frozen = true
 		world.start(owner)
 		world.list()
 		world.run(2 * time.Second)
@@ -264,38 +264,38 @@
 	freezeOwner := func(seed uint64) (*fleet, machine.ID, machine.ID) {
 		world := newFleet(seed, 5, 1)
 		world.run(settled)
-		former := world.owners(0)[0]
-		world.nodes[former].frozen = true
+		previous := world.owners(0)[0]
+		world.nodes[previous].frozen = true
 		world.run(settled)
-		heirs := world.owners(0)
-		heir := heirs[0]
-		if heir == former {
-			heir = heirs[1]
+		successors := world.owners(0)
+		successor := successors[0]
+		if successor == previous {
+			successor = successors[1]
 		}
 		keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "kept", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
-		Expect(reply(world, heir, world.ask(heir, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
-		return world, former, heir
+		Expect(reply(world, successor, world.ask(successor, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyDone))
+		return world, previous, successor
 	}
 
 	It("never says that a turn is absent which its successor has stored", func() {
 		for seed := range uint64(8) {
-			world, former, _ := freezeOwner(seed)
-			world.nodes[former].frozen = false
-			asked := world.ask(former, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "kept"}})
-			Expect(reply(world, former, asked).Status).NotTo(Equal(coordinator.ReplyAbsent))
+			world, previous, _ := freezeOwner(seed)
+			world.nodes[previous].frozen = false
+			request := world.ask(previous, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "kept"}})
+			Expect(reply(world, previous, request).Status).NotTo(Equal(coordinator.ReplyAbsent))
 		}
 	})
 
 	It("makes nothing durable that it had under way", func() {
 		world := newFleet(11, 5, 1)
 		world.run(settled)
-		former := world.owners(0)[0]
-		world.nodes[former].frozen = true
+		previous := world.owners(0)[0]
+		world.nodes[previous].frozen = true
 		world.run(settled)
 		keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "late", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
-		asked := world.ask(former, 0, coordinator.Request{Keep: keep})
-		world.nodes[former].frozen = false
-		Expect(reply(world, former, asked).Status).NotTo(Equal(coordinator.ReplyDone))
+		request := world.ask(previous, 0, coordinator.Request{Keep: keep})
+		world.nodes[previous].frozen = false
+		Expect(reply(world, previous, request).Status).NotTo(Equal(coordinator.ReplyDone))
 		Expect(world.store[0].records).NotTo(HaveKey("turn/late"))
 	})
 })
@@ -376,12 +376,12 @@
 		for seed := range uint64(8) {
 			world := newFleet(seed, 5, 1)
 			world.run(settled)
-			former := world.owners(0)[0]
-			world.nodes[former].alone = true
+			previous := world.owners(0)[0]
+			world.nodes[previous].alone = true
 			world.run(settled)
 			Expect(world.owners(0)).To(HaveLen(2))
 			keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "late", Program: "p", Input: []byte("in"), Output: []byte("out"), Retain: time.Minute}}
-			Expect(reply(world, former, world.ask(former, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyLost))
+			Expect(reply(world, previous, world.ask(previous, 0, coordinator.Request{Keep: keep})).Status).To(Equal(coordinator.ReplyLost))
 			Expect(world.owners(0)).To(HaveLen(1))
 			Expect(world.store[0].records).NotTo(HaveKey("turn/late"))
 		}
@@ -393,8 +393,8 @@
 		world := newFleet(12, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		asked := world.ask(owner, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "unknown"}})
-		Expect(reply(world, owner, asked).Status).To(Equal(coordinator.ReplyAbsent))
+		request := world.ask(owner, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "unknown"}})
+		Expect(reply(world, owner, request).Status).To(Equal(coordinator.ReplyAbsent))
 	})
 
 	It("does not come while the log does not answer", func() {
@@ -402,9 +402,9 @@
 		world.run(settled)
 		owner := world.owners(0)[0]
 		world.storeDown = true
-		asked := world.ask(owner, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "unknown"}})
+		request := world.ask(owner, 0, coordinator.Request{Find: &coordinator.FindRequest{Turn: "unknown"}})
 		world.run(settled)
-		Expect(world.nodes[owner].replies).NotTo(HaveKey(asked))
+		Expect(world.nodes[owner].replies).NotTo(HaveKey(request))
 	})
 })
 
@@ -451,8 +451,8 @@
 			world.run(50 * time.Millisecond)
 			world.storeDown = false
 			world.run(2 * time.Second)
-			heir := world.owners(0)[0]
-			again := reply(world, heir, world.ask(heir, 0, coordinator.Request{Admit: turn("b")}))
+			successor := world.owners(0)[0]
+			again := reply(world, successor, world.ask(successor, 0, coordinator.Request{Admit: turn("b")}))
 			Expect(again.Admission.SettledTokens).To(BeNumerically(">=", 100))
 		}
 	})
@@ -463,9 +463,9 @@
 			owner := world.owners(0)[0]
 			world.nodes[owner].core.Step(world.now, coordinator.Leave{})
 			world.run(500 * time.Millisecond)
-			heir := world.owners(0)[0]
-			Expect(heir).NotTo(Equal(owner))
-			admitted := reply(world, heir, world.ask(heir, 0, coordinator.Request{Admit: turn("a")}))
+			successor := world.owners(0)[0]
+			Expect(successor).NotTo(Equal(owner))
+			admitted := reply(world, successor, world.ask(successor, 0, coordinator.Request{Admit: turn("a")}))
 			Expect(admitted.Admission.SettledTokens).To(BeZero())
 		}
 	})
--- a/coordinator/find_test.go
+++ b/coordinator/find_test.go
@@ -31,10 +31,10 @@
 		owner := world.owners(0)[0]
 		absent := reply(world, owner, world.ask(owner, 0, coordinator.Request{Find: &find}))
 		Expect(find.ProvesAbsent(&absent)).To(BeTrue())
-		ofFormer := coordinator.Reply{Status: coordinator.ReplyAbsent}
-		Expect(find.ProvesAbsent(&ofFormer)).To(BeFalse())
+		withoutScoped := coordinator.Reply{Status: coordinator.ReplyAbsent}
+		Expect(find.ProvesAbsent(&withoutScoped)).To(BeFalse())
 		plain := coordinator.FindRequest{Turn: "x"}
-		Expect(plain.ProvesAbsent(&ofFormer)).To(BeTrue())
+		Expect(plain.ProvesAbsent(&withoutScoped)).To(BeTrue())
 	})
 })
 
@@ -44,14 +44,14 @@
 		world.run(settled)
 		lost := world.owners(0)[0]
 		world.kill(lost)
-		asked := turn("given up")
-		asked.Turn.Budget = asked.Turn.MaxTokens
+		admit := turn("given up")
+		admit.Turn.Budget = admit.Turn.MaxTokens
 		end := ledger.Settlement{Turn: "given up", Program: "p", Session: "s"}
 		for len(world.owners(0)) == 0 {
 			// Send the turn and its end to every node, so that the one that takes over gets
 			// them, and do not wait for the replies.
 			for _, id := range world.ids() {
-				world.ask(id, 0, coordinator.Request{Admit: asked})
+				world.ask(id, 0, coordinator.Request{Admit: admit})
 				world.ask(id, 0, coordinator.Request{Settle: &end})
 			}
 			world.run(step)
--- a/coordinator/flow_test.go
+++ b/coordinator/flow_test.go
@@ -53,11 +53,11 @@
 }
 
 // ask has a node request a charge under a new ID.
-func (q *pendingCharges[T]) ask(source T, node machine.ID, patience time.Duration, charge coordinator.Charge) {
+func (q *pendingCharges[T]) ask(source T, node machine.ID, timeout time.Duration, charge coordinator.Charge) {
 	q.next++
 	q.open[q.next] = pendingCharge[T]{source: source, node: node}
 	charge.Request.ID = fmt.Sprint(q.next)
-	q.world.send(node, 0, coordinator.ChargeRequested{ID: q.next, Timeout: patience, Charge: charge})
+	q.world.send(node, 0, coordinator.ChargeRequested{ID: q.next, Timeout: timeout, Charge: charge})
 }
 
 // collect passes the answers to take.
--- a/coordinator/gathering_test.go
+++ b/coordinator/gathering_test.go
@@ -51,14 +51,14 @@
 
 // reportedRequests returns the distinct numbers of other nodes' requests at the replica
 // that the nodes last received.
-func reportedRequests(world *fleet) (heard []int) {
+func reportedRequests(world *fleet) (numbers []int) {
 	for _, id := range world.ids() {
 		if totals := world.nodes[id].totals; totals != nil && world.now.Sub(totals.At) < time.Second {
-			heard = append(heard, totals.Counts[gather.KeyOf("r")])
+			numbers = append(numbers, totals.Counts[gather.KeyOf("r")])
 		}
 	}
-	slices.Sort(heard)
-	return slices.Compact(heard)
+	slices.Sort(numbers)
+	return slices.Compact(numbers)
 }
 
 var _ = Describe("Gathering loads", func() {
@@ -88,8 +88,8 @@
 		Expect(world.nodes[collector].gatherMessages).To(BeZero())
 		// Nodes that try the unresponsive collector again receive no totals for a few
 		// reports.
-		heard := reportedRequests(world)
-		Expect(heard[len(heard)-1]).To(Equal(gatherNodes - 2))
+		numbers := reportedRequests(world)
+		Expect(numbers[len(numbers)-1]).To(Equal(gatherNodes - 2))
 		Expect(world.nodes["node-01"].totals.Nodes).To(BeNumerically("<", gatherNodes-1))
 	})
 
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -193,8 +193,8 @@
 // contactOf returns a node's knowledge of its contact with the store.
 func (f *fleet) contactOf(node *member) coordinator.StoreContact {
 	reached := f.reaches(node)
-	lately := f.now.Sub(node.lastStoreAnswer) < f.contactTimeout
-	return coordinator.StoreContact{Reached: reached || lately, Last: node.lastStoreAnswer, Failing: lately && !reached}
+	recently := f.now.Sub(node.lastStoreAnswer) < f.contactTimeout
+	return coordinator.StoreContact{Reached: reached || recently, Last: node.lastStoreAnswer, Failing: recently && !reached}
 }
 
 // setStoreUp makes the store available or unavailable.
--- a/coordinator/isolation.go
+++ b/coordinator/isolation.go
@@ -55,13 +55,13 @@
 	if now.Sub(c.receiveTimes.latest) > timeout {
 		return true
 	}
-	known, heard := c.countZones(now, timeout)
-	return 2*heard < known
+	known, active := c.countZones(now, timeout)
+	return 2*active < known
 }
 
 // countZones counts the known zones, and those from which a message arrived within the
 // timeout. This node's own zone always counts as one of the latter.
-func (c *Core) countZones(now time.Time, timeout time.Duration) (known, heard int) {
+func (c *Core) countZones(now time.Time, timeout time.Duration) (known, active int) {
 	seen := make(map[zone.Name]bool)
 	for _, node := range c.sortedNodes {
 		if seen[node.Zone] {
@@ -69,10 +69,10 @@
 		}
 		seen[node.Zone] = true
 		if !c.zoneSilent(now, node.Zone, timeout) {
-			heard++
+			active++
 		}
 	}
-	return len(seen), heard
+	return len(seen), active
 }
 
 // zoneSilent reports whether no message arrived from another zone within the timeout. A
--- a/coordinator/large_test.go
+++ b/coordinator/large_test.go
@@ -20,13 +20,13 @@
 )
 
 // servablePartitions returns how many partitions have an owner that reaches the store.
-func servablePartitions(world *fleet) (able int) {
+func servablePartitions(world *fleet) (servable int) {
 	for partition := range world.partitions {
 		if slices.ContainsFunc(world.owners(partition), func(id machine.ID) bool { return !world.nodes[id].cut }) {
-			able++
+			servable++
 		}
 	}
-	return able
+	return servable
 }
 
 // wrongOwners counts the pairs of a node and a partition for which the node has no owner,
--- a/coordinator/owners_test.go
+++ b/coordinator/owners_test.go
@@ -51,12 +51,12 @@
 
 	It("is returned to requesters if this node is not the owner", func() {
 		core := newCore()
-		asked := coordinator.RequestReceived{ID: 1, Partition: 0, Request: coordinator.Request{Find: &coordinator.FindRequest{}}}
-		core.Step(start, asked)
+		request := coordinator.RequestReceived{ID: 1, Partition: 0, Request: coordinator.Request{Find: &coordinator.FindRequest{}}}
+		core.Step(start, request)
 		Expect(core.Ready().Replies).To(ConsistOf(coordinator.Reply{ID: 1, Status: coordinator.ReplyNotOwner}))
 		known := coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2"}
 		core.Step(start, coordinator.OwnerReported{Owner: known})
-		core.Step(start, asked)
+		core.Step(start, request)
 		Expect(core.Ready().Replies).To(ConsistOf(coordinator.Reply{ID: 1, Status: coordinator.ReplyNotOwner, Owner: &known}))
 		Expect(ownerOf(core)).To(Equal(machine.ID("peer-2")))
 	})
@@ -94,15 +94,15 @@
 	It("is sent a bounded number of times", func() {
 		core := newCore()
 		hear(core, coordinator.Owner{Partition: 0, Epoch: 7, Node: "peer-2"})
-		told := 0
+		records := 0
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(10 * time.Millisecond) {
 			core.Step(now, coordinator.Tick{})
 			for _, message := range core.Ready().Messages {
 				if message.Message.Status != nil {
-					told += len(message.Message.Status.Owners)
+					records += len(message.Message.Status.Owners)
 				}
 			}
 		}
-		Expect(told).To(And(BeNumerically(">=", 6), BeNumerically("<=", 20)))
+		Expect(records).To(And(BeNumerically(">=", 6), BeNumerically("<=", 20)))
 	})
 })
--- a/coordinator/pause_test.go
+++ b/coordinator/pause_test.go
@@ -16,13 +16,13 @@
 // many appends that took.
 func storeTurns(world *fleet, owner machine.ID, turns int) int {
 	before := world.appendCount
-	var asked []uint64
+	var requests []uint64
 	for index := range turns {
 		keep := &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: fmt.Sprintf("t-%d", index), Program: "p", Input: []byte("in"), Retain: time.Minute}}
-		asked = append(asked, world.ask(owner, 0, coordinator.Request{Keep: keep}))
+		requests = append(requests, world.ask(owner, 0, coordinator.Request{Keep: keep}))
 		world.run(2 * step)
 	}
-	for _, id := range asked {
+	for _, id := range requests {
 		Expect(reply(world, owner, id).Status).To(Equal(coordinator.ReplyDone))
 	}
 	return world.appendCount - before
@@ -42,9 +42,9 @@
 		world := newFleet(32, 3, 1)
 		world.run(settled)
 		owner := world.owners(0)[0]
-		asked := world.ask(owner, 0, coordinator.Request{Keep: &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "t", Program: "p", Retain: time.Minute}}})
+		request := world.ask(owner, 0, coordinator.Request{Keep: &coordinator.KeepRequest{Turn: ledger.StoredTurn{ID: "t", Program: "p", Retain: time.Minute}}})
 		begun := world.now
-		Expect(reply(world, owner, asked).Status).To(Equal(coordinator.ReplyDone))
+		Expect(reply(world, owner, request).Status).To(Equal(coordinator.ReplyDone))
 		Expect(world.now.Sub(begun)).To(BeNumerically("<=", 2*appendDelay+2*step))
 	})
 
--- a/coordinator/proof_test.go
+++ b/coordinator/proof_test.go
@@ -32,15 +32,15 @@
 }
 
 func newFreshnessRun(world *fleet, wait, readersWait time.Duration) *freshnessRun {
-	driven := &freshnessRun{
+	simulated := &freshnessRun{
 		world: world, version: 1, held: map[machine.ID]uint64{}, proven: map[machine.ID]time.Time{},
 		nextAt: map[machine.ID]time.Time{}, sentAt: map[machine.ID]time.Time{}, wait: wait, readersWait: readersWait,
 	}
 	for _, id := range world.ids() {
-		driven.sentAt[id] = world.now
-		driven.nextAt[id] = world.now.Add(time.Duration(world.random.Int64N(int64(wait))))
+		simulated.sentAt[id] = world.now
+		simulated.nextAt[id] = world.now.Add(time.Duration(world.random.Int64N(int64(wait))))
 	}
-	return driven
+	return simulated
 }
 
 func (p *freshnessRun) run(span time.Duration) {
@@ -114,14 +114,14 @@
 		for _, nodes := range []int{11, 65, 295} {
 			world := newFleet(5, nodes, 2)
 			world.run(2 * time.Second)
-			word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
-			word.run(5 * time.Second)
-			calm := word.ages()
+			freshness := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
+			freshness.run(5 * time.Second)
+			calm := freshness.ages()
 			for index, id := range world.ids() {
 				world.nodes[id].cut = index%3 == 0
 			}
-			word.run(6 * time.Second)
-			cut := word.ages()
+			freshness.run(6 * time.Second)
+			cut := freshness.ages()
 			GinkgoWriter.Printf("%d nodes: calm median %v p99 %v; a third cut off: median %v p99 %v\n",
 				nodes, calm[nodes/2], calm[nodes*99/100], cut[nodes/2], cut[nodes*99/100])
 			Expect(calm[nodes-1]).To(BeNumerically("<", 2500*time.Millisecond))
@@ -132,52 +132,52 @@
 	It("is never dated too late, whichever nodes are paused, cut off or restarted", func() {
 		world := newFleet(6, 20, 2)
 		world.run(2 * time.Second)
-		word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
-		word.run(5 * time.Second)
+		freshness := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
+		freshness.run(5 * time.Second)
 		for round := range 12 {
 			for _, id := range world.ids() {
 				world.nodes[id].frozen = world.random.IntN(6) == 0
 				world.nodes[id].cut = world.random.IntN(3) == 0
 			}
-			word.run(time.Duration(200+world.random.IntN(1500)) * time.Millisecond)
-			word.version, word.changed = word.version+1, world.now
-			word.run(time.Duration(200+world.random.IntN(1500)) * time.Millisecond)
+			freshness.run(time.Duration(200+world.random.IntN(1500)) * time.Millisecond)
+			freshness.version, freshness.changed = freshness.version+1, world.now
+			freshness.run(time.Duration(200+world.random.IntN(1500)) * time.Millisecond)
 			if round%4 == 3 {
 				id := world.ids()[world.random.IntN(20)]
 				world.kill(id)
-				delete(word.held, id)
-				delete(word.proven, id)
-				word.sentAt[id], word.nextAt[id] = world.now, world.now.Add(time.Second)
+				delete(freshness.held, id)
+				delete(freshness.proven, id)
+				freshness.sentAt[id], freshness.nextAt[id] = world.now, world.now.Add(time.Second)
 				world.start(id)
 				world.list()
 			}
 		}
-		Expect(word.tooFresh).To(BeEmpty())
+		Expect(freshness.tooFresh).To(BeEmpty())
 	})
 
 	It("is dated from its request, however late the answer is read", func() {
 		world := newFleet(8, 2, 1)
 		world.run(time.Second)
 		ids := world.ids()
-		asking, asked := world.nodes[ids[0]], world.nodes[ids[1]]
+		asking, queried := world.nodes[ids[0]], world.nodes[ids[1]]
 		asking.core.Step(world.now, coordinator.FreshnessProven{At: world.now.Add(-5 * time.Second), Version: 1})
 		asking.core.Ready()
 		asking.core.Step(world.now, coordinator.Tick{})
-		var question *coordinator.FreshnessMessage
+		var query *coordinator.FreshnessMessage
 		for _, message := range asking.core.Ready().Messages {
 			if message.Message.Proof != nil {
-				question = message.Message.Proof
+				query = message.Message.Proof
 			}
 		}
-		Expect(question).NotTo(BeNil())
-		Expect(question.Ask).To(BeTrue())
-		word := &coordinator.FreshnessMessage{Number: question.Number, Version: 1, Age: 100 * time.Millisecond}
-		answer := coordinator.PeerReceived{Message: coordinator.PeerMessage{From: asked.self, Proof: word}}
+		Expect(query).NotTo(BeNil())
+		Expect(query.Ask).To(BeTrue())
+		proof := &coordinator.FreshnessMessage{Number: query.Number, Version: 1, Age: 100 * time.Millisecond}
+		answer := coordinator.PeerReceived{Message: coordinator.PeerMessage{From: queried.self, Proof: proof}}
 		asking.core.Step(world.now.Add(4*time.Second), answer)
 		Expect(asking.core.Ready().FreshAsOf).To(Equal(world.now.Add(-100 * time.Millisecond)))
-		unasked := *word
-		unasked.Number++
-		answer.Message.Proof = &unasked
+		unsolicited := *proof
+		unsolicited.Number++
+		answer.Message.Proof = &unsolicited
 		asking.core.Step(world.now.Add(5*time.Second), answer)
 		Expect(asking.core.Ready().FreshAsOf).To(BeZero())
 	})
@@ -202,10 +202,10 @@
 	It("ages if no node reaches the store", func() {
 		world := newFleet(7, 20, 2)
 		world.run(2 * time.Second)
-		word := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
-		word.run(5 * time.Second)
+		freshness := newFreshnessRun(world, 2*time.Second, 300*time.Millisecond)
+		freshness.run(5 * time.Second)
 		world.setStoreUp(false)
-		word.run(5 * time.Second)
-		Expect(word.ages()[0]).To(BeNumerically(">=", 5*time.Second))
+		freshness.run(5 * time.Second)
+		Expect(freshness.ages()[0]).To(BeNumerically(">=", 5*time.Second))
 	})
 })
