--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -37,7 +37,7 @@
 //
 // An append that the log refuses as fenced ends the ownership at once, as does a message
 // with a higher epoch. Requests that waited for the append are answered with ReplyLost, and
-// the requesters turn to the new owner.
+// the requesters contact the new owner.
 //
 // Each node also computes by rank which nodes read the platform's lists for the others
 // (Roles), so that all nodes agree on this without exchanging messages.
--- a/coordinator/handover.go
+++ b/coordinator/handover.go
@@ -270,8 +270,8 @@
 }
 
 // minTenure is how long an owner retains a partition that it claimed without a clean
-// handover. By then nodes agree again on who is live, so that the partition does not move
-// from node to node meanwhile.
+// handover. By then the nodes agree again on which nodes are live, so that the partition
+// does not move repeatedly before that.
 const minTenure = 5 * time.Second
 
 // recentlyTakenOver reports whether this node's takeover is too recent for another one to
--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -143,7 +143,7 @@
 // remains above it.
 func firstNumber(random *rand.Rand) uint64 { return random.Uint64() >> 1 }
 
-// spend decides a charge that this node counts.
+// decide decides a charge that this node counts.
 func (s *chargeState) spend(now time.Time, charge *Charge) tenant.Decision {
 	key := charge.account()
 	return s.books[key.kind].Take(now, key.name, charge.Request)
@@ -226,7 +226,8 @@
 	return min(1, live/float64(max(1, len(c.sortedNodes))))
 }
 
-// canCount reports whether this node knows its peers well enough to count requests.
+// canCount reports whether this node may count requests: it has had the time to discover
+// its peers, and is not leaving.
 func (c *Core) canCount(now time.Time) bool {
 	return !c.leaving && now.Sub(c.startedAt) >= c.config.StartupDelay
 }
@@ -246,8 +247,8 @@
 	waiting.redirects = 0
 	node := c.countingNode(waiting.charge.account())
 	if !c.config.IgnoreRedirects && waiting.unanswered%attemptsPerFallback == attemptsPerFallback-1 {
-		// The node may be gone, and others may have noticed it, so that the next one
-		// counts.
+		// The node may have failed, and other nodes may have detected this, so that the
+		// next one counts.
 		node = c.countingNodeExcluding(waiting.charge.account(), node)
 	}
 	waiting.unanswered++
@@ -351,8 +352,8 @@
 	c.sendCharge(from.ID, ChargeMessage{Number: message.Number, Answer: &decision}, c.freshnessClaim(now, 0))
 }
 
-// countingNodeExcluding returns the counting node of an account if the excluded nodes are
-// gone.
+// countingNodeExcluding returns the node that counts an account if the excluded nodes have
+// left.
 func (c *Core) countingNodeExcluding(key account, excluded ...machine.ID) machine.ID {
 	candidates := slices.DeleteFunc(c.chargeCandidates(), func(node ownership.Node) bool {
 		return slices.Contains(excluded, machine.ID(node.ID))
--- a/coordinator/rank.go
+++ b/coordinator/rank.go
@@ -44,7 +44,7 @@
 
 // stableRankingPeriod is how long the candidates must be unchanged before the node that
 // ranks first takes over a partition that another one serves. While many nodes return, the
-// first rank changes often, and each takeover reads the partition anew.
+// first rank changes often, and each takeover reads the partition again.
 const stableRankingPeriod = time.Second
 
 // shouldOwn reports whether this node should own the partition: it ranks first, or the
@@ -96,8 +96,8 @@
 }
 
 // rankIntervalPerNode times the number of nodes is the least time between two checks of the
-// candidates. A check visits every node, and while many nodes come or go, each tick would
-// trigger one. At 1,000 nodes the interval is 200 ms, less than successionDelay.
+// candidates. A check visits every node, and while many nodes join or leave, each tick
+// would trigger one. At 1,000 nodes the interval is 200 ms, less than successionDelay.
 const rankIntervalPerNode = 200 * time.Microsecond
 
 func (c *Core) minRankInterval() time.Duration {
--- a/coordinator/request.go
+++ b/coordinator/request.go
@@ -71,7 +71,7 @@
 	// ReplyAbsent means that the turn is certainly not stored here.
 	ReplyAbsent ReplyStatus = "absent"
 	// ReplyUnscoped means that the turn was stored here before IDs were scoped, so that its
-	// tenant is unknown. It is returned to nobody.
+	// tenant is unknown. The turn is never returned.
 	ReplyUnscoped ReplyStatus = "unowned"
 	// ReplyStalled means that the log does not accept records at present, and that the
 	// request had no effect.
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -50,7 +50,8 @@
 // partition, and does not know the present owner.
 type contested struct {
 	active bool
-	// epoch is the highest epoch known when the state began. A higher one reveals the owner.
+	// epoch is the highest epoch known when the state began. A higher one means that the
+	// owner is known.
 	epoch   ownership.Epoch
 	backoff time.Duration
 	// logEnd is the end of the log when it was last checked.
--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -82,8 +82,8 @@
 	// spread, so that callers that were refused together do not retry together.
 	minSpreadFraction = 0.25
 	// cappedSpreadFraction replaces minSpreadFraction if the delay is capped by the
-	// caller's time left: such a caller has few tries, and none should come before it has
-	// to.
+	// caller's time left: such a caller has few tries, and none should be earlier than
+	// necessary.
 	cappedSpreadFraction = 0.1
 	// maxSpread bounds the window over which retries are spread: a longer one would cost
 	// the last callers more than a second refusal.
--- a/dispatch/slack.go
+++ b/dispatch/slack.go
@@ -25,7 +25,7 @@
 type Slack struct {
 	// routes holds the usual time left of each route, by stage.
 	routes map[string]*[maxStages]stageSlack
-	// lastSeen holds when requests of each priority last came, by service.
+	// lastSeen holds when requests of each priority last arrived, by service.
 	lastSeen map[string]*[priorityCount]time.Time
 }
 
--- a/dispatch/usual.go
+++ b/dispatch/usual.go
@@ -19,7 +19,8 @@
 	// not observe that turn, or the client gave none.
 	granted time.Duration
 	turns   int
-	// began is when the first turn came, and last when the latest turn came or ended.
+	// began is when the first turn arrived, and last when the latest turn arrived or
+	// ended.
 	began, last time.Time
 }
 
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -107,7 +107,7 @@
 
 // Restore restores one record of the log. Records must come in the order of their keys,
 // all accounts before the first Admit; stored turns may follow later. The age of a record
-// is unknown, so its retention time starts anew.
+// is unknown, so its full retention time starts again.
 func (l *Ledger) Restore(now time.Time, record Record) error {
 	if len(record.Value) == 0 {
 		return nil
--- a/replica/doc.go
+++ b/replica/doc.go
@@ -9,7 +9,7 @@
 //
 // For an engine, the work is the prefill of the prompt tokens that are not in the replica's KV
 // cache, plus the load of concurrent requests. The cache content is estimated from the prompts
-// that were sent there, with least-recently-used eviction as in the engine itself.
+// that were sent there, with least-recently-used eviction as in the engine.
 //
 // The work and memory of a node do not grow with the size of a service. For a large service,
 // Select evaluates only a window of replicas, which is the same for all nodes of a zone and
--- a/replica/shared.go
+++ b/replica/shared.go
@@ -27,7 +27,7 @@
 
 const (
 	// sharedHalfLife is the half-life of the use counts. A few seconds average over the few
-	// programs of a node, and an engine keeps a part that is used again within such a time.
+	// programs of a node, and an engine keeps a part that is used again within that time.
 	sharedHalfLife = 5 * time.Second
 	// sharedWindow is the time span that the decayed count represents: the half-life divided by
 	// the natural logarithm of 2.
--- a/tenant/account.go
+++ b/tenant/account.go
@@ -75,8 +75,8 @@
 	// openingGrace is how long a new account treats unknown programs as started ones: the
 	// previous counting node may have granted their first requests.
 	openingGrace = 2500 * time.Millisecond
-	// shortageMemory is how long after an account was empty new programs have to fit
-	// beside the started ones: about as long as a program lasts.
+	// shortageMemory is how long after an account was empty new programs have to fit in
+	// addition to the started ones: about as long as a program lasts.
 	shortageMemory = 3 * time.Second
 	// minRetryAfter and maxRetryAfter bound the retry delay of a refusal.
 	minRetryAfter = 50 * time.Millisecond
@@ -127,7 +127,8 @@
 	// refused are the programs that were refused before they started, with the time of the
 	// latest refusal.
 	refused map[string]time.Time
-	// shortUntil is the time until which new programs have to fit beside started ones.
+	// shortUntil is the time until which new programs have to fit in addition to started
+	// ones.
 	shortUntil time.Time
 	// nextRetry is the earliest retry time of the next refused program.
 	nextRetry time.Time
--- a/tenant/book.go
+++ b/tenant/book.go
@@ -29,8 +29,9 @@
 // unreachable nodes, which may count separately.
 func (b *Limiter) SetShare(share float64) { b.share = min(max(share, 0), 1) }
 
-// NodeLost records the loss of the previous counting node of some tenants that this node
-// counts for from now on. The lost node may have granted all that their accounts held.
+// NodeLost records the loss of a node, which may have been the counting node of tenants
+// that this node counts for from now on. The lost node may have granted all that their
+// accounts held.
 func (b *Limiter) NodeLost(now time.Time) { b.countingSince = now }
 
 // Retain drops the accounts of tenants that now have another counting node.
@@ -171,7 +172,7 @@
 	}
 }
 
-// committed returns how many requests the started programs are expected to need yet.
+// committed returns how many requests the started programs are still expected to need.
 func (b *Limiter) committed(now time.Time, acct *account) float64 {
 	total := 0.0
 	for _, known := range acct.programs {
--- a/tenant/scope.go
+++ b/tenant/scope.go
@@ -37,7 +37,7 @@
 // and only the zero Scope yields the plain ID. The empty ID, which denotes nothing, stays
 // empty.
 //
-// An id that is too long for a key, or contains the separator itself, is replaced by its
+// An ID that is too long for a key, or contains the separator itself, is replaced by its
 // digest after two separators, with which no other text begins.
 func (s Scope) Qualify(id string) string {
 	if id == "" {
