--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -95,7 +95,7 @@
 
 // chargeState is this node's state for enforcing the limits of tenants and cold replicas.
 type chargeState struct {
-	books map[accountKind]*tenant.Limiter
+	limiters map[accountKind]*tenant.Limiter
 	// countingNodes caches the counting nodes of accounts for the live nodes of
 	// membershipVersion.
 	countingNodes     map[account]machine.ID
@@ -130,7 +130,7 @@
 
 func newChargeState(now time.Time, config *Config) chargeState {
 	return chargeState{
-		books: map[accountKind]*tenant.Limiter{
+		limiters: map[accountKind]*tenant.Limiter{
 			tenantAccount:  tenant.NewLimiter(now.Add(config.StartupDelay), config.Tenants),
 			replicaAccount: tenant.NewLimiter(now.Add(config.StartupDelay), config.ColdReplicas),
 		},
@@ -144,15 +144,15 @@
 func firstNumber(random *rand.Rand) uint64 { return random.Uint64() >> 1 }
 
 // decide decides a charge that this node counts.
-func (s *chargeState) spend(now time.Time, charge *Charge) tenant.Decision {
+func (s *chargeState) decide(now time.Time, charge *Charge) tenant.Decision {
 	key := charge.account()
-	return s.books[key.kind].Take(now, key.name, charge.Request)
+	return s.limiters[key.kind].Take(now, key.name, charge.Request)
 }
 
 // refund undoes a charge that this node granted and whose request did not run.
 func (s *chargeState) refund(charge *Charge) {
 	key := charge.account()
-	s.books[key.kind].Refund(key.name, charge.Request)
+	s.limiters[key.kind].Refund(key.name, charge.Request)
 }
 
 // countingNode returns the counting node of an account: the live node that ranks first for
@@ -202,14 +202,14 @@
 		clear(state.countingNodes)
 		state.liveNodes = liveNodes
 	}
-	for kind, book := range state.books {
+	for kind, limiter := range state.limiters {
 		if lost {
-			book.NodeLost(now)
+			limiter.NodeLost(now)
 		}
 		if changed {
-			book.Retain(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
+			limiter.Retain(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
 		}
-		book.SetShare(c.grantableShare())
+		limiter.SetShare(c.grantableShare())
 	}
 }
 
@@ -255,7 +255,7 @@
 	waiting.target = node
 	if node == c.self().ID {
 		if c.canCount(now) {
-			c.finishCharge(number, waiting, c.chargeState.spend(now, &waiting.charge))
+			c.finishCharge(number, waiting, c.chargeState.decide(now, &waiting.charge))
 		}
 		return
 	}
@@ -348,7 +348,7 @@
 		c.sendCharge(from.ID, answer, c.freshnessClaim(now, 0))
 		return
 	}
-	decision := c.chargeState.spend(now, message.Ask)
+	decision := c.chargeState.decide(now, message.Ask)
 	c.sendCharge(from.ID, ChargeMessage{Number: message.Number, Answer: &decision}, c.freshnessClaim(now, 0))
 }
 
