--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -193,8 +193,8 @@
 // contactOf returns a node's knowledge of its contact with the store.
 func (f *fleet) contactOf(node *member) coordinator.StoreContact {
 	reached := f.reaches(node)
-	lately := f.now.Sub(node.lastStoreAnswer) < f.contactTimeout
-	return coordinator.StoreContact{Reached: reached || lately, Last: node.lastStoreAnswer, Failing: lately && !reached}
+	recently := f.now.Sub(node.lastStoreAnswer) < f.contactTimeout
+	return coordinator.StoreContact{Reached: reached || recently, Last: node.lastStoreAnswer, Failing: recently && !reached}
 }
 
 // setStoreUp makes the store available or unavailable.
@@ -203,7 +203,7 @@
 	f.storeChangedAt = f.now
 }
 
-// reaches reports whether a node believes that it reaches the store.
+// reaches reports whether a node considers the store reachable.
 func (f *fleet) reaches(node *member) bool {
 	down := f.storeDown
 	if f.now.Sub(f.storeChangedAt) < node.noticeLag {
