--- a/control/apply.go
+++ b/control/apply.go
@@ -263,7 +263,7 @@
 	call.Error = ended.Error
 }
 
-// refuseWaiting refuses all waiting requests, so that their callers ask the
+// refuseWaiting refuses all waiting requests, so that their callers query the
 // next owner by key.
 func (c *Core) refuseWaiting(owned *ownedPartition) {
 	refusal := notOwner(owned.id)
@@ -283,8 +283,8 @@
 }
 
 // notOwner returns the refusal that sends a caller to another node. The request
-// may have been recorded here, so its outcome is unknown until the caller asks
-// by its key.
+// may have been recorded here, so its outcome is unknown until the caller
+// queries it by its key.
 func notOwner(id partition.ID) *api.Error {
 	refusal := &api.Error{
 		Code:    api.CodeNotOwner,
@@ -315,7 +315,7 @@
 	}
 }
 
-// lookUp asks the tool service for the outcome of a call by its key, now or
+// lookUp queries the tool service for the outcome of a call by its key, now or
 // after the effect's delay.
 func (c *Core) lookUp(now time.Time, owned *ownedPartition, effect program.Effect) {
 	if effect.Delay > 0 {
@@ -333,7 +333,7 @@
 	c.emit(LookUpKey{Call: effect.Attempt.CallRef, Backend: backend, Key: effect.Key})
 }
 
-// lookupBackend returns the replica to ask about a key: the one that the call
+// lookupBackend returns the replica to query for a key: the one that the call
 // was sent to or, if the machine list no longer has it, another replica of the
 // same tool. The replicas of a service share their records of keys.
 func (c *Core) lookupBackend(owned *ownedPartition, effect program.Effect) (machine.Machine, bool) {
--- a/control/attendant.go
+++ b/control/attendant.go
@@ -54,7 +54,7 @@
 
 // setMachines recomputes which back ends this node manages. Back ends that have
 // left the list stay available through backend, so that tool services can still
-// be asked about calls that were sent to them.
+// be queried about calls that were sent to them.
 func (m *backendManager) setMachines(now time.Time, nodes, backends []machine.Machine) {
 	m.sortedIDs = m.sortedIDs[:0]
 	for _, backend := range backends {
@@ -232,8 +232,8 @@
 	return peers[:min(count, len(peers))]
 }
 
-// stepPrefixesListed begins a sweep: it asks the owners of the listed programs
-// which of the prefixes may be released. Prefixes of this node's own partitions
+// stepPrefixesListed begins a sweep: it queries the owners of the listed
+// programs for the prefixes that may be released. Prefixes of this node's own partitions
 // are checked directly.
 func (c *Core) stepPrefixesListed(now time.Time, event PrefixesListed) {
 	if event.Err != nil {
@@ -263,7 +263,7 @@
 	}
 }
 
-// stepSweep answers a sweep's question, or releases the prefixes that an owner
+// stepSweep answers a sweep's query, or releases the prefixes that an owner
 // reported as no longer needed.
 func (c *Core) stepSweep(_ time.Time, from machine.ID, sweep link.SweepMessage) {
 	if len(sweep.Queried) > 0 {
--- a/control/core.go
+++ b/control/core.go
@@ -26,7 +26,7 @@
 	hintExpiry map[partition.ID]time.Time
 	// knownPartitions lists all partitions that can hold programs, sorted.
 	knownPartitions []partition.ID
-	// nodes lists the nodes that are believed to run, including leaving ones.
+	// nodes lists the nodes that are not known to be dead, including leaving ones.
 	nodes []machine.Machine
 
 	backendManager backendManager
--- a/control/events.go
+++ b/control/events.go
@@ -54,7 +54,8 @@
 	Request Request
 }
 
-// RequestAbandoned reports that nobody waits for the handle's answer any more.
+// RequestAbandoned reports that the handle's caller no longer waits for an
+// answer.
 type RequestAbandoned struct{ Handle uint64 }
 
 // AttemptEnded reports the outcome of an attempt at its back end.
--- a/control/messages.go
+++ b/control/messages.go
@@ -147,9 +147,9 @@
 	return true
 }
 
-// presentNodes returns the nodes that are believed to run. Leaving nodes keep
-// that status: they take no new partitions, but still hold those they have not
-// handed over.
+// presentNodes returns the nodes that are not known to be dead. Leaving nodes
+// keep that status: they get no new partitions, but still hold those they have
+// not handed over.
 func presentNodes(known []machine.Machine) []machine.Machine {
 	var nodes []machine.Machine
 	for _, entry := range known {
--- a/control/owned.go
+++ b/control/owned.go
@@ -298,8 +298,8 @@
 }
 
 // lost drops the partition's state: another node owns it, or this node will
-// replay it after the next claim. Waiting callers are told to ask the next
-// owner by their key.
+// replay it after the next claim. Waiting callers are refused and have to query
+// the next owner by their key.
 func (c *Core) lost(now time.Time, owned *ownedPartition) {
 	wasOwned := owned.acquired
 	for _, call := range sortedCalls(owned.placed) {
--- a/control/peers.go
+++ b/control/peers.go
@@ -2,8 +2,8 @@
 
 import "birchwood.example/birchwood/machine"
 
-// Peers returns the other nodes that were believed to run when the routing was
-// created.
+// Peers returns the other nodes that were not known to be dead when the routing
+// was created.
 func (r *Routing) Peers() []machine.Machine {
 	var peers []machine.Machine
 	for _, node := range r.nodes {
--- a/control/requests.go
+++ b/control/requests.go
@@ -98,7 +98,7 @@
 }
 
 // abandon drops a request whose caller has disconnected. The work that it
-// started continues: the caller may ask for it by its key.
+// started continues: the caller may query it by its key.
 func (c *Core) abandon(handle uint64) {
 	for i, request := range c.parked {
 		if request.handle == handle {
@@ -352,8 +352,8 @@
 	return partition.NewProgramID(string(branch), c.config.PartitionsPerBranch, key), nil
 }
 
-// Owner returns the node that owns, or should own, a partition, as far as this
-// node knows.
+// Owner returns the node that owns, or should own, a partition, according to
+// this node's view.
 func (c *Core) Owner(id partition.ID) (machine.ID, bool) {
 	if owned, ok := c.partitions[id]; ok {
 		if owned.acquired {
--- a/control/routing.go
+++ b/control/routing.go
@@ -58,8 +58,8 @@
 
 // hintDuration returns how long requests keep going to the previous owner. An
 // owner that stays does not hand over before HandoverDwell. A leaving owner may
-// be gone soon, and after ClaimDwell its successor knows whether it still
-// serves.
+// be gone soon, and after ClaimDwell its successor has determined whether it
+// still serves.
 func (c *Core) hintDuration(owner machine.ID) time.Duration {
 	for _, node := range c.nodes {
 		if node.ID == owner && node.Status == machine.StatusLeaving {
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -72,7 +72,7 @@
 }
 
 // Manages reports whether this node manages a back end, and so sends it orders.
-// Two nodes with different views may both believe so; the fencing number of an
+// Two nodes with different views may both manage it; the fencing number of an
 // order then decides which one takes effect.
 func (c *Core) Manages(id machine.ID) bool {
 	_, managed := c.backendManager.managed[id]
--- a/control/settings.go
+++ b/control/settings.go
@@ -39,7 +39,7 @@
 }
 
 // stepSettingsFetched imports a peer's settings. A failed fetch or an older
-// copy is ignored: the follower asks again.
+// copy is ignored: the follower requests it again.
 func (c *Core) stepSettingsFetched(now time.Time, event SettingsFetched) {
 	if event.Err == nil {
 		_ = c.follower.Import(now, event.Data)
--- a/edge/adapter.go
+++ b/edge/adapter.go
@@ -23,8 +23,8 @@
 	// Configuration decodes a record of the configuration stream. It returns nil for a
 	// record that is not a configuration.
 	Configuration(key string, value []byte) (*routing.Table, error)
-	// Evacuation decodes a record of the configuration stream that says whether a zone is
-	// evacuated. It returns ok == false for other records.
+	// Evacuation decodes a record of the configuration stream that marks a zone as evacuated
+	// or not. It returns ok == false for other records.
 	Evacuation(key string, value []byte) (name zone.Name, evacuated, ok bool)
 	// Replica decodes a record of the replica stream.
 	Replica(key string, value []byte) (replica.Entry, error)
--- a/edge/appending.go
+++ b/edge/appending.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// errNoAnswerYet says that a try was not answered within its timeout. Its answer may still
+// errNoAnswerYet means that a try was not answered within its timeout. Its answer may still
 // arrive.
 var errNoAnswerYet = errors.New("the store has not answered yet")
 
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -20,7 +20,7 @@
 // replica to be counted as timed out when the request's deadline passes.
 const suspectAfter = time.Second
 
-// resultForStatus tells an answer from an error of the replica itself.
+// resultForStatus classifies a status as an answer or as an error of the replica itself.
 func resultForStatus(status int) replica.Result {
 	if status >= fasthttp.StatusInternalServerError {
 		return replica.ResultErred
--- a/edge/calls.go
+++ b/edge/calls.go
@@ -31,10 +31,10 @@
 // objective.
 const defaultLateDivisor = 4
 
-// errAllRefused says that the maximum number of replicas refused a request.
+// errAllRefused means that the maximum number of replicas refused a request.
 var errAllRefused = errors.New("every replica refused the request")
 
-// errSuperseded says that another attempt of the same request was answered first.
+// errSuperseded means that another attempt of the same request was answered first.
 var errSuperseded = errors.New("another attempt was answered first")
 
 func newCallStats() (*callStats, error) {
--- a/edge/cold.go
+++ b/edge/cold.go
@@ -14,9 +14,8 @@
 )
 
 const (
-	// coldChargeTimeout is how long a request waits for the node that counts the requests
-	// of a cold replica: two round trips between zones. Another replica is selected after
-	// that.
+	// coldChargeTimeout is how long a request waits for a cold replica's counting node: two
+	// round trips between zones. Another replica is selected after that.
 	coldChargeTimeout = 100 * time.Millisecond
 	// coldGrantLifetime is how long after the request for it a grant may be used. A grant
 	// that is read later, for example after the process was suspended, would be used in
--- a/edge/contact.go
+++ b/edge/contact.go
@@ -12,7 +12,7 @@
 	// last outage; zero if there was none.
 	last     time.Time
 	regained time.Time
-	// failing says that calls have failed since the store last answered.
+	// failing is set while calls have failed since the store last answered.
 	failing bool
 	// pendingUntil is the latest time at which a long-polling read may end; zero if none is
 	// waiting.
--- a/edge/control.go
+++ b/edge/control.go
@@ -53,12 +53,12 @@
 	answer    chan<- machine.Machine
 }
 
-// directoryLookup requests the nodes that this one knows.
+// directoryLookup requests the nodes in this node's list.
 type directoryLookup struct {
 	answer chan<- nodeList
 }
 
-// nodeList is the answer to a directoryLookup. complete says that the whole list was read.
+// nodeList is the answer to a directoryLookup. complete is set if the whole list was read.
 type nodeList struct {
 	nodes    []machine.Machine
 	complete bool
@@ -95,8 +95,8 @@
 	return roundTrip(ctx, c, partitionRequest{partition: partition, request: request, answer: answer}, answer)
 }
 
-// charge requests that a request is counted. Its answer channel receives one answer, unless
-// the context ends first.
+// charge passes a client request to the core to be counted. The request's answer channel
+// receives one answer, unless the context ends first.
 func (c *control) charge(ctx context.Context, request *charge, timeout time.Duration) {
 	select {
 	case c.inbox <- chargeRequest{charge: request.request, timeout: timeout, answer: request.answer}:
@@ -110,7 +110,7 @@
 	return roundTrip(ctx, c, ownerLookup{partition: partition, answer: answer}, answer)
 }
 
-// directory returns the nodes that this one knows.
+// directory returns the nodes in this node's list.
 func (c *control) directory(ctx context.Context) (nodeList, error) {
 	answer := make(chan nodeList, 1)
 	return roundTrip(ctx, c, directoryLookup{answer: answer}, answer)
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -25,11 +25,11 @@
 // with the number of nodes rather than with its square.
 const (
 	pathNodes = "/peer/nodes"
-	// directoryRankKey stands for a partition in the ranking of the nodes that read all
-	// partitions.
+	// directoryRankKey is the key, in place of a partition, by which the nodes that read all
+	// partitions are ranked.
 	directoryRankKey = -3
-	// directoryReaders is how many nodes of a partition may be asked for the list, the one
-	// that ranks first before the others.
+	// directoryReaders is how many nodes of a partition may be queried for the list, in the
+	// order of their rank.
 	directoryReaders = 4
 	// directoryReadAllMaximum is the maximum number of nodes in a partition at which each
 	// node reads all partitions itself.
@@ -96,8 +96,7 @@
 // neighbours are the nodes whose records are in the same partition as this node's.
 type neighbours struct {
 	nodes []machine.Machine
-	// read says that the partition was read, and next is the offset at which its tail
-	// begins.
+	// read is set once the partition was read; next is the offset at which its tail begins.
 	read bool
 	next uint64
 }
@@ -135,7 +134,7 @@
 }
 
 // publishSelf writes this node's record, and keeps trying in the background if that fails:
-// until then, others learn about the node from its messages.
+// until then, other nodes discover this one through its messages.
 func (n *Node) publishSelf(ctx context.Context) {
 	value, err := json.Marshal(n.self)
 	if err != nil {
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -10,8 +10,8 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// evacuations holds what this node knows about evacuated zones. It is safe for concurrent
-// use, and the zero value is empty.
+// evacuations holds this node's view of the evacuated zones. It is safe for concurrent use,
+// and the zero value is empty.
 type evacuations struct {
 	mutex sync.Mutex
 	state evacuation.State
@@ -61,7 +61,7 @@
 	})
 }
 
-// adoptEvacuations applies what a peer knew when it was queried, if that is newer.
+// adoptEvacuations applies the evacuated zones in a peer's answer, if they are newer.
 func (n *Node) adoptEvacuations(from machine.Machine, requestedAt time.Time, received evacuation.Snapshot) {
 	n.updateEvacuations("peer "+string(from.ID), func(state *evacuation.State, _ time.Time) []evacuation.Change {
 		return state.Adopt(requestedAt, received)
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -25,7 +25,7 @@
 	configurationPause = 50 * time.Millisecond
 	replicasPause      = 400 * time.Millisecond
 	// sourcePause is used instead by the few sources, which read for all other nodes: it
-	// adds to the age of what those know.
+	// adds to the age of their data.
 	sourcePause = 200 * time.Millisecond
 	// provingPause is the time between two reads by a zone's readers while the
 	// configuration has keys; the other nodes get their freshness proofs from them. A read
--- a/edge/gathered.go
+++ b/edge/gathered.go
@@ -42,7 +42,7 @@
 }
 
 // applyLoadTotals applies the totals of all other nodes to the replicas that this node
-// knows.
+// holds.
 func (r *replicas) applyLoadTotals(now time.Time, totals *gather.Totals) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/edge/gathered_test.go
+++ b/edge/gathered_test.go
@@ -25,7 +25,7 @@
 	g.Expect(configOf(without(CountPeerLoads)).DisableGathering).To(BeTrue())
 }
 
-// TestTotalsOfOtherLists checks that totals of replicas that this node does not know are
+// TestTotalsOfOtherLists checks that totals of replicas that this node does not hold are
 // ignored.
 func TestTotalsOfOtherLists(t *testing.T) {
 	g := NewWithT(t)
--- a/edge/homes.go
+++ b/edge/homes.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// errOwnerOutsideZones says that the content of a turn may not be sent to the node that
+// errOwnerOutsideZones means that the content of a turn may not be sent to the node that
 // would store it.
 var errOwnerOutsideZones = errors.New("the program's partition is owned outside of the regions in which its turns may be kept")
 
--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -30,8 +30,8 @@
 	ownerPollInterval = 200 * time.Millisecond
 )
 
-// errOwnerChanged says that the partition now belongs to another node than the one that was
-// called.
+// errOwnerChanged means that the partition now belongs to another node than the one that
+// was called.
 var errOwnerChanged = errors.New("another node now owns the partition")
 
 // store has the turn stored by the current owner of the program's partition. If that takes
@@ -88,8 +88,8 @@
 }
 
 // storeInOtherPartition has the owners of other partitions store the turn, one after the
-// other, once storing it has taken otherPartitionDelay. A node that looks for a turn that
-// is not in its program's partition searches all partitions. The tokens that the program
+// other, once storing it has taken otherPartitionDelay. A node that does not find a turn in
+// its program's partition searches all partitions. The tokens that the program
 // used are settled with its own owner.
 func (t *turnRun) storeInOtherPartition(ctx context.Context, search *requestState, keepRequest coordinator.KeepRequest) (stored bool) {
 	n, partitions := t.node, t.node.settings.Partitions
--- a/edge/mechanisms.go
+++ b/edge/mechanisms.go
@@ -76,9 +76,9 @@
 	// OrderBySlack makes full engines first serve the programs with the least slack, within
 	// their priority.
 	OrderBySlack Mechanism = "order-by-slack"
-	// DetectIsolationEarly makes a node that receives nothing from other zones count as
-	// isolated once its calls to the store have failed for some time, before the store
-	// counts as unreachable.
+	// DetectIsolationEarly treats a node that receives nothing from other zones as isolated
+	// once its calls to the store have failed for some time, before the store counts as
+	// unreachable.
 	DetectIsolationEarly Mechanism = "notice-cuts"
 	// PreferConnections prefers replicas to which there is an idle connection.
 	PreferConnections Mechanism = "prefer-connections"
@@ -98,8 +98,8 @@
 	// CacheChains caches the chains of turns that this node served, so that the owner need
 	// not send them when their sessions continue here.
 	CacheChains Mechanism = "recall-chains"
-	// RedirectCharges makes a charge follow the redirect of a node that knows another
-	// counting node, because its view may be newer.
+	// RedirectCharges makes a charge follow a redirect to the counting node in the view of
+	// the node that was called, because that view may be newer.
 	RedirectCharges Mechanism = "redirect-charges"
 	// RefuseWhenFull makes new programs wait while all replicas are full.
 	RefuseWhenFull Mechanism = "refuse-when-full"
--- a/edge/node.go
+++ b/edge/node.go
@@ -37,7 +37,7 @@
 
 	routes routing.LatestTable
 	config latestConfiguration
-	// evacuations is what this node knows about evacuated zones.
+	// evacuations is this node's view of the evacuated zones.
 	evacuations   evacuations
 	replicas      *replicas
 	pool          *upstream.Pool
@@ -77,7 +77,7 @@
 	started      time.Time
 	replicasAsOf atomic.Int64
 	stopping     atomic.Bool
-	// syncedConfiguration and syncedReplicas say that the stream was read completely.
+	// syncedConfiguration and syncedReplicas are set once the stream was read completely.
 	syncedConfiguration atomic.Bool
 	syncedReplicas      atomic.Bool
 	// roles are the tasks that nodes perform for others in a large fleet.
@@ -86,8 +86,8 @@
 	// that node answered last, in nanoseconds since started.
 	following        atomic.Bool
 	readerAnsweredAt atomic.Int64
-	// holdsAllReplicas says that this node holds all replicas that the store lists, rather
-	// than a part of them.
+	// holdsAllReplicas is set while this node holds all replicas that the store lists,
+	// rather than a part of them.
 	holdsAllReplicas atomic.Bool
 	// readsWithoutProof counts the consecutive reads of the configuration that did not
 	// yield a freshness proof in time.
@@ -105,7 +105,7 @@
 	// liveNodes is the number of live nodes, including this one.
 	liveNodes atomic.Int32
 	// isolatedSince is since when the node has reached neither the store nor most of the
-	// zones it knows; nil while it reaches them.
+	// zones in its view; nil while it reaches them.
 	isolatedSince atomic.Pointer[time.Time]
 
 	ctx    context.Context
@@ -200,8 +200,8 @@
 const (
 	unrecordedShare = 1.0 / 3
 	// afterFailureShare is the share that remains if the previous owner failed, for budgets
-	// of at least afterFailureMinBudget tokens: the maximum of ten turns in the users'
-	// deployments. Two failures in a row leave five twelfths of such a budget.
+	// of at least afterFailureMinBudget tokens, the usual maximum of ten turns. Two
+	// failures in a row leave five twelfths of such a budget.
 	afterFailureShare     = 1.0 / 4
 	afterFailureMinBudget = 6000
 	ownershipProofTTL     = 8 * time.Second
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -144,11 +144,11 @@
 type peerState struct {
 	Configuration []byte          `json:"configuration,omitempty"`
 	Replicas      []replica.Entry `json:"replicas"`
-	// Proven says that the configuration was proven to be the newest, ProofAgeMS
+	// Proven is set if the configuration was proven to be the newest, ProofAgeMS
 	// milliseconds before the peer answered.
 	Proven     bool  `json:"proven,omitempty"`
 	ProofAgeMS int64 `json:"proof_age_ms,omitempty"`
-	// Evacuations is what the peer knows about evacuated zones.
+	// Evacuations are the evacuated zones in the peer's view.
 	Evacuations evacuation.Snapshot `json:"evacuations"`
 }
 
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -31,8 +31,8 @@
 	incarnation, next uint64
 	part              bool
 	group             replica.Group
-	// uncertain says that the reader was still reading, and that what this node holds may
-	// differ from the whole list.
+	// uncertain is set if the reader was still reading the list, so that the replicas that
+	// this node holds may differ from the whole list.
 	uncertain bool
 	// failures counts the consecutive requests without an answer.
 	failures int
@@ -92,10 +92,10 @@
 	r.part, r.group = part, group
 }
 
-// advance updates the position after an answer; held says whether this node held replicas
-// before it. After a reader has completed its list, the whole list is requested again by a
-// node that may hold replicas that are not in it, and by one that serves the whole list
-// itself and therefore has to know that it holds all.
+// advance updates the position after an answer; held is set if this node held replicas
+// before it. After the reader has completed its list, this node requests the whole list
+// again if it may hold replicas that are not in it, or if it serves the whole list itself
+// and therefore needs certainty that it holds all replicas.
 func (r *readerCursor) advance(answer *relayAnswer, held bool) {
 	r.incarnation, r.next = answer.ReaderIncarnation, answer.Next
 	switch {
@@ -110,7 +110,7 @@
 
 // fetchTotal queries the readers of this zone, and the sources, for the number of replicas.
 // A starting node needs it to decide whether to follow them or to read the store. In a
-// small fleet that has just started, no node knows it.
+// small fleet that has just started, no node has the number.
 func (n *Node) fetchTotal(ctx context.Context) {
 	roles := n.roles.Load()
 	if roles == nil || !n.settings.uses(FollowReaders) {
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -60,8 +60,8 @@
 	// Next is the number for the next request.
 	Next  uint64 `json:"next"`
 	Whole bool   `json:"whole,omitempty"`
-	// Partial says that the reader has not read the whole list yet, so that replicas that
-	// are missing here may exist.
+	// Partial is set while the reader has not read the whole list yet, so that replicas
+	// that are missing here may exist.
 	Partial bool             `json:"partial,omitempty"`
 	Changes []replica.Change `json:"changes,omitempty"`
 	// AgeMS is how long ago the reader's list was equal to that of the store, in
@@ -71,11 +71,11 @@
 	Total int `json:"total,omitempty"`
 	// Configuration is the reader's newest configuration, if the follower's is older.
 	Configuration *rawConfiguration `json:"configuration,omitempty"`
-	// Proven says that the configuration was proven to be the newest, ProofAgeMS
+	// Proven is set if the configuration was proven to be the newest, ProofAgeMS
 	// milliseconds before this answer.
 	Proven     bool  `json:"proven,omitempty"`
 	ProofAgeMS int64 `json:"proof_age_ms,omitempty"`
-	// Evacuations is what the reader knows about evacuated zones.
+	// Evacuations are the evacuated zones in the reader's view.
 	Evacuations *evacuation.Snapshot `json:"evacuations,omitempty"`
 }
 
@@ -87,13 +87,13 @@
 	// incarnation 0 requests the whole list.
 	incarnation, since uint64
 	wait               time.Duration
-	// part says that the follower holds the part of its group only.
+	// part is set if the follower holds only the part of its group.
 	part  bool
 	group replica.Group
 	// version is the version of the follower's configuration, and evacuations that of its
 	// evacuated zones.
 	version, evacuations uint64
-	// takesPartial says that the follower distinguishes an incomplete list from a complete
+	// takesPartial is set if the follower distinguishes an incomplete list from a complete
 	// one. Nodes of an earlier version do not.
 	takesPartial bool
 	// ageOnly requests only the age and the length of the list.
@@ -190,7 +190,7 @@
 	return reads && n.replicas.count() >= minimumPartialReplicas
 }
 
-// awaitChanges waits until there are changes for a follower, or its long-poll time is over.
+// awaitChanges waits until there are changes for a follower or its long-poll time is over.
 func (n *Node) awaitChanges(request *relayRequest) {
 	until := time.Now().Add(request.wait)
 	for request.version >= n.configVersion() && request.evacuations >= n.evacuations.version() {
--- a/edge/replicas.go
+++ b/edge/replicas.go
@@ -182,7 +182,7 @@
 	return false
 }
 
-// nextOf returns the number of the next change of the list or part that a follower holds.
+// nextOf returns the number of the next change to the list or part that a follower holds.
 // The caller must hold the mutex.
 func (r *replicas) nextOf(request *relayRequest) uint64 {
 	if !request.part {
@@ -245,7 +245,7 @@
 	r.totalListed = total
 }
 
-// total returns the number of replicas in the store, as far as this node knows.
+// total returns the number of replicas in the store, according to this node's view.
 func (r *replicas) total() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/edge/request.go
+++ b/edge/request.go
@@ -47,7 +47,7 @@
 	attempts int
 	// repeats counts the hedged attempts, sent while a late one was in flight.
 	repeats int
-	// attemptInFlight says that an attempt is in flight while the next replica is selected.
+	// attemptInFlight is set if an attempt is in flight while the next replica is selected.
 	attemptInFlight bool
 	// sentAt is when the last attempt began.
 	sentAt   time.Time
@@ -74,7 +74,7 @@
 	budget    int
 	// lengthHint is the client's estimate of the output tokens; 0 if there is none.
 	lengthHint int
-	// finishBy is when the program has to be finished; zero if the client does not say.
+	// finishBy is when the program has to be finished; zero if the client sets none.
 	finishBy time.Time
 	// expectedRemaining is the typical remaining time of the program, and urgency the rank
 	// that engines get with the turn.
--- a/edge/returns.go
+++ b/edge/returns.go
@@ -40,7 +40,7 @@
 }
 
 // refuse answers that the request was not run, with the delay after which to retry. The
-// caller sets what is known about the cause; refuse adds the properties of the request.
+// caller sets the fields that describe the cause; refuse adds those of the request.
 func (n *Node) refuse(r *requestState, refusal dispatch.Refusal, reason string) {
 	now := time.Now()
 	if r.route != nil {
--- a/edge/role.go
+++ b/edge/role.go
@@ -19,7 +19,7 @@
 	assumedReplicas = 400
 )
 
-// role says what a node reads from the store, and from whom it gets the rest.
+// role determines what a node reads from the store, and which nodes it gets the rest from.
 type role int
 
 const (
--- a/edge/role_test.go
+++ b/edge/role_test.go
@@ -12,7 +12,7 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// TestNodeOfALargeFleetFollowsBeforeItKnowsReplicas checks that a node that knows many
+// TestNodeOfALargeFleetFollowsBeforeItKnowsReplicas checks that a node that has many
 // other nodes but no replica follows a reader. If all nodes read the replicas from the
 // store instead, the store would answer none of them in time.
 func TestNodeOfALargeFleetFollowsBeforeItKnowsReplicas(t *testing.T) {
@@ -91,7 +91,7 @@
 }
 
 // TestListOfNodesIsReadByFew checks that the nodes of one partition agree on the one that
-// reads the whole list, in whatever order they know each other.
+// reads the whole list, whatever the order of their lists of nodes.
 func TestListOfNodesIsReadByFew(t *testing.T) {
 	g := NewWithT(t)
 	var nodes []machine.Machine
--- a/edge/run.go
+++ b/edge/run.go
@@ -32,13 +32,13 @@
 	output []byte
 	// runs counts the runs that may have begun.
 	runs int
-	// stored says that the owner has stored, and thereby settled, the turn.
+	// stored is set once the owner has stored, and thereby settled, the turn.
 	stored bool
 	// times records when events arrived, and lastReadAt when the stream was last read.
 	times      streamTimes
 	lastReadAt time.Time
 	// heldOutput is the answer so far if nothing of it may be sent until the turn is
-	// stored, and released says that it may now be sent.
+	// stored; released is set once it may be sent.
 	heldOutput []byte
 	released   bool
 }
@@ -151,8 +151,8 @@
 	return true
 }
 
-// errEventOrder says that a continued stream does not resume where the previous run broke
-// off.
+// errEventOrder is the error of a continued stream that does not resume where the previous
+// run broke off.
 var errEventOrder = errors.New("the stream does not go on where it broke off")
 
 // clientError is a failure to write to the client.
@@ -330,7 +330,8 @@
 	return slices.Concat(t.grant.chain, t.request.exchange.Body, t.output)
 }
 
-// notStoredError says that a turn was received whole but could not be stored in time.
+// notStoredError is the error of a turn that was received whole but could not be stored in
+// time.
 type notStoredError struct{}
 
 // Error describes the failure.
--- a/edge/share.go
+++ b/edge/share.go
@@ -8,8 +8,8 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// shares holds what this node knows about the tenants' shares of the replicas' capacity. It
-// is safe for concurrent use.
+// shares holds this node's view of the tenants' shares of the replicas' capacity. It is
+// safe for concurrent use.
 type shares struct {
 	mutex sync.Mutex
 	known *dispatch.Shares
--- a/edge/standing.go
+++ b/edge/standing.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/routing"
 )
 
-// scheduling holds what this node knows about running programs, to order competing turns.
+// scheduling holds this node's estimates for running programs, which order competing turns.
 // It is safe for concurrent use.
 type scheduling struct {
 	mutex     sync.Mutex
--- a/edge/storeread.go
+++ b/edge/storeread.go
@@ -31,7 +31,7 @@
 	sentAt  time.Time
 }
 
-// errStoreRegained says that a read has to be repeated, because it was sent before an
+// errStoreRegained means that a read has to be repeated, because it was sent before an
 // outage of the store ended.
 var errStoreRegained = errors.New("the store answers again after the read was sent")
 
@@ -86,7 +86,7 @@
 // nextTimeout returns how long the next try may be unanswered before another is sent. The
 // timeout doubles while the store answers other calls, since requesting a page twice keeps
 // a slow store slow. An unresponsive store is tried at a constant interval, so that its
-// return is noticed soon, however long the outage lasts.
+// recovery is noticed soon, however long the outage lasts.
 func (t pageRetry) nextTimeout(timeout time.Duration, storeReached bool) time.Duration {
 	if !storeReached {
 		return t.firstTimeout
@@ -157,7 +157,7 @@
 			if answer.err == nil || answer.read.attempt == attempt {
 				return answer
 			}
-			// The failure of an earlier try says nothing about this one.
+			// An earlier try has failed; this one may still be answered.
 		case <-regained:
 			return pageAnswer{read: read, err: errStoreRegained}
 		case <-timer.C:
--- a/edge/storewatch.go
+++ b/edge/storewatch.go
@@ -26,7 +26,7 @@
 )
 
 // watchNeighbours follows the partition with this node's record for a while, to check that
-// the store can be reached. Nodes that read other streams learn that from these.
+// the store can be reached. Nodes that read other streams see it from those reads.
 func (n *Node) watchNeighbours(ctx context.Context, near *neighbours, span time.Duration) {
 	until := time.Now().Add(span)
 	stream := recordstore.Stream{Name: recordstore.StreamNodes, Partition: n.nodePartition()}
--- a/edge/turn.go
+++ b/edge/turn.go
@@ -29,7 +29,7 @@
 	settleTimeout = 5 * time.Second
 )
 
-// errNoOwner says that no owner of the partition was found in time.
+// errNoOwner means that no owner of the partition was found in time.
 var errNoOwner = errors.New("the program's partition has no owner at present")
 
 // grant is the owner's permission to run a turn.
@@ -39,7 +39,7 @@
 	// recorded yields nil once the turn's tokens are durably counted; recorded itself is
 	// nil if there is nothing to wait for.
 	recorded <-chan error
-	// stalled says that the log accepted no records of the partition when the turn was
+	// stalled is set if the log accepted no records of the partition when the turn was
 	// admitted.
 	stalled bool
 }
@@ -249,7 +249,7 @@
 	return ownerCallTimeout
 }
 
-// findChain looks for the previous turn in all partitions. The turn is certainly absent
+// findChain searches all partitions for the previous turn. The turn is certainly absent
 // only if every owner has replied that it does not hold it, and has a complete view of the
 // turns that it stores.
 func (n *Node) findChain(ctx context.Context, r *requestState) ([]byte, coordinator.ReplyStatus) {
@@ -279,7 +279,7 @@
 	return nil, status
 }
 
-// errNotCounted says that the turn's tokens could not be counted durably.
+// errNotCounted means that the turn's tokens could not be counted durably.
 var errNotCounted = errors.New("the tokens of the turn could not be recorded")
 
 // awaitRecorded returns a channel that yields nil once the position is durable. It waits
--- a/edge/waiting.go
+++ b/edge/waiting.go
@@ -35,7 +35,7 @@
 	// requests are the queued requests by their id in the queue.
 	requests map[uint64]*queuedRequest
 	lastID   uint64
-	// polling says that a goroutine serves the queue.
+	// polling is set while a goroutine serves the queue.
 	polling bool
 }
 
--- a/gather/pack.go
+++ b/gather/pack.go
@@ -14,8 +14,8 @@
 
 // Key identifies a replica in messages. It is computed from the replica's id alone, so
 // that nodes with different replica lists use the same key. Two of 10,000 replicas share
-// a key with a probability of about 1 %; a node that knows both ignores the loads of
-// both.
+// a key with a probability of about 1 %; a node that lists both ignores their
+// loads.
 type Key uint32
 
 // KeyOf returns the key of a replica.
--- a/machine/config.go
+++ b/machine/config.go
@@ -40,8 +40,8 @@
 	LeavingTimeout time.Duration
 	// ProbesPerPeriod is the number of peers probed in each period.
 	ProbesPerPeriod int
-	// IndirectProbes is the number of peers asked to probe on this node's
-	// behalf.
+	// IndirectProbes is the number of peers that are sent a request to probe on
+	// this node's behalf.
 	IndirectProbes int
 	// GossipFanout is the number of peers that receive recent updates in each
 	// gossip period.
--- a/machine/doc.go
+++ b/machine/doc.go
@@ -30,7 +30,7 @@
 //
 // # Local faults
 //
-// A node that is cut off, or was paused, sees every peer fail. Following
+// A node that is partitioned off, or was paused, sees every peer fail. Following
 // Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for
 // More Accurate Failure Detection", 2018) the node scales its time-outs by its
 // own health. In addition, it declares a death only if some peer has answered
--- a/machine/gossip.go
+++ b/machine/gossip.go
@@ -126,8 +126,8 @@
 	m.peerRevisionSource = from
 }
 
-// send queues a message with as many updates as fit. What this node believes
-// about the receiver itself comes first, so that the receiver can refute it.
+// send queues a message with as many updates as fit. This node's status of the
+// receiver itself comes first, so that the receiver can refute it.
 func (m *Membership) send(to ID, message Message) {
 	message.Revision = m.revision
 	if known, ok := m.records[to]; ok && known.status != StatusLive {
--- a/machine/membership.go
+++ b/machine/membership.go
@@ -90,7 +90,7 @@
 	Changed bool
 }
 
-// NewMembership returns a membership that knows no machine but this node.
+// NewMembership returns a membership that contains only this node.
 func NewMembership(config Config) (*Membership, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
--- a/machine/message.go
+++ b/machine/message.go
@@ -7,7 +7,7 @@
 const (
 	MessageProbe MessageKind = "probe"
 	MessageAck   MessageKind = "ack"
-	// MessageProbeFor asks the receiver to probe Target and to relay the ack.
+	// MessageProbeFor requests that the receiver probe Target and relay the ack.
 	MessageProbeFor MessageKind = "probe_for"
 	// MessageAnnounce carries an update sent to every node at once. It is not
 	// answered.
--- a/machine/probe.go
+++ b/machine/probe.go
@@ -11,7 +11,7 @@
 	target   ID
 	started  time.Time
 	deadline time.Time
-	// indirect is set once other peers have been asked to probe the target.
+	// indirect is set once indirect probes of the target have been sent.
 	indirect bool
 }
 
@@ -28,7 +28,8 @@
 const indirectTimeoutFactor = 2
 
 // minimumSelfBlamePeers is the number of peers from which on a node that gets
-// no answer from any of them blames itself, whatever the machine list shows.
+// no answer from any of them treats itself as faulty, whatever the machine list
+// shows.
 const minimumSelfBlamePeers = 3
 
 // Step processes a message from another node.
@@ -98,8 +99,8 @@
 	m.rumours.remove(known.listed.ID)
 }
 
-// probeDeadSender probes a node that counts as dead but has sent a probe, so
-// that it learns of its state and can refute it.
+// probeDeadSender probes a node that counts as dead but has sent a probe. The
+// probe carries that status, so that the node can refute it.
 func (m *Membership) probeDeadSender(now time.Time, from ID) {
 	known, ok := m.records[from]
 	if ok && known.status == StatusDead {
@@ -281,7 +282,7 @@
 }
 
 // mayDeclareDead reports whether this node has evidence that it is not itself
-// cut off from the network.
+// partitioned off.
 func (m *Membership) mayDeclareDead(now time.Time, known *record) bool {
 	if m.health.answeredSince(known.suspectSince) {
 		return true
--- a/partition/claim.go
+++ b/partition/claim.go
@@ -82,9 +82,9 @@
 	return others
 }
 
-// running reports whether the node is believed to run. It may be leaving, or in
-// a zone that is not permitted: then it takes no new partitions or mirror
-// roles, but can still hand over and answer for what it holds.
+// running reports whether the node runs according to the view. It may be
+// leaving, or in a zone that is not permitted: then it gets no new partitions or
+// mirror roles, but can still hand over and serve the entries that it holds.
 func (r *Replica) running(id machine.ID) bool {
 	for _, node := range r.view.Nodes {
 		if node.ID == id && node.Status != machine.StatusDead {
@@ -112,7 +112,7 @@
 
 // advanceFollowing reads the tail of the stream once this node has been the
 // desired owner for ClaimDwell. Depending on the tail it claims the partition
-// or asks the live owner to hand over.
+// or requests a handover from the live owner.
 func (r *Replica) advanceFollowing() {
 	if r.desired != r.config.Self || !r.desiredFor(r.config.ClaimDwell) {
 		r.claim.reset()
@@ -154,7 +154,7 @@
 	r.journal.CatchUp(r.now)
 }
 
-// requestHandover asks the live winner of the epoch to hand over.
+// requestHandover requests a handover from the live winner of the epoch.
 func (r *Replica) requestHandover(owner machine.ID, epoch uint64) {
 	r.claim.requestedFrom = owner
 	r.claim.requestedEpoch = epoch
@@ -168,7 +168,7 @@
 }
 
 // repeatHandoverRequest repeats the request until the owner hands over, leaves
-// the view or has been silent for OwnerPatience.
+// the view or has not answered for OwnerPatience.
 func (r *Replica) repeatHandoverRequest() {
 	silent := !r.now.Before(r.claim.respondedAt.Add(r.config.OwnerPatience))
 	if silent || !r.running(r.claim.requestedFrom) {
--- a/partition/cluster_test.go
+++ b/partition/cluster_test.go
@@ -268,7 +268,7 @@
 	return value
 }
 
-// confirm records that a caller was told that its record is durable.
+// confirm records that a caller's record was confirmed as durable.
 func (c *cluster) confirm(node *simulatedNode, confirmed Confirmed) {
 	c.confirmations++
 	if c.skipChecks {
--- a/partition/doc.go
+++ b/partition/doc.go
@@ -51,7 +51,7 @@
 // Mirrors hold entries in memory. The log names each mirror with the process
 // that agreed, so a restarted process is not mistaken for one that held
 // nothing. A previous owner whose process still runs answers for all mirrors
-// once it has learned that it lost the epoch. If neither a read quorum nor that
+// once it has detected that it lost the epoch. If neither a read quorum nor that
 // owner is left, the recovery waits and Stall returns the reason: records may
 // be lost, and whether to continue is decided by an operator (AcceptLoss) or by
 // a policy (Config.AcceptLossAfter). The log records the decision.
--- a/partition/message.go
+++ b/partition/message.go
@@ -21,8 +21,8 @@
 }
 
 // MirrorAppend sends a mirror entries that the log has not confirmed. Without
-// Entries it only trims. Without Instance it asks whether the receiver would be
-// a mirror, and as which instance.
+// Entries it only trims. Without Instance it queries whether the receiver
+// agrees to be a mirror; the answer has the receiver's instance.
 type MirrorAppend struct {
 	Epoch uint64 `json:"epoch"`
 	// Instance identifies the process that must hold the entries.
@@ -41,7 +41,7 @@
 	Sequence uint64 `json:"sequence"`
 	// Refused is set when the mirror has been read by a later epoch.
 	Refused bool `json:"refused,omitempty"`
-	// Restarted is set when the process that was asked for is gone.
+	// Restarted is set when the request names an earlier process of the node.
 	Restarted bool `json:"restarted,omitempty"`
 	// Trimmed is set in the answer to a MirrorTrim.
 	Trimmed bool `json:"trimmed,omitempty"`
@@ -49,8 +49,8 @@
 	Full bool `json:"full,omitempty"`
 }
 
-// MirrorQuery asks a mirror for its entries of Epoch after Sequence. From then
-// on the mirror refuses entries of epochs before ReaderEpoch.
+// MirrorQuery requests a mirror's entries of Epoch after Sequence. From then on
+// the mirror refuses entries of epochs before ReaderEpoch.
 type MirrorQuery struct {
 	Epoch       uint64 `json:"epoch"`
 	Instance    string `json:"instance"`
@@ -72,7 +72,7 @@
 	// it: beyond the log, no other node can hold more of the epoch than
 	// Entries.
 	Complete bool `json:"complete,omitempty"`
-	// Restarted is set when the process that was asked for is gone.
+	// Restarted is set when the query names an earlier process of the node.
 	Restarted bool `json:"restarted,omitempty"`
 	// Refused is set when the mirror has been read by an epoch later than
 	// ReaderEpoch.
@@ -86,8 +86,8 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// HandoverRequest asks the winner of Epoch, which the sender believes to be
-// live, to hand the partition over to the sender.
+// HandoverRequest requests that the winner of Epoch, which is live in the
+// sender's view, hand the partition over to the sender.
 type HandoverRequest struct {
 	Epoch uint64 `json:"epoch"`
 }
--- a/partition/mirroring.go
+++ b/partition/mirroring.go
@@ -28,7 +28,7 @@
 	links []*mirrorLink
 	// durableSequence is the sequence up to which every set has a write quorum.
 	durableSequence uint64
-	// reviewAt is when the owner next looks for replacements of missing
+	// reviewAt is when the owner next searches for replacements of missing
 	// members; zero for never.
 	reviewAt   time.Time
 	enlistment enlistment
@@ -55,8 +55,8 @@
 	backoff  retry.Backoff
 }
 
-// enlistment is the progress of asking nodes whether, and as which instance,
-// they would be mirrors.
+// enlistment is the progress of requests to nodes to become mirrors. Each answer
+// has the node's instance.
 type enlistment struct {
 	asked    []machine.ID
 	agreed   []recordlog.Mirror
@@ -67,13 +67,13 @@
 	return len(e.asked) > 0
 }
 
-// complete reports whether every asked node has agreed or the deadline has
+// complete reports whether every queried node has agreed or the deadline has
 // passed.
 func (e *enlistment) complete(now time.Time) bool {
 	return len(e.agreed) == len(e.asked) || !now.Before(e.deadline)
 }
 
-// enlist asks nodes to be mirrors of the epoch.
+// enlist requests nodes as mirrors of the epoch.
 func (r *Replica) enlist(nodes []machine.ID) {
 	r.mirrors.enlistment = enlistment{asked: nodes, deadline: r.now.Add(r.config.MirrorTimeout)}
 	for _, node := range nodes {
@@ -177,7 +177,7 @@
 }
 
 // advanceMirrors adopts a confirmed set, sends the mirrors the entries that
-// they lack and looks for missing members.
+// they lack and reviews the set for missing members.
 func (r *Replica) advanceMirrors() {
 	r.adoptMirrors()
 	degraded := r.degraded()
--- a/partition/mirrorset.go
+++ b/partition/mirrorset.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// reviewMirrors replaces members that are gone: it asks candidates, and
+// reviewMirrors replaces members that are gone: it queries candidates, and
 // proposes a set of those that agree and the members that stay. It waits while
 // the log does not answer, because only the log can change the set.
 func (r *Replica) reviewMirrors(degraded bool) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// reviewCandidates returns the nodes to ask: members that may have been
+// reviewCandidates returns the nodes to query: members that may have been
 // restarted, and candidates to fill the set.
 func (r *Replica) reviewCandidates() []machine.ID {
 	var asked []machine.ID
--- a/partition/property_test.go
+++ b/partition/property_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestEveryConfirmedRecordSurvives runs a partition under combinations of all
-// faults and checks it against what callers were told: every later owner
+// faults and checks it against the confirmations to callers: every later owner
 // recovers a confirmed record exactly once and in order; a node of an earlier
 // epoch confirms nothing that a later owner does not have; and once the faults
 // end, a node owns the partition and serves.
@@ -101,7 +101,7 @@
 	}
 }
 
-// propose proposes on any node that believes it owns the partition, including a
+// propose proposes on any node in StateOwning, including a
 // previous owner that was superseded.
 func (w *faultyWorld) propose(t *rapid.T) {
 	node := w.any(t)
--- a/partition/ready.go
+++ b/partition/ready.go
@@ -69,9 +69,9 @@
 type View struct {
 	// Placement lists the zones that may own, mirror and read the partition.
 	Placement zone.Placement
-	// Nodes lists the nodes that are believed to run, this one included.
-	// Leaving nodes are listed with that status: they take no new partitions or
-	// mirror roles, but are asked to hand over before another node claims.
+	// Nodes lists the nodes that are not known to be dead, this one included.
+	// Leaving nodes are listed with that status: they get no new partitions or
+	// mirror roles, but are sent a handover request before another node claims.
 	Nodes []machine.Machine
 	// Stopping is set while this node leaves the cluster: it hands over all its
 	// partitions.
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -95,7 +95,7 @@
 }
 
 // advanceRecovering opens the epoch once the debt is recovered and all nodes
-// that were asked to be mirrors have agreed or MirrorTimeout has passed.
+// that were requested as mirrors have agreed or MirrorTimeout has passed.
 func (r *Replica) advanceRecovering() {
 	if r.recover.openingSequence > 0 {
 		if r.journal.Fold().Sequence >= r.recover.openingSequence {
