--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -49,9 +49,9 @@
 	return &requestState{id: "q", version: 3, deadline: time.Now().Add(time.Hour), attemptInFlight: true}
 }
 
-// TestColdReplicaIsAskedFor checks that a request goes to a cold replica only after a
+// TestColdReplicaNeedsGrant checks that a request goes to a cold replica only after a
 // grant. If that is refused, the next best replica is selected at once.
-func TestColdReplicaIsAskedFor(t *testing.T) {
+func TestColdReplicaNeedsGrant(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0", "r1")
 	defer node.Kill()
@@ -74,9 +74,9 @@
 	g.Expect(requested).To(HaveLen(3))
 }
 
-// TestColdOffersCountApart checks that two requests with the same client id are charged
+// TestColdChargesAreSeparate checks that two requests with the same client id are charged
 // separately, so that the grant for one does not cover the other.
-func TestColdOffersCountApart(t *testing.T) {
+func TestColdChargesAreSeparate(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
@@ -103,9 +103,9 @@
 	g.Expect(node.replicas.ownRequests()).To(BeEmpty())
 }
 
-// TestColdGrantIsGivenBack checks that the grant is refunded, once, if the replica did not
+// TestColdGrantIsRefunded checks that the grant is refunded, once, if the replica did not
 // run the request.
-func TestColdGrantIsGivenBack(t *testing.T) {
+func TestColdGrantIsRefunded(t *testing.T) {
 	g := NewWithT(t)
 	node := coldNode(g, nil, "r0")
 	defer node.Kill()
--- a/edge/datagram_test.go
+++ b/edge/datagram_test.go
@@ -59,9 +59,9 @@
 	g.Expect(datagrams.send(status)).To(BeFalse())
 }
 
-// TestDatagramsThatAreNotUnderstood checks that datagrams that cannot be decoded are
+// TestUndecodableDatagrams checks that datagrams that cannot be decoded are
 // skipped, and the next one is received.
-func TestDatagramsThatAreNotUnderstood(t *testing.T) {
+func TestUndecodableDatagrams(t *testing.T) {
 	g := NewWithT(t)
 	node := datagramNode(g)
 	ended := make(chan error, 1)
--- a/edge/evacuations_test.go
+++ b/edge/evacuations_test.go
@@ -91,9 +91,9 @@
 	g.Expect(node.evacuations.snapshot(time.Now()).Version).To(Equal(uint64(8)))
 }
 
-// TestHomesOfARequest checks that the zone constraint of a request combines those of its
-// route and of its tenant.
-func TestHomesOfARequest(t *testing.T) {
+// TestConstraintOfARequest checks that the zone constraint of a request combines those of
+// its route and of its tenant.
+func TestConstraintOfARequest(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
 	defer node.Kill()
@@ -105,9 +105,9 @@
 	g.Expect(node.selectionRequest(request).Constraint).To(Equal(request.constraint))
 }
 
-// TestHistoriesOutside checks that a node outside of a request's zone constraint does not
-// cache its chain.
-func TestHistoriesOutside(t *testing.T) {
+// TestChainsOutsideConstraint checks that a node outside of a request's zone constraint
+// does not cache its chain.
+func TestChainsOutsideConstraint(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
 	defer node.Kill()
@@ -168,9 +168,9 @@
 	g.Expect(versions).To(ContainElement(uint64(7)))
 }
 
-// TestOwnersOutside checks that an owner outside of the request's zone constraint gets no
-// turn to store, and no admission of one that it would have to store.
-func TestOwnersOutside(t *testing.T) {
+// TestOwnersOutsideConstraint checks that an owner outside of the request's zone constraint
+// gets no turn to store, and no admission of one that it would have to store.
+func TestOwnersOutsideConstraint(t *testing.T) {
 	g := NewWithT(t)
 	node := zoneNode(g)
 	defer node.Kill()
--- a/edge/placing_test.go
+++ b/edge/placing_test.go
@@ -29,8 +29,9 @@
 	g.Expect(times.tokenTime(125)).To(BeZero(), "the rest came during the wait")
 }
 
-// TestNoteStand checks that the progress of a turn is counted once, and not for retries.
-func TestNoteStand(t *testing.T) {
+// TestUpdateProgress checks that the progress of a turn is counted once, and not for
+// retries.
+func TestUpdateProgress(t *testing.T) {
 	g := NewWithT(t)
 	node := &Node{turnEstimates: newTurnEstimates()}
 	for range 20 {
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -85,10 +85,10 @@
 	g.Expect(fresh.incarnation).To(Equal(uint64(6)), "a node that held nothing")
 }
 
-// TestFormerVersionsQuestion checks that a request from a node of an earlier version, which
-// names no configuration, waits for changes of the replicas only. Answering it at once,
-// again and again, would occupy the reader's processor.
-func TestFormerVersionsQuestion(t *testing.T) {
+// TestRequestOfEarlierVersion checks that a request from a node of an earlier version,
+// which names no configuration, waits for changes of the replicas only. Answering it at
+// once, again and again, would occupy the reader's processor.
+func TestRequestOfEarlierVersion(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
--- a/edge/returns_test.go
+++ b/edge/returns_test.go
@@ -10,9 +10,9 @@
 	"birchwood.example/birchwood/dispatch"
 )
 
-// TestSpreadReturns checks that callers that are refused at the same moment get different
+// TestSpreadRetries checks that callers that are refused at the same moment get different
 // retry delays, or equal ones if the mechanism is switched off.
-func TestSpreadReturns(t *testing.T) {
+func TestSpreadRetries(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(SpreadRetries)} {
 		node := &Node{settings: settings, random: rand.New(rand.NewPCG(7, 8))}
--- a/edge/role_test.go
+++ b/edge/role_test.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestComeBackAtStart checks that a client of a starting node gets the expected time until
+// TestRetryAfterStart checks that a client of a starting node gets the expected time until
 // the node is ready as its retry delay: longer in a large fleet, and never zero.
-func TestComeBackAtStart(t *testing.T) {
+func TestRetryAfterStart(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
--- a/edge/share_test.go
+++ b/edge/share_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestRepeatIntoRoom checks that a late call is repeated only if a replica has capacity, or
-// in any case if the mechanism is switched off.
-func TestRepeatIntoRoom(t *testing.T) {
+// TestRepeatWithCapacity checks that a late call is repeated only if a replica has
+// capacity, or in any case if the mechanism is switched off.
+func TestRepeatWithCapacity(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(RepeatWithCapacity)} {
 		stats, err := newCallStats()
--- a/edge/storewatch_test.go
+++ b/edge/storewatch_test.go
@@ -24,10 +24,10 @@
 	return recordstore.Tail{}, nil
 }
 
-// TestNewHeirLooksAtOnce checks that a node that newly may have to take a partition over
+// TestNewStandbyReadsAtOnce checks that a node that newly may have to take a partition over
 // cancels its long read, during which the store counts as reached, and reads again with a
 // short long-poll time.
-func TestNewHeirLooksAtOnce(t *testing.T) {
+func TestNewStandbyReadsAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	node := keyNode(g, Settings{}, false)
 	defer node.Kill()
--- a/edge/switches_test.go
+++ b/edge/switches_test.go
@@ -42,9 +42,9 @@
 	g.Expect(configOf(without(HandOver)).SkipHandover).To(BeTrue())
 }
 
-// TestSwitchesOfTheChoice checks that mechanisms that are switched off are passed on to the
-// selection of replicas.
-func TestSwitchesOfTheChoice(t *testing.T) {
+// TestSwitchesOfTheSelection checks that mechanisms that are switched off are passed on to
+// the selection of replicas.
+func TestSwitchesOfTheSelection(t *testing.T) {
 	g := NewWithT(t)
 	for mechanism, parts := range map[Mechanism]replica.SelectionFactors{
 		TrackCachedPrompts: {CachedPrompts: true}, KeepSessions: {LastReplica: true}, CountPeerLoads: {PeerLoads: true},
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestDoubtUnlisted checks that replicas that the store lacks after an outage are removed
+// TestDeferRemovals checks that replicas that the store lacks after an outage are removed
 // at once if the mechanism is switched off.
-func TestDoubtUnlisted(t *testing.T) {
+func TestDeferRemovals(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(DeferRemovals)} {
 		node := &Node{settings: settings, replicas: newReplicas(&settings), logger: quietLogger, pool: upstream.NewPool(upstream.Config{})}
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestRememberReplicas checks that a stored turn does not name its replica if the mechanism
+// TestRecordReplica checks that a stored turn does not name its replica if the mechanism
 // is switched off.
-func TestRememberReplicas(t *testing.T) {
+func TestRecordReplica(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(RecordReplica)} {
 		request := &requestState{id: "t", route: &routing.Route{}, exchange: &ingress.Exchange{}}
--- a/edge/waiting_test.go
+++ b/edge/waiting_test.go
@@ -51,9 +51,9 @@
 	return verdict
 }
 
-// TestWaitForRoom checks that a new program waits until a slot is free. A request whose
+// TestWaitForCapacity checks that a new program waits until a slot is free. A request whose
 // client leaves, or whose wait expires, is refused.
-func TestWaitForRoom(t *testing.T) {
+func TestWaitForCapacity(t *testing.T) {
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
 	waits := join(g, node, freshTurn())
@@ -88,9 +88,9 @@
 	g.Expect(node.waitQueue.queue.Len()).To(BeZero())
 }
 
-// TestWhoNeedNotWait checks that started programs never wait, and new ones do not wait at
-// full replicas if refusals are switched off.
-func TestWhoNeedNotWait(t *testing.T) {
+// TestTurnsThatNeedNotWait checks that started programs never wait, and new ones do not
+// wait at full replicas if refusals are switched off.
+func TestTurnsThatNeedNotWait(t *testing.T) {
 	g := NewWithT(t)
 	node := fullNode(g, Settings{})
 	started := freshTurn()
@@ -100,8 +100,8 @@
 	g.Expect(node.awaitCapacity(context.Background(), freshTurn(), 0)).To(BeTrue())
 }
 
-// TestWaitForRoomOff checks that no request is queued if the mechanism is switched off.
-func TestWaitForRoomOff(t *testing.T) {
+// TestWaitForCapacityOff checks that no request is queued if the mechanism is switched off.
+func TestWaitForCapacityOff(t *testing.T) {
 	g := NewWithT(t)
 	for _, settings := range []Settings{{}, without(QueueNewPrograms)} {
 		node := fullNode(g, settings)
--- a/gather/fleet_test.go
+++ b/gather/fleet_test.go
@@ -52,8 +52,8 @@
 	message gather.Message
 }
 
-// world runs cores in virtual time.
-type world struct {
+// fleetSimulation runs cores in virtual time.
+type fleetSimulation struct {
 	now      time.Time
 	random   *rand.Rand
 	zones    int
@@ -68,8 +68,8 @@
 	deadUnranked bool
 }
 
-func newWorld(count, zones int) *world {
-	w := &world{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(3, uint64(count))), zones: zones, byID: make(map[machine.ID]*node)}
+func newFleetSimulation(count, zones int) *fleetSimulation {
+	w := &fleetSimulation{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(3, uint64(count))), zones: zones, byID: make(map[machine.ID]*node)}
 	for index := range count {
 		self := machine.Machine{
 			ID: machine.ID(fmt.Sprintf("n%04d", index)), Kind: machine.KindNode, Zone: zone.Name(fmt.Sprintf("z%d", index%zones)), Address: "a",
@@ -86,7 +86,7 @@
 
 // ranked returns the nodes of a zone that may act as collectors, in ranking order, and
 // the number of nodes in the zone.
-func (w *world) ranked(name zone.Name) (ranked []machine.Machine, zoneNodes int) {
+func (w *fleetSimulation) ranked(name zone.Name) (ranked []machine.Machine, zoneNodes int) {
 	for _, n := range w.nodes {
 		if n.self.Zone != name || (w.deadUnranked && n.dead) {
 			continue
@@ -99,7 +99,7 @@
 	return ranked, zoneNodes
 }
 
-func (w *world) fleetOf(n *node) gather.Fleet {
+func (w *fleetSimulation) fleetOf(n *node) gather.Fleet {
 	fleet := gather.Fleet{Self: n.self, Disabled: w.disabled}
 	fleet.Collectors, fleet.Near = w.ranked(n.self.Zone)
 	for index := range w.zones {
@@ -112,7 +112,7 @@
 }
 
 // run advances the time, and calls each function after each step.
-func (w *world) run(span time.Duration, each ...func()) {
+func (w *fleetSimulation) run(span time.Duration, each ...func()) {
 	for end := w.now.Add(span); w.now.Before(end); {
 		w.now = w.now.Add(step)
 		w.deliver()
@@ -129,7 +129,7 @@
 	}
 }
 
-func (w *world) deliver() {
+func (w *fleetSimulation) deliver() {
 	inFlight := w.inFlight
 	w.inFlight = nil
 	for _, sent := range inFlight {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (w *world) perform(n *node) {
+func (w *fleetSimulation) perform(n *node) {
 	ready := n.core.Ready()
 	if ready.Totals != nil {
 		n.received = ready.Totals
@@ -176,13 +176,13 @@
 }
 
 // setRequests sets a node's number of requests in progress at a replica.
-func (w *world) setRequests(index int, id replica.ID, requests int) {
+func (w *fleetSimulation) setRequests(index int, id replica.ID, requests int) {
 	w.nodes[index].loads[id] = replica.Report{Requests: requests}
 }
 
-// receivedRequests returns the number of requests at a replica in the totals that a node
-// received last, or -1 if it received none.
-func (w *world) receivedRequests(index int, id replica.ID) int {
+// receivedRequests returns the number of requests at a replica in the totals that a
+// node received last, or -1 if it received none.
+func (w *fleetSimulation) receivedRequests(index int, id replica.ID) int {
 	if received := w.nodes[index].received; received != nil {
 		return received.Counts[gather.KeyOf(id)]
 	}
@@ -190,6 +190,6 @@
 }
 
 // live returns the nodes that are running.
-func (w *world) live() []*node {
+func (w *fleetSimulation) live() []*node {
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.dead || n.frozen })
 }
--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -14,16 +14,16 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// propagationTime is the longest time until all nodes have received a change. It takes a
-// report, a sum and the answer to the next report, each of which waits for its node's
+// propagationTime is the longest time until all nodes have received a change. It takes
+// a report, a sum and the answer to the next report, each of which waits for its node's
 // next tick.
 const propagationTime = 4 * tickPeriod
 
-// TestIdleNodeHears checks that a node without requests receives the totals of the
-// others.
-func TestIdleNodeHears(t *testing.T) {
+// TestIdleNodeReceivesTotals checks that a node without requests receives the totals of
+// the others.
+func TestIdleNodeReceivesTotals(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3, 1)
+	w := newFleetSimulation(3, 1)
 	w.setRequests(0, "r1", 3)
 	w.setRequests(1, "r1", 2)
 	w.setRequests(1, "r2", 7)
@@ -36,11 +36,11 @@
 	g.Expect(w.receivedRequests(1, "r2")).To(BeZero())
 }
 
-// TestChangeIsHeardSoon checks that a change reaches all zones in time and is never
+// TestChangePropagates checks that a change reaches all zones in time and is never
 // counted twice on the way.
-func TestChangeIsHeardSoon(t *testing.T) {
+func TestChangePropagates(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(30, 3)
+	w := newFleetSimulation(30, 3)
 	for index := range w.nodes {
 		w.setRequests(index, "busy", 1)
 	}
@@ -64,10 +64,10 @@
 	}
 }
 
-// busyWorld returns a world in which all nodes have requests at one replica and have
-// received the totals.
-func busyWorld(g *WithT, count, zones int) *world {
-	w := newWorld(count, zones)
+// newBusyFleet returns a fleet in which all nodes have requests at one
+// replica and have received the totals.
+func newBusyFleet(g *WithT, count, zones int) *fleetSimulation {
+	w := newFleetSimulation(count, zones)
 	for index := range w.nodes {
 		w.setRequests(index, "r", 2)
 	}
@@ -78,13 +78,13 @@
 	return w
 }
 
-// TestCollectorLost checks that the next collector in the ranking takes over from a dead
-// one, both before and after the nodes know that it is dead, and that the dead node's
-// requests expire.
+// TestCollectorLost checks that the next collector in the ranking takes over from a
+// dead one, both before and after the nodes know that it is dead, and that the dead
+// node's requests expire.
 func TestCollectorLost(t *testing.T) {
 	for _, deadUnranked := range []bool{false, true} {
 		g := NewWithT(t)
-		w := busyWorld(g, 30, 3)
+		w := newBusyFleet(g, 30, 3)
 		w.deadUnranked = deadUnranked
 		w.nodes[0].dead = true
 		w.run(time.Second)
@@ -99,7 +99,7 @@
 // return to it later, and that few requests are counted twice meanwhile.
 func TestCollectorFrozen(t *testing.T) {
 	g := NewWithT(t)
-	w := busyWorld(g, 30, 3)
+	w := newBusyFleet(g, 30, 3)
 	w.nodes[0].frozen = true
 	excess, received := 0, 0
 	count := func() {
@@ -122,11 +122,11 @@
 	g.Expect(excess).To(BeNumerically("<", received/100))
 }
 
-// TestCollectorSilent checks that nodes retry an unresponsive collector less and less
-// often.
-func TestCollectorSilent(t *testing.T) {
+// TestUnresponsiveCollector checks that nodes retry an unresponsive collector less and
+// less often.
+func TestUnresponsiveCollector(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(20, 2)
+	w := newFleetSimulation(20, 2)
 	w.nodes[0].frozen = true
 	for index := range w.nodes {
 		w.setRequests(index, "r", 2)
@@ -140,17 +140,17 @@
 // TestNodeLost checks that the requests of a dead node expire.
 func TestNodeLost(t *testing.T) {
 	g := NewWithT(t)
-	w := busyWorld(g, 9, 3)
+	w := newBusyFleet(g, 9, 3)
 	w.nodes[8].dead = true
 	w.run(time.Second)
 	g.Expect(w.receivedRequests(7, "r")).To(Equal(2 * 7))
 }
 
-// TestZoneCut checks that during a network partition each side receives the totals of its
-// own nodes only, and that the totals state how many nodes they cover.
-func TestZoneCut(t *testing.T) {
+// TestNetworkPartition checks that during a network partition each side receives the
+// totals of its own nodes only, and that the totals state how many nodes they cover.
+func TestNetworkPartition(t *testing.T) {
 	g := NewWithT(t)
-	w := busyWorld(g, 30, 3)
+	w := newBusyFleet(g, 30, 3)
 	w.isolated = "z1"
 	w.run(time.Second)
 	g.Expect(w.nodes[1].received.Nodes).To(Equal(9))
@@ -165,7 +165,7 @@
 // TestMessagesLost checks that nodes keep receiving recent totals under message loss.
 func TestMessagesLost(t *testing.T) {
 	g := NewWithT(t)
-	w := busyWorld(g, 30, 3)
+	w := newBusyFleet(g, 30, 3)
 	w.loss = 0.2
 	w.run(time.Second)
 	for _, n := range w.nodes {
@@ -180,10 +180,10 @@
 	}
 }
 
-// TestOff checks that nothing is sent in a fleet too small to need collectors.
-func TestOff(t *testing.T) {
+// TestDisabled checks that nothing is sent in a fleet too small to need collectors.
+func TestDisabled(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(9, 3)
+	w := newFleetSimulation(9, 3)
 	w.disabled = true
 	w.setRequests(0, "r", 1)
 	w.run(time.Second)
@@ -197,7 +197,7 @@
 // that malformed ones are rejected.
 func TestFalseReports(t *testing.T) {
 	g := NewWithT(t)
-	w := busyWorld(g, 6, 1)
+	w := newBusyFleet(g, 6, 1)
 	faulty := w.nodes[5].self
 	w.nodes[5].dead = true
 	key := binary.BigEndian.AppendUint32(nil, uint32(gather.KeyOf("r")))
@@ -220,10 +220,10 @@
 	g.Expect(collector.Receive(w.now, faulty, gather.Message{Kind: "else"})).To(Succeed())
 }
 
-// TestPaces checks that token times are the median of the nodes' reports.
-func TestPaces(t *testing.T) {
+// TestTokenTimes checks that token times are the median of the nodes' reports.
+func TestTokenTimes(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(9, 3)
+	w := newFleetSimulation(9, 3)
 	for index, n := range w.nodes {
 		n.loads["r"] = replica.Report{TokenTime: time.Duration(1000+index) * time.Microsecond, Samples: 4}
 	}
@@ -247,7 +247,7 @@
 // requests from local nodes, and are marked as partial.
 func TestManyReplicas(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(16, 2)
+	w := newFleetSimulation(16, 2)
 	for index := range w.nodes {
 		for number := range 40 {
 			w.setRequests(index, replica.ID(fmt.Sprint("r", index, "-", number)), 1)
@@ -267,15 +267,15 @@
 		}
 		g.Expect(local).To(BeNumerically(">", 30))
 	}
-	few := busyWorld(g, 20, 2)
+	few := newBusyFleet(g, 20, 2)
 	g.Expect(few.nodes[0].received.Partial).To(BeFalse())
 }
 
-// TestOtherList checks that a node ignores counts in the order of a list that it does not
-// hold.
-func TestOtherList(t *testing.T) {
+// TestCountsOfAnotherList checks that a node ignores counts in the order of a list that
+// it does not hold.
+func TestCountsOfAnotherList(t *testing.T) {
 	g := NewWithT(t)
-	w := busyWorld(g, 6, 1)
+	w := newBusyFleet(g, 6, 1)
 	n := w.nodes[5]
 	received := n.receivedCount
 	for _, message := range []gather.Message{
@@ -295,8 +295,8 @@
 	g.Expect(w.receivedRequests(5, "r")).To(Equal(10))
 }
 
-// TestBudget limits the messages and bytes of the exchange for the average node and for a
-// collector, and the mean age of the totals, in fleets under load.
+// TestBudget limits the messages and bytes of the exchange for the average node and for
+// a collector, and the mean age of the totals, in fleets under load.
 func TestBudget(t *testing.T) {
 	for _, size := range []struct {
 		nodes, zones, replicas, mean, collector int
@@ -306,7 +306,7 @@
 		{984, 10, 2_000, 7_000, 450_000, 800 * time.Millisecond},
 	} {
 		g := NewWithT(t)
-		w := newWorld(size.nodes, size.zones)
+		w := newFleetSimulation(size.nodes, size.zones)
 		for index, n := range w.nodes {
 			for range 10 {
 				// A node's requests are at replicas of its own zone.
