--- a/machine/fleet_test.go
+++ b/machine/fleet_test.go
@@ -15,7 +15,7 @@
 const overheadBytes = 300
 
 // fleet runs many memberships in virtual time over links that delay and lose
-// messages and can be cut.
+// messages and can be partitioned.
 type fleet struct {
 	now          time.Time
 	random       *rand.Rand
--- a/machine/leaving_test.go
+++ b/machine/leaving_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("A node that restarts after a planned stop", func() {
 	const restarted = 3
 
-	It("is live again for one that read its old leaving after news of the new process", func() {
+	It("is live again for a peer that read the old leaving entry after an update about the new process", func() {
 		f := newFleet(10, 16)
 		f.run(5 * time.Second)
 		observer := f.members[0].Membership
--- a/machine/membership_test.go
+++ b/machine/membership_test.go
@@ -70,7 +70,7 @@
 		Expect(paused.records["node-001"].status).To(Equal(StatusSuspect))
 	})
 
-	DescribeTable("declares nobody dead on a node that is itself cut off",
+	DescribeTable("declares nobody dead on a node that is itself partitioned off",
 		func(outward, inward bool) {
 			f := newFleet(12, 4)
 			f.members[0].entry.Zone = "alone"
@@ -86,11 +86,11 @@
 			Expect(back).To(BeTrue())
 		},
 		Entry("both ways", true, true),
-		Entry("it hears and is not heard", true, false),
-		Entry("it is heard and does not hear", false, true),
+		Entry("only its outgoing messages are lost", true, false),
+		Entry("only its incoming messages are lost", false, true),
 	)
 
-	It("declares a cut zone dead on both sides and heals", func() {
+	It("declares a partitioned-off zone dead on both sides, and recovers", func() {
 		f := newFleet(40, 5)
 		f.run(settle)
 		f.partitioned = func(from, to zone.Name) bool { return (from == "zone-0") != (to == "zone-0") }
--- a/partition/mirrorstore_test.go
+++ b/partition/mirrorstore_test.go
@@ -76,7 +76,7 @@
 		Expect(late[0].Message.Answer.Refused).To(BeTrue())
 	})
 
-	It("says that it is another process than the one asked for", func() {
+	It("reports that it is another process than the requested one", func() {
 		request := &MirrorAppend{Epoch: 1, Instance: "m/0", Entries: entriesAfter(0, 1)}
 		Expect(store.Step(owner, Message{Partition: id, Mirror: request})[0].Message.Mirrored.Restarted).To(BeTrue())
 		request2 := &MirrorQuery{Epoch: 1, Instance: "m/0", ReaderEpoch: 2}
--- a/partition/ownership_test.go
+++ b/partition/ownership_test.go
@@ -137,7 +137,7 @@
 		Expect(c.runUntil(time.Second, func() bool { return c.hasOwner() && c.owner() != first })).To(BeTrue())
 	})
 
-	It("lets a node that the place rule excludes finish what is held, and loses nothing", func() {
+	It("lets a node that the placement excludes complete the deferred handover, and loses nothing", func() {
 		values := proposeSome(c, first, 5)
 		c.placement = zone.NewPlacement(slices.DeleteFunc(slices.Clone(threeZones), func(name zone.Name) bool { return name == first.zone })...)
 		c.deferring[first.id] = true
@@ -259,7 +259,7 @@
 		}
 	})
 
-	It("refuses clearly at its bound while the store is down for long, and goes on afterwards", func() {
+	It("refuses proposals at the limit during a long outage of the store, and accepts them afterwards", func() {
 		c.log.down = true
 		accepted := 0
 		var refusal error
@@ -378,7 +378,7 @@
 		Expect(first.replica.mirrors.current).NotTo(ContainElement(HaveField("ID", gone.id)))
 	})
 
-	It("reads the former owner itself while that process lives, though a quorum of mirrors was restarted", func() {
+	It("reads the previous owner itself while that process runs, though a quorum of mirrors was restarted", func() {
 		c.log.down = true
 		values := proposeSome(c, first, 5)
 		expectConfirmed(c, values)
--- a/program/calls_test.go
+++ b/program/calls_test.go
@@ -78,7 +78,7 @@
 		Expect(d.submit("p", modelCall("d")).Sequence).To(BeEquivalentTo(4), "no place is given twice")
 	})
 
-	DescribeTable("are refused with the place that is wrong",
+	DescribeTable("are refused with the location of the error",
 		func(call api.SubmitCall, code api.Code, place string) {
 			d.submit("p", modelCall("a"))
 			refusal := d.refused(submitCommand("p", call))
@@ -105,7 +105,7 @@
 		Expect(refusal.Retry).To(BeTrue())
 	})
 
-	It("are told apart by key: the same body is the same call, before and after its end", func() {
+	It("are identified by key: the same body is the same call, before and after its end", func() {
 		first := d.submit("p", sealCall("a"))
 		Expect(d.submit("p", sealCall("a")).Sequence).To(Equal(first.Sequence))
 		d.dispatch("p", 1)
--- a/program/limits_test.go
+++ b/program/limits_test.go
@@ -193,7 +193,7 @@
 		Expect(d.refused(childCommand("x", "p", 200)).Code).To(Equal(api.CodeLimitReached))
 	})
 
-	It("make a full store forget the program whose end is oldest", func() {
+	It("make a full store evict the program that ended first", func() {
 		d.create("q")
 		d.create("r")
 		Expect(d.refused(createCommand("s")).Code).To(Equal(api.CodeOverloaded))
@@ -310,7 +310,7 @@
 })
 
 var _ = Describe("creating a program", func() {
-	It("is told apart by key: the same request is the same program", func() {
+	It("is identified by key: the same request is the same program", func() {
 		d := newDriver(program.Config{})
 		d.create("p")
 		Expect(d.step(createCommand("p")).Records).To(BeEmpty())
--- a/program/recover_test.go
+++ b/program/recover_test.go
@@ -59,7 +59,7 @@
 		}))
 	})
 
-	It("splits a snapshot into parts of bounded size and looks at a bounded number of programs per tick", func() {
+	It("splits a snapshot into parts of bounded size and processes a bounded number of programs per tick", func() {
 		d := newDriver(program.Config{SnapshotPartBytes: 2 << 10, TickPrograms: 10})
 		for i := range 100 {
 			d.create(api.ProgramID(fmt.Sprintf("p%03d", i)))
