--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -35,8 +35,8 @@
 var errOwnerChanged = errors.New("another node now owns the partition")
 
 // store has the turn stored by the current owner of the program's partition. If that takes
-// long, it also tries the owners of other partitions, in case the log of the former accepts
-// no records.
+// long, it also tries the owners of other partitions, in case the log of the program's own
+// partition accepts no records.
 func (t *turnRun) store(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/machine/probe.go
+++ b/machine/probe.go
@@ -23,8 +23,8 @@
 	deadline  time.Time
 }
 
-// indirectTimeoutFactor is the time-out of an indirect probe, in probe
-// time-outs.
+// indirectTimeoutFactor is the timeout of an indirect probe, in probe
+// timeouts.
 const indirectTimeoutFactor = 2
 
 // minimumSelfBlamePeers is the number of peers from which on a node that gets
@@ -254,7 +254,7 @@
 	m.restartSuspicion(now, known)
 }
 
-// restartSuspicion restarts the suspect's full time-out.
+// restartSuspicion restarts the suspect's full timeout.
 func (m *Membership) restartSuspicion(now time.Time, known *record) {
 	known.suspectSince = now
 	known.suspectUntil = now.Add(m.health.scale(m.config.SuspectTimeout))
@@ -268,7 +268,7 @@
 			continue
 		}
 		if !m.mayDeclareDead(now, known) {
-			// Wait for one more time-out, in which a peer may answer.
+			// Wait for one more timeout, in which a peer may answer.
 			m.restartSuspicion(now, known)
 			continue
 		}
--- a/program/command.go
+++ b/program/command.go
@@ -57,7 +57,7 @@
 	Error  *api.Error
 }
 
-// LookupResult is the tool service's answer to the look-up of a call whose
+// LookupResult is the tool service's answer to the lookup of a call whose
 // outcome is unknown.
 type LookupResult struct {
 	Call CallRef
@@ -65,7 +65,7 @@
 	// Output.
 	Found  bool
 	Output string
-	// Err is set when the look-up itself failed.
+	// Err is set when the lookup itself failed.
 	Err error
 }
 
--- a/program/doc.go
+++ b/program/doc.go
@@ -80,7 +80,7 @@
 //     sends the call, but looks its key up at the service. A key that is not
 //     found proves nothing, since the send may still be in transit: after
 //     Config.LookupAttempts the call ends as outcome_unknown. If the service
-//     cannot be reached, the look-up is repeated until the call's deadline;
+//     cannot be reached, the lookup is repeated until the call's deadline;
 //   - only the sender's statement that nothing reached the service (an Outcome
 //     with StatusNotRun) permits another attempt.
 //
--- a/program/lookup.go
+++ b/program/lookup.go
@@ -6,11 +6,11 @@
 	"birchwood.example/birchwood/api"
 )
 
-// lookupState is the progress of the look-ups of a call whose outcome is
+// lookupState is the progress of the lookups of a call whose outcome is
 // unknown.
 type lookupState struct {
 	attempts int
-	// timeoutAt is the deadline of the current look-up.
+	// timeoutAt is the deadline of the current lookup.
 	timeoutAt time.Time
 	cancelled bool
 }
@@ -34,9 +34,9 @@
 	t.markTimer(p)
 }
 
-// lookupResult handles the result of a look-up. A key that is found gives the
+// lookupResult handles the result of a lookup. A key that is found gives the
 // outcome. A key that is not found proves nothing, because a send may still be
-// in transit, so the look-up is repeated a bounded number of times.
+// in transit, so the lookup is repeated a bounded number of times.
 func (t *transition) lookupResult(p *programState, result LookupResult) {
 	live := p.liveCall(result.Call.Sequence)
 	if live == nil || live.phase != phaseLookup {
@@ -51,10 +51,10 @@
 	t.completeEnd(p)
 }
 
-// retryLookup repeats the look-up, or ends the call with an unknown outcome once
+// retryLookup repeats the lookup, or ends the call with an unknown outcome once
 // the attempts are used up. A service that did not answer may recover: until the
 // call's deadline, and unless the call was cancelled, such failures do not end
-// the look-ups.
+// the lookups.
 func (t *transition) retryLookup(p *programState, live *liveCall, unanswered bool) {
 	unlimited := unanswered && !live.lookup.cancelled && !live.deadline.IsZero() && !live.expired(t.now)
 	if unlimited || live.lookup.attempts < t.store.config.LookupAttempts {
--- a/program/store.go
+++ b/program/store.go
@@ -38,14 +38,14 @@
 	MaximumQueuedCalls int
 	// MaximumDepth bounds how deep sub-agents may be nested.
 	MaximumDepth int
-	// RetryBase and RetryMaximum bound the backoff of retries and look-ups.
+	// RetryBase and RetryMaximum bound the backoff of retries and lookups.
 	RetryBase    time.Duration
 	RetryMaximum time.Duration
 	// Random is the source of the backoff's jitter. The default has a fixed seed.
 	Random *rand.Rand
 	// LookupAttempts bounds how often a key is looked up at a tool service.
 	LookupAttempts int
-	// LookupTimeout bounds the wait for the result of one look-up.
+	// LookupTimeout bounds the wait for the result of one lookup.
 	LookupTimeout time.Duration
 	// TickPrograms bounds the programs that one Tick processes.
 	TickPrograms int
--- a/program/timers.go
+++ b/program/timers.go
@@ -80,7 +80,7 @@
 	return s.timers[0].timer.due
 }
 
-// Tick handles the calls, attempts, look-ups and programs that have run out of
+// Tick handles the calls, attempts, lookups and programs that have run out of
 // time. It processes at most Config.TickPrograms programs; while more are due,
 // NextWake is not after now.
 func (s *Store) Tick(now time.Time) Output {
