--- a/control/attendant.go
+++ b/control/attendant.go
@@ -239,7 +239,7 @@
 	if event.Err != nil {
 		return
 	}
-	questions := make(map[machine.ID][]api.ProgramID)
+	queries := make(map[machine.ID][]api.ProgramID)
 	for _, prefix := range event.Prefixes {
 		id, err := partition.OfProgram(prefix.Owner)
 		if err != nil {
@@ -250,11 +250,11 @@
 			continue
 		}
 		if owner, ok := c.Owner(id); ok {
-			questions[owner] = append(questions[owner], prefix.Owner)
+			queries[owner] = append(queries[owner], prefix.Owner)
 		}
 	}
-	for _, owner := range sortedMachines(questions) {
-		sweep := link.SweepMessage{Backend: event.Backend, Queried: questions[owner]}
+	for _, owner := range sortedMachines(queries) {
+		sweep := link.SweepMessage{Backend: event.Backend, Queried: queries[owner]}
 		if owner == c.config.Self.ID {
 			c.releaseAll(event.Backend, c.releasable(event.Backend, sweep.Queried))
 			continue
--- a/edge/cold.go
+++ b/edge/cold.go
@@ -70,12 +70,12 @@
 func (n *Node) requestColdGrant(r *requestState, choice *replica.Choice) bool {
 	request := &charge{
 		request: coordinator.Charge{Replica: string(choice.Entry.ID), Request: tenant.Request{
-			ID:    n.nextOffer(),
+			ID:    n.nextColdChargeID(),
 			Limit: tenant.Limit{Rate: choice.ColdRate}, Version: r.version,
 		}},
 		answer: make(chan coordinator.Charged, 1),
 	}
-	n.metrics.coldCharged(coldAsked)
+	n.metrics.coldCharged(coldRequested)
 	start := time.Now()
 	n.awaitColdGrant(request)
 	status, pause := string(request.outcome.Status), max(request.outcome.Decision.RetryAfter, minimumColdPause)
@@ -98,11 +98,11 @@
 	return false
 }
 
-// nextOffer returns an id that is unique among the charges of all nodes and of all
+// nextColdChargeID returns an id that is unique among the charges of all nodes and of all
 // processes of this node. A client's id would not do: a repeated id is granted without
 // being counted again.
-func (n *Node) nextOffer() string {
-	return n.settings.Node + "/" + strconv.FormatUint(n.self.Incarnation, 36) + "/" + strconv.FormatUint(n.coldOffers.Add(1), 36)
+func (n *Node) nextColdChargeID() string {
+	return n.settings.Node + "/" + strconv.FormatUint(n.self.Incarnation, 36) + "/" + strconv.FormatUint(n.coldChargeCount.Add(1), 36)
 }
 
 // awaitColdGrant requests a charge and waits for the answer; without one in time, the
--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -115,10 +115,10 @@
 
 // otherPartition returns the partition for one try: never the program's own, and different
 // ones for each turn.
-func otherPartition(home int, turn string, try, partitions int) int {
+func otherPartition(own int, turn string, try, partitions int) int {
 	others := uint64(partitions - 1)
 	step := (xxhash.Sum64String(turn) + uint64(try)) % others
-	return (home + 1 + int(step)) % partitions
+	return (own + 1 + int(step)) % partitions
 }
 
 // callOwnerWithin is callOwnerOnce with a timeout.
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -339,8 +339,8 @@
 
 // The labels of charges of cold replicas, besides those of coordinator.ChargeStatus.
 const (
-	coldAsked    = "asked"
-	coldRefunded = "returned"
+	coldRequested = "asked"
+	coldRefunded  = "returned"
 	// coldStale is a grant that was received too late to be used.
 	coldStale = "stale"
 )
--- a/edge/node.go
+++ b/edge/node.go
@@ -59,8 +59,8 @@
 	scheduling *scheduling
 	// refusals spreads the times at which refused callers retry.
 	refusals refusals
-	// coldOffers numbers the charges for cold replicas, to give them unique ids.
-	coldOffers atomic.Uint64
+	// coldChargeCount numbers the charges for cold replicas, to give them unique ids.
+	coldChargeCount atomic.Uint64
 	// strippedFields are the header fields of clients that are not forwarded to replicas.
 	strippedFields []string
 
--- a/edge/reader_test.go
+++ b/edge/reader_test.go
@@ -33,8 +33,8 @@
 	node.control.cancelLostReader()
 	g.Consistently(ended, 0).ShouldNot(Receive(), "the reader lives")
 	other := machine.Machine{ID: "other", Kind: machine.KindNode, Zone: "z", Incarnation: 1}
-	news := &machine.Message{Kind: machine.MessageAnnounce, Updates: []machine.Update{{ID: reader.ID, Incarnation: reader.Incarnation, Status: machine.StatusDead}}}
-	node.control.handleInput(coordinator.PeerReceived{Message: coordinator.PeerMessage{From: other, Membership: news}})
+	update := &machine.Message{Kind: machine.MessageAnnounce, Updates: []machine.Update{{ID: reader.ID, Incarnation: reader.Incarnation, Status: machine.StatusDead}}}
+	node.control.handleInput(coordinator.PeerReceived{Message: coordinator.PeerMessage{From: other, Membership: update}})
 	node.control.cancelLostReader()
 	g.Expect(<-ended).To(MatchError(context.Canceled))
 }
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -121,8 +121,8 @@
 // for one.
 func parseRelayRequest(query *fasthttp.Args) (relayRequest, error) {
 	var q relayRequest
-	var lifeErr, sinceErr, waitErr, groupErr error
-	q.incarnation, lifeErr = strconv.ParseUint(string(query.Peek("life")), 10, 64)
+	var incarnationErr, sinceErr, waitErr, groupErr error
+	q.incarnation, incarnationErr = strconv.ParseUint(string(query.Peek("life")), 10, 64)
 	q.since, sinceErr = strconv.ParseUint(string(query.Peek("since")), 10, 64)
 	milliseconds, waitErr := query.GetUint("wait")
 	q.wait = min(time.Duration(milliseconds)*time.Millisecond, maximumRelayWait)
@@ -136,7 +136,7 @@
 		q.evacuations = uint64(query.GetUintOrZero("evacuations"))
 	}
 	q.ageOnly, q.takesPartial = query.Has("age"), query.Has("partial")
-	return q, errors.Join(lifeErr, sinceErr, waitErr, groupErr)
+	return q, errors.Join(incarnationErr, sinceErr, waitErr, groupErr)
 }
 
 // receiveReplicas answers a node that follows this one. A node that has not read the list
--- a/edge/storeread.go
+++ b/edge/storeread.go
@@ -130,15 +130,15 @@
 			left, timeout = retry.attempts, retry.firstTimeout
 			continue
 		}
-		reached, silent := n.store.reached(time.Now()), errors.Is(answer.err, errNoAnswerYet)
-		if reached || !silent || !retry.throughOutages {
+		reached, noAnswer := n.store.reached(time.Now()), errors.Is(answer.err, errNoAnswerYet)
+		if reached || !noAnswer || !retry.throughOutages {
 			left--
 		}
 		if left <= 0 || ctx.Err() != nil {
 			return recordstore.Page{}, answer.err
 		}
 		timeout = retry.nextTimeout(timeout, reached)
-		if !silent && !wait.For(ctx, backoff.Next()) {
+		if !noAnswer && !wait.For(ctx, backoff.Next()) {
 			return recordstore.Page{}, ctx.Err()
 		}
 	}
--- a/edge/tenancy_test.go
+++ b/edge/tenancy_test.go
@@ -103,10 +103,10 @@
 		together := newTenantNode()
 		alone := []*tenantNode{newTenantNode(), newTenantNode()}
 		for ; len(steps) >= 3; steps = steps[3:] {
-			who := int(steps[0] % 2)
-			want := alone[who].act(tenantsOfTests[who], steps[1], steps[2])
-			if got := together.act(tenantsOfTests[who], steps[1], steps[2]); got != want {
-				t.Fatalf("%s got %+v beside the other tenant, and %+v alone", tenantsOfTests[who].Name, got, want)
+			index := int(steps[0] % 2)
+			want := alone[index].act(tenantsOfTests[index], steps[1], steps[2])
+			if got := together.act(tenantsOfTests[index], steps[1], steps[2]); got != want {
+				t.Fatalf("%s got %+v beside the other tenant, and %+v alone", tenantsOfTests[index].Name, got, want)
 			}
 		}
 	})
--- a/partition/claim.go
+++ b/partition/claim.go
@@ -170,8 +170,8 @@
 // repeatHandoverRequest repeats the request until the owner hands over, leaves
 // the view or has not answered for OwnerPatience.
 func (r *Replica) repeatHandoverRequest() {
-	silent := !r.now.Before(r.claim.respondedAt.Add(r.config.OwnerPatience))
-	if silent || !r.running(r.claim.requestedFrom) {
+	unresponsive := !r.now.Before(r.claim.respondedAt.Add(r.config.OwnerPatience))
+	if unresponsive || !r.running(r.claim.requestedFrom) {
 		r.ownerReleased(r.claim.requestedEpoch)
 		return
 	}
@@ -202,19 +202,19 @@
 	if r.claim.submitted || !r.journal.CaughtUp() {
 		return
 	}
-	fold := r.journal.Fold()
-	mayClaim := fold.Mirrors.Released || r.claimable(fold.Writer, fold.Epoch)
+	logState := r.journal.Fold()
+	mayClaim := logState.Mirrors.Released || r.claimable(logState.Writer, logState.Epoch)
 	if r.desired != r.config.Self {
 		r.lose()
 		return
 	}
 	if !mayClaim {
 		r.lose()
-		r.requestHandover(recordlog.WriterMachine(fold.Writer), fold.Epoch)
+		r.requestHandover(recordlog.WriterMachine(logState.Writer), logState.Epoch)
 		return
 	}
 	r.claim.submitted = true
-	r.claim.previousOwner = recordlog.WriterMachine(fold.Writer)
+	r.claim.previousOwner = recordlog.WriterMachine(logState.Writer)
 	r.journal.Claim(r.now, r.config.Self)
 }
 
--- a/partition/mirroring.go
+++ b/partition/mirroring.go
@@ -58,24 +58,24 @@
 // enlistment is the progress of requests to nodes to become mirrors. Each answer
 // has the node's instance.
 type enlistment struct {
-	asked    []machine.ID
+	queried  []machine.ID
 	agreed   []recordlog.Mirror
 	deadline time.Time
 }
 
 func (e *enlistment) active() bool {
-	return len(e.asked) > 0
+	return len(e.queried) > 0
 }
 
 // complete reports whether every queried node has agreed or the deadline has
 // passed.
 func (e *enlistment) complete(now time.Time) bool {
-	return len(e.agreed) == len(e.asked) || !now.Before(e.deadline)
+	return len(e.agreed) == len(e.queried) || !now.Before(e.deadline)
 }
 
 // enlist requests nodes as mirrors of the epoch.
 func (r *Replica) enlist(nodes []machine.ID) {
-	r.mirrors.enlistment = enlistment{asked: nodes, deadline: r.now.Add(r.config.MirrorTimeout)}
+	r.mirrors.enlistment = enlistment{queried: nodes, deadline: r.now.Add(r.config.MirrorTimeout)}
 	for _, node := range nodes {
 		r.send(node, Message{Mirror: &MirrorAppend{Epoch: r.journal.Epoch()}})
 	}
@@ -108,7 +108,7 @@
 func (r *Replica) recordAgreement(from machine.ID, ack MirrorAck) {
 	enlistment := &r.mirrors.enlistment
 	known := func(mirror recordlog.Mirror) bool { return mirror.ID == from }
-	if slices.Contains(enlistment.asked, from) && !slices.ContainsFunc(enlistment.agreed, known) {
+	if slices.Contains(enlistment.queried, from) && !slices.ContainsFunc(enlistment.agreed, known) {
 		enlistment.agreed = append(enlistment.agreed, recordlog.Mirror{ID: from, Instance: ack.Instance})
 	}
 }
--- a/partition/mirrorset.go
+++ b/partition/mirrorset.go
@@ -54,28 +54,28 @@
 		r.reviewMirrorsAfter(r.config.HandoverDwell)
 		return
 	}
-	if asked := r.reviewCandidates(); len(asked) > 0 {
-		r.enlist(asked)
+	if queried := r.reviewCandidates(); len(queried) > 0 {
+		r.enlist(queried)
 	}
 }
 
 // reviewCandidates returns the nodes to query: members that may have been
 // restarted, and candidates to fill the set.
 func (r *Replica) reviewCandidates() []machine.ID {
-	var asked []machine.ID
+	var queried []machine.ID
 	for _, link := range r.mirrors.links {
 		if r.eligible(link.mirror.ID) && (link.restarted || r.incarnation(link.mirror.ID) != link.incarnation) {
-			asked = append(asked, link.mirror.ID)
+			queried = append(queried, link.mirror.ID)
 		}
 	}
 	free := r.config.MirrorCount - len(r.healthyMirrors())
 	for _, id := range r.spareCandidates() {
-		if free > 0 && !slices.Contains(asked, id) {
-			asked = append(asked, id)
+		if free > 0 && !slices.Contains(queried, id) {
+			queried = append(queried, id)
 			free--
 		}
 	}
-	return asked
+	return queried
 }
 
 // finishReview proposes the new set if it differs from the current one.
--- a/partition/property_test.go
+++ b/partition/property_test.go
@@ -54,48 +54,48 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		zones := rapid.SampledFrom(propertyLayouts).Draw(t, "zones")
 		mirrors := rapid.IntRange(0, 3).Draw(t, "mirrors")
-		world := &faultyWorld{cluster: newCluster(seed, zones, func(config *Config) {
+		faulty := &faultyCluster{cluster: newCluster(seed, zones, func(config *Config) {
 			config.MirrorCount = mirrors
 			config.MaximumUnconfirmedBytes = 16 << 10
 			config.MaximumBatchRecords = 7
 			config.ReadBatch = 5
 			config.SnapshotEvery = 20
 		})}
-		world.run(time.Second)
+		faulty.run(time.Second)
 		t.Repeat(map[string]func(*rapid.T){
-			"":             world.check,
-			"propose":      world.propose,
-			"propose more": world.propose,
-			"snapshot":     world.snapshotOwner,
-			"wait":         world.wait,
-			"wait long":    world.waitLong,
-			"crash":        world.crashOne,
-			"restart":      world.restartOne,
-			"pause":        world.pauseOne,
-			"resume":       world.resumeOne,
-			"store":        world.switchStore,
-			"lose answers": world.loseAnswers,
-			"slow store":   world.slowStore,
-			"cut":          world.cutLink,
-			"list":         world.flapList,
-			"stop":         world.stopOne,
-			"hold":         world.holdOne,
-			"place":        world.changePlace,
+			"":             faulty.check,
+			"propose":      faulty.propose,
+			"propose more": faulty.propose,
+			"snapshot":     faulty.snapshotOwner,
+			"wait":         faulty.wait,
+			"wait long":    faulty.waitLong,
+			"crash":        faulty.crashOne,
+			"restart":      faulty.restartOne,
+			"pause":        faulty.pauseOne,
+			"resume":       faulty.resumeOne,
+			"store":        faulty.switchStore,
+			"lose answers": faulty.loseAnswers,
+			"slow store":   faulty.slowStore,
+			"cut":          faulty.blockLink,
+			"list":         faulty.flapList,
+			"stop":         faulty.stopOne,
+			"hold":         faulty.holdOne,
+			"place":        faulty.changePlacement,
 		})
-		world.healAndCheck(t)
+		faulty.healAndCheck(t)
 	})
 }
 
-// faultyWorld is a cluster with the faults that the search may inject.
-type faultyWorld struct {
+// faultyCluster is a cluster with the faults that the search may inject.
+type faultyCluster struct {
 	*cluster
 }
 
-func (w *faultyWorld) any(t *rapid.T) *simulatedNode {
+func (w *faultyCluster) any(t *rapid.T) *simulatedNode {
 	return rapid.SampledFrom(w.nodes).Draw(t, "node")
 }
 
-func (w *faultyWorld) check(t *rapid.T) {
+func (w *faultyCluster) check(t *rapid.T) {
 	if len(w.failures) > 0 {
 		t.Fatalf("%v", w.failures)
 	}
@@ -103,7 +103,7 @@
 
 // propose proposes on any node in StateOwning, including a
 // previous owner that was superseded.
-func (w *faultyWorld) propose(t *rapid.T) {
+func (w *faultyCluster) propose(t *rapid.T) {
 	node := w.any(t)
 	for range rapid.IntRange(1, 20).Draw(t, "records") {
 		if node.alive && node.owning {
@@ -112,82 +112,82 @@
 	}
 }
 
-func (w *faultyWorld) snapshotOwner(*rapid.T) {
+func (w *faultyCluster) snapshotOwner(*rapid.T) {
 	if node := w.owner(); node != nil && node.replica.WantsSnapshot() {
 		w.snapshot(node)
 	}
 }
 
-func (w *faultyWorld) wait(t *rapid.T) {
+func (w *faultyCluster) wait(t *rapid.T) {
 	w.run(time.Duration(rapid.IntRange(1, 600).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-func (w *faultyWorld) waitLong(t *rapid.T) {
+func (w *faultyCluster) waitLong(t *rapid.T) {
 	w.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
 }
 
-func (w *faultyWorld) crashOne(t *rapid.T) {
+func (w *faultyCluster) crashOne(t *rapid.T) {
 	if node := w.any(t); node.alive {
 		w.crash(node)
 	}
 }
 
-func (w *faultyWorld) restartOne(t *rapid.T) {
+func (w *faultyCluster) restartOne(t *rapid.T) {
 	if node := w.any(t); !node.alive {
 		w.restart(node)
 	}
 }
 
-func (w *faultyWorld) pauseOne(t *rapid.T) {
+func (w *faultyCluster) pauseOne(t *rapid.T) {
 	if node := w.any(t); node.alive && !node.paused {
 		w.pause(node)
 	}
 }
 
-func (w *faultyWorld) resumeOne(t *rapid.T) {
+func (w *faultyCluster) resumeOne(t *rapid.T) {
 	if node := w.any(t); node.alive && node.paused {
 		w.resume(node)
 	}
 }
 
-func (w *faultyWorld) switchStore(t *rapid.T) {
+func (w *faultyCluster) switchStore(t *rapid.T) {
 	w.log.down = rapid.Bool().Draw(t, "down")
 }
 
-func (w *faultyWorld) loseAnswers(t *rapid.T) {
+func (w *faultyCluster) loseAnswers(t *rapid.T) {
 	w.log.loseAnswers = rapid.IntRange(1, 5).Draw(t, "answers")
 }
 
-func (w *faultyWorld) slowStore(t *rapid.T) {
+func (w *faultyCluster) slowStore(t *rapid.T) {
 	w.log.extraDelay = time.Duration(rapid.IntRange(0, 8000).Draw(t, "milliseconds")) * time.Millisecond
 }
 
-func (w *faultyWorld) cutLink(t *rapid.T) {
+func (w *faultyCluster) blockLink(t *rapid.T) {
 	link := [2]machine.ID{w.any(t).id, w.any(t).id}
 	w.blocked[link] = !w.blocked[link]
 }
 
-func (w *faultyWorld) flapList(t *rapid.T) {
+func (w *faultyCluster) flapList(t *rapid.T) {
 	id := w.any(t).id
 	w.hidden[id] = !w.hidden[id]
 	w.viewChanged()
 }
 
-func (w *faultyWorld) stopOne(t *rapid.T) {
+func (w *faultyCluster) stopOne(t *rapid.T) {
 	id := w.any(t).id
 	w.stopping[id] = !w.stopping[id]
 	w.viewChanged()
 }
 
-func (w *faultyWorld) holdOne(t *rapid.T) {
+func (w *faultyCluster) holdOne(t *rapid.T) {
 	id := w.any(t).id
 	w.deferring[id] = !w.deferring[id]
 	w.viewChanged()
 }
 
-// changePlace restricts the placement to the zones of one or two nodes, or
+// changePlacement restricts the placement to the zones of one or two nodes, or
 // widens it again.
-func (w *faultyWorld) changePlace(t *rapid.T) {
+func (w *faultyCluster) changePlacement(t *rapid.T) {
 	first := rapid.SampledFrom(w.nodes).Draw(t, "first").zone
 	second := rapid.SampledFrom(w.nodes).Draw(t, "second").zone
 	w.placement = zone.NewPlacement(first, second)
@@ -197,7 +197,7 @@
 // healAndCheck ends all faults. The partition must then be owned and serve,
 // unless a quorum of mirrors has lost its memory: then a Stall must report
 // that, and only accepting the loss ends it.
-func (w *faultyWorld) healAndCheck(t *rapid.T) {
+func (w *faultyCluster) healAndCheck(t *rapid.T) {
 	w.heal()
 	w.run(time.Minute)
 	w.check(t)
@@ -223,7 +223,7 @@
 }
 
 // widest returns the placement of all zones that have a node.
-func (w *faultyWorld) widest() zone.Placement {
+func (w *faultyCluster) widest() zone.Placement {
 	var zones []zone.Name
 	for _, node := range w.nodes {
 		zones = append(zones, node.zone)
@@ -231,7 +231,7 @@
 	return zone.NewPlacement(zones...)
 }
 
-func (w *faultyWorld) heal() {
+func (w *faultyCluster) heal() {
 	w.log.down = false
 	w.log.loseAnswers = 0
 	w.log.extraDelay = 0
@@ -253,7 +253,7 @@
 
 // checkStalled accepts a partition without an owner only if a recovery reports
 // that so many mirrors were restarted that no quorum is left.
-func (w *faultyWorld) checkStalled(t *rapid.T) {
+func (w *faultyCluster) checkStalled(t *rapid.T) {
 	for _, node := range w.nodes {
 		stall, stalled := node.replica.Stall()
 		if node.alive && stalled && len(stall.Silent) < stall.Needed-stall.Read {
--- a/partition/recover.go
+++ b/partition/recover.go
@@ -65,10 +65,10 @@
 func (r *Replica) startRecovering() {
 	r.claim.backoff.Reset()
 	r.state = StateRecovering
-	fold := r.journal.Fold()
-	r.recover = recovery{debt: fold.Debt, startedAt: r.now}
+	logState := r.journal.Fold()
+	r.recover = recovery{debt: logState.Debt, startedAt: r.now}
 	if previousOwner := r.claim.previousOwner; previousOwner != "" {
-		r.send(previousOwner, Message{Claimed: &Claimed{Epoch: fold.Epoch}})
+		r.send(previousOwner, Message{Claimed: &Claimed{Epoch: logState.Epoch}})
 	}
 	r.addSources()
 	candidates := MirrorCandidates(r.config.ID, r.view.Placement, r.view.Nodes, r.config.Self, r.config.MirrorCount)
--- a/partition/release.go
+++ b/partition/release.go
@@ -66,12 +66,12 @@
 	if r.release.sequence == 0 {
 		r.release.sequence = r.journal.ProposeMirrors(r.now, recordlog.MirrorSet{Released: true})
 	}
-	fold := r.journal.Fold()
-	if fold.Sequence < r.release.sequence {
+	logState := r.journal.Fold()
+	if logState.Sequence < r.release.sequence {
 		r.advanceMirrors()
 		return
 	}
-	epoch := fold.Epoch
+	epoch := logState.Epoch
 	next := r.desired
 	r.lose()
 	if next != "" && next != r.config.Self {
--- a/program/apply.go
+++ b/program/apply.go
@@ -174,20 +174,20 @@
 	}
 }
 
-func (p *programState) applyBudgetTransferred(at time.Time, carved BudgetTransferred) {
-	allocated, returning := p.children[carved.Child]
+func (p *programState) applyBudgetTransferred(at time.Time, transfer BudgetTransferred) {
+	allocated, returning := p.children[transfer.Child]
 	p.lastActivity = at
 	if returning {
 		p.budget.children -= allocated
-		p.budget.childrenSpent += allocated + carved.Tokens
-		delete(p.children, carved.Child)
+		p.budget.childrenSpent += allocated + transfer.Tokens
+		delete(p.children, transfer.Child)
 		return
 	}
 	if p.children == nil {
 		p.children = make(map[api.ProgramID]int64)
 	}
-	p.children[carved.Child] = carved.Tokens
-	p.budget.children += carved.Tokens
+	p.children[transfer.Child] = transfer.Tokens
+	p.budget.children += transfer.Tokens
 	p.turns++
 }
 
--- a/program/end.go
+++ b/program/end.go
@@ -67,7 +67,7 @@
 
 // refundBudget returns a sub-agent's unspent tokens to its parent.
 func (t *transition) refundBudget(parent *programState, child api.ProgramID, unspent int64) {
-	if _, carved := parent.children[child]; !carved {
+	if _, allocated := parent.children[child]; !allocated {
 		return
 	}
 	t.record(Record{Program: parent.id, BudgetTransferred: &BudgetTransferred{Child: child, Tokens: -unspent}})
