--- a/edge/storewatch.go
+++ b/edge/storewatch.go
@@ -10,7 +10,7 @@
 	"birchwood.example/birchwood/recordstore"
 )
 
-// A follower of a large fleet reads nothing from the store that would show whether the
+// A follower of a large fleet has no other reads of the store that would show whether the
 // store can be reached. It therefore long-polls the partition with its own record, to which
 // little is written: an answer, or the end of the connection, shows it.
 const (
@@ -26,7 +26,7 @@
 )
 
 // watchNeighbours follows the partition with this node's record for a while, to check that
-// the store can be reached. Nodes that read other streams see it from those reads.
+// the store can be reached. Nodes that read other streams need no such check.
 func (n *Node) watchNeighbours(ctx context.Context, near *neighbours, span time.Duration) {
 	until := time.Now().Add(span)
 	stream := recordstore.Stream{Name: recordstore.StreamNodes, Partition: n.nodePartition()}
--- a/edge/unusable.go
+++ b/edge/unusable.go
@@ -6,8 +6,8 @@
 	"birchwood.example/birchwood/replica"
 )
 
-// maximumUnusable bounds the invalid entries that are remembered. Beyond that, log lines
-// about them repeat with each heartbeat, which the log's own rate limit bounds.
+// maximumUnusable bounds the invalid entries that are recorded. Log lines about further
+// ones repeat with each heartbeat, within the log's own rate limit.
 const maximumUnusable = 4096
 
 // unusableEntries are the invalid entries of the replica list that have been logged. The
--- a/machine/doc.go
+++ b/machine/doc.go
@@ -30,14 +30,14 @@
 //
 // # Local faults
 //
-// A node that is partitioned off, or was paused, sees every peer fail. Following
-// Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for
-// More Accurate Failure Detection", 2018) the node scales its timeouts by its
-// own health. In addition, it declares a death only if some peer has answered
-// a probe since the suspicion began. With one or two peers a recent machine
-// list is sufficient evidence, since both may have died. A gap between two
-// calls that is longer than the node could have intended counts as a pause,
-// and extends every running timeout.
+// A node that is partitioned off, or was paused, gets no answer from any peer.
+// Following Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health
+// Awareness for More Accurate Failure Detection", 2018) the node scales its
+// timeouts by its own health. In addition, it declares a death only if some
+// peer has answered a probe since the suspicion began. With one or two peers a
+// recent machine list is sufficient evidence, since both may have died. A gap
+// between two calls that is longer than the node could have intended counts as
+// a pause, and extends every running timeout.
 //
 // # The machine list
 //
--- a/partition/property_test.go
+++ b/partition/property_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// propose proposes on any node in StateOwning, including a
-// previous owner that was superseded.
+// propose proposes on any node that has reported Acquired and not Lost since,
+// including a previous owner that was superseded.
 func (w *faultyCluster) propose(t *rapid.T) {
 	node := w.any(t)
 	for range rapid.IntRange(1, 20).Draw(t, "records") {
--- a/program/record.go
+++ b/program/record.go
@@ -25,7 +25,7 @@
 
 // OwnershipConfirmed changes no state. Once it is durable, it proves that its
 // writer owned the partition when it proposed the record, and that the writer's
-// state was complete then: a previous owner that has not yet noticed its
+// state was complete then: a previous owner that has not yet detected its
 // successor cannot make the record durable.
 type OwnershipConfirmed struct{}
 
