--- a/machine/probe.go
+++ b/machine/probe.go
@@ -11,7 +11,7 @@
 	target   ID
 	started  time.Time
 	deadline time.Time
-	// indirect is set once other peers have been asked to probe the target.
+	// indirect is set once indirect probes of the target have been sent.
 	indirect bool
 }
 
@@ -23,12 +23,13 @@
 	deadline  time.Time
 }
 
-// indirectTimeoutFactor is the time-out of an indirect probe, in probe
-// time-outs.
+// indirectTimeoutFactor is the timeout of an indirect probe, in probe
+// timeouts.
 const indirectTimeoutFactor = 2
 
 // minimumSelfBlamePeers is the number of peers from which on a node that gets
-// no answer from any of them blames itself, whatever the machine list shows.
+// no answer from any of them treats itself as faulty, whatever the machine list
+// shows.
 const minimumSelfBlamePeers = 3
 
 // Step processes a message from another node.
@@ -98,8 +99,8 @@
 	m.rumours.remove(known.listed.ID)
 }
 
-// probeDeadSender probes a node that counts as dead but has sent a probe, so
-// that it learns of its state and can refute it.
+// probeDeadSender probes a node that counts as dead but has sent a probe. The
+// probe carries that status, so that the node can refute it.
 func (m *Membership) probeDeadSender(now time.Time, from ID) {
 	known, ok := m.records[from]
 	if ok && known.status == StatusDead {
@@ -253,7 +254,7 @@
 	m.restartSuspicion(now, known)
 }
 
-// restartSuspicion restarts the suspect's full time-out.
+// restartSuspicion restarts the suspect's full timeout.
 func (m *Membership) restartSuspicion(now time.Time, known *record) {
 	known.suspectSince = now
 	known.suspectUntil = now.Add(m.health.scale(m.config.SuspectTimeout))
@@ -267,7 +268,7 @@
 			continue
 		}
 		if !m.mayDeclareDead(now, known) {
-			// Wait for one more time-out, in which a peer may answer.
+			// Wait for one more timeout, in which a peer may answer.
 			m.restartSuspicion(now, known)
 			continue
 		}
@@ -281,7 +282,7 @@
 }
 
 // mayDeclareDead reports whether this node has evidence that it is not itself
-// cut off from the network.
+// partitioned off.
 func (m *Membership) mayDeclareDead(now time.Time, known *record) bool {
 	if m.health.answeredSince(known.suspectSince) {
 		return true
