--- a/api/error.go
+++ b/api/error.go
@@ -94,7 +94,7 @@
 	return &e
 }
 
-// WithRetryAfter returns a copy that asks for a retry after the given time in
+// WithRetryAfter returns a copy that permits a retry after the given time in
 // milliseconds.
 func (e Error) WithRetryAfter(milliseconds int64) *Error {
 	e.Retry = true
--- a/contract/doc.go
+++ b/contract/doc.go
@@ -62,9 +62,9 @@
 //
 // # Operation without the store
 //
-// Freshness says whether new work may start. The rule is that a node starts
-// work only under settings that cannot have changed without the node learning
-// of it within the bound (FollowerConfig.FreshnessBound):
+// Freshness reports whether new work may start. The rule is that a node starts
+// work only under settings whose change it would have received within the bound
+// (FollowerConfig.FreshnessBound):
 //
 //   - fresh: within the bound, this node, or a peer that holds the same
 //     position, saw the end of the stream. The time that counts is when the
@@ -89,7 +89,7 @@
 // The rule requires every zone rather than every node, because network
 // partitions separate whole zones, while a failed node is no reason to stop. A
 // node may have evidence from every zone and still be wrong, if another node in
-// one of these zones can reach the store again. It then learns of the newer
+// one of these zones can reach the store again. It then receives the newer
 // record within that node's read delay (MaximumRetryInterval) plus the time
 // that information takes between nodes. Operators who append to the stream by
 // other means than a node are equivalent to a node here: they too need the
--- a/contract/field.go
+++ b/contract/field.go
@@ -145,13 +145,13 @@
 		func(v *Values) *[]string { return &v.OperatorTokens }, checkTokenHash)),
 }
 
-// ownList marks a list that is not inherited.
+// notInherited returns the list field, marked as not inherited.
 func notInherited(list field) field {
 	list.inherited = false
 	return list
 }
 
-// fieldNamed returns the index of a field, or -1.
+// fieldIndex returns the index of the named field in fields, or -1.
 func fieldIndex(name string) int {
 	return slices.IndexFunc(fields, func(candidate field) bool { return candidate.name == name })
 }
--- a/contract/freshness.go
+++ b/contract/freshness.go
@@ -9,7 +9,7 @@
 	"birchwood.example/birchwood/zone"
 )
 
-// FreshnessState describes whether a node knows that it holds the newest
+// FreshnessState describes whether a node has evidence that it holds the newest
 // settings.
 type FreshnessState string
 
@@ -34,7 +34,7 @@
 	State FreshnessState `json:"state"`
 	// Since is when the state began.
 	Since time.Time `json:"since"`
-	// MayPlace says whether new work may start. If it is false, a dispatch
+	// MayPlace reports whether new work may start. If it is false, a dispatch
 	// whose placement rule could have changed must wait or be refused.
 	MayPlace bool `json:"may_place"`
 	// Position is the number of records that this node has applied, Known the
--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -19,10 +19,10 @@
 	// node.
 	headerScope = "X-Birchwood-Scope"
 	// headerHops counts how often the request was relayed. Without a limit,
-	// two nodes that each believe the other to be the owner would relay it
+	// two nodes that each consider the other the owner would relay it
 	// back and forth.
 	headerHops = "X-Birchwood-Hops"
-	// headerDetour asks the receiver to relay the request to the owner, which
+	// headerDetour makes the receiver relay the request to the owner, which
 	// the sender cannot reach.
 	headerDetour = "X-Birchwood-Detour"
 	// headerPending marks a 202 answer that ends one slice of a wait while the
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -24,15 +24,15 @@
 	// IdleTimeout closes a connection that sends no further request.
 	IdleTimeout time.Duration
 	// MaximumWait bounds how long a request may wait for its call. The caller
-	// then gets the call's state, and may ask again.
+	// then gets the call's state, and may repeat the request.
 	MaximumWait time.Duration
 	// RequestTimeout bounds a request that does not wait for a call, even when
 	// the log service is slow. After a time-out the outcome is unknown, and
 	// the caller can repeat the request with the same key to learn it.
 	RequestTimeout time.Duration
 	// WaitSlice is the longest time that the owner lets a relayed request wait
-	// before it answers with the call's state; the relaying node then asks
-	// again. It bounds how long a failure of the owner goes unnoticed if its
+	// before it answers with the call's state; the relaying node then repeats
+	// the request. It bounds how long a failure of the owner goes unnoticed if its
 	// connections stay open.
 	WaitSlice time.Duration
 	// DrainGrace bounds how long Shutdown still accepts new connections.
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -21,8 +21,8 @@
 // creates and submits by the caller's key, and repeating a cancel or end
 // changes nothing.
 //
-// A refusal says "not_run" only when that is certain. Once an attempt may have
-// taken effect, a later refusal is answered as outcome_unknown, because the
+// A refusal contains "not_run" only when that is certain. Once an attempt may
+// have taken effect, a later refusal is answered as outcome_unknown, because the
 // first attempt may still be on its way to a back end. An attempt that returned
 // the state of a pending call or opened a stream counts as one that may have
 // taken effect, because its call was admitted.
@@ -30,9 +30,9 @@
 // # Waiting and streaming
 //
 // A wait at another node is long polling: the owner answers 202 with the call's
-// state after Config.WaitSlice, and perform asks again. If the owner fails
-// without closing its connections, or ownership changes, only one slice is
-// lost.
+// state after Config.WaitSlice, and perform repeats the request. If the owner
+// fails without closing its connections, or ownership changes, only one slice
+// is lost.
 //
 // A stream is a session that outlives its sources. A localSource reads the
 // answer's stream.Buffer while it is generated and the call's durable record
@@ -43,7 +43,7 @@
 //
 // # Disconnects and limits
 //
-// fasthttp does not tell a handler that the caller disconnected. Idle streams
+// fasthttp does not notify a handler that the caller disconnected. Idle streams
 // send keep-alive comments, and a failed write shows the disconnect; waiting
 // requests probe the connection at the same interval. Every request has a
 // deadline, connections and bodies are limited, and each token has a rate limit
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -79,7 +79,7 @@
 		all.Programs = append(all.Programs, part.Programs...)
 	}
 	slices.SortFunc(all.Programs, func(a, b api.Program) int { return cmp.Compare(a.ID, b.ID) })
-	// A program that moves between two answers is in both.
+	// A program whose partition moves between two answers may be in both.
 	all.Programs = slices.CompactFunc(all.Programs, func(a, b api.Program) bool { return a.ID == b.ID })
 	if len(all.Programs) > maximumPrograms {
 		all.Programs = all.Programs[:maximumPrograms]
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -253,7 +253,7 @@
 
 // refuse answers with an error, gives the error an ID if it has none, and
 // notifies the observer. Errors for peers are not reported as refusals: the
-// node that the caller asked reports them.
+// node that the caller sent the request to reports them.
 func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, request *exchange, refusal *api.Error, status int) {
 	identified := *refusal
 	if identified.ID == "" {
--- a/gateway/hangup.go
+++ b/gateway/hangup.go
@@ -11,7 +11,7 @@
 // watchDisconnect cancels the wait once the caller has closed its connection, and
 // returns a function that stops watching. fasthttp does not check a connection
 // while a handler runs, so a disconnected caller would occupy a goroutine until
-// the call ends. The call itself continues: the caller may ask for it again by
+// the call ends. The call itself continues: the caller may request it again by
 // its key.
 func (g *Gateway) watchDisconnect(ctx context.Context, cancel context.CancelFunc, conn net.Conn) func() {
 	probe, ok := connection.NewProbe(conn)
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -11,8 +11,8 @@
 	"birchwood.example/birchwood/stream"
 )
 
-// Route is the owner of a program's partition, as far as this node knows, or
-// another node of the cluster.
+// Route is the owner of a program's partition in this node's view, or another
+// node of the cluster.
 type Route struct {
 	// Local is set if this node is the owner.
 	Local   bool
--- a/link/linkhttp/doc.go
+++ b/link/linkhttp/doc.go
@@ -19,7 +19,7 @@
 // Transport.Handler serves Path. It checks the peer token in constant time,
 // bounds the body, refuses messages for other nodes, ignores fields and kinds of
 // message that a newer version has added, and passes each message to the
-// receiver. Messages own their memory.
+// receiver. Messages share no memory with the request.
 //
 // # Network partitions
 //
--- a/link/message.go
+++ b/link/message.go
@@ -25,8 +25,8 @@
 	Drain bool `json:"drain,omitempty"`
 }
 
-// SweepMessage asks the owner of partitions which of the Queried programs are
-// gone, or answers with Gone.
+// SweepMessage queries the owner of partitions for which of the Queried programs
+// are gone, or is the answer, with Gone.
 type SweepMessage struct {
 	Backend machine.ID      `json:"backend"`
 	Queried []api.ProgramID `json:"question,omitempty"`
--- a/node/orders.go
+++ b/node/orders.go
@@ -57,7 +57,7 @@
 }
 
 // importBeforeSend makes the chosen engine import the program's prefix, if the
-// scheduling decision asks for it. Without the import the engine prefills the
+// scheduling decision includes an import. Without the import the engine prefills the
 // whole prompt.
 func (n *Node) importBeforeSend(ctx context.Context, action control.SendAttempt) {
 	if action.ImportFrom.ID != "" {
--- a/node/resume_test.go
+++ b/node/resume_test.go
@@ -19,8 +19,8 @@
 // wholeAnswer is the answer that interruptedEngine generates.
 const wholeAnswer = "the seal of pallet seven is whole"
 
-// interruptedEngine interrupts its first streams, as many as interruptions says,
-// after five bytes. Later requests fail with finalErr, if it is set.
+// interruptedEngine interrupts its first streams, interruptions in number, after
+// five bytes each. Later requests fail with finalErr, if it is set.
 type interruptedEngine struct {
 	engine.Client
 	interruptions int
--- a/node/streams.go
+++ b/node/streams.go
@@ -53,7 +53,7 @@
 }
 
 // closePartition closes the buffers of a partition that the node no longer owns,
-// so that their readers turn to the new owner.
+// so that their readers continue at the new owner.
 func (t *streamTable) closePartition(id partition.ID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/node/transcripts.go
+++ b/node/transcripts.go
@@ -17,8 +17,8 @@
 type transcript struct {
 	program api.ProgramID
 	text    string
-	// last is the sequence number of the last call in text, and calls the
-	// number of calls.
+	// last is the sequence number of the last call in text, and calls is the
+	// number of calls in it.
 	last  uint64
 	calls int
 }
--- a/recordlog/append.go
+++ b/recordlog/append.go
@@ -152,8 +152,8 @@
 
 // Unconfirmed returns the entries after a sequence that the log has not
 // confirmed, oldest first: as many as fit in maximumBytes, but at least one.
-// Snapshot parts are returned without their payload, which holds nothing that
-// the records before it do not.
+// Snapshot parts are returned without their payload, which only repeats the
+// content of the records before it.
 func (j *Journal) Unconfirmed(after uint64, maximumBytes int) []Entry {
 	first := j.unconfirmedIndex(after)
 	var entries []Entry
--- a/recordlog/doc.go
+++ b/recordlog/doc.go
@@ -2,7 +2,7 @@
 // the log service.
 //
 // Several processes may append to the same stream, and any of them may be a
-// previous owner that does not know yet that it lost the partition. Only the
+// previous owner that has not detected yet that it lost the partition. Only the
 // order of the entries in the log decides which of them are valid. A Fold
 // processes the entries in that order: a claim opens an epoch, and the first
 // claim of an epoch wins. Entries of any other epoch or writer after it are
--- a/recordlog/journal.go
+++ b/recordlog/journal.go
@@ -202,8 +202,8 @@
 	return j.phase == phaseClaiming
 }
 
-// IsOpen reports whether this writer's claim won and, as far as the writer
-// knows, its epoch has not ended.
+// IsOpen reports whether this writer's claim won and the writer has found no
+// evidence that its epoch ended.
 func (j *Journal) IsOpen() bool {
 	return j.phase == phaseOpen
 }
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -141,7 +141,7 @@
 
 // Finish ends an exchange. The connection returns to the pool if the request
 // was fully written, the body was read to its end, no answer was skipped, the
-// answer does not ask to close the connection and the exchange was not
+// answer does not require the connection to be closed and the exchange was not
 // cancelled; otherwise Finish closes it.
 func (r *Response) Finish() {
 	if r.conn == nil {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -21,8 +21,8 @@
 var names = header.Names{RequestID: "Test-Id", Seal: "Test-Seal"}
 
 // scriptedReplica answers each request, on any connection, with the next script,
-// written unchanged. The script "close" closes the connection and "reset" resets
-// it; the suffix "!close" closes it after the script is written.
+// which it writes unchanged. The script "close" closes the connection and "reset"
+// resets it; the suffix "!close" closes it after the script is written.
 type scriptedReplica struct {
 	listener net.Listener
 	// heads receives each request's head and body, connections each accepted
