--- a/contract/check.go
+++ b/contract/check.go
@@ -23,43 +23,43 @@
 }
 
 // checkEdit checks an edit without regard to the current settings.
-func checkEdit(edit Edit, place string) []Finding {
+func checkEdit(edit Edit, location string) []Finding {
 	var findings []Finding
 	if err := edit.Path.Validate(); err != nil {
-		findings = append(findings, Finding{Place: place + ".path", Message: err.Error()})
+		findings = append(findings, Finding{Place: location + ".path", Message: err.Error()})
 	}
 	if edit.Remove && edit.Path == Root {
-		findings = append(findings, Finding{Place: place + ".remove", Message: "the root cannot be removed"})
+		findings = append(findings, Finding{Place: location + ".remove", Message: "the root cannot be removed"})
 	}
 	for index := range fields {
-		findings = append(findings, checkField(&fields[index], edit, place)...)
+		findings = append(findings, checkField(&fields[index], edit, location)...)
 	}
 	for index, name := range edit.Unset {
-		unsetPlace := fmt.Sprintf("%s.unset[%d]", place, index)
+		unsetLocation := fmt.Sprintf("%s.unset[%d]", location, index)
 		if fieldIndex(name) < 0 {
-			findings = append(findings, Finding{Place: unsetPlace, Message: fmt.Sprintf("%q is no setting", name)})
+			findings = append(findings, Finding{Place: unsetLocation, Message: fmt.Sprintf("%q is no setting", name)})
 		}
 		if edit.Remove {
-			findings = append(findings, Finding{Place: unsetPlace, Message: "a removed branch has no settings"})
+			findings = append(findings, Finding{Place: unsetLocation, Message: "a removed branch has no settings"})
 		}
 	}
 	return findings
 }
 
-func checkField(field *field, edit Edit, place string) []Finding {
+func checkField(field *field, edit Edit, location string) []Finding {
 	if !field.isSet(&edit.Values) {
 		return nil
 	}
-	fieldPlace := place + ".values." + field.name
-	findings := field.check(&edit.Values, fieldPlace)
+	fieldLocation := location + ".values." + field.name
+	findings := field.check(&edit.Values, fieldLocation)
 	if edit.Remove {
-		findings = append(findings, Finding{Place: fieldPlace, Message: "a removed branch has no settings"})
+		findings = append(findings, Finding{Place: fieldLocation, Message: "a removed branch has no settings"})
 	}
 	if slices.Contains(edit.Unset, field.name) {
-		findings = append(findings, Finding{Place: fieldPlace, Message: "set and unset at once"})
+		findings = append(findings, Finding{Place: fieldLocation, Message: "set and unset at once"})
 	}
 	if field.name == fieldZones && len(edit.Values.Zones) == 0 {
-		findings = append(findings, Finding{Place: fieldPlace, Message: "want at least one zone; unset the list to inherit"})
+		findings = append(findings, Finding{Place: fieldLocation, Message: "want at least one zone; unset the list to inherit"})
 	}
 	return findings
 }
@@ -91,7 +91,7 @@
 // checkTokens finds tokens that another branch already lists. A token belongs
 // to one branch, so that an operator cannot take over another branch's callers
 // by listing their tokens.
-func (s *state) checkTokens(edit Edit, place string) []Finding {
+func (s *state) checkTokens(edit Edit, location string) []Finding {
 	var findings []Finding
 	for kind, list := range [][]string{edit.Values.CallerTokens, edit.Values.OperatorTokens} {
 		for index, hash := range list {
@@ -101,7 +101,7 @@
 			}
 			name := []string{fieldCallerTokens, fieldOperatorTokens}[kind]
 			findings = append(findings, Finding{
-				Place:   fmt.Sprintf("%s.values.%s[%d]", place, name, index),
+				Place:   fmt.Sprintf("%s.values.%s[%d]", location, name, index),
 				Message: "another branch lists this token already",
 			})
 		}
--- a/contract/field.go
+++ b/contract/field.go
@@ -57,8 +57,8 @@
 	assign func(target, source *Values)
 	// value returns the value in its JSON form.
 	value func(*Values) any
-	// check validates a value that is set; place is its path in findings.
-	check func(values *Values, place string) []Finding
+	// check validates a value that is set; location is its path in findings.
+	check func(values *Values, location string) []Finding
 }
 
 // listField describes a list value. A nil list is not set.
@@ -68,8 +68,8 @@
 		isSet:  func(values *Values) bool { return *at(values) != nil },
 		assign: func(target, source *Values) { *at(target) = slices.Clone(*at(source)) },
 		value:  func(values *Values) any { return *at(values) },
-		check: func(values *Values, place string) []Finding {
-			return checkList(*at(values), place, check)
+		check: func(values *Values, location string) []Finding {
+			return checkList(*at(values), location, check)
 		},
 	}
 }
@@ -91,12 +91,12 @@
 			}
 			return **at(values)
 		},
-		check: func(values *Values, place string) []Finding {
+		check: func(values *Values, location string) []Finding {
 			value := **at(values)
 			if value >= minimum && value <= maximum {
 				return nil
 			}
-			return []Finding{{Place: place, Message: fmt.Sprintf("%v: want %v to %v", value, minimum, maximum)}}
+			return []Finding{{Place: location, Message: fmt.Sprintf("%v: want %v to %v", value, minimum, maximum)}}
 		},
 	}
 }
@@ -179,17 +179,17 @@
 
 func pointer[T any](value T) *T { return &value }
 
-func checkList[T ~string](items []T, place string, check func(T) error) []Finding {
+func checkList[T ~string](items []T, location string, check func(T) error) []Finding {
 	var findings []Finding
 	if len(items) > MaximumListLength {
-		return []Finding{{Place: place, Message: fmt.Sprintf("%d items: want at most %d", len(items), MaximumListLength)}}
+		return []Finding{{Place: location, Message: fmt.Sprintf("%d items: want at most %d", len(items), MaximumListLength)}}
 	}
 	for index, item := range items {
-		itemPlace := fmt.Sprintf("%s[%d]", place, index)
+		itemLocation := fmt.Sprintf("%s[%d]", location, index)
 		if err := check(item); err != nil {
-			findings = append(findings, Finding{Place: itemPlace, Message: err.Error()})
+			findings = append(findings, Finding{Place: itemLocation, Message: err.Error()})
 		} else if slices.Contains(items[:index], item) {
-			findings = append(findings, Finding{Place: itemPlace, Message: fmt.Sprintf("%q stands twice", string(item))})
+			findings = append(findings, Finding{Place: itemLocation, Message: fmt.Sprintf("%q stands twice", string(item))})
 		}
 	}
 	return findings
--- a/contract/fold.go
+++ b/contract/fold.go
@@ -213,12 +213,12 @@
 	before := map[Path]*branch{}
 	var order []Path
 	for index, edit := range change.Edits {
-		place := fmt.Sprintf("edits[%d]", index)
+		location := fmt.Sprintf("edits[%d]", index)
 		if _, seen := before[edit.Path]; !seen {
 			before[edit.Path] = s.branch(edit.Path)
 			order = append(order, edit.Path)
 		}
-		findings = append(findings, s.applyEdit(revision, change, edit, place)...)
+		findings = append(findings, s.applyEdit(revision, change, edit, location)...)
 	}
 	for _, path := range slices.Sorted(maps.Keys(before)) {
 		s.resolveBelow(revision, path)
@@ -243,19 +243,19 @@
 // applyEdit applies one edit. An edit with findings is applied as far as
 // possible, so that later edits that depend on it are checked too; the caller
 // must then discard the state.
-func (s *state) applyEdit(revision Revision, change Change, edit Edit, place string) []Finding {
-	findings := checkEdit(edit, place)
+func (s *state) applyEdit(revision Revision, change Change, edit Edit, location string) []Finding {
+	findings := checkEdit(edit, location)
 	if edit.Path.Validate() != nil || edit.Remove && edit.Path == Root {
 		return findings
 	}
 	s.lastEdits.ReplaceOrInsert(lastEdit{path: edit.Path, revision: revision, changeID: change.ID, actor: change.Actor})
 	existing := s.branch(edit.Path)
 	if edit.Remove {
-		return append(findings, s.removeBranch(existing, edit, place)...)
+		return append(findings, s.removeBranch(existing, edit, location)...)
 	}
 	if existing == nil {
 		if s.branch(edit.Path.Parent()) == nil {
-			return append(findings, Finding{Place: place + ".path", Message: fmt.Sprintf("%q has no parent branch %q", edit.Path, edit.Path.Parent())})
+			return append(findings, Finding{Place: location + ".path", Message: fmt.Sprintf("%q has no parent branch %q", edit.Path, edit.Path.Parent())})
 		}
 		existing = &branch{path: edit.Path, fieldRevisions: make([]Revision, len(fields))}
 	}
@@ -263,7 +263,7 @@
 	for index := range fields {
 		updated.edit(index, edit, revision)
 	}
-	findings = append(findings, s.checkTokens(edit, place)...)
+	findings = append(findings, s.checkTokens(edit, location)...)
 	s.setTokens(edit.Path, &existing.values, &updated.values)
 	s.putBranch(updated)
 	return findings
@@ -281,14 +281,14 @@
 	}
 }
 
-func (s *state) removeBranch(existing *branch, edit Edit, place string) []Finding {
+func (s *state) removeBranch(existing *branch, edit Edit, location string) []Finding {
 	if existing == nil {
-		return []Finding{{Place: place + ".path", Message: fmt.Sprintf("branch %q does not exist", edit.Path)}}
+		return []Finding{{Place: location + ".path", Message: fmt.Sprintf("branch %q does not exist", edit.Path)}}
 	}
 	var findings []Finding
 	s.walk(edit.Path, func(child *branch) {
 		if child.path != edit.Path {
-			findings = append(findings, Finding{Place: place + ".remove", Message: fmt.Sprintf("branch %q lies below: remove it first", child.path)})
+			findings = append(findings, Finding{Place: location + ".remove", Message: fmt.Sprintf("branch %q lies below: remove it first", child.path)})
 		}
 	})
 	if len(findings) > 0 {
