--- a/contract/doc.go
+++ b/contract/doc.go
@@ -63,8 +63,8 @@
 // # Operation without the store
 //
 // Freshness reports whether new work may start. The rule is that a node starts
-// work only under settings whose change it would have received within the bound
-// (FollowerConfig.FreshnessBound):
+// work only under settings that cannot have changed without the node receiving
+// the change within the bound (FollowerConfig.FreshnessBound):
 //
 //   - fresh: within the bound, this node, or a peer that holds the same
 //     position, saw the end of the stream. The time that counts is when the
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -61,8 +61,8 @@
 	return server
 }
 
-// Serve accepts connections until the listener is closed. It returns nil after
-// Close or StopAccepting.
+// Serve accepts connections until the listener is closed, as by StopAccepting or
+// Shutdown, and then returns nil. It retries after other errors.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mutex.Lock()
 	s.listeners = append(s.listeners, listener)
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -99,7 +99,7 @@
 }
 
 // editsWithin returns the edits of the scope and the branches below it. The
-// operator is not allowed to see the tokens and limits of other branches.
+// operator has no access to the tokens and limits of other branches.
 func editsWithin(scope contract.Path, edits []contract.Edit) []contract.Edit {
 	var within []contract.Edit
 	for _, edit := range edits {
