--- a/contract/follower_test.go
+++ b/contract/follower_test.go
@@ -103,7 +103,7 @@
 		south.run(start)
 	})
 
-	It("reads the stream in parts to its end and tells each verdict once, in order", func() {
+	It("reads the stream in parts to its end and returns each verdict once, in order", func() {
 		Expect(north.reads).To(Equal(4))
 		Expect(north.verdicts).To(HaveLen(7))
 		for index, verdict := range north.verdicts {
@@ -113,7 +113,7 @@
 		Expect(north.Freshness(start)).To(And(HaveField("State", contract.FreshnessFresh), HaveField("MayPlace", true)))
 	})
 
-	It("reads at once when a peer tells of a newer record, and places nothing until it has it", func() {
+	It("reads at once when a peer reports a newer record, and starts no new work until it has it", func() {
 		log.add(set("narrow", 7, "", zones("b")))
 		south.runUntil(start.Add(3 * time.Second))
 		now := start.Add(time.Second)
@@ -138,7 +138,7 @@
 		Expect(north.Freshness(later.Add(time.Second)).MayPlace).To(BeFalse())
 	})
 
-	It("goes on with a peer's word when it alone cannot reach the store", func() {
+	It("stays fresh by a peer's report when it alone cannot reach the store", func() {
 		north.storeDown = true
 		for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 			north.runUntil(now)
@@ -166,7 +166,7 @@
 			Expect(freshness.Since).To(Equal(start.Add(10 * time.Second)))
 		})
 
-		It("places nothing when it hears no peer at all", func() {
+		It("starts no new work when it receives no report from any peer", func() {
 			Expect(north.Freshness(now)).To(And(HaveField("State", contract.FreshnessUnconfirmed), HaveField("MayPlace", false)))
 
 			alone := newDriver(log, "alone", "a", "a")
@@ -176,14 +176,14 @@
 			Expect(alone.Freshness(now)).To(And(HaveField("MayPlace", false), HaveField("Reason", ContainSubstring("no peer"))))
 		})
 
-		It("places nothing when a whole zone is silent, since that zone may reach the store", func() {
+		It("starts no new work without a report from a whole zone, since that zone may reach the store", func() {
 			neighbour := south.Report(now)
 			neighbour.Zone = "a"
 			north.ObserveReport(now, neighbour)
 			Expect(north.Freshness(now)).To(And(HaveField("MayPlace", false), HaveField("Reason", ContainSubstring("zone b"))))
 		})
 
-		It("goes on with a word from a distant zone that came by way of a peer, as long as it is young", func() {
+		It("accepts evidence of a remote zone that a peer relayed, while it is within the bound", func() {
 			middle := newDriver(log, "middle", "a", "a", "b")
 			middle.run(start)
 			middle.storeDown = true
@@ -196,7 +196,7 @@
 			Expect(north.Freshness(later.Add(4*time.Second)).MayPlace).To(BeFalse(), "the word of zone b is older than the bound")
 		})
 
-		It("places nothing on the word of a peer that holds older settings, or was heard long ago", func() {
+		It("starts no new work on the report of a peer that holds older settings, or on an old report", func() {
 			newcomer := newDriver(log, "newcomer", "b", "a", "b")
 			newcomer.storeDown = true
 			single := newDriver(log, "single", "a", "a") // a deployment of one zone
@@ -212,7 +212,7 @@
 			}
 		})
 
-		It("places nothing when a peer tells of a newer record, whoever else agrees", func() {
+		It("starts no new work when a peer reports a newer record, whatever other peers report", func() {
 			report := south.Report(now)
 			report.Known++
 			north.ObserveReport(now, south.Report(now))
@@ -277,7 +277,7 @@
 		Expect(north.Freshness(now).MayPlace).To(BeFalse())
 	})
 
-	It("does not read without pause when a peer tells of a record that the service does not show", func() {
+	It("does not read continuously when a peer reports a record that the log service does not return", func() {
 		report := south.Report(start)
 		report.Known = 9
 		north.ObserveReport(start, report)
--- a/contract/tree_test.go
+++ b/contract/tree_test.go
@@ -116,7 +116,7 @@
 		Expect(tree.Apply(8, set("good", 3, "tenant/desk", contract.Values{Priority: pointer(1)})).Accepted).To(BeTrue())
 	})
 
-	It("keeps an empty list apart from one that is not set when a change travels", func() {
+	It("distinguishes an empty list from one that is not set in an encoded change", func() {
 		data, err := json.Marshal(set("none", 3, "tenant/desk", contract.Values{Models: []string{}, CallTimeout: pointer(90 * time.Second)}))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(data)).To(ContainSubstring(`"values":{"models":[],"call_timeout":"1m30s"}`))
@@ -196,7 +196,7 @@
 		Expect(err).To(MatchError(&contract.RevisionError{Revision: 5, Oldest: 0, Newest: 4}))
 	})
 
-	It("remembers a bounded part of the stream and refuses what reaches back beyond it", func() {
+	It("retains a bounded part of the stream and refuses changes based on an earlier revision", func() {
 		tree := contract.NewTreeWithWindow(4)
 		Expect(tree.Apply(1, set("first", 0, "", zones("a"))).Accepted).To(BeTrue())
 		Expect(tree.Apply(2, set("branch", 1, "branch", contract.Values{})).Accepted).To(BeTrue())
--- a/gateway/input_test.go
+++ b/gateway/input_test.go
@@ -104,7 +104,7 @@
 		Expect(got.error().Findings).To(HaveLen(3), "the key, the model and the time-out")
 	})
 
-	It("that ends before its body does is told so", func() {
+	It("that ends before its body does is answered with the reason", func() {
 		got := sendRaw(owner.address, head(callsPath, 100)+`{"key":`, true)
 		Expect(got.status).To(Equal(400))
 		Expect(got.error().Code).To(Equal(api.CodeBodyCutShort))
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -33,7 +33,7 @@
 		Expect(ask("POST", base+"/v1/programs", triageToken, createTriage).status).To(Equal(200))
 	}
 
-	It("lets go of a caller that hangs up while it waits", func() {
+	It("stops serving a caller that disconnects while it waits", func() {
 		begin()
 		before := runtime.NumGoroutine()
 		const callers = 20
@@ -53,7 +53,7 @@
 		Eventually(runtime.NumGoroutine).Should(BeNumerically("<", before+callers/2))
 	})
 
-	It("lets go of callers that hang up on idle streams, here and through a relay", func() {
+	It("stops serving callers that disconnect from idle streams, here and through a relay", func() {
 		begin()
 		entry := shared.start("midrand-1")
 		before := runtime.NumGoroutine()
@@ -167,7 +167,7 @@
 		Expect(got.body).To(ContainSubstring(`"id":"isando.19.`))
 	})
 
-	It("tells the observer of refusals by their id", func() {
+	It("reports refusals to the observer by their id", func() {
 		counter := &relayCounter{}
 		begin(func(config *gateway.Config) { config.Observer = counter })
 		got := ask("GET", base+callsPath+"/7", triageToken, "")
