--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -140,7 +140,8 @@
 	return nil
 }
 
-// checkHead refuses heads that are too large or whose framing is ambiguous.
+// checkHead refuses heads that are too large, whose framing is ambiguous, or
+// whose request target is not a path.
 func (e *Exchange) checkHead(limits routing.Limits) *rejection {
 	if limits.HeaderBytes > 0 && len(e.head.Header()) > limits.HeaderBytes {
 		return &rejection{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "the head is larger than the limit"}
--- a/link/linkhttp/handler.go
+++ b/link/linkhttp/handler.go
@@ -81,7 +81,7 @@
 	return messages, nil
 }
 
-// decode decodes a batch. If any message is invalid, it rejects the whole batch.
+// decode decodes a batch. If any message is invalid, it refuses the whole batch.
 // It ignores fields and kinds of message that a newer version has added, so that
 // the nodes of a deployment can be upgraded one by one.
 func decode(body []byte, self machine.ID) ([]link.Message, error) {
--- a/node/operator.go
+++ b/node/operator.go
@@ -142,7 +142,7 @@
 
 // DrainBackend stops new work from being sent to a back end by adding it to the
 // root's drained back ends. A change that conflicts with a concurrent one is
-// rejected, so that neither overwrites the other; DrainBackend then retries.
+// refused, so that neither overwrites the other; DrainBackend then retries.
 func (n *Node) DrainBackend(ctx context.Context, id machine.ID) error {
 	for range drainAttempts {
 		tree := n.tree.Load()
