--- a/command/fuzz.go
+++ b/command/fuzz.go
@@ -17,7 +17,7 @@
 const progressIntervalRuns = 100
 
 // newFuzzCommand returns the subcommand that searches emulated clusters for
-// broken promises.
+// violated guarantees.
 func newFuzzCommand() *cobra.Command {
 	config := cluster.FuzzConfig{Seed: 1, MaxShrinkTime: 30 * time.Second}
 	command := &cobra.Command{
--- a/command/soak.go
+++ b/command/soak.go
@@ -26,8 +26,8 @@
 // directory of this one.
 const nodeBinary = "birchwood-edge"
 
-// newSoakCommand returns the subcommand that checks with real node
-// processes under faults that the promises hold.
+// newSoakCommand returns the subcommand that runs real node processes under
+// faults and checks that they keep the promises.
 func newSoakCommand() *cobra.Command {
 	options := soak.Options{Scenario: soak.Scenario{Nodes: defaultSoakNodes}}
 	duration := defaultSoakDuration
--- a/config/settings.go
+++ b/config/settings.go
@@ -26,8 +26,8 @@
 	return ParseSettings(path, data)
 }
 
-// ParseSettings is LoadSettings for the content of a file, which findings call
-// by the given name.
+// ParseSettings is LoadSettings for the content of a file. Findings carry the
+// given name.
 func ParseSettings(name string, data []byte) ([]contract.Change, []Finding) {
 	decoder := &decoder{source: source{name: name, positions: map[string]position{}}}
 	var file SettingsFile
--- a/emulator/bench.go
+++ b/emulator/bench.go
@@ -110,7 +110,8 @@
 	P99 float64 `json:"p99"`
 }
 
-// WastedCache is KV memory and prefill that saved no work.
+// WastedCache counts tokens that were prefilled more than once and KV memory
+// that was not used again.
 type WastedCache struct {
 	// RecomputedTokens is prefill of tokens whose KV an engine had computed
 	// for the same program before.
--- a/emulator/cluster/agent.go
+++ b/emulator/cluster/agent.go
@@ -119,7 +119,7 @@
 }
 
 // retryAfter reports whether the same request may still succeed, and the
-// retry delay that the reply asks for.
+// retry delay that the reply specifies.
 func retryAfter(reply control.Reply) (time.Duration, bool) {
 	refusal := reply.Error
 	if refusal == nil || !refusal.Retry && refusal.Ran != api.RanOutcomeUnknown {
--- a/emulator/cluster/attempt.go
+++ b/emulator/cluster/attempt.go
@@ -272,7 +272,7 @@
 // engine.
 const lostReleaseShare = 0.1
 
-// releasePrefix asks an engine to drop a program's cached prefix.
+// releasePrefix requests that an engine drop a program's cached prefix.
 func (n *node) releasePrefix(action control.ReleasePrefix) {
 	target := n.cluster.engine(action.Backend.ID)
 	if target == nil {
--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -129,8 +129,8 @@
 	n.finishStop()
 }
 
-// scheduleWake queues the next tick: when the core asks for it, but at least
-// 1 ms and at most longestSleep from now.
+// scheduleWake queues the next tick for the core's next wake, but at least 1 ms
+// and at most longestSleep from now.
 func (n *node) scheduleWake() {
 	now := n.cluster.now
 	nextWake := now.Add(longestSleep)
--- a/emulator/measure.go
+++ b/emulator/measure.go
@@ -69,8 +69,8 @@
 	return Percentiles{P50: value(50), P95: value(95), P99: value(99)}
 }
 
-// outcome is what the goodput needs to know of an ended program: its start,
-// relative to epoch, and whether it completed within its deadline.
+// outcome is the data of an ended program from which the goodput is computed:
+// its start, relative to epoch, and whether it completed within its deadline.
 type outcome struct {
 	start  time.Duration
 	inTime bool
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -193,8 +193,8 @@
 	n.sendModel(placed, decision)
 }
 
-// sendModel sends a model call. If the policy asked for it, the program's prefix
-// is transferred to the engine first.
+// sendModel sends a model call. If the decision includes an import, the program's
+// prefix is transferred to the engine first.
 func (n *node) sendModel(placed *call, decision schedule.Decision) {
 	host := n.run.engineByID[placed.backend]
 	attempt := placed.attempt
--- a/history/doc.go
+++ b/history/doc.go
@@ -1,6 +1,6 @@
 // Package history records the events that callers, back ends, the log and the
-// nodes observed during a run, and checks afterwards that birchwood kept its
-// invariants.
+// nodes observed during a run, and checks afterwards that birchwood's
+// invariants held.
 //
 // A history is a file of JSON lines, one Event each. Emulated and real runs
 // write the same events through a Recorder. A run of real processes writes
--- a/load/agent.go
+++ b/load/agent.go
@@ -20,7 +20,7 @@
 	*caller
 	program *workload.Program
 	id      api.ProgramID
-	// transcript is the program's history as the caller knows it.
+	// transcript is the program's history according to its answered calls.
 	// transcriptKnown is false after a refused call, as it is then uncertain
 	// whether the call is part of the history.
 	transcript      strings.Builder
--- a/load/caller.go
+++ b/load/caller.go
@@ -38,7 +38,8 @@
 	lastRequestID *atomic.Uint64
 }
 
-// operation is what a caller wants done. It may take several requests.
+// operation is one operation of a caller, such as creating a program. It may
+// take several requests because of retries.
 type operation struct {
 	// sent is the recorded request, without its ID and node.
 	sent history.Sent
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,5 +1,5 @@
 // Package load runs a deployment's agent programs against real nodes, over the
-// callers' HTTP API, and measures latencies and errors as callers see them.
+// callers' HTTP API, and measures the latencies and errors that callers observe.
 //
 // Run starts each program at its intended time, whether or not earlier
 // programs have ended (open loop), so that a slow system does not reduce its
--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -10,8 +10,8 @@
 // before any service has been spent on it, costs least: every admitted program
 // can then finish, and goodput stays at the capacity of the engines. So a call
 // of a program that has received no service is refused if its predicted hold is
-// too large a share of the time until its hold deadline. Calls of programs
-// under way are held until they are placed or expire.
+// too large a share of the time until its hold deadline. Calls of started
+// programs are held until they are placed or expire.
 //
 // The predicted hold depends on the tenant's own unstarted programs and on how
 // often they have started, so that a flooding tenant's programs are refused and
@@ -40,8 +40,8 @@
 }
 
 // removeWaiting records that a waiting program started or was withdrawn. Only
-// programs that had to wait change the interval; one that starts at once says
-// nothing about the time between starts under load.
+// programs that had to wait change the interval; one that starts at once is no
+// measure of the time between starts under load.
 func (e *startEstimator) removeWaiting(now time.Time, started, waited bool) {
 	e.waiting--
 	if !started {
--- a/schedule/affinity.go
+++ b/schedule/affinity.go
@@ -33,9 +33,9 @@
 	// lastTool is the tool that the program called last since that model call;
 	// empty for none.
 	lastTool string
-	// paused is set while the program has had no model call under way since
-	// pausedAt. pause is its element in tracker.paused, nil if the program has
-	// no prefixes.
+	// paused is set while the program has had no model call in progress
+	// since pausedAt. pause is its element in tracker.paused, nil if the
+	// program has no prefixes.
 	paused   bool
 	pausedAt time.Time
 	pause    *list.Element
@@ -83,13 +83,13 @@
 	return kept
 }
 
-// resume records that a program has a model call under way again.
+// resume records that a program has a model call in progress again.
 func (t *tracker) resume(entry *trackedProgram) {
 	entry.paused = false
 	t.removePaused(entry)
 }
 
-// pause records that a program has no model call under way.
+// pause records that a program has no model call in progress.
 func (t *tracker) pause(now time.Time, programID api.ProgramID) {
 	entry := t.programs[programID]
 	if entry == nil {
--- a/schedule/doc.go
+++ b/schedule/doc.go
@@ -26,7 +26,7 @@
 //     model or tool, have not failed this call before and are not excluded by
 //     its contract. No later step adds a back end.
 //   - rank.go predicts the completion time of the call at a candidate from
-//     link delay, queueing, transfer of the prefix or prefill of its missing
+//     link delay, queueing, transfer of the prefix or prefill of the uncached
 //     part, and decode. The rates are learned from finished calls
 //     (predict.go).
 //   - select.go samples a few candidates that are not saturated and have room
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -18,8 +18,8 @@
 // flooding may fill the caches completely: engines evict the least recently
 // used prefixes, which are mostly those of the flooding tenant.
 
-// tenantUsage is the resource usage of a tenant's programs, as far as this node
-// knows.
+// tenantUsage is the resource usage of a tenant's programs, as observed by this
+// node.
 type tenantUsage struct {
 	tenant string
 	// cachedTokens is the number of tokens in its prefixes.
--- a/schedule/rank.go
+++ b/schedule/rank.go
@@ -70,7 +70,7 @@
 	return predicted
 }
 
-// rankModel adds up link delay, queueing, prefill of the missing part or
+// rankModel adds up link delay, queueing, prefill of the uncached part or
 // transfer of the prefix, and a decode time that grows with the batch.
 func (s *Scheduler) rankModel(now time.Time, request *Request, candidate *backend) prediction {
 	learned := s.predict.speedModel(request.Model)
@@ -94,7 +94,7 @@
 }
 
 // considerImport changes the prediction to an import of the prefix from another
-// engine if that is faster than computing the missing part.
+// engine if that is faster than computing the uncached part.
 func (s *Scheduler) considerImport(request *Request, predicted *prediction, prefixes []residentPrefix, heldTokens int) {
 	best, ok := largestPrefix(prefixes)
 	if !ok || best.backend == predicted.backend.machine.ID {
--- a/schedule/retention.go
+++ b/schedule/retention.go
@@ -22,8 +22,8 @@
 const pauseBucketCount = 24
 
 // pauseKey groups pauses by tenant and by the tool called last. The tool is a
-// strong predictor: a program that has sent its notice, for example, seldom
-// calls the model again.
+// strong predictor: after a tool that sends the program's final notice, for
+// example, a program seldom calls the model again.
 type pauseKey struct{ tenant, tool string }
 
 // pauseStats counts how pauses ended, by their length: the program called a
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -5,6 +5,6 @@
 //
 // Connections from nodes to the store and the replicas, and from clients to nodes, pass
 // through proxies that can delay, hold, mute and reset them. Nodes connect to each other
-// directly, because peers know a node by the address that it listens on; they lose contact
+// directly, because peers identify a node by the address that it listens on; they lose contact
 // with each other only when a process is paused, killed or stopped.
 package soak
--- a/soak/load.go
+++ b/soak/load.go
@@ -295,7 +295,7 @@
 	s.record(sent)
 	answer, err := standin.SendRequestWithin(clientTimeout, node.clients.address(), method, standin.Host, sent.Route+"x", headerOf(sent), sent.Body)
 	if err != nil {
-		// Without an answer, the nodes have promised nothing. The checker counts the attempt as failed.
+		// Without an answer, no promise about its content applies. The checker counts the attempt as failed.
 		answer = standin.Answer{}
 	}
 	s.record(promise.Answered{ID: sent.ID, Status: answer.Status, Body: answer.Body, Complete: answer.Complete})
--- a/soak/promise/growth.go
+++ b/soak/promise/growth.go
@@ -9,8 +9,8 @@
 // Thresholds that distinguish unbounded growth from the warm-up of a process.
 const (
 	// minSamples is the number of samples before the first check and between checks. With fewer,
-	// a quarter of them would be as short as an outage, in which connections are opened that
-	// are idle afterwards.
+	// a quarter of them could cover a single outage, in which nodes open connections that are
+	// idle afterwards.
 	minSamples = 120
 	// maxGrowthRatio and the slacks limit how far the minimum of the last quarter may exceed the
 	// maximum of the second.
--- a/soak/run.go
+++ b/soak/run.go
@@ -30,8 +30,8 @@
 }
 
 // Run runs a scenario and reports it. It returns ErrBroken if a promise was broken that is not
-// in Options.KnownBroken. Everything that it starts is ended on return, also when ctx is
-// cancelled.
+// in Options.KnownBroken. It stops everything that it started before it returns, also
+// when ctx is cancelled.
 func Run(ctx context.Context, options Options) (err error) {
 	if err := options.validate("soak"); err != nil {
 		return err
--- a/soak/system.go
+++ b/soak/system.go
@@ -38,8 +38,8 @@
 	nodeGrace      = 8 * time.Second
 )
 
-// bounds are the limits that the nodes must keep: those of the users' deployments, and for
-// what these leave open, what a machine with one node can sustain.
+// bounds are the limits that the nodes must keep: those of the users' deployments and, where
+// these set none, what a machine with one node can sustain.
 var bounds = promise.Config{
 	TokensPerEvent: standin.TokensPerEvent,
 	FaultFree:      4 * time.Second,
