--- a/emulator/enginemodel/engine.go
+++ b/emulator/enginemodel/engine.go
@@ -50,8 +50,8 @@
 
 // finishedStream is a finished stream and the end of its retention.
 type finishedStream struct {
-	stream   string
-	forgetAt time.Time
+	stream    string
+	expiresAt time.Time
 }
 
 // New returns an engine that starts at the given time. The random source must not
--- a/emulator/enginemodel/iteration.go
+++ b/emulator/enginemodel/iteration.go
@@ -31,7 +31,7 @@
 		e.fire(expired)
 	}
 	e.run(now)
-	for len(e.finishedOrder) > 0 && !e.finishedOrder[0].forgetAt.After(now) {
+	for len(e.finishedOrder) > 0 && !e.finishedOrder[0].expiresAt.After(now) {
 		delete(e.finished, e.finishedOrder[0].stream)
 		e.finishedOrder = e.finishedOrder[1:]
 	}
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -16,11 +16,11 @@
 
 // Strength of the faults.
 const (
-	slowStoreDelay   = 250 * time.Millisecond
-	storeDelay       = 4 * time.Millisecond
-	slowReplicaDelay = 60 * time.Millisecond
-	lostAnswers      = 20
-	faultyAnswers    = 12
+	slowStoreDelay    = 250 * time.Millisecond
+	storeDelay        = 4 * time.Millisecond
+	slowReplicaDelay  = 60 * time.Millisecond
+	lostAnswerCount   = 20
+	faultyAnswerCount = 12
 	// drainTime is how long a draining replica keeps serving. It exceeds the time for which
 	// nodes may still send requests to it.
 	drainTime = 5 * time.Second
@@ -83,7 +83,7 @@
 				hit = hit || target == node.zoneIndex
 			}
 		}
-		hit = hit || fault.Kind == KillAll || fault.Kind == StoreMute || fault.Kind == StoreRefuses && index%refusedNodes == 0
+		hit = hit || fault.Kind == KillAll || fault.Kind == StoreMute || fault.Kind == StoreRefuses && index%secondAddressInterval == 0
 		if hit {
 			matching = append(matching, node)
 		}
@@ -260,11 +260,11 @@
 		replicaProxy.setDelay(0)
 	case kind == ReplicaFault:
 		// Faults that are not used up when the fault ends are cancelled.
-		faulty := faultyAnswers * max(0, delta)
+		faulty := faultyAnswerCount * max(0, delta)
 		replica.Refuse(faulty)
 		replica.AbortStreams(faulty)
 		replica.Reset(faulty)
-		replica.Hang(faulty / faultyAnswers)
+		replica.Hang(faulty / faultyAnswerCount)
 	}
 }
 
@@ -284,7 +284,7 @@
 	case StoreSlow:
 		store.SetDelay(map[bool]time.Duration{true: slowStoreDelay, false: storeDelay}[on])
 	case StoreLost:
-		store.LoseAnswers(map[bool]int{true: lostAnswers}[on])
+		store.LoseAnswers(map[bool]int{true: lostAnswerCount}[on])
 	case StoreForget:
 		store.TrimAll()
 	}
--- a/soak/load.go
+++ b/soak/load.go
@@ -140,7 +140,7 @@
 // program runs one program: its turns, in one or several sessions, and the calls between them.
 func (s *soak) program(ctx context.Context, tenant string) {
 	turn := promise.Sent{
-		Tenant: tenant, Key: tenant + "-key", Route: standin.ModelPath, Repeatable: true, Events: eventsOfAnswer,
+		Tenant: tenant, Key: tenant + "-key", Route: standin.ModelPath, Repeatable: true, Events: eventsPerAnswer,
 		Program: s.nextID("p"), Budget: programBudget, MaxTokens: maxTurnTokens, MustServe: true,
 	}
 	if s.chance(exhaustedShare) {
@@ -200,7 +200,7 @@
 		}
 		if turn.Stored {
 			turn.Previous = id
-			s.rememberTurn(storedTurn{id: id, tenant: turn.Tenant, at: time.Now(), depth: previous.depth + number})
+			s.addStoredTurn(storedTurn{id: id, tenant: turn.Tenant, at: time.Now(), depth: previous.depth + number})
 			s.sendForeignTurn(id, turn.Tenant)
 		}
 		s.call(turn.Tenant, s.chance(0.5))
@@ -259,7 +259,7 @@
 	other := map[string]string{firstTenant: secondTenant, secondTenant: firstTenant}[tenant]
 	id := s.nextID("f")
 	s.send(s.pickNode(), http.MethodPost, promise.Sent{
-		ID: id, Tenant: other, Key: other + "-key", Route: standin.StoredPath, Events: eventsOfAnswer, Program: s.nextID("p"),
+		ID: id, Tenant: other, Key: other + "-key", Route: standin.StoredPath, Events: eventsPerAnswer, Program: s.nextID("p"),
 		Session: id, Previous: previous, Stored: true, Budget: programBudget, MaxTokens: maxTurnTokens, Body: "input of " + id + ";",
 	})
 }
@@ -358,7 +358,7 @@
 	return shortest + time.Duration(s.randomInt(int(longest-shortest)))
 }
 
-func (s *soak) rememberTurn(turn storedTurn) {
+func (s *soak) addStoredTurn(turn storedTurn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.storedTurns = append(s.storedTurns, turn)
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -80,12 +80,12 @@
 	// firstFaultMS leaves programs time to start.
 	firstFaultMS = 4000
 	// A burst of faults lasts from minBurstMS to maxBurstMS. The pause between two bursts,
-	// calmMS, is longer than the nodes' recovery bound.
+	// burstPauseMS, is longer than the nodes' recovery bound.
 	minBurstMS, maxBurstMS = 12000, 24000
-	calmMS                 = 15000
-	// calmDrainMS is how long after a burst replicas are drained, which disturbs nothing. It is
+	burstPauseMS           = 15000
+	// drainDelayMS is how long after a burst replicas are drained, which disturbs nothing. It is
 	// late enough that all nodes count as fault-free when the drain bound has passed.
-	calmDrainMS = 3000
+	drainDelayMS = 3000
 	// maxFaultGapMS is the longest gap between the starts of two faults of a burst, and
 	// maxFaultMS bounds the random part of a fault's duration.
 	maxFaultGapMS = 3000
@@ -110,8 +110,8 @@
 	random := rand.New(rand.NewPCG(scenario.Seed, uint64(scenario.Nodes)))
 	end := int64(scenario.Seconds) * int64(time.Second/time.Millisecond)
 	var faults []Fault
-	for at := int64(firstFaultMS); at < end-calmMS; at += calmMS {
-		burst := min(at+minBurstMS+random.Int64N(maxBurstMS-minBurstMS), end-calmMS)
+	for at := int64(firstFaultMS); at < end-burstPauseMS; at += burstPauseMS {
+		burst := min(at+minBurstMS+random.Int64N(maxBurstMS-minBurstMS), end-burstPauseMS)
 		for at < burst {
 			fault := drawFault(random, scenario, at)
 			fault.ForMS = min(fault.ForMS, max(0, burst-at))
@@ -119,7 +119,7 @@
 			at += 1 + random.Int64N(maxFaultGapMS)
 		}
 		at = burst
-		faults = append(faults, Fault{Kind: ReplicaDrain, AtMS: burst + calmDrainMS, Targets: draw(random, scenario.Replicas, 2)})
+		faults = append(faults, Fault{Kind: ReplicaDrain, AtMS: burst + drainDelayMS, Targets: draw(random, scenario.Replicas, 2)})
 	}
 	return faults
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -43,7 +43,7 @@
 				calms++
 			}
 			end = max(end, fault.AtMS+fault.ForMS)
-			g.Expect(end).To(BeNumerically("<=", int64(scenario.Seconds)*1000-calmMS))
+			g.Expect(end).To(BeNumerically("<=", int64(scenario.Seconds)*1000-burstPauseMS))
 			for _, target := range fault.Targets {
 				g.Expect(target).To(BeNumerically("<", 12))
 			}
--- a/soak/system.go
+++ b/soak/system.go
@@ -28,14 +28,14 @@
 
 // Parameters of the system under test.
 const (
-	modelReplicas  = 6
-	plainReplicas  = 3
-	replicaCount   = modelReplicas + plainReplicas
-	partitions     = 24
-	eventsOfAnswer = 4
-	eventStep      = 10 * time.Millisecond
-	nodeMemory     = 256 << 20
-	nodeGrace      = 8 * time.Second
+	modelReplicas   = 6
+	plainReplicas   = 3
+	replicaCount    = modelReplicas + plainReplicas
+	partitions      = 24
+	eventsPerAnswer = 4
+	eventInterval   = 10 * time.Millisecond
+	nodeMemory      = 256 << 20
+	nodeGrace       = 8 * time.Second
 )
 
 // bounds are the limits that the nodes must keep: those of the users' deployments and, where
@@ -134,7 +134,7 @@
 // open starts the stand-ins, the proxies and the node processes.
 func (s *soak) open() error {
 	system, err := standin.StartSystem(standin.Options{
-		Models: modelReplicas, Plain: plainReplicas, Events: eventsOfAnswer, Step: eventStep, Zones: zones, Prepare: s.prepare,
+		Models: modelReplicas, Plain: plainReplicas, Events: eventsPerAnswer, Step: eventInterval, Zones: zones, Prepare: s.prepare,
 		Tenants: s.keys.tenants(),
 	})
 	if err != nil {
@@ -189,14 +189,14 @@
 	s.record(event)
 }
 
-// refusedNodes is the interval between the indexes of nodes that use the store's second
+// secondAddressInterval is the interval between the indexes of nodes that use the store's second
 // address.
-const refusedNodes = 3
+const secondAddressInterval = 3
 
 func (s *soak) newProcess(index int) (*process, error) {
 	addresses := addressesOf(s.host, index)
 	target := s.system.Store.Address()
-	if index%refusedNodes == 0 {
+	if index%secondAddressInterval == 0 {
 		target = s.system.Store.SecondAddress()
 	}
 	store, err := newProxy(target)
@@ -258,7 +258,7 @@
 
 // Timing of the process monitor.
 const (
-	watchPeriod = 500 * time.Millisecond
+	monitorInterval = 500 * time.Millisecond
 	// sampleEvery is the number of rounds between two samples of memory and descriptors.
 	sampleEvery = 2
 	// startTimeout bounds how long the nodes may take to become ready at the start.
@@ -267,14 +267,14 @@
 
 // monitor periodically probes the nodes' readiness and samples their resource usage.
 func (s *soak) monitor(ctx context.Context) {
-	client := &http.Client{Timeout: watchPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: monitorInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	for round := 0; ; round++ {
 		var probes sync.WaitGroup
 		for _, node := range s.processes {
 			probes.Go(func() { s.probe(client, node, round%sampleEvery == 0) })
 		}
 		probes.Wait()
-		if !sleep(ctx, watchPeriod) {
+		if !sleep(ctx, monitorInterval) {
 			return
 		}
 	}
@@ -299,11 +299,11 @@
 
 // awaitReady waits up to startTimeout for all nodes to be ready.
 func (s *soak) awaitReady(ctx context.Context) error {
-	for range int(startTimeout / watchPeriod) {
+	for range int(startTimeout / monitorInterval) {
 		if len(s.readyNodes()) == len(s.processes) {
 			return nil
 		}
-		if !sleep(ctx, watchPeriod) {
+		if !sleep(ctx, monitorInterval) {
 			return ctx.Err()
 		}
 	}
