--- a/emulator/benchplot/benchplot.go
+++ b/emulator/benchplot/benchplot.go
@@ -17,8 +17,8 @@
 const (
 	width  = 8 * vg.Inch
 	height = 5 * vg.Inch
-	// targetPoints controls the sampling of long curves, which get from
-	// targetPoints to twice as many points.
+	// targetPoints is the minimum number of points to which a long curve is
+	// reduced; the maximum is twice as many.
 	targetPoints = 400
 )
 
--- a/emulator/enginemodel/iteration.go
+++ b/emulator/enginemodel/iteration.go
@@ -21,8 +21,8 @@
 	return i.start.Add(time.Duration(i.count) * i.duration)
 }
 
-// advance computes the batch, fires the timers and removes expired finished streams,
-// up to now.
+// advance computes the batch and fires the timers up to now, then removes the
+// finished streams whose retention has expired.
 func (e *Engine) advance(now time.Time) {
 	for len(e.timers) > 0 && !e.timers[0].at.After(now) {
 		expired := e.timers[0]
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -90,8 +90,8 @@
 	// maxFaultMS bounds the random part of a fault's duration.
 	maxFaultGapMS = 3000
 	maxFaultMS    = 8000
-	// maxOutageMS bounds the random part of a store outage. It is longer than
-	// the time for which nodes accept a key without a freshness proof.
+	// maxOutageMS bounds the random part of a store outage. It is longer than the time for
+	// which nodes accept a key without a freshness proof.
 	maxOutageMS = 12000
 )
 
--- a/soak/system.go
+++ b/soak/system.go
@@ -189,8 +189,8 @@
 	s.record(event)
 }
 
-// secondAddressInterval is the interval between the indexes of nodes that use the store's second
-// address.
+// secondAddressInterval selects the nodes that use the store's second address: those whose
+// index is a multiple of it.
 const secondAddressInterval = 3
 
 func (s *soak) newProcess(index int) (*process, error) {
