--- a/command/explain_test.go
+++ b/command/explain_test.go
@@ -21,7 +21,7 @@
 {"time":"2026-01-02T03:00:12Z","node":"a","request":"r2","partition":4,"status":200,"message":"request: ended"}
 `
 
-	It("shows the request and what it rested on, in order of time", func() {
+	It("shows the request and what affected it, in order of time", func() {
 		var output bytes.Buffer
 		Expect(explain(strings.NewReader(log), &output, "r1", time.Minute)).To(Succeed())
 		lines := strings.Split(strings.TrimSpace(output.String()), "\n")
@@ -32,7 +32,7 @@
 		Expect(lines[3]).To(ContainSubstring(`"request":"r1"`))
 	})
 
-	It("shows what the node noted that counted the request to its tenant's limit", func() {
+	It("shows the lines of the node that counted the request towards its tenant's limit", func() {
 		const counted = `{"time":"2026-01-02T03:00:11Z","node":"c","live":9,"before":10,"message":"nodes: changed"}
 {"time":"2026-01-02T03:00:11Z","node":"d","live":9,"before":10,"message":"nodes: changed"}
 {"time":"2026-01-02T03:00:12Z","node":"a","request":"r3","tenant":"t","charge":"refused","counted":"c","status":429,"message":"request: ended"}
@@ -44,7 +44,7 @@
 		Expect(lines[0]).To(ContainSubstring(`"node":"c"`))
 	})
 
-	It("shows what the node knew of evacuated zones, however long ago it learned it", func() {
+	It("shows lines about evacuated zones, whatever their age", func() {
 		const evacuated = `{"time":"2026-01-02T02:00:11Z","node":"a","evacuated":"z","version":9,"message":"zones: evacuation began"}
 {"time":"2026-01-02T02:00:11Z","node":"b","evacuated":"z","version":9,"message":"zones: evacuation began"}
 {"time":"2026-01-02T03:00:12Z","node":"a","request":"r4","status":503,"message":"request: ended"}
@@ -57,7 +57,7 @@
 		Expect(lines[0]).To(ContainSubstring(`"evacuated":"z","version":9`))
 	})
 
-	It("says so where the log does not know the request", func() {
+	It("fails if the log has no line about the request", func() {
 		err := explain(strings.NewReader(log), &bytes.Buffer{}, "unknown", time.Minute)
 		var exit *ExitError
 		Expect(errors.As(err, &exit)).To(BeTrue())
--- a/emulator/cluster/cluster_test.go
+++ b/emulator/cluster/cluster_test.go
@@ -191,7 +191,7 @@
 		}
 	})
 
-	It("sends nothing outside of zones that were narrowed while its node slept", func() {
+	It("sends nothing outside zones that were narrowed while the node was paused", func() {
 		const moments, apart = 8, 2 * time.Millisecond
 		for moment := range moments {
 			for owner := range cluster.DefaultConfig(0).Zones {
--- a/emulator/cluster/property_test.go
+++ b/emulator/cluster/property_test.go
@@ -35,7 +35,7 @@
 		Entry("the same, with requests that found no owner", uint64(750233)),
 		Entry("a caller that hung up on a relayed request", uint64(741272)),
 		Entry("the same, with a zone's only node", uint64(101626)),
-		Entry("reads of a lapsed owner", uint64(321)),
+		Entry("reads by a previous owner", uint64(321)),
 		Entry("the same, in another order", uint64(20498)),
 	)
 })
--- a/emulator/enginemodel/engine_test.go
+++ b/emulator/enginemodel/engine_test.go
@@ -222,7 +222,7 @@
 		Expect(d.finished["s"].Usage.CachedTokens).To(Equal(20000))
 	})
 
-	It("tells its changes late, and leaves a gap where an event is lost", func() {
+	It("reports its changes late, and leaves a gap where an event is lost", func() {
 		d := newDriver(func(c *enginemodel.Config) { c.EventLoss = 0.5 })
 		for i := range 20 {
 			name := fmt.Sprint(i)
--- a/emulator/platformmodel/platformmodel_test.go
+++ b/emulator/platformmodel/platformmodel_test.go
@@ -20,7 +20,7 @@
 		return machine.Machine{ID: "n", Kind: machine.KindNode, Status: status}
 	}
 
-	It("shows the state of a while ago, each change in its turn", func() {
+	It("shows each change after the lag, in order", func() {
 		list := platformmodel.NewMachineList(2*time.Second, 0)
 		list.Announce(at(0), node(machine.StatusLive))
 		list.Announce(at(1), node(machine.StatusLeaving))
@@ -52,7 +52,7 @@
 })
 
 var _ = Describe("The log", func() {
-	It("keeps its entries though the caller changes its own", func() {
+	It("does not share entries with the caller that appended them", func() {
 		log := platformmodel.NewLog()
 		entry := []byte("one")
 		Expect(log.Append("s", [][]byte{entry})).To(BeZero())
--- a/emulator/standin/standin_test.go
+++ b/emulator/standin/standin_test.go
@@ -160,7 +160,7 @@
 })
 
 var _ = Describe("The machine list", func() {
-	It("shows the stand-ins and announced nodes, and lags when told to", func(ctx SpecContext) {
+	It("shows the stand-ins and announced nodes, and lags under a lagging fault", func(ctx SpecContext) {
 		h := startHarness()
 		node := machine.Machine{ID: "node-1", Kind: machine.KindNode, Zone: zoneA, Address: "127.0.0.1:1", Status: machine.StatusLive}
 		Expect(h.platform.Announce(ctx, node)).To(Succeed())
@@ -181,7 +181,7 @@
 		Eventually(ids).Should(Equal([]machine.ID{"depot-1", "engine-1", "engine-2"}))
 	})
 
-	It("comes whole only when it has changed", func(ctx SpecContext) {
+	It("is sent in full only when it has changed", func(ctx SpecContext) {
 		h := startHarness()
 		Eventually(func() (int, error) {
 			listed, err := h.platform.Machines(ctx)
@@ -265,7 +265,7 @@
 		Expect(h.engine("engine-1").Prefixes(ctx)).To(HaveLen(1))
 	})
 
-	It("says not sent for refusals and refused connections, and not for a cut stream", func(ctx SpecContext) {
+	It("reports refusals and refused connections as not sent, but not an interrupted stream", func(ctx SpecContext) {
 		h := startHarness()
 		var notSent *engine.NotSentError
 		unknown := request
@@ -318,7 +318,7 @@
 		Expect(last.Done).To(BeTrue())
 	})
 
-	It("is out of reach from a zone that is cut off, and cuts running streams", func(ctx SpecContext) {
+	It("is unreachable from a zone behind a network partition, which interrupts running streams", func(ctx SpecContext) {
 		h := startHarness()
 		long := request
 		long.MaxOutputTokens = 40000
@@ -373,7 +373,7 @@
 		Expect(runs[0].Count).To(Equal(1))
 	})
 
-	It("reports its own word that a run failed without effect", func(ctx SpecContext) {
+	It("returns the service's report that a run failed without effect", func(ctx SpecContext) {
 		h := startHarness()
 		var failed *tool.FailedError
 		_, err := h.tool().Run(ctx, tool.Request{Key: "k", Tool: "no such tool"})
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -152,13 +152,13 @@
 				Backend: "engine-1", Program: farm, Sequence: 3, Attempt: 1, Outcome: history.OutcomeInterrupted,
 			}})
 		}}),
-		Entry("settings: a node goes back", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
+		Entry("settings: a node reverts to an older revision", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
 			return insert(events, 33, history.Event{InForce: &history.InForce{Node: "node-1", Incarnation: 1, Revision: 2}})
 		}}),
 		Entry("settings: a restarted node works with an old revision", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
 			return insert(events, 90, history.Event{InForce: &history.InForce{Node: "node-2", Incarnation: 2, Revision: 2}})
 		}}),
-		Entry("settings: a node never hears of a change", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
+		Entry("settings: a node never receives a change", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
 			return slices.DeleteFunc(events, func(e history.Event) bool {
 				return e.InForce != nil && e.InForce.Node == "node-2" && e.InForce.Revision == 3
 			})
@@ -168,7 +168,7 @@
 			verdict.Verdict.Accepted = false
 			return events
 		}}),
-		Entry("settings: a racing operator overwrites what it did not know", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
+		Entry("settings: a concurrent change overwrites one that is newer than its base", violation{history.InvariantSettings, func(events []history.Event) []history.Event {
 			find(events, func(e history.Event) bool { return e.SettingsChange != nil && e.SettingsChange.ID == "second" }).SettingsChange.BaseRevision = 1
 			return events
 		}}),
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -153,7 +153,7 @@
 		Expect(report.Findings).To(BeEmpty(), report.String())
 	})
 
-	It("measures how long a program that stands by is without an owner", func() {
+	It("measures how long an idle probe program has no owner", func() {
 		fake := &gateway{probes: 1, describesRefused: 20}
 		fake.answer = func(request api.SubmitCall, _ int) (string, *api.Error) {
 			if fake.described <= fake.describesRefused+1 { // Until the poll that ends the gap has completed.
@@ -166,7 +166,7 @@
 		Expect(result.Unavailability.P50).To(BeNumerically(">=", 20*20), "20 refusals, 20 ms apart, in ms")
 	})
 
-	It("asks again by key after a refusal, and counts it", func() {
+	It("retries with the same key after a refusal, and counts it", func() {
 		result := runAgainst(&gateway{answer: func(request api.SubmitCall, attempts int) (string, *api.Error) {
 			if attempts < 3 {
 				return "", api.Refuse(api.CodeOverloaded, "not now").WithRetryAfter(1)
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -50,7 +50,7 @@
 		Expect(b.placeExactlyOne().Call).To(Equal(urgent))
 	})
 
-	It("takes a program of unknown arrival as arriving with its call", func() {
+	It("orders a program without an arrival time by the arrival of its call", func() {
 		first, _ := fill()
 		unknown := b.enqueue("unknown", "tenant", withAttained(30_000), func(request *schedule.Request) { request.Arrived = time.Time{} })
 		b.now = b.now.Add(20 * time.Second)
@@ -59,7 +59,7 @@
 		Expect(b.placeExactlyOne().Call).To(Equal(unknown))
 	})
 
-	It("lets no stream of newcomers overtake a long program forever", func() {
+	It("does not starve a long program under a stream of new programs", func() {
 		first, second := fill()
 		long := b.enqueue("long", "tenant", withAttained(1_000_000))
 		running := []schedule.Decision{first, second}
@@ -128,7 +128,7 @@
 		Expect(refused.Error.RetryAfterMilliseconds).To(BeNumerically(">", 0))
 	})
 
-	It("keeps what the retry time promises, when nothing else comes", func() {
+	It("admits the call at its retry time if no other call arrives", func() {
 		refused := overload()
 		retryAt := b.now.Add(time.Duration(refused.Error.RetryAfterMilliseconds) * time.Millisecond)
 		for b.now.Before(retryAt) {
@@ -139,7 +139,7 @@
 		Expect(b.ready()[schedule.ActionRefuse]).To(BeEmpty())
 	})
 
-	It("refuses neither a program under way nor another tenant's", func() {
+	It("refuses neither a started program's call nor another tenant's", func() {
 		overload()
 		b.enqueue("under-way", "tenant", withAttained(500))
 		b.enqueue("other", "other")
@@ -164,7 +164,7 @@
 		}
 	})
 
-	It("gives affinity up under load, and takes the prefix along", func() {
+	It("moves a call and its prefix to another engine under load", func() {
 		b.enqueue("p", "tenant")
 		first := b.placeExactlyOne()
 		b.finish(first, 6000)
@@ -285,13 +285,13 @@
 		Expect(b.ready()[schedule.ActionLoad]).To(BeEmpty(), "one order at a time")
 	})
 
-	It("leaves orders to the node that commands the engine", func() {
+	It("issues orders only on the node that manages the engine", func() {
 		Expect(busy(false).ready()[schedule.ActionLoad]).To(BeEmpty())
 	})
 })
 
 var _ = Describe("tool calls", func() {
-	It("go to the least outstanding service, the nearest of equals", func() {
+	It("go to the service with the fewest outstanding calls, and among equals to the nearest", func() {
 		b := &policyDriver{policy: newPolicy("birchwood", testConfig(1)), now: start}
 		b.policy.SetBackends(b.now, []machine.Machine{
 			{ID: "far", Kind: machine.KindTool, Zone: "b", Status: machine.StatusLive, Tools: []string{"t"}},
--- a/soak/promise/checker_test.go
+++ b/soak/promise/checker_test.go
@@ -83,7 +83,7 @@
 	var w *harness
 	BeforeEach(func() { w = newHarness() })
 
-	It("finds nothing where all is well", func() {
+	It("reports no breach in a correct run", func() {
 		first := w.turn("p", "", nil)
 		w.turn("p", first, nil)
 		w.observe(2*time.Second, promise.Sent{ID: "c", Node: "n", Tenant: "a", Key: "k"}, promise.Ran{ID: "c", Tenant: "a", Zone: "north-a"},
@@ -340,7 +340,7 @@
 		Expect(w.found).To(Equal([]promise.Promise{promise.ServedAgain}))
 	})
 
-	It("excuses attempts beside a turn of the program that is under way", func() {
+	It("excuses failed attempts while another turn of the program is in progress", func() {
 		w.observe(0, promise.Sent{ID: "open", Program: "p", MustServe: true})
 		for range 5 {
 			w.turn("p", "", refused(503))
