--- a/schedule/select.go
+++ b/schedule/select.go
@@ -125,8 +125,8 @@
 	return s.slotsTaken(now, candidate, share)
 }
 
-// slotsTaken reports whether a share of a back end's slots is in use. Only
-// engines declare a number of slots; other back ends are never saturated.
+// slotsTaken reports whether at least the given share of a back end's slots, and
+// at least one slot, is in use. Only engines declare a number of slots; other back ends are never saturated.
 func (s *Scheduler) slotsTaken(now time.Time, candidate *backend, share float64) bool {
 	slots := candidate.machine.Slots
 	if slots == 0 {
@@ -166,8 +166,8 @@
 	return best
 }
 
-// drawCold draws one of s.coldOptions at random. age is the age of the oldest
-// load report among them; for tool calls it counts as zero.
+// drawCold draws one of s.coldOptions at random. age is the age of the oldest of
+// their load reports that are not stale; for tool calls it counts as zero.
 func (s *Scheduler) drawCold(request *Request, age time.Duration) prediction {
 	lowest := s.coldOptions[0].prediction.score
 	for _, each := range s.coldOptions[1:] {
--- a/schedule/stale.go
+++ b/schedule/stale.go
@@ -22,7 +22,8 @@
 }
 
 // drawByLoad draws one of s.coldOptions at random. age is the age of the oldest
-// load report, and service the mean time of a call in an engine.
+// load report that is not stale, and service the mean time of a call in an
+// engine.
 func (s *Scheduler) drawByLoad(age, service time.Duration) prediction {
 	slices.SortStableFunc(s.coldOptions, func(a, b coldOption) int { return cmp.Compare(a.relativeLoad, b.relativeLoad) })
 	waterLevel := s.waterLevel(s.expectedArrivals(age, service))
