--- a/soak/promise/checker_test.go
+++ b/soak/promise/checker_test.go
@@ -110,13 +110,13 @@
 		Entry("another's", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
 			answer.Body = strings.ReplaceAll(answer.Body, "t-1", "t-9")
 		}),
-		Entry("broken off, and wrong until there", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
+		Entry("interrupted, and wrong up to there", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
 			answer.Complete, answer.Body = false, "id: 2"
 		}),
-		Entry("that nobody made", func(_ *promise.Sent, ran *promise.Ran, _ *promise.Answered) { ran.ID = "" }),
+		Entry("without a run of its request", func(_ *promise.Sent, ran *promise.Ran, _ *promise.Answered) { ran.ID = "" }),
 	)
 
-	It("allows an answer that broke off in its order", func() {
+	It("allows an interrupted answer that is correct up to there", func() {
 		w.turn("p", "", func(_ *promise.Sent, _ *promise.Ran, answer *promise.Answered) {
 			answer.Complete, answer.Body = false, "id: 1\ndata: t-1-1\n\nid"
 		})
@@ -136,7 +136,7 @@
 		Expect(w.found).To(Equal([]promise.Promise{promise.TrueRefusals, promise.TrueRefusals}))
 	}, Entry(nil, 429), Entry(nil, 503), Entry(nil, 408), Entry(nil, 421), Entry(nil, 402))
 
-	It("believes a failure that promises nothing", func() {
+	It("allows a run whose answer does not exclude it", func() {
 		w.observe(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a"}, promise.Answered{ID: "a", Status: 502})
 		Expect(w.found).To(BeEmpty())
 	})
@@ -240,7 +240,7 @@
 		Expect(w.found).To(Equal([]promise.Promise{promise.Chain, promise.Chain}))
 	})
 
-	It("finds a client's field that only the system sets", func() {
+	It("finds a client's header field that only the system may set", func() {
 		w.observe(0, promise.Sent{ID: "a"}, promise.Ran{ID: "a", Forged: []string{"Hold"}})
 		Expect(w.found).To(Equal([]promise.Promise{promise.ReservedFields}))
 	})
