--- a/schedule/select.go
+++ b/schedule/select.go
@@ -126,7 +126,8 @@
 }
 
 // slotsTaken reports whether at least the given share of a back end's slots, and
-// at least one slot, is in use. Only engines declare a number of slots; other back ends are never saturated.
+// at least one slot, is in use. Only engines declare a number of slots; other
+// back ends are never saturated.
 func (s *Scheduler) slotsTaken(now time.Time, candidate *backend, share float64) bool {
 	slots := candidate.machine.Slots
 	if slots == 0 {
