--- a/soak/load.go
+++ b/soak/load.go
@@ -101,14 +101,14 @@
 
 // tenants returns the tenants of the configuration, in the platform's format.
 func (k keys) tenants() string {
-	var passing []string
+	var quotedKeys []string
 	for number := k.oldest; number < k.next; number++ {
-		passing = append(passing, strconv.Quote(keyName(number)))
+		quotedKeys = append(quotedKeys, strconv.Quote(keyName(number)))
 	}
 	return fmt.Sprintf(`[{"name":%q,"apiKeys":[%q],"priority":0},{"name":%q,"apiKeys":[%q],"priority":1},`+
 		`{"name":%q,"apiKeys":[%q],"priority":1,"ratePerS":%d,"burst":%d},{"name":%q,"apiKeys":[%s],"priority":1}]`,
 		firstTenant, firstTenant+"-key", secondTenant, secondTenant+"-key",
-		limitedTenant, limitedTenant+"-key", limitedRate, limitedBurst, rotatingTenant, strings.Join(passing, ","))
+		limitedTenant, limitedTenant+"-key", limitedRate, limitedBurst, rotatingTenant, strings.Join(quotedKeys, ","))
 }
 
 // load runs all clients and the operator until the run ends.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -31,7 +31,7 @@
 	for seed := range uint64(200) {
 		scenario := aScenario(seed)
 		end := int64(0)
-		calms := 0
+		faultFreePeriods := 0
 		for _, fault := range Schedule(scenario) {
 			kinds[fault.Kind] = true
 			if fault.Kind == ReplicaDrain {
@@ -40,7 +40,7 @@
 				continue
 			}
 			if fault.AtMS-end >= bounds.Recovery.Milliseconds() {
-				calms++
+				faultFreePeriods++
 			}
 			end = max(end, fault.AtMS+fault.ForMS)
 			g.Expect(end).To(BeNumerically("<=", int64(scenario.Seconds)*1000-burstPauseMS))
@@ -48,7 +48,7 @@
 				g.Expect(target).To(BeNumerically("<", 12))
 			}
 		}
-		g.Expect(calms).To(BeNumerically(">=", 2))
+		g.Expect(faultFreePeriods).To(BeNumerically(">=", 2))
 	}
 	g.Expect(kinds).To(HaveLen(len(weights)))
 }
