--- a/emulator/cluster/node.go
+++ b/emulator/cluster/node.go
@@ -34,14 +34,19 @@
 	leaving    bool
 	handedOver bool
 
+	// handles counts the requests to the core. waiting holds the reply function
+	// of each unanswered one by its handle.
 	handles  uint64
 	waiting  map[uint64]func(control.Reply)
 	attempts map[program.AttemptRef]*attempt
 	// connections holds the unanswered requests of callers and of relaying
 	// nodes; each value reports to the sender that its connection was lost.
 	connections map[uint64]func()
-	verdicts    map[string]func(contract.Verdict)
-	inForce     contract.Revision
+	// verdicts holds the functions that pass a change's verdict to the waiting
+	// operator, by change ID.
+	verdicts map[string]func(contract.Verdict)
+	// inForce is the settings revision last recorded in the history.
+	inForce contract.Revision
 	// inputs holds the inputs of calls that were sent from this node and have
 	// not ended; succeededCalls holds those that succeeded.
 	inputs         map[program.CallRef]string
--- a/schedule/models.go
+++ b/schedule/models.go
@@ -18,7 +18,7 @@
 // first ordered to unload the model with the most spare engines.
 //
 // Only one order is issued at a time, and no further one until the last has
-// taken effect in the machine list. This avoids overloading the weight store,
+// taken effect in the machine list or has timed out. This avoids overloading the weight store,
 // and oscillation caused by acting on demand that the last order has not
 // changed yet. All nodes read the same reports and choose the same engine by a
 // hash; only the node that manages that engine issues the order.
--- a/schedule/retention.go
+++ b/schedule/retention.go
@@ -15,7 +15,8 @@
 //     one is dropped at once, because the newer prefix serves the next turn.
 //   - A prefix whose program is unlikely to call a model again is dropped. The
 //     probability is estimated from earlier pauses of the tenant's programs.
-//   - A prefix in a leaving engine is exported to another engine.
+//   - A prefix in a leaving engine is exported to another engine, if the
+//     program's placement still permits the leaving engine's zone.
 
 // pauseBucketCount is the number of histogram buckets for the lengths of
 // pauses. Their bounds are powers of two of a millisecond.
@@ -175,8 +176,9 @@
 	}
 }
 
-// exportPrefix exports a paused program's prefix from a leaving engine to the
-// feasible engine with the most free cache.
+// exportPrefix exports a paused program's largest prefix to the feasible engine
+// with the most free cache, if the prefix is in a leaving engine whose zone is
+// still permitted.
 func (s *Scheduler) exportPrefix(now time.Time, entry *trackedProgram) {
 	prefix, ok := largestPrefix(entry.prefixes)
 	if !ok || entry.pause == nil {
