--- a/emulator/check.go
+++ b/emulator/check.go
@@ -129,7 +129,7 @@
 		}
 		_ = host.model.Step(run.clock.now, enginemodel.Event{})
 		for _, held := range host.model.Prefixes() {
-			if _, lives := run.owners[held.Owner]; !lives {
+			if _, running := run.owners[held.Owner]; !running {
 				c.report("engine memory", "%s holds %d tokens of %s, which has ended", host.machine.ID, held.Tokens, held.Owner)
 			}
 		}
--- a/emulator/cluster/gateway.go
+++ b/emulator/cluster/gateway.go
@@ -159,7 +159,7 @@
 	}
 	handle := o.handle
 	at.enqueue(func() {
-		if _, waits := at.waiting[handle]; waits && handle != 0 {
+		if _, unanswered := at.waiting[handle]; unanswered && handle != 0 {
 			delete(at.waiting, handle)
 			at.step(control.RequestAbandoned{Handle: handle})
 			delete(at.connections, o.relayed)
--- a/emulator/cluster/settings.go
+++ b/emulator/cluster/settings.go
@@ -130,7 +130,7 @@
 	n.cluster.record(history.Event{Verdict: &history.Verdict{
 		Node: n.self.ID, ID: verdict.ID, Accepted: verdict.Accepted, Revision: uint64(verdict.Revision),
 	}})
-	if deliver, waits := n.verdicts[verdict.ID]; waits {
+	if deliver, waiting := n.verdicts[verdict.ID]; waiting {
 		delete(n.verdicts, verdict.ID)
 		deliver(verdict)
 	}
--- a/emulator/standin/engine.go
+++ b/emulator/standin/engine.go
@@ -36,11 +36,11 @@
 
 	random *rand.Rand
 
-	mutex    sync.Mutex
-	model    *enginemodel.Engine
-	prefixes map[api.ProgramID]prefixText
-	answers  map[string]startedAnswer
-	ended    int
+	mutex        sync.Mutex
+	model        *enginemodel.Engine
+	prefixes     map[api.ProgramID]prefixText
+	answers      map[string]startedAnswer
+	endedStreams int
 	// eventBase is added to the sequence numbers of the model's cache events.
 	eventBase uint64
 	events    []engine.CacheEvent
@@ -159,8 +159,8 @@
 // streams that can no longer be resumed and the texts of prefixes that are no
 // longer cached or in use. The mutex must be held.
 func (r *runningEngine) cleanUp() {
-	r.ended++
-	if r.ended%cleanupInterval != 0 {
+	r.endedStreams++
+	if r.endedStreams%cleanupInterval != 0 {
 		return
 	}
 	needed := make(map[api.ProgramID]bool)
