--- a/command/settings_set.go
+++ b/command/settings_set.go
@@ -204,7 +204,7 @@
 // against it.
 func printPreview(writer io.Writer, preview operator.Preview) {
 	for _, finding := range preview.Findings {
-		printRow(writer, "wrong: "+finding.Location+": "+finding.Message)
+		printRow(writer, "wrong: "+finding.Place+": "+finding.Message)
 	}
 	if len(preview.Findings) > 0 {
 		return
@@ -283,7 +283,7 @@
 		text += "; it lost to change " + verdict.Winner
 	}
 	for _, finding := range verdict.Findings {
-		text += fmt.Sprintf("\n  %s: %s", finding.Location, finding.Message)
+		text += fmt.Sprintf("\n  %s: %s", finding.Place, finding.Message)
 	}
 	return text
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -38,7 +38,7 @@
 	change := contract.Change{ID: file.ID, Actor: file.Actor, Edits: file.Edits}
 	var findings []Finding
 	for _, found := range contract.NewTree().Check(change) {
-		path := rootPath + "." + strings.TrimPrefix(found.Location, rootPath)
+		path := rootPath + "." + strings.TrimPrefix(found.Place, rootPath)
 		findings = append(findings, decoder.source.finding(path, "%s", found.Message))
 	}
 	if len(findings) > 0 {
--- a/contract/change.go
+++ b/contract/change.go
@@ -33,8 +33,8 @@
 // Finding is one validation error. Place is the path of the offending value,
 // such as "edits[1].values.zones[0]".
 type Finding struct {
-	Location string `json:"place"`
-	Message  string `json:"message"`
+	Place   string `json:"place"`
+	Message string `json:"message"`
 }
 
 // Verdict is the result of applying a change. Every node that applies the same
--- a/contract/check.go
+++ b/contract/check.go
@@ -11,13 +11,13 @@
 func checkChangeFields(change Change) []Finding {
 	var findings []Finding
 	if change.ID == "" || len(change.ID) > maximumIDLength {
-		findings = append(findings, Finding{Location: "id", Message: fmt.Sprintf("want 1 to %d bytes", maximumIDLength)})
+		findings = append(findings, Finding{Place: "id", Message: fmt.Sprintf("want 1 to %d bytes", maximumIDLength)})
 	}
 	if len(change.Actor) > maximumActorLength {
-		findings = append(findings, Finding{Location: "actor", Message: fmt.Sprintf("want at most %d bytes", maximumActorLength)})
+		findings = append(findings, Finding{Place: "actor", Message: fmt.Sprintf("want at most %d bytes", maximumActorLength)})
 	}
 	if len(change.Edits) == 0 || len(change.Edits) > MaximumEdits {
-		findings = append(findings, Finding{Location: "edits", Message: fmt.Sprintf("%d edits: want 1 to %d", len(change.Edits), MaximumEdits)})
+		findings = append(findings, Finding{Place: "edits", Message: fmt.Sprintf("%d edits: want 1 to %d", len(change.Edits), MaximumEdits)})
 	}
 	return findings
 }
@@ -26,10 +26,10 @@
 func checkEdit(edit Edit, location string) []Finding {
 	var findings []Finding
 	if err := edit.Path.Validate(); err != nil {
-		findings = append(findings, Finding{Location: location + ".path", Message: err.Error()})
+		findings = append(findings, Finding{Place: location + ".path", Message: err.Error()})
 	}
 	if edit.Remove && edit.Path == Root {
-		findings = append(findings, Finding{Location: location + ".remove", Message: "the root cannot be removed"})
+		findings = append(findings, Finding{Place: location + ".remove", Message: "the root cannot be removed"})
 	}
 	for index := range fields {
 		findings = append(findings, checkField(&fields[index], edit, location)...)
@@ -37,10 +37,10 @@
 	for index, name := range edit.Unset {
 		unsetLocation := fmt.Sprintf("%s.unset[%d]", location, index)
 		if fieldIndex(name) < 0 {
-			findings = append(findings, Finding{Location: unsetLocation, Message: fmt.Sprintf("%q is no setting", name)})
+			findings = append(findings, Finding{Place: unsetLocation, Message: fmt.Sprintf("%q is no setting", name)})
 		}
 		if edit.Remove {
-			findings = append(findings, Finding{Location: unsetLocation, Message: "a removed branch has no settings"})
+			findings = append(findings, Finding{Place: unsetLocation, Message: "a removed branch has no settings"})
 		}
 	}
 	return findings
@@ -53,13 +53,13 @@
 	fieldLocation := location + ".values." + field.name
 	findings := field.check(&edit.Values, fieldLocation)
 	if edit.Remove {
-		findings = append(findings, Finding{Location: fieldLocation, Message: "a removed branch has no settings"})
+		findings = append(findings, Finding{Place: fieldLocation, Message: "a removed branch has no settings"})
 	}
 	if slices.Contains(edit.Unset, field.name) {
-		findings = append(findings, Finding{Location: fieldLocation, Message: "set and unset at once"})
+		findings = append(findings, Finding{Place: fieldLocation, Message: "set and unset at once"})
 	}
 	if field.name == fieldZones && len(edit.Values.Zones) == 0 {
-		findings = append(findings, Finding{Location: fieldLocation, Message: "want at least one zone; unset the list to inherit"})
+		findings = append(findings, Finding{Place: fieldLocation, Message: "want at least one zone; unset the list to inherit"})
 	}
 	return findings
 }
@@ -79,8 +79,8 @@
 		for zoneIndex, name := range edit.Values.Zones {
 			if !parent.Contains(name) {
 				findings = append(findings, Finding{
-					Location: fmt.Sprintf("edits[%d].values.zones[%d]", index, zoneIndex),
-					Message:  fmt.Sprintf("zone %q is not permitted by the parent %q, which permits %s", name, edit.Path.Parent().String(), formatZones(parent)),
+					Place:   fmt.Sprintf("edits[%d].values.zones[%d]", index, zoneIndex),
+					Message: fmt.Sprintf("zone %q is not permitted by the parent %q, which permits %s", name, edit.Path.Parent().String(), formatZones(parent)),
 				})
 			}
 		}
@@ -101,8 +101,8 @@
 			}
 			name := []string{fieldCallerTokens, fieldOperatorTokens}[kind]
 			findings = append(findings, Finding{
-				Location: fmt.Sprintf("%s.values.%s[%d]", location, name, index),
-				Message:  "another branch lists this token already",
+				Place:   fmt.Sprintf("%s.values.%s[%d]", location, name, index),
+				Message: "another branch lists this token already",
 			})
 		}
 	}
--- a/contract/field.go
+++ b/contract/field.go
@@ -96,7 +96,7 @@
 			if value >= minimum && value <= maximum {
 				return nil
 			}
-			return []Finding{{Location: location, Message: fmt.Sprintf("%v: want %v to %v", value, minimum, maximum)}}
+			return []Finding{{Place: location, Message: fmt.Sprintf("%v: want %v to %v", value, minimum, maximum)}}
 		},
 	}
 }
@@ -182,14 +182,14 @@
 func checkList[T ~string](items []T, location string, check func(T) error) []Finding {
 	var findings []Finding
 	if len(items) > MaximumListLength {
-		return []Finding{{Location: location, Message: fmt.Sprintf("%d items: want at most %d", len(items), MaximumListLength)}}
+		return []Finding{{Place: location, Message: fmt.Sprintf("%d items: want at most %d", len(items), MaximumListLength)}}
 	}
 	for index, item := range items {
 		itemLocation := fmt.Sprintf("%s[%d]", location, index)
 		if err := check(item); err != nil {
-			findings = append(findings, Finding{Location: itemLocation, Message: err.Error()})
+			findings = append(findings, Finding{Place: itemLocation, Message: err.Error()})
 		} else if slices.Contains(items[:index], item) {
-			findings = append(findings, Finding{Location: itemLocation, Message: fmt.Sprintf("%q stands twice", string(item))})
+			findings = append(findings, Finding{Place: itemLocation, Message: fmt.Sprintf("%q stands twice", string(item))})
 		}
 	}
 	return findings
--- a/contract/fold.go
+++ b/contract/fold.go
@@ -47,7 +47,7 @@
 	verdict := Verdict{
 		ID:       fmt.Sprintf("malformed-%d", uint64(revision)-1),
 		Revision: s.revision,
-		Findings: []Finding{{Location: "$", Message: "not a change: " + err.Error()}},
+		Findings: []Finding{{Place: "$", Message: "not a change: " + err.Error()}},
 	}
 	s.record(revision, data, logEntry{change: Change{ID: verdict.ID}, verdict: verdict})
 	return verdict
@@ -106,7 +106,7 @@
 func (s *state) verdictAt(revision Revision) Verdict {
 	entry, found := s.log.Get(logEntry{position: revision})
 	if !found {
-		return Verdict{Revision: s.revision, Findings: []Finding{{Location: "$", Message: "folded before; its verdict is no longer held"}}}
+		return Verdict{Revision: s.revision, Findings: []Finding{{Place: "$", Message: "folded before; its verdict is no longer held"}}}
 	}
 	return entry.verdict
 }
@@ -156,10 +156,10 @@
 // returns the ID of the latest accepted change that it conflicts with.
 func (s *state) findConflicts(revision Revision, change Change) ([]Finding, string) {
 	if change.Based >= revision {
-		return []Finding{{Location: "based", Message: fmt.Sprintf("revision %d: the stream has not reached it", change.Based)}}, ""
+		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d: the stream has not reached it", change.Based)}}, ""
 	}
 	if change.Based < s.revision && change.Based+s.windowRecords < revision {
-		return []Finding{{Location: "based", Message: fmt.Sprintf("revision %d is more than %d records back: read the settings again", change.Based, s.windowRecords)}}, ""
+		return []Finding{{Place: "based", Message: fmt.Sprintf("revision %d is more than %d records back: read the settings again", change.Based, s.windowRecords)}}, ""
 	}
 	var findings []Finding
 	var winner lastEdit
@@ -169,7 +169,7 @@
 			continue
 		}
 		findings = append(findings, Finding{
-			Location: fmt.Sprintf("edits[%d].path", index),
+			Place: fmt.Sprintf("edits[%d].path", index),
 			Message: fmt.Sprintf("conflict: change %q by %q edited %q at revision %d, after revision %d that this change is based on",
 				latestConflict.changeID, latestConflict.actor, latestConflict.path.String(), latestConflict.revision, change.Based),
 		})
@@ -255,7 +255,7 @@
 	}
 	if existing == nil {
 		if s.branch(edit.Path.Parent()) == nil {
-			return append(findings, Finding{Location: location + ".path", Message: fmt.Sprintf("%q has no parent branch %q", edit.Path, edit.Path.Parent())})
+			return append(findings, Finding{Place: location + ".path", Message: fmt.Sprintf("%q has no parent branch %q", edit.Path, edit.Path.Parent())})
 		}
 		existing = &branch{path: edit.Path, fieldRevisions: make([]Revision, len(fields))}
 	}
@@ -283,12 +283,12 @@
 
 func (s *state) removeBranch(existing *branch, edit Edit, location string) []Finding {
 	if existing == nil {
-		return []Finding{{Location: location + ".path", Message: fmt.Sprintf("branch %q does not exist", edit.Path)}}
+		return []Finding{{Place: location + ".path", Message: fmt.Sprintf("branch %q does not exist", edit.Path)}}
 	}
 	var findings []Finding
 	s.walk(edit.Path, func(child *branch) {
 		if child.path != edit.Path {
-			findings = append(findings, Finding{Location: location + ".remove", Message: fmt.Sprintf("branch %q lies below: remove it first", child.path)})
+			findings = append(findings, Finding{Place: location + ".remove", Message: fmt.Sprintf("branch %q lies below: remove it first", child.path)})
 		}
 	})
 	if len(findings) > 0 {
--- a/contract/snapshot.go
+++ b/contract/snapshot.go
@@ -202,7 +202,7 @@
 func (s *state) importBranch(entry snapshotBranch) error {
 	findings := checkEdit(Edit{Path: entry.Path, Values: entry.Values}, entry.Path.String())
 	if len(findings) > 0 {
-		return fmt.Errorf("%s: %s", findings[0].Location, findings[0].Message)
+		return fmt.Errorf("%s: %s", findings[0].Place, findings[0].Message)
 	}
 	if entry.Path != Root && s.branch(entry.Path.Parent()) == nil {
 		return fmt.Errorf("branch %q has no parent", entry.Path)
--- a/contract/tree_test.go
+++ b/contract/tree_test.go
@@ -219,7 +219,7 @@
 		findings := tree.Check(contract.Change{ID: "change", Based: 3, Edits: edits})
 		found := make([]string, len(findings))
 		for index, finding := range findings {
-			found[index] = finding.Location
+			found[index] = finding.Place
 		}
 		Expect(found).To(ConsistOf(places))
 		Expect(tree.Position()).To(Equal(uint64(3)), "a check changes nothing")
