--- a/coordinator/quota.go
+++ b/coordinator/quota.go
@@ -53,16 +53,16 @@
 	Decision tenant.Decision
 }
 
-// ChargeStatus says how a Charge ended.
+// ChargeStatus is how a Charge ended.
 type ChargeStatus string
 
 // Statuses of a charge.
 const (
 	// ChargeGranted permits the request to run.
 	ChargeGranted ChargeStatus = "granted"
-	// ChargeRefused says that the request exceeds the limit.
+	// ChargeRefused means that the request exceeds the limit.
 	ChargeRefused ChargeStatus = "refused"
-	// ChargeUnknown says that no counting node answered in time.
+	// ChargeUnknown means that no counting node answered in time.
 	ChargeUnknown ChargeStatus = "unknown"
 )
 
@@ -73,8 +73,8 @@
 	Number uint64           `json:"number,omitempty"`
 	Ask    *Charge          `json:"ask,omitempty"`
 	Answer *tenant.Decision `json:"answer,omitempty"`
-	// NotOwner says that the requested node is not the counting node of the account. Owner,
-	// if set, is the counting node in its view.
+	// NotOwner reports that the requested node is not the counting node of the account.
+	// Owner, if set, is the counting node in its view.
 	NotOwner bool       `json:"not_owner,omitempty"`
 	Owner    machine.ID `json:"owner,omitempty"`
 	// Leaving are nodes that reported to the requester that they are leaving, and so no
@@ -95,7 +95,7 @@
 
 // chargeState is this node's state for enforcing the limits of tenants and cold replicas.
 type chargeState struct {
-	books map[accountKind]*tenant.Limiter
+	limiters map[accountKind]*tenant.Limiter
 	// countingNodes caches the counting nodes of accounts for the live nodes of
 	// membershipVersion.
 	countingNodes     map[account]machine.ID
@@ -110,7 +110,8 @@
 type pendingCharge struct {
 	id     uint64
 	charge Charge
-	// requestedAt is when the charge was first requested, and deadline when it is given up.
+	// requestedAt is when the charge was first requested, and deadline when it ends as
+	// ChargeUnknown.
 	requestedAt time.Time
 	deadline    time.Time
 	resendAt    time.Time
@@ -129,7 +130,7 @@
 
 func newChargeState(now time.Time, config *Config) chargeState {
 	return chargeState{
-		books: map[accountKind]*tenant.Limiter{
+		limiters: map[accountKind]*tenant.Limiter{
 			tenantAccount:  tenant.NewLimiter(now.Add(config.StartupDelay), config.Tenants),
 			replicaAccount: tenant.NewLimiter(now.Add(config.StartupDelay), config.ColdReplicas),
 		},
@@ -142,16 +143,16 @@
 // remains above it.
 func firstNumber(random *rand.Rand) uint64 { return random.Uint64() >> 1 }
 
-// spend decides a charge that this node counts.
-func (s *chargeState) spend(now time.Time, charge *Charge) tenant.Decision {
+// decide decides a charge that this node counts.
+func (s *chargeState) decide(now time.Time, charge *Charge) tenant.Decision {
 	key := charge.account()
-	return s.books[key.kind].Take(now, key.name, charge.Request)
+	return s.limiters[key.kind].Take(now, key.name, charge.Request)
 }
 
 // refund undoes a charge that this node granted and whose request did not run.
 func (s *chargeState) refund(charge *Charge) {
 	key := charge.account()
-	s.books[key.kind].Refund(key.name, charge.Request)
+	s.limiters[key.kind].Refund(key.name, charge.Request)
 }
 
 // countingNode returns the counting node of an account: the live node that ranks first for
@@ -201,14 +202,14 @@
 		clear(state.countingNodes)
 		state.liveNodes = liveNodes
 	}
-	for kind, book := range state.books {
+	for kind, limiter := range state.limiters {
 		if lost {
-			book.NodeLost(now)
+			limiter.NodeLost(now)
 		}
 		if changed {
-			book.Retain(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
+			limiter.Retain(func(name string) bool { return c.countingNode(account{kind: kind, name: name}) == c.self().ID })
 		}
-		book.SetShare(c.grantableShare())
+		limiter.SetShare(c.grantableShare())
 	}
 }
 
@@ -225,7 +226,8 @@
 	return min(1, live/float64(max(1, len(c.sortedNodes))))
 }
 
-// canCount reports whether this node knows its peers well enough to count requests.
+// canCount reports whether this node may count requests: it has had the time to discover
+// its peers, and is not leaving.
 func (c *Core) canCount(now time.Time) bool {
 	return !c.leaving && now.Sub(c.startedAt) >= c.config.StartupDelay
 }
@@ -245,15 +247,15 @@
 	waiting.redirects = 0
 	node := c.countingNode(waiting.charge.account())
 	if !c.config.IgnoreRedirects && waiting.unanswered%attemptsPerFallback == attemptsPerFallback-1 {
-		// The node may be gone, and others may have noticed it, so that the next one
-		// counts.
+		// The node may have failed, and other nodes may have detected this, so that the
+		// next one counts.
 		node = c.countingNodeExcluding(waiting.charge.account(), node)
 	}
 	waiting.unanswered++
 	waiting.target = node
 	if node == c.self().ID {
 		if c.canCount(now) {
-			c.finishCharge(number, waiting, c.chargeState.spend(now, &waiting.charge))
+			c.finishCharge(number, waiting, c.chargeState.decide(now, &waiting.charge))
 		}
 		return
 	}
@@ -346,12 +348,12 @@
 		c.sendCharge(from.ID, answer, c.freshnessClaim(now, 0))
 		return
 	}
-	decision := c.chargeState.spend(now, message.Ask)
+	decision := c.chargeState.decide(now, message.Ask)
 	c.sendCharge(from.ID, ChargeMessage{Number: message.Number, Answer: &decision}, c.freshnessClaim(now, 0))
 }
 
-// countingNodeExcluding returns the counting node of an account if the excluded nodes are
-// gone.
+// countingNodeExcluding returns the node that counts an account if the excluded nodes have
+// left.
 func (c *Core) countingNodeExcluding(key account, excluded ...machine.ID) machine.ID {
 	candidates := slices.DeleteFunc(c.chargeCandidates(), func(node ownership.Node) bool {
 		return slices.Contains(excluded, machine.ID(node.ID))
@@ -359,7 +361,8 @@
 	return machine.ID(ownership.TopNode(accountRankKey(key), candidates))
 }
 
-// tickCharges resends unanswered charges, and gives up those past their deadline.
+// tickCharges resends unanswered charges, and ends those past their deadline as
+// ChargeUnknown.
 func (c *Core) tickCharges(now time.Time) {
 	c.updateCountingNodes(now)
 	if len(c.chargeState.pending) == 0 {
--- a/edge/keeping.go
+++ b/edge/keeping.go
@@ -30,13 +30,13 @@
 	ownerPollInterval = 200 * time.Millisecond
 )
 
-// errOwnerChanged says that the partition now belongs to another node than the one that was
-// called.
+// errOwnerChanged means that the partition now belongs to another node than the one that
+// was called.
 var errOwnerChanged = errors.New("another node now owns the partition")
 
 // store has the turn stored by the current owner of the program's partition. If that takes
-// long, it also tries the owners of other partitions, in case the log of the former accepts
-// no records.
+// long, it also tries the owners of other partitions, in case the log of the program's own
+// partition accepts no records.
 func (t *turnRun) store(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,8 +88,8 @@
 }
 
 // storeInOtherPartition has the owners of other partitions store the turn, one after the
-// other, once storing it has taken otherPartitionDelay. A node that looks for a turn that
-// is not in its program's partition searches all partitions. The tokens that the program
+// other, once storing it has taken otherPartitionDelay. A node that does not find a turn in
+// its program's partition searches all partitions. The tokens that the program
 // used are settled with its own owner.
 func (t *turnRun) storeInOtherPartition(ctx context.Context, search *requestState, keepRequest coordinator.KeepRequest) (stored bool) {
 	n, partitions := t.node, t.node.settings.Partitions
@@ -115,10 +115,10 @@
 
 // otherPartition returns the partition for one try: never the program's own, and different
 // ones for each turn.
-func otherPartition(home int, turn string, try, partitions int) int {
+func otherPartition(own int, turn string, try, partitions int) int {
 	others := uint64(partitions - 1)
 	step := (xxhash.Sum64String(turn) + uint64(try)) % others
-	return (home + 1 + int(step)) % partitions
+	return (own + 1 + int(step)) % partitions
 }
 
 // callOwnerWithin is callOwnerOnce with a timeout.
--- a/emulator/enginemodel/iteration.go
+++ b/emulator/enginemodel/iteration.go
@@ -21,8 +21,8 @@
 	return i.start.Add(time.Duration(i.count) * i.duration)
 }
 
-// advance computes the batch, fires the timers and forgets finished streams up to
-// now.
+// advance computes the batch and fires the timers up to now, then removes the
+// finished streams whose retention has expired.
 func (e *Engine) advance(now time.Time) {
 	for len(e.timers) > 0 && !e.timers[0].at.After(now) {
 		expired := e.timers[0]
@@ -31,7 +31,7 @@
 		e.fire(expired)
 	}
 	e.run(now)
-	for len(e.finishedOrder) > 0 && !e.finishedOrder[0].forgetAt.After(now) {
+	for len(e.finishedOrder) > 0 && !e.finishedOrder[0].expiresAt.After(now) {
 		delete(e.finished, e.finishedOrder[0].stream)
 		e.finishedOrder = e.finishedOrder[1:]
 	}
--- a/soak/load.go
+++ b/soak/load.go
@@ -101,14 +101,14 @@
 
 // tenants returns the tenants of the configuration, in the platform's format.
 func (k keys) tenants() string {
-	var passing []string
+	var quotedKeys []string
 	for number := k.oldest; number < k.next; number++ {
-		passing = append(passing, strconv.Quote(keyName(number)))
+		quotedKeys = append(quotedKeys, strconv.Quote(keyName(number)))
 	}
 	return fmt.Sprintf(`[{"name":%q,"apiKeys":[%q],"priority":0},{"name":%q,"apiKeys":[%q],"priority":1},`+
 		`{"name":%q,"apiKeys":[%q],"priority":1,"ratePerS":%d,"burst":%d},{"name":%q,"apiKeys":[%s],"priority":1}]`,
 		firstTenant, firstTenant+"-key", secondTenant, secondTenant+"-key",
-		limitedTenant, limitedTenant+"-key", limitedRate, limitedBurst, rotatingTenant, strings.Join(passing, ","))
+		limitedTenant, limitedTenant+"-key", limitedRate, limitedBurst, rotatingTenant, strings.Join(quotedKeys, ","))
 }
 
 // load runs all clients and the operator until the run ends.
@@ -140,7 +140,7 @@
 // program runs one program: its turns, in one or several sessions, and the calls between them.
 func (s *soak) program(ctx context.Context, tenant string) {
 	turn := promise.Sent{
-		Tenant: tenant, Key: tenant + "-key", Route: standin.ModelPath, Repeatable: true, Events: eventsOfAnswer,
+		Tenant: tenant, Key: tenant + "-key", Route: standin.ModelPath, Repeatable: true, Events: eventsPerAnswer,
 		Program: s.nextID("p"), Budget: programBudget, MaxTokens: maxTurnTokens, MustServe: true,
 	}
 	if s.chance(exhaustedShare) {
@@ -200,7 +200,7 @@
 		}
 		if turn.Stored {
 			turn.Previous = id
-			s.rememberTurn(storedTurn{id: id, tenant: turn.Tenant, at: time.Now(), depth: previous.depth + number})
+			s.addStoredTurn(storedTurn{id: id, tenant: turn.Tenant, at: time.Now(), depth: previous.depth + number})
 			s.sendForeignTurn(id, turn.Tenant)
 		}
 		s.call(turn.Tenant, s.chance(0.5))
@@ -259,7 +259,7 @@
 	other := map[string]string{firstTenant: secondTenant, secondTenant: firstTenant}[tenant]
 	id := s.nextID("f")
 	s.send(s.pickNode(), http.MethodPost, promise.Sent{
-		ID: id, Tenant: other, Key: other + "-key", Route: standin.StoredPath, Events: eventsOfAnswer, Program: s.nextID("p"),
+		ID: id, Tenant: other, Key: other + "-key", Route: standin.StoredPath, Events: eventsPerAnswer, Program: s.nextID("p"),
 		Session: id, Previous: previous, Stored: true, Budget: programBudget, MaxTokens: maxTurnTokens, Body: "input of " + id + ";",
 	})
 }
@@ -295,7 +295,7 @@
 	s.record(sent)
 	answer, err := standin.SendRequestWithin(clientTimeout, node.clients.address(), method, standin.Host, sent.Route+"x", headerOf(sent), sent.Body)
 	if err != nil {
-		// Without an answer, the nodes have promised nothing. The checker counts the attempt as failed.
+		// Without an answer, no promise about its content applies. The checker counts the attempt as failed.
 		answer = standin.Answer{}
 	}
 	s.record(promise.Answered{ID: sent.ID, Status: answer.Status, Body: answer.Body, Complete: answer.Complete})
@@ -358,7 +358,7 @@
 	return shortest + time.Duration(s.randomInt(int(longest-shortest)))
 }
 
-func (s *soak) rememberTurn(turn storedTurn) {
+func (s *soak) addStoredTurn(turn storedTurn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.storedTurns = append(s.storedTurns, turn)
